--- a/bench/led_return.py
+++ b/bench/led_return.py
@@ -40,7 +40,7 @@
         settings = said.Settings(router.name, names, names[:3], (duty,), **FIGURES)
         seed = led.chance.getrandbits(32)
         self.duties = Duties(settings, None, clock.now, seed, int(10 * clock.now))
-        self.post(said.Able(True))
+        self.post(said.AbilityReported(True))
         self.look()
 
     @property
@@ -53,16 +53,16 @@
             return
         world = self.led.world
         for action in self.duties.handle(world.core.now, event):
-            if isinstance(action, said.Say):
+            if isinstance(action, said.Send):
                 for pause in world.ways.fate((self.router.name, action.to)):
                     world.core.after(pause, self.led.arrive, self.router.name, action.to, action.items)
-            elif isinstance(action, said.Wake):
+            elif isinstance(action, said.SetTimer):
                 if self.wake is not None:
                     self.wake.cancel()
                 if action.at < math.inf:
                     # a float's last digits: a moment that never comes would be asked for without end
                     pause = max(LEAST, action.at - world.core.now)
-                    self.wake = world.core.after(pause, self.post, said.Woke())
+                    self.wake = world.core.after(pause, self.post, said.TimerFired())
 
     def look(self) -> None:
         """Do what the order in force says and, while it is held here, order the next step."""
@@ -73,13 +73,13 @@
         if self.router.stalled or self.router.agent is None:
             return
         now, zones = core_.now, self.router.agent.zones
-        if (obeyed := self.duties.obeys(now, DUTY)) is not None:
+        if (obeyed := self.duties.order_in_force(now, DUTY)) is not None:
             for number in obeyed.value:
                 self.led.take(zones, now, number >> BITS, number & (1 << BITS) - 1)
-        if self.duties.may(now, DUTY) is not None:
+        if self.duties.acting_token(now, DUTY) is not None:
             value = self.led.ordered(zones, now)
-            if value != self.duties.leads[DUTY].value:
-                self.post(said.Place(DUTY, value))
+            if value != self.duties.holdings[DUTY].value:
+                self.post(said.SetState(DUTY, value))
 
 
 class Led:
@@ -107,7 +107,7 @@
 
     def arrive(self, sender: str, to: str, items: tuple[said.Item, ...]) -> None:
         """A datagram has come."""
-        self.parts[to].post(said.Heard(sender, items))
+        self.parts[to].post(said.MessagesReceived(sender, items))
 
     def take(self, zones: Zones, now: float, zone: int, share: int) -> None:
         """Take the share that an order names."""
@@ -132,12 +132,14 @@
         known = {n >> BITS for n in each}
         last = self.parts_value()
         each += [n >> BITS << BITS for n in last if n >> BITS not in known and self._is_in(zones, n >> BITS)]
-        return tuple(sorted(each))[: said.MOST_VALUES]
+        return tuple(sorted(each))[: said.MAX_STATE_LENGTH]
 
     def parts_value(self) -> said.Value:
         """What is ordered now."""
-        leads = [p.duties.leads.get(DUTY) for p in self.parts.values()]
-        return max((lead.value for lead in leads if lead is not None and lead.acting), default=())
+        holdings = [p.duties.holdings.get(DUTY) for p in self.parts.values()]
+        return max(
+            (holding.value for holding in holdings if holding is not None and holding.acting), default=()
+        )
 
     def _is_in(self, zones: Zones, zone: int) -> bool:
         return zones.registers.get((zones.home, zone), Register()).standing.order is Order.IN
--- a/myrtlecourse/address/duty.py
+++ b/myrtlecourse/address/duty.py
@@ -11,7 +11,7 @@
 from myrtlecourse.address.keeper import EMPTY_TIME
 from myrtlecourse.address.link import Link, Words
 from myrtlecourse.duties import messages as said
-from myrtlecourse.duties.keeper import Keeper
+from myrtlecourse.duties.driver import DutyDriver
 from myrtlecourse.duties.messages import ADDRESS
 from myrtlecourse.election.core import Role
 
@@ -20,7 +20,11 @@
     """What the holder of the address does."""
 
     def __init__(
-        self, keeper: Keeper, link: Link, held: Callable[[bool], None], emptied: Callable[[], Awaitable[None]]
+        self,
+        keeper: DutyDriver,
+        link: Link,
+        held: Callable[[bool], None],
+        emptied: Callable[[], Awaitable[None]],
     ) -> None:
         """`held` hears when the address comes and goes; when it goes, nothing may be accepted any more once
         `held` has returned. `emptied` waits until what was taken has ended."""
@@ -32,13 +36,13 @@
 
     def holds(self) -> bool:
         """Whether the address is here at this very moment."""
-        return self.keeper.may(ADDRESS) is not None
+        return self.keeper.acting_token(ADDRESS) is not None
 
-    def took(self, token: int, value: said.Value) -> None:
+    def on_acquired(self, token: int, value: said.Value) -> None:
         self.held(True)
         self.words.say(token)
 
-    def lost(self) -> None:
+    def on_lost(self) -> None:
         self.held(False)
         self.leaving = asyncio.create_task(self._leave())
 
@@ -48,12 +52,12 @@
             async with asyncio.timeout(EMPTY_TIME):
                 await self.emptied()
         self.words.say(None)
-        self.keeper.post(said.Stopped(ADDRESS))
+        self.keeper.post(said.WorkStopped(ADDRESS))
 
-    def settled(self, token: int, number: int) -> None:
+    def on_committed(self, token: int, number: int) -> None:
         """It orders nothing."""
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """It has nothing due."""
 
     async def close(self) -> None:
@@ -70,7 +74,7 @@
             "holds": self.holds(),
             "term": election.term,
             "lease_left_s": max(0.0, election.lease_until - now) if election.role is Role.HOLDER else 0.0,
-            "word_given_to": election.word[0] if now < election.word_until else "",
+            "word_given_to": election.promise[0] if now < election.promise_until else "",
             "able": keeper.able() and keeper.abilities[ADDRESS](),
             "voters": list(keeper.settings.voters),
             "sent": keeper.sent,
--- a/myrtlecourse/address/keeper.py
+++ b/myrtlecourse/address/keeper.py
@@ -80,11 +80,11 @@
             now = time.monotonic()
             stood = now - self.looked_at > self.settings.unwell + LOOK
             self.looked_at = now
-            self.post(said.Able(self.able() and not stood))
+            self.post(said.AbilityReported(self.able() and not stood))
             await asyncio.sleep(LOOK)
 
     def heard(self, sender: str, message: said.Message) -> None:
-        self.post(said.Heard(sender, message))
+        self.post(said.MessageReceived(sender, message))
 
     def post(self, event: said.Event) -> None:
         """Let the election hear of something, and carry out what it answers."""
@@ -95,7 +95,7 @@
         match action:
             case said.Save(saved):
                 self.unwritten = saved if self.votes is not None else None
-            case said.Tell(to, message):
+            case said.Send(to, message):
                 if self._written():
                     self.send(to, self.wire.pack(to, message))
             case said.Announce(term):
@@ -106,8 +106,8 @@
                 self._note(f"holds the address no more: {why}")
                 self.held(False)
                 self.leaving = self.loop.create_task(self._leave())
-            case said.Wake(at):
-                self.call_at(at, lambda: self.post(said.Woke()))
+            case said.SetTimer(at):
+                self.call_at(at, lambda: self.post(said.TimerFired()))
 
     def _written(self) -> bool:
         """Whether all that must last is on the disk; until it is, not a word may go out."""
@@ -143,7 +143,7 @@
         """
         if settings.name != self.settings.name or peers[settings.name] != self.peers[settings.name]:
             raise said.ElectionError("name: it can't be another while it runs, nor be heard elsewhere")
-        self.post(said.Changed(settings))
+        self.post(said.SettingsChanged(settings))
         self.settings, self.peers = settings, peers
         self.wire.members(settings.voters)
 
@@ -167,7 +167,7 @@
             "holds": self.holds(),
             "term": election.term,
             "lease_left_s": max(0.0, election.lease_until - now) if election.role is Role.HOLDER else 0.0,
-            "word_given_to": election.word[0] if now < election.word_until else "",
+            "word_given_to": election.promise[0] if now < election.promise_until else "",
             "able": self.able(),
             "voters": list(self.settings.voters),
             "sent": self.sent,
--- a/myrtlecourse/beyond.py
+++ b/myrtlecourse/beyond.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from myrtlecourse.address.duty import AddressWork
     from myrtlecourse.address.keeper import Keeper
-    from myrtlecourse.duties.keeper import Keeper as DutyKeeper
+    from myrtlecourse.duties.driver import DutyDriver
     from myrtlecourse.operators import Address, Duties, Fleet, OperatorsFile, Spread
     from myrtlecourse.peers.speaker import Speaker
     from myrtlecourse.service import Service
@@ -47,7 +47,7 @@
         self.keeper: Keeper | None = None  # of the service address, where it has an election of its own
         self.speaker: Speaker | None = None  # to other routers, where they talk
         self.address_work: AddressWork | None = None  # where the address is one of the duties
-        self.duties: DutyKeeper | None = None  # that one router holds at a time
+        self.duties: DutyDriver | None = None  # that one router holds at a time
         self.spread: SpreadKeeper | None = None  # of changes and purges
 
     async def start(self) -> None:
@@ -157,7 +157,7 @@
         except OSError as e:
             raise ConfigError(f"{self.path}: address.peers: {own}: {e}") from e
 
-    def _address_as_duty(self, table: Address, keeper: DutyKeeper) -> None:
+    def _address_as_duty(self, table: Address, keeper: DutyDriver) -> None:
         """Hold the service address as the first of the duties."""
         from myrtlecourse.address.duty import AddressWork  # noqa: PLC0415  (an extra)
         from myrtlecourse.address.setup import link  # noqa: PLC0415
@@ -172,13 +172,13 @@
 
     async def _keep_duties(self, told: OperatorsFile, table: Duties) -> None:
         """Take part in the duties of the fleet."""
-        from myrtlecourse.duties.setup import keeper, peers  # noqa: PLC0415  (an extra)
+        from myrtlecourse.duties.setup import make_driver, peers  # noqa: PLC0415  (an extra)
 
         def able() -> bool:
             """An emptied router holds nothing, and one whose core is full."""
             return self.service.host.in_service and self.service.door.share >= LEAST_SHARE
 
-        self.duties = keeper(table, told.of_duties(), able)
+        self.duties = make_driver(table, told.of_duties(), able)
         if told.address is not None and not told.address.peers:
             self._address_as_duty(told.address, self.duties)
         if self.spread is not None and told.spread is not None and told.spread.duty is not None:
@@ -283,7 +283,7 @@
         logging.info("the address's keys and link are those of the file")
 
     @staticmethod
-    def _reload_duties(keeper: DutyKeeper, told: OperatorsFile) -> None:
+    def _reload_duties(keeper: DutyDriver, told: OperatorsFile) -> None:
         """Members, voters, times and keys; the duties themselves need a restart. Raises ValueError."""
         from myrtlecourse.duties.setup import keys, peers  # noqa: PLC0415  (an extra)
 
--- a/myrtlecourse/duties/codec.py
+++ b/myrtlecourse/duties/codec.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from myrtlecourse.duties import messages as said
+from myrtlecourse.duties import messages
 from myrtlecourse.duties.messages import Item, Message
 from myrtlecourse.election import messages as election
 from myrtlecourse.peers.seal import Dropped
@@ -21,35 +21,35 @@
 KINDS: tuple[type[Message], ...] = (
     *(election.Beat, election.Renew, election.Ask, election.Grant, election.Deny),
     *(election.Release, election.Take, election.Invite),
-    *(said.Survey, said.Known, said.Order, said.Taken, said.Outdated),
+    *(messages.Survey, messages.Known, messages.Order, messages.Taken, messages.Outdated),
 )
-NUMBERS = {kind: number for number, kind in enumerate(KINDS)}
-SHARED = (election.Beat, election.Renew)  # told as their number, then each duty with its term
-LARGEST = 2**63
+KIND_NUMBERS = {kind: number for number, kind in enumerate(KINDS)}
+GROUPED = (election.Beat, election.Renew)  # told as their number, then each duty with its term
+INTEGER_LIMIT = 2**63
 
 
-def groups(items: tuple[Item, ...]) -> Iterator[tuple[list[Any], int]]:
+def encoded_groups(items: tuple[Item, ...]) -> Iterator[tuple[list[Any], int]]:
     """The words, those that share a number together; and how many items each stands for."""
-    shared: dict[tuple[int, int], list[Any]] = {}
+    grouped: dict[tuple[int, int], list[Any]] = {}
     for duty, message in items:
-        kind = NUMBERS[type(message)]
-        if isinstance(message, SHARED):
-            shared.setdefault((kind, message.number), [kind, message.number]).extend((duty, message.term))
-    yield from ((word, (len(word) - 2) // 2) for word in shared.values())
+        kind = KIND_NUMBERS[type(message)]
+        if isinstance(message, GROUPED):
+            grouped.setdefault((kind, message.number), [kind, message.number]).extend((duty, message.term))
+    yield from ((encoded, (len(encoded) - 2) // 2) for encoded in grouped.values())
     for duty, message in items:
-        if not isinstance(message, SHARED):
-            yield [NUMBERS[type(message)], duty, *astuple(message)], 1
+        if not isinstance(message, GROUPED):
+            yield [KIND_NUMBERS[type(message)], duty, *astuple(message)], 1
 
 
 def split(items: tuple[Item, ...], room: int) -> Iterator[tuple[Item, ...]]:
     """The items of one datagram after the other, none of which takes more than so many bytes."""
-    codec, rest = DutyCodec(), list(items)
-    while rest:
-        count = len(rest)
-        while count > 1 and len(msgspec.msgpack.encode(codec.parts(tuple(rest[:count])))) > room:
+    codec, remaining = DutyCodec(), list(items)
+    while remaining:
+        count = len(remaining)
+        while count > 1 and len(msgspec.msgpack.encode(codec.parts(tuple(remaining[:count])))) > room:
             count -= max(1, count // 4)
-        yield tuple(rest[:count])
-        del rest[:count]
+        yield tuple(remaining[:count])
+        del remaining[:count]
 
 
 class DutyCodec:
@@ -57,41 +57,41 @@
 
     def parts(self, message: tuple[Item, ...]) -> list[Any]:
         """What a datagram carries."""
-        return [word for word, _ in groups(message)]
+        return [encoded for encoded, _ in encoded_groups(message)]
 
     def read(self, parts: list[Any]) -> tuple[Item, ...]:
         """The words, checked. Raises Dropped."""
-        found: list[Item] = []
-        for word in parts:
-            if not isinstance(word, list) or len(word) < 2 or type(word[0]) is not int:
+        items: list[Item] = []
+        for encoded in parts:
+            if not isinstance(encoded, list) or len(encoded) < 2 or type(encoded[0]) is not int:
                 raise Dropped("malformed")
-            if not 0 <= word[0] < len(KINDS):
+            if not 0 <= encoded[0] < len(KINDS):
                 raise Dropped("malformed")
-            found += self._read(KINDS[word[0]], word[1:])
-        return tuple(found)
+            items += self._read(KINDS[encoded[0]], encoded[1:])
+        return tuple(items)
 
     def _read(self, kind: type[Message], values: list[Any]) -> list[Item]:
-        if issubclass(kind, SHARED):
-            if len(values) % 2 == 0 or any(type(v) is not int or not 0 <= v < LARGEST for v in values):
+        if issubclass(kind, GROUPED):
+            if len(values) % 2 == 0 or any(type(v) is not int or not 0 <= v < INTEGER_LIMIT for v in values):
                 raise Dropped("malformed")
             each = zip(values[1::2], values[2::2], strict=True)
             return [(duty, kind(term, values[0])) for duty, term in each]
-        told = fields(kind)
-        if len(values) != 1 + len(told) or type(values[0]) is not int:
+        kind_fields = fields(kind)
+        if len(values) != 1 + len(kind_fields) or type(values[0]) is not int:
             raise Dropped("malformed")
-        checked = [self._value(f.type, value) for f, value in zip(told, values[1:], strict=True)]
+        checked = [self._value(f.type, value) for f, value in zip(kind_fields, values[1:], strict=True)]
         return [(values[0], kind(*checked))]
 
     @staticmethod
     def _value(wanted: Any, value: Any) -> Any:
         """A field's value, checked."""
         if wanted == "Value":
-            if not isinstance(value, list) or len(value) > said.MOST_VALUES:
+            if not isinstance(value, list) or len(value) > messages.MAX_STATE_LENGTH:
                 raise Dropped("malformed")
-            if any(type(v) is not int or not 0 <= v < said.LARGEST for v in value):
+            if any(type(v) is not int or not 0 <= v < messages.STATE_NUMBER_LIMIT for v in value):
                 raise Dropped("malformed")
             return tuple(value)
         kind = bool if wanted == "bool" else int
-        if type(value) is not kind or not 0 <= value < LARGEST:
+        if type(value) is not kind or not 0 <= value < INTEGER_LIMIT:
             raise Dropped("malformed")
         return value
--- a/myrtlecourse/duties/commands.py
+++ b/myrtlecourse/duties/commands.py
@@ -27,14 +27,14 @@
     """
 
 
-def table_of(at: str, told: dict[str, Any]) -> Table:
+def table_of(at: str, status: dict[str, Any]) -> Table:
     """A router's view of the duties."""
-    able = "" if told["able"] else ", not able to hold"
-    table = Table(title=f"{at}: router {told['name']}{able}; voters {', '.join(told['voters'])}")
+    able = "" if status["able"] else ", not able to hold"
+    table = Table(title=f"{at}: router {status['name']}{able}; voters {', '.join(status['voters'])}")
     headings = ("duty", "holder", "token", "here", "obeys", "last order", "state", "taken by", "dropped")
     for heading in headings:
         table.add_column(heading)
-    for each in told["duties"]:
+    for each in status["duties"]:
         obeys = f"{each['obeys']['token']}.{each['obeys']['number']}" if each["obeys"] else "nobody"
         age = f"{each['order_age_s']:.1f} s ago" if each["order_age_s"] is not None else ""
         here = f"{each['role']}, acts" if each["acts"] else each["role"]
@@ -49,12 +49,12 @@
 @click.option("--json", "as_json", is_flag=True, help="print JSON, an object for each --at")
 def status(places: tuple[str, ...], as_json: bool) -> None:
     """What each router knows of the duties."""
-    found = ask_each(places, "duties")
+    statuses = ask_each(places, "duties")
     if as_json:
-        click.echo(json.dumps(found, indent=2))
+        click.echo(json.dumps(statuses, indent=2))
         return
-    for at, told in found.items():
-        Console().print(table_of(at, told))
+    for at, status in statuses.items():
+        Console().print(table_of(at, status))
 
 
 @duty.command()
--- a/myrtlecourse/duties/core.py
+++ b/myrtlecourse/duties/core.py
@@ -11,16 +11,16 @@
 from collections import defaultdict, deque
 from typing import Any
 
-from myrtlecourse.duties import messages as said
-from myrtlecourse.duties.lead import Lead
+from myrtlecourse.duties import messages
+from myrtlecourse.duties.holding import Holding
 from myrtlecourse.duties.member import Member
-from myrtlecourse.duties.messages import Duty, Item, Memory, Message, Obeyed, Settings
+from myrtlecourse.duties.messages import Duty, Item, Memory, Message, ObeyedOrder, Settings
 from myrtlecourse.election import messages as election
 from myrtlecourse.election.core import Election, Role
-from myrtlecourse.election.count import Count
+from myrtlecourse.election.question_numbers import QuestionNumbers
 
-MOST_BRAKE = 16  # times: a duty that nobody can do is tried by each now and then all the same
-OF_ELECTIONS = (
+MAX_BRAKE_FACTOR = 16  # times: a duty that nobody can do is tried by each now and then all the same
+ELECTION_MESSAGES = (
     *(election.Ask, election.Grant, election.Deny, election.Beat),
     *(election.Renew, election.Release, election.Take, election.Invite),
 )
@@ -30,7 +30,7 @@
     """One process's part."""
 
     def __init__(
-        self, settings: Settings, saved: dict[str, Memory] | None, now: float, seed: int, floor: int = 0
+        self, settings: Settings, saved: dict[str, Memory] | None, now: float, seed: int, term_floor: int = 0
     ) -> None:
         """`saved` is what the process before wrote down, None where there is no disk or nothing on it.
 
@@ -39,350 +39,364 @@
         """
         self.settings = settings
         self.now = now
-        self.chance = random.Random(seed)
-        self.count = Count(self.chance)
+        self.rng = random.Random(seed)
+        self.question_numbers = QuestionNumbers(self.rng)
         self.duties: dict[str, Duty] = {}
-        self.names: dict[int, str] = {}
+        self.duty_names: dict[int, str] = {}
         self.elections: dict[str, Election] = {}
         self.members: dict[str, Member] = {}
-        self.leads: dict[str, Lead] = {}
-        self.ends: dict[str, float] = {}  # of holdings that are let go: when to wait no longer
-        self.clear: dict[str, int] = {}  # terms whose holder has said that nobody obeys it any more
-        self.brakes: dict[str, int] = {}  # how often a duty was given up as nobody answered
+        self.holdings: dict[str, Holding] = {}
+        self.release_deadlines: dict[str, float] = {}  # of holdings that are let go: when to wait no longer
+        self.ended_terms: dict[str, int] = {}  # terms whose holder has said that nobody obeys it any more
+        self.failed_holdings: dict[str, int] = {}  # how often a duty was given up as nobody answered
         self.able = True
-        self.unable: set[str] = set()  # duties that this process can't hold
-        self.wakes: dict[str, float] = {}
-        self.holds_without: set[str] = set()  # duties without orders
-        self.acts: list[said.Action] = []
-        self.words: dict[str, list[Item]] = defaultdict(list)
-        self.own: deque[Item] = deque()  # said to this very process
-        self.dirty = False
-        self.beating = False
-        self.ordering = False
-        first_stamp = self.chance.getrandbits(48) + 1
+        self.unable_duties: set[str] = set()  # duties that this process can't hold
+        self.timers: dict[str, float] = {}
+        self.held_without_orders: set[str] = set()  # duties without orders
+        self.actions: list[messages.Action] = []
+        self.outgoing: dict[str, list[Item]] = defaultdict(list)
+        self.own_messages: deque[Item] = deque()  # said to this very process
+        self.save_needed = False
+        self.heartbeat_sent = False
+        self.order_sent = False
+        first_stamp = self.rng.getrandbits(48) + 1
         for duty in settings.duties:
             memory = (saved or {}).get(duty.name)
-            before = election.Saved(floor, "")
+            before = election.Saved(term_floor, "")
             if memory is not None:
                 before = election.Saved(memory.term, memory.voted)
-            number = self.chance.getrandbits(32)
+            number = self.rng.getrandbits(32)
             self.duties[duty.name] = duty
-            self.names[duty.number] = duty.name
-            self.elections[duty.name] = Election(settings.election(duty), before, now, number, self.count)
+            self.duty_names[duty.number] = duty.name
+            self.elections[duty.name] = Election(
+                settings.election(duty), before, now, number, self.question_numbers
+            )
             self.members[duty.name] = Member(duty, memory, now, first_stamp)
 
     # What may be done at this moment
 
-    def may(self, now: float, name: str) -> int | None:
+    def acting_token(self, now: float, name: str) -> int | None:
         """The token to act for a duty with, or None; to be asked before each effect, never once for many."""
-        held = self.elections[name]
-        if not held.holds(now):
+        duty_election = self.elections[name]
+        if not duty_election.holds(now):
             return None
-        lead = self.leads.get(name)
-        if lead is None:
-            return held.term if name in self.holds_without else None
-        return lead.token if lead.acting and not lead.leaving else None
+        holding = self.holdings.get(name)
+        if holding is None:
+            return duty_election.term if name in self.held_without_orders else None
+        return holding.token if holding.acting and not holding.leaving else None
 
-    def obeys(self, now: float, name: str) -> Obeyed | None:
+    def order_in_force(self, now: float, name: str) -> ObeyedOrder | None:
         """The order that this member is to act by at this very moment; None: the duty's safe rest."""
-        return self.members[name].obeys(now)
+        return self.members[name].order_in_force(now)
 
     # Events
 
-    def handle(self, now: float, event: said.Event) -> list[said.Action]:
+    def handle(self, now: float, event: messages.Event) -> list[messages.Action]:
         """Take one event and answer with actions, to be carried out in order. Raises DutiesError."""
         self.now = max(now, self.now)
-        self._check(event)
-        self.acts, self.words = [], defaultdict(list)
-        self.dirty = self.beating = self.ordering = False
-        if not isinstance(event, said.Changed):
+        self._validate(event)
+        self.actions, self.outgoing = [], defaultdict(list)
+        self.save_needed = self.heartbeat_sent = self.order_sent = False
+        if not isinstance(event, messages.SettingsChanged):
             # what is over is over first: a process that was stopped wakes with what came for a holder
             for name in self.elections:
-                self._elect(name, election.Woke())
+                self._post_to_election(name, election.TimerFired())
         match event:
-            case said.Heard(sender, items):
+            case messages.MessagesReceived(sender, items):
                 for number, message in items:
-                    if number in self.names and sender in self.settings.members:
-                        self._hear(self.names[number], sender, message)
-            case said.Able():
+                    if number in self.duty_names and sender in self.settings.members:
+                        self._on_message(self.duty_names[number], sender, message)
+            case messages.AbilityReported():
                 self._on_able(event)
-            case said.Place(name, value):
-                if self.may(self.now, name) is not None:
-                    self.leads[name].place(self.now, value)
-            case said.Move(name, to):
+            case messages.SetState(name, value):
+                if self.acting_token(self.now, name) is not None:
+                    self.holdings[name].set_state(self.now, value)
+            case messages.Move(name, to):
                 self._on_move(name, to)
-            case said.Stopped(name) if not self.duties[name].orders:
-                self._elect(name, election.Withdrawn())
-            case said.Changed(settings):
+            case messages.WorkStopped(name) if not self.duties[name].orders:
+                self._post_to_election(name, election.Withdrawn())
+            case messages.SettingsChanged(settings):
                 self._on_changed(settings)
-            case said.Woke() | said.Stopped():
+            case messages.TimerFired() | messages.WorkStopped():
                 pass
-        self._serve()
-        return self._actions()
+        self._do_due_work()
+        return self._collect_actions()
 
-    def _actions(self) -> list[said.Action]:
-        saves = [said.Save({n: self._memory(n) for n in self.duties})] if self.dirty else []
-        says = [said.Say(to, tuple(items)) for to, items in self.words.items() if items]
-        return [*saves, *self.acts, *says, said.Wake(self._next())]
+    def _collect_actions(self) -> list[messages.Action]:
+        saves = [messages.Save({n: self._memory(n) for n in self.duties})] if self.save_needed else []
+        sends = [messages.Send(to, tuple(items)) for to, items in self.outgoing.items() if items]
+        return [*saves, *self.actions, *sends, messages.SetTimer(self._next_due())]
 
     def _memory(self, name: str) -> Memory:
         saved = self.elections[name].saved
         return self.members[name].memory(saved.term, saved.voted)
 
-    def _say(self, name: str, to: str, message: Message) -> None:
+    def _send(self, name: str, to: str, message: Message) -> None:
         item = self.duties[name].number, message
         if to == self.settings.name:
-            self.own.append(item)
+            self.own_messages.append(item)
         else:
-            self.words[to].append(item)
+            self.outgoing[to].append(item)
 
-    def _elect(self, name: str, event: election.Event) -> None:
-        self._carry(name, self.elections[name].handle(self.now, event))
+    def _post_to_election(self, name: str, event: election.Event) -> None:
+        self._carry_out(name, self.elections[name].handle(self.now, event))
 
-    def _carry(self, name: str, actions: list[election.Action]) -> None:
+    def _carry_out(self, name: str, actions: list[election.Action]) -> None:
         """Carry out what a duty's election answers."""
         for action in actions:
             match action:
                 case election.Save():
-                    self.dirty = True
-                case election.Tell(to, message):
-                    self.beating = self.beating or isinstance(message, election.Beat)
-                    self._say(name, to, message)
+                    self.save_needed = True
+                case election.Send(to, message):
+                    self.heartbeat_sent = self.heartbeat_sent or isinstance(message, election.Beat)
+                    self._send(name, to, message)
                 case election.Announce(term):
-                    self._won(name, term)
-                case election.Withdraw(why):
-                    self._withdraw(name, why)
-                case election.Wake(at):
-                    self.wakes[name] = at
+                    self._on_won(name, term)
+                case election.Withdraw(reason):
+                    self._withdraw(name, reason)
+                case election.SetTimer(at):
+                    self.timers[name] = at
 
     # Holding
 
-    def _won(self, name: str, term: int) -> None:
+    def _on_won(self, name: str, term: int) -> None:
         duty = self.duties[name]
         if duty.orders:
-            self.leads[name] = Lead(self.settings, duty, term, self.now, self.clear.get(name) == term - 1)
+            self.holdings[name] = Holding(
+                self.settings, duty, term, self.now, self.ended_terms.get(name) == term - 1
+            )
         else:
-            self.holds_without.add(name)
-            self.acts.append(said.Took(name, term, ()))
+            self.held_without_orders.add(name)
+            self.actions.append(messages.Acquired(name, term, ()))
 
-    def _withdraw(self, name: str, why: str) -> None:
+    def _withdraw(self, name: str, reason: str) -> None:
         """The lease is over or given up: act no more, and let those that obey know."""
-        lead = self.leads.get(name)
-        if name in self.holds_without:
-            self.holds_without.discard(name)
-            self.acts.append(said.Lost(name, why))
+        holding = self.holdings.get(name)
+        if name in self.held_without_orders:
+            self.held_without_orders.discard(name)
+            self.actions.append(messages.Lost(name, reason))
             return  # until it is `Stopped`
-        if lead is not None and lead.acting:
-            self.acts.append(said.Lost(name, why))
+        if holding is not None and holding.acting:
+            self.actions.append(messages.Lost(name, reason))
         # long enough to be heard, and much shorter than the voters' words, which still stand
-        self.ends[name] = self.now + 2 * self.settings.heartbeat
+        self.release_deadlines[name] = self.now + 2 * self.settings.heartbeat
 
-    def _let_go(self, name: str, lead: Lead) -> None:
+    def _release(self, name: str, holding: Holding) -> None:
         """Tell members to obey no more; once they have said so, or long enough after, the voters hear."""
-        for member, message in lead.revoke(self.now):
-            self._say(name, member, message)
-        clear = lead.clear(self.now) and self.now >= lead.clear_at
-        if clear or not lead.bound or self.now >= self.ends[name]:
-            del self.leads[name], self.ends[name]
-            self._elect(name, election.Withdrawn(clear))
-
-    def _serve(self) -> None:
+        for member, message in holding.revoke(self.now):
+            self._send(name, member, message)
+        all_clear = holding.nobody_obeys(self.now) and self.now >= holding.safe_from
+        if all_clear or not holding.may_obey_until or self.now >= self.release_deadlines[name]:
+            del self.holdings[name], self.release_deadlines[name]
+            self._post_to_election(name, election.Withdrawn(all_clear))
+
+    def _do_due_work(self) -> None:
         """Do what is due for all duties."""
-        for name in list(self.leads):
-            self._lead(name, self.leads[name])
-        while self.own:
-            self._hear_own()
-            for name in list(self.leads):
-                self._lead(name, self.leads[name])
-        if self.ordering:
-            for name, lead in list(self.leads.items()):
-                if name not in self.ends:
-                    lead.join(self.now)
-                    self._lead(name, lead)
-        self._hear_own()
-        if self.beating:
-            for name, held in self.elections.items():
-                self._carry(name, held.join(self.now))
+        for name in list(self.holdings):
+            self._run_holding(name, self.holdings[name])
+        while self.own_messages:
+            self._deliver_own()
+            for name in list(self.holdings):
+                self._run_holding(name, self.holdings[name])
+        if self.order_sent:
+            for name, holding in list(self.holdings.items()):
+                if name not in self.release_deadlines:
+                    holding.order_early(self.now)
+                    self._run_holding(name, holding)
+        self._deliver_own()
+        if self.heartbeat_sent:
+            for name, duty_election in self.elections.items():
+                self._carry_out(name, duty_election.heartbeat_early(self.now))
         for name in self.members:
-            self._look_at(name)
+            self._report_expiry(name)
 
-    def _hear_own(self) -> None:
+    def _deliver_own(self) -> None:
         """What this process says to itself, and answers."""
-        while self.own:
-            number, message = self.own.popleft()
-            self._hear(self.names[number], self.settings.name, message)
+        while self.own_messages:
+            number, message = self.own_messages.popleft()
+            self._on_message(self.duty_names[number], self.settings.name, message)
 
-    def _look_at(self, name: str) -> None:
+    def _report_expiry(self, name: str) -> None:
         """Tell when a member's order has run out, or was dropped for a later holder."""
         member = self.members[name]
-        if not member.rested and member.obeys(self.now) is None:
-            member.rested = True
-            self.acts.append(said.Rests(name, min(self.now, member.ends)))
+        if not member.expiry_reported and member.order_in_force(self.now) is None:
+            member.expiry_reported = True
+            self.actions.append(messages.ObeysNobody(name, min(self.now, member.order_ended_at)))
 
-    def _lead(self, name: str, lead: Lead) -> None:
-        if name in self.ends:
-            self._let_go(name, lead)
+    def _run_holding(self, name: str, holding: Holding) -> None:
+        if name in self.release_deadlines:
+            self._release(name, holding)
             return
-        if lead.unheard_for(self.now) >= self.settings.unheard:
-            times = self.brakes.get(name, 0)
-            self.brakes[name] = times + 1
-            rest = self.settings.brake * min(MOST_BRAKE, 2**times)
-            self._elect(name, election.Resign("its orders are not heard by enough members", rest))
+        if holding.unanswered_for(self.now) >= self.settings.unheard:
+            times = self.failed_holdings.get(name, 0)
+            self.failed_holdings[name] = times + 1
+            pause = self.settings.brake * min(MAX_BRAKE_FACTOR, 2**times)
+            self._post_to_election(name, election.Resign("its orders are not heard by enough members", pause))
             return
-        if lead.may_begin(self.now):
-            lead.begin(self.now)
-            self.acts.append(said.Took(name, lead.token, lead.value))
-        for member, message in lead.due(self.now):
-            self.ordering = self.ordering or lead.acting
-            self._say(name, member, message)
-
-    def _on_able(self, event: said.Able) -> None:
+        if holding.may_begin(self.now):
+            holding.start_acting(self.now)
+            self.actions.append(messages.Acquired(name, holding.token, holding.value))
+        for member, message in holding.messages_due(self.now):
+            self.order_sent = self.order_sent or holding.acting
+            self._send(name, member, message)
+
+    def _on_able(self, event: messages.AbilityReported) -> None:
         if not event.duty:
             self.able = event.able
         elif event.able:
-            self.unable.discard(event.duty)
+            self.unable_duties.discard(event.duty)
         else:
-            self.unable.add(event.duty)
+            self.unable_duties.add(event.duty)
         for name in self.elections:
-            self._elect(name, election.Able(self.able and name not in self.unable))
+            self._post_to_election(
+                name, election.AbilityReported(self.able and name not in self.unable_duties)
+            )
 
-    def _check(self, event: said.Event) -> None:
+    def _validate(self, event: messages.Event) -> None:
         """Guards what is under way: an event that can't be is refused before anything is done. Raises
         DutiesError."""
         match event:
-            case said.Place(name, value):
-                if self.may(self.now, name) is None or name not in self.leads:
-                    raise said.DutiesError(f"{name}: this process does not hold it")
-                if len(value) > said.MOST_VALUES or any(not 0 <= v < said.LARGEST for v in value):
-                    raise said.DutiesError(
-                        f"{name}: a state is {said.MOST_VALUES} numbers at most, from 0 up"
+            case messages.SetState(name, value):
+                if self.acting_token(self.now, name) is None or name not in self.holdings:
+                    raise messages.DutiesError(f"{name}: this process does not hold it")
+                if len(value) > messages.MAX_STATE_LENGTH or any(
+                    not 0 <= v < messages.STATE_NUMBER_LIMIT for v in value
+                ):
+                    raise messages.DutiesError(
+                        f"{name}: a state is {messages.MAX_STATE_LENGTH} numbers at most, from 0 up"
                     )
-            case said.Move(name, to):
+            case messages.Move(name, to):
                 if name not in self.duties:
-                    raise said.DutiesError(f"{name}: no duty has this name")
-                if self.may(self.now, name) is None:
-                    raise said.DutiesError(f"{name}: this process does not hold it")
+                    raise messages.DutiesError(f"{name}: no duty has this name")
+                if self.acting_token(self.now, name) is None:
+                    raise messages.DutiesError(f"{name}: this process does not hold it")
                 if to and to not in self.elections[name].settings.candidates:
-                    raise said.DutiesError(f"{name}: {to} may not hold it")
+                    raise messages.DutiesError(f"{name}: {to} may not hold it")
                 if to == self.settings.name:
-                    raise said.DutiesError(f"{name}: {to} holds it already")
-            case said.Changed(settings):
+                    raise messages.DutiesError(f"{name}: {to} holds it already")
+            case messages.SettingsChanged(settings):
                 self._check_change(settings)
 
     def _check_change(self, settings: Settings) -> None:
         if settings.name != self.settings.name or settings.duties != self.settings.duties:
-            raise said.DutiesError("name and duties can't be others while a process runs")
-        for what in ("members", "voters"):
+            raise messages.DutiesError("name and duties can't be others while a process runs")
+        for field in ("members", "voters"):
             # any two majorities must share one
-            if len(set(getattr(settings, what)) ^ set(getattr(self.settings, what))) > 1:
-                raise said.DutiesError(
-                    f"{what}: one may come or go at a time; wait until all have the change"
+            if len(set(getattr(settings, field)) ^ set(getattr(self.settings, field))) > 1:
+                raise messages.DutiesError(
+                    f"{field}: one may come or go at a time; wait until all have the change"
                 )
-        for name, each in self.elections.items():
+        for name, duty_election in self.elections.items():
             try:
-                each.check_change(self.now, settings.election(self.duties[name]))
+                duty_election.check_change(self.now, settings.election(self.duties[name]))
             except election.ElectionError as e:
-                raise said.DutiesError(f"{name}: {e}") from e
+                raise messages.DutiesError(f"{name}: {e}") from e
 
     def _on_move(self, name: str, to: str) -> None:
-        if self.may(self.now, name) is None:
+        if self.acting_token(self.now, name) is None:
             return  # over since it was asked for
         candidates = self.elections[name].settings.candidates
-        lead = self.leads.get(name)
-        if not to and lead is not None:
+        holding = self.holdings.get(name)
+        if not to and holding is not None:
             # one that answers: to let voters look for somebody takes longer
-            alive = lead.alive(self.now)
-            to = next((c for c in candidates if c in alive and c != self.settings.name), "")
-        self._elect(name, election.Move(to))
+            responsive_members = holding.responsive_members(self.now)
+            to = next((c for c in candidates if c in responsive_members and c != self.settings.name), "")
+        self._post_to_election(name, election.Move(to))
 
     def _on_changed(self, settings: Settings) -> None:
         self.settings = settings
         for name in self.elections:
-            self._elect(name, election.Changed(settings.election(self.duties[name])))
-        for lead in self.leads.values():
-            lead.change(settings)
+            self._post_to_election(name, election.SettingsChanged(settings.election(self.duties[name])))
+        for holding in self.holdings.values():
+            holding.change_settings(settings)
 
     # Messages
 
-    def _hear(self, name: str, sender: str, message: Message) -> None:
-        if isinstance(message, OF_ELECTIONS):
+    def _on_message(self, name: str, sender: str, message: Message) -> None:
+        if isinstance(message, ELECTION_MESSAGES):
             if isinstance(message, election.Take) and message.clear:
-                self.clear[name] = message.term
-            self._elect(name, election.Heard(sender, message))
+                self.ended_terms[name] = message.term
+            self._post_to_election(name, election.MessageReceived(sender, message))
             return
-        lead = self.leads.get(name)
+        holding = self.holdings.get(name)
         match message:
-            case said.Survey() | said.Order():
-                self._obey(name, sender, message)
-            case said.Known() if lead is not None and name not in self.ends:
-                lead.known_of(self.now, sender, message)
+            case messages.Survey() | messages.Order():
+                self._on_holder_message(name, sender, message)
+            case messages.Known() if holding is not None and name not in self.release_deadlines:
+                holding.on_known(self.now, sender, message)
                 if sender != self.settings.name:
-                    self._lead(name, lead)
-            case said.Taken() if lead is not None:
-                again, settled = lead.taken_by(self.now, sender, message)
-                if again is not None:
-                    self._say(name, sender, again)
-                if settled:
-                    self.acts.append(said.Settled(name, lead.token, lead.settled))
-                    if lead.settled == lead.number:
-                        self.brakes.pop(name, None)
-                if name in self.ends and sender != self.settings.name:
-                    self._let_go(name, lead)
-            case said.Outdated(token) if lead is not None and token > lead.token and name not in self.ends:
-                self._elect(name, election.Resign("a later holder is known", self.settings.heartbeat))
-
-    def _obey(self, name: str, sender: str, message: said.Survey | said.Order) -> None:
+                    self._run_holding(name, holding)
+            case messages.Taken() if holding is not None:
+                reply, advanced = holding.on_taken(self.now, sender, message)
+                if reply is not None:
+                    self._send(name, sender, reply)
+                if advanced:
+                    self.actions.append(messages.Committed(name, holding.token, holding.committed))
+                    if holding.committed == holding.number:
+                        self.failed_holdings.pop(name, None)
+                if name in self.release_deadlines and sender != self.settings.name:
+                    self._release(name, holding)
+            case messages.Outdated(token) if (
+                holding is not None and token > holding.token and name not in self.release_deadlines
+            ):
+                self._post_to_election(
+                    name, election.Resign("a later holder is known", self.settings.heartbeat)
+                )
+
+    def _on_holder_message(self, name: str, sender: str, message: messages.Survey | messages.Order) -> None:
         """Take a holder's word, and answer it once what must last is written down."""
         if sender not in self.elections[name].settings.candidates:
             return
-        self._look_at(name)  # what ran out before this came, or a stop would hide it
+        self._report_expiry(name)  # what ran out before this came, or a stop would hide it
         member = self.members[name]
         before = member.promised, member.token, member.number, member.value
         obeyed = member.obeyed
-        if isinstance(message, said.Survey):
+        if isinstance(message, messages.Survey):
             answer = member.survey(self.now, message)
         else:
             answer = member.order(self.now, sender, message)
-        self.dirty |= before != (member.promised, member.token, member.number, member.value)
+        self.save_needed |= before != (member.promised, member.token, member.number, member.value)
         now = member.obeyed
         if now.token != obeyed.token:
-            self._look_at(name)
-            if not member.rested:
-                self.acts.append(said.Rests(name, self.now))  # from one holder to the next
+            self._report_expiry(name)
+            if not member.expiry_reported:
+                self.actions.append(messages.ObeysNobody(name, self.now))  # from one holder to the next
         if now is not obeyed and self.now < now.until:
-            member.rested = False
-            self.acts.append(said.Obeys(name, now.holder, now.token, now.number, now.value, now.until))
-        self._say(name, sender, answer)
+            member.expiry_reported = False
+            self.actions.append(messages.Obeys(name, now.holder, now.token, now.number, now.value, now.until))
+        self._send(name, sender, answer)
 
-    def _next(self) -> float:
+    def _next_due(self) -> float:
         """When something will be due."""
-        times = [*self.wakes.values(), *(lead.next(self.now) for lead in self.leads.values())]
-        times += [self.ends[n] for n in self.ends if n in self.leads]
-        times += [m.obeyed.until for m in self.members.values() if not m.rested]
+        times = [*self.timers.values(), *(holding.next_due(self.now) for holding in self.holdings.values())]
+        times += [self.release_deadlines[n] for n in self.release_deadlines if n in self.holdings]
+        times += [m.obeyed.until for m in self.members.values() if not m.expiry_reported]
         return min(times)
 
     # For staff
 
     def status(self, now: float) -> dict[str, Any]:
         """What staff may want to know; JSON-able. Times in seconds."""
-        found = []
-        for name, held in self.elections.items():
-            member, lead = self.members[name], self.leads.get(name)
-            obeyed = member.obeys(now)
-            found.append(
+        rows = []
+        for name, duty_election in self.elections.items():
+            member, holding = self.members[name], self.holdings.get(name)
+            obeyed = member.order_in_force(now)
+            rows.append(
                 {
                     "duty": name,
-                    "role": held.role.value,
-                    "acts": self.may(now, name) is not None,
-                    "holder": self.settings.name if held.holds(now) else member.holder,
-                    "token": held.term if held.role is Role.HOLDER else member.promised,
-                    "lease_left_s": max(0.0, held.lease_until - now) if held.role is Role.HOLDER else 0.0,
+                    "role": duty_election.role.value,
+                    "acts": self.acting_token(now, name) is not None,
+                    "holder": self.settings.name if duty_election.holds(now) else member.holder,
+                    "token": duty_election.term if duty_election.role is Role.HOLDER else member.promised,
+                    "lease_left_s": max(0.0, duty_election.lease_until - now)
+                    if duty_election.role is Role.HOLDER
+                    else 0.0,
                     "obeys": {"token": obeyed.token, "number": obeyed.number} if obeyed is not None else None,
                     "state": list(member.value),
-                    "order_age_s": round(now - member.heard_at, 3) if member.holder else None,
-                    "dropped_orders": member.stale,
-                    "taken_by": dict(lead.taken) if lead is not None else {},
-                    "settled": lead.settled if lead is not None else 0,
+                    "order_age_s": round(now - member.last_order_at, 3) if member.holder else None,
+                    "dropped_orders": member.dropped_orders,
+                    "taken_by": dict(holding.accepted) if holding is not None else {},
+                    "settled": holding.committed if holding is not None else 0,
                 }
             )
-        return {"name": self.settings.name, "voters": list(self.settings.voters), "duties": found}
+        return {"name": self.settings.name, "voters": list(self.settings.voters), "duties": rows}
--- /dev/null
+++ b/myrtlecourse/duties/holding.py
@@ -0,0 +1,194 @@
+"""What a duty's holder does with its lease: learns what was ordered before, orders, and lets go.
+
+It acts only when nobody can obey the holder before any more: all members have answered and said so, or the
+time of the last order is over on every clock. Before that a majority of the members has told which order
+they took last, and it goes on from the highest: what a majority took is not forgotten and not done again
+(the first phase of Paxos; Lamport, 1998).
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterable
+
+from myrtlecourse.duties import messages
+from myrtlecourse.duties.messages import Duty, Message, Settings, Value
+
+EARLY_WINDOW = 0.6  # of the time between two orders: with less left until the next it is brought forward
+ORDERS_PER_VALIDITY = 4  # orders in the time that one is good for: one may be lost, and its answer
+
+
+class Holding:
+    """One holding of one duty, under one token."""
+
+    def __init__(
+        self, settings: Settings, duty: Duty, token: int, now: float, previous_orders_ended: bool
+    ) -> None:
+        """`clear`: nobody obeys the holder before any more, as it has said itself."""
+        self.settings = settings
+        self.duty = duty
+        self.token = token
+        self.started_at = now
+        self.safe_from = now if previous_orders_ended else now + settings.order_lifetime(duty.good_for)
+        self.ask_until = now + 2 * settings.order_lifetime(settings.lease + duty.good_for)
+        self.acting = False
+        self.state_uncertain = False  # too few remembered what was ordered before: it may have been forgotten
+        self.leaving = False
+        self.number = 0
+        self.value: Value = duty.initial_state
+        self.highest_order = (-1, -1)  # token and number of the highest order told of
+        self.answered: set[str] = set()  # who has answered, and
+        self.remembering: set[str] = set()  # remembers
+        self.last_stamps: dict[str, int] = {}  # the last one heard of each member
+        self.accepted: dict[str, int] = {}  # the highest number that each has taken
+        self.last_accepted: dict[str, float] = {}  # when each last took one
+        self.may_obey_until: dict[str, float] = {}  # until when each may obey an order of this holding
+        self.committed = 0
+        self.send_at = now
+
+    def change_settings(self, settings: Settings) -> None:
+        """Take other members.
+
+        Guards majorities: what one that has gone has taken is no part of the new ones.
+        """
+        self.settings = settings
+        members = set(settings.members)
+        self.answered &= members
+        self.remembering &= members
+        for table in (self.last_stamps, self.accepted, self.last_accepted):
+            for member in table.keys() - members:
+                del table[member]
+
+    # What is said
+
+    def messages_due(self, now: float) -> Iterable[tuple[str, Message]]:
+        """The words for each member, if it is time for them."""
+        if now < self.send_at or self.leaving:
+            return
+        self.send_at = (
+            now + self.duty.good_for / ORDERS_PER_VALIDITY
+            if self.acting
+            else now + self.settings.heartbeat / 2
+        )
+        for member in self.settings.members:
+            if self.acting:
+                yield member, self._order_for(now, member)
+            elif member not in self.answered:
+                yield member, messages.Survey(self.token)
+
+    def order_early(self, now: float) -> None:
+        """Order a little early, as another duty's holder does so just now: one datagram bears both."""
+        if self.acting and self.send_at - now < EARLY_WINDOW * self.duty.good_for / ORDERS_PER_VALIDITY:
+            self.send_at = min(now, self.send_at)
+
+    def _order_for(self, now: float, member: str) -> messages.Order:
+        echo = self.last_stamps.get(member, 0)
+        good_for = 0 if self.leaving else int(self.duty.good_for * 1000)
+        if echo and good_for:
+            self.may_obey_until[member] = now + self.settings.order_lifetime(self.duty.good_for)
+        return messages.Order(self.token, self.number, good_for, echo, self.value)
+
+    # What is heard
+
+    def on_known(self, now: float, member: str, known: messages.Known) -> None:
+        """What a member took last."""
+        if known.token != self.token:
+            return
+        self.answered.add(member)
+        self.last_stamps[member] = known.stamp
+        if not known.fresh:
+            self.remembering.add(member)
+        if not self.acting and (known.taken, known.number) > self.highest_order:
+            self.highest_order, self.value = (known.taken, known.number), known.value
+
+    def may_begin(self, now: float) -> bool:
+        """Whether to act from now on."""
+        settings, members = self.settings, len(self.settings.members)
+        if self.acting or self.leaving:
+            return False
+        everybody = len(self.answered) == members
+        witnessed = len(self.remembering) >= settings.majority
+        # without a memory anywhere there is nothing to be forgotten
+        waited = len(self.answered) >= settings.majority and now >= self.ask_until
+        self.state_uncertain = waited and not (everybody or witnessed)
+        return (everybody or witnessed or waited) and (everybody or now >= self.safe_from)
+
+    def start_acting(self, now: float) -> None:
+        """Its orders are its own from now on."""
+        self.acting = True
+        self.number = 1
+        self.send_at = now
+        self.last_accepted = dict.fromkeys(self.answered, now)
+
+    def set_state(self, now: float, value: Value) -> int:
+        """Another state, to be ordered at once; answers with its number."""
+        self.number += 1
+        self.value = value
+        self.send_at = now
+        return self.number
+
+    def on_taken(self, now: float, member: str, taken: messages.Taken) -> tuple[Message | None, bool]:
+        """A member has heard an order. Answers with a word that it is owed at once, as it could not take that
+        one for want of a stamp, and whether a majority has now taken a later order than before."""
+        if taken.token != self.token or not (self.acting or self.leaving):
+            return None, False
+        before = self.last_stamps.get(member, 0)
+        # the latest that came, not the highest: a process that has started anew counts anew
+        self.last_stamps[member] = taken.stamp
+        if self.leaving:
+            if taken.number == self.number:
+                self.may_obey_until.pop(member, None)
+            return None, False
+        if not taken.kept:
+            reply = (
+                self.last_accepted.get(member, -math.inf) < now - self.duty.good_for / ORDERS_PER_VALIDITY / 2
+            )
+            return (self._order_for(now, member) if reply and taken.stamp != before else None), False
+        self.last_accepted[member] = now
+        self.accepted[member] = max(taken.number, self.accepted.get(member, 0))
+        counts = sorted(self.accepted.values(), reverse=True)
+        least = counts[self.settings.majority - 1] if len(counts) >= self.settings.majority else 0
+        advanced, self.committed = least > self.committed, max(least, self.committed)
+        return None, advanced
+
+    def unanswered_for(self, now: float) -> float:
+        """Seconds since a majority of the members last answered."""
+        if not self.acting:
+            return 0.0
+        times = sorted(self.last_accepted.values(), reverse=True)
+        needed = self.settings.majority
+        return now - times[needed - 1] if len(times) >= needed else now - self.started_at
+
+    def responsive_members(self, now: float) -> set[str]:
+        """Members that answered lately."""
+        return {m for m, at in self.last_accepted.items() if now - at <= self.duty.good_for}
+
+    # Letting go
+
+    def revoke(self, now: float) -> Iterable[tuple[str, Message]]:
+        """Orders that end all orders, for those that may obey one."""
+        self.may_obey_until = {member: until for member, until in self.may_obey_until.items() if now < until}
+        if not self.leaving:
+            self.leaving = True
+            self.number += 1
+            self.send_at = now
+        if now >= self.send_at:
+            self.send_at = now + self.settings.heartbeat / 4
+            for member in self.may_obey_until:
+                yield member, self._order_for(now, member)
+
+    def nobody_obeys(self, now: float) -> bool:
+        """Whether nobody obeys an order of this holding any more."""
+        return not any(now < until for until in self.may_obey_until.values())
+
+    def next_due(self, now: float) -> float:
+        """When something is due."""
+        if self.leaving:
+            return min([self.send_at, *self.may_obey_until.values()]) if self.may_obey_until else now
+        if self.acting:
+            times = sorted(self.last_accepted.values(), reverse=True)
+            needed = self.settings.majority
+            last_answer = times[needed - 1] if len(times) >= needed else self.started_at
+            return min(self.send_at, last_answer + self.settings.unheard)
+        later = [at for at in (self.safe_from, self.ask_until) if at > now]
+        return min([self.send_at, *later])
--- a/myrtlecourse/duties/member.py
+++ b/myrtlecourse/duties/member.py
@@ -11,31 +11,31 @@
 
 import math
 
-from myrtlecourse.duties import messages as said
-from myrtlecourse.duties.messages import Memory, Message, Obeyed
+from myrtlecourse.duties import messages
+from myrtlecourse.duties.messages import Memory, Message, ObeyedOrder
 
-MILLI = 1000.0
+MILLISECONDS = 1000.0
 
 
 class Member:
     """One member's part in one duty."""
 
-    def __init__(self, duty: said.Duty, saved: Memory | None, now: float, first_stamp: int) -> None:
+    def __init__(self, duty: messages.Duty, saved: Memory | None, now: float, first_stamp: int) -> None:
         """`saved` is what was written down by the process before, None where nothing was; `first_stamp` a
         large number drawn at the process's start."""
         self.duty = duty
-        memory = saved or Memory(value=duty.first)
+        memory = saved or Memory(value=duty.initial_state)
         self.promised = memory.promised
         self.token, self.number, self.value = memory.token, memory.number, memory.value
         self.fresh = saved is None  # guards what others settled: who has forgotten it is no witness
-        self.born = now
+        self.started_at = now
         self.first_stamp = first_stamp
-        self.obeyed = Obeyed()
+        self.obeyed = ObeyedOrder()
         self.holder = ""  # who holds the duty, as was last heard
-        self.heard_at = -math.inf  # an order
-        self.stale = 0  # orders that were dropped, as they came too late or from a holder before
-        self.rested = True
-        self.ends = math.inf  # when the last order obeyed ran out, as it was when it was obeyed
+        self.last_order_at = -math.inf  # an order
+        self.dropped_orders = 0  # orders that were dropped, as they came too late or from a holder before
+        self.expiry_reported = True
+        self.order_ended_at = math.inf  # when the last order obeyed ran out, as it was when it was obeyed
 
     def stamp(self, now: float) -> int:
         """The moment as this process counts it, in milliseconds.
@@ -43,47 +43,47 @@
         Guards against a holder that repeats a stamp of the process before this one: counted from this one's
         start it would lie ahead, and the order would be obeyed for as much too long.
         """
-        return self.first_stamp + int((now - self.born) * MILLI)
+        return self.first_stamp + int((now - self.started_at) * MILLISECONDS)
 
-    def obeys(self, now: float) -> Obeyed | None:
+    def order_in_force(self, now: float) -> ObeyedOrder | None:
         """What is to be done at this very moment."""
         return self.obeyed if now < self.obeyed.until else None
 
-    def survey(self, now: float, survey: said.Survey) -> Message:
+    def survey(self, now: float, survey: messages.Survey) -> Message:
         """A holder asks which order was taken last; from now on nothing with a lower token is."""
         if survey.token < self.promised:
-            return said.Outdated(self.promised)
+            return messages.Outdated(self.promised)
         self.promised = survey.token
         if self.obeyed.token < survey.token:
             self.obeyed.until = -math.inf
-        return said.Known(survey.token, self.token, self.number, self.fresh, self.stamp(now), self.value)
+        return messages.Known(survey.token, self.token, self.number, self.fresh, self.stamp(now), self.value)
 
-    def order(self, now: float, sender: str, order: said.Order) -> Message:
+    def order(self, now: float, sender: str, order: messages.Order) -> Message:
         """Take an order, and obey it if it is still good."""
         if order.token < self.promised:
-            self.stale += 1
-            return said.Outdated(self.promised)
+            self.dropped_orders += 1
+            return messages.Outdated(self.promised)
         self.promised = order.token
         if self.obeyed.token < order.token:
             self.obeyed.until = -math.inf
         # with a stamp that this process has not given: then the answer gives one
         until = -math.inf
         if self.first_stamp <= order.echo <= self.stamp(now):
-            until = self.born + (order.echo - self.first_stamp + order.good_for) / MILLI
+            until = self.started_at + (order.echo - self.first_stamp + order.good_for) / MILLISECONDS
         behind = (order.token, order.number) < (self.token, self.number)
         if behind or (order.good_for and now >= until):
-            self.stale += bool(order.echo)
-            return said.Taken(order.token, order.number, False, self.stamp(now))
+            self.dropped_orders += bool(order.echo)
+            return messages.Taken(order.token, order.number, False, self.stamp(now))
         self.token, self.number, self.value = order.token, order.number, order.value
         self.fresh = False
-        self.holder, self.heard_at = sender, now
+        self.holder, self.last_order_at = sender, now
         if not order.good_for:
             until = -math.inf
         elif self.obeyed.token == order.token:
             until = max(until, self.obeyed.until)  # an answer to an earlier stamp may come later
-        self.ends = until if until > -math.inf else now
-        self.obeyed = Obeyed(sender, order.token, order.number, order.value, until)
-        return said.Taken(order.token, order.number, True, self.stamp(now))
+        self.order_ended_at = until if until > -math.inf else now
+        self.obeyed = ObeyedOrder(sender, order.token, order.number, order.value, until)
+        return messages.Taken(order.token, order.number, True, self.stamp(now))
 
     def memory(self, term: int, voted: str) -> Memory:
         """What has to last."""
--- a/myrtlecourse/duties/memory.py
+++ b/myrtlecourse/duties/memory.py
@@ -10,14 +10,14 @@
 from msgspec import Meta, Struct
 
 from myrtlecourse.checked import replace_file
-from myrtlecourse.duties.messages import LARGEST, MOST_DUTIES, MOST_VALUES, Memory
+from myrtlecourse.duties.messages import MAX_DUTIES, MAX_STATE_LENGTH, STATE_NUMBER_LIMIT, Memory
 
 VERSION = 1
-LONGEST = 64 * 1024  # bytes of the file
+MAX_FILE_BYTES = 64 * 1024  # bytes of the file
 Number = Annotated[int, Meta(ge=0, le=2**63 - 1)]
 
 
-class RememberError(ValueError):
+class MemoryFileError(ValueError):
     """A file that can't be used; the message says why."""
 
 
@@ -29,7 +29,9 @@
     promised: Number
     token: Number
     number: Number
-    value: Annotated[tuple[Annotated[int, Meta(ge=0, lt=LARGEST)], ...], Meta(max_length=MOST_VALUES)]
+    value: Annotated[
+        tuple[Annotated[int, Meta(ge=0, lt=STATE_NUMBER_LIMIT)], ...], Meta(max_length=MAX_STATE_LENGTH)
+    ]
 
 
 class File(Struct, forbid_unknown_fields=True):
@@ -37,7 +39,7 @@
 
     version: int
     sha256: str
-    duties: Annotated[dict[str, Row], Meta(max_length=MOST_DUTIES)]
+    duties: Annotated[dict[str, Row], Meta(max_length=MAX_DUTIES)]
 
 
 def _digest(duties: dict[str, Row]) -> str:
@@ -55,17 +57,17 @@
     except FileNotFoundError:
         return None
     except OSError as e:
-        raise RememberError(f"{path}: {e.strerror}") from e
-    if len(text) > LONGEST:
-        raise RememberError(f"{path}: longer than {LONGEST} bytes")
+        raise MemoryFileError(f"{path}: {e.strerror}") from e
+    if len(text) > MAX_FILE_BYTES:
+        raise MemoryFileError(f"{path}: longer than {MAX_FILE_BYTES} bytes")
     try:
         file = msgspec.json.decode(text, type=File)
     except msgspec.DecodeError as e:
-        raise RememberError(f"{path}: torn, or of another program: {e}") from e
+        raise MemoryFileError(f"{path}: torn, or of another program: {e}") from e
     if file.version != VERSION:
-        raise RememberError(f"{path}: of version {file.version}, this program knows {VERSION}")
+        raise MemoryFileError(f"{path}: of version {file.version}, this program knows {VERSION}")
     if file.sha256 != _digest(file.duties):
-        raise RememberError(f"{path}: its checksum does not fit")
+        raise MemoryFileError(f"{path}: its checksum does not fit")
     return {
         n: Memory(r.term, r.voted, r.promised, r.token, r.number, r.value) for n, r in file.duties.items()
     }
--- a/myrtlecourse/duties/messages.py
+++ b/myrtlecourse/duties/messages.py
@@ -9,14 +9,14 @@
 import math
 from dataclasses import dataclass, field
 
-from myrtlecourse.election import messages as said
+from myrtlecourse.election import messages as election_messages
 from myrtlecourse.peers.seal import ident
 
 ADDRESS = "address"  # the service address, where it is a duty
-MOST_MEMBERS = 255
-MOST_DUTIES = 16
-MOST_VALUES = 8  # numbers of a duty's state
-LARGEST = 2**40  # that one of them may be
+MAX_MEMBERS = 255
+MAX_DUTIES = 16
+MAX_STATE_LENGTH = 8  # numbers of a duty's state
+STATE_NUMBER_LIMIT = 2**40  # that one of them may be
 Value = tuple[int, ...]
 
 
@@ -33,7 +33,7 @@
         str, ...
     ] = ()  # who may hold it, the most preferred first; none: all, spread by its name
     good_for: float = 2.0  # seconds for which an order is obeyed, by the receiver's clock
-    first: Value = ()  # its state before anybody has held it
+    initial_state: Value = ()  # its state before anybody has held it
     orders: bool = True  # its holder orders the others; without, holding it is all
 
     @property
@@ -41,7 +41,7 @@
         """What it is in a datagram."""
         return ident(self.name, 2)
 
-    def spread(self, members: tuple[str, ...]) -> tuple[str, ...]:
+    def candidates(self, members: tuple[str, ...]) -> tuple[str, ...]:
         """Who may hold it, in order: rendezvous hashing (Thaler and Ravishankar, 1998) spreads duties."""
         if self.preferred:
             return self.preferred
@@ -71,12 +71,12 @@
     def __post_init__(self) -> None:
         if self.name not in self.members:
             raise DutiesError(f"members: {self.name} is not among them")
-        if len(set(self.members)) < len(self.members) or len(self.members) > MOST_MEMBERS:
-            raise DutiesError(f"members: each once, {MOST_MEMBERS} at most")
+        if len(set(self.members)) < len(self.members) or len(self.members) > MAX_MEMBERS:
+            raise DutiesError(f"members: each once, {MAX_MEMBERS} at most")
         if len(self.voters) not in range(1, 8) or not set(self.voters) <= set(self.members):
             raise DutiesError("voters: 1 to 7 of the members")
-        if not 0 < len(self.duties) <= MOST_DUTIES or len({d.number for d in self.duties}) < len(self.duties):
-            raise DutiesError(f"duties: 1 to {MOST_DUTIES}, each under a name of its own")
+        if not 0 < len(self.duties) <= MAX_DUTIES or len({d.number for d in self.duties}) < len(self.duties):
+            raise DutiesError(f"duties: 1 to {MAX_DUTIES}, each under a name of its own")
         for duty in self.duties:
             if not set(duty.preferred) <= set(self.members):
                 raise DutiesError(f"duties.{duty.name}.preferred: not all are members")
@@ -87,15 +87,15 @@
         for duty in self.duties:
             self.election(duty)
 
-    def election(self, duty: Duty) -> said.Settings:
+    def election(self, duty: Duty) -> election_messages.Settings:
         """The settings of one duty's election. Raises DutiesError."""
         try:
-            return said.Settings(
+            return election_messages.Settings(
                 *(self.name, self.voters, self.heartbeat, self.lease, self.drift, self.settle, self.unwell),
                 even_voters=True,  # on the way from one set to another
-                preferred=duty.spread(self.members),
+                preferred=duty.candidates(self.members),
             )
-        except said.ElectionError as e:
+        except election_messages.ElectionError as e:
             raise DutiesError(str(e)) from None
 
     @property
@@ -103,7 +103,7 @@
         """Members that make an order last: any two such sets share one."""
         return len(self.members) // 2 + 1
 
-    def over(self, good_for: float) -> float:
+    def order_lifetime(self, good_for: float) -> float:
         """Seconds on any clock after which an order that was good for so long is obeyed by nobody."""
         return good_for * (1 + self.drift) / (1 - self.drift)
 
@@ -111,7 +111,7 @@
         """Seconds from a holder's death until another's orders are obeyed, if majorities of voters and of
         members talk and nothing is lost: the election's bound, the last order's time, two rounds of
         questions."""
-        return self.election(duty).longest_vacancy + self.over(duty.good_for) + 2 * self.heartbeat
+        return self.election(duty).longest_vacancy + self.order_lifetime(duty.good_for) + 2 * self.heartbeat
 
 
 # What members say; beside what voters and candidates say, each with the duty that it is about
@@ -170,7 +170,7 @@
     token: int
 
 
-Message = said.Message | Survey | Known | Order | Taken | Outdated
+Message = election_messages.Message | Survey | Known | Order | Taken | Outdated
 Item = tuple[int, Message]  # and the duty's number
 
 
@@ -178,7 +178,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
+class MessagesReceived:
     """What another member says, all of one datagram."""
 
     sender: str
@@ -186,12 +186,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Woke:
+class TimerFired:
     """The time of a `Wake` has come."""
 
 
 @dataclass(slots=True, frozen=True)
-class Able:
+class AbilityReported:
     """Whether this process can hold a duty, or any at all."""
 
     able: bool
@@ -199,7 +199,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
+class SetState:
     """The holder's word: the duty's state is this from now on, and all members are to know."""
 
     duty: str
@@ -215,20 +215,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Stopped:
+class WorkStopped:
     """What a holder without orders did for its duty has ended."""
 
     duty: str
 
 
 @dataclass(slots=True, frozen=True)
-class Changed:
+class SettingsChanged:
     """New settings; one voter may have come or gone."""
 
     settings: Settings
 
 
-Event = Heard | Woke | Able | Place | Move | Stopped | Changed
+Event = MessagesReceived | TimerFired | AbilityReported | SetState | Move | WorkStopped | SettingsChanged
 
 
 # What they answer, to be carried out in order
@@ -254,7 +254,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Say:
+class Send:
     """Send these to another member, in one datagram where they fit; they may be lost."""
 
     to: str
@@ -262,7 +262,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Took:
+class Acquired:
     """This process holds a duty: act by it from here on, each time after a look at `Duties.may`."""
 
     duty: str
@@ -275,11 +275,11 @@
     """It holds it no more: begin nothing for it; say `Stopped` where it holds without orders."""
 
     duty: str
-    why: str
+    reason: str
 
 
 @dataclass(slots=True, frozen=True)
-class Settled:
+class Committed:
     """A majority of the members has taken the holder's order with this number: it will not be forgotten."""
 
     duty: str
@@ -301,7 +301,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Rests:
+class ObeysNobody:
     """This member has obeyed nobody since a time on its own clock: the duty's safe rest holds."""
 
     duty: str
@@ -309,17 +309,17 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Wake:
+class SetTimer:
     """Say `Woke` at this time; it replaces the time before."""
 
     at: float
 
 
-Action = Save | Say | Took | Lost | Settled | Obeys | Rests | Wake
+Action = Save | Send | Acquired | Lost | Committed | Obeys | ObeysNobody | SetTimer
 
 
 @dataclass(slots=True)
-class Obeyed:
+class ObeyedOrder:
     """What a member obeys."""
 
     holder: str = ""
--- a/myrtlecourse/duties/setup.py
+++ b/myrtlecourse/duties/setup.py
@@ -8,9 +8,9 @@
 
 from myrtlecourse.address.setup import read_key
 from myrtlecourse.config import ConfigError
-from myrtlecourse.duties.keeper import Keeper
-from myrtlecourse.duties.memory import RememberError, read_memories
-from myrtlecourse.duties.work import Commands, HoldWork, StepWork
+from myrtlecourse.duties.command_work import CommandRunner, HoldWork, StepWork
+from myrtlecourse.duties.driver import DutyDriver
+from myrtlecourse.duties.memory import MemoryFileError, read_memories
 from myrtlecourse.net.pool import address_of
 from myrtlecourse.peers.end import Endpoint
 
@@ -30,7 +30,7 @@
     return read_key(Path(table.key_file), "duties.key_file"), tuple(also)
 
 
-def keeper(table: Duties, settings: Settings, able: Callable[[], bool]) -> Keeper:
+def make_driver(table: Duties, settings: Settings, able: Callable[[], bool]) -> DutyDriver:
     """The keeper of a router; the settings are the table's, with what else is a duty.
 
     Raises:
@@ -39,17 +39,17 @@
     memory = Path(table.memory_file) if table.memory_file is not None else None
     try:
         saved = read_memories(memory) if memory is not None else None
-    except RememberError as e:
+    except MemoryFileError as e:
         # guards what was promised: staff must say that it may be begun with anew
         raise ConfigError(f"duties.memory_file: {e}; remove it to begin anew") from e
     try:
-        made = Keeper(settings, peers(table), keys(table), memory, saved, able)
+        driver = DutyDriver(settings, peers(table), keys(table), memory, saved, able)
     except ValueError as e:
         raise ConfigError(str(e) if isinstance(e, ConfigError) else f"duties.key_file: {e}") from e
     for each in table.duty:
-        commands = Commands(each.name, each.command, each.timeout)
+        runner = CommandRunner(each.name, each.command, each.timeout)
         if each.every is not None:
-            made.works[each.name] = StepWork(made, each.name, each.every, commands)
+            driver.works[each.name] = StepWork(driver, each.name, each.every, runner)
         else:
-            made.works[each.name] = HoldWork(made, each.name, commands)
-    return made
+            driver.works[each.name] = HoldWork(driver, each.name, runner)
+    return driver
--- a/myrtlecourse/duties/steps.py
+++ b/myrtlecourse/duties/steps.py
@@ -14,19 +14,19 @@
 from myrtlecourse.duties.messages import Value
 
 
-class What(Enum):
+class StepAction(Enum):
     """What is to be done."""
 
-    PLACE = "place"  # order this state
+    SET_STATE = "place"  # order this state
     RUN = "run"  # begin the step, if the duty is still held at that moment
-    LEFT = "left"  # tell staff: a step before was claimed and is not known to have ended
+    UNFINISHED = "left"  # tell staff: a step before was claimed and is not known to have ended
 
 
 @dataclass(slots=True, frozen=True)
-class Do:
+class StepTask:
     """One thing to do."""
 
-    what: What
+    action: StepAction
     step: int
     value: Value = ()
 
@@ -40,46 +40,46 @@
         self.token = 0  # 0: not the holder
         self.claimed = self.ended = 0
         self.claimed_at = 0  # Unix time in seconds
-        self.claiming: int | None = None  # the order that has to last first
+        self.claim_order: int | None = None  # the order that has to last first
         self.running = False
-        self.due = math.inf  # on the own clock
+        self.next_step_at = math.inf  # on the own clock
 
-    def took(self, now: float, wall: float, token: int, value: Value) -> list[Do]:
+    def on_acquired(self, now: float, wall: float, token: int, value: Value) -> list[StepTask]:
         """The duty is this process's; `wall` is the Unix time."""
         self.token = token
         self.claimed, self.ended, self.claimed_at = value if len(value) == 3 else (0, 0, 0)
-        self.claiming, self.running = None, False
+        self.claim_order, self.running = None, False
         # guards the pace: a new holder goes on when the one before would have, and at the latest a step later
         since = min(max(0.0, wall - self.claimed_at), self.every)
-        self.due = now + (self.every - since)
-        return [Do(What.LEFT, self.claimed)] if self.claimed > self.ended else []
+        self.next_step_at = now + (self.every - since)
+        return [StepTask(StepAction.UNFINISHED, self.claimed)] if self.claimed > self.ended else []
 
-    def lost(self) -> None:
+    def on_lost(self) -> None:
         """It is not any more."""
-        self.token, self.due, self.claiming = 0, math.inf, None
+        self.token, self.next_step_at, self.claim_order = 0, math.inf, None
 
-    def tick(self, now: float, wall: float, last: int) -> list[Do]:
+    def tick(self, now: float, wall: float, last_order: int) -> list[StepTask]:
         """What is due; `last` is the number of the order before."""
-        if not self.token or now < self.due or self.running or self.claiming is not None:
+        if not self.token or now < self.next_step_at or self.running or self.claim_order is not None:
             return []
         self.claimed, self.claimed_at = self.claimed + 1, int(wall)
-        self.claiming = last + 1
-        self.due = now + self.every
-        return [Do(What.PLACE, self.claimed, self._value())]
+        self.claim_order = last_order + 1
+        self.next_step_at = now + self.every
+        return [StepTask(StepAction.SET_STATE, self.claimed, self._value())]
 
-    def settled(self, token: int, number: int) -> list[Do]:
+    def on_committed(self, token: int, number: int) -> list[StepTask]:
         """An order will last."""
-        if token != self.token or self.claiming is None or number < self.claiming:
+        if token != self.token or self.claim_order is None or number < self.claim_order:
             return []
-        self.claiming, self.running = None, True
-        return [Do(What.RUN, self.claimed)]
+        self.claim_order, self.running = None, True
+        return [StepTask(StepAction.RUN, self.claimed)]
 
-    def done(self, token: int) -> list[Do]:
+    def on_finished(self, token: int) -> list[StepTask]:
         """The step has ended, whatever came of it."""
         if token != self.token or not self.running:
             return []
         self.running, self.ended = False, self.claimed
-        return [Do(What.PLACE, self.ended, self._value())]
+        return [StepTask(StepAction.SET_STATE, self.ended, self._value())]
 
     def _value(self) -> Value:
         return self.claimed, self.ended, self.claimed_at
--- a/myrtlecourse/election/core.py
+++ b/myrtlecourse/election/core.py
@@ -15,48 +15,48 @@
 from enum import Enum
 
 from myrtlecourse.election.ballot import Ballot
-from myrtlecourse.election.count import Count
 from myrtlecourse.election.invitations import Invitations
 from myrtlecourse.election.lease import Lease
 from myrtlecourse.election.messages import (
-    Able,
+    AbilityReported,
     Action,
     Announce,
     Ask,
     Beat,
-    Changed,
     Deny,
     ElectionError,
     Event,
     Grant,
-    Heard,
     Invite,
     Message,
+    MessageReceived,
     Move,
     Release,
     Renew,
     Resign,
     Save,
     Saved,
+    Send,
+    SetTimer,
     Settings,
+    SettingsChanged,
     Take,
-    Tell,
-    Wake,
+    TimerFired,
     Withdraw,
     Withdrawn,
-    Woke,
 )
 from myrtlecourse.election.offer import Offer
+from myrtlecourse.election.question_numbers import QuestionNumbers
 
-JOIN = 0.6  # of a heartbeat: with less left until the next one it is brought forward
+EARLY_WINDOW = 0.6  # of a heartbeat: with less left until the next one it is brought forward
 
 
 class Role(Enum):
     """What an instance is."""
 
     BACKUP = "backup"
-    TRYING = "trying"  # asks whether it would be given votes
-    STANDING = "standing"  # asks for them
+    PRE_VOTE = "trying"  # asks whether it would be given votes
+    CAMPAIGNING = "standing"  # asks for them
     HOLDER = "holder"
     LEAVING = "leaving"  # withdraws, and has not said so to the others
 
@@ -65,7 +65,12 @@
     """One instance's part."""
 
     def __init__(
-        self, settings: Settings, saved: Saved, now: float, seed: int, count: Count | None = None
+        self,
+        settings: Settings,
+        saved: Saved,
+        now: float,
+        seed: int,
+        question_numbers: QuestionNumbers | None = None,
     ) -> None:
         """Begins as a backup that gives no word for a lease: one given before it started may still hold.
 
@@ -73,26 +78,26 @@
         """
         self.settings = settings
         self.saved = saved
-        self.first_term = saved.term if not saved.voted else -1  # that it began in, having voted in none
+        self.starting_term = saved.term if not saved.voted else -1  # that it began in, having voted in none
         self.random = random.Random(seed)
         self.now = now
-        self.out: list[Action] = []
+        self.actions: list[Action] = []
         self.role = Role.BACKUP
-        self.quiet_until = now + settings.lease
-        self.answered = -1  # number of the question that the last vote was given to
-        self.word = ("", 0)  # given to whom, in which term
-        self.word_until = -math.inf
-        self.held_term = -1  # the highest in which somebody is known to have held
-        self.stand_at = math.inf
-        self.count = count or Count(self.random)
+        self.startup_wait_until = now + settings.lease
+        self.answered_question = -1  # number of the question that the last vote was given to
+        self.promise = ("", 0)  # given to whom, in which term
+        self.promise_until = -math.inf
+        self.highest_held_term = -1  # the highest in which somebody is known to have held
+        self.campaign_at = math.inf
+        self.question_numbers = question_numbers or QuestionNumbers(self.random)
         self.ballot = Ballot()
         self.lease = Lease()
-        self.beat_at = math.inf
-        self.well_since = math.inf
-        self.unwell_since = now
+        self.heartbeat_at = math.inf
+        self.able_since = math.inf
+        self.unable_since = now
         self.successor = ""
         self.offer = Offer()
-        self.rests_until = -math.inf
+        self.no_campaign_until = -math.inf
         self.invitations = Invitations()
 
     @property
@@ -118,144 +123,144 @@
         Raises:
             ElectionError: settings that may not be taken now; nothing is done.
         """
-        if isinstance(event, Changed):
+        if isinstance(event, SettingsChanged):
             self.check_change(max(now, self.now), event.settings)
-        self.now, self.out = max(now, self.now), []
+        self.now, self.actions = max(now, self.now), []
         if self.role is Role.HOLDER and not self.holds(self.now):
-            self._withdraw("the lease is over")
+            self._start_withdrawal("the lease is over")
         match event:
-            case Heard(sender, message):
+            case MessageReceived(sender, message):
                 known = sender in self.settings.voters or sender in self.settings.candidates
                 if known and sender != self.settings.name:
                     self._on_message(sender, message)
-            case Able(able):
+            case AbilityReported(able):
                 self._on_able(able)
             case Withdrawn(clear):
                 self._on_withdrawn(clear)
-            case Resign(why, rest):
-                self._on_resign(why, rest)
+            case Resign(reason, pause):
+                self._on_resign(reason, pause)
             case Move(to):
                 self._on_move(to)
-            case Changed(settings):
+            case SettingsChanged(settings):
                 self._on_changed(settings)
-            case Woke():
+            case TimerFired():
                 pass
-        self._look()
-        self.out.append(Wake(self._next()))
-        return self.out
+        self._do_due_work()
+        self.actions.append(SetTimer(self._next_due()))
+        return self.actions
 
-    def _others(self) -> list[str]:
+    def _other_voters(self) -> list[str]:
         return [v for v in self.settings.voters if v != self.settings.name]
 
-    def _tell_all(self, message: Message) -> None:
-        self.out += [Tell(v, message) for v in self._others()]
+    def _send_to_voters(self, message: Message) -> None:
+        self.actions += [Send(v, message) for v in self._other_voters()]
 
     # What is due
 
-    def _look(self) -> None:
+    def _do_due_work(self) -> None:
         """Do what the time asks for."""
         settings = self.settings
         if self.role is Role.HOLDER:
-            if self.now >= self.unwell_since + settings.unwell:
-                self._withdraw("not able to serve")
-            elif self.now >= self.beat_at:
-                self._beat()
+            if self.now >= self.unable_since + settings.unwell:
+                self._start_withdrawal("not able to serve")
+            elif self.now >= self.heartbeat_at:
+                self._send_heartbeat()
         elif (
-            self.role in (Role.TRYING, Role.STANDING)
+            self.role in (Role.PRE_VOTE, Role.CAMPAIGNING)
             and self.now >= self.ballot.asked_at + settings.heartbeat
         ):
-            self._fall_back()  # no majority answered in time: a later answer is of another question
-        if self.role is Role.BACKUP and self.offer.stands(self.now):
-            self._stand_as_offered()
-        elif self.role is Role.BACKUP and settings.votes:
-            self._invite()
-            if self._bound_to("") or not self._may_stand():
-                self.stand_at = math.inf
-            elif self.stand_at == math.inf:
+            self._become_backup()  # no majority answered in time: a later answer is of another question
+        if self.role is Role.BACKUP and self.offer.is_open(self.now):
+            self._campaign_for_offer()
+        elif self.role is Role.BACKUP and settings.is_voter:
+            self._invite_candidates()
+            if self._promised_to_another("") or not self._may_campaign():
+                self.campaign_at = math.inf
+            elif self.campaign_at == math.inf:
                 # the most preferred first; a vacancy is all that preference counts for
                 turn = settings.turn + self.random.random()
-                self.stand_at = self.now + turn * settings.heartbeat / 2
-            elif self.now >= self.stand_at:
-                self._try()
+                self.campaign_at = self.now + turn * settings.heartbeat / 2
+            elif self.now >= self.campaign_at:
+                self._start_trial()
 
-    def _may_stand(self) -> bool:
-        return self.settings.stands and self.now >= self._ready_at()
+    def _may_campaign(self) -> bool:
+        return self.settings.may_hold and self.now >= self._may_campaign_from()
 
-    def _ready_at(self) -> float:
+    def _may_campaign_from(self) -> float:
         """From when on this one may stand, if nobody holds."""
-        return max(self.quiet_until, self.well_since + self.settings.settle, self.rests_until)
+        return max(self.startup_wait_until, self.able_since + self.settings.settle, self.no_campaign_until)
 
-    def _invite(self) -> None:
+    def _invite_candidates(self) -> None:
         """Ask candidates without a vote to stand, where nobody holds."""
-        vacant = self.now >= self.quiet_until and not self._bound_to("")
-        for name in self.invitations.due(self.now, vacant, self.settings):
-            self.out.append(Tell(name, Invite(self.term)))
+        vacant = self.now >= self.startup_wait_until and not self._promised_to_another("")
+        for name in self.invitations.candidates_due(self.now, vacant, self.settings):
+            self.actions.append(Send(name, Invite(self.term)))
 
-    def _next(self) -> float:
+    def _next_due(self) -> float:
         """When something will be due."""
         if self.role is Role.HOLDER:
-            times = [self.beat_at, self.lease_until - self.settings.heartbeat / 2]
-            return min([*times, self.unwell_since + self.settings.unwell])
-        if self.role in (Role.TRYING, Role.STANDING):
+            times = [self.heartbeat_at, self.lease_until - self.settings.heartbeat / 2]
+            return min([*times, self.unable_since + self.settings.unwell])
+        if self.role in (Role.PRE_VOTE, Role.CAMPAIGNING):
             return self.ballot.asked_at + self.settings.heartbeat
         if self.role is Role.LEAVING:
             return math.inf
-        if self.offer.stands(self.now):
-            return self.offer.next_at(self.now, max(self.word_until, self._ready_at()))
-        if not self.settings.votes:
+        if self.offer.is_open(self.now):
+            return self.offer.next_at(self.now, max(self.promise_until, self._may_campaign_from()))
+        if not self.settings.is_voter:
             return math.inf
-        invites = math.inf
+        next_invitation = math.inf
         if self.settings.preferred:
-            invites = self.invitations.next_at
-            if invites == math.inf:
-                invites = max(self.word_until, self.quiet_until)
-        if not self.settings.stands:
-            return invites
-        if self.stand_at < math.inf:
-            return min(invites, self.stand_at)
-        return min(invites, max(self.word_until, self._ready_at()))
+            next_invitation = self.invitations.next_at
+            if next_invitation == math.inf:
+                next_invitation = max(self.promise_until, self.startup_wait_until)
+        if not self.settings.may_hold:
+            return next_invitation
+        if self.campaign_at < math.inf:
+            return min(next_invitation, self.campaign_at)
+        return min(next_invitation, max(self.promise_until, self._may_campaign_from()))
 
     # Words
 
-    def _only_began(self) -> bool:
+    def _term_only_from_start(self) -> bool:
         """Whether nothing but its own start has brought this voter to its term.
 
         Then a lower term says nothing against a holder: terms may begin after the time of the start, and a
         voter that started later would deny one that was there before, until the next election.
         """
-        return self.term == self.first_term and not self.saved.voted
+        return self.term == self.starting_term and not self.saved.voted
 
-    def _bound_to(self, other_than: str) -> bool:
+    def _promised_to_another(self, other_than: str) -> bool:
         """Whether a word given to another than this voter still holds."""
-        return self.now < self.word_until and self.word[0] != other_than
+        return self.now < self.promise_until and self.promise[0] != other_than
 
-    def _grants(self, sender: str, ask: Ask) -> bool:
+    def _may_grant(self, sender: str, ask: Ask) -> bool:
         """Whether a vote may be given: one in each term, and none beside a word that holds."""
-        if not self.settings.votes or sender not in self.settings.candidates:
+        if not self.settings.is_voter or sender not in self.settings.candidates:
             return False
-        if self.now < self.quiet_until or self._bound_to(sender):
+        if self.now < self.startup_wait_until or self._promised_to_another(sender):
             return False
         if self.role in (Role.HOLDER, Role.LEAVING):
             return False
         # guards the term as a token: a process that has forgotten its own must not be given the same again
-        same = self.saved.voted == "" or (self.saved.voted, self.answered) == (sender, ask.number)
+        same = self.saved.voted == "" or (self.saved.voted, self.answered_question) == (sender, ask.number)
         return ask.term > self.term or (ask.term == self.term and same)
 
-    def _give_word(self, to: str, term: int) -> None:
-        self.word = to, term
-        self.word_until = self.now + self.settings.lease
+    def _give_promise(self, to: str, term: int) -> None:
+        self.promise = to, term
+        self.promise_until = self.now + self.settings.lease
 
     def _save(self, term: int, voted: str) -> None:
         self.saved = Saved(term, voted)
-        if self.settings.votes:
-            self.out.append(Save(self.saved))
+        if self.settings.is_voter:
+            self.actions.append(Save(self.saved))
 
-    def _learn(self, term: int) -> None:
+    def _adopt_term(self, term: int) -> None:
         """A term that others have reached: no vote of it is given yet."""
         if term > self.term:
             self._save(term, "")
-            if self.role in (Role.TRYING, Role.STANDING):
-                self._fall_back()
+            if self.role in (Role.PRE_VOTE, Role.CAMPAIGNING):
+                self._become_backup()
 
     # Messages
 
@@ -272,9 +277,9 @@
             case Renew():
                 self._on_renew(sender, message)
             case Release(term):
-                if self.word == (sender, term):
-                    self.word_until = -math.inf
-                    self.stand_at = math.inf
+                if self.promise == (sender, term):
+                    self.promise_until = -math.inf
+                    self.campaign_at = math.inf
             case Take():
                 self._on_take(sender, message)
             case Invite():
@@ -282,58 +287,58 @@
 
     def _on_invite(self, invite: Invite) -> None:
         """It is this one's turn to try for it."""
-        if self.role is Role.BACKUP and self._may_stand():
-            self._learn(invite.term)
-            if not self.settings.votes:
-                self._try()
+        if self.role is Role.BACKUP and self._may_campaign():
+            self._adopt_term(invite.term)
+            if not self.settings.is_voter:
+                self._start_trial()
 
     def _on_take(self, sender: str, take: Take) -> None:
         """It is this one's to take: stand, now and again until it is held or others may have it."""
-        if not self.settings.stands or self.role in (Role.HOLDER, Role.LEAVING):
+        if not self.settings.may_hold or self.role in (Role.HOLDER, Role.LEAVING):
             return
-        if take.term < self.term and self.word != (sender, take.term) and not self._only_began():
+        if take.term < self.term and self.promise != (sender, take.term) and not self._term_only_from_start():
             return
-        if self.word == (sender, take.term):
-            self.word_until = -math.inf
-        self._learn(take.term)
-        self.offer.made(self.now, self.settings.handover)
-        if self.role is Role.TRYING:
-            self._fall_back()
-
-    def _stand_as_offered(self) -> None:
+        if self.promise == (sender, take.term):
+            self.promise_until = -math.inf
+        self._adopt_term(take.term)
+        self.offer.start(self.now, self.settings.handover_time)
+        if self.role is Role.PRE_VOTE:
+            self._become_backup()
+
+    def _campaign_for_offer(self) -> None:
         """Guards a move whose messages cross: a voter that is asked before it hears the release denies."""
-        if self.now >= self.offer.stand_at and self._may_stand() and not self._bound_to(""):
-            self.offer.tried(self.now, self.settings.heartbeat / 2)
-            self._stand()
+        if self.now >= self.offer.campaign_at and self._may_campaign() and not self._promised_to_another(""):
+            self.offer.record_attempt(self.now, self.settings.heartbeat / 2)
+            self._start_campaign()
 
     def _on_ask(self, sender: str, ask: Ask) -> None:
-        if not self._grants(sender, ask):
-            self.out.append(Tell(sender, Deny(self.term)))
+        if not self._may_grant(sender, ask):
+            self.actions.append(Send(sender, Deny(self.term)))
             return
         if not ask.trial:
             if self.role is not Role.BACKUP:
-                self._fall_back()
+                self._become_backup()
             if self.saved != Saved(ask.term, sender):
                 self._save(ask.term, sender)
-            self.answered = ask.number
-            self._give_word(sender, ask.term)
-        self.out.append(Tell(sender, Grant(ask.term, ask.number, ask.trial)))
+            self.answered_question = ask.number
+            self._give_promise(sender, ask.term)
+        self.actions.append(Send(sender, Grant(ask.term, ask.number, ask.trial)))
 
     def _on_grant(self, sender: str, grant: Grant) -> None:
-        if self.role not in (Role.TRYING, Role.STANDING):
+        if self.role not in (Role.PRE_VOTE, Role.CAMPAIGNING):
             return
-        if not self.ballot.grant(sender, grant, self.settings):
+        if not self.ballot.count_grant(sender, grant, self.settings):
             return
         if self.ballot.trial:
-            self._stand()
+            self._start_campaign()
         else:
-            self._win()
+            self._become_holder()
 
     def _on_deny(self, sender: str, term: int) -> None:
         if self.role in (Role.BACKUP, Role.LEAVING):
-            self._learn(term)
+            self._adopt_term(term)
         # a holder goes on until its lease is over: it may be that none is in the higher term
-        elif self.role is not Role.HOLDER and self.ballot.deny(sender, term, self.settings):
+        elif self.role is not Role.HOLDER and self.ballot.count_denial(sender, term, self.settings):
             self._on_denied_by_majority()
 
     def _on_denied_by_majority(self) -> None:
@@ -342,15 +347,15 @@
         Guards a move: whoever was named for it is asked to stand just once.
         """
         denied = self.ballot
-        self._fall_back()
-        self._learn(denied.highest_denial)
-        if not denied.too_low:
+        self._become_backup()
+        self._adopt_term(denied.highest_denier_term)
+        if not denied.term_too_low:
             return
         if denied.trial:
-            self._try()
+            self._start_trial()
         else:
-            self._stand()
-        self.ballot.again = True
+            self._start_campaign()
+        self.ballot.is_retry = True
 
     def _on_beat(self, sender: str, beat: Beat) -> None:
         """Give the holder a word for a lease, whatever terms have been tried in vain beside it.
@@ -358,120 +363,124 @@
         Whoever asks has never been without a majority's words since it was elected. So nobody has held in a
         higher term, unless the question is an old one.
         """
-        if not self.settings.votes:
+        if not self.settings.is_voter:
             return
-        if beat.term < self.held_term or self._bound_to(sender) or self.role in (Role.HOLDER, Role.LEAVING):
-            self.out.append(Tell(sender, Deny(self.term)))
+        if (
+            beat.term < self.highest_held_term
+            or self._promised_to_another(sender)
+            or self.role in (Role.HOLDER, Role.LEAVING)
+        ):
+            self.actions.append(Send(sender, Deny(self.term)))
             return
-        if self.now < self.quiet_until:
+        if self.now < self.startup_wait_until:
             # a word given before the start may hold for another: not even the holder gets one yet
             return
-        self._learn(beat.term)
-        self.held_term = beat.term
-        self.offer.over()
+        self._adopt_term(beat.term)
+        self.highest_held_term = beat.term
+        self.offer.end()
         if self.role is not Role.BACKUP:
-            self._fall_back()
-        self._give_word(sender, beat.term)
-        self.out.append(Tell(sender, Renew(beat.term, beat.number)))
+            self._become_backup()
+        self._give_promise(sender, beat.term)
+        self.actions.append(Send(sender, Renew(beat.term, beat.number)))
 
     def _on_renew(self, sender: str, renew: Renew) -> None:
         if self.role is not Role.HOLDER or renew.term != self.term:
             return
         if self.lease.renew(sender, renew.number):
-            self.lease.count(self.settings, self.now)
+            self.lease.update(self.settings, self.now)
 
     # Becoming and ceasing to be the holder
 
-    def _try(self) -> None:
-        self.role = Role.TRYING
-        self._ask(self.term + 1, trial=True)
+    def _start_trial(self) -> None:
+        self.role = Role.PRE_VOTE
+        self._ask_voters(self.term + 1, trial=True)
 
-    def _stand(self) -> None:
-        self.role = Role.STANDING
+    def _start_campaign(self) -> None:
+        self.role = Role.CAMPAIGNING
         self._save(self.term + 1, self.settings.name)
-        self._ask(self.term, trial=False)
+        self._ask_voters(self.term, trial=False)
 
-    def _ask(self, term: int, trial: bool) -> None:
-        self.ballot = Ballot(term, self.count.at(self.now), trial, self.now)
-        if self.settings.votes:
+    def _ask_voters(self, term: int, trial: bool) -> None:
+        self.ballot = Ballot(term, self.question_numbers.number_at(self.now), trial, self.now)
+        if self.settings.is_voter:
             self.ballot.granted.add(self.settings.name)
-        self._tell_all(Ask(term, self.ballot.number, trial))
-        if self.settings.majority == 1 and self.settings.votes:
+        self._send_to_voters(Ask(term, self.ballot.number, trial))
+        if self.settings.majority == 1 and self.settings.is_voter:
             self._on_grant(self.settings.name, Grant(term, self.ballot.number, trial))
 
-    def _win(self) -> None:
+    def _become_holder(self) -> None:
         self.role = Role.HOLDER
-        self.lease.won(self.ballot.granted, self.ballot.asked_at)
-        self.lease.count(self.settings, self.now)
+        self.lease.start(self.ballot.granted, self.ballot.asked_at)
+        self.lease.update(self.settings, self.now)
         if not self.holds(self.now):
-            self._fall_back()  # the last yes came too late to be worth anything
+            self._become_backup()  # the last yes came too late to be worth anything
             return
-        self.held_term = self.term
-        self.offer.over()
-        self.invitations.end()
-        self.out.append(Announce(self.term))
-        self._beat()
+        self.highest_held_term = self.term
+        self.offer.end()
+        self.invitations.reset()
+        self.actions.append(Announce(self.term))
+        self._send_heartbeat()
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         """Ask all for another lease."""
-        number = self.count.at(self.now)
-        self.lease.ask(number, self.now, self.settings.lease)
-        self.beat_at = self.now + self.settings.heartbeat
-        self._tell_all(Beat(self.term, number))
-        self.lease.count(self.settings, self.now)
+        number = self.question_numbers.number_at(self.now)
+        self.lease.record_request(number, self.now, self.settings.lease)
+        self.heartbeat_at = self.now + self.settings.heartbeat
+        self._send_to_voters(Beat(self.term, number))
+        self.lease.update(self.settings, self.now)
 
-    def join(self, now: float) -> list[Action]:
+    def heartbeat_early(self, now: float) -> list[Action]:
         """Ask for another lease a little early, as another duty of this process asks just now: one heartbeat
         bears them all."""
-        self.now, self.out = max(now, self.now), []
-        if self.role is Role.HOLDER and self.beat_at - self.now < JOIN * self.settings.heartbeat:
-            self._beat()
-            self.out.append(Wake(self._next()))
-        return self.out
+        self.now, self.actions = max(now, self.now), []
+        if self.role is Role.HOLDER and self.heartbeat_at - self.now < EARLY_WINDOW * self.settings.heartbeat:
+            self._send_heartbeat()
+            self.actions.append(SetTimer(self._next_due()))
+        return self.actions
 
-    def _fall_back(self) -> None:
+    def _become_backup(self) -> None:
         self.role = Role.BACKUP
-        self.stand_at = math.inf
+        self.campaign_at = math.inf
 
-    def _withdraw(self, why: str) -> None:
+    def _start_withdrawal(self, reason: str) -> None:
         """Give the address up; the others hear of it once nothing is accepted any more."""
-        self.out.append(Withdraw(why))
+        self.actions.append(Withdraw(reason))
         self.role = Role.LEAVING
-        self.lease.over()
+        self.lease.end()
 
-    def _on_resign(self, why: str, rest: float) -> None:
+    def _on_resign(self, reason: str, pause: float) -> None:
         """Guards what a holder does badly: it would be the first to stand again."""
-        self.rests_until = self.now + rest
+        self.no_campaign_until = self.now + pause
         if self.role is Role.HOLDER:
-            self._withdraw(why)
-        elif self.role in (Role.TRYING, Role.STANDING):
-            self._fall_back()
+            self._start_withdrawal(reason)
+        elif self.role in (Role.PRE_VOTE, Role.CAMPAIGNING):
+            self._become_backup()
 
     def _on_withdrawn(self, clear: bool) -> None:
         if self.role is not Role.LEAVING:
             return
-        self._fall_back()
-        self._tell_all(Release(self.term))
+        self._become_backup()
+        self._send_to_voters(Release(self.term))
         if self.successor:
-            self.out.append(Tell(self.successor, Take(self.term, clear)))
+            self.actions.append(Send(self.successor, Take(self.term, clear)))
             self.successor = ""
             # guards the move: who has just left may be the first that is invited
-            self.rests_until = max(self.rests_until, self.now + self.settings.handover)
+            self.no_campaign_until = max(self.no_campaign_until, self.now + self.settings.handover_time)
         # who has just left lets others go first
-        self.stand_at = self.now + self.settings.handover
+        self.campaign_at = self.now + self.settings.handover_time
 
     def _on_move(self, to: str) -> None:
         if self.role is Role.HOLDER and to != self.settings.name and to in ("", *self.settings.candidates):
             self.successor = to
-            self._withdraw("handed over")
+            self._start_withdrawal("handed over")
 
     def _on_able(self, able: bool) -> None:
-        if able and self.well_since == math.inf:
-            self.well_since, self.unwell_since = self.now, math.inf
-        elif not able and self.unwell_since == math.inf:
-            self.well_since, self.unwell_since = math.inf, self.now
-            if self.role in (Role.TRYING, Role.STANDING):
-                self._fall_back()
+        if able and self.able_since == math.inf:
+            self.able_since, self.unable_since = self.now, math.inf
+        elif not able and self.unable_since == math.inf:
+            self.able_since, self.unable_since = math.inf, self.now
+            if self.role in (Role.PRE_VOTE, Role.CAMPAIGNING):
+                self._become_backup()
 
     def check_change(self, now: float, settings: Settings) -> None:
         """Whether new settings may be taken.
@@ -482,16 +491,20 @@
         """
         if len(set(settings.voters) ^ set(self.settings.voters)) > 1:
             raise ElectionError("voters: one may come or go at a time; wait until all have the change")
-        gone = set(self.settings.voters) - set(settings.voters)
-        if gone and self.holds(now) and self.lease.borne_until(settings, now) - settings.heartbeat / 2 <= now:
+        removed = set(self.settings.voters) - set(settings.voters)
+        if (
+            removed
+            and self.holds(now)
+            and self.lease.supported_until(settings, now) - settings.heartbeat / 2 <= now
+        ):
             raise ElectionError(
-                f"voters: without {min(gone)} the lease would be over; wait for the others' words"
+                f"voters: without {min(removed)} the lease would be over; wait for the others' words"
             )
 
     def _on_changed(self, settings: Settings) -> None:
         self.settings = settings
-        if self.role in (Role.TRYING, Role.STANDING):
-            self._fall_back()
+        if self.role in (Role.PRE_VOTE, Role.CAMPAIGNING):
+            self._become_backup()
         if self.role is Role.HOLDER:
-            self.lease.over()
-            self.lease.count(self.settings, self.now)
+            self.lease.end()
+            self.lease.update(self.settings, self.now)
--- a/myrtlecourse/election/invitations.py
+++ b/myrtlecourse/election/invitations.py
@@ -4,39 +4,39 @@
 
 import math
 
-from myrtlecourse.election.messages import FEW, Settings, turn_of
+from myrtlecourse.election.messages import SINGLE_TURNS, Settings, turn_for_rank
 
 
 class Invitations:
     """One voter's, since nobody holds."""
 
     def __init__(self) -> None:
-        self.turns = 0  # that have been, in this vacancy
+        self.turn_count = 0  # that have been, in this vacancy
         self.next_at = math.inf  # when the next turn is; never while somebody holds
 
-    def due(self, now: float, vacant: bool, settings: Settings) -> list[str]:
+    def candidates_due(self, now: float, vacant: bool, settings: Settings) -> list[str]:
         """Whom to invite now; from the first again once all have had their turn.
 
         Turns that passed while this process stood still are not made up for: two for each heartbeat of an
         hour would stop the event loop.
         """
         if not vacant or not settings.preferred:
-            self.end()
+            self.reset()
             return []
         if now < self.next_at < math.inf:
             return []
-        turn = self.turns % (settings.turns + 1)  # one more, for what the last one needs
-        self.turns += 1
+        turn = self.turn_count % (settings.turn_count + 1)  # one more, for what the last one needs
+        self.turn_count += 1
         interval = settings.heartbeat / 2
-        in_step = self.next_at + interval
-        self.next_at = in_step if now < in_step < math.inf else now + interval
+        on_schedule = self.next_at + interval
+        self.next_at = on_schedule if now < on_schedule < math.inf else now + interval
         # the first few again: what was said to them before may be lost
         return [
             name
-            for place, name in enumerate(settings.candidates)
-            if name not in settings.voters and (turn_of(place) == turn or place < min(FEW, turn))
+            for rank, name in enumerate(settings.candidates)
+            if name not in settings.voters and (turn_for_rank(rank) == turn or rank < min(SINGLE_TURNS, turn))
         ]
 
-    def end(self) -> None:
+    def reset(self) -> None:
         """Somebody holds: the next vacancy begins with the most preferred."""
-        self.turns, self.next_at = 0, math.inf
+        self.turn_count, self.next_at = 0, math.inf
--- a/myrtlecourse/election/messages.py
+++ b/myrtlecourse/election/messages.py
@@ -8,21 +8,21 @@
 
 from dataclasses import dataclass
 
-MOST_VOTERS = 15
-MOST_CANDIDATES = 255
-FEW = 4  # candidates that have a turn each to stand; of those behind, twice as many as before
+MAX_VOTERS = 15
+MAX_CANDIDATES = 255
+SINGLE_TURNS = 4  # candidates that have a turn each to stand; of those behind, twice as many as before
 
 
 class ElectionError(ValueError):
     """Settings that can't hold; the message names the field."""
 
 
-def turn_of(place: int) -> int:
+def turn_for_rank(rank: int) -> int:
     """When a candidate may stand, as a number of turns after a vacancy; by its place in the preference.
 
     Guards a vacancy in a large fleet whose first hundred are gone: all have had a turn after log2(n) more.
     """
-    return place if place < FEW else FEW - 2 + (place // 2).bit_length()
+    return rank if rank < SINGLE_TURNS else SINGLE_TURNS - 2 + (rank // 2).bit_length()
 
 
 @dataclass(slots=True, frozen=True)
@@ -48,12 +48,12 @@
     def __post_init__(self) -> None:
         if self.name not in self.voters and not self.preferred:  # else it may look on
             raise ElectionError(f"voters: {self.name} is not among them")
-        if len(set(self.preferred)) < len(self.preferred) or len(self.preferred) > MOST_CANDIDATES:
-            raise ElectionError(f"preferred: each once, {MOST_CANDIDATES} at most")
+        if len(set(self.preferred)) < len(self.preferred) or len(self.preferred) > MAX_CANDIDATES:
+            raise ElectionError(f"preferred: each once, {MAX_CANDIDATES} at most")
         if len(set(self.voters)) < len(self.voters):
             raise ElectionError("voters: a name stands twice")
-        if len(self.voters) > MOST_VOTERS:
-            raise ElectionError(f"voters: at most {MOST_VOTERS}")
+        if len(self.voters) > MAX_VOTERS:
+            raise ElectionError(f"voters: at most {MAX_VOTERS}")
         if len(self.voters) % 2 == 0 and not self.even_voters:
             raise ElectionError("voters: an even number bears no more losses than one fewer; set even_voters")
         if not self.heartbeat > 0:
@@ -82,24 +82,24 @@
         return self.preferred or self.voters
 
     @property
-    def votes(self) -> bool:
+    def is_voter(self) -> bool:
         return self.name in self.voters
 
     @property
-    def stands(self) -> bool:
+    def may_hold(self) -> bool:
         return self.name in self.candidates
 
     @property
     def turn(self) -> int:
-        return turn_of(self.candidates.index(self.name))
+        return turn_for_rank(self.candidates.index(self.name))
 
     @property
-    def turns(self) -> int:
+    def turn_count(self) -> int:
         """After so many everybody has had one."""
-        return turn_of(len(self.candidates) - 1) + 1
+        return turn_for_rank(len(self.candidates) - 1) + 1
 
     @property
-    def handover(self) -> float:
+    def handover_time(self) -> float:
         """Seconds for which whoever has handed over leaves the duty to the one named, and that one tries."""
         return (len(self.voters) + 1) * self.heartbeat
 
@@ -111,7 +111,7 @@
         over, and two rounds of questions.
         """
         slow = (1 + self.drift) / (1 - self.drift)
-        return slow * (self.lease + (max(len(self.voters), self.turns) + 2) * self.heartbeat)
+        return slow * (self.lease + (max(len(self.voters), self.turn_count) + 2) * self.heartbeat)
 
 
 @dataclass(slots=True, frozen=True)
@@ -195,7 +195,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
+class MessageReceived:
     """Another voter's message."""
 
     sender: str
@@ -203,12 +203,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Woke:
+class TimerFired:
     """The time of a `Wake` has come."""
 
 
 @dataclass(slots=True, frozen=True)
-class Able:
+class AbilityReported:
     """Whether this instance can serve, as it looks now."""
 
     able: bool
@@ -225,8 +225,8 @@
 class Resign:
     """Give it up, and don't stand for so many seconds: another may do better."""
 
-    why: str
-    rest: float
+    reason: str
+    pause: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -237,13 +237,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Changed:
+class SettingsChanged:
     """New settings; one voter may have come or gone."""
 
     settings: Settings
 
 
-Event = Heard | Woke | Able | Withdrawn | Resign | Move | Changed
+Event = MessageReceived | TimerFired | AbilityReported | Withdrawn | Resign | Move | SettingsChanged
 
 
 # What it answers, to be carried out in order
@@ -257,7 +257,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
+class Send:
     """Send a message to another voter; it may be lost."""
 
     to: str
@@ -275,14 +275,14 @@
 class Withdraw:
     """The address is this instance's no more: accept nothing, then say `Withdrawn`."""
 
-    why: str
+    reason: str
 
 
 @dataclass(slots=True, frozen=True)
-class Wake:
+class SetTimer:
     """Say `Woke` at this time; it replaces the time before."""
 
     at: float
 
 
-Action = Save | Tell | Announce | Withdraw | Wake
+Action = Save | Send | Announce | Withdraw | SetTimer
--- a/myrtlecourse/election/offer.py
+++ b/myrtlecourse/election/offer.py
@@ -11,24 +11,24 @@
     """What one instance was offered last."""
 
     until: float = -math.inf  # when others may have it
-    stand_at: float = -math.inf  # when to stand for it, once more if it was in vain
+    campaign_at: float = -math.inf  # when to stand for it, once more if it was in vain
 
-    def made(self, now: float, handover: float) -> None:
+    def start(self, now: float, handover_time: float) -> None:
         """It is offered for so many seconds."""
-        self.until, self.stand_at = now + handover, now
+        self.until, self.campaign_at = now + handover_time, now
 
-    def over(self) -> None:
+    def end(self) -> None:
         """Somebody holds it."""
         self.until = -math.inf
 
-    def stands(self, now: float) -> bool:
+    def is_open(self, now: float) -> bool:
         """Whether it still stands."""
         return now < self.until
 
-    def tried(self, now: float, pause: float) -> None:
+    def record_attempt(self, now: float, pause: float) -> None:
         """The instance stands for it; if that is in vain it may again after a pause, in seconds."""
-        self.stand_at = now + pause
+        self.campaign_at = now + pause
 
-    def next_at(self, now: float, ready_at: float) -> float:
+    def next_at(self, now: float, allowed_at: float) -> float:
         """When something is due for it, where the instance may not stand before `ready_at`."""
-        return max(now, min(self.until, max(self.stand_at, ready_at)))
+        return max(now, min(self.until, max(self.campaign_at, allowed_at)))
--- a/myrtlecourse/election/count.py
+++ b/myrtlecourse/election/question_numbers.py
@@ -6,18 +6,18 @@
 import random
 
 
-class Count:
+class QuestionNumbers:
     """Numbers questions: those of one moment share theirs, so that one answer does for several duties.
 
     It begins anywhere, so that no answer to a question from before a restart counts now.
     """
 
-    def __init__(self, chance: random.Random) -> None:
-        self.number = chance.getrandbits(48)
-        self.moment = -math.inf
+    def __init__(self, rng: random.Random) -> None:
+        self.number = rng.getrandbits(48)
+        self.last_time = -math.inf
 
-    def at(self, now: float) -> int:
+    def number_at(self, now: float) -> int:
         """The number of what is asked now."""
-        if now != self.moment:
-            self.number, self.moment = self.number + 1, now
+        if now != self.last_time:
+            self.number, self.last_time = self.number + 1, now
         return self.number
--- a/myrtlecourse/sim/duties.py
+++ b/myrtlecourse/sim/duties.py
@@ -64,7 +64,7 @@
             seed,
             int(10 * self.world.core.now),
         )
-        self.post(said.Able(self.able))
+        self.post(said.AbilityReported(self.able))
 
     def kill(self) -> None:
         """The process dies; nothing of it is said to anyone."""
@@ -88,19 +88,19 @@
         match action:
             case said.Save(memories):
                 self.saved = dict(memories)
-            case said.Say(to, items):
+            case said.Send(to, items):
                 world.send(self.name, to, items)
-            case said.Took(duty, token, value):
+            case said.Acquired(duty, token, value):
                 world.took(self, duty, token, value)
             case said.Lost(duty):
                 self.claims.pop(duty, None)
-                world.core.after(0.0, self.post, said.Stopped(duty))
-            case said.Settled(duty, token, number):
+                world.core.after(0.0, self.post, said.WorkStopped(duty))
+            case said.Committed(duty, token, number):
                 world.settled(self, duty, token, number)
             case said.Obeys():
                 world.obeys(self, action)
-            case said.Wake(at):
-                self.call_at(at, lambda: self.post(said.Woke()))
+            case said.SetTimer(at):
+                self.call_at(at, lambda: self.post(said.TimerFired()))
 
     def claim(self, duty: str, step: int, token: int, boot: int) -> None:
         """Claim a step, if the duty is still held by the same right as when this was planned."""
@@ -109,11 +109,11 @@
                 self.world.core.after(PAUSE, self.claim, duty, step, token, boot)
             return
         # guards the steps: what was planned in an earlier holding would be claimed once more in this one
-        if self.duties.may(self.clock(), duty) != token:
+        if self.duties.acting_token(self.clock(), duty) != token:
             return
-        number = self.duties.leads[duty].number + 1
+        number = self.duties.holdings[duty].number + 1
         self.claims[duty] = Claim(token, step, number)
-        self.post(said.Place(duty, (step,)))
+        self.post(said.SetState(duty, (step,)))
 
 
 class World:
@@ -177,7 +177,7 @@
         process = self.processes[to]
         # what was sealed for a process before is not taken by the next
         if (sender, to) not in self.network.cut and process.boots == boot:
-            process.post(said.Heard(sender, items))
+            process.post(said.MessagesReceived(sender, items))
 
     # What is judged
 
@@ -185,8 +185,8 @@
         """Somebody acts from now on."""
         self.history.append((self.core.now, process.name, duty, token))
         step = value[0] if value else 0
-        if process.duties is not None and (lead := process.duties.leads.get(duty)) is not None:
-            self.forgot = self.forgot or lead.guessed
+        if process.duties is not None and (holding := process.duties.holdings.get(duty)) is not None:
+            self.forgot = self.forgot or holding.state_uncertain
         if step < self.lasting[duty] and not self.forgot:
             raise Broken(f"forgotten: {duty} goes on from step {step}, after {self.lasting[duty]}")
         if next(d.orders for d in self.duties if d.name == duty):
@@ -199,7 +199,7 @@
             return
         self.lasting[duty] = max(self.lasting[duty], claim.step)
         del process.claims[duty]
-        if process.duties.may(process.clock(), duty) == token:
+        if process.duties.acting_token(process.clock(), duty) == token:
             before = self.done.get((duty, claim.step))
             if before is not None and not self.forgot:
                 raise Broken(f"done_twice: step {claim.step} of {duty} by {before} and {token}")
@@ -223,9 +223,9 @@
                 if process.duties is None:
                     continue
                 now = process.clock()
-                if process.duties.may(now, duty.name) is not None:
+                if process.duties.acting_token(now, duty.name) is not None:
                     acting.append(process.name)
-                if (obeyed := process.duties.obeys(now, duty.name)) is not None:
+                if (obeyed := process.duties.order_in_force(now, duty.name)) is not None:
                     tokens.add(obeyed.token)
             if len(acting) > 1:
                 raise Broken(f"two_hold: {' and '.join(acting)} act for {duty.name}")
@@ -235,7 +235,7 @@
     def holder(self, duty: str) -> str:
         """Who acts for a duty at this moment of true time; empty: nobody."""
         for process in self.processes.values():
-            if process.duties is not None and process.duties.may(process.clock(), duty) is not None:
+            if process.duties is not None and process.duties.acting_token(process.clock(), duty) is not None:
                 return process.name
         return ""
 
@@ -288,13 +288,13 @@
             core.after(chance.uniform(0.2, 4.0), _go_on_alone, process, after)
         case "unwell":
             process.able = False
-            process.post(said.Able(False))
+            process.post(said.AbilityReported(False))
             core.after(after, _well, process)
         case "move":
             if process.duties is not None and not process.stopped:
                 for duty in world.duties:
-                    if process.duties.may(process.clock(), duty.name) is not None:
-                        others = [n for n in (*duty.spread(world.names), "") if n != name]
+                    if process.duties.acting_token(process.clock(), duty.name) is not None:
+                        others = [n for n in (*duty.candidates(world.names), "") if n != name]
                         process.post(said.Move(duty.name, chance.choice(others)))
         case "all":
             for each in world.processes.values():
@@ -327,7 +327,7 @@
 
 def _well(process: Process) -> None:
     process.able = True
-    process.post(said.Able(True))
+    process.post(said.AbilityReported(True))
 
 
 def schedule(world: World, seconds: float, longest: float = 5.0) -> list[str]:
--- a/myrtlecourse/sim/election.py
+++ b/myrtlecourse/sim/election.py
@@ -46,7 +46,7 @@
         saved = self.saved if self.disk else said.Saved()
         seed = self.world.chance.getrandbits(32)
         self.election = self.world.make(self.world.settings(self.name), saved, self.clock(), seed)
-        self.post(said.Able(self.able))
+        self.post(said.AbilityReported(self.able))
 
     def kill(self) -> None:
         """The process dies; nothing of it is said to anyone."""
@@ -75,7 +75,7 @@
                 self.saved = saved
                 if self.disk and saved.voted:  # without one a term is forgotten; what lasts then is the wait
                     world.votes.setdefault((self.name, saved.term), set()).add(saved.voted)
-            case said.Tell(to, message):
+            case said.Send(to, message):
                 world.send(self.name, to, message)
             case said.Announce(term):
                 world.announced.append((world.core.now, self.name, term))
@@ -83,8 +83,8 @@
                 world.withdrawn.append((world.core.now, self.name, why))
                 boot = self.boots
                 world.core.after(self.slow, self._withdrawn, boot)
-            case said.Wake(at):
-                self.call_at(at, lambda: self.post(said.Woke()))
+            case said.SetTimer(at):
+                self.call_at(at, lambda: self.post(said.TimerFired()))
 
     def _withdrawn(self, boot: int) -> None:
         if boot == self.boots:
@@ -141,7 +141,7 @@
 
     def _deliver(self, sender: str, to: str, message: said.Message) -> None:
         if (sender, to) not in self.network.cut:
-            self.instances[to].post(said.Heard(sender, message))
+            self.instances[to].post(said.MessageReceived(sender, message))
 
     def holders(self) -> list[str]:
         """Who holds the address at this moment of true time."""
@@ -206,7 +206,7 @@
             core.after(chance.uniform(0.2, world.settings(name).lease), _go_on_alone, instance, after)
         case "unwell":
             instance.able = False
-            instance.post(said.Able(False))
+            instance.post(said.AbilityReported(False))
             core.after(after, _well, instance)
         case "move":
             instance.slow = chance.choice((0.0, 0.05, 0.5))
@@ -235,7 +235,7 @@
 
 def _well(instance: Instance) -> None:
     instance.able = True
-    instance.post(said.Able(True))
+    instance.post(said.AbilityReported(True))
 
 
 def cut_for(names: list[str], name: str, what: str, chance: random.Random) -> set[tuple[str, str]]:
--- a/myrtlecourse/sim/exhaust.py
+++ b/myrtlecourse/sim/exhaust.py
@@ -96,7 +96,7 @@
         middle: Any = Middle()
         for election in node.duties.elections.values():
             election.random = middle
-        self.post(node, said.Able(True))
+        self.post(node, said.AbilityReported(True))
 
     def post(self, node: Node, event: said.Event) -> None:
         """An event for a process."""
@@ -109,15 +109,15 @@
         match action:
             case said.Save(memories):
                 node.saved = dict(memories)
-            case said.Say(to, items):
+            case said.Send(to, items):
                 self.letters.append(Letter(node.name, to, self.nodes[to].boots, items))
-            case said.Wake(at):
+            case said.SetTimer(at):
                 node.wake = max(self.now + STEP, (at - 100.0) / node.rate)
-            case said.Took(duty, token, value):
+            case said.Acquired(duty, token, value):
                 self._took(node, duty, token, value)
             case said.Lost(duty):
                 node.claims.pop(duty, None)
-            case said.Settled(duty, token, number):
+            case said.Committed(duty, token, number):
                 self._settled(node, duty, token, number)
             case said.Obeys(duty, _, token):
                 if token < self.highest[duty]:
@@ -132,9 +132,9 @@
         if step < self.lasting[duty] and not self.forgot:
             raise Broken(f"forgotten: {duty} goes on from step {step}, after {self.lasting[duty]}")
         assert node.duties is not None
-        if duty in node.duties.leads:
-            node.claims[duty] = token, step + 1, node.duties.leads[duty].number + 1
-            self.post(node, said.Place(duty, (step + 1,)))
+        if duty in node.duties.holdings:
+            node.claims[duty] = token, step + 1, node.duties.holdings[duty].number + 1
+            self.post(node, said.SetState(duty, (step + 1,)))
 
     def _settled(self, node: Node, duty: str, token: int, number: int) -> None:
         claim = node.claims.get(duty)
@@ -142,7 +142,7 @@
             return
         del node.claims[duty]
         self.lasting[duty] = max(self.lasting[duty], claim[1])
-        if node.duties.may(self.clock(node), duty) == token:
+        if node.duties.acting_token(self.clock(node), duty) == token:
             before = self.done.setdefault((duty, claim[1]), token)
             if before != token and not self.forgot:
                 raise Broken(f"done_twice: step {claim[1]} of {duty} by {before} and {token}")
@@ -166,7 +166,7 @@
         letter = self.letters.pop(i)
         node = self.nodes[letter.to]
         if node.duties is not None and node.boots == letter.boot and not self.parted(letter):
-            self.post(node, said.Heard(letter.sender, letter.items))
+            self.post(node, said.MessagesReceived(letter.sender, letter.items))
 
     def pass_time(self) -> None:
         """On to the next timer, the end of a trouble or of a message's way."""
@@ -178,7 +178,7 @@
         if what == "end":
             self.mend(self.nodes[name])
         elif what == "wake":
-            self.post(self.nodes[name], said.Woke())
+            self.post(self.nodes[name], said.TimerFired())
 
     def mend(self, node: Node) -> None:
         """A trouble is over."""
@@ -186,7 +186,7 @@
         if trouble == "crash":
             self.start(node)
         elif trouble == "stop":
-            self.post(node, said.Woke())
+            self.post(node, said.TimerFired())
 
     def hurt(self, node: Node, trouble: str, seconds: float) -> None:
         """A trouble begins."""
@@ -207,9 +207,9 @@
             for node in self.nodes.values():
                 if node.duties is not None:
                     now = self.clock(node)
-                    if node.duties.may(now, duty.name) is not None:
+                    if node.duties.acting_token(now, duty.name) is not None:
                         acting.append(node.name)
-                    if (obeyed := node.duties.obeys(now, duty.name)) is not None:
+                    if (obeyed := node.duties.order_in_force(now, duty.name)) is not None:
                         tokens.add(obeyed.token)
             if len(acting) > 1 or len(tokens) > 1:
                 raise Broken(f"two_obeyed: {acting} act for {duty.name}, {sorted(tokens)} are obeyed")
@@ -293,7 +293,7 @@
         world.usual()
         if (
             all(
-                any(n.duties and n.duties.may(world.clock(n), d.name) for n in world.nodes.values())
+                any(n.duties and n.duties.acting_token(world.clock(n), d.name) for n in world.nodes.values())
                 for d in settings.duties
             )
             and not world.letters
--- a/myrtlecourse/spread/work.py
+++ b/myrtlecourse/spread/work.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from myrtlecourse.duties import messages as duties
-from myrtlecourse.duties.keeper import Keeper as DutyKeeper
+from myrtlecourse.duties.driver import DutyDriver
 from myrtlecourse.spread.head_events import Acknowledge, Refuse
 from myrtlecourse.spread.keeper import Keeper
 from myrtlecourse.spread.messages import Entry, SpreadError
@@ -16,28 +16,28 @@
 class LogWork:
     """The duty of writing the log. It has no orders: that it is held is all, and its token is the epoch."""
 
-    def __init__(self, duty: str, of_duties: DutyKeeper, keeper: Keeper) -> None:
+    def __init__(self, duty: str, of_duties: DutyDriver, keeper: Keeper) -> None:
         self.duty = duty
         self.duties = of_duties
         self.keeper = keeper
-        keeper.may = lambda: of_duties.may(duty)
+        keeper.may = lambda: of_duties.acting_token(duty)
 
     def able(self) -> bool:
         """Whether this process can write a log: not while the one before it still does."""
         return self.keeper.head is not None and not self.keeper.failed
 
-    def took(self, token: int, value: duties.Value) -> None:
+    def on_acquired(self, token: int, value: duties.Value) -> None:
         self.keeper.took(token)
 
-    def lost(self) -> None:
+    def on_lost(self) -> None:
         self.keeper.lost()
         # not from within what told it
-        asyncio.get_running_loop().call_soon(self.duties.post, duties.Stopped(self.duty))
+        asyncio.get_running_loop().call_soon(self.duties.post, duties.WorkStopped(self.duty))
 
-    def settled(self, token: int, number: int) -> None:
+    def on_committed(self, token: int, number: int) -> None:
         """It orders nothing."""
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """It has nothing due."""
 
     async def close(self) -> None:
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -305,15 +305,15 @@
             lambda _: None,
             emptied,
         )
-        keeper.election.quiet_until = 0.0
+        keeper.election.startup_wait_until = 0.0
         keeper.loop = asyncio.get_running_loop()
         out: list[tuple[str, bytes]] = []
         keeper.send = lambda to, data: out.append((to, data))  # type: ignore[method-assign]
         for number in (1, 2):  # there is no such folder
-            keeper.post(said.Heard("b", said.Ask(1, number, False)))
+            keeper.post(said.MessageReceived("b", said.Ask(1, number, False)))
             assert not out
         folder.mkdir()
-        keeper.post(said.Heard("b", said.Ask(1, 3, False)))
+        keeper.post(said.MessageReceived("b", said.Ask(1, 3, False)))
         assert [to for to, _ in out] == ["b"] and read_votes(folder / "file") == said.Saved(1, "b")
         await keeper.close()
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -11,11 +11,11 @@
 
 from myrtlecourse.duties import messages as said
 from myrtlecourse.duties.core import Duties
-from myrtlecourse.duties.lead import Lead
+from myrtlecourse.duties.holding import Holding
 from myrtlecourse.duties.member import Member
 from myrtlecourse.duties.messages import DutiesError, Duty, Memory, Settings
 from myrtlecourse.election import messages as election
-from myrtlecourse.election.messages import turn_of
+from myrtlecourse.election.messages import turn_for_rank
 from myrtlecourse.sim.duties import Broken, World, schedule, well_again
 from myrtlecourse.sim.duty_commands import random_duties
 from myrtlecourse.sim.exhaust import explore
@@ -177,9 +177,9 @@
     for voters in (("a", "b"), ("a", "b", "e")):
         there.voters = voters
         for process in there.processes.values():
-            process.post(said.Changed(there.settings(process.name)))
+            process.post(said.SettingsChanged(there.settings(process.name)))
             holder = there.processes[there.holder("x")] if there.holder("x") else process
-            if holder.duties is not None and holder.duties.may(holder.clock(), "x"):
+            if holder.duties is not None and holder.duties.acting_token(holder.clock(), "x"):
                 holder.post(said.Move("x"))
             there.run(0.3)
     there.processes["c"].kill()
@@ -198,20 +198,20 @@
         (said.Move("y", "b"), "may not"),
         (said.Move("y", "d"), "already"),
         (said.Move("x", "a"), "does not hold"),
-        (said.Place("x", (1,)), "does not hold"),
-        (said.Place("y", (-1,)), "numbers"),
-        (said.Place("y", (1,) * 9), "numbers"),
-        (said.Changed(Settings("d", NAMES, ("c", "d", "e"), EACH)), "one may come"),
-        (said.Changed(Settings("d", NAMES, VOTERS, EACH[:1])), "duties"),
+        (said.SetState("x", (1,)), "does not hold"),
+        (said.SetState("y", (-1,)), "numbers"),
+        (said.SetState("y", (1,) * 9), "numbers"),
+        (said.SettingsChanged(Settings("d", NAMES, ("c", "d", "e"), EACH)), "one may come"),
+        (said.SettingsChanged(Settings("d", NAMES, VOTERS, EACH[:1])), "duties"),
     ]
     for event, message in wrong:
         with pytest.raises(DutiesError, match=message):
             holder.handle(now, event)
-    assert holder.may(now, "y") is not None
-    holder.elections["y"].lease.renewed.pop("b")
+    assert holder.acting_token(now, "y") is not None
+    holder.elections["y"].lease.supported_from.pop("b")
     with pytest.raises(DutiesError, match="y: voters: without c the lease would be over"):
-        holder.handle(now, said.Changed(Settings("d", NAMES, ("a", "b"), EACH)))
-    assert holder.may(now, "y") is not None and holder.settings.voters == VOTERS
+        holder.handle(now, said.SettingsChanged(Settings("d", NAMES, ("a", "b"), EACH)))
+    assert holder.acting_token(now, "y") is not None and holder.settings.voters == VOTERS
 
 
 @pytest.mark.parametrize(
@@ -247,11 +247,13 @@
 def test_an_order_counts_from_the_question_that_it_answers() -> None:
     member = Member(Duty("x"), None, 100.0, BASE)
     answer = member.order(101.0, "h", order(3, 1, 0))
-    assert isinstance(answer, said.Taken) and not answer.kept and member.obeys(101.0) is None
+    assert isinstance(answer, said.Taken) and not answer.kept and member.order_in_force(101.0) is None
     assert member.order(101.5, "h", order(3, 1, answer.stamp)) == said.Taken(3, 1, True, BASE + 1500)
-    assert member.obeys(102.9) is not None and member.obeys(103.01) is None
+    assert member.order_in_force(102.9) is not None and member.order_in_force(103.01) is None
     late = member.order(103.5, "h", order(3, 2, answer.stamp))  # it lay in a queue for two seconds
-    assert isinstance(late, said.Taken) and not late.kept and member.value == (1,) and member.stale == 1
+    assert (
+        isinstance(late, said.Taken) and not late.kept and member.value == (1,) and member.dropped_orders == 1
+    )
 
 
 def test_a_stamp_of_the_process_before_is_none() -> None:
@@ -261,7 +263,7 @@
     new = Member(Duty("x"), None, 109.0, 2 * BASE)
     for at in (109.5, 118.0, 200.0):
         answer = new.order(at, "h", order(3, 1, stamp))
-        assert isinstance(answer, said.Taken) and not answer.kept and new.obeys(at) is None
+        assert isinstance(answer, said.Taken) and not answer.kept and new.order_in_force(at) is None
     ahead = new.order(200.0, "h", order(3, 1, new.stamp(201.0)))
     assert isinstance(ahead, said.Taken) and not ahead.kept
 
@@ -271,56 +273,56 @@
     member.order(101.0, "h", order(3, 5, member.stamp(101.0)))
     known = member.survey(101.2, said.Survey(4))
     assert known == said.Known(4, 3, 5, False, member.stamp(101.2), (5,))
-    assert member.obeys(101.2) is None  # nothing until the next one orders
+    assert member.order_in_force(101.2) is None  # nothing until the next one orders
     assert member.order(101.3, "h", order(3, 6, member.stamp(101.3))) == said.Outdated(4)
     assert member.survey(101.4, said.Survey(2)) == said.Outdated(4)
     member.order(101.5, "g", order(4, 1, member.stamp(101.5)))
-    obeyed = member.obeys(101.6)
+    obeyed = member.order_in_force(101.6)
     assert obeyed is not None and (obeyed.holder, obeyed.token) == ("g", 4)
     assert member.order(101.7, "g", order(4, 0, member.stamp(101.7))) == said.Taken(4, 0, False, BASE + 1700)
     member.order(101.8, "g", order(4, 2, 0, 0))
-    assert member.obeys(101.8) is None and member.value == (2,)
+    assert member.order_in_force(101.8) is None and member.value == (2,)
 
 
 def test_a_holder_goes_on_from_the_highest_that_a_majority_has_taken() -> None:
     told = Settings("a", NAMES, VOTERS, EACH)
-    lead = Lead(told, EACH[0], 7, 100.0, clear=True)
-    lead.known_of(100.1, "b", said.Known(7, 5, 9, False, 1, (9,)))
-    lead.known_of(100.1, "c", said.Known(7, 6, 2, False, 1, (2,)))
-    lead.known_of(100.1, "d", said.Known(6, 8, 8, False, 1, (8,)))  # of another question
-    assert not lead.may_begin(100.2)
-    lead.known_of(100.1, "e", said.Known(7, 0, 0, True, 1, ()))  # it has forgotten: no witness
-    assert not lead.may_begin(100.2) and lead.may_begin(lead.patience) and lead.guessed
-    lead.known_of(100.3, "a", said.Known(7, 6, 1, False, 1, (1,)))
-    assert lead.may_begin(100.3) and not lead.guessed and lead.value == (2,)
+    holding = Holding(told, EACH[0], 7, 100.0, previous_orders_ended=True)
+    holding.on_known(100.1, "b", said.Known(7, 5, 9, False, 1, (9,)))
+    holding.on_known(100.1, "c", said.Known(7, 6, 2, False, 1, (2,)))
+    holding.on_known(100.1, "d", said.Known(6, 8, 8, False, 1, (8,)))  # of another question
+    assert not holding.may_begin(100.2)
+    holding.on_known(100.1, "e", said.Known(7, 0, 0, True, 1, ()))  # it has forgotten: no witness
+    assert not holding.may_begin(100.2) and holding.may_begin(holding.ask_until) and holding.state_uncertain
+    holding.on_known(100.3, "a", said.Known(7, 6, 1, False, 1, (1,)))
+    assert holding.may_begin(100.3) and not holding.state_uncertain and holding.value == (2,)
 
 
 def test_a_holder_waits_for_the_last_order_unless_all_have_answered_or_it_was_said() -> None:
     told = Settings("a", NAMES, VOTERS, EACH)
-    for clear, everybody in ((False, False), (True, False), (False, True)):
-        lead = Lead(told, EACH[0], 7, 100.0, clear)
+    for previous_orders_ended, everybody in ((False, False), (True, False), (False, True)):
+        holding = Holding(told, EACH[0], 7, 100.0, previous_orders_ended)
         for name in NAMES if everybody else NAMES[:3]:
-            lead.known_of(100.1, name, said.Known(7, 6, 2, False, 1, (2,)))
-        assert lead.may_begin(100.2) is (clear or everybody)
-        assert lead.may_begin(100.0 + told.over(2.0))
+            holding.on_known(100.1, name, said.Known(7, 6, 2, False, 1, (2,)))
+        assert holding.may_begin(100.2) is (previous_orders_ended or everybody)
+        assert holding.may_begin(100.0 + told.order_lifetime(2.0))
 
 
 def test_a_member_that_has_gone_counts_for_no_majority() -> None:
-    lead = Lead(Settings("a", NAMES, VOTERS, EACH), EACH[0], 7, 100.0, clear=True)
+    holding = Holding(Settings("a", NAMES, VOTERS, EACH), EACH[0], 7, 100.0, previous_orders_ended=True)
     for name in ("a", "d", "e"):
-        lead.known_of(100.1, name, said.Known(7, 0, 0, False, 1, ()))
-    lead.begin(100.2)
-    number = lead.place(100.2, (1,))
-    assert not lead.taken_by(100.3, "e", said.Taken(7, number, True, 2))[1]
-    assert not lead.taken_by(100.3, "a", said.Taken(7, number, True, 2))[1]
-    lead.change(Settings("a", NAMES[:4], VOTERS, EACH))  # e has gone: three of four are wanted
-    assert not lead.taken_by(100.4, "b", said.Taken(7, number, True, 2))[1]
-    assert lead.taken_by(100.4, "c", said.Taken(7, number, True, 2)) == (None, True)
+        holding.on_known(100.1, name, said.Known(7, 0, 0, False, 1, ()))
+    holding.start_acting(100.2)
+    number = holding.set_state(100.2, (1,))
+    assert not holding.on_taken(100.3, "e", said.Taken(7, number, True, 2))[1]
+    assert not holding.on_taken(100.3, "a", said.Taken(7, number, True, 2))[1]
+    holding.change_settings(Settings("a", NAMES[:4], VOTERS, EACH))  # e has gone: three of four are wanted
+    assert not holding.on_taken(100.4, "b", said.Taken(7, number, True, 2))[1]
+    assert holding.on_taken(100.4, "c", said.Taken(7, number, True, 2)) == (None, True)
 
 
 @given(st.integers(1, 255))
 def test_all_candidates_have_a_turn_within_a_few(number: int) -> None:
-    turns = [turn_of(place) for place in range(number)]
+    turns = [turn_for_rank(rank) for rank in range(number)]
     assert turns == sorted(turns) and turns[:4] == list(range(number))[:4]
     assert set(turns) == set(range(turns[-1] + 1)) and turns[-1] <= 9
 
@@ -331,8 +333,8 @@
     duties = Duties(told, {"x": memory}, 0.0, 1)
     assert duties.elections["x"].saved == election.Saved(4, "b")
     assert not duties.members["x"].fresh and duties.members["y"].fresh
-    said_back = duties.handle(10.0, said.Heard("e", ((EACH[0].number, said.Survey(7)),)))
+    said_back = duties.handle(10.0, said.MessagesReceived("e", ((EACH[0].number, said.Survey(7)),)))
     stamp = duties.members["x"].stamp(10.0)
-    assert said.Say("e", ((EACH[0].number, said.Known(7, 5, 3, False, stamp, (1, 2))),)) in said_back
+    assert said.Send("e", ((EACH[0].number, said.Known(7, 5, 3, False, stamp, (1, 2))),)) in said_back
     (saved,) = [a for a in said_back if isinstance(a, said.Save)]
     assert said_back.index(saved) == 0 and saved.memories["x"] == Memory(4, "b", 7, 5, 3, (1, 2))
--- a/tests/test_duty_parts.py
+++ b/tests/test_duty_parts.py
@@ -18,10 +18,10 @@
 from myrtlecourse.config import ConfigError
 from myrtlecourse.duties import messages as said
 from myrtlecourse.duties.codec import KINDS, DutyCodec, split
-from myrtlecourse.duties.keeper import MOST_AFTER, Keeper
-from myrtlecourse.duties.memory import RememberError, read_memories, write_memories
+from myrtlecourse.duties.driver import MAX_WAITING, DutyDriver
+from myrtlecourse.duties.memory import MemoryFileError, read_memories, write_memories
 from myrtlecourse.duties.messages import Duty, Item, Memory, Settings
-from myrtlecourse.duties.steps import Steps, What
+from myrtlecourse.duties.steps import StepAction, Steps
 from myrtlecourse.election import messages as election
 from myrtlecourse.operators import read_operators
 from myrtlecourse.peers.seal import LONGEST, Dropped
@@ -29,7 +29,7 @@
 from tests.loopback import run
 
 numbers = st.integers(0, 2**62)
-values = st.lists(st.integers(0, said.LARGEST - 1), max_size=said.MOST_VALUES).map(tuple)
+values = st.lists(st.integers(0, said.STATE_NUMBER_LIMIT - 1), max_size=said.MAX_STATE_LENGTH).map(tuple)
 
 
 def message(kind: Any) -> Any:
@@ -89,10 +89,10 @@
     text = bytearray(path.read_bytes())
     text[at % len(text)] ^= flip
     path.write_bytes(text)
-    with pytest.raises(RememberError, match="file"):
+    with pytest.raises(MemoryFileError, match="file"):
         read_memories(path)
     path.write_bytes(text[: at % len(text)])
-    with pytest.raises(RememberError):
+    with pytest.raises(MemoryFileError):
         read_memories(path)
 
 
@@ -104,34 +104,34 @@
         settings = Settings("a", names, names, (duty,), heartbeat=1.0, lease=60.0, unheard=60.0, settle=0.0)
         peers = dict.fromkeys(names, ("127.0.0.1", 1))
         memory = tmp_path / "folder" / "memory"  # there is no such folder
-        keeper = Keeper(settings, peers, (b"k" * 16, ()), memory, None, lambda: True)
-        keeper.loop = asyncio.get_running_loop()
+        driver = DutyDriver(settings, peers, (b"k" * 16, ()), memory, None, lambda: True)
+        driver.loop = asyncio.get_running_loop()
         out: list[said.Message] = []
-        keeper._say = lambda to, items: out.extend(m for _, m in items)  # type: ignore[method-assign]
+        driver._send_items = lambda to, items: out.extend(m for _, m in items)  # type: ignore[method-assign]
 
         def hear(words: said.Message) -> None:
-            keeper.post(said.Heard("b", ((duty.number, words),)))
+            driver.post(said.MessagesReceived("b", ((duty.number, words),)))
 
-        keeper.duties.elections["x"].quiet_until = time.monotonic()  # the wait after a start is over
-        term = keeper.duties.elections["x"].term + 1
+        driver.duties.elections["x"].startup_wait_until = time.monotonic()  # the wait after a start is over
+        term = driver.duties.elections["x"].term + 1
         hear(election.Ask(term, 1, False))
         hear(said.Survey(term))
         hear(election.Beat(term, 2))
-        stamp = keeper.duties.members["x"].stamp(time.monotonic())
+        stamp = driver.duties.members["x"].stamp(time.monotonic())
         hear(said.Order(term, 1, 60_000, stamp, (1,)))
         await asyncio.sleep(0.1)
         assert [type(m) for m in out if not isinstance(m, election.Deny)] == [election.Renew, said.Taken]
         assert not any(m.kept for m in out if isinstance(m, said.Taken))
         memory.parent.mkdir()
         until = time.monotonic() + 5.0
-        while keeper.writing is not None and time.monotonic() < until:
+        while driver.writing is not None and time.monotonic() < until:
             await asyncio.sleep(0.01)
         saved = read_memories(memory)
         assert saved is not None and saved["x"].voted == "b" and saved["x"].value == (1,)
         out.clear()
         hear(said.Survey(term))
         assert [type(m) for m in out] == [said.Known]
-        await keeper.close()
+        await driver.close()
 
     run(scenario)
 
@@ -143,22 +143,22 @@
         settings = Settings("a", ("a", "b", "c"), ("a", "b", "c"), (Duty("x"),))
         memory = tmp_path / "folder" / "memory"
         peers = dict.fromkeys(settings.members, ("127.0.0.1", 1))
-        keeper = Keeper(settings, peers, (b"k" * 16, ()), memory, None, lambda: True)
-        told: list[said.Took | said.Lost | said.Settled] = []
-        monkeypatch.setattr(keeper, "_tell_work", told.append)
-        keeper._carry_out(said.Save({"x": Memory(1)}))
-        keeper._carry_out(said.Settled("x", 1, 1))
-        word = said.Say("b", ((7, said.Taken(1, 1, True, 1)),))
-        for _ in range(3 * MOST_AFTER):
-            keeper._carry_out(word)
-        assert len(keeper.after) <= MOST_AFTER + 1
+        driver = DutyDriver(settings, peers, (b"k" * 16, ()), memory, None, lambda: True)
+        told: list[said.Acquired | said.Lost | said.Committed] = []
+        monkeypatch.setattr(driver, "_notify_work", told.append)
+        driver._carry_out(said.Save({"x": Memory(1)}))
+        driver._carry_out(said.Committed("x", 1, 1))
+        word = said.Send("b", ((7, said.Taken(1, 1, True, 1)),))
+        for _ in range(3 * MAX_WAITING):
+            driver._carry_out(word)
+        assert len(driver.waiting_for_disk) <= MAX_WAITING + 1
         await asyncio.sleep(0.05)
         assert not told
         memory.parent.mkdir()
         until = time.monotonic() + 5.0
-        while keeper.writing is not None and time.monotonic() < until:
+        while driver.writing is not None and time.monotonic() < until:
             await asyncio.sleep(0.01)
-        assert told == [said.Settled("x", 1, 1)] and read_memories(memory) == {"x": Memory(1)}
+        assert told == [said.Committed("x", 1, 1)] and read_memories(memory) == {"x": Memory(1)}
 
     run(scenario)
 
@@ -166,23 +166,23 @@
 def test_steps_are_claimed_before_they_run_and_go_on_from_those_before() -> None:
     steps = Steps(10.0)
     assert steps.tick(0.0, 1000.0, 1) == []
-    assert steps.took(0.0, 1000.0, 7, (0, 0, 0)) == []
+    assert steps.on_acquired(0.0, 1000.0, 7, (0, 0, 0)) == []
     (claim,) = steps.tick(0.0, 1000.0, 1)
-    assert (claim.what, claim.value) == (What.PLACE, (1, 0, 1000))
+    assert (claim.action, claim.value) == (StepAction.SET_STATE, (1, 0, 1000))
     assert steps.tick(20.0, 1020.0, 2) == []  # not before the claim is settled
-    assert steps.settled(7, 1) == [] and steps.settled(6, 2) == []
-    (go,) = steps.settled(7, 2)
-    assert (go.what, go.step) == (What.RUN, 1)
+    assert steps.on_committed(7, 1) == [] and steps.on_committed(6, 2) == []
+    (go,) = steps.on_committed(7, 2)
+    assert (go.action, go.step) == (StepAction.RUN, 1)
     assert steps.tick(20.0, 1020.0, 2) == []  # nor while it runs
-    (done,) = steps.done(7)
-    assert done.value == (1, 1, 1000) and steps.done(7) == []
-    steps.lost()
-    assert steps.tick(99.0, 1099.0, 3) == [] and steps.settled(7, 9) == []
+    (done,) = steps.on_finished(7)
+    assert done.value == (1, 1, 1000) and steps.on_finished(7) == []
+    steps.on_lost()
+    assert steps.tick(99.0, 1099.0, 3) == [] and steps.on_committed(7, 9) == []
     # the next holder: four seconds after the last claim, which is not known to have ended
-    (left,) = Steps(10.0).took(0.0, 1014.0, 8, (2, 1, 1010))
-    assert (left.what, left.step) == (What.LEFT, 2)
+    (left,) = Steps(10.0).on_acquired(0.0, 1014.0, 8, (2, 1, 1010))
+    assert (left.action, left.step) == (StepAction.UNFINISHED, 2)
     again = Steps(10.0)
-    again.took(50.0, 1014.0, 8, (2, 2, 1010))
+    again.on_acquired(50.0, 1014.0, 8, (2, 2, 1010))
     assert again.tick(55.9, 1019.9, 1) == []
     assert again.tick(56.0, 1020.0, 1)[0].value == (3, 2, 1020)
 
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -56,7 +56,7 @@
 class TwoVotes(Election):
     """Broken on purpose: gives any vote it is asked for."""
 
-    def _grants(self, sender: str, ask: said.Ask) -> bool:
+    def _may_grant(self, sender: str, ask: said.Ask) -> bool:
         return True
 
 
@@ -64,20 +64,20 @@
     """Broken on purpose: counts the lease from when it was answered."""
 
     def _on_renew(self, sender: str, renew: said.Renew) -> None:
-        if renew.number in self.lease.asked:
-            self.lease.asked[renew.number] = self.now
+        if renew.number in self.lease.requested_at:
+            self.lease.requested_at[renew.number] = self.now
         super()._on_renew(sender, renew)
 
 
 class Snatches(Election):
     """Broken on purpose: a word to somebody less preferred binds to nothing."""
 
-    def _bound_to(self, other_than: str) -> bool:
+    def _promised_to_another(self, other_than: str) -> bool:
         preferred = other_than or self.settings.name
         order = self.settings.voters
-        if self.word[0] and order.index(preferred) < order.index(self.word[0]):
+        if self.promise[0] and order.index(preferred) < order.index(self.promise[0]):
             return False
-        return super()._bound_to(other_than)
+        return super()._promised_to_another(other_than)
 
 
 class Impatient(Election):
@@ -85,7 +85,7 @@
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self.quiet_until = -math.inf
+        self.startup_wait_until = -math.inf
 
 
 @needs_sources
@@ -262,7 +262,7 @@
     first = held(there)
     instance = there.instances[first]
     instance.able = False
-    instance.post(said.Able(False))
+    instance.post(said.AbilityReported(False))
     there.run(0.5)
     assert there.holders() == [first]  # it may pass
     there.run(2.0)
@@ -271,9 +271,9 @@
     others = [n for n in THREE if n not in (first, *second)]
     there.instances[second[0]].kill()
     for _ in range(20):  # well for half a second, unwell for half a second
-        instance.post(said.Able(True))
+        instance.post(said.AbilityReported(True))
         there.run(0.5)
-        instance.post(said.Able(False))
+        instance.post(said.AbilityReported(False))
         there.run(0.5)
     assert there.holders() == others
 
@@ -291,8 +291,8 @@
 
 
 def heard(election: Election, sender: str, message: said.Message, now: float) -> list[said.Action]:
-    actions = election.handle(now, said.Heard(sender, message))
-    return [a for a in actions if not isinstance(a, said.Wake)]
+    actions = election.handle(now, said.MessageReceived(sender, message))
+    return [a for a in actions if not isinstance(a, said.SetTimer)]
 
 
 def voter(**saved: Any) -> Election:
@@ -303,31 +303,31 @@
     election = voter()
     assert heard(election, "b", said.Ask(1, 7, False), 10.0) == [
         said.Save(said.Saved(1, "b")),
-        said.Tell("b", said.Grant(1, 7, False)),
+        said.Send("b", said.Grant(1, 7, False)),
     ]
     # the same question again: the same answer, and nothing new to write
-    assert heard(election, "b", said.Ask(1, 7, False), 10.1) == [said.Tell("b", said.Grant(1, 7, False))]
-    assert heard(election, "c", said.Ask(1, 9, False), 10.2) == [said.Tell("c", said.Deny(1))]
+    assert heard(election, "b", said.Ask(1, 7, False), 10.1) == [said.Send("b", said.Grant(1, 7, False))]
+    assert heard(election, "c", said.Ask(1, 9, False), 10.2) == [said.Send("c", said.Deny(1))]
     # and in a higher term not beside the word that holds
-    assert heard(election, "c", said.Ask(2, 9, False), 10.3) == [said.Tell("c", said.Deny(1))]
-    assert heard(election, "c", said.Ask(2, 9, False), 13.0)[-1] == said.Tell("c", said.Grant(2, 9, False))
+    assert heard(election, "c", said.Ask(2, 9, False), 10.3) == [said.Send("c", said.Deny(1))]
+    assert heard(election, "c", said.Ask(2, 9, False), 13.0)[-1] == said.Send("c", said.Grant(2, 9, False))
 
 
 def test_a_trial_changes_nothing() -> None:
     election = voter()
-    assert heard(election, "b", said.Ask(1, 7, True), 10.0) == [said.Tell("b", said.Grant(1, 7, True))]
-    assert election.saved == said.Saved() and election.word == ("", 0)
+    assert heard(election, "b", said.Ask(1, 7, True), 10.0) == [said.Send("b", said.Grant(1, 7, True))]
+    assert election.saved == said.Saved() and election.promise == ("", 0)
 
 
 def test_a_restart_keeps_the_vote_and_gives_no_word_for_a_lease() -> None:
     election = voter(term=4, voted="b")
-    assert heard(election, "b", said.Ask(4, 1, False), 0.5) == [said.Tell("b", said.Deny(4))]
+    assert heard(election, "b", said.Ask(4, 1, False), 0.5) == [said.Send("b", said.Deny(4))]
     assert heard(election, "b", said.Beat(4, 1), 0.6) == []
-    assert heard(election, "c", said.Ask(4, 1, False), 3.0) == [said.Tell("c", said.Deny(4))]
+    assert heard(election, "c", said.Ask(4, 1, False), 3.0) == [said.Send("c", said.Deny(4))]
     # nor again to the same: it may be another process of it, and a term is the token of one
-    assert heard(election, "b", said.Ask(4, 1, False), 3.0) == [said.Tell("b", said.Deny(4))]
-    assert heard(election, "b", said.Ask(5, 2, False), 3.1)[-1] == said.Tell("b", said.Grant(5, 2, False))
-    assert heard(election, "b", said.Ask(5, 2, False), 3.2) == [said.Tell("b", said.Grant(5, 2, False))]
+    assert heard(election, "b", said.Ask(4, 1, False), 3.0) == [said.Send("b", said.Deny(4))]
+    assert heard(election, "b", said.Ask(5, 2, False), 3.1)[-1] == said.Send("b", said.Grant(5, 2, False))
+    assert heard(election, "b", said.Ask(5, 2, False), 3.2) == [said.Send("b", said.Grant(5, 2, False))]
 
 
 @pytest.mark.parametrize(
@@ -350,34 +350,38 @@
     heard(election, "b", said.Beat(3, 1), 10.0)
     heard(election, "b", said.Release(2), 10.1)
     heard(election, "c", said.Release(3), 10.1)
-    assert heard(election, "c", said.Ask(4, 1, True), 10.2) == [said.Tell("c", said.Deny(3))]
+    assert heard(election, "c", said.Ask(4, 1, True), 10.2) == [said.Send("c", said.Deny(3))]
     heard(election, "b", said.Release(3), 10.3)
-    assert heard(election, "c", said.Ask(4, 1, True), 10.4) == [said.Tell("c", said.Grant(4, 1, True))]
+    assert heard(election, "c", said.Ask(4, 1, True), 10.4) == [said.Send("c", said.Grant(4, 1, True))]
 
 
 def test_a_late_last_yes_is_worth_nothing() -> None:
     election = voter()
-    election.handle(0.0, said.Able(True))
+    election.handle(0.0, said.AbilityReported(True))
     now = 0.0
-    while election.role is not Role.STANDING:
-        now = election._next()
-        actions = election.handle(now, said.Woke())
-        asks = [a.message for a in actions if isinstance(a, said.Tell) and isinstance(a.message, said.Ask)]
+    while election.role is not Role.CAMPAIGNING:
+        now = election._next_due()
+        actions = election.handle(now, said.TimerFired())
+        asks = [a.message for a in actions if isinstance(a, said.Send) and isinstance(a.message, said.Ask)]
         if asks and asks[0].trial:
             for sender in ("b", "c"):
-                election.handle(now, said.Heard(sender, said.Grant(asks[0].term, asks[0].number, True)))
+                election.handle(
+                    now, said.MessageReceived(sender, said.Grant(asks[0].term, asks[0].number, True))
+                )
     late = now + settings().lease
     answer = said.Grant(election.term, election.ballot.number, False)
-    assert not any(isinstance(a, said.Announce) for a in election.handle(late, said.Heard("b", answer)))
+    assert not any(
+        isinstance(a, said.Announce) for a in election.handle(late, said.MessageReceived("b", answer))
+    )
     assert not election.holds(late)
 
 
 def test_one_voter_may_come_or_go_at_a_time() -> None:
     election = voter()
     with pytest.raises(said.ElectionError, match="one may come or go"):
-        election.handle(1.0, said.Changed(settings(voters=("a", "b", "d"))))
+        election.handle(1.0, said.SettingsChanged(settings(voters=("a", "b", "d"))))
     assert election.settings.voters == THREE
-    election.handle(1.0, said.Changed(settings(voters=("a", "b", "c", "d"), even_voters=True)))
+    election.handle(1.0, said.SettingsChanged(settings(voters=("a", "b", "c", "d"), even_voters=True)))
     assert election.settings.majority == 3
 
 
@@ -385,22 +389,22 @@
     """One that holds since 100.0, with the words of these alone."""
     election = voter()
     election.role, election.saved = Role.HOLDER, said.Saved(1, "a")
-    election.unwell_since = math.inf
+    election.unable_since = math.inf
     election.now = 100.0
-    election.lease.won(words, 100.0)
-    election.lease.count(election.settings, 100.0)
-    election._beat()
+    election.lease.start(words, 100.0)
+    election.lease.update(election.settings, 100.0)
+    election._send_heartbeat()
     return election
 
 
 def test_a_voter_whose_word_alone_bears_the_lease_does_not_go() -> None:
     """The holder gave up on the spot, though the other voter was to give its word within a lease."""
     election = holder_by("c")
-    less = said.Changed(settings(voters=("a", "b"), even_voters=True))
+    less = said.SettingsChanged(settings(voters=("a", "b"), even_voters=True))
     with pytest.raises(said.ElectionError, match="without c the lease would be over"):
         election.handle(100.1, less)
     assert election.settings.voters == THREE and election.holds(100.1)
-    number = next(iter(election.lease.asked))
+    number = next(iter(election.lease.requested_at))
     heard(election, "b", said.Renew(1, number), 100.2)
     assert not any(isinstance(a, said.Withdraw) for a in election.handle(100.3, less))
     assert election.holds(100.3)
@@ -410,9 +414,9 @@
     """Its withdrawal was decided and lost with the refusal: the instance left for ever."""
     election = holder_by("c")
     with pytest.raises(said.ElectionError, match="one may come or go"):
-        election.handle(200.0, said.Changed(settings(voters=("a", "b", "d"))))
+        election.handle(200.0, said.SettingsChanged(settings(voters=("a", "b", "d"))))
     assert election.role is Role.HOLDER and not election.holds(200.0)
-    actions = election.handle(200.0, said.Woke())
+    actions = election.handle(200.0, said.TimerFired())
     assert any(isinstance(a, said.Withdraw) for a in actions)
 
 
@@ -441,33 +445,33 @@
     """A voter that has started later than the others, in a term that is higher for that, and is well."""
     told = settings("b", settle=0.2)
     voter = Election(told, said.Saved(term, ""), 0.0, 1)
-    voter.handle(0.0, said.Able(True))
+    voter.handle(0.0, said.AbilityReported(True))
     return voter, told.lease + told.settle
 
 
 def test_a_voter_that_began_in_a_higher_term_bears_the_lease_of_a_holder_that_was_there() -> None:
     """It denied each heartbeat until the next election: a majority of three was two that must not fail."""
     voter, now = newcomer(50)
-    acts = voter.handle(now, said.Heard("a", said.Beat(7, 1)))
-    assert said.Tell("a", said.Renew(7, 1)) in acts
+    acts = voter.handle(now, said.MessageReceived("a", said.Beat(7, 1)))
+    assert said.Send("a", said.Renew(7, 1)) in acts
     assert voter.term == 50  # what it votes for is higher than all that went before its start
 
 
 def test_it_takes_what_it_is_offered() -> None:
     """It dropped the offer as an old one, and whoever was preferred took what another was named for."""
     voter, now = newcomer(50)
-    voter.handle(now, said.Heard("a", said.Beat(7, 1)))
-    acts = voter.handle(now + 0.1, said.Heard("a", said.Take(7)))
-    asks = [a.message for a in acts if isinstance(a, said.Tell) and isinstance(a.message, said.Ask)]
+    voter.handle(now, said.MessageReceived("a", said.Beat(7, 1)))
+    acts = voter.handle(now + 0.1, said.MessageReceived("a", said.Take(7)))
+    asks = [a.message for a in acts if isinstance(a, said.Send) and isinstance(a.message, said.Ask)]
     assert [ask.term for ask in asks] == [51, 51] and not asks[0].trial
 
 
 def test_a_voter_that_has_learned_a_higher_term_still_denies_an_old_holder() -> None:
     voter, now = newcomer(5)
-    voter.handle(now, said.Heard("c", said.Beat(7, 1)))  # it learns the term of a holder
+    voter.handle(now, said.MessageReceived("c", said.Beat(7, 1)))  # it learns the term of a holder
     later = now + settings().lease + 0.1
-    acts = voter.handle(later, said.Heard("a", said.Beat(6, 9)))
-    assert said.Tell("a", said.Deny(7)) in acts
+    acts = voter.handle(later, said.MessageReceived("a", said.Beat(6, 9)))
+    assert said.Send("a", said.Deny(7)) in acts
 
 
 def failed_candidate() -> tuple[Election, float]:
@@ -476,7 +480,7 @@
     (ask,) = asked(acts)
     assert ask.term == 2
     for sender in ("b", "c"):
-        candidate.handle(now, said.Heard(sender, said.Deny(1)))
+        candidate.handle(now, said.MessageReceived(sender, said.Deny(1)))
     assert candidate.role is Role.BACKUP
     assert candidate.term == 2
     return candidate, now + 0.1
@@ -485,38 +489,40 @@
 def test_a_voter_that_has_stood_in_vain_bears_the_lease_of_the_holder() -> None:
     """It denied each heartbeat until the next election: of three voters none might fail any more."""
     candidate, now = failed_candidate()
-    acts = candidate.handle(now, said.Heard("c", said.Beat(1, 9)))
-    assert said.Tell("c", said.Renew(1, 9)) in acts and candidate.term == 2
-    assert said.Tell("b", said.Deny(2)) in candidate.handle(now, said.Heard("b", said.Beat(1, 9)))
+    acts = candidate.handle(now, said.MessageReceived("c", said.Beat(1, 9)))
+    assert said.Send("c", said.Renew(1, 9)) in acts and candidate.term == 2
+    assert said.Send("b", said.Deny(2)) in candidate.handle(now, said.MessageReceived("b", said.Beat(1, 9)))
 
 
 def test_a_voter_that_has_stood_in_vain_takes_what_the_holder_offers() -> None:
     candidate, now = failed_candidate()
-    candidate.handle(now, said.Heard("c", said.Beat(1, 9)))
-    candidate.handle(now + 0.1, said.Heard("c", said.Release(1)))
-    acts = candidate.handle(now + 0.1, said.Heard("c", said.Take(1)))
+    candidate.handle(now, said.MessageReceived("c", said.Beat(1, 9)))
+    candidate.handle(now + 0.1, said.MessageReceived("c", said.Release(1)))
+    acts = candidate.handle(now + 0.1, said.MessageReceived("c", said.Take(1)))
     assert [ask.term for ask in asked(acts)] == [3]
 
 
 def candidates_invited(acts: list[said.Action]) -> list[str]:
-    return [a.to for a in acts if isinstance(a, said.Tell) and isinstance(a.message, said.Invite)]
+    return [a.to for a in acts if isinstance(a, said.Send) and isinstance(a.message, said.Invite)]
 
 
 def holding_voter(hours: float) -> tuple[Election, float]:
     """A voter that has met a vacancy, was elected, and has held the duty for so long."""
     told = settings(preferred=("x", "y", "a"), settle=0.0)
     voter = Election(told, said.Saved(1, ""), 0.0, 1)
-    voter.handle(0.0, said.Able(True))
+    voter.handle(0.0, said.AbilityReported(True))
     now = told.lease
-    voter.handle(now, said.Woke())
-    now = voter.stand_at
-    voter.handle(now, said.Woke())
+    voter.handle(now, said.TimerFired())
+    now = voter.campaign_at
+    voter.handle(now, said.TimerFired())
     for trial in (True, False):
-        voter.handle(now, said.Heard("b", said.Grant(voter.term + trial, voter.ballot.number, trial)))
+        voter.handle(
+            now, said.MessageReceived("b", said.Grant(voter.term + trial, voter.ballot.number, trial))
+        )
     for _ in range(int(3600 * hours / told.heartbeat)):
         now += told.heartbeat
-        voter.handle(now, said.Woke())
-        voter.handle(now, said.Heard("b", said.Renew(voter.term, max(voter.lease.asked))))
+        voter.handle(now, said.TimerFired())
+        voter.handle(now, said.MessageReceived("b", said.Renew(voter.term, max(voter.lease.requested_at))))
     assert voter.holds(now)
     return voter, now
 
@@ -527,48 +533,48 @@
     voter.handle(now, said.Resign("", 1.0))
     acts = voter.handle(now, said.Withdrawn())
     assert candidates_invited(acts) == ["x"]  # the most preferred first
-    acts = voter.handle(now + voter.settings.heartbeat / 2, said.Woke())
+    acts = voter.handle(now + voter.settings.heartbeat / 2, said.TimerFired())
     assert candidates_invited(acts) == ["x", "y"]
 
 
 def test_a_voter_that_stood_still_in_a_vacancy_does_not_make_up_for_its_turns() -> None:
     told = settings(preferred=("x", "y"), settle=0.0)
     voter = Election(told, said.Saved(1, ""), 0.0, 1)
-    assert candidates_invited(voter.handle(told.lease, said.Woke())) == ["x"]
+    assert candidates_invited(voter.handle(told.lease, said.TimerFired())) == ["x"]
     for now in (told.lease + 3600.0, told.lease + 3600.0 + told.heartbeat / 2):
-        assert len(candidates_invited(voter.handle(now, said.Woke()))) <= 2
+        assert len(candidates_invited(voter.handle(now, said.TimerFired()))) <= 2
 
 
 def asked(acts: list[said.Action]) -> list[said.Ask]:
     """The questions to one of the voters."""
-    return [a.message for a in acts if isinstance(a, said.Tell) and isinstance(a.message, said.Ask)][::2]
+    return [a.message for a in acts if isinstance(a, said.Send) and isinstance(a.message, said.Ask)][::2]
 
 
 def successor(term: int = 4) -> tuple[Election, list[said.Action], float]:
     """A candidate that was just offered what a holder in this term has given up for it, and what it says."""
     told = settings("a", settle=0.2)
     candidate = Election(told, said.Saved(term, ""), 0.0, 1)
-    candidate.handle(0.0, said.Able(True))
+    candidate.handle(0.0, said.AbilityReported(True))
     now = told.lease + told.settle
-    return candidate, candidate.handle(now, said.Heard("b", said.Take(term))), now
+    return candidate, candidate.handle(now, said.MessageReceived("b", said.Take(term))), now
 
 
 def test_a_single_denial_in_a_higher_term_does_not_end_a_candidacy() -> None:
     """A move to a router was lost when a voter that had started later was the first to answer it."""
     candidate, acts, now = successor()
     (ask,) = asked(acts)
-    candidate.handle(now, said.Heard("c", said.Deny(50)))
-    acts = candidate.handle(now, said.Heard("b", said.Grant(ask.term, ask.number, ask.trial)))
+    candidate.handle(now, said.MessageReceived("c", said.Deny(50)))
+    acts = candidate.handle(now, said.MessageReceived("b", said.Grant(ask.term, ask.number, ask.trial)))
     assert said.Announce(ask.term) in acts
 
 
 def test_a_candidate_that_a_majority_denies_for_its_term_asks_once_in_a_higher_one() -> None:
     candidate, _, now = successor()
-    candidate.handle(now, said.Heard("c", said.Deny(50)))
-    acts = candidate.handle(now, said.Heard("b", said.Deny(4)))
+    candidate.handle(now, said.MessageReceived("c", said.Deny(50)))
+    acts = candidate.handle(now, said.MessageReceived("b", said.Deny(4)))
     (ask,) = asked(acts)
     assert ask.term == 51 and not ask.trial
-    acts = candidate.handle(now, said.Heard("c", said.Grant(ask.term, ask.number, ask.trial)))
+    acts = candidate.handle(now, said.MessageReceived("c", said.Grant(ask.term, ask.number, ask.trial)))
     assert said.Announce(51) in acts
 
 
@@ -576,14 +582,14 @@
     candidate, _, now = successor()
     for term in (50, 60):
         for sender in ("b", "c"):
-            acts = candidate.handle(now, said.Heard(sender, said.Deny(term)))
+            acts = candidate.handle(now, said.MessageReceived(sender, said.Deny(term)))
     assert candidate.role is Role.BACKUP and not asked(acts)
 
 
 def test_denials_for_a_word_that_holds_end_a_candidacy() -> None:
     candidate, _, now = successor()
     for sender in ("b", "c"):
-        acts = candidate.handle(now, said.Heard(sender, said.Deny(4)))
+        acts = candidate.handle(now, said.MessageReceived(sender, said.Deny(4)))
     assert candidate.role is Role.BACKUP and not asked(acts)
 
 
@@ -591,11 +597,11 @@
     """Its question overtook the release at a majority, and the duty went back to whoever had given it up."""
     candidate, acts, now = successor()
     for sender in ("b", "c"):
-        candidate.handle(now, said.Heard(sender, said.Deny(4)))
-    (again,) = [a.at for a in candidate.handle(now, said.Woke()) if isinstance(a, said.Wake)]
+        candidate.handle(now, said.MessageReceived(sender, said.Deny(4)))
+    (again,) = [a.at for a in candidate.handle(now, said.TimerFired()) if isinstance(a, said.SetTimer)]
     assert now < again <= now + candidate.settings.heartbeat
-    (ask,) = asked(candidate.handle(again, said.Woke()))
-    acts = candidate.handle(again, said.Heard("b", said.Grant(ask.term, ask.number, ask.trial)))
+    (ask,) = asked(candidate.handle(again, said.TimerFired()))
+    acts = candidate.handle(again, said.MessageReceived("b", said.Grant(ask.term, ask.number, ask.trial)))
     assert said.Announce(ask.term) in acts
 
 
@@ -603,24 +609,24 @@
     told = settings("x", preferred=("x", "y"), settle=0.2)
     candidate = Election(told, said.Saved(4, ""), 0.0, 1)
     now = told.lease
-    candidate.handle(now, said.Able(True))
-    acts = candidate.handle(now + 0.1, said.Heard("b", said.Take(4)))
+    candidate.handle(now, said.AbilityReported(True))
+    acts = candidate.handle(now + 0.1, said.MessageReceived("b", said.Take(4)))
     assert not asked(acts)
-    (at,) = [a.at for a in acts if isinstance(a, said.Wake)]
+    (at,) = [a.at for a in acts if isinstance(a, said.SetTimer)]
     assert at == pytest.approx(now + told.settle)
-    assert len([a for a in candidate.handle(at, said.Woke()) if isinstance(a, said.Tell)]) == len(THREE)
+    assert len([a for a in candidate.handle(at, said.TimerFired()) if isinstance(a, said.Send)]) == len(THREE)
 
 
 def test_an_offer_is_not_spent_by_a_vote_that_is_won_too_late() -> None:
     """The instance stood still between its question and the last yes; it was offered the duty once."""
     told = settings("a", lease=1.5, settle=0.2)
     candidate = Election(told, said.Saved(4, ""), 0.0, 1)
-    candidate.handle(0.0, said.Able(True))
+    candidate.handle(0.0, said.AbilityReported(True))
     now = told.lease + told.settle
-    (ask,) = asked(candidate.handle(now, said.Heard("b", said.Take(4))))
+    (ask,) = asked(candidate.handle(now, said.MessageReceived("b", said.Take(4))))
     late = now + told.lease
-    assert late < now + told.handover
-    acts = candidate.handle(late, said.Heard("b", said.Grant(ask.term, ask.number, ask.trial)))
+    assert late < now + told.handover_time
+    acts = candidate.handle(late, said.MessageReceived("b", said.Grant(ask.term, ask.number, ask.trial)))
     assert not any(isinstance(a, said.Announce) for a in acts)
     assert [again.term for again in asked(acts)] == [ask.term + 1]
 
@@ -629,17 +635,17 @@
     """Voters invited it at once, as the most preferred, while the one named still asked."""
     told = settings("x", preferred=("x", "y"), settle=0.0)
     holder = Election(told, said.Saved(4, ""), 0.0, 1)
-    holder.handle(0.0, said.Able(True))
+    holder.handle(0.0, said.AbilityReported(True))
     now = told.lease
     for trial, event in ((True, said.Invite(4)), (False, None)):
         if event is not None:
-            holder.handle(now, said.Heard("a", event))
+            holder.handle(now, said.MessageReceived("a", event))
         for voter in ("a", "b"):
             grant = said.Grant(holder.term + trial, holder.ballot.number, trial)
-            holder.handle(now, said.Heard(voter, grant))
+            holder.handle(now, said.MessageReceived(voter, grant))
     assert holder.holds(now)
     holder.handle(now, said.Move("y"))
     acts = holder.handle(now, said.Withdrawn())
-    assert said.Tell("y", said.Take(holder.term, True)) in acts
-    assert not asked(holder.handle(now + 0.01, said.Heard("a", said.Invite(5))))
-    assert asked(holder.handle(now + told.handover + 0.01, said.Heard("a", said.Invite(5))))
+    assert said.Send("y", said.Take(holder.term, True)) in acts
+    assert not asked(holder.handle(now + 0.01, said.MessageReceived("a", said.Invite(5))))
+    assert asked(holder.handle(now + told.handover_time + 0.01, said.MessageReceived("a", said.Invite(5))))
--- a/tests/wrong_duties.py
+++ b/tests/wrong_duties.py
@@ -12,7 +12,7 @@
 from myrtlecourse import __main__
 from myrtlecourse.duties import messages as said
 from myrtlecourse.duties.core import Duties
-from myrtlecourse.duties.lead import Lead
+from myrtlecourse.duties.holding import Holding
 from myrtlecourse.duties.member import Member
 from myrtlecourse.election import messages as election
 from myrtlecourse.election.core import Election, Role
@@ -74,45 +74,49 @@
 
 def does_not_ask(patch: Patch) -> None:
     """Begins with what it knows itself."""
-    patch(Lead, "may_begin", lambda self, now: not self.acting and not self.leaving and now >= self.clear_at)
+    patch(
+        Holding, "may_begin", lambda self, now: not self.acting and not self.leaving and now >= self.safe_from
+    )
 
 
 def asks_one(patch: Patch) -> None:
     """Takes one member's word for what was ordered last."""
     patch(
-        Lead,
+        Holding,
         "may_begin",
-        lambda self, now: not self.acting and not self.leaving and self.known and now >= self.clear_at,
+        lambda self, now: not self.acting and not self.leaving and self.answered and now >= self.safe_from,
     )
 
 
 def acts_at_once(patch: Patch) -> None:
     """Does not wait until the orders of the holder before are over."""
-    may_begin = Lead.may_begin
+    may_begin = Holding.may_begin
 
-    def now_or_never(self: Lead, now: float) -> bool:
-        self.clear_at = -math.inf
+    def now_or_never(self: Holding, now: float) -> bool:
+        self.safe_from = -math.inf
         return may_begin(self, now)
 
-    patch(Lead, "may_begin", now_or_never)
+    patch(Holding, "may_begin", now_or_never)
 
 
 def says_that_all_is_clear(patch: Patch) -> None:
     """Hands over without an answer of those that obey."""
-    patch(Lead, "clear", lambda self, now: True)
+    patch(Holding, "nobody_obeys", lambda self, now: True)
 
 
 def settles_with_one(patch: Patch) -> None:
     """Takes a claim for lasting that one member has taken."""
-    taken_by = Lead.taken_by
+    on_taken = Holding.on_taken
 
-    def settled(self: Lead, now: float, member: str, taken: said.Taken) -> tuple[said.Message | None, bool]:
-        again, _ = taken_by(self, now, member, taken)
-        grown = bool(self.acting and taken.kept and self.taken.get(member, 0) > self.settled)
-        self.settled = max(self.settled, self.taken.get(member, 0))
-        return again, grown
+    def settled(
+        self: Holding, now: float, member: str, taken: said.Taken
+    ) -> tuple[said.Message | None, bool]:
+        reply, _ = on_taken(self, now, member, taken)
+        advanced = bool(self.acting and taken.kept and self.accepted.get(member, 0) > self.committed)
+        self.committed = max(self.committed, self.accepted.get(member, 0))
+        return reply, advanced
 
-    patch(Lead, "taken_by", settled)
+    patch(Holding, "on_taken", settled)
 
 
 def lease_from_the_answer(patch: Patch) -> None:
@@ -120,8 +124,8 @@
     on_renew = Election._on_renew
 
     def late(self: Election, sender: str, renew: election.Renew) -> None:
-        if renew.number in self.lease.asked:
-            self.lease.asked[renew.number] = self.now
+        if renew.number in self.lease.requested_at:
+            self.lease.requested_at[renew.number] = self.now
         on_renew(self, sender, renew)
 
     patch(Election, "_on_renew", late)
@@ -129,12 +133,12 @@
 
 def votes_for_all(patch: Patch) -> None:
     """Gives any vote it is asked for."""
-    patch(Election, "_grants", lambda self, sender, ask: self.settings.votes)
+    patch(Election, "_may_grant", lambda self, sender, ask: self.settings.is_voter)
 
 
 def votes_before_it_is_written(patch: Patch) -> None:
     """Says yes and writes nothing down; after a restart it has never voted, and promised nothing."""
-    patch(Duties, "_memory", lambda self, name: said.Memory(value=self.duties[name].first))
+    patch(Duties, "_memory", lambda self, name: said.Memory(value=self.duties[name].initial_state))
 
 
 def starts_as_if_nothing_had_been_promised(patch: Patch) -> None:
@@ -143,7 +147,7 @@
 
     def at_once(self: Election, *arguments: Any, **more: Any) -> None:
         init(self, *arguments, **more)
-        self.quiet_until = -math.inf
+        self.startup_wait_until = -math.inf
 
     patch(Election, "__init__", at_once)
 
