--- a/myrtlecourse/duties/core.py
+++ b/myrtlecourse/duties/core.py
@@ -83,7 +83,7 @@
         holding = self.holdings.get(name)
         if holding is None:
             return duty_election.term if name in self.held_without_orders else None
-        return holding.token if holding.acting and not holding.leaving else None
+        return holding.token if holding.acting and not holding.revoking else None
 
     def order_in_force(self, now: float, name: str) -> ObeyedOrder | None:
         """The order that this member is to act by at this very moment; None: the duty's safe rest."""
@@ -233,7 +233,7 @@
             pause = self.settings.brake * min(MAX_BRAKE_FACTOR, 2**times)
             self._post_to_election(name, election.Resign("its orders are not heard by enough members", pause))
             return
-        if holding.may_begin(self.now):
+        if holding.may_start_acting(self.now):
             holding.start_acting(self.now)
             self.actions.append(messages.Acquired(name, holding.token, holding.value))
         for member, message in holding.messages_due(self.now):
@@ -349,21 +349,30 @@
             return
         self._report_expiry(name)  # what ran out before this came, or a stop would hide it
         member = self.members[name]
-        before = member.promised, member.token, member.number, member.value
-        obeyed = member.obeyed
+        stored_before = member.promised, member.token, member.number, member.value
+        previous_order = member.obeyed
         if isinstance(message, messages.Survey):
             answer = member.survey(self.now, message)
         else:
             answer = member.order(self.now, sender, message)
-        self.save_needed |= before != (member.promised, member.token, member.number, member.value)
-        now = member.obeyed
-        if now.token != obeyed.token:
+        self.save_needed |= stored_before != (member.promised, member.token, member.number, member.value)
+        new_order = member.obeyed
+        if new_order.token != previous_order.token:
             self._report_expiry(name)
             if not member.expiry_reported:
                 self.actions.append(messages.ObeysNobody(name, self.now))  # from one holder to the next
-        if now is not obeyed and self.now < now.until:
+        if new_order is not previous_order and self.now < new_order.until:
             member.expiry_reported = False
-            self.actions.append(messages.Obeys(name, now.holder, now.token, now.number, now.value, now.until))
+            self.actions.append(
+                messages.Obeys(
+                    name,
+                    new_order.holder,
+                    new_order.token,
+                    new_order.number,
+                    new_order.value,
+                    new_order.until,
+                )
+            )
         self._send(name, sender, answer)
 
     def _next_due(self) -> float:
@@ -380,7 +389,7 @@
         rows = []
         for name, duty_election in self.elections.items():
             member, holding = self.members[name], self.holdings.get(name)
-            obeyed = member.order_in_force(now)
+            order = member.order_in_force(now)
             rows.append(
                 {
                     "duty": name,
@@ -391,7 +400,7 @@
                     "lease_left_s": max(0.0, duty_election.lease_until - now)
                     if duty_election.role is Role.HOLDER
                     else 0.0,
-                    "obeys": {"token": obeyed.token, "number": obeyed.number} if obeyed is not None else None,
+                    "obeys": {"token": order.token, "number": order.number} if order is not None else None,
                     "state": list(member.value),
                     "order_age_s": round(now - member.last_order_at, 3) if member.holder else None,
                     "dropped_orders": member.dropped_orders,
--- a/myrtlecourse/duties/holding.py
+++ b/myrtlecourse/duties/holding.py
@@ -33,7 +33,7 @@
         self.ask_until = now + 2 * settings.order_lifetime(settings.lease + duty.good_for)
         self.acting = False
         self.state_uncertain = False  # too few remembered what was ordered before: it may have been forgotten
-        self.leaving = False
+        self.revoking = False
         self.number = 0
         self.value: Value = duty.initial_state
         self.highest_order = (-1, -1)  # token and number of the highest order told of
@@ -55,15 +55,15 @@
         members = set(settings.members)
         self.answered &= members
         self.remembering &= members
-        for table in (self.last_stamps, self.accepted, self.last_accepted):
-            for member in table.keys() - members:
-                del table[member]
+        for by_member in (self.last_stamps, self.accepted, self.last_accepted):
+            for member in by_member.keys() - members:
+                del by_member[member]
 
     # What is said
 
     def messages_due(self, now: float) -> Iterable[tuple[str, Message]]:
         """The words for each member, if it is time for them."""
-        if now < self.send_at or self.leaving:
+        if now < self.send_at or self.revoking:
             return
         self.send_at = (
             now + self.duty.good_for / ORDERS_PER_VALIDITY
@@ -83,7 +83,7 @@
 
     def _order_for(self, now: float, member: str) -> messages.Order:
         echo = self.last_stamps.get(member, 0)
-        good_for = 0 if self.leaving else int(self.duty.good_for * 1000)
+        good_for = 0 if self.revoking else int(self.duty.good_for * 1000)
         if echo and good_for:
             self.may_obey_until[member] = now + self.settings.order_lifetime(self.duty.good_for)
         return messages.Order(self.token, self.number, good_for, echo, self.value)
@@ -101,17 +101,19 @@
         if not self.acting and (known.taken, known.number) > self.highest_order:
             self.highest_order, self.value = (known.taken, known.number), known.value
 
-    def may_begin(self, now: float) -> bool:
+    def may_start_acting(self, now: float) -> bool:
         """Whether to act from now on."""
         settings, members = self.settings, len(self.settings.members)
-        if self.acting or self.leaving:
+        if self.acting or self.revoking:
             return False
-        everybody = len(self.answered) == members
-        witnessed = len(self.remembering) >= settings.majority
+        all_answered = len(self.answered) == members
+        enough_remember = len(self.remembering) >= settings.majority
         # without a memory anywhere there is nothing to be forgotten
-        waited = len(self.answered) >= settings.majority and now >= self.ask_until
-        self.state_uncertain = waited and not (everybody or witnessed)
-        return (everybody or witnessed or waited) and (everybody or now >= self.safe_from)
+        waited_long_enough = len(self.answered) >= settings.majority and now >= self.ask_until
+        self.state_uncertain = waited_long_enough and not (all_answered or enough_remember)
+        return (all_answered or enough_remember or waited_long_enough) and (
+            all_answered or now >= self.safe_from
+        )
 
     def start_acting(self, now: float) -> None:
         """Its orders are its own from now on."""
@@ -130,25 +132,25 @@
     def on_taken(self, now: float, member: str, taken: messages.Taken) -> tuple[Message | None, bool]:
         """A member has heard an order. Answers with a word that it is owed at once, as it could not take that
         one for want of a stamp, and whether a majority has now taken a later order than before."""
-        if taken.token != self.token or not (self.acting or self.leaving):
+        if taken.token != self.token or not (self.acting or self.revoking):
             return None, False
         before = self.last_stamps.get(member, 0)
         # the latest that came, not the highest: a process that has started anew counts anew
         self.last_stamps[member] = taken.stamp
-        if self.leaving:
+        if self.revoking:
             if taken.number == self.number:
                 self.may_obey_until.pop(member, None)
             return None, False
         if not taken.kept:
-            reply = (
+            order_again = (
                 self.last_accepted.get(member, -math.inf) < now - self.duty.good_for / ORDERS_PER_VALIDITY / 2
             )
-            return (self._order_for(now, member) if reply and taken.stamp != before else None), False
+            return (self._order_for(now, member) if order_again and taken.stamp != before else None), False
         self.last_accepted[member] = now
         self.accepted[member] = max(taken.number, self.accepted.get(member, 0))
-        counts = sorted(self.accepted.values(), reverse=True)
-        least = counts[self.settings.majority - 1] if len(counts) >= self.settings.majority else 0
-        advanced, self.committed = least > self.committed, max(least, self.committed)
+        numbers = sorted(self.accepted.values(), reverse=True)
+        majority_number = numbers[self.settings.majority - 1] if len(numbers) >= self.settings.majority else 0
+        advanced, self.committed = majority_number > self.committed, max(majority_number, self.committed)
         return None, advanced
 
     def unanswered_for(self, now: float) -> float:
@@ -168,8 +170,8 @@
     def revoke(self, now: float) -> Iterable[tuple[str, Message]]:
         """Orders that end all orders, for those that may obey one."""
         self.may_obey_until = {member: until for member, until in self.may_obey_until.items() if now < until}
-        if not self.leaving:
-            self.leaving = True
+        if not self.revoking:
+            self.revoking = True
             self.number += 1
             self.send_at = now
         if now >= self.send_at:
@@ -183,12 +185,12 @@
 
     def next_due(self, now: float) -> float:
         """When something is due."""
-        if self.leaving:
+        if self.revoking:
             return min([self.send_at, *self.may_obey_until.values()]) if self.may_obey_until else now
         if self.acting:
             times = sorted(self.last_accepted.values(), reverse=True)
             needed = self.settings.majority
             last_answer = times[needed - 1] if len(times) >= needed else self.started_at
             return min(self.send_at, last_answer + self.settings.unheard)
-        later = [at for at in (self.safe_from, self.ask_until) if at > now]
-        return min([self.send_at, *later])
+        deadlines = [at for at in (self.safe_from, self.ask_until) if at > now]
+        return min([self.send_at, *deadlines])
--- a/myrtlecourse/duties/member.py
+++ b/myrtlecourse/duties/member.py
@@ -20,14 +20,14 @@
 class Member:
     """One member's part in one duty."""
 
-    def __init__(self, duty: messages.Duty, saved: Memory | None, now: float, first_stamp: int) -> None:
+    def __init__(self, duty: messages.Duty, stored: Memory | None, now: float, first_stamp: int) -> None:
         """`saved` is what was written down by the process before, None where nothing was; `first_stamp` a
         large number drawn at the process's start."""
         self.duty = duty
-        memory = saved or Memory(value=duty.initial_state)
+        memory = stored or Memory(value=duty.initial_state)
         self.promised = memory.promised
         self.token, self.number, self.value = memory.token, memory.number, memory.value
-        self.fresh = saved is None  # guards what others settled: who has forgotten it is no witness
+        self.fresh = stored is None  # guards what others settled: who has forgotten it is no witness
         self.started_at = now
         self.first_stamp = first_stamp
         self.obeyed = ObeyedOrder()
@@ -70,8 +70,8 @@
         until = -math.inf
         if self.first_stamp <= order.echo <= self.stamp(now):
             until = self.started_at + (order.echo - self.first_stamp + order.good_for) / MILLISECONDS
-        behind = (order.token, order.number) < (self.token, self.number)
-        if behind or (order.good_for and now >= until):
+        is_older = (order.token, order.number) < (self.token, self.number)
+        if is_older or (order.good_for and now >= until):
             self.dropped_orders += bool(order.echo)
             return messages.Taken(order.token, order.number, False, self.stamp(now))
         self.token, self.number, self.value = order.token, order.number, order.value
--- a/myrtlecourse/election/__init__.py
+++ b/myrtlecourse/election/__init__.py
@@ -1,1 +1,1 @@
-"""Who of several routers may hold the service address: a lease given by a majority; no I/O, no clock."""
+"""Election of the router that holds the service address, by leases of a majority; no I/O and no clock."""
--- a/myrtlecourse/election/ballot.py
+++ b/myrtlecourse/election/ballot.py
@@ -1,4 +1,4 @@
-"""One question of a candidate to all voters, on trial or for their votes, and the answers; no I/O."""
+"""The votes for one question of a candidate, either a trial question or a request for votes; no I/O."""
 
 from __future__ import annotations
 
@@ -9,28 +9,29 @@
 
 @dataclass(slots=True)
 class Ballot:
-    """The question that was asked last."""
+    """The question that a candidate asked last, and the answers to it."""
 
     term: int = -1
     number: int = 0
     trial: bool = False
     asked_at: float = 0.0
-    is_retry: bool = False  # as the term before was too low for a majority
+    is_retry: bool = False  # asked once more because the previous term was too low for a majority
     granted: set[str] = field(default_factory=set)
     denied: set[str] = field(default_factory=set)
-    highest_denier_term: int = -1  # the highest term of those that denied
+    highest_denier_term: int = -1  # highest term reported by a voter that denied
 
     def count_grant(self, sender: str, grant: Grant, settings: Settings) -> bool:
-        """Count a yes to this question; whether a majority has said so."""
+        """Counts a grant of this question and returns whether a majority has granted it."""
         if (grant.number, grant.trial) != (self.number, self.trial) or sender not in settings.voters:
             return False
         self.granted.add(sender)
         return len(self.granted) >= settings.majority
 
     def count_denial(self, sender: str, term: int, settings: Settings) -> bool:
-        """Count a no; whether no majority is left that could say yes.
+        """Counts a denial and returns whether a majority can no longer be reached.
 
-        One voter ahead of a majority says nothing: whoever held in its term had the word of one of them.
+        A single voter in a higher term proves nothing: a holder elected in that term would have the promise
+        of at least one voter of every majority.
         """
         if sender not in settings.voters:
             return False
@@ -40,5 +41,5 @@
 
     @property
     def term_too_low(self) -> bool:
-        """Whether its term may be all that was wrong with it."""
+        """Whether a majority may have denied only because the term was too low."""
         return self.highest_denier_term >= self.term and not self.is_retry
--- a/myrtlecourse/election/core.py
+++ b/myrtlecourse/election/core.py
@@ -1,11 +1,13 @@
-"""A lease on one duty, the service address or another, given by a majority of voters; events in, actions out.
+"""A lease on one duty, such as the service address, granted by a majority of voters; events in, actions out.
 
 Terms, votes and the trial before a vote are those of Raft (Ongaro and Ousterhout, 2014; section 9.6 of
-Ongaro's thesis for the trial); there is no log. The lease is Gray and Cheriton's (1989): a voter's word
-excludes all others for a time on its own clock, and the holder counts it from before it asked, shortened by
-what two clocks may run apart. Two leases at once would need two majorities of words, and a voter in both.
+Ongaro's thesis for the trial, there called pre-vote); there is no log. The lease is that of Gray and Cheriton
+(1989): a voter's promise excludes all other holders for a time on its own clock. The holder counts this time
+from before it sent the request, and shortens it by the amount that two clocks may drift apart. Two leases at
+the same time would need promises of two majorities, and any two majorities share a voter.
 
-Candidates need no vote: one without stands when it is invited, as only voters know of a vacancy.
+Candidates need no vote of their own. A candidate that is no voter campaigns when it is invited, as only
+voters know of a vacancy.
 """
 
 from __future__ import annotations
@@ -48,21 +50,22 @@
 from myrtlecourse.election.offer import Offer
 from myrtlecourse.election.question_numbers import QuestionNumbers
 
-EARLY_WINDOW = 0.6  # of a heartbeat: with less left until the next one it is brought forward
+# share of a heartbeat; if less time than this is left until the next one, it is sent early
+EARLY_WINDOW = 0.6
 
 
 class Role(Enum):
-    """What an instance is."""
+    """The state of an instance."""
 
     BACKUP = "backup"
-    PRE_VOTE = "trying"  # asks whether it would be given votes
-    CAMPAIGNING = "standing"  # asks for them
+    PRE_VOTE = "trying"  # asks whether votes would be granted
+    CAMPAIGNING = "standing"  # asks for votes
     HOLDER = "holder"
-    LEAVING = "leaving"  # withdraws, and has not said so to the others
+    LEAVING = "leaving"  # withdraws and has not released the lease yet
 
 
 class Election:
-    """One instance's part."""
+    """One instance's part in the election."""
 
     def __init__(
         self,
@@ -72,22 +75,23 @@
         seed: int,
         question_numbers: QuestionNumbers | None = None,
     ) -> None:
-        """Begins as a backup that gives no word for a lease: one given before it started may still hold.
+        """Starts as a backup that promises no lease yet, as a promise given before the start may still hold.
 
-        Elections of one process share a `count`.
+        The elections of one process share `question_numbers`.
         """
         self.settings = settings
         self.saved = saved
-        self.starting_term = saved.term if not saved.voted else -1  # that it began in, having voted in none
+        # the term that it started in, if it has not voted in it
+        self.starting_term = saved.term if not saved.voted else -1
         self.random = random.Random(seed)
         self.now = now
         self.actions: list[Action] = []
         self.role = Role.BACKUP
         self.startup_wait_until = now + settings.lease
-        self.answered_question = -1  # number of the question that the last vote was given to
-        self.promise = ("", 0)  # given to whom, in which term
+        self.answered_question = -1  # number of the question that its last vote answered
+        self.promise = ("", 0)  # receiver of the last promise, and its term
         self.promise_until = -math.inf
-        self.highest_held_term = -1  # the highest in which somebody is known to have held
+        self.highest_held_term = -1  # highest term in which an instance is known to have held the lease
         self.campaign_at = math.inf
         self.question_numbers = question_numbers or QuestionNumbers(self.random)
         self.ballot = Ballot()
@@ -102,32 +106,33 @@
 
     @property
     def term(self) -> int:
+        """The current term of this instance."""
         return self.saved.term
 
     @property
     def lease_until(self) -> float:
-        """When the lease of a holder is over; endlessly long ago where there is none."""
+        """When the holder's lease ends; minus infinity for an instance that does not hold it."""
         return self.lease.until
 
     def holds(self, now: float) -> bool:
-        """Whether the address is this instance's at this very moment, by its own clock.
+        """Whether this instance holds the lease at this moment, by its own clock.
 
-        To be asked before each accept: a process that was stopped wakes with what came for the holder that
-        it was.
+        Must be checked before each accept: a process that was stopped finds, when it resumes, connections
+        that arrived while it was the holder.
         """
         return self.role is Role.HOLDER and now < self.lease_until - self.settings.heartbeat / 2
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event and answer with actions, to be carried out in order.
+        """Handles one event and returns the actions to be carried out, in order.
 
         Raises:
-            ElectionError: settings that may not be taken now; nothing is done.
+            ElectionError: the new settings can't be applied now; nothing was changed.
         """
         if isinstance(event, SettingsChanged):
             self.check_change(max(now, self.now), event.settings)
         self.now, self.actions = max(now, self.now), []
         if self.role is Role.HOLDER and not self.holds(self.now):
-            self._start_withdrawal("the lease is over")
+            self._start_withdrawal("the lease has expired")
         match event:
             case MessageReceived(sender, message):
                 known = sender in self.settings.voters or sender in self.settings.candidates
@@ -150,15 +155,16 @@
         return self.actions
 
     def _other_voters(self) -> list[str]:
+        """Returns the voters except this instance."""
         return [v for v in self.settings.voters if v != self.settings.name]
 
     def _send_to_voters(self, message: Message) -> None:
         self.actions += [Send(v, message) for v in self._other_voters()]
 
-    # What is due
+    # Timed work
 
     def _do_due_work(self) -> None:
-        """Do what the time asks for."""
+        """Does everything that is due by now."""
         settings = self.settings
         if self.role is Role.HOLDER:
             if self.now >= self.unable_since + settings.unwell:
@@ -169,7 +175,8 @@
             self.role in (Role.PRE_VOTE, Role.CAMPAIGNING)
             and self.now >= self.ballot.asked_at + settings.heartbeat
         ):
-            self._become_backup()  # no majority answered in time: a later answer is of another question
+            # no majority answered in time; answers that come later belong to an outdated question
+            self._become_backup()
         if self.role is Role.BACKUP and self.offer.is_open(self.now):
             self._campaign_for_offer()
         elif self.role is Role.BACKUP and settings.is_voter:
@@ -177,7 +184,7 @@
             if self._promised_to_another("") or not self._may_campaign():
                 self.campaign_at = math.inf
             elif self.campaign_at == math.inf:
-                # the most preferred first; a vacancy is all that preference counts for
+                # the most preferred candidate campaigns first; preference matters only in a vacancy
                 turn = settings.turn + self.random.random()
                 self.campaign_at = self.now + turn * settings.heartbeat / 2
             elif self.now >= self.campaign_at:
@@ -187,17 +194,17 @@
         return self.settings.may_hold and self.now >= self._may_campaign_from()
 
     def _may_campaign_from(self) -> float:
-        """From when on this one may stand, if nobody holds."""
+        """Returns from when on this instance may campaign, if no instance holds the lease."""
         return max(self.startup_wait_until, self.able_since + self.settings.settle, self.no_campaign_until)
 
     def _invite_candidates(self) -> None:
-        """Ask candidates without a vote to stand, where nobody holds."""
+        """Invites candidates without a vote to campaign, if no instance holds the lease."""
         vacant = self.now >= self.startup_wait_until and not self._promised_to_another("")
         for name in self.invitations.candidates_due(self.now, vacant, self.settings):
             self.actions.append(Send(name, Invite(self.term)))
 
     def _next_due(self) -> float:
-        """When something will be due."""
+        """Returns when something is due next."""
         if self.role is Role.HOLDER:
             times = [self.heartbeat_at, self.lease_until - self.settings.heartbeat / 2]
             return min([*times, self.unable_since + self.settings.unwell])
@@ -220,31 +227,35 @@
             return min(next_invitation, self.campaign_at)
         return min(next_invitation, max(self.promise_until, self._may_campaign_from()))
 
-    # Words
+    # Promises and votes
 
     def _term_only_from_start(self) -> bool:
-        """Whether nothing but its own start has brought this voter to its term.
+        """Whether this voter is in its term only because it started in it.
 
-        Then a lower term says nothing against a holder: terms may begin after the time of the start, and a
-        voter that started later would deny one that was there before, until the next election.
+        Then a lower term is no evidence against a holder. Terms may start from the time of the process's
+        start, so a voter that started later would deny an earlier holder until the next election.
         """
         return self.term == self.starting_term and not self.saved.voted
 
     def _promised_to_another(self, other_than: str) -> bool:
-        """Whether a word given to another than this voter still holds."""
+        """Whether a promise to an instance other than `other_than` still holds."""
         return self.now < self.promise_until and self.promise[0] != other_than
 
     def _may_grant(self, sender: str, ask: Ask) -> bool:
-        """Whether a vote may be given: one in each term, and none beside a word that holds."""
+        """Whether a vote may be granted: one in each term, and none while a promise to another holds."""
         if not self.settings.is_voter or sender not in self.settings.candidates:
             return False
         if self.now < self.startup_wait_until or self._promised_to_another(sender):
             return False
         if self.role in (Role.HOLDER, Role.LEAVING):
             return False
-        # guards the term as a token: a process that has forgotten its own must not be given the same again
-        same = self.saved.voted == "" or (self.saved.voted, self.answered_question) == (sender, ask.number)
-        return ask.term > self.term or (ask.term == self.term and same)
+        # the term serves as a fencing token: a process that has forgotten its term must not get the same one
+        # again
+        may_vote = self.saved.voted == "" or (self.saved.voted, self.answered_question) == (
+            sender,
+            ask.number,
+        )
+        return ask.term > self.term or (ask.term == self.term and may_vote)
 
     def _give_promise(self, to: str, term: int) -> None:
         self.promise = to, term
@@ -256,7 +267,7 @@
             self.actions.append(Save(self.saved))
 
     def _adopt_term(self, term: int) -> None:
-        """A term that others have reached: no vote of it is given yet."""
+        """Moves on to a higher term that others have reached, in which this voter has not voted yet."""
         if term > self.term:
             self._save(term, "")
             if self.role in (Role.PRE_VOTE, Role.CAMPAIGNING):
@@ -286,14 +297,15 @@
                 self._on_invite(message)
 
     def _on_invite(self, invite: Invite) -> None:
-        """It is this one's turn to try for it."""
+        """Starts a campaign, as it is this candidate's turn."""
         if self.role is Role.BACKUP and self._may_campaign():
             self._adopt_term(invite.term)
             if not self.settings.is_voter:
                 self._start_trial()
 
     def _on_take(self, sender: str, take: Take) -> None:
-        """It is this one's to take: stand, now and again until it is held or others may have it."""
+        """Starts to campaign for an offered lease, and repeats it until some instance holds it or the offer
+        ends."""
         if not self.settings.may_hold or self.role in (Role.HOLDER, Role.LEAVING):
             return
         if take.term < self.term and self.promise != (sender, take.term) and not self._term_only_from_start():
@@ -306,7 +318,11 @@
             self._become_backup()
 
     def _campaign_for_offer(self) -> None:
-        """Guards a move whose messages cross: a voter that is asked before it hears the release denies."""
+        """Campaigns for an offered lease.
+
+        A voter that gets the request before the former holder's release denies it, so the campaign is
+        repeated.
+        """
         if self.now >= self.offer.campaign_at and self._may_campaign() and not self._promised_to_another(""):
             self.offer.record_attempt(self.now, self.settings.heartbeat / 2)
             self._start_campaign()
@@ -337,14 +353,14 @@
     def _on_deny(self, sender: str, term: int) -> None:
         if self.role in (Role.BACKUP, Role.LEAVING):
             self._adopt_term(term)
-        # a holder goes on until its lease is over: it may be that none is in the higher term
+        # a holder continues until its lease ends: there may be no holder in the higher term
         elif self.role is not Role.HOLDER and self.ballot.count_denial(sender, term, self.settings):
             self._on_denied_by_majority()
 
     def _on_denied_by_majority(self) -> None:
-        """Fall back, or ask once more where the term asked for may be all that was wrong with it.
+        """Becomes a backup, or asks once more if only the term may have been too low.
 
-        Guards a move: whoever was named for it is asked to stand just once.
+        Without this a handover could fail, as the named successor is asked to campaign just once.
         """
         denied = self.ballot
         self._become_backup()
@@ -358,10 +374,10 @@
         self.ballot.is_retry = True
 
     def _on_beat(self, sender: str, beat: Beat) -> None:
-        """Give the holder a word for a lease, whatever terms have been tried in vain beside it.
+        """Promises the holder another lease, whatever terms were tried without success in the meantime.
 
-        Whoever asks has never been without a majority's words since it was elected. So nobody has held in a
-        higher term, unless the question is an old one.
+        The sender has had the promises of a majority without interruption since it was elected. So no
+        instance has held the lease in a higher term, unless the heartbeat is an old one.
         """
         if not self.settings.is_voter:
             return
@@ -373,7 +389,8 @@
             self.actions.append(Send(sender, Deny(self.term)))
             return
         if self.now < self.startup_wait_until:
-            # a word given before the start may hold for another: not even the holder gets one yet
+            # a promise given before the start may still hold for another, so that not even the holder gets
+            # one yet
             return
         self._adopt_term(beat.term)
         self.highest_held_term = beat.term
@@ -389,7 +406,7 @@
         if self.lease.renew(sender, renew.number):
             self.lease.update(self.settings, self.now)
 
-    # Becoming and ceasing to be the holder
+    # Acquiring and giving up the lease
 
     def _start_trial(self) -> None:
         self.role = Role.PRE_VOTE
@@ -413,7 +430,7 @@
         self.lease.start(self.ballot.granted, self.ballot.asked_at)
         self.lease.update(self.settings, self.now)
         if not self.holds(self.now):
-            self._become_backup()  # the last yes came too late to be worth anything
+            self._become_backup()  # the deciding vote came too late for the lease
             return
         self.highest_held_term = self.term
         self.offer.end()
@@ -422,7 +439,7 @@
         self._send_heartbeat()
 
     def _send_heartbeat(self) -> None:
-        """Ask all for another lease."""
+        """Requests another lease from all voters."""
         number = self.question_numbers.number_at(self.now)
         self.lease.record_request(number, self.now, self.settings.lease)
         self.heartbeat_at = self.now + self.settings.heartbeat
@@ -430,8 +447,8 @@
         self.lease.update(self.settings, self.now)
 
     def heartbeat_early(self, now: float) -> list[Action]:
-        """Ask for another lease a little early, as another duty of this process asks just now: one heartbeat
-        bears them all."""
+        """Sends the heartbeat a little early, because another duty of this process sends one now: a single
+        datagram then renews the leases of all of them."""
         self.now, self.actions = max(now, self.now), []
         if self.role is Role.HOLDER and self.heartbeat_at - self.now < EARLY_WINDOW * self.settings.heartbeat:
             self._send_heartbeat()
@@ -443,13 +460,14 @@
         self.campaign_at = math.inf
 
     def _start_withdrawal(self, reason: str) -> None:
-        """Give the address up; the others hear of it once nothing is accepted any more."""
+        """Gives up the lease; the others are told once nothing is accepted any more."""
         self.actions.append(Withdraw(reason))
         self.role = Role.LEAVING
         self.lease.end()
 
     def _on_resign(self, reason: str, pause: float) -> None:
-        """Guards what a holder does badly: it would be the first to stand again."""
+        """Withdraws and pauses campaigning: a holder that serves badly would otherwise be the first to
+        campaign again."""
         self.no_campaign_until = self.now + pause
         if self.role is Role.HOLDER:
             self._start_withdrawal(reason)
@@ -464,9 +482,9 @@
         if self.successor:
             self.actions.append(Send(self.successor, Take(self.term, clear)))
             self.successor = ""
-            # guards the move: who has just left may be the first that is invited
+            # the former holder may be the first candidate that is invited, and must not take the lease back
             self.no_campaign_until = max(self.no_campaign_until, self.now + self.settings.handover_time)
-        # who has just left lets others go first
+        # the former holder lets other candidates campaign first
         self.campaign_at = self.now + self.settings.handover_time
 
     def _on_move(self, to: str) -> None:
@@ -483,14 +501,15 @@
                 self._become_backup()
 
     def check_change(self, now: float, settings: Settings) -> None:
-        """Whether new settings may be taken.
+        """Checks whether new settings can be applied now.
 
         Raises:
-            ElectionError: two majorities might share no voter; or this instance holds, and too few of the
-                voters that are left have given it their word yet, so that nobody would hold.
+            ElectionError: more than one voter was added or removed, so that two majorities might share no
+                voter; or this instance holds the lease, and it would end as too few of the remaining voters
+                have renewed it.
         """
         if len(set(settings.voters) ^ set(self.settings.voters)) > 1:
-            raise ElectionError("voters: one may come or go at a time; wait until all have the change")
+            raise ElectionError("voters: add or remove one at a time; wait until all routers have the change")
         removed = set(self.settings.voters) - set(settings.voters)
         if (
             removed
@@ -498,7 +517,7 @@
             and self.lease.supported_until(settings, now) - settings.heartbeat / 2 <= now
         ):
             raise ElectionError(
-                f"voters: without {min(removed)} the lease would be over; wait for the others' words"
+                f"voters: without {min(removed)} the lease would end; wait until the others have renewed it"
             )
 
     def _on_changed(self, settings: Settings) -> None:
--- a/myrtlecourse/election/invitations.py
+++ b/myrtlecourse/election/invitations.py
@@ -1,4 +1,4 @@
-"""How candidates without a vote learn of a vacancy: voters invite them, each in its turn; no I/O."""
+"""Invitations, by which voters tell candidates without a vote of a vacancy, each at its turn; no I/O."""
 
 from __future__ import annotations
 
@@ -8,29 +8,30 @@
 
 
 class Invitations:
-    """One voter's, since nobody holds."""
+    """The invitations that one voter has sent in the current vacancy."""
 
     def __init__(self) -> None:
-        self.turn_count = 0  # that have been, in this vacancy
-        self.next_at = math.inf  # when the next turn is; never while somebody holds
+        self.turn_count = 0  # turns so far in this vacancy
+        self.next_at = math.inf  # when the next turn starts; infinity while some instance holds the duty
 
     def candidates_due(self, now: float, vacant: bool, settings: Settings) -> list[str]:
-        """Whom to invite now; from the first again once all have had their turn.
+        """Returns the candidates to invite now; starts over once every candidate has had its turn.
 
-        Turns that passed while this process stood still are not made up for: two for each heartbeat of an
-        hour would stop the event loop.
+        Turns that passed while this process was stopped are skipped: at two turns in each heartbeat, catching
+        up after an hour would block the event loop.
         """
         if not vacant or not settings.preferred:
             self.reset()
             return []
         if now < self.next_at < math.inf:
             return []
-        turn = self.turn_count % (settings.turn_count + 1)  # one more, for what the last one needs
+        # one turn more, so that the last candidate has time to campaign
+        turn = self.turn_count % (settings.turn_count + 1)
         self.turn_count += 1
         interval = settings.heartbeat / 2
         on_schedule = self.next_at + interval
         self.next_at = on_schedule if now < on_schedule < math.inf else now + interval
-        # the first few again: what was said to them before may be lost
+        # the first few are invited again, because earlier invitations may have been lost
         return [
             name
             for rank, name in enumerate(settings.candidates)
@@ -38,5 +39,5 @@
         ]
 
     def reset(self) -> None:
-        """Somebody holds: the next vacancy begins with the most preferred."""
+        """Ends the vacancy; the next one starts with the most preferred candidate."""
         self.turn_count, self.next_at = 0, math.inf
--- a/myrtlecourse/election/messages.py
+++ b/myrtlecourse/election/messages.py
@@ -1,7 +1,7 @@
-"""What voters and candidates say to one another, what an election is told and answers, and its settings.
+"""Messages between voters and candidates, the events and actions of an election, and its settings.
 
-Times are seconds on the instance's own monotonic clock. Clocks of two instances need not agree on the time;
-they must not run apart by more than the stated drift.
+Times are seconds on the instance's own monotonic clock. The clocks of two instances need not show the same
+time, but their rates must not differ by more than the stated drift.
 """
 
 from __future__ import annotations
@@ -10,105 +10,118 @@
 
 MAX_VOTERS = 15
 MAX_CANDIDATES = 255
-SINGLE_TURNS = 4  # candidates that have a turn each to stand; of those behind, twice as many as before
+# candidates with a turn of their own; each later turn has twice as many candidates as the one before
+SINGLE_TURNS = 4
 
 
 class ElectionError(ValueError):
-    """Settings that can't hold; the message names the field."""
+    """Contradictory settings; the message names the field."""
 
 
 def turn_for_rank(rank: int) -> int:
-    """When a candidate may stand, as a number of turns after a vacancy; by its place in the preference.
+    """Returns the number of the turn, after a vacancy, in which the candidate of this rank may campaign.
 
-    Guards a vacancy in a large fleet whose first hundred are gone: all have had a turn after log2(n) more.
+    In a large fleet whose first hundred candidates are down, all others get a turn within log2(n) further
+    turns.
     """
     return rank if rank < SINGLE_TURNS else SINGLE_TURNS - 2 + (rank // 2).bit_length()
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """One instance's part in the election.
+    """The settings of one instance's part in the election.
 
     Raises:
-        ElectionError: they contradict each other; the message names the field.
+        ElectionError: the settings contradict each other; the message names the field.
     """
 
     name: str
-    voters: tuple[str, ...]  # the most preferred for a vacancy first
-    heartbeat: float = 0.5  # between two questions of the holder
-    lease: float = 2.0  # for which a voter's word holds, by its own clock
-    drift: float = 0.02  # by which a clock's rate may be off, either way
-    settle: float = 2.0  # for which an instance must have been well before it stands
-    unwell: float = 1.0  # for which a holder may be unwell before it gives the address up
-    even_voters: bool = False  # known and wanted: an even number bears no more losses than one fewer
-    preferred: tuple[
-        str, ...
-    ] = ()  # who may hold, with a vote or without, the most preferred first; none: voters
+    voters: tuple[str, ...]  # the most preferred candidate for a vacancy first
+    heartbeat: float = 0.5  # seconds between two heartbeats of the holder
+    lease: float = 2.0  # seconds for which a voter's promise holds, by its own clock
+    drift: float = 0.02  # largest relative error of a clock's rate, in either direction
+    settle: float = 2.0  # seconds for which an instance must have been able to serve before it campaigns
+    unwell: float = 1.0  # seconds for which a holder may be unable to serve before it gives up the lease
+    # allows an even number of voters, which tolerates no more failures than one fewer
+    even_voters: bool = False
+    preferred: tuple[str, ...] = ()  # candidates, voters or not, the most preferred first; empty: the voters
 
     def __post_init__(self) -> None:
-        if self.name not in self.voters and not self.preferred:  # else it may look on
-            raise ElectionError(f"voters: {self.name} is not among them")
+        # with a list of candidates it may only observe
+        if self.name not in self.voters and not self.preferred:
+            raise ElectionError(f"voters: {self.name} is not one of them")
         if len(set(self.preferred)) < len(self.preferred) or len(self.preferred) > MAX_CANDIDATES:
-            raise ElectionError(f"preferred: each once, {MAX_CANDIDATES} at most")
+            raise ElectionError(f"preferred: each name once, at most {MAX_CANDIDATES}")
         if len(set(self.voters)) < len(self.voters):
-            raise ElectionError("voters: a name stands twice")
+            raise ElectionError("voters: a name is listed twice")
         if len(self.voters) > MAX_VOTERS:
             raise ElectionError(f"voters: at most {MAX_VOTERS}")
         if len(self.voters) % 2 == 0 and not self.even_voters:
-            raise ElectionError("voters: an even number bears no more losses than one fewer; set even_voters")
+            raise ElectionError(
+                "voters: an even number tolerates no more failures than one fewer; set even_voters"
+            )
         if not self.heartbeat > 0:
-            raise ElectionError("heartbeat: must be over 0")
+            raise ElectionError("heartbeat: must be greater than 0")
         if self.lease < 3 * self.heartbeat:
             raise ElectionError("lease: must be at least three heartbeats")
         if not 0 <= self.drift <= 0.1:
-            raise ElectionError("drift: must lie between 0 and 0.1")
+            raise ElectionError("drift: must be between 0 and 0.1")
         if self.safe_lease - self.heartbeat / 2 <= 2 * self.heartbeat:
-            raise ElectionError("lease: too short for this drift: two heartbeats lost would end it")
+            raise ElectionError("lease: too short for this drift: two lost heartbeats would end it")
         if self.settle < 0 or self.unwell < 0:
             raise ElectionError("settle and unwell: must not be negative")
 
     @property
     def majority(self) -> int:
+        """Number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     @property
     def safe_lease(self) -> float:
-        """What the holder counts on, by the slowest clock: shorter than a voter's lease by the fastest."""
+        """Length in seconds of the lease that the holder assumes.
+
+        On the slowest clock it is still shorter than a voter's lease on the fastest one.
+        """
         return self.lease * (1 - self.drift) / (1 + self.drift)
 
     @property
     def candidates(self) -> tuple[str, ...]:
-        """Who may hold, the most preferred first."""
+        """The instances that may hold the lease, the most preferred first."""
         return self.preferred or self.voters
 
     @property
     def is_voter(self) -> bool:
+        """Whether this instance votes."""
         return self.name in self.voters
 
     @property
     def may_hold(self) -> bool:
+        """Whether this instance is a candidate."""
         return self.name in self.candidates
 
     @property
     def turn(self) -> int:
+        """The turn in which this instance may campaign."""
         return turn_for_rank(self.candidates.index(self.name))
 
     @property
     def turn_count(self) -> int:
-        """After so many everybody has had one."""
+        """Number of turns after which every candidate has had one."""
         return turn_for_rank(len(self.candidates) - 1) + 1
 
     @property
     def handover_time(self) -> float:
-        """Seconds for which whoever has handed over leaves the duty to the one named, and that one tries."""
+        """Seconds after a handover in which the former holder does not campaign, and the named successor
+        retries."""
         return (len(self.voters) + 1) * self.heartbeat
 
     @property
     def longest_vacancy(self) -> float:
-        """Seconds from a holder's death until another holds, if a majority talks and nothing is lost.
+        """Upper bound in seconds from a holder's death until another instance holds the lease.
 
-        The last word given, two turns of the least preferred, as the first may come before another's word is
-        over, and two rounds of questions.
+        It applies while a majority can communicate and no message is lost: the last promise expires, two
+        turns of the least preferred candidate pass (the first may come before another voter's promise has
+        expired), and two rounds of questions are answered.
         """
         slow = (1 + self.drift) / (1 - self.drift)
         return slow * (self.lease + (max(len(self.voters), self.turn_count) + 2) * self.heartbeat)
@@ -116,18 +129,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Saved:
-    """What must outlive a restart: a term is voted in once."""
+    """What must survive a restart, so that a voter votes only once in a term."""
 
     term: int = 0
     voted: str = ""
 
 
-# What voters say
+# Messages between instances
 
 
 @dataclass(slots=True, frozen=True)
 class Ask:
-    """May I hold the address in this term? `trial`: would you say yes, if I asked?"""
+    """Asks for a vote in this term; with `trial`, asks whether a vote would be granted."""
 
     term: int
     number: int
@@ -136,7 +149,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Grant:
-    """Yes; unless on trial, nobody else gets a word of mine for a lease."""
+    """Grants a question. Unless it was a trial, the voter promises no lease to anyone else for a lease's
+    time."""
 
     term: int
     number: int
@@ -145,14 +159,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Deny:
-    """No; and the term that I know of."""
+    """Denies a question or a heartbeat, and reports the sender's term."""
 
     term: int
 
 
 @dataclass(slots=True, frozen=True)
 class Beat:
-    """I hold the address: renew your word."""
+    """The holder's heartbeat, which asks the voter to renew its promise."""
 
     term: int
     number: int
@@ -160,7 +174,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Renew:
-    """My word holds for another lease."""
+    """Renews the voter's promise for another lease."""
 
     term: int
     number: int
@@ -168,14 +182,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """I hold it no more: your word is given back."""
+    """Gives up the lease; the voter's promise ends."""
 
     term: int
 
 
 @dataclass(slots=True, frozen=True)
 class Take:
-    """Stand now: I have just given it up for you. `clear`: nobody obeys an order of mine any more."""
+    """Asks the receiver to campaign now, because the sender has given up the lease in its favour.
+
+    `clear`: no member obeys an order of the sender any more.
+    """
 
     term: int
     clear: bool = False
@@ -183,7 +200,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Invite:
-    """Nobody holds it, and it is your turn to stand; to one without a vote, who would not know."""
+    """Tells a candidate without a vote, which can't know it otherwise, of a vacancy and of its turn to
+    campaign."""
 
     term: int
 
@@ -191,12 +209,12 @@
 Message = Ask | Grant | Deny | Beat | Renew | Release | Take | Invite
 
 
-# What an election is told
+# Events, which are the input of an election
 
 
 @dataclass(slots=True, frozen=True)
 class MessageReceived:
-    """Another voter's message."""
+    """A message of another voter or candidate has arrived."""
 
     sender: str
     message: Message
@@ -204,26 +222,29 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """The time of a `Wake` has come."""
+    """The time of the last `SetTimer` has come."""
 
 
 @dataclass(slots=True, frozen=True)
 class AbilityReported:
-    """Whether this instance can serve, as it looks now."""
+    """Reports whether this instance can serve at present."""
 
     able: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Withdrawn:
-    """Nothing is accepted on the address any more. `clear`: nor is an order of this holder obeyed."""
+    """The withdrawal has ended: nothing is accepted on the address any more.
+
+    `clear`: no member obeys an order of this holder any more.
+    """
 
     clear: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class Resign:
-    """Give it up, and don't stand for so many seconds: another may do better."""
+    """Give up the lease and don't campaign for `pause` seconds, as another instance may do better."""
 
     reason: str
     pause: float
@@ -231,14 +252,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Move:
-    """Hand the address over, to a voter or to whoever stands first."""
+    """Hand the lease over to the named candidate, or to whichever campaigns first."""
 
     to: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """New settings; one voter may have come or gone."""
+    """New settings; at most one voter was added or removed."""
 
     settings: Settings
 
@@ -246,19 +267,19 @@
 Event = MessageReceived | TimerFired | AbilityReported | Withdrawn | Resign | Move | SettingsChanged
 
 
-# What it answers, to be carried out in order
+# Actions, to be carried out in order
 
 
 @dataclass(slots=True, frozen=True)
 class Save:
-    """Write this down before what follows goes out."""
+    """Store this on disk before any later action is carried out."""
 
     saved: Saved
 
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Send a message to another voter; it may be lost."""
+    """Send a message to another instance; it may be lost."""
 
     to: str
     message: Message
@@ -266,21 +287,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Announce:
-    """The address is this instance's."""
+    """This instance has won the lease in this term."""
 
     term: int
 
 
 @dataclass(slots=True, frozen=True)
 class Withdraw:
-    """The address is this instance's no more: accept nothing, then say `Withdrawn`."""
+    """This instance has lost the lease: accept nothing more, then post `Withdrawn`."""
 
     reason: str
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Say `Woke` at this time; it replaces the time before."""
+    """Post `TimerFired` at this time; replaces the previous timer."""
 
     at: float
 
--- a/myrtlecourse/election/offer.py
+++ b/myrtlecourse/election/offer.py
@@ -1,4 +1,4 @@
-"""A duty that its holder has given up for one candidate, which stands for it until others may; no I/O."""
+"""An offer of a duty, which its holder has given up in favour of one candidate; no I/O."""
 
 from __future__ import annotations
 
@@ -8,27 +8,30 @@
 
 @dataclass(slots=True)
 class Offer:
-    """What one instance was offered last."""
+    """The offer that this instance received last.
 
-    until: float = -math.inf  # when others may have it
-    campaign_at: float = -math.inf  # when to stand for it, once more if it was in vain
+    The instance campaigns until the offer ends; after that, other candidates may do so as well.
+    """
+
+    until: float = -math.inf  # when other candidates may campaign too
+    campaign_at: float = -math.inf  # when to campaign next; a campaign that failed is repeated
 
     def start(self, now: float, handover_time: float) -> None:
-        """It is offered for so many seconds."""
+        """Starts an offer that lasts for `handover_time` seconds."""
         self.until, self.campaign_at = now + handover_time, now
 
     def end(self) -> None:
-        """Somebody holds it."""
+        """Ends the offer, because some instance holds the duty."""
         self.until = -math.inf
 
     def is_open(self, now: float) -> bool:
-        """Whether it still stands."""
+        """Whether the offer has not ended."""
         return now < self.until
 
     def record_attempt(self, now: float, pause: float) -> None:
-        """The instance stands for it; if that is in vain it may again after a pause, in seconds."""
+        """Records a campaign; if it fails, the next one may start after `pause` seconds."""
         self.campaign_at = now + pause
 
     def next_at(self, now: float, allowed_at: float) -> float:
-        """When something is due for it, where the instance may not stand before `ready_at`."""
+        """Returns when the offer needs attention next, if no campaign may start before `allowed_at`."""
         return max(now, min(self.until, max(self.campaign_at, allowed_at)))
--- a/myrtlecourse/election/question_numbers.py
+++ b/myrtlecourse/election/question_numbers.py
@@ -7,9 +7,10 @@
 
 
 class QuestionNumbers:
-    """Numbers questions: those of one moment share theirs, so that one answer does for several duties.
+    """Numbers the questions of this process.
 
-    It begins anywhere, so that no answer to a question from before a restart counts now.
+    Questions asked at the same moment share a number, so that one answer can serve several duties. Numbering
+    starts at a random value, so that an answer to a question from before a restart is not accepted.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -17,7 +18,7 @@
         self.last_time = -math.inf
 
     def number_at(self, now: float) -> int:
-        """The number of what is asked now."""
+        """Returns the number of the questions that are asked at this time."""
         if now != self.last_time:
             self.number, self.last_time = self.number + 1, now
         return self.number
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -542,7 +542,7 @@
             others = tuple(n for n in THREE if n != first)
             there.write(first, (first,))
             there.routers[first].process.send_signal(signal.SIGHUP)
-            await there.routers[first].logged("one may come or go at a time")
+            await there.routers[first].logged("add or remove one at a time")
             two = (first, others[0])
             for name in two:
                 there.write(name, two, "even_voters = true\n")
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -209,7 +209,7 @@
             holder.handle(now, event)
     assert holder.acting_token(now, "y") is not None
     holder.elections["y"].lease.supported_from.pop("b")
-    with pytest.raises(DutiesError, match="y: voters: without c the lease would be over"):
+    with pytest.raises(DutiesError, match="y: voters: without c the lease would end"):
         holder.handle(now, said.SettingsChanged(Settings("d", NAMES, ("a", "b"), EACH)))
     assert holder.acting_token(now, "y") is not None and holder.settings.voters == VOTERS
 
@@ -290,11 +290,15 @@
     holding.on_known(100.1, "b", said.Known(7, 5, 9, False, 1, (9,)))
     holding.on_known(100.1, "c", said.Known(7, 6, 2, False, 1, (2,)))
     holding.on_known(100.1, "d", said.Known(6, 8, 8, False, 1, (8,)))  # of another question
-    assert not holding.may_begin(100.2)
+    assert not holding.may_start_acting(100.2)
     holding.on_known(100.1, "e", said.Known(7, 0, 0, True, 1, ()))  # it has forgotten: no witness
-    assert not holding.may_begin(100.2) and holding.may_begin(holding.ask_until) and holding.state_uncertain
+    assert (
+        not holding.may_start_acting(100.2)
+        and holding.may_start_acting(holding.ask_until)
+        and holding.state_uncertain
+    )
     holding.on_known(100.3, "a", said.Known(7, 6, 1, False, 1, (1,)))
-    assert holding.may_begin(100.3) and not holding.state_uncertain and holding.value == (2,)
+    assert holding.may_start_acting(100.3) and not holding.state_uncertain and holding.value == (2,)
 
 
 def test_a_holder_waits_for_the_last_order_unless_all_have_answered_or_it_was_said() -> None:
@@ -303,8 +307,8 @@
         holding = Holding(told, EACH[0], 7, 100.0, previous_orders_ended)
         for name in NAMES if everybody else NAMES[:3]:
             holding.on_known(100.1, name, said.Known(7, 6, 2, False, 1, (2,)))
-        assert holding.may_begin(100.2) is (previous_orders_ended or everybody)
-        assert holding.may_begin(100.0 + told.order_lifetime(2.0))
+        assert holding.may_start_acting(100.2) is (previous_orders_ended or everybody)
+        assert holding.may_start_acting(100.0 + told.order_lifetime(2.0))
 
 
 def test_a_member_that_has_gone_counts_for_no_majority() -> None:
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -378,7 +378,7 @@
 
 def test_one_voter_may_come_or_go_at_a_time() -> None:
     election = voter()
-    with pytest.raises(said.ElectionError, match="one may come or go"):
+    with pytest.raises(said.ElectionError, match="add or remove one at a time"):
         election.handle(1.0, said.SettingsChanged(settings(voters=("a", "b", "d"))))
     assert election.settings.voters == THREE
     election.handle(1.0, said.SettingsChanged(settings(voters=("a", "b", "c", "d"), even_voters=True)))
@@ -401,7 +401,7 @@
     """The holder gave up on the spot, though the other voter was to give its word within a lease."""
     election = holder_by("c")
     less = said.SettingsChanged(settings(voters=("a", "b"), even_voters=True))
-    with pytest.raises(said.ElectionError, match="without c the lease would be over"):
+    with pytest.raises(said.ElectionError, match="without c the lease would end"):
         election.handle(100.1, less)
     assert election.settings.voters == THREE and election.holds(100.1)
     number = next(iter(election.lease.requested_at))
@@ -413,7 +413,7 @@
 def test_a_change_that_is_refused_as_the_lease_ends_does_nothing() -> None:
     """Its withdrawal was decided and lost with the refusal: the instance left for ever."""
     election = holder_by("c")
-    with pytest.raises(said.ElectionError, match="one may come or go"):
+    with pytest.raises(said.ElectionError, match="add or remove one at a time"):
         election.handle(200.0, said.SettingsChanged(settings(voters=("a", "b", "d"))))
     assert election.role is Role.HOLDER and not election.holds(200.0)
     actions = election.handle(200.0, said.TimerFired())
@@ -424,7 +424,7 @@
     ("changes", "field"),
     [
         ({"name": "x"}, "voters: x"),
-        ({"voters": ("a", "b", "a")}, "voters: a name stands twice"),
+        ({"voters": ("a", "b", "a")}, "voters: a name is listed twice"),
         ({"voters": ("a", "b", "c", "d")}, "even_voters"),
         ({"voters": tuple("abcdefghijklmnopq")}, "at most"),
         ({"heartbeat": 0.0}, "heartbeat"),
--- a/tests/wrong_duties.py
+++ b/tests/wrong_duties.py
@@ -75,7 +75,9 @@
 def does_not_ask(patch: Patch) -> None:
     """Begins with what it knows itself."""
     patch(
-        Holding, "may_begin", lambda self, now: not self.acting and not self.leaving and now >= self.safe_from
+        Holding,
+        "may_start_acting",
+        lambda self, now: not self.acting and not self.revoking and now >= self.safe_from,
     )
 
 
@@ -83,20 +85,20 @@
     """Takes one member's word for what was ordered last."""
     patch(
         Holding,
-        "may_begin",
-        lambda self, now: not self.acting and not self.leaving and self.answered and now >= self.safe_from,
+        "may_start_acting",
+        lambda self, now: not self.acting and not self.revoking and self.answered and now >= self.safe_from,
     )
 
 
 def acts_at_once(patch: Patch) -> None:
     """Does not wait until the orders of the holder before are over."""
-    may_begin = Holding.may_begin
+    may_start_acting = Holding.may_start_acting
 
     def now_or_never(self: Holding, now: float) -> bool:
         self.safe_from = -math.inf
-        return may_begin(self, now)
+        return may_start_acting(self, now)
 
-    patch(Holding, "may_begin", now_or_never)
+    patch(Holding, "may_start_acting", now_or_never)
 
 
 def says_that_all_is_clear(patch: Patch) -> None:
