--- a/myrtlecourse/duties/codec.py
+++ b/myrtlecourse/duties/codec.py
@@ -1,7 +1,7 @@
-"""What members say of duties as the parts of datagrams; no I/O.
+"""Encoding of members' messages as the parts of datagrams; no I/O.
 
-A datagram holds as many words as fit. Questions of one moment for a lease, and their answers, share their
-number, so that one duty more costs a few bytes and no datagram.
+A datagram holds as many messages as fit. Heartbeats of the same moment, and their answers, share a number and
+are encoded together, so that one more duty adds a few bytes and no datagram.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from myrtlecourse.election import messages as election
 from myrtlecourse.peers.seal import Dropped
 
-# their places are what datagrams carry: new ones come last
+# datagrams carry the index of a kind, so new kinds must be added at the end
 KINDS: tuple[type[Message], ...] = (
     *(election.Beat, election.Renew, election.Ask, election.Grant, election.Deny),
     *(election.Release, election.Take, election.Invite),
     *(messages.Survey, messages.Known, messages.Order, messages.Taken, messages.Outdated),
 )
 KIND_NUMBERS = {kind: number for number, kind in enumerate(KINDS)}
-GROUPED = (election.Beat, election.Renew)  # told as their number, then each duty with its term
+GROUPED = (election.Beat, election.Renew)  # encoded as their number, followed by each duty with its term
 INTEGER_LIMIT = 2**63
 
 
 def encoded_groups(items: tuple[Item, ...]) -> Iterator[tuple[list[Any], int]]:
-    """The words, those that share a number together; and how many items each stands for."""
+    """Yields the encoded messages, those that share a number as one, each with the number of its items."""
     grouped: dict[tuple[int, int], list[Any]] = {}
     for duty, message in items:
         kind = KIND_NUMBERS[type(message)]
@@ -42,7 +42,7 @@
 
 
 def split(items: tuple[Item, ...], room: int) -> Iterator[tuple[Item, ...]]:
-    """The items of one datagram after the other, none of which takes more than so many bytes."""
+    """Splits items into datagrams that take at most `room` bytes each."""
     codec, remaining = DutyCodec(), list(items)
     while remaining:
         count = len(remaining)
@@ -53,14 +53,14 @@
 
 
 class DutyCodec:
-    """Of members."""
+    """Encodes and decodes the messages of members."""
 
     def parts(self, message: tuple[Item, ...]) -> list[Any]:
-        """What a datagram carries."""
+        """Returns the parts of a datagram."""
         return [encoded for encoded, _ in encoded_groups(message)]
 
     def read(self, parts: list[Any]) -> tuple[Item, ...]:
-        """The words, checked. Raises Dropped."""
+        """Returns the messages after checking them. Raises Dropped."""
         items: list[Item] = []
         for encoded in parts:
             if not isinstance(encoded, list) or len(encoded) < 2 or type(encoded[0]) is not int:
@@ -71,6 +71,7 @@
         return tuple(items)
 
     def _read(self, kind: type[Message], values: list[Any]) -> list[Item]:
+        """Returns the items of one encoded message after checking them. Raises Dropped."""
         if issubclass(kind, GROUPED):
             if len(values) % 2 == 0 or any(type(v) is not int or not 0 <= v < INTEGER_LIMIT for v in values):
                 raise Dropped("malformed")
@@ -84,7 +85,7 @@
 
     @staticmethod
     def _value(wanted: Any, value: Any) -> Any:
-        """A field's value, checked."""
+        """Returns the value of a field after checking it. Raises Dropped."""
         if wanted == "Value":
             if not isinstance(value, list) or len(value) > messages.MAX_STATE_LENGTH:
                 raise Dropped("malformed")
--- a/myrtlecourse/duties/command_work.py
+++ b/myrtlecourse/duties/command_work.py
@@ -1,4 +1,7 @@
-"""What holders of the operators' own duties do: commands, each told the token, so that others can compare."""
+"""The work of holders of duties that operators define: they run commands.
+
+Each command gets the token as an argument, so that the systems it acts on can compare it.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 
 
 class CommandRunner:
-    """Runs a command, one after the other, and ends one that takes too long."""
+    """Runs one command at a time, and kills one that exceeds the timeout."""
 
     def __init__(self, duty: str, command: tuple[str, ...], timeout: float) -> None:
         self.duty = duty
@@ -26,7 +29,7 @@
         self.child: asyncio.subprocess.Process | None = None
 
     async def run(self, *arguments: str) -> bool:
-        """Whether it ended with code 0 in time."""
+        """Runs the command with these arguments; returns whether it exited with code 0 in time."""
         try:
             child = await asyncio.create_subprocess_exec(
                 *self.command, *arguments, stdin=asyncio.subprocess.DEVNULL, start_new_session=True
@@ -39,25 +42,30 @@
             async with asyncio.timeout(self.timeout):
                 code = await child.wait()
         except TimeoutError:
-            log.error("duty %s: %s took over %g s and is ended", self.duty, " ".join(arguments), self.timeout)
+            log.error(
+                "duty %s: %s exceeded its timeout of %g s and is killed",
+                self.duty,
+                " ".join(arguments),
+                self.timeout,
+            )
             self.kill_running()
             await child.wait()
             return False
         finally:
             self.child = None
         if code:
-            log.error("duty %s: %s ended with code %d", self.duty, " ".join(arguments), code)
+            log.error("duty %s: %s exited with code %d", self.duty, " ".join(arguments), code)
         return code == 0
 
     def kill_running(self) -> None:
-        """End what runs."""
+        """Kills the command that runs now, if any."""
         if self.child is not None and self.child.returncode is None:
             with suppress(ProcessLookupError):
                 self.child.kill()
 
 
 class StepWork:
-    """A duty in numbered steps: `COMMAND step NUMBER TOKEN`."""
+    """A duty in numbered steps: runs `COMMAND step NUMBER TOKEN` for each."""
 
     def __init__(self, driver: DutyDriver, duty: str, every: float, commands: CommandRunner) -> None:
         self.driver = driver
@@ -84,9 +92,13 @@
     def _do(self, tasks: list[StepTask]) -> None:
         for task in tasks:
             if task.action is StepAction.UNFINISHED:
-                log.warning("duty %s: step %d was begun elsewhere, its end not told", self.duty, task.step)
+                log.warning(
+                    "duty %s: step %d was started by another holder, not known to have finished",
+                    self.duty,
+                    task.step,
+                )
             elif task.action is StepAction.SET_STATE:
-                with suppress(messages.DutiesError):  # lost since
+                with suppress(messages.DutiesError):  # the duty was lost in the meantime
                     self.driver.post(messages.SetState(self.duty, task.value))
             else:
                 step_run = asyncio.create_task(self._run(task.step, self.steps.token))
@@ -94,7 +106,7 @@
                 step_run.add_done_callback(self.running.discard)
 
     async def _run(self, step: int, token: int) -> None:
-        # the last look: between the claim and here this process may have stood still
+        # checked last, as this process may have been stopped since the claim was committed
         if self.driver.acting_token(self.duty) == token:
             await self.commands.run("step", str(step), str(token))
             self._do(self.steps.on_finished(token))
@@ -106,13 +118,14 @@
 
 
 class HoldWork:
-    """A duty that is held: `COMMAND take TOKEN`, and `COMMAND leave TOKEN` before anybody else may."""
+    """A duty that is just held: runs `COMMAND take TOKEN`, and `COMMAND leave TOKEN` before another may hold
+    it."""
 
     def __init__(self, driver: DutyDriver, duty: str, commands: CommandRunner) -> None:
         self.driver = driver
         self.duty = duty
         self.commands = commands
-        self.token = 0  # that it was taken with
+        self.token = 0  # the token of the current or last holding
         self.current: asyncio.Task[None] | None = None
 
     def on_acquired(self, token: int, value: messages.Value) -> None:
@@ -142,10 +155,10 @@
         self.driver.post(messages.WorkStopped(self.duty))
 
     def on_committed(self, token: int, number: int) -> None:
-        """It orders nothing."""
+        """Does nothing, as the duty has no orders."""
 
     def poll(self) -> None:
-        """It has nothing due."""
+        """Does nothing, as no work is timed."""
 
     async def close(self) -> None:
         if self.current is not None:
--- a/myrtlecourse/duties/core.py
+++ b/myrtlecourse/duties/core.py
@@ -1,8 +1,9 @@
-"""Duties of a fleet, each held by one router at a time: one process's part; events in, actions out, no I/O.
+"""One process's part in the duties of a fleet, each of which one router holds at a time; events in, actions
+out, no I/O.
 
-Each duty has an election of its own (`election/core.py`) over the same voters, so that no holder depends on
-another; what several of them say to one process at one moment goes in one datagram, and one heartbeat renews
-all leases of a holder. Orders and what becomes of them are `lead.py` and `member.py`.
+Each duty has an election of its own (`election/core.py`) over the same voters, so that holders are
+independent of each other. All messages to one process at one moment share a datagram, and one heartbeat
+renews all leases of a holder. Orders are sent by `holding.py` and obeyed by `member.py`.
 """
 
 from __future__ import annotations
@@ -19,7 +20,9 @@
 from myrtlecourse.election.core import Election, Role
 from myrtlecourse.election.question_numbers import QuestionNumbers
 
-MAX_BRAKE_FACTOR = 16  # times: a duty that nobody can do is tried by each now and then all the same
+# largest factor of the pause after failed holdings, so that a duty that no router can hold is still tried now
+# and then
+MAX_BRAKE_FACTOR = 16
 ELECTION_MESSAGES = (
     *(election.Ask, election.Grant, election.Deny, election.Beat),
     *(election.Renew, election.Release, election.Take, election.Invite),
@@ -27,15 +30,15 @@
 
 
 class Duties:
-    """One process's part."""
+    """One process's part in all duties: its elections, its own holdings, and its membership."""
 
     def __init__(
         self, settings: Settings, saved: dict[str, Memory] | None, now: float, seed: int, term_floor: int = 0
     ) -> None:
-        """`saved` is what the process before wrote down, None where there is no disk or nothing on it.
+        """`saved` is what the previous process stored, or None if there is no disk or nothing was stored.
 
-        Then terms begin after `floor`, a number that is higher at each start: else a majority that has
-        forgotten all would give tokens once more that were given before.
+        In that case terms start after `term_floor`, a number that grows with each start. Otherwise a majority
+        that has lost its memory could grant tokens a second time.
         """
         self.settings = settings
         self.now = now
@@ -46,16 +49,19 @@
         self.elections: dict[str, Election] = {}
         self.members: dict[str, Member] = {}
         self.holdings: dict[str, Holding] = {}
-        self.release_deadlines: dict[str, float] = {}  # of holdings that are let go: when to wait no longer
-        self.ended_terms: dict[str, int] = {}  # terms whose holder has said that nobody obeys it any more
-        self.failed_holdings: dict[str, int] = {}  # how often a duty was given up as nobody answered
+        # duty -> when to release a revoked holding at the latest
+        self.release_deadlines: dict[str, float] = {}
+        # duty -> the latest term whose holder has reported that no member obeys it any more
+        self.ended_terms: dict[str, int] = {}
+        # duty -> how often in a row it was given up because too few members answered
+        self.failed_holdings: dict[str, int] = {}
         self.able = True
-        self.unable_duties: set[str] = set()  # duties that this process can't hold
+        self.unable_duties: set[str] = set()  # duties that this process can't hold at present
         self.timers: dict[str, float] = {}
-        self.held_without_orders: set[str] = set()  # duties without orders
+        self.held_without_orders: set[str] = set()  # duties without orders that this process holds
         self.actions: list[messages.Action] = []
         self.outgoing: dict[str, list[Item]] = defaultdict(list)
-        self.own_messages: deque[Item] = deque()  # said to this very process
+        self.own_messages: deque[Item] = deque()  # messages of this process to itself
         self.save_needed = False
         self.heartbeat_sent = False
         self.order_sent = False
@@ -73,10 +79,13 @@
             )
             self.members[duty.name] = Member(duty, memory, now, first_stamp)
 
-    # What may be done at this moment
+    # Permissions at this moment
 
     def acting_token(self, now: float, name: str) -> int | None:
-        """The token to act for a duty with, or None; to be asked before each effect, never once for many."""
+        """Returns the token under which this process may act for a duty now, or None.
+
+        Must be called before each effect, not once for several.
+        """
         duty_election = self.elections[name]
         if not duty_election.holds(now):
             return None
@@ -86,19 +95,20 @@
         return holding.token if holding.acting and not holding.revoking else None
 
     def order_in_force(self, now: float, name: str) -> ObeyedOrder | None:
-        """The order that this member is to act by at this very moment; None: the duty's safe rest."""
+        """Returns the order that this member obeys now; None: the duty's safe default applies."""
         return self.members[name].order_in_force(now)
 
     # Events
 
     def handle(self, now: float, event: messages.Event) -> list[messages.Action]:
-        """Take one event and answer with actions, to be carried out in order. Raises DutiesError."""
+        """Handles one event and returns the actions to be carried out, in order. Raises DutiesError."""
         self.now = max(now, self.now)
         self._validate(event)
         self.actions, self.outgoing = [], defaultdict(list)
         self.save_needed = self.heartbeat_sent = self.order_sent = False
         if not isinstance(event, messages.SettingsChanged):
-            # what is over is over first: a process that was stopped wakes with what came for a holder
+            # expired leases and orders end first: a process that was stopped receives, when it resumes,
+            # messages that were meant for it as a holder
             for name in self.elections:
                 self._post_to_election(name, election.TimerFired())
         match event:
@@ -142,7 +152,7 @@
         self._carry_out(name, self.elections[name].handle(self.now, event))
 
     def _carry_out(self, name: str, actions: list[election.Action]) -> None:
-        """Carry out what a duty's election answers."""
+        """Carries out the actions of a duty's election."""
         for action in actions:
             match action:
                 case election.Save():
@@ -170,19 +180,21 @@
             self.actions.append(messages.Acquired(name, term, ()))
 
     def _withdraw(self, name: str, reason: str) -> None:
-        """The lease is over or given up: act no more, and let those that obey know."""
+        """Stops acting, as the lease has ended or is given up, and starts to revoke the orders in force."""
         holding = self.holdings.get(name)
         if name in self.held_without_orders:
             self.held_without_orders.discard(name)
             self.actions.append(messages.Lost(name, reason))
-            return  # until it is `Stopped`
+            return  # released at the event `WorkStopped`
         if holding is not None and holding.acting:
             self.actions.append(messages.Lost(name, reason))
-        # long enough to be heard, and much shorter than the voters' words, which still stand
+        # long enough for the members to hear of it, and much shorter than the voters' promises, which still
+        # hold
         self.release_deadlines[name] = self.now + 2 * self.settings.heartbeat
 
     def _release(self, name: str, holding: Holding) -> None:
-        """Tell members to obey no more; once they have said so, or long enough after, the voters hear."""
+        """Revokes the orders of a holding, and releases its lease once none is in force or the wait has
+        lasted long enough."""
         for member, message in holding.revoke(self.now):
             self._send(name, member, message)
         all_clear = holding.nobody_obeys(self.now) and self.now >= holding.safe_from
@@ -191,7 +203,7 @@
             self._post_to_election(name, election.Withdrawn(all_clear))
 
     def _do_due_work(self) -> None:
-        """Do what is due for all duties."""
+        """Does everything that is due, for all duties."""
         for name in list(self.holdings):
             self._run_holding(name, self.holdings[name])
         while self.own_messages:
@@ -211,19 +223,20 @@
             self._report_expiry(name)
 
     def _deliver_own(self) -> None:
-        """What this process says to itself, and answers."""
+        """Delivers this process's messages to itself, and its answers to them."""
         while self.own_messages:
             number, message = self.own_messages.popleft()
             self._on_message(self.duty_names[number], self.settings.name, message)
 
     def _report_expiry(self, name: str) -> None:
-        """Tell when a member's order has run out, or was dropped for a later holder."""
+        """Reports once that a member's order has expired, or was dropped in favour of a later holder."""
         member = self.members[name]
         if not member.expiry_reported and member.order_in_force(self.now) is None:
             member.expiry_reported = True
             self.actions.append(messages.ObeysNobody(name, min(self.now, member.order_ended_at)))
 
     def _run_holding(self, name: str, holding: Holding) -> None:
+        """Does what is due for a holding: releases it, resigns, starts to act, or sends its messages."""
         if name in self.release_deadlines:
             self._release(name, holding)
             return
@@ -253,8 +266,8 @@
             )
 
     def _validate(self, event: messages.Event) -> None:
-        """Guards what is under way: an event that can't be is refused before anything is done. Raises
-        DutiesError."""
+        """Refuses an invalid event before anything has been done, so that work in progress is not disturbed.
+        Raises DutiesError."""
         match event:
             case messages.SetState(name, value):
                 if self.acting_token(self.now, name) is None or name not in self.holdings:
@@ -263,28 +276,28 @@
                     not 0 <= v < messages.STATE_NUMBER_LIMIT for v in value
                 ):
                     raise messages.DutiesError(
-                        f"{name}: a state is {messages.MAX_STATE_LENGTH} numbers at most, from 0 up"
+                        f"{name}: a state has at most {messages.MAX_STATE_LENGTH} numbers, none negative"
                     )
             case messages.Move(name, to):
                 if name not in self.duties:
-                    raise messages.DutiesError(f"{name}: no duty has this name")
+                    raise messages.DutiesError(f"{name}: there is no duty of this name")
                 if self.acting_token(self.now, name) is None:
                     raise messages.DutiesError(f"{name}: this process does not hold it")
                 if to and to not in self.elections[name].settings.candidates:
-                    raise messages.DutiesError(f"{name}: {to} may not hold it")
+                    raise messages.DutiesError(f"{name}: {to} is not a candidate for it")
                 if to == self.settings.name:
-                    raise messages.DutiesError(f"{name}: {to} holds it already")
+                    raise messages.DutiesError(f"{name}: {to} already holds it")
             case messages.SettingsChanged(settings):
                 self._check_change(settings)
 
     def _check_change(self, settings: Settings) -> None:
         if settings.name != self.settings.name or settings.duties != self.settings.duties:
-            raise messages.DutiesError("name and duties can't be others while a process runs")
+            raise messages.DutiesError("name and duties can't change while a process runs")
         for field in ("members", "voters"):
-            # any two majorities must share one
+            # any two majorities must share one member, before and after the change
             if len(set(getattr(settings, field)) ^ set(getattr(self.settings, field))) > 1:
                 raise messages.DutiesError(
-                    f"{field}: one may come or go at a time; wait until all have the change"
+                    f"{field}: add or remove one at a time; wait until all routers have the change"
                 )
         for name, duty_election in self.elections.items():
             try:
@@ -294,11 +307,11 @@
 
     def _on_move(self, name: str, to: str) -> None:
         if self.acting_token(self.now, name) is None:
-            return  # over since it was asked for
+            return  # the lease has ended since the call was checked
         candidates = self.elections[name].settings.candidates
         holding = self.holdings.get(name)
         if not to and holding is not None:
-            # one that answers: to let voters look for somebody takes longer
+            # a candidate that answers, as an election among all candidates takes longer
             responsive_members = holding.responsive_members(self.now)
             to = next((c for c in candidates if c in responsive_members and c != self.settings.name), "")
         self._post_to_election(name, election.Move(to))
@@ -340,14 +353,15 @@
                 holding is not None and token > holding.token and name not in self.release_deadlines
             ):
                 self._post_to_election(
-                    name, election.Resign("a later holder is known", self.settings.heartbeat)
+                    name, election.Resign("there is a later holder", self.settings.heartbeat)
                 )
 
     def _on_holder_message(self, name: str, sender: str, message: messages.Survey | messages.Order) -> None:
-        """Take a holder's word, and answer it once what must last is written down."""
+        """Applies a holder's message, and answers it once the changes that must persist are stored."""
         if sender not in self.elections[name].settings.candidates:
             return
-        self._report_expiry(name)  # what ran out before this came, or a stop would hide it
+        # reports an order that expired before this message arrived, which a stop of the process would hide
+        self._report_expiry(name)
         member = self.members[name]
         stored_before = member.promised, member.token, member.number, member.value
         previous_order = member.obeyed
@@ -360,7 +374,8 @@
         if new_order.token != previous_order.token:
             self._report_expiry(name)
             if not member.expiry_reported:
-                self.actions.append(messages.ObeysNobody(name, self.now))  # from one holder to the next
+                # the member changes from one holder to the next
+                self.actions.append(messages.ObeysNobody(name, self.now))
         if new_order is not previous_order and self.now < new_order.until:
             member.expiry_reported = False
             self.actions.append(
@@ -376,16 +391,16 @@
         self._send(name, sender, answer)
 
     def _next_due(self) -> float:
-        """When something will be due."""
+        """Returns when something is due next."""
         times = [*self.timers.values(), *(holding.next_due(self.now) for holding in self.holdings.values())]
         times += [self.release_deadlines[n] for n in self.release_deadlines if n in self.holdings]
         times += [m.obeyed.until for m in self.members.values() if not m.expiry_reported]
         return min(times)
 
-    # For staff
+    # For operators
 
     def status(self, now: float) -> dict[str, Any]:
-        """What staff may want to know; JSON-able. Times in seconds."""
+        """Returns the state of all duties for operators, ready for JSON. Times are in seconds."""
         rows = []
         for name, duty_election in self.elections.items():
             member, holding = self.members[name], self.holdings.get(name)
--- a/myrtlecourse/duties/driver.py
+++ b/myrtlecourse/duties/driver.py
@@ -1,4 +1,4 @@
-"""Keeps one router's part in the duties of its fleet: the socket, the memory on disk, and what is done."""
+"""Drives one router's part in duties: the socket, the memory file, and the work of a duty's holder."""
 
 from __future__ import annotations
 
@@ -21,38 +21,38 @@
 from myrtlecourse.peers.records import started
 from myrtlecourse.peers.wire import Wire
 
-POLL_INTERVAL = (
-    0.1  # seconds between looks at whether this process can hold a duty, and at what holders have to do
-)
-MAX_WAITING = 1000  # words that wait for the disk
-RETRY_PAUSE = 0.2  # seconds until listening is tried again, where the process before this one still does
-# what rests on votes and orders that were taken; a lease rests on the wait after a start
+# seconds between checks whether this process can hold a duty, and calls of its holders' work
+POLL_INTERVAL = 0.1
+MAX_WAITING = 1000  # messages that may wait for the disk
+RETRY_PAUSE = 0.2  # seconds until another attempt to listen, while the previous process still does
+# messages that promise a vote or an accepted order; a promised lease relies on the wait after a start
 PROMISES = (election.Ask, election.Grant, messages.Known, messages.Taken)
 log = logging.getLogger(__name__)
 bounded = BoundedLog(log)
 
 
 class Work(Protocol):
-    """What a duty's holder does."""
+    """The work that the holder of a duty does."""
 
     def on_acquired(self, token: int, value: messages.Value) -> None:
-        """It is this process's, until `lost`; to be asked of the keeper again before each effect."""
+        """Called when this process acquires the duty. It must check `DutyDriver.acting_token` before each
+        effect."""
 
     def on_lost(self) -> None:
-        """It is not any more: begin nothing."""
+        """Called when this process has lost the duty: nothing new may be started."""
 
     def on_committed(self, token: int, number: int) -> None:
-        """An order of this holder will last."""
+        """Called when a majority of the members has accepted an order of this holder."""
 
     def poll(self) -> None:
-        """Called every LOOK seconds."""
+        """Called every POLL_INTERVAL seconds."""
 
     async def close(self) -> None:
-        """End what is under way."""
+        """Ends the work in progress."""
 
 
 class DutyDriver(End[tuple[messages.Item, ...]]):
-    """One router's end."""
+    """Connects the duties of one router to its socket, clock and disk."""
 
     def __init__(
         self,
@@ -63,42 +63,44 @@
         saved: dict[str, messages.Memory] | None,
         able: Callable[[], bool],
     ) -> None:
-        """`able` says whether this router can hold duties now; `saved` is what was read from `memory`."""
+        """`able` returns whether this router can hold duties now; `saved` is what was read from `memory`."""
         rng = random.SystemRandom()
         start = rng.getrandbits(62) + 1
         super().__init__(Wire(settings.name, settings.members, keys[0], start, DutyCodec(), keys[1]), peers)
         self.settings = settings
         self.memory = memory
-        self.unwritten: dict[str, messages.Memory] | None = None  # what must last
-        self.stamp_sent_at: dict[str, float] = {}  # when a stamp last went out alone
+        self.unwritten: dict[str, messages.Memory] | None = None  # memories that are not on the disk yet
+        # member -> when a stamp was last sent to it without the answer
+        self.stamp_sent_at: dict[str, float] = {}
         self.writing: asyncio.Task[None] | None = None
-        self.waiting_for_disk: list[
-            messages.Send | messages.Committed
-        ] = []  # what must not be done before it does
+        # actions that must wait for the write to end
+        self.waiting_for_disk: list[messages.Send | messages.Committed] = []
         self.able = able
-        now, floor = time.monotonic(), started(time.time())
-        self.duties = Duties(settings, saved, now, rng.getrandbits(32), floor)
+        now, term_floor = time.monotonic(), started(time.time())
+        self.duties = Duties(settings, saved, now, rng.getrandbits(32), term_floor)
         self.works: dict[str, Work] = {}
-        self.abilities: dict[str, Callable[[], bool]] = {}  # of duties that ask for more
+        # duty -> whether this router meets the duty's own conditions
+        self.abilities: dict[str, Callable[[], bool]] = {}
         self.running: list[asyncio.Task[None]] = []
         self.polled_at = now
-        self.moves: list[str] = []  # the last few, for staff
-        self.obeyed_holders: dict[
-            str, str
-        ] = {}  # by duty: whose order was obeyed last, and under which token
+        self.moves: list[str] = []  # the last changes, for operators
+        self.obeyed_holders: dict[str, str] = {}  # duty -> the holder that was obeyed last, with its token
         self.closing = False
         self.message_log = MessageLog()
 
     async def start(self, bind: Endpoint, shared: bool) -> None:
-        """Listen, and begin; where another process of this router may still listen (`shared`, at an upgrade)
-        once that one has let go. Raises OSError."""
+        """Starts to listen and takes part.
+
+        If another process of this router may still listen (`shared`, during an upgrade), retries until the
+        address is free. Raises OSError.
+        """
         if shared:
             self.running.append(asyncio.create_task(self._listen_when_free(bind)))
         else:
             await self._listen(bind)
 
     async def _listen(self, bind: Endpoint) -> None:
-        log.info("duties: other routers are heard on %s:%d", *await self.listen(bind))
+        log.info("duties: listening for other routers on %s:%d", *await self.listen(bind))
         for name in self.settings.members:
             if name != self.settings.name:
                 self.send(name, self.wire.hello(name))
@@ -113,7 +115,7 @@
                 await asyncio.sleep(RETRY_PAUSE)
 
     async def _poll(self) -> None:
-        """Tell whether this process can hold a duty; a loop that stood still can't."""
+        """Reports whether this process can hold duties; it can't if its event loop was stalled."""
         while True:
             now = time.monotonic()
             stalled = now - self.polled_at > self.settings.unwell + POLL_INTERVAL
@@ -126,15 +128,16 @@
             await asyncio.sleep(POLL_INTERVAL)
 
     def acting_token(self, duty: str) -> int | None:
-        """The token to act for a duty with at this very moment, or None."""
+        """Returns the token under which this process may act for a duty now, or None."""
         return self.duties.acting_token(time.monotonic(), duty)
 
-    def accepted(self, sender: str, message: tuple[messages.Item, ...]) -> None:
+    def heard(self, sender: str, message: tuple[messages.Item, ...]) -> None:
+        """Passes a datagram of another member on to the duties."""
         self.message_log.received(sender, message)
         self.post(messages.MessagesReceived(sender, message))
 
     def post(self, event: messages.Event) -> None:
-        """Let the duties hear of something, and carry out what they answer. Raises DutiesError."""
+        """Passes an event to the duties and carries out their actions. Raises DutiesError."""
         for action in self.duties.handle(time.monotonic(), event):
             self._carry_out(action)
 
@@ -148,13 +151,13 @@
                 self.message_log.sent(to, items)
                 self._send_items(to, tuple(i for i in items if not isinstance(i[1], PROMISES)))
                 if promises := tuple(i for i in items if isinstance(i[1], PROMISES)):
-                    self._send_once_written(messages.Send(to, promises))
+                    self._do_once_written(messages.Send(to, promises))
             case messages.Committed():
-                self._send_once_written(action)
+                self._do_once_written(action)
             case messages.Acquired() | messages.Lost():
                 self._notify_work(action)
             case messages.Obeys():
-                self._log_obeyed(action)
+                self._log_holder(action)
             case messages.ObeysNobody(duty, since):
                 self.obeyed_holders.pop(duty, None)
                 log.info("duty %s: obeys nobody since %.6f", duty, since)
@@ -162,13 +165,15 @@
                 self.call_at(at, lambda: self.post(messages.TimerFired()))
 
     def _notify_work(self, action: messages.Acquired | messages.Lost | messages.Committed) -> None:
-        """Let what is done for a duty begin, end or go on."""
+        """Tells a duty's work that the duty was acquired or lost, or that an order is committed."""
         work = self.works.get(action.duty)
         match action:
             case messages.Acquired(duty, token, value):
                 self._record_change(duty, f"held here under token {token}, from state {list(value)}")
                 if (holding := self.duties.holdings.get(duty)) is not None and holding.state_uncertain:
-                    log.warning("duty %s: too few remember what was ordered: it may be forgotten", duty)
+                    log.warning(
+                        "duty %s: too few members remember the last orders; the state may be lost", duty
+                    )
                 if work is not None:
                     work.on_acquired(token, value)
             case messages.Lost(duty, reason):
@@ -178,14 +183,14 @@
             case messages.Committed(_, token, number) if work is not None:
                 work.on_committed(token, number)
 
-    def _log_obeyed(self, order: messages.Obeys) -> None:
+    def _log_holder(self, order: messages.Obeys) -> None:
         holder = f"{order.holder} under token {order.token}"
         if self.obeyed_holders.get(order.duty) != holder:
             self.obeyed_holders[order.duty] = holder
             log.info("duty %s: obeys %s from %.6f", order.duty, holder, time.monotonic())
 
-    def _send_once_written(self, action: messages.Send | messages.Committed) -> None:
-        """Guards promises: not one goes out before it is on the disk."""
+    def _do_once_written(self, action: messages.Send | messages.Committed) -> None:
+        """Delays an action until the memory is on disk, so that no promise is sent before it is stored."""
         if self.writing is not None:
             if len(self.waiting_for_disk) >= MAX_WAITING:
                 self._drop_waiting_messages()
@@ -198,25 +203,30 @@
             self._notify_work(action)
 
     def _drop_waiting_messages(self) -> None:
-        """Guards memory against a disk that hangs: a word that is late is of no use, and will be asked for
-        again. What has settled has to be told all the same."""
+        """Drops the waiting messages, so that a disk that hangs does not exhaust the memory.
+
+        Late messages are of no use and will be asked for again; commits have to be reported all the same.
+        """
         self.waiting_for_disk = [
             action for action in self.waiting_for_disk if isinstance(action, messages.Committed)
         ]
 
     def _send_stamps(self, outgoing: messages.Send) -> None:
-        """Guards orders against a slow disk: until an answer may go, its stamp does, else they run out."""
+        """Sends the stamps of answers that wait for the disk.
+
+        Orders repeat these stamps; without them, orders would expire while a slow disk writes.
+        """
         now = time.monotonic()
-        accepted = tuple((duty, m) for duty, m in outgoing.items if isinstance(m, messages.Taken))
-        if not accepted or now - self.stamp_sent_at.get(outgoing.to, 0.0) < self.settings.heartbeat / 2:
+        answers = tuple((duty, m) for duty, m in outgoing.items if isinstance(m, messages.Taken))
+        if not answers or now - self.stamp_sent_at.get(outgoing.to, 0.0) < self.settings.heartbeat / 2:
             return
         self.stamp_sent_at[outgoing.to] = now
         self._send_items(
-            outgoing.to, tuple((d, messages.Taken(m.token, m.number, False, m.stamp)) for d, m in accepted)
+            outgoing.to, tuple((d, messages.Taken(m.token, m.number, False, m.stamp)) for d, m in answers)
         )
 
     async def _write(self, path: Path) -> None:
-        """Write down what must last, beside the event loop: a disk may take longer than a lease."""
+        """Writes the memory in a thread, as a disk may block for longer than a lease."""
         while self.unwritten is not None or self.waiting_for_disk:
             memories, waiting_for_disk = self.unwritten, self.waiting_for_disk
             self.unwritten, self.waiting_for_disk = None, []
@@ -224,7 +234,9 @@
                 if memories is not None:
                     await asyncio.to_thread(write_memories, path, memories)
             except OSError as e:
-                bounded.log(logging.ERROR, "the memory can't be written, no promise is given: %s", e)
+                bounded.log(
+                    logging.ERROR, "duties: can't write the memory file, so no promise is sent: %s", e
+                )
                 self.unwritten, self.waiting_for_disk = (
                     self.unwritten or memories,
                     waiting_for_disk + self.waiting_for_disk,
@@ -250,13 +262,13 @@
     def change(
         self, settings: messages.Settings, peers: dict[str, Endpoint], keys: tuple[bytes, tuple[bytes, ...]]
     ) -> None:
-        """Take new settings and keys; one member, or one voter, may have come or gone.
+        """Applies new settings and keys; at most one member and one voter may have been added or removed.
 
         Raises:
-            ValueError: more has changed than may; nothing is taken.
+            ValueError: more than that has changed; nothing is applied.
         """
         if peers[settings.name] != self.peers[settings.name]:
-            raise messages.DutiesError("name: it can't be heard elsewhere while it runs")
+            raise messages.DutiesError("name: its address can't change while it runs")
         if settings != self.settings:
             self.post(messages.SettingsChanged(settings))
             self.settings = settings
@@ -265,7 +277,7 @@
         self.peers = peers
 
     def move(self, duty: str, to: str) -> str:
-        """Hand a duty over; answers with why not, or nothing."""
+        """Hands a duty over; returns the reason if it is refused, else an empty string."""
         try:
             self.post(messages.Move(duty, to))
         except messages.DutiesError as e:
@@ -273,9 +285,9 @@
         return ""
 
     def status(self) -> dict[str, Any]:
-        """What staff may want to know; JSON-able."""
-        status = self.duties.status(time.monotonic())
-        return status | {
+        """Returns the state of all duties for operators, ready for JSON."""
+        duties_status = self.duties.status(time.monotonic())
+        return duties_status | {
             "able": self.able(),
             "sent": self.sent,
             "bytes_sent": self.bytes_sent,
@@ -284,7 +296,7 @@
         }
 
     async def close(self) -> None:
-        """Give up what is held in order, and say so to the others."""
+        """Hands over the duties held here, tells the other routers, and closes."""
         self.closing = True
         held = [name for name in self.duties.duties if self.acting_token(name) is not None]
         for name in held:
--- a/myrtlecourse/duties/holding.py
+++ b/myrtlecourse/duties/holding.py
@@ -1,9 +1,9 @@
-"""What a duty's holder does with its lease: learns what was ordered before, orders, and lets go.
+"""What a duty's holder does with its lease: learns the last orders, sends its own, and finally revokes them.
 
-It acts only when nobody can obey the holder before any more: all members have answered and said so, or the
-time of the last order is over on every clock. Before that a majority of the members has told which order
-they took last, and it goes on from the highest: what a majority took is not forgotten and not done again
-(the first phase of Paxos; Lamport, 1998).
+It acts only once no member can obey the previous holder any more: all members have answered and confirmed it,
+or the validity of the previous holder's last order has ended on every clock. Before that, a majority of the
+members reports the last order that each accepted, and the holder continues from the highest of them. So what
+a majority accepted is neither forgotten nor done twice (the first phase of Paxos; Lamport, 1998).
 """
 
 from __future__ import annotations
@@ -14,17 +14,19 @@
 from myrtlecourse.duties import messages
 from myrtlecourse.duties.messages import Duty, Message, Settings, Value
 
-EARLY_WINDOW = 0.6  # of the time between two orders: with less left until the next it is brought forward
-ORDERS_PER_VALIDITY = 4  # orders in the time that one is good for: one may be lost, and its answer
+# share of the time between two orders; if less than this is left until the next one, it is sent early
+EARLY_WINDOW = 0.6
+# orders sent during the validity of one, so that one of them, or its answer, may be lost
+ORDERS_PER_VALIDITY = 4
 
 
 class Holding:
-    """One holding of one duty, under one token."""
+    """One process's holding of one duty, under one token."""
 
     def __init__(
         self, settings: Settings, duty: Duty, token: int, now: float, previous_orders_ended: bool
     ) -> None:
-        """`clear`: nobody obeys the holder before any more, as it has said itself."""
+        """`previous_orders_ended`: the previous holder has reported that no member obeys it any more."""
         self.settings = settings
         self.duty = duty
         self.token = token
@@ -32,24 +34,26 @@
         self.safe_from = now if previous_orders_ended else now + settings.order_lifetime(duty.good_for)
         self.ask_until = now + 2 * settings.order_lifetime(settings.lease + duty.good_for)
         self.acting = False
-        self.state_uncertain = False  # too few remembered what was ordered before: it may have been forgotten
+        # too few members remembered the last order, so that the state may have been lost
+        self.state_uncertain = False
         self.revoking = False
         self.number = 0
         self.value: Value = duty.initial_state
-        self.highest_order = (-1, -1)  # token and number of the highest order told of
-        self.answered: set[str] = set()  # who has answered, and
-        self.remembering: set[str] = set()  # remembers
-        self.last_stamps: dict[str, int] = {}  # the last one heard of each member
-        self.accepted: dict[str, int] = {}  # the highest number that each has taken
-        self.last_accepted: dict[str, float] = {}  # when each last took one
-        self.may_obey_until: dict[str, float] = {}  # until when each may obey an order of this holding
+        self.highest_order = (-1, -1)  # token and number of the highest order that was reported
+        self.answered: set[str] = set()  # members that have answered
+        self.remembering: set[str] = set()  # members that have answered and have not lost their memory
+        self.last_stamps: dict[str, int] = {}  # member -> the last stamp received from it
+        self.accepted: dict[str, int] = {}  # member -> the highest number of an order that it accepted
+        self.last_accepted: dict[str, float] = {}  # member -> when its last acceptance arrived
+        # member -> until when it may obey an order of this holding
+        self.may_obey_until: dict[str, float] = {}
         self.committed = 0
         self.send_at = now
 
     def change_settings(self, settings: Settings) -> None:
-        """Take other members.
+        """Applies settings with other members.
 
-        Guards majorities: what one that has gone has taken is no part of the new ones.
+        The answers of members that were removed no longer count, as the new majorities do not contain them.
         """
         self.settings = settings
         members = set(settings.members)
@@ -59,10 +63,10 @@
             for member in by_member.keys() - members:
                 del by_member[member]
 
-    # What is said
+    # Sending
 
     def messages_due(self, now: float) -> Iterable[tuple[str, Message]]:
-        """The words for each member, if it is time for them."""
+        """Yields the messages to each member, if it is time for them."""
         if now < self.send_at or self.revoking:
             return
         self.send_at = (
@@ -77,7 +81,7 @@
                 yield member, messages.Survey(self.token)
 
     def order_early(self, now: float) -> None:
-        """Order a little early, as another duty's holder does so just now: one datagram bears both."""
+        """Sends orders a little early, as another holding sends now, so that they share a datagram."""
         if self.acting and self.send_at - now < EARLY_WINDOW * self.duty.good_for / ORDERS_PER_VALIDITY:
             self.send_at = min(now, self.send_at)
 
@@ -88,10 +92,10 @@
             self.may_obey_until[member] = now + self.settings.order_lifetime(self.duty.good_for)
         return messages.Order(self.token, self.number, good_for, echo, self.value)
 
-    # What is heard
+    # Receiving
 
     def on_known(self, now: float, member: str, known: messages.Known) -> None:
-        """What a member took last."""
+        """Handles a member's report of the last order that it accepted."""
         if known.token != self.token:
             return
         self.answered.add(member)
@@ -102,13 +106,13 @@
             self.highest_order, self.value = (known.taken, known.number), known.value
 
     def may_start_acting(self, now: float) -> bool:
-        """Whether to act from now on."""
+        """Whether the holder may start to act now."""
         settings, members = self.settings, len(self.settings.members)
         if self.acting or self.revoking:
             return False
         all_answered = len(self.answered) == members
         enough_remember = len(self.remembering) >= settings.majority
-        # without a memory anywhere there is nothing to be forgotten
+        # for fleets without disks: if no member has a memory, there is nothing that could be forgotten
         waited_long_enough = len(self.answered) >= settings.majority and now >= self.ask_until
         self.state_uncertain = waited_long_enough and not (all_answered or enough_remember)
         return (all_answered or enough_remember or waited_long_enough) and (
@@ -116,26 +120,29 @@
         )
 
     def start_acting(self, now: float) -> None:
-        """Its orders are its own from now on."""
+        """Starts to act: from now on the holder sends orders of its own."""
         self.acting = True
         self.number = 1
         self.send_at = now
         self.last_accepted = dict.fromkeys(self.answered, now)
 
     def set_state(self, now: float, value: Value) -> int:
-        """Another state, to be ordered at once; answers with its number."""
+        """Sets another state, which is ordered at once, and returns the number of the order."""
         self.number += 1
         self.value = value
         self.send_at = now
         return self.number
 
     def on_taken(self, now: float, member: str, taken: messages.Taken) -> tuple[Message | None, bool]:
-        """A member has heard an order. Answers with a word that it is owed at once, as it could not take that
-        one for want of a stamp, and whether a majority has now taken a later order than before."""
+        """Handles a member's answer to an order.
+
+        Returns an order to send again at once, if the member could not accept the last one for lack of a
+        fresh stamp, and whether a majority has now accepted a later order than before.
+        """
         if taken.token != self.token or not (self.acting or self.revoking):
             return None, False
         before = self.last_stamps.get(member, 0)
-        # the latest that came, not the highest: a process that has started anew counts anew
+        # the stamp received last, not the highest one, as a member that has restarted counts from a new start
         self.last_stamps[member] = taken.stamp
         if self.revoking:
             if taken.number == self.number:
@@ -154,7 +161,7 @@
         return None, advanced
 
     def unanswered_for(self, now: float) -> float:
-        """Seconds since a majority of the members last answered."""
+        """Returns the seconds since a majority of the members last answered."""
         if not self.acting:
             return 0.0
         times = sorted(self.last_accepted.values(), reverse=True)
@@ -162,13 +169,13 @@
         return now - times[needed - 1] if len(times) >= needed else now - self.started_at
 
     def responsive_members(self, now: float) -> set[str]:
-        """Members that answered lately."""
+        """Returns the members that answered recently."""
         return {m for m, at in self.last_accepted.items() if now - at <= self.duty.good_for}
 
-    # Letting go
+    # Giving up
 
     def revoke(self, now: float) -> Iterable[tuple[str, Message]]:
-        """Orders that end all orders, for those that may obey one."""
+        """Yields orders that end all orders, for the members that may still obey one."""
         self.may_obey_until = {member: until for member, until in self.may_obey_until.items() if now < until}
         if not self.revoking:
             self.revoking = True
@@ -180,11 +187,11 @@
                 yield member, self._order_for(now, member)
 
     def nobody_obeys(self, now: float) -> bool:
-        """Whether nobody obeys an order of this holding any more."""
+        """Whether no member obeys an order of this holding any more."""
         return not any(now < until for until in self.may_obey_until.values())
 
     def next_due(self, now: float) -> float:
-        """When something is due."""
+        """Returns when something is due next."""
         if self.revoking:
             return min([self.send_at, *self.may_obey_until.values()]) if self.may_obey_until else now
         if self.acting:
--- a/myrtlecourse/duties/member.py
+++ b/myrtlecourse/duties/member.py
@@ -1,10 +1,11 @@
-"""What a member does with the orders of a duty's holders: takes them, obeys each for its time, drops others.
+"""What a member does with the orders of a duty's holders: it obeys each for its validity and drops outdated
+ones.
 
-An order is an answer. It repeats a stamp that this member gave, and is good for a time from then on by this
-member's own clock: so no order that lay in a queue, or came from a holder that was stopped since, is obeyed
-for longer than its holder meant, whatever the machines' clocks say (leases as Gray and Cheriton's, 1989, the
-other way round). The token is the fence (Burrows, 2006, calls it a sequencer): what carries a lower one than
-any that was heard is dropped.
+An order is an answer: it repeats a stamp that this member sent, and its validity counts from that stamp, by
+this member's own clock. So an order that waited in a queue, or comes from a holder that has been stopped
+since, is never obeyed for longer than its holder intended, whatever the machines' clocks show (leases as
+those of Gray and Cheriton, 1989, in the opposite direction). The token is a fencing token (Burrows, 2006,
+calls it a sequencer): an order with a lower token than the highest one seen is dropped.
 """
 
 from __future__ import annotations
@@ -21,36 +22,39 @@
     """One member's part in one duty."""
 
     def __init__(self, duty: messages.Duty, stored: Memory | None, now: float, first_stamp: int) -> None:
-        """`saved` is what was written down by the process before, None where nothing was; `first_stamp` a
-        large number drawn at the process's start."""
+        """`saved` is what the previous process stored, or None if nothing was; `first_stamp` is a large
+        random number drawn at the process's start."""
         self.duty = duty
         memory = stored or Memory(value=duty.initial_state)
         self.promised = memory.promised
         self.token, self.number, self.value = memory.token, memory.number, memory.value
-        self.fresh = stored is None  # guards what others settled: who has forgotten it is no witness
+        # a member that has lost its memory does not count towards a majority that remembers
+        self.fresh = stored is None
         self.started_at = now
         self.first_stamp = first_stamp
         self.obeyed = ObeyedOrder()
-        self.holder = ""  # who holds the duty, as was last heard
-        self.last_order_at = -math.inf  # an order
-        self.dropped_orders = 0  # orders that were dropped, as they came too late or from a holder before
+        self.holder = ""  # the sender of the last order
+        self.last_order_at = -math.inf  # when the last order was accepted
+        # orders that were dropped because they came too late or from an earlier holder
+        self.dropped_orders = 0
         self.expiry_reported = True
-        self.order_ended_at = math.inf  # when the last order obeyed ran out, as it was when it was obeyed
+        self.order_ended_at = math.inf  # when the last obeyed order ends, as known when it was accepted
 
     def stamp(self, now: float) -> int:
-        """The moment as this process counts it, in milliseconds.
+        """Returns the time in milliseconds as this process counts it.
 
-        Guards against a holder that repeats a stamp of the process before this one: counted from this one's
-        start it would lie ahead, and the order would be obeyed for as much too long.
+        It starts at a random number, so that a stamp of the previous process, which a holder may still
+        repeat, is not taken for one of this process; it would lie in the future, and the order would be
+        obeyed for too long.
         """
         return self.first_stamp + int((now - self.started_at) * MILLISECONDS)
 
     def order_in_force(self, now: float) -> ObeyedOrder | None:
-        """What is to be done at this very moment."""
+        """Returns the order that is obeyed now, or None."""
         return self.obeyed if now < self.obeyed.until else None
 
     def survey(self, now: float, survey: messages.Survey) -> Message:
-        """A holder asks which order was taken last; from now on nothing with a lower token is."""
+        """Answers a holder that asks for the last accepted order; lower tokens are refused from now on."""
         if survey.token < self.promised:
             return messages.Outdated(self.promised)
         self.promised = survey.token
@@ -59,14 +63,14 @@
         return messages.Known(survey.token, self.token, self.number, self.fresh, self.stamp(now), self.value)
 
     def order(self, now: float, sender: str, order: messages.Order) -> Message:
-        """Take an order, and obey it if it is still good."""
+        """Accepts an order, and obeys it while it is valid."""
         if order.token < self.promised:
             self.dropped_orders += 1
             return messages.Outdated(self.promised)
         self.promised = order.token
         if self.obeyed.token < order.token:
             self.obeyed.until = -math.inf
-        # with a stamp that this process has not given: then the answer gives one
+        # an order without a stamp of this process can't be obeyed; the answer supplies a stamp
         until = -math.inf
         if self.first_stamp <= order.echo <= self.stamp(now):
             until = self.started_at + (order.echo - self.first_stamp + order.good_for) / MILLISECONDS
@@ -80,11 +84,11 @@
         if not order.good_for:
             until = -math.inf
         elif self.obeyed.token == order.token:
-            until = max(until, self.obeyed.until)  # an answer to an earlier stamp may come later
+            until = max(until, self.obeyed.until)  # an order that repeats an earlier stamp may arrive later
         self.order_ended_at = until if until > -math.inf else now
         self.obeyed = ObeyedOrder(sender, order.token, order.number, order.value, until)
         return messages.Taken(order.token, order.number, True, self.stamp(now))
 
     def memory(self, term: int, voted: str) -> Memory:
-        """What has to last."""
+        """Returns what has to be stored."""
         return Memory(term, voted, self.promised, self.token, self.number, self.value)
--- a/myrtlecourse/duties/memory.py
+++ b/myrtlecourse/duties/memory.py
@@ -1,4 +1,5 @@
-"""What must outlive a restart of a member: its votes and promises, and the last order that it took."""
+"""The file with what must survive a member's restart: its votes and promises, and the last order it
+accepted."""
 
 from __future__ import annotations
 
@@ -13,16 +14,16 @@
 from myrtlecourse.duties.messages import MAX_DUTIES, MAX_STATE_LENGTH, STATE_NUMBER_LIMIT, Memory
 
 VERSION = 1
-MAX_FILE_BYTES = 64 * 1024  # bytes of the file
+MAX_FILE_BYTES = 64 * 1024
 Number = Annotated[int, Meta(ge=0, le=2**63 - 1)]
 
 
 class MemoryFileError(ValueError):
-    """A file that can't be used; the message says why."""
+    """A memory file that can't be used; the message says why."""
 
 
 class Row(Struct, forbid_unknown_fields=True):
-    """One duty's."""
+    """The memory of one duty."""
 
     term: Number
     voted: str
@@ -35,7 +36,7 @@
 
 
 class File(Struct, forbid_unknown_fields=True):
-    """The whole of it."""
+    """The content of the file."""
 
     version: int
     sha256: str
@@ -47,10 +48,11 @@
 
 
 def read_memories(path: Path) -> dict[str, Memory] | None:
-    """What was written last; None when there is no file.
+    """Returns what was stored last, by duty; None if there is no file.
 
     Raises:
-        RememberError: it is torn, foreign or newer. To go on as if nothing had been promised would break it.
+        MemoryFileError: the file is damaged, foreign or of a newer version. Starting as if nothing had been
+            promised would break the promises in it.
     """
     try:
         text = path.read_bytes()
@@ -59,22 +61,25 @@
     except OSError as e:
         raise MemoryFileError(f"{path}: {e.strerror}") from e
     if len(text) > MAX_FILE_BYTES:
-        raise MemoryFileError(f"{path}: longer than {MAX_FILE_BYTES} bytes")
+        raise MemoryFileError(f"{path}: larger than {MAX_FILE_BYTES} bytes")
     try:
         file = msgspec.json.decode(text, type=File)
     except msgspec.DecodeError as e:
-        raise MemoryFileError(f"{path}: torn, or of another program: {e}") from e
+        raise MemoryFileError(f"{path}: damaged, or written by another program: {e}") from e
     if file.version != VERSION:
-        raise MemoryFileError(f"{path}: of version {file.version}, this program knows {VERSION}")
+        raise MemoryFileError(f"{path}: has version {file.version}, but this program supports only {VERSION}")
     if file.sha256 != _digest(file.duties):
-        raise MemoryFileError(f"{path}: its checksum does not fit")
+        raise MemoryFileError(f"{path}: the checksum does not match")
     return {
         n: Memory(r.term, r.voted, r.promised, r.token, r.number, r.value) for n, r in file.duties.items()
     }
 
 
 def write_memories(path: Path, memories: dict[str, Memory]) -> None:
-    """Write it down, on the disk before this returns: the words that rest on it go out next. Raises
-    OSError."""
+    """Stores the memories; they are on the disk when this returns, as messages that rely on them are sent
+    next.
+
+    Raises OSError.
+    """
     rows = {n: Row(m.term, m.voted, m.promised, m.token, m.number, m.value) for n, m in memories.items()}
     replace_file(path, msgspec.json.encode(File(VERSION, _digest(rows), rows)))
--- a/myrtlecourse/duties/message_log.py
+++ b/myrtlecourse/duties/message_log.py
@@ -1,7 +1,8 @@
-"""The log of the messages by which duties are given and held; off unless operators turn it on.
+"""Log of the messages by which duties are granted and held; off unless operators turn it on.
 
-`MYRTLECOURSE_LOG=elections` in the environment turns it on. Each line tells one message of an election that
-this process sent or received, so that the lines of all routers together show who granted and who denied what.
+`MYRTLECOURSE_LOG=elections` in the environment turns it on. Each line contains one message of an election
+that this process sent or received, so that the lines of all routers together show who granted and who denied
+what.
 """
 
 from __future__ import annotations
@@ -18,17 +19,17 @@
 
 
 class MessageLog:
-    """Writes one line a message, with the duty's number and this machine's monotonic time in seconds."""
+    """Logs one line for each message, with the duty's number and this machine's monotonic time in seconds."""
 
     def __init__(self) -> None:
         self.on = os.environ.get(VARIABLE, "") == ELECTIONS
 
     def sent(self, receiver: str, items: tuple[Item, ...]) -> None:
-        """Messages leave this process, unless they still wait for the disk."""
+        """Logs messages that are sent, or that are sent once the disk has been written."""
         self._write("to", receiver, items)
 
     def received(self, sender: str, items: tuple[Item, ...]) -> None:
-        """Messages have arrived, and are handled next."""
+        """Logs messages that have arrived and are about to be handled."""
         self._write("from", sender, items)
 
     def _write(self, direction: str, peer: str, items: tuple[Item, ...]) -> None:
--- a/myrtlecourse/duties/messages.py
+++ b/myrtlecourse/duties/messages.py
@@ -1,7 +1,7 @@
-"""What members of a fleet say to one another of duties, what duties are told, and what they answer.
+"""Messages between members about duties, the events and actions of duties, and their settings.
 
-Times are seconds on the process's own monotonic clock; clocks of two processes need not agree on the time,
-and must not run apart by more than the stated drift.
+Times are seconds on the process's own monotonic clock. The clocks of two processes need not show the same
+time, but their rates must not differ by more than the stated drift.
 """
 
 from __future__ import annotations
@@ -12,37 +12,40 @@
 from myrtlecourse.election import messages as election_messages
 from myrtlecourse.peers.seal import ident
 
-ADDRESS = "address"  # the service address, where it is a duty
+ADDRESS = "address"  # name of the duty of holding the service address
 MAX_MEMBERS = 255
 MAX_DUTIES = 16
-MAX_STATE_LENGTH = 8  # numbers of a duty's state
-STATE_NUMBER_LIMIT = 2**40  # that one of them may be
+MAX_STATE_LENGTH = 8  # largest number of integers in a duty's state
+STATE_NUMBER_LIMIT = 2**40  # each of them is lower than this
 Value = tuple[int, ...]
 
 
 class DutiesError(ValueError):
-    """Settings or a call that can't hold; the message names the field."""
+    """Contradictory settings or an invalid call; the message names the field."""
 
 
 @dataclass(slots=True, frozen=True)
 class Duty:
-    """One duty, as all members have it."""
+    """The settings of one duty, equal at all members."""
 
     name: str
-    preferred: tuple[
-        str, ...
-    ] = ()  # who may hold it, the most preferred first; none: all, spread by its name
+    # candidates, the most preferred first; empty: all members, in an order that depends on the duty's name
+    preferred: tuple[str, ...] = ()
     good_for: float = 2.0  # seconds for which an order is obeyed, by the receiver's clock
-    initial_state: Value = ()  # its state before anybody has held it
-    orders: bool = True  # its holder orders the others; without, holding it is all
+    initial_state: Value = ()  # the state before the first holder sets another
+    orders: bool = True  # whether the holder sends orders to the members; without them it only holds the duty
 
     @property
     def number(self) -> int:
-        """What it is in a datagram."""
+        """The number of the duty in datagrams."""
         return ident(self.name, 2)
 
     def candidates(self, members: tuple[str, ...]) -> tuple[str, ...]:
-        """Who may hold it, in order: rendezvous hashing (Thaler and Ravishankar, 1998) spreads duties."""
+        """Returns the members that may hold the duty, the most preferred first.
+
+        Without a preference, rendezvous hashing (Thaler and Ravishankar, 1998) distributes the duties over
+        the members.
+        """
         if self.preferred:
             return self.preferred
         return tuple(sorted(members, key=lambda m: ident(f"{self.name}\0{m}")))
@@ -50,14 +53,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """One process's part in the duties of a fleet.
+    """The settings of one process's part in the duties of a fleet.
 
     Raises:
-        DutiesError: they contradict each other; the message names the field.
+        DutiesError: the settings contradict each other; the message names the field.
     """
 
     name: str
-    members: tuple[str, ...]  # all that obey
+    members: tuple[str, ...]  # all routers that obey orders
     voters: tuple[str, ...]
     duties: tuple[Duty, ...]
     heartbeat: float = 0.5
@@ -65,18 +68,18 @@
     drift: float = 0.02
     settle: float = 2.0
     unwell: float = 1.0
-    unheard: float = 4.0  # seconds without enough members' answers, after which a holder gives a duty up
-    brake: float = 8.0  # seconds for which it does not stand for it then, doubled each time
+    unheard: float = 4.0  # seconds without answers of a majority after which a holder gives the duty up
+    brake: float = 8.0  # seconds for which it then does not campaign, doubled each time
 
     def __post_init__(self) -> None:
         if self.name not in self.members:
             raise DutiesError(f"members: {self.name} is not among them")
         if len(set(self.members)) < len(self.members) or len(self.members) > MAX_MEMBERS:
-            raise DutiesError(f"members: each once, {MAX_MEMBERS} at most")
+            raise DutiesError(f"members: each name once, at most {MAX_MEMBERS}")
         if len(self.voters) not in range(1, 8) or not set(self.voters) <= set(self.members):
             raise DutiesError("voters: 1 to 7 of the members")
         if not 0 < len(self.duties) <= MAX_DUTIES or len({d.number for d in self.duties}) < len(self.duties):
-            raise DutiesError(f"duties: 1 to {MAX_DUTIES}, each under a name of its own")
+            raise DutiesError(f"duties: 1 to {MAX_DUTIES}, with different names")
         for duty in self.duties:
             if not set(duty.preferred) <= set(self.members):
                 raise DutiesError(f"duties.{duty.name}.preferred: not all are members")
@@ -88,11 +91,11 @@
             self.election(duty)
 
     def election(self, duty: Duty) -> election_messages.Settings:
-        """The settings of one duty's election. Raises DutiesError."""
+        """Returns the settings of one duty's election. Raises DutiesError."""
         try:
             return election_messages.Settings(
                 *(self.name, self.voters, self.heartbeat, self.lease, self.drift, self.settle, self.unwell),
-                even_voters=True,  # on the way from one set to another
+                even_voters=True,  # the number is even while one voter is replaced by another
                 preferred=duty.candidates(self.members),
             )
         except election_messages.ElectionError as e:
@@ -100,39 +103,42 @@
 
     @property
     def majority(self) -> int:
-        """Members that make an order last: any two such sets share one."""
+        """Number of members that commit an order; any two such sets share a member."""
         return len(self.members) // 2 + 1
 
     def order_lifetime(self, good_for: float) -> float:
-        """Seconds on any clock after which an order that was good for so long is obeyed by nobody."""
+        """Returns the seconds, on any clock, after which no member obeys an order of this validity any
+        more."""
         return good_for * (1 + self.drift) / (1 - self.drift)
 
     def longest_vacancy(self, duty: Duty) -> float:
-        """Seconds from a holder's death until another's orders are obeyed, if majorities of voters and of
-        members talk and nothing is lost: the election's bound, the last order's time, two rounds of
-        questions."""
+        """Upper bound in seconds from a holder's death until another holder's orders are obeyed.
+
+        It applies while majorities of the voters and of the members can communicate and no message is lost.
+        It is the sum of the election's bound, the lifetime of the last order, and two rounds of questions.
+        """
         return self.election(duty).longest_vacancy + self.order_lifetime(duty.good_for) + 2 * self.heartbeat
 
 
-# What members say; beside what voters and candidates say, each with the duty that it is about
+# Messages between members; each is sent with the number of its duty, as are the election's messages
 
 
 @dataclass(slots=True, frozen=True)
 class Survey:
-    """I hold this duty under this token: which of its orders have you taken?"""
+    """The holder of this token asks which order the receiver accepted last."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class Known:
-    """The last that I have taken, and that I obey nothing with a lower token than yours any more.
+    """Reports the last accepted order, and that lower tokens than the survey's are not obeyed any more.
 
-    `fresh`: I have started without a memory and have taken none since.
+    `fresh`: the member started without a memory and has accepted no order since.
     """
 
-    token: int  # of the question
-    taken: int  # token of the order
+    token: int  # token of the survey
+    taken: int  # token of the accepted order
     number: int
     fresh: bool
     stamp: int
@@ -141,21 +147,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Order:
-    """Do this from now on, for `good_for` milliseconds after you said what I repeat in `echo`.
+    """Orders the state `value`, valid for `good_for` milliseconds from the time of the stamp in `echo`.
 
-    0 milliseconds: obey none of mine any more.
+    0 milliseconds: no order of the sender is to be obeyed any more.
     """
 
     token: int
     number: int
     good_for: int
-    echo: int  # the stamp that was heard last of the receiver; 0: none
+    echo: int  # the last stamp received from the receiver; 0: none
     value: Value
 
 
 @dataclass(slots=True, frozen=True)
 class Taken:
-    """I have heard the order, and with `kept` taken it; else it came too late, or after a later one."""
+    """Answers an order. Without `kept`, it was not accepted because it came too late or after a later one."""
 
     token: int
     number: int
@@ -165,21 +171,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Outdated:
-    """There is a higher token than yours."""
+    """Tells a holder that there is a higher token than its own."""
 
     token: int
 
 
 Message = election_messages.Message | Survey | Known | Order | Taken | Outdated
-Item = tuple[int, Message]  # and the duty's number
+Item = tuple[int, Message]  # the duty's number and the message
 
 
-# What duties are told
+# Events, which are the input of duties
 
 
 @dataclass(slots=True, frozen=True)
 class MessagesReceived:
-    """What another member says, all of one datagram."""
+    """A datagram with messages of another member has arrived."""
 
     sender: str
     items: tuple[Item, ...]
@@ -187,12 +193,12 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """The time of a `Wake` has come."""
+    """The time of the last `SetTimer` has come."""
 
 
 @dataclass(slots=True, frozen=True)
 class AbilityReported:
-    """Whether this process can hold a duty, or any at all."""
+    """Reports whether this process can hold the named duty, or any duty if none is named."""
 
     able: bool
     duty: str = ""
@@ -200,7 +206,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetState:
-    """The holder's word: the duty's state is this from now on, and all members are to know."""
+    """The holder sets the state of its duty, which is ordered to all members."""
 
     duty: str
     value: Value
@@ -208,7 +214,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Move:
-    """Hand a duty over, to a member or to whoever is next."""
+    """Hand a duty over to the named member, or to the next candidate."""
 
     duty: str
     to: str = ""
@@ -216,14 +222,14 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkStopped:
-    """What a holder without orders did for its duty has ended."""
+    """The work of a holder without orders has ended."""
 
     duty: str
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """New settings; one voter may have come or gone."""
+    """New settings; at most one member and one voter were added or removed."""
 
     settings: Settings
 
@@ -231,7 +237,7 @@
 Event = MessagesReceived | TimerFired | AbilityReported | SetState | Move | WorkStopped | SettingsChanged
 
 
-# What they answer, to be carried out in order
+# Actions, to be carried out in order
 
 
 @dataclass(slots=True, frozen=True)
@@ -240,22 +246,22 @@
 
     term: int = 0
     voted: str = ""
-    promised: int = 0  # the highest token heard of
-    token: int = 0  # of the order that was taken last
+    promised: int = 0  # the highest token seen
+    token: int = 0  # token of the last accepted order
     number: int = 0
     value: Value = ()
 
 
 @dataclass(slots=True, frozen=True)
 class Save:
-    """Write this down, by the duties' names, before what follows goes out."""
+    """Store these memories, by duty, before any later action is carried out."""
 
     memories: dict[str, Memory]
 
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Send these to another member, in one datagram where they fit; they may be lost."""
+    """Send these messages to another member, in one datagram if they fit; they may be lost."""
 
     to: str
     items: tuple[Item, ...]
@@ -263,7 +269,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Acquired:
-    """This process holds a duty: act by it from here on, each time after a look at `Duties.may`."""
+    """This process holds a duty and may act for it, after a check of `Duties.acting_token` before each
+    effect."""
 
     duty: str
     token: int
@@ -272,7 +279,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Lost:
-    """It holds it no more: begin nothing for it; say `Stopped` where it holds without orders."""
+    """This process no longer holds a duty, and must start nothing new for it.
+
+    For a duty without orders, post `WorkStopped` once its work has ended.
+    """
 
     duty: str
     reason: str
@@ -280,7 +290,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Committed:
-    """A majority of the members has taken the holder's order with this number: it will not be forgotten."""
+    """A majority of the members has accepted the holder's order of this number, so that it will not be
+    forgotten."""
 
     duty: str
     token: int
@@ -289,8 +300,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Obeys:
-    """This member obeys an order from now until a time, on its own clock; each of a higher token than any
-    before."""
+    """This member obeys an order from now until a time on its own clock.
+
+    Its token is never lower than that of an order obeyed before.
+    """
 
     duty: str
     holder: str
@@ -302,7 +315,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ObeysNobody:
-    """This member has obeyed nobody since a time on its own clock: the duty's safe rest holds."""
+    """This member has obeyed no holder since a time on its own clock; the duty's safe default applies."""
 
     duty: str
     since: float
@@ -310,7 +323,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Say `Woke` at this time; it replaces the time before."""
+    """Post `TimerFired` at this time; replaces the previous timer."""
 
     at: float
 
@@ -320,7 +333,7 @@
 
 @dataclass(slots=True)
 class ObeyedOrder:
-    """What a member obeys."""
+    """The order that a member obeys."""
 
     holder: str = ""
     token: int = 0
--- a/myrtlecourse/duties/setup.py
+++ b/myrtlecourse/duties/setup.py
@@ -1,4 +1,4 @@
-"""Makes a keeper of duties of what the operators' file says."""
+"""Builds the driver of duties from the operators' file."""
 
 from __future__ import annotations
 
@@ -20,28 +20,29 @@
 
 
 def peers(table: Duties) -> dict[str, Endpoint]:
-    """Where each member hears the others."""
+    """Returns the address on which each member receives messages."""
     return {p.name: address_of(p.at) for p in table.peers}
 
 
 def keys(table: Duties) -> tuple[bytes, tuple[bytes, ...]]:
-    """The key to seal with, and those that are taken as well. Raises ConfigError."""
+    """Returns the key to seal datagrams with, and those that are accepted as well. Raises ConfigError."""
     also = (read_key(Path(file), "duties.also_key_files") for file in table.also_key_files)
     return read_key(Path(table.key_file), "duties.key_file"), tuple(also)
 
 
 def make_driver(table: Duties, settings: Settings, able: Callable[[], bool]) -> DutyDriver:
-    """The keeper of a router; the settings are the table's, with what else is a duty.
+    """Returns a router's driver; `settings` are those of the table, extended by the duties that it does not
+    list.
 
     Raises:
-        ConfigError: a file that is named can't be used.
+        ConfigError: a file named in the table can't be used.
     """
     memory = Path(table.memory_file) if table.memory_file is not None else None
     try:
         saved = read_memories(memory) if memory is not None else None
     except MemoryFileError as e:
-        # guards what was promised: staff must say that it may be begun with anew
-        raise ConfigError(f"duties.memory_file: {e}; remove it to begin anew") from e
+        # keeps promises: only an operator may decide to start without the memory
+        raise ConfigError(f"duties.memory_file: {e}; remove it to start without the memory") from e
     try:
         driver = DutyDriver(settings, peers(table), keys(table), memory, saved, able)
     except ValueError as e:
--- a/myrtlecourse/duties/steps.py
+++ b/myrtlecourse/duties/steps.py
@@ -1,8 +1,8 @@
-"""A duty that is done in numbered steps, each by one router and once; events in, actions out, no I/O.
+"""A duty done in numbered steps, each by one router and at most once; events in, actions out, no I/O.
 
-The state holds the last step that was claimed, the last that ended, and when the last was claimed. A step is
-begun only after a majority has taken its claim, so that no later holder begins it again: at most once. One
-that was claimed and is not known to have ended is told to staff, and not repeated.
+The state holds the last step that was claimed, the last that finished, and the time of the last claim. A step
+runs only after a majority of the members has accepted its claim, so that no later holder runs it again. A
+step that was claimed and is not known to have finished is reported to operators and not repeated.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 class StepAction(Enum):
     """What is to be done."""
 
-    SET_STATE = "place"  # order this state
-    RUN = "run"  # begin the step, if the duty is still held at that moment
-    UNFINISHED = "left"  # tell staff: a step before was claimed and is not known to have ended
+    SET_STATE = "place"  # order this state to the members
+    RUN = "run"  # run the step, if the duty is still held at that moment
+    UNFINISHED = "left"  # report that an earlier step was claimed and is not known to have finished
 
 
 @dataclass(slots=True, frozen=True)
 class StepTask:
-    """One thing to do."""
+    """One action to be carried out."""
 
     action: StepAction
     step: int
@@ -32,34 +32,35 @@
 
 
 class Steps:
-    """A holder's part."""
+    """A holder's part in the steps."""
 
     def __init__(self, every: float) -> None:
-        """A step every so many seconds."""
+        """`every` is the time in seconds from one step to the next."""
         self.every = every
-        self.token = 0  # 0: not the holder
+        self.token = 0  # 0: this process does not hold the duty
         self.claimed = self.ended = 0
         self.claimed_at = 0  # Unix time in seconds
-        self.claim_order: int | None = None  # the order that has to last first
+        # number of the order that has to be committed before the step runs
+        self.claim_order: int | None = None
         self.running = False
-        self.next_step_at = math.inf  # on the own clock
+        self.next_step_at = math.inf  # on the monotonic clock
 
     def on_acquired(self, now: float, wall: float, token: int, value: Value) -> list[StepTask]:
-        """The duty is this process's; `wall` is the Unix time."""
+        """Starts a holding of the duty; `wall` is the Unix time in seconds."""
         self.token = token
         self.claimed, self.ended, self.claimed_at = value if len(value) == 3 else (0, 0, 0)
         self.claim_order, self.running = None, False
-        # guards the pace: a new holder goes on when the one before would have, and at the latest a step later
+        # keeps the pace: a new holder continues when the previous one would have, and at most one step later
         since = min(max(0.0, wall - self.claimed_at), self.every)
         self.next_step_at = now + (self.every - since)
         return [StepTask(StepAction.UNFINISHED, self.claimed)] if self.claimed > self.ended else []
 
     def on_lost(self) -> None:
-        """It is not any more."""
+        """Ends the holding."""
         self.token, self.next_step_at, self.claim_order = 0, math.inf, None
 
     def tick(self, now: float, wall: float, last_order: int) -> list[StepTask]:
-        """What is due; `last` is the number of the order before."""
+        """Claims the next step when it is due; `last_order` is the number of the holder's last order."""
         if not self.token or now < self.next_step_at or self.running or self.claim_order is not None:
             return []
         self.claimed, self.claimed_at = self.claimed + 1, int(wall)
@@ -68,14 +69,14 @@
         return [StepTask(StepAction.SET_STATE, self.claimed, self._value())]
 
     def on_committed(self, token: int, number: int) -> list[StepTask]:
-        """An order will last."""
+        """Runs the claimed step once its claim is committed."""
         if token != self.token or self.claim_order is None or number < self.claim_order:
             return []
         self.claim_order, self.running = None, True
         return [StepTask(StepAction.RUN, self.claimed)]
 
     def on_finished(self, token: int) -> list[StepTask]:
-        """The step has ended, whatever came of it."""
+        """Records that the step has ended, whatever its result."""
         if token != self.token or not self.running:
             return []
         self.running, self.ended = False, self.claimed
--- a/myrtlecourse/election/messages.py
+++ b/myrtlecourse/election/messages.py
@@ -49,7 +49,7 @@
     def __post_init__(self) -> None:
         # with a list of candidates it may only observe
         if self.name not in self.voters and not self.preferred:
-            raise ElectionError(f"voters: {self.name} is not one of them")
+            raise ElectionError(f"voters: {self.name} is not among them")
         if len(set(self.preferred)) < len(self.preferred) or len(self.preferred) > MAX_CANDIDATES:
             raise ElectionError(f"preferred: each name once, at most {MAX_CANDIDATES}")
         if len(set(self.voters)) < len(self.voters):
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -195,13 +195,13 @@
     now = there.processes["d"].clock()
     wrong: list[tuple[said.Event, str]] = [
         (said.Move("q"), "no duty"),
-        (said.Move("y", "b"), "may not"),
+        (said.Move("y", "b"), "b is not a candidate"),
         (said.Move("y", "d"), "already"),
         (said.Move("x", "a"), "does not hold"),
         (said.SetState("x", (1,)), "does not hold"),
         (said.SetState("y", (-1,)), "numbers"),
         (said.SetState("y", (1,) * 9), "numbers"),
-        (said.SettingsChanged(Settings("d", NAMES, ("c", "d", "e"), EACH)), "one may come"),
+        (said.SettingsChanged(Settings("d", NAMES, ("c", "d", "e"), EACH)), "add or remove one"),
         (said.SettingsChanged(Settings("d", NAMES, VOTERS, EACH[:1])), "duties"),
     ]
     for event, message in wrong:
@@ -218,7 +218,7 @@
     ("changes", "message"),
     [
         ({"members": ("b", "c")}, "members: a"),
-        ({"members": ("a", "a", "b", "c")}, "members: each once"),
+        ({"members": ("a", "a", "b", "c")}, "members: each name once"),
         ({"voters": ("a", "b", "x")}, "voters"),
         ({"duties": ()}, "duties: 1"),
         ({"duties": (Duty("x"), Duty("x"))}, "duties"),
