--- a/bench/duty_move.py
+++ b/bench/duty_move.py
@@ -28,7 +28,7 @@
 from myrtlecourse.fleet.session import play
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.peers.wire import Wire
-from myrtlecourse.sim.duties import World
+from myrtlecourse.sim.duties import DutySimulation
 
 SPACE = 5.0  # seconds from one fault to the next
 LASTS = 2.5  # seconds of a stop or a cut: five leases
@@ -135,10 +135,10 @@
 def virtual(members: int, how: str, times: int, seed: int) -> dict[str, Any]:
     """In virtual time, with clocks that drift; raises when a rule is broken."""
     names = tuple(f"router-{n}" for n in range(members))
-    there = World(names, seed, (said.Duty("purge", good_for=GOOD_FOR),), names[:3], **FIGURES)
-    there.looks_every = max(1, members // 5)
+    there = DutySimulation(names, seed, (said.Duty("purge", good_for=GOOD_FOR),), names[:3], **FIGURES)
+    there.check_interval = max(1, members // 5)
     there.start()
-    there.settle(30.0)
+    there.run_until_held(30.0)
     gaps = []
     for _ in range(times):
         there.run(2.0)
@@ -160,10 +160,10 @@
             first.go_on()
         else:
             there.network.cut.clear()
-    return {"gaps": gaps, "steps": len(there.done), "breaches": {}, "faults": []}
+    return {"gaps": gaps, "steps": len(there.steps_done), "breaches": {}, "faults": []}
 
 
-class Costs(World):
+class Costs(DutySimulation):
     """Counts the datagrams that the words make, and their bytes."""
 
     def send(self, sender: str, to: str, items: tuple[said.Item, ...]) -> None:
@@ -184,9 +184,9 @@
             each = tuple(said.Duty(f"d{i}", names[3:5], GOOD_FOR, orders=orders) for i in range(count))
             there = Costs(names, 1, each, names[:3], **FIGURES)
             there.sizes = []
-            there.looks_every = 1000
+            there.check_interval = 1000
             there.start()
-            there.settle(30.0)
+            there.run_until_held(30.0)
             there.run(3.0)
             there.sizes.clear()
             there.run(5.0)
--- a/myrtlecourse/sim/duties.py
+++ b/myrtlecourse/sim/duties.py
@@ -11,17 +11,17 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from myrtlecourse.duties import messages as said
+from myrtlecourse.duties import messages
 from myrtlecourse.duties.core import Duties
 from myrtlecourse.sim.core import Core
-from myrtlecourse.sim.election import Network, cut_for
+from myrtlecourse.sim.election import Network, links_to_cut
 from myrtlecourse.sim.machine import Machine
 
-Make = Callable[[said.Settings, dict[str, said.Memory] | None, float, int, int], Duties]
-PAUSE = 0.3  # seconds between a holder's steps
+MakeDuties = Callable[[messages.Settings, dict[str, messages.Memory] | None, float, int, int], Duties]
+STEP_PAUSE = 0.3  # seconds between a holder's steps
 
 
-class Broken(AssertionError):
+class RuleViolation(AssertionError):
     """A rule was broken; the message names it."""
 
 
@@ -34,20 +34,20 @@
     number: int  # of the order
 
 
-def too_few_remember(each: Iterable[Duties | None], settings: said.Settings) -> bool:
+def too_few_memories(each: Iterable[Duties | None], settings: messages.Settings) -> bool:
     """Whether so many have started without a memory that a state may be lost for good."""
-    sure = sum(d is not None and not any(m.fresh for m in d.members.values()) for d in each)
-    return sure < settings.majority
+    remembering = sum(d is not None and not any(m.fresh for m in d.members.values()) for d in each)
+    return remembering < settings.majority
 
 
-class Process(Machine[said.Event]):
+class Process(Machine[messages.Event]):
     """One router's part: a process that may die, stand still and start again."""
 
-    def __init__(self, world: World, name: str, rate: float, disk: bool) -> None:
-        super().__init__(world.core, world.chance, name, rate)
-        self.world = world
-        self.disk = disk
-        self.saved: dict[str, said.Memory] | None = None  # on its disk
+    def __init__(self, simulation: DutySimulation, name: str, rate: float, has_disk: bool) -> None:
+        super().__init__(simulation.core, simulation.rng, name, rate)
+        self.simulation = simulation
+        self.has_disk = has_disk
+        self.saved: dict[str, messages.Memory] | None = None  # on its disk
         self.duties: Duties | None = None
         self.claims: dict[str, Claim] = {}
 
@@ -56,15 +56,15 @@
         if self.duties is not None:
             return
         self.boots += 1
-        seed = self.world.chance.getrandbits(32)
-        self.duties = self.world.make(
-            self.world.settings(self.name),
-            self.saved if self.disk else None,
+        seed = self.simulation.rng.getrandbits(32)
+        self.duties = self.simulation.make_duties(
+            self.simulation.settings(self.name),
+            self.saved if self.has_disk else None,
             self.clock(),
             seed,
-            int(10 * self.world.core.now),
+            int(10 * self.simulation.core.now),
         )
-        self.post(said.AbilityReported(self.able))
+        self.post(messages.AbilityReported(self.able))
 
     def kill(self) -> None:
         """The process dies; nothing of it is said to anyone."""
@@ -72,7 +72,7 @@
         self.claims.clear()
         self.forget()
 
-    def post(self, event: said.Event) -> None:
+    def post(self, event: messages.Event) -> None:
         """Let its duties hear of something, and carry out what they answer."""
         if self.duties is None:
             return
@@ -81,141 +81,145 @@
             return
         for action in self.duties.handle(self.clock(), event):
             self._carry_out(action)
-        self.world.check()
+        self.simulation.check()
 
-    def _carry_out(self, action: said.Action) -> None:
-        world = self.world
+    def _carry_out(self, action: messages.Action) -> None:
+        simulation = self.simulation
         match action:
-            case said.Save(memories):
+            case messages.Save(memories):
                 self.saved = dict(memories)
-            case said.Send(to, items):
-                world.send(self.name, to, items)
-            case said.Acquired(duty, token, value):
-                world.took(self, duty, token, value)
-            case said.Lost(duty):
+            case messages.Send(to, items):
+                simulation.send(self.name, to, items)
+            case messages.Acquired(duty, token, value):
+                simulation.on_acquired(self, duty, token, value)
+            case messages.Lost(duty):
                 self.claims.pop(duty, None)
-                world.core.after(0.0, self.post, said.WorkStopped(duty))
-            case said.Committed(duty, token, number):
-                world.settled(self, duty, token, number)
-            case said.Obeys():
-                world.obeys(self, action)
-            case said.SetTimer(at):
-                self.call_at(at, lambda: self.post(said.TimerFired()))
+                simulation.core.after(0.0, self.post, messages.WorkStopped(duty))
+            case messages.Committed(duty, token, number):
+                simulation.on_committed(self, duty, token, number)
+            case messages.Obeys():
+                simulation.on_obeys(self, action)
+            case messages.SetTimer(at):
+                self.call_at(at, lambda: self.post(messages.TimerFired()))
 
     def claim(self, duty: str, step: int, token: int, boot: int) -> None:
         """Claim a step, if the duty is still held by the same right as when this was planned."""
         if boot != self.boots or self.stopped or self.duties is None:
             if self.stopped and boot == self.boots:
-                self.world.core.after(PAUSE, self.claim, duty, step, token, boot)
+                self.simulation.core.after(STEP_PAUSE, self.claim, duty, step, token, boot)
             return
         # guards the steps: what was planned in an earlier holding would be claimed once more in this one
         if self.duties.acting_token(self.clock(), duty) != token:
             return
         number = self.duties.holdings[duty].number + 1
         self.claims[duty] = Claim(token, step, number)
-        self.post(said.SetState(duty, (step,)))
+        self.post(messages.SetState(duty, (step,)))
 
 
-class World:
+class DutySimulation:
     """Some processes on one clock."""
 
     def __init__(
         self,
         names: tuple[str, ...],
         seed: int,
-        duties: tuple[said.Duty, ...],
+        duties: tuple[messages.Duty, ...],
         voters: tuple[str, ...],
-        make: Make = Duties,
+        make_duties: MakeDuties = Duties,
         disks: bool = True,
-        **figures: float,
+        **settings_given: float,
     ) -> None:
         self.core = Core(seed)
-        self.chance = self.core.stream("processes")
-        self.ways = self.core.stream("network")
-        self.make = make
+        self.rng = self.core.stream("processes")
+        self.network_rng = self.core.stream("network")
+        self.make_duties = make_duties
         self.names = names
         self.duties = duties
         self.voters = voters
-        self.figures = figures
+        self.settings_given = settings_given
         self.network = Network()
         self.datagrams = 0
         self.events = 0
-        self.looks_every = 1  # events between two looks at all: in a large world each would cost too much
+        self.check_interval = 1  # events between two looks at all: in a large world each would cost too much
         self.items = 0
-        self.highest = {d.name: 0 for d in duties}  # token obeyed
-        self.done: dict[tuple[str, int], int] = {}  # by duty and step: the token
-        self.lasting = {d.name: 0 for d in duties}  # the last step whose claim was settled
+        self.highest_token = {d.name: 0 for d in duties}  # token obeyed
+        self.steps_done: dict[tuple[str, int], int] = {}  # by duty and step: the token
+        self.committed_steps = {d.name: 0 for d in duties}  # the last step whose claim was settled
         self.history: list[tuple[float, str, str, int]] = []  # when, who took which duty, token
         self.stale_obeyed = 0
         drift = self.settings(names[0]).drift
-        self.processes = {n: Process(self, n, 1 + self.chance.uniform(-drift, drift), disks) for n in names}
+        self.processes = {n: Process(self, n, 1 + self.rng.uniform(-drift, drift), disks) for n in names}
         self.disks = disks
-        self.forgot = False  # so many have restarted without a disk that a state may be lost
+        self.memory_lost = False  # so many have restarted without a disk that a state may be lost
 
-    def settings(self, name: str) -> said.Settings:
+    def settings(self, name: str) -> messages.Settings:
         """The settings of a process."""
-        return said.Settings(name, self.names, self.voters, self.duties, **self.figures)
+        return messages.Settings(name, self.names, self.voters, self.duties, **self.settings_given)
 
     def start(self) -> None:
         """All at once."""
         for process in self.processes.values():
             process.start()
 
-    def send(self, sender: str, to: str, items: tuple[said.Item, ...]) -> None:
+    def send(self, sender: str, to: str, items: tuple[messages.Item, ...]) -> None:
         """A datagram on its way, which may be lost, come twice, or be passed by a later one."""
         self.datagrams += 1
         self.items += len(items)
         network = self.network
-        if (sender, to) in network.cut or self.ways.random() < network.loss:
+        if (sender, to) in network.cut or self.network_rng.random() < network.loss:
             return
         boot = self.processes[to].boots
-        for _ in range(2 if self.ways.random() < network.twice else 1):
-            delay = self.ways.uniform(*network.delay)
+        for _ in range(2 if self.network_rng.random() < network.duplication else 1):
+            delay = self.network_rng.uniform(*network.delay)
             self.core.after(delay, self._deliver, sender, to, items, boot)
 
-    def _deliver(self, sender: str, to: str, items: tuple[said.Item, ...], boot: int) -> None:
+    def _deliver(self, sender: str, to: str, items: tuple[messages.Item, ...], boot: int) -> None:
         process = self.processes[to]
         # what was sealed for a process before is not taken by the next
         if (sender, to) not in self.network.cut and process.boots == boot:
-            process.post(said.MessagesReceived(sender, items))
+            process.post(messages.MessagesReceived(sender, items))
 
     # What is judged
 
-    def took(self, process: Process, duty: str, token: int, value: said.Value) -> None:
+    def on_acquired(self, process: Process, duty: str, token: int, value: messages.Value) -> None:
         """Somebody acts from now on."""
         self.history.append((self.core.now, process.name, duty, token))
         step = value[0] if value else 0
         if process.duties is not None and (holding := process.duties.holdings.get(duty)) is not None:
-            self.forgot = self.forgot or holding.state_uncertain
-        if step < self.lasting[duty] and not self.forgot:
-            raise Broken(f"forgotten: {duty} goes on from step {step}, after {self.lasting[duty]}")
+            self.memory_lost = self.memory_lost or holding.state_uncertain
+        if step < self.committed_steps[duty] and not self.memory_lost:
+            raise RuleViolation(
+                f"forgotten: {duty} goes on from step {step}, after {self.committed_steps[duty]}"
+            )
         if next(d.orders for d in self.duties if d.name == duty):
-            self.core.after(PAUSE, process.claim, duty, step + 1, token, process.boots)
+            self.core.after(STEP_PAUSE, process.claim, duty, step + 1, token, process.boots)
 
-    def settled(self, process: Process, duty: str, token: int, number: int) -> None:
+    def on_committed(self, process: Process, duty: str, token: int, number: int) -> None:
         """A claim will not be forgotten: now its step may be done."""
         claim = process.claims.get(duty)
         if claim is None or claim.token != token or number < claim.number or process.duties is None:
             return
-        self.lasting[duty] = max(self.lasting[duty], claim.step)
+        self.committed_steps[duty] = max(self.committed_steps[duty], claim.step)
         del process.claims[duty]
         if process.duties.acting_token(process.clock(), duty) == token:
-            before = self.done.get((duty, claim.step))
-            if before is not None and not self.forgot:
-                raise Broken(f"done_twice: step {claim.step} of {duty} by {before} and {token}")
-            self.done[duty, claim.step] = token
-        self.core.after(PAUSE, process.claim, duty, claim.step + 1, token, process.boots)
+            before = self.steps_done.get((duty, claim.step))
+            if before is not None and not self.memory_lost:
+                raise RuleViolation(f"done_twice: step {claim.step} of {duty} by {before} and {token}")
+            self.steps_done[duty, claim.step] = token
+        self.core.after(STEP_PAUSE, process.claim, duty, claim.step + 1, token, process.boots)
 
-    def obeys(self, process: Process, order: said.Obeys) -> None:
+    def on_obeys(self, process: Process, order: messages.Obeys) -> None:
         """A member obeys from now on."""
-        if order.token < self.highest[order.duty]:
-            raise Broken(f"stale_obeyed: {process.name} obeys {order.token} after {self.highest[order.duty]}")
-        self.highest[order.duty] = order.token
+        if order.token < self.highest_token[order.duty]:
+            raise RuleViolation(
+                f"stale_obeyed: {process.name} obeys {order.token} after {self.highest_token[order.duty]}"
+            )
+        self.highest_token[order.duty] = order.token
 
     def check(self) -> None:
         """Raises Broken. Leases and orders only end as time goes: a look after each event is enough."""
         self.events += 1
-        if self.events % self.looks_every:
+        if self.events % self.check_interval:
             return
         for duty in self.duties:
             acting, tokens = [], set()
@@ -228,9 +232,9 @@
                 if (obeyed := process.duties.order_in_force(now, duty.name)) is not None:
                     tokens.add(obeyed.token)
             if len(acting) > 1:
-                raise Broken(f"two_hold: {' and '.join(acting)} act for {duty.name}")
+                raise RuleViolation(f"two_hold: {' and '.join(acting)} act for {duty.name}")
             if len(tokens) > 1:
-                raise Broken(f"two_obeyed: orders of {sorted(tokens)} for {duty.name}")
+                raise RuleViolation(f"two_obeyed: orders of {sorted(tokens)} for {duty.name}")
 
     def holder(self, duty: str) -> str:
         """Who acts for a duty at this moment of true time; empty: nobody."""
@@ -243,7 +247,7 @@
         """Let time pass."""
         self.core.run(self.core.now + seconds)
 
-    def settle(self, within: float) -> float | None:
+    def run_until_held(self, within: float) -> float | None:
         """Seconds until all duties have somebody, or None if one has nobody within that time."""
         began = self.core.now
         while self.core.now < began + within:
@@ -253,7 +257,7 @@
         return None
 
 
-TROUBLES = (
+FAULTS = (
     "kill",
     "kill",
     "stop",
@@ -268,16 +272,16 @@
 )
 
 
-def trouble(world: World, chance: random.Random, longest: float) -> str:
+def inject_fault(simulation: DutySimulation, rng: random.Random, longest: float) -> str:
     """Let one thing go wrong, and be well again after a while; answers with what it was."""
-    what = chance.choice((*TROUBLES, "all") if world.disks else TROUBLES)
-    names = list(world.names)
-    holders = [h for d in world.duties if (h := world.holder(d.name))]
-    name = chance.choice(holders) if holders and chance.random() < 0.6 else chance.choice(names)
-    process, after, core = world.processes[name], chance.uniform(0.0, longest), world.core
-    match what:
+    fault = rng.choice((*FAULTS, "all") if simulation.disks else FAULTS)
+    names = list(simulation.names)
+    holders = [h for d in simulation.duties if (h := simulation.holder(d.name))]
+    name = rng.choice(holders) if holders and rng.random() < 0.6 else rng.choice(names)
+    process, after, core = simulation.processes[name], rng.uniform(0.0, longest), simulation.core
+    match fault:
         case "kill":
-            _kill(world, process)
+            _kill(simulation, process)
             core.after(after, process.start)
         case "stop":
             process.stop()
@@ -285,70 +289,74 @@
         case "stop_cut":
             # it wakes with what came meanwhile, and nothing that it says then comes through
             process.stop()
-            core.after(chance.uniform(0.2, 4.0), _go_on_alone, process, after)
+            core.after(rng.uniform(0.2, 4.0), _go_on_alone, process, after)
         case "unwell":
             process.able = False
-            process.post(said.AbilityReported(False))
-            core.after(after, _well, process)
+            process.post(messages.AbilityReported(False))
+            core.after(after, _make_able, process)
         case "move":
             if process.duties is not None and not process.stopped:
-                for duty in world.duties:
+                for duty in simulation.duties:
                     if process.duties.acting_token(process.clock(), duty.name) is not None:
-                        others = [n for n in (*duty.candidates(world.names), "") if n != name]
-                        process.post(said.Move(duty.name, chance.choice(others)))
+                        others = [n for n in (*duty.candidates(simulation.names), "") if n != name]
+                        process.post(messages.Move(duty.name, rng.choice(others)))
         case "all":
-            for each in world.processes.values():
+            for each in simulation.processes.values():
                 each.kill()
-                core.after(chance.uniform(0.0, after), each.start)
+                core.after(rng.uniform(0.0, after), each.start)
         case "lossy":
-            world.network.loss, world.network.twice = chance.choice(((0.3, 0.0), (0.3, 0.3), (0.05, 0.5)))
-            world.network.delay = chance.choice(((0.0005, 0.005), (0.0, 0.4), (0.0, 3.0)))
+            simulation.network.loss, simulation.network.duplication = rng.choice(
+                ((0.3, 0.0), (0.3, 0.3), (0.05, 0.5))
+            )
+            simulation.network.delay = rng.choice(((0.0005, 0.005), (0.0, 0.4), (0.0, 3.0)))
         case _:
-            cut = cut_for(names, name, what, chance)
-            world.network.cut |= cut
-            core.after(after, world.network.cut.difference_update, cut)
-    return f"{core.now - 1000:.2f} {what} {name}"
+            cut = links_to_cut(names, name, fault, rng)
+            simulation.network.cut |= cut
+            core.after(after, simulation.network.cut.difference_update, cut)
+    return f"{core.now - 1000:.2f} {fault} {name}"
 
 
 def _go_on_alone(process: Process, seconds: float) -> None:
-    world = process.world
-    cut = cut_for(list(world.names), process.name, "cut", world.chance)
+    simulation = process.simulation
+    cut = links_to_cut(list(simulation.names), process.name, "cut", simulation.rng)
     process.go_on()
-    world.network.cut |= cut
-    world.core.after(seconds, world.network.cut.difference_update, cut)
+    simulation.network.cut |= cut
+    simulation.core.after(seconds, simulation.network.cut.difference_update, cut)
 
 
-def _kill(world: World, process: Process) -> None:
+def _kill(simulation: DutySimulation, process: Process) -> None:
     process.kill()
-    if not world.disks:
-        left = [p.duties for p in world.processes.values()]
-        world.forgot = world.forgot or too_few_remember(left, world.settings(process.name))
+    if not simulation.disks:
+        remaining = [p.duties for p in simulation.processes.values()]
+        simulation.memory_lost = simulation.memory_lost or too_few_memories(
+            remaining, simulation.settings(process.name)
+        )
 
 
-def _well(process: Process) -> None:
+def _make_able(process: Process) -> None:
     process.able = True
-    process.post(said.AbilityReported(True))
+    process.post(messages.AbilityReported(True))
 
 
-def schedule(world: World, seconds: float, longest: float = 5.0) -> list[str]:
+def run_random_faults(simulation: DutySimulation, seconds: float, longest: float = 5.0) -> list[str]:
     """Play a random schedule of troubles; answers with what happened. Raises Broken."""
-    chance = world.core.stream("troubles")
-    world.start()
-    told, until = [], world.core.now + seconds
-    while world.core.now < until:
-        world.run(chance.expovariate(0.8))
-        told.append(trouble(world, chance, longest))
-    return told
+    rng = simulation.core.stream("troubles")
+    simulation.start()
+    faults, until = [], simulation.core.now + seconds
+    while simulation.core.now < until:
+        simulation.run(rng.expovariate(0.8))
+        faults.append(inject_fault(simulation, rng, longest))
+    return faults
 
 
-def well_again(world: World) -> None:
+def end_faults(simulation: DutySimulation) -> None:
     """The end of all troubles."""
-    world.network.cut.clear()
-    world.network.loss = world.network.twice = 0.0
-    world.network.delay = (0.0005, 0.005)
-    for process in world.processes.values():
+    simulation.network.cut.clear()
+    simulation.network.loss = simulation.network.duplication = 0.0
+    simulation.network.delay = (0.0005, 0.005)
+    for process in simulation.processes.values():
         if process.stopped:
             process.go_on()
         process.start()
         if not process.able:
-            _well(process)
+            _make_able(process)
--- a/myrtlecourse/sim/duty_commands.py
+++ b/myrtlecourse/sim/duty_commands.py
@@ -13,43 +13,43 @@
 from myrtlecourse.duties.messages import Duty, Settings
 from myrtlecourse.load.commands import write_json
 from myrtlecourse.sim import election
-from myrtlecourse.sim.duties import Broken, World, schedule, well_again
+from myrtlecourse.sim.duties import DutySimulation, RuleViolation, end_faults, run_random_faults
 from myrtlecourse.sim.exhaust import explore
 
-BROKEN = 1  # exit code with a find
+EXIT_VIOLATION = 1  # exit code with a find
 NAMES = ("a", "b", "c", "d", "e")
 VOTERS = NAMES[:3]
-EACH = (Duty("x"), Duty("y", ("d", "a")), Duty("z", orders=False))
-TROUBLED = 30.0  # seconds of a random schedule, on its own clock
+DUTIES = (Duty("x"), Duty("y", ("d", "a")), Duty("z", orders=False))
+FAULT_SECONDS = 30.0  # seconds of a random schedule, on its own clock
 
 
-def small() -> Settings:
+def small_settings() -> Settings:
     """Three processes that vote and two duties, whose holders are two of them."""
-    each = (Duty("x", ("a", "b"), good_for=1.0), Duty("y", ("b", "a"), good_for=1.0))
+    duties = (Duty("x", ("a", "b"), good_for=1.0), Duty("y", ("b", "a"), good_for=1.0))
     times = {"heartbeat": 0.5, "lease": 1.6, "settle": 0.0, "unheard": 2.0, "brake": 2.0}
-    return Settings("a", VOTERS, VOTERS, each, **times)
+    return Settings("a", VOTERS, VOTERS, duties, **times)
 
 
 def random_duties(seed: int, disks: bool) -> str:
     """One schedule of troubles; answers with what broke, or nothing."""
-    there = World(NAMES, seed, EACH, VOTERS, disks=disks)
+    simulation = DutySimulation(NAMES, seed, DUTIES, VOTERS, disks=disks)
     try:
-        schedule(there, TROUBLED)
-        well_again(there)
-        told = there.settings("a")
-        bound = 3 * told.lease + told.settle + max(told.longest_vacancy(d) for d in EACH)
-        if there.settle(bound) is None:
+        run_random_faults(simulation, FAULT_SECONDS)
+        end_faults(simulation)
+        settings = simulation.settings("a")
+        bound = 3 * settings.lease + settings.settle + max(settings.longest_vacancy(d) for d in DUTIES)
+        if simulation.run_until_held(bound) is None:
             return f"a duty without a holder {bound:.1f} s after the last trouble"
-    except Broken as e:
+    except RuleViolation as e:
         return str(e)
     return ""
 
 
 def random_election(seed: int, disks: bool) -> str:
     """The same of the service address."""
-    there = election.Elections(VOTERS if seed % 2 else NAMES, seed, disks=disks)
+    simulation = election.ElectionSimulation(VOTERS if seed % 2 else NAMES, seed, disks=disks)
     try:
-        election.schedule(there, TROUBLED)
+        election.run_random_faults(simulation, FAULT_SECONDS)
     except AssertionError as e:
         return str(e)
     return ""
@@ -89,25 +89,28 @@
 
     Exit code 0 when nothing was found, 1 with a find, which its seed or its steps play again.
     """
-    told: dict[str, Any]
+    result: dict[str, Any]
     if troubles is not None:
-        found = explore(small(), disks=disks, deviations=troubles, first=first, skip=skip)
-        told = asdict(found)
+        found = explore(
+            small_settings(), disks=disks, deviations=troubles, deviations_before=first, skip=skip
+        )
+        result = asdict(found)
         click.echo(f"{found.states:,} states, {found.schedules:,} schedules; " + (found.broken or "no find"))
         for step in found.path:
             click.echo(f"  before step {step[0]}: {' '.join(map(str, step[1:]))}")
         broken = bool(found.broken)
     else:
-        until, played, why = time.monotonic() + seconds, 0, ""
-        look = random_election if elections else random_duties
-        while time.monotonic() < until and not why:
-            why = look(seed + played, disks)
+        until, played, violation = time.monotonic() + seconds, 0, ""
+        play = random_election if elections else random_duties
+        while time.monotonic() < until and not violation:
+            violation = play(seed + played, disks)
             played += 1
-        told = {"schedules": played, "broken": why, "seed": seed + played - 1 if why else None}
+        result = {"schedules": played, "broken": violation, "seed": seed + played - 1 if violation else None}
         click.echo(
-            f"{played:,} schedules; " + (f"{why}, by --seed {seed + played - 1}" if why else "no find")
+            f"{played:,} schedules; "
+            + (f"{violation}, by --seed {seed + played - 1}" if violation else "no find")
         )
-        broken = bool(why)
+        broken = bool(violation)
     if json_file is not None:
-        write_json(json_file, told)
-    sys.exit(BROKEN if broken else 0)
+        write_json(json_file, result)
+    sys.exit(EXIT_VIOLATION if broken else 0)
--- a/myrtlecourse/sim/election.py
+++ b/myrtlecourse/sim/election.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from myrtlecourse.election import messages as said
+from myrtlecourse.election import messages
 from myrtlecourse.election.core import Election
 from myrtlecourse.sim.core import Core
 from myrtlecourse.sim.machine import Machine
 
-Make = Callable[[said.Settings, said.Saved, float, int], Election]
+MakeElection = Callable[[messages.Settings, messages.Saved, float, int], Election]
 
 
 @dataclass
@@ -22,20 +22,20 @@
     """What becomes of a message on its way."""
 
     loss: float = 0.0
-    twice: float = 0.0  # chance that it comes once more
+    duplication: float = 0.0  # chance that it comes once more
     delay: tuple[float, float] = (0.0005, 0.005)  # seconds; those of two messages differ, so that they pass
     cut: set[tuple[str, str]] = field(default_factory=set)  # from whom to whom nothing comes through
 
 
-class Instance(Machine[said.Event]):
+class Instance(Machine[messages.Event]):
     """One router's part: a process that may die, stand still and start again."""
 
-    def __init__(self, world: Elections, name: str, rate: float, disk: bool) -> None:
-        super().__init__(world.core, world.chance, name, rate)
-        self.world = world
-        self.disk = disk
-        self.saved = said.Saved()  # on its disk
-        self.slow = 0.0  # seconds that a withdrawal takes
+    def __init__(self, simulation: ElectionSimulation, name: str, rate: float, has_disk: bool) -> None:
+        super().__init__(simulation.core, simulation.rng, name, rate)
+        self.simulation = simulation
+        self.has_disk = has_disk
+        self.saved = messages.Saved()  # on its disk
+        self.withdrawal_time = 0.0  # seconds that a withdrawal takes
         self.election: Election | None = None
 
     def start(self) -> None:
@@ -43,10 +43,12 @@
         if self.election is not None:
             return
         self.boots += 1
-        saved = self.saved if self.disk else said.Saved()
-        seed = self.world.chance.getrandbits(32)
-        self.election = self.world.make(self.world.settings(self.name), saved, self.clock(), seed)
-        self.post(said.AbilityReported(self.able))
+        saved = self.saved if self.has_disk else messages.Saved()
+        seed = self.simulation.rng.getrandbits(32)
+        self.election = self.simulation.make_election(
+            self.simulation.settings(self.name), saved, self.clock(), seed
+        )
+        self.post(messages.AbilityReported(self.able))
 
     def kill(self) -> None:
         """The process dies; nothing of it is said to anyone."""
@@ -57,7 +59,7 @@
         """Whether it would accept a client now."""
         return self.election is not None and self.election.holds(self.clock())
 
-    def post(self, event: said.Event) -> None:
+    def post(self, event: messages.Event) -> None:
         """Let its election hear of something, and carry out what it answers."""
         if self.election is None:
             return
@@ -66,82 +68,84 @@
             return
         for action in self.election.handle(self.clock(), event):
             self._carry_out(action)
-        self.world.check()
+        self.simulation.check()
 
-    def _carry_out(self, action: said.Action) -> None:
-        world = self.world
+    def _carry_out(self, action: messages.Action) -> None:
+        simulation = self.simulation
         match action:
-            case said.Save(saved):
+            case messages.Save(saved):
                 self.saved = saved
-                if self.disk and saved.voted:  # without one a term is forgotten; what lasts then is the wait
-                    world.votes.setdefault((self.name, saved.term), set()).add(saved.voted)
-            case said.Send(to, message):
-                world.send(self.name, to, message)
-            case said.Announce(term):
-                world.announced.append((world.core.now, self.name, term))
-            case said.Withdraw(why):
-                world.withdrawn.append((world.core.now, self.name, why))
+                if (
+                    self.has_disk and saved.voted
+                ):  # without one a term is forgotten; what lasts then is the wait
+                    simulation.votes.setdefault((self.name, saved.term), set()).add(saved.voted)
+            case messages.Send(to, message):
+                simulation.send(self.name, to, message)
+            case messages.Announce(term):
+                simulation.announced.append((simulation.core.now, self.name, term))
+            case messages.Withdraw(why):
+                simulation.withdrawn.append((simulation.core.now, self.name, why))
                 boot = self.boots
-                world.core.after(self.slow, self._withdrawn, boot)
-            case said.SetTimer(at):
-                self.call_at(at, lambda: self.post(said.TimerFired()))
+                simulation.core.after(self.withdrawal_time, self._withdrawn, boot)
+            case messages.SetTimer(at):
+                self.call_at(at, lambda: self.post(messages.TimerFired()))
 
     def _withdrawn(self, boot: int) -> None:
         if boot == self.boots:
-            self.post(said.Withdrawn())
+            self.post(messages.Withdrawn())
 
 
 class TwoHolders(AssertionError):
     """Two instances held the address at one moment of true time."""
 
 
-class Elections:
+class ElectionSimulation:
     """Some instances on one clock."""
 
     def __init__(
         self,
         names: tuple[str, ...],
         seed: int,
-        make: Make = Election,
+        make_election: MakeElection = Election,
         disks: bool = True,
         **settings: float | bool,
     ) -> None:
         self.core = Core(seed)
-        self.chance = self.core.stream("instances")
-        self.ways = self.core.stream("network")
-        self.make = make
+        self.rng = self.core.stream("instances")
+        self.network_rng = self.core.stream("network")
+        self.make_election = make_election
         self.names = names
-        self.figures = settings
+        self.settings_given = settings
         self.network = Network()
-        self.messages = 0
+        self.message_count = 0
         self.announced: list[tuple[float, str, int]] = []
         self.withdrawn: list[tuple[float, str, str]] = []
         self.votes: dict[tuple[str, int], set[str]] = {}  # by voter and term, as saved
         drift = self.settings(names[0]).drift
-        self.instances = {n: Instance(self, n, 1 + self.chance.uniform(-drift, drift), disks) for n in names}
+        self.instances = {n: Instance(self, n, 1 + self.rng.uniform(-drift, drift), disks) for n in names}
 
-    def settings(self, name: str) -> said.Settings:
+    def settings(self, name: str) -> messages.Settings:
         """The settings of an instance."""
-        return said.Settings(name, self.names, **self.figures)  # type: ignore[arg-type]
+        return messages.Settings(name, self.names, **self.settings_given)  # type: ignore[arg-type]
 
     def start(self) -> None:
         """All at once."""
         for instance in self.instances.values():
             instance.start()
 
-    def send(self, sender: str, to: str, message: said.Message) -> None:
+    def send(self, sender: str, to: str, message: messages.Message) -> None:
         """A message on its way, which may be lost, come twice, or be passed by a later one."""
-        self.messages += 1
+        self.message_count += 1
         network = self.network
-        if (sender, to) in network.cut or self.ways.random() < network.loss:
+        if (sender, to) in network.cut or self.network_rng.random() < network.loss:
             return
-        for _ in range(2 if self.ways.random() < network.twice else 1):
-            delay = self.ways.uniform(*network.delay)
+        for _ in range(2 if self.network_rng.random() < network.duplication else 1):
+            delay = self.network_rng.uniform(*network.delay)
             self.core.after(delay, self._deliver, sender, to, message)
 
-    def _deliver(self, sender: str, to: str, message: said.Message) -> None:
+    def _deliver(self, sender: str, to: str, message: messages.Message) -> None:
         if (sender, to) not in self.network.cut:
-            self.instances[to].post(said.MessageReceived(sender, message))
+            self.instances[to].post(messages.MessageReceived(sender, message))
 
     def holders(self) -> list[str]:
         """Who holds the address at this moment of true time."""
@@ -160,7 +164,7 @@
         """Let time pass."""
         self.core.run(self.core.now + seconds)
 
-    def settle(self, within: float) -> float | None:
+    def run_until_held(self, within: float) -> float | None:
         """Seconds until somebody holds the address, or None if nobody does within that time."""
         began = self.core.now
         while self.core.now < began + within:
@@ -170,30 +174,18 @@
         return None
 
 
-TROUBLES = (
-    "kill",
-    "kill",
-    "stop",
-    "cut",
-    "cut_one_way",
-    "split",
-    "stop_cut",
-    "unwell",
-    "move",
-    "all",
-    "lossy",
-)
+FAULTS = ("kill", "kill", "stop", "cut", "cut_one_way", "split", "stop_cut", "unwell", "move", "all", "lossy")
 
 
-def trouble(world: Elections, chance: random.Random, longest: float) -> str:
+def inject_fault(simulation: ElectionSimulation, rng: random.Random, longest: float) -> str:
     """Let one thing go wrong, and be well again after a while; answers with what it was."""
-    what = chance.choice(TROUBLES)
-    names = list(world.names)
-    holders = world.holders()
+    fault = rng.choice(FAULTS)
+    names = list(simulation.names)
+    holders = simulation.holders()
     # the holder is the one whose troubles matter most
-    name = holders[0] if holders and chance.random() < 0.6 else chance.choice(names)
-    instance, after, core = world.instances[name], chance.uniform(0.0, longest), world.core
-    match what:
+    name = holders[0] if holders and rng.random() < 0.6 else rng.choice(names)
+    instance, after, core = simulation.instances[name], rng.uniform(0.0, longest), simulation.core
+    match fault:
         case "kill":
             instance.kill()
             core.after(after, instance.start)
@@ -203,73 +195,75 @@
         case "stop_cut":
             # what came meanwhile is read, and nothing that it says then comes through
             instance.stop()
-            core.after(chance.uniform(0.2, world.settings(name).lease), _go_on_alone, instance, after)
+            core.after(rng.uniform(0.2, simulation.settings(name).lease), _go_on_alone, instance, after)
         case "unwell":
             instance.able = False
-            instance.post(said.AbilityReported(False))
-            core.after(after, _well, instance)
+            instance.post(messages.AbilityReported(False))
+            core.after(after, _make_able, instance)
         case "move":
-            instance.slow = chance.choice((0.0, 0.05, 0.5))
-            instance.post(said.Move(chance.choice([*names, ""])))
+            instance.withdrawal_time = rng.choice((0.0, 0.05, 0.5))
+            instance.post(messages.Move(rng.choice([*names, ""])))
         case "all":
-            for each in world.instances.values():
+            for each in simulation.instances.values():
                 each.kill()
-                core.after(chance.uniform(0.0, after), each.start)
+                core.after(rng.uniform(0.0, after), each.start)
         case "lossy":
-            world.network.loss, world.network.twice = chance.choice(((0.3, 0.0), (0.3, 0.3), (0.05, 0.5)))
-            world.network.delay = chance.choice(((0.0005, 0.005), (0.0, 0.4)))
+            simulation.network.loss, simulation.network.duplication = rng.choice(
+                ((0.3, 0.0), (0.3, 0.3), (0.05, 0.5))
+            )
+            simulation.network.delay = rng.choice(((0.0005, 0.005), (0.0, 0.4)))
         case _:
-            cut = cut_for(names, name, what, chance)
-            world.network.cut |= cut
-            core.after(after, world.network.cut.difference_update, cut)
-    return f"{core.now - 1000:.2f} {what} {name}"
+            cut = links_to_cut(names, name, fault, rng)
+            simulation.network.cut |= cut
+            core.after(after, simulation.network.cut.difference_update, cut)
+    return f"{core.now - 1000:.2f} {fault} {name}"
 
 
 def _go_on_alone(instance: Instance, seconds: float) -> None:
-    world = instance.world
-    cut = cut_for(list(world.names), instance.name, "cut", world.chance)
+    simulation = instance.simulation
+    cut = links_to_cut(list(simulation.names), instance.name, "cut", simulation.rng)
     instance.go_on()
-    world.network.cut |= cut
-    world.core.after(seconds, world.network.cut.difference_update, cut)
+    simulation.network.cut |= cut
+    simulation.core.after(seconds, simulation.network.cut.difference_update, cut)
 
 
-def _well(instance: Instance) -> None:
+def _make_able(instance: Instance) -> None:
     instance.able = True
-    instance.post(said.AbilityReported(True))
+    instance.post(messages.AbilityReported(True))
 
 
-def cut_for(names: list[str], name: str, what: str, chance: random.Random) -> set[tuple[str, str]]:
+def links_to_cut(names: list[str], name: str, fault: str, rng: random.Random) -> set[tuple[str, str]]:
     """The ways, from whom to whom, that a trouble of this name cuts."""
     others = [n for n in names if n != name]
-    if what == "cut_one_way":
-        ways = [(name, o) for o in others]
-        return set(ways if chance.random() < 0.5 else [(o, s) for s, o in ways])
-    if what == "cut":
+    if fault == "cut_one_way":
+        links = [(name, o) for o in others]
+        return set(links if rng.random() < 0.5 else [(o, s) for s, o in links])
+    if fault == "cut":
         return {(name, o) for o in others} | {(o, name) for o in others}
-    part = set(chance.sample(names, len(names) // 2))
+    part = set(rng.sample(names, len(names) // 2))
     return {(a, b) for a in names for b in names if (a in part) is not (b in part)}
 
 
-def schedule(world: Elections, seconds: float, longest: float = 4.0) -> list[str]:
+def run_random_faults(simulation: ElectionSimulation, seconds: float, longest: float = 4.0) -> list[str]:
     """Play a random schedule of troubles; answers with what happened. Raises TwoHolders."""
-    chance = world.core.stream("troubles")
-    world.start()
-    told, until = [], world.core.now + seconds
-    while world.core.now < until:
-        world.run(chance.expovariate(1.0))
-        told.append(trouble(world, chance, longest))
-    return told
+    rng = simulation.core.stream("troubles")
+    simulation.start()
+    faults, until = [], simulation.core.now + seconds
+    while simulation.core.now < until:
+        simulation.run(rng.expovariate(1.0))
+        faults.append(inject_fault(simulation, rng, longest))
+    return faults
 
 
-def well_again(world: Elections) -> None:
+def end_faults(simulation: ElectionSimulation) -> None:
     """The end of all troubles."""
-    world.network.cut.clear()
-    world.network.loss = world.network.twice = 0.0
-    world.network.delay = (0.0005, 0.005)
-    for instance in world.instances.values():
+    simulation.network.cut.clear()
+    simulation.network.loss = simulation.network.duplication = 0.0
+    simulation.network.delay = (0.0005, 0.005)
+    for instance in simulation.instances.values():
         if instance.stopped:
             instance.go_on()
         instance.start()
-        instance.slow = 0.0
+        instance.withdrawal_time = 0.0
         if not instance.able:
-            _well(instance)
+            _make_able(instance)
--- a/myrtlecourse/sim/exhaust.py
+++ b/myrtlecourse/sim/exhaust.py
@@ -15,14 +15,14 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from myrtlecourse.duties import messages as said
+from myrtlecourse.duties import messages
 from myrtlecourse.duties.core import Duties
-from myrtlecourse.sim.duties import Broken, Make, too_few_remember
+from myrtlecourse.sim.duties import MakeDuties, RuleViolation, too_few_memories
 
 STEP = 0.001  # seconds that a message takes, and a step at least
 
 
-class Middle:
+class MidRangeRandom:
     """In place of random numbers: the middle of each range, so that schedules alone tell runs apart."""
 
     def random(self) -> float:
@@ -42,41 +42,41 @@
     name: str
     rate: float
     duties: Duties | None = None
-    saved: dict[str, said.Memory] | None = None
+    saved: dict[str, messages.Memory] | None = None
     boots: int = 0
     wake: float = float("inf")  # true time
-    until: float = 0.0  # it stands still, or is cut off, or dead, until then
-    trouble: str = ""
+    fault_until: float = 0.0  # it stands still, or is cut off, or dead, until then
+    fault: str = ""
     claims: dict[str, tuple[int, int, int]] = field(default_factory=dict)  # token, step, number of the order
 
 
 @dataclass(slots=True)
-class Letter:
+class PendingMessage:
     """A message under way."""
 
     sender: str
     to: str
     boot: int
-    items: tuple[said.Item, ...]
+    items: tuple[messages.Item, ...]
     held_until: float = 0.0
 
 
-class Small:
+class ModelState:
     """A state of the world; pickled to be copied."""
 
-    def __init__(self, settings: said.Settings, make: Make, disks: bool) -> None:
+    def __init__(self, settings: messages.Settings, make_duties: MakeDuties, disks: bool) -> None:
         self.settings = settings
-        self.make = make
+        self.make_duties = make_duties
         self.disks = disks
         self.now = 1.0
         rates = [1 + settings.drift, 1 - settings.drift, 1.0]
         self.nodes = {n: Node(n, rates[i % 3]) for i, n in enumerate(settings.members)}
-        self.letters: list[Letter] = []
-        self.highest = {d.name: 0 for d in settings.duties}
-        self.done: dict[tuple[str, int], int] = {}
-        self.lasting = {d.name: 0 for d in settings.duties}
-        self.forgot = False
-        self.owners: dict[tuple[str, int], tuple[str, int]] = {}
+        self.pending: list[PendingMessage] = []
+        self.highest_token = {d.name: 0 for d in settings.duties}
+        self.steps_done: dict[tuple[str, int], int] = {}
+        self.committed_steps = {d.name: 0 for d in settings.duties}
+        self.memory_lost = False
+        self.token_owners: dict[tuple[str, int], tuple[str, int]] = {}
         for node in self.nodes.values():
             self.start(node)
 
@@ -87,116 +87,121 @@
     def start(self, node: Node) -> None:
         """A new process."""
         node.boots += 1
-        own = said.Settings(
-            **{f: getattr(self.settings, f) for f in said.Settings.__slots__ if f != "name"}, name=node.name
+        own_settings = messages.Settings(
+            **{f: getattr(self.settings, f) for f in messages.Settings.__slots__ if f != "name"},
+            name=node.name,
         )
         seed = 10 * node.boots + list(self.nodes).index(node.name)
         saved, floor = node.saved if self.disks else None, int(10 * self.now)
-        node.duties = self.make(own, saved, self.clock(node), seed, floor)
-        middle: Any = Middle()
+        node.duties = self.make_duties(own_settings, saved, self.clock(node), seed, floor)
+        mid_range: Any = MidRangeRandom()
         for election in node.duties.elections.values():
-            election.random = middle
-        self.post(node, said.AbilityReported(True))
+            election.random = mid_range
+        self.post(node, messages.AbilityReported(True))
 
-    def post(self, node: Node, event: said.Event) -> None:
+    def post(self, node: Node, event: messages.Event) -> None:
         """An event for a process."""
         if node.duties is None:
             return
         for action in node.duties.handle(self.clock(node), event):
             self._carry_out(node, action)
 
-    def _carry_out(self, node: Node, action: said.Action) -> None:
+    def _carry_out(self, node: Node, action: messages.Action) -> None:
         match action:
-            case said.Save(memories):
+            case messages.Save(memories):
                 node.saved = dict(memories)
-            case said.Send(to, items):
-                self.letters.append(Letter(node.name, to, self.nodes[to].boots, items))
-            case said.SetTimer(at):
+            case messages.Send(to, items):
+                self.pending.append(PendingMessage(node.name, to, self.nodes[to].boots, items))
+            case messages.SetTimer(at):
                 node.wake = max(self.now + STEP, (at - 100.0) / node.rate)
-            case said.Acquired(duty, token, value):
-                self._took(node, duty, token, value)
-            case said.Lost(duty):
+            case messages.Acquired(duty, token, value):
+                self._on_acquired(node, duty, token, value)
+            case messages.Lost(duty):
                 node.claims.pop(duty, None)
-            case said.Committed(duty, token, number):
-                self._settled(node, duty, token, number)
-            case said.Obeys(duty, _, token):
-                if token < self.highest[duty]:
-                    raise Broken(f"stale_obeyed: {node.name} obeys {token} after {self.highest[duty]}")
-                self.highest[duty] = token
-
-    def _took(self, node: Node, duty: str, token: int, value: said.Value) -> None:
-        owner = self.owners.setdefault((duty, token), (node.name, node.boots))
+            case messages.Committed(duty, token, number):
+                self._on_committed(node, duty, token, number)
+            case messages.Obeys(duty, _, token):
+                if token < self.highest_token[duty]:
+                    raise RuleViolation(
+                        f"stale_obeyed: {node.name} obeys {token} after {self.highest_token[duty]}"
+                    )
+                self.highest_token[duty] = token
+
+    def _on_acquired(self, node: Node, duty: str, token: int, value: messages.Value) -> None:
+        owner = self.token_owners.setdefault((duty, token), (node.name, node.boots))
         if owner != (node.name, node.boots):
-            raise Broken(f"token_twice: {token} of {duty} is that of {owner[0]} and {node.name}")
+            raise RuleViolation(f"token_twice: {token} of {duty} is that of {owner[0]} and {node.name}")
         step = value[0] if value else 0
-        if step < self.lasting[duty] and not self.forgot:
-            raise Broken(f"forgotten: {duty} goes on from step {step}, after {self.lasting[duty]}")
+        if step < self.committed_steps[duty] and not self.memory_lost:
+            raise RuleViolation(
+                f"forgotten: {duty} goes on from step {step}, after {self.committed_steps[duty]}"
+            )
         assert node.duties is not None
         if duty in node.duties.holdings:
             node.claims[duty] = token, step + 1, node.duties.holdings[duty].number + 1
-            self.post(node, said.SetState(duty, (step + 1,)))
+            self.post(node, messages.SetState(duty, (step + 1,)))
 
-    def _settled(self, node: Node, duty: str, token: int, number: int) -> None:
+    def _on_committed(self, node: Node, duty: str, token: int, number: int) -> None:
         claim = node.claims.get(duty)
         if claim is None or claim[0] != token or number < claim[2] or node.duties is None:
             return
         del node.claims[duty]
-        self.lasting[duty] = max(self.lasting[duty], claim[1])
+        self.committed_steps[duty] = max(self.committed_steps[duty], claim[1])
         if node.duties.acting_token(self.clock(node), duty) == token:
-            before = self.done.setdefault((duty, claim[1]), token)
-            if before != token and not self.forgot:
-                raise Broken(f"done_twice: step {claim[1]} of {duty} by {before} and {token}")
+            before = self.steps_done.setdefault((duty, claim[1]), token)
+            if before != token and not self.memory_lost:
+                raise RuleViolation(f"done_twice: step {claim[1]} of {duty} by {before} and {token}")
 
     # Steps
 
-    def parted(self, letter: Letter) -> bool:
+    def is_cut(self, message: PendingMessage) -> bool:
         """Whether a cut lies between."""
-        return "cut" in (self.nodes[letter.sender].trouble, self.nodes[letter.to].trouble)
+        return "cut" in (self.nodes[message.sender].fault, self.nodes[message.to].fault)
 
-    def ready(self) -> list[int]:
+    def deliverable(self) -> list[int]:
         """Letters that may be delivered, the oldest first."""
         return [
             i
-            for i, letter in enumerate(self.letters)
-            if letter.held_until <= self.now and self.nodes[letter.to].trouble != "stop"
+            for i, message in enumerate(self.pending)
+            if message.held_until <= self.now and self.nodes[message.to].fault != "stop"
         ]
 
     def deliver(self, i: int) -> None:
         """One letter comes."""
-        letter = self.letters.pop(i)
-        node = self.nodes[letter.to]
-        if node.duties is not None and node.boots == letter.boot and not self.parted(letter):
-            self.post(node, said.MessagesReceived(letter.sender, letter.items))
+        message = self.pending.pop(i)
+        node = self.nodes[message.to]
+        if node.duties is not None and node.boots == message.boot and not self.is_cut(message):
+            self.post(node, messages.MessagesReceived(message.sender, message.items))
 
-    def pass_time(self) -> None:
+    def advance_time(self) -> None:
         """On to the next timer, the end of a trouble or of a message's way."""
-        due = [(n.wake, "wake", n.name) for n in self.nodes.values() if n.duties and n.trouble != "stop"]
-        due += [(n.until, "end", n.name) for n in self.nodes.values() if n.trouble]
-        due += [(letter.held_until, "", "") for letter in self.letters if letter.held_until > self.now]
-        at, what, name = min(due)
+        due = [(n.wake, "wake", n.name) for n in self.nodes.values() if n.duties and n.fault != "stop"]
+        due += [(n.fault_until, "end", n.name) for n in self.nodes.values() if n.fault]
+        due += [(message.held_until, "", "") for message in self.pending if message.held_until > self.now]
+        at, deviation, name = min(due)
         self.now = max(self.now + STEP, at)
-        if what == "end":
-            self.mend(self.nodes[name])
-        elif what == "wake":
-            self.post(self.nodes[name], said.TimerFired())
+        if deviation == "end":
+            self.end_fault(self.nodes[name])
+        elif deviation == "wake":
+            self.post(self.nodes[name], messages.TimerFired())
 
-    def mend(self, node: Node) -> None:
+    def end_fault(self, node: Node) -> None:
         """A trouble is over."""
-        trouble, node.trouble = node.trouble, ""
-        if trouble == "crash":
+        fault, node.fault = node.fault, ""
+        if fault == "crash":
             self.start(node)
-        elif trouble == "stop":
-            self.post(node, said.TimerFired())
+        elif fault == "stop":
+            self.post(node, messages.TimerFired())
 
-    def hurt(self, node: Node, trouble: str, seconds: float) -> None:
+    def start_fault(self, node: Node, fault: str, seconds: float) -> None:
         """A trouble begins."""
-        node.trouble, node.until = trouble, self.now + seconds
-        if trouble == "crash":
+        node.fault, node.fault_until = fault, self.now + seconds
+        if fault == "crash":
             node.duties = None
             node.claims.clear()
             node.wake = float("inf")
             if not self.disks:
-                self.forgot = self.forgot or too_few_remember(
+                self.memory_lost = self.memory_lost or too_few_memories(
                     [n.duties for n in self.nodes.values()], self.settings
                 )
 
@@ -212,56 +217,56 @@
                     if (obeyed := node.duties.order_in_force(now, duty.name)) is not None:
                         tokens.add(obeyed.token)
             if len(acting) > 1 or len(tokens) > 1:
-                raise Broken(f"two_obeyed: {acting} act for {duty.name}, {sorted(tokens)} are obeyed")
+                raise RuleViolation(f"two_obeyed: {acting} act for {duty.name}, {sorted(tokens)} are obeyed")
 
-    def usual(self) -> None:
+    def default_step(self) -> None:
         """What happens when nothing goes wrong."""
-        ready = self.ready()
-        if ready:
+        deliverable = self.deliverable()
+        if deliverable:
             self.now += STEP
-            self.deliver(ready[0])
+            self.deliver(deliverable[0])
         else:
-            self.pass_time()
+            self.advance_time()
         self.check()
 
     def deviations(self) -> Iterator[tuple[Any, ...]]:
         """What may go wrong now."""
-        ready = self.ready()
+        deliverable = self.deliverable()
         lease = self.settings.lease
-        if ready:
+        if deliverable:
             yield ("wait",)
-            yield "lose", ready[0]
-            yield "hold", ready[0], 1.2 * lease
-            yield "hold", ready[0], 2.5 * lease
-            for i in ready[1:4]:
+            yield "lose", deliverable[0]
+            yield "hold", deliverable[0], 1.2 * lease
+            yield "hold", deliverable[0], 2.5 * lease
+            for i in deliverable[1:4]:
                 yield "first", i
         for node in self.nodes.values():
-            if not node.trouble and node.duties is not None:
+            if not node.fault and node.duties is not None:
                 yield "stop", node.name, 0.6 * lease
                 yield "stop", node.name, 2.5 * lease
                 yield "cut", node.name, 1.6 * lease
                 yield "crash", node.name, 0.1 * lease
                 yield "crash", node.name, 1.6 * lease
 
-    def deviate(self, what: tuple[Any, ...]) -> None:
+    def apply(self, deviation: tuple[Any, ...]) -> None:
         """Let it go wrong."""
-        match what:
+        match deviation:
             case ("wait",):
-                self.pass_time()
+                self.advance_time()
             case ("lose", i):
-                self.letters.pop(i)
+                self.pending.pop(i)
             case ("hold", i, seconds):
-                self.letters[i].held_until = self.now + seconds
+                self.pending[i].held_until = self.now + seconds
             case ("first", i):
                 self.now += STEP
                 self.deliver(i)
-            case (trouble, name, seconds):
-                self.hurt(self.nodes[name], trouble, seconds)
+            case (fault, name, seconds):
+                self.start_fault(self.nodes[name], fault, seconds)
         self.check()
 
 
 @dataclass
-class Found:
+class Exploration:
     """What an exhaustive look came to."""
 
     states: int = 0  # different ones
@@ -275,59 +280,62 @@
 
 
 def explore(
-    settings: said.Settings,
-    make: Make = Duties,
+    settings: messages.Settings,
+    make_duties: MakeDuties = Duties,
     disks: bool = True,
     deviations: int = 1,
-    first: int = 60,
+    deviations_before: int = 60,
     steps: int = 150,
-    most: int = 10_000_000,
+    max_states: int = 10_000_000,
     skip: int = 0,
-) -> Found:
+) -> Exploration:
     """Play all schedules with so many deviations among the `first` steps, each of them `steps` long.
 
     Begins so many steps (`skip`) after each duty has its holder. `most` bounds the states.
     """
-    world = Small(settings, make, disks)
+    state_at_start = ModelState(settings, make_duties, disks)
     for _ in range(3000):
-        world.usual()
+        state_at_start.default_step()
         if (
             all(
-                any(n.duties and n.duties.acting_token(world.clock(n), d.name) for n in world.nodes.values())
+                any(
+                    n.duties and n.duties.acting_token(state_at_start.clock(n), d.name)
+                    for n in state_at_start.nodes.values()
+                )
                 for d in settings.duties
             )
-            and not world.letters
+            and not state_at_start.pending
         ):
             break
     for _ in range(skip):
-        world.usual()
-    found, seen = Found(), dict[bytes, int]()
-    stack: list[tuple[int, int, bytes, tuple[Any, ...]]] = [(0, 0, pickle.dumps(world), ())]
-    while stack and found.states < most:
+        state_at_start.default_step()
+    result, seen = Exploration(), dict[bytes, int]()
+    stack: list[tuple[int, int, bytes, tuple[Any, ...]]] = [(0, 0, pickle.dumps(state_at_start), ())]
+    while stack and result.states < max_states:
         used, step, packed, path = stack.pop()
-        state: Small = pickle.loads(packed)
-        found.schedules += 1
+        state: ModelState = pickle.loads(packed)
+        result.schedules += 1
         try:
             for at in range(step, steps):
-                if used < deviations and at < first:
+                if used < deviations and at < deviations_before:
                     packed = pickle.dumps(state)
                     key = hashlib.blake2b(packed, digest_size=12).digest()
                     if seen.get(key, -1) >= deviations - used:
                         break
                     seen[key] = deviations - used
-                    found.states += 1
-                    for what in state.deviations():
-                        other: Small = pickle.loads(packed)
+                    result.states += 1
+                    for deviation in state.deviations():
+                        other: ModelState = pickle.loads(packed)
                         try:
-                            other.deviate(what)
-                        except Broken:
-                            path = (*path, (at, *what))
+                            other.apply(deviation)
+                        except RuleViolation:
+                            path = (*path, (at, *deviation))
                             raise
-                        stack.append((used + 1, at + 1, pickle.dumps(other), (*path, (at, *what))))
+                        stack.append((used + 1, at + 1, pickle.dumps(other), (*path, (at, *deviation))))
                 else:
-                    found.states += 1
-                state.usual()
-        except Broken as e:
-            found.broken, found.path = str(e), path
+                    result.states += 1
+                state.default_step()
+        except RuleViolation as e:
+            result.broken, result.path = str(e), path
             break
-    return found
+    return result
--- a/tests/test_duty_parts.py
+++ b/tests/test_duty_parts.py
@@ -16,7 +16,7 @@
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.audit.auditor import Auditor, Rules
 from myrtlecourse.config import ConfigError
-from myrtlecourse.duties import messages as said
+from myrtlecourse.duties import messages
 from myrtlecourse.duties.codec import KINDS, DutyCodec, split
 from myrtlecourse.duties.driver import MAX_WAITING, DutyDriver
 from myrtlecourse.duties.memory import MemoryFileError, read_memories, write_memories
@@ -29,7 +29,9 @@
 from tests.loopback import run
 
 numbers = st.integers(0, 2**62)
-values = st.lists(st.integers(0, said.STATE_NUMBER_LIMIT - 1), max_size=said.MAX_STATE_LENGTH).map(tuple)
+values = st.lists(st.integers(0, messages.STATE_NUMBER_LIMIT - 1), max_size=messages.MAX_STATE_LENGTH).map(
+    tuple
+)
 
 
 def message(kind: Any) -> Any:
@@ -46,11 +48,11 @@
     names = ("a" * 64, "b")
     wire = Wire(names[0], names, b"k" * 16, 2**62, DutyCodec())
     wire.senders["b"].start, wire.number = 2**62, 2**31
-    came: list[Item] = []
+    decoded: list[Item] = []
     for part in split(each, wire.room):
         assert len(wire.pack("b", part)) <= LONGEST
-        came += DutyCodec().read(msgspec.msgpack.decode(msgspec.msgpack.encode(DutyCodec().parts(part))))
-    assert sorted(map(repr, came)) == sorted(map(repr, each))
+        decoded += DutyCodec().read(msgspec.msgpack.decode(msgspec.msgpack.encode(DutyCodec().parts(part))))
+    assert sorted(map(repr, decoded)) == sorted(map(repr, each))
 
 
 @given(
@@ -106,31 +108,31 @@
         memory = tmp_path / "folder" / "memory"  # there is no such folder
         driver = DutyDriver(settings, peers, (b"k" * 16, ()), memory, None, lambda: True)
         driver.loop = asyncio.get_running_loop()
-        out: list[said.Message] = []
-        driver._send_items = lambda to, items: out.extend(m for _, m in items)  # type: ignore[method-assign]
+        sent: list[messages.Message] = []
+        driver._send_items = lambda to, items: sent.extend(m for _, m in items)  # type: ignore[method-assign]
 
-        def hear(words: said.Message) -> None:
-            driver.post(said.MessagesReceived("b", ((duty.number, words),)))
+        def deliver(received: messages.Message) -> None:
+            driver.post(messages.MessagesReceived("b", ((duty.number, received),)))
 
         driver.duties.elections["x"].startup_wait_until = time.monotonic()  # the wait after a start is over
         term = driver.duties.elections["x"].term + 1
-        hear(election.Ask(term, 1, False))
-        hear(said.Survey(term))
-        hear(election.Beat(term, 2))
+        deliver(election.Ask(term, 1, False))
+        deliver(messages.Survey(term))
+        deliver(election.Beat(term, 2))
         stamp = driver.duties.members["x"].stamp(time.monotonic())
-        hear(said.Order(term, 1, 60_000, stamp, (1,)))
+        deliver(messages.Order(term, 1, 60_000, stamp, (1,)))
         await asyncio.sleep(0.1)
-        assert [type(m) for m in out if not isinstance(m, election.Deny)] == [election.Renew, said.Taken]
-        assert not any(m.kept for m in out if isinstance(m, said.Taken))
+        assert [type(m) for m in sent if not isinstance(m, election.Deny)] == [election.Renew, messages.Taken]
+        assert not any(m.kept for m in sent if isinstance(m, messages.Taken))
         memory.parent.mkdir()
         until = time.monotonic() + 5.0
         while driver.writing is not None and time.monotonic() < until:
             await asyncio.sleep(0.01)
         saved = read_memories(memory)
         assert saved is not None and saved["x"].voted == "b" and saved["x"].value == (1,)
-        out.clear()
-        hear(said.Survey(term))
-        assert [type(m) for m in out] == [said.Known]
+        sent.clear()
+        deliver(messages.Survey(term))
+        assert [type(m) for m in sent] == [messages.Known]
         await driver.close()
 
     run(scenario)
@@ -144,21 +146,21 @@
         memory = tmp_path / "folder" / "memory"
         peers = dict.fromkeys(settings.members, ("127.0.0.1", 1))
         driver = DutyDriver(settings, peers, (b"k" * 16, ()), memory, None, lambda: True)
-        told: list[said.Acquired | said.Lost | said.Committed] = []
-        monkeypatch.setattr(driver, "_notify_work", told.append)
-        driver._carry_out(said.Save({"x": Memory(1)}))
-        driver._carry_out(said.Committed("x", 1, 1))
-        word = said.Send("b", ((7, said.Taken(1, 1, True, 1)),))
+        reported: list[messages.Acquired | messages.Lost | messages.Committed] = []
+        monkeypatch.setattr(driver, "_notify_work", reported.append)
+        driver._carry_out(messages.Save({"x": Memory(1)}))
+        driver._carry_out(messages.Committed("x", 1, 1))
+        answer = messages.Send("b", ((7, messages.Taken(1, 1, True, 1)),))
         for _ in range(3 * MAX_WAITING):
-            driver._carry_out(word)
+            driver._carry_out(answer)
         assert len(driver.waiting_for_disk) <= MAX_WAITING + 1
         await asyncio.sleep(0.05)
-        assert not told
+        assert not reported
         memory.parent.mkdir()
         until = time.monotonic() + 5.0
         while driver.writing is not None and time.monotonic() < until:
             await asyncio.sleep(0.01)
-        assert told == [said.Committed("x", 1, 1)] and read_memories(memory) == {"x": Memory(1)}
+        assert reported == [messages.Committed("x", 1, 1)] and read_memories(memory) == {"x": Memory(1)}
 
     run(scenario)
 
@@ -188,7 +190,7 @@
 
 
 def test_the_auditor_judges_duties() -> None:
-    told: list[seen.Observation] = [
+    observations: list[seen.Observation] = [
         seen.Holds(1.0, "a", "x", 5),
         seen.Obeys(1.0, "a", "x", 5),
         seen.Obeys(1.1, "b", "x", 5),
@@ -202,7 +204,7 @@
         seen.Did(2.8, "c", "x", 1, 6),
     ]
     auditor = Auditor(Rules(duty_gap=0.4))
-    for what in told:
+    for what in observations:
         auditor.take(what)
     found = auditor.verdict()["breaches"]
     kinds = ("two_obeyed", "stale_obeyed", "done_twice", "nobody_too_long")
@@ -244,8 +246,8 @@
 def test_a_file_that_can_t_hold_is_named(old: str, new: str, message: str, tmp_path: Path) -> None:
     path = tmp_path / "router.toml"
     path.write_text(GOOD)
-    told = read_operators(path)
-    assert [d.name for d in told.of_duties().duties] == ["address", "purge"]
+    operators = read_operators(path)
+    assert [d.name for d in operators.of_duties().duties] == ["address", "purge"]
     assert GOOD.count(old) >= 1
     path.write_text(GOOD.replace(old, new))
     with pytest.raises(ConfigError, match=message):
--- a/tests/wrong_duties.py
+++ b/tests/wrong_duties.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from myrtlecourse import __main__
-from myrtlecourse.duties import messages as said
+from myrtlecourse.duties import messages
 from myrtlecourse.duties.core import Duties
 from myrtlecourse.duties.holding import Holding
 from myrtlecourse.duties.member import Member
@@ -34,11 +34,11 @@
         self.promised = self.token = self.number = 0
         self.obeyed.token = 0
 
-    def any_order(self: Member, now: float, sender: str, message: said.Order) -> said.Message:
+    def any_order(self: Member, now: float, sender: str, message: messages.Order) -> messages.Message:
         forgets(self)
         return order(self, now, sender, message)
 
-    def any_survey(self: Member, now: float, message: said.Survey) -> said.Message:
+    def any_survey(self: Member, now: float, message: messages.Survey) -> messages.Message:
         token, number = self.token, self.number
         forgets(self)
         self.token, self.number = token, number
@@ -52,7 +52,7 @@
     """Obeys until it hears something else."""
     order = Member.order
 
-    def for_good(self: Member, now: float, sender: str, message: said.Order) -> said.Message:
+    def for_good(self: Member, now: float, sender: str, message: messages.Order) -> messages.Message:
         answer = order(self, now, sender, message)
         if now < self.obeyed.until:
             self.obeyed.until = math.inf
@@ -65,8 +65,8 @@
     """Takes an order for as good as new, however long it lay in a queue."""
     order = Member.order
 
-    def taken(self: Member, now: float, sender: str, message: said.Order) -> said.Message:
-        new = said.Order(message.token, message.number, message.good_for, self.stamp(now), message.value)
+    def taken(self: Member, now: float, sender: str, message: messages.Order) -> messages.Message:
+        new = messages.Order(message.token, message.number, message.good_for, self.stamp(now), message.value)
         return order(self, now, sender, new)
 
     patch(Member, "order", taken)
@@ -111,8 +111,8 @@
     on_taken = Holding.on_taken
 
     def settled(
-        self: Holding, now: float, member: str, taken: said.Taken
-    ) -> tuple[said.Message | None, bool]:
+        self: Holding, now: float, member: str, taken: messages.Taken
+    ) -> tuple[messages.Message | None, bool]:
         reply, _ = on_taken(self, now, member, taken)
         advanced = bool(self.acting and taken.kept and self.accepted.get(member, 0) > self.committed)
         self.committed = max(self.committed, self.accepted.get(member, 0))
@@ -140,7 +140,7 @@
 
 def votes_before_it_is_written(patch: Patch) -> None:
     """Says yes and writes nothing down; after a restart it has never voted, and promised nothing."""
-    patch(Duties, "_memory", lambda self, name: said.Memory(value=self.duties[name].initial_state))
+    patch(Duties, "_memory", lambda self, name: messages.Memory(value=self.duties[name].initial_state))
 
 
 def starts_as_if_nothing_had_been_promised(patch: Patch) -> None:
@@ -171,14 +171,14 @@
         patch(wire, "VERSION", wire.VERSION + 1)
 
 
-EACH = (
+WRONG = (
     *(wakes_without_a_look, token_is_not_compared, order_without_an_end, counts_from_the_arrival),
     *(does_not_ask, asks_one, acts_at_once, says_that_all_is_clear, settles_with_one),
     *(lease_from_the_answer, votes_for_all, votes_before_it_is_written),
     *(starts_as_if_nothing_had_been_promised, forgets_that_it_has_forgotten),
 )
-WAYS = {f.__name__: f for f in EACH}
+VARIANTS = {f.__name__: f for f in WRONG}
 
 if __name__ == "__main__":
-    (WAYS | {"one_of_another_version": one_of_another_version})[sys.argv.pop()](setattr)
+    (VARIANTS | {"one_of_another_version": one_of_another_version})[sys.argv.pop()](setattr)
     sys.exit(__main__.main())
