--- a/myrtlecourse/sim/duties.py
+++ b/myrtlecourse/sim/duties.py
@@ -1,8 +1,8 @@
-"""Duties in virtual time: processes whose clocks drift, a network that loses, and true time beside them.
+"""Simulation of duties in virtual time, with clocks that drift and a network that loses messages.
 
-Each holder does numbered steps: it claims the next one by an order, and does it once a majority has taken
-the claim. What no process can know is judged here: whether two are obeyed at one moment, a step is done
-twice or forgotten, and how long nobody holds.
+Each holder does numbered steps: it claims the next one by an order, and does it once a majority has accepted
+the claim. The simulation judges what no process can know: whether orders of two holders are obeyed at the
+same moment, whether a step is done twice or forgotten, and how long a duty has no holder.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class RuleViolation(AssertionError):
-    """A rule was broken; the message names it."""
+    """A rule was violated; the message names it."""
 
 
 @dataclass
@@ -31,28 +31,28 @@
 
     token: int
     step: int
-    number: int  # of the order
+    number: int  # number of the order that claims it
 
 
 def too_few_memories(each: Iterable[Duties | None], settings: messages.Settings) -> bool:
-    """Whether so many have started without a memory that a state may be lost for good."""
+    """Whether so many processes have started without a memory that a state may be lost for good."""
     remembering = sum(d is not None and not any(m.fresh for m in d.members.values()) for d in each)
     return remembering < settings.majority
 
 
 class Process(Machine[messages.Event]):
-    """One router's part: a process that may die, stand still and start again."""
+    """One router's part: a process that may die, be stopped, and start again."""
 
     def __init__(self, simulation: DutySimulation, name: str, rate: float, has_disk: bool) -> None:
         super().__init__(simulation.core, simulation.rng, name, rate)
         self.simulation = simulation
         self.has_disk = has_disk
-        self.saved: dict[str, messages.Memory] | None = None  # on its disk
+        self.saved: dict[str, messages.Memory] | None = None  # what its disk holds
         self.duties: Duties | None = None
         self.claims: dict[str, Claim] = {}
 
     def start(self) -> None:
-        """A new process; without a disk it knows nothing."""
+        """Starts a new process; without a disk it remembers nothing."""
         if self.duties is not None:
             return
         self.boots += 1
@@ -67,13 +67,13 @@
         self.post(messages.AbilityReported(self.able))
 
     def kill(self) -> None:
-        """The process dies; nothing of it is said to anyone."""
+        """Kills the process; it sends nothing any more."""
         self.duties = None
         self.claims.clear()
         self.forget()
 
     def post(self, event: messages.Event) -> None:
-        """Let its duties hear of something, and carry out what they answer."""
+        """Passes an event to the duties and carries out their actions; a stopped process gets it later."""
         if self.duties is None:
             return
         if self.stopped:
@@ -103,12 +103,12 @@
                 self.call_at(at, lambda: self.post(messages.TimerFired()))
 
     def claim(self, duty: str, step: int, token: int, boot: int) -> None:
-        """Claim a step, if the duty is still held by the same right as when this was planned."""
+        """Claims a step, if the duty is still held under the token for which this was scheduled."""
         if boot != self.boots or self.stopped or self.duties is None:
             if self.stopped and boot == self.boots:
                 self.simulation.core.after(STEP_PAUSE, self.claim, duty, step, token, boot)
             return
-        # guards the steps: what was planned in an earlier holding would be claimed once more in this one
+        # a claim that was scheduled in an earlier holding would claim the step once more
         if self.duties.acting_token(self.clock(), duty) != token:
             return
         number = self.duties.holdings[duty].number + 1
@@ -117,7 +117,7 @@
 
 
 class DutySimulation:
-    """Some processes on one clock."""
+    """Several processes in one virtual time, connected by one network."""
 
     def __init__(
         self,
@@ -140,29 +140,30 @@
         self.network = Network()
         self.datagrams = 0
         self.events = 0
-        self.check_interval = 1  # events between two looks at all: in a large world each would cost too much
+        # events between two checks; in a large simulation a check after each event takes too long
+        self.check_interval = 1
         self.items = 0
-        self.highest_token = {d.name: 0 for d in duties}  # token obeyed
-        self.steps_done: dict[tuple[str, int], int] = {}  # by duty and step: the token
-        self.committed_steps = {d.name: 0 for d in duties}  # the last step whose claim was settled
-        self.history: list[tuple[float, str, str, int]] = []  # when, who took which duty, token
+        self.highest_token = {d.name: 0 for d in duties}  # duty -> the highest token that was obeyed
+        self.steps_done: dict[tuple[str, int], int] = {}  # duty and step -> the token under which it was done
+        self.committed_steps = {d.name: 0 for d in duties}  # duty -> the last step whose claim was committed
+        self.history: list[tuple[float, str, str, int]] = []  # time, process, duty and token of each holding
         self.stale_obeyed = 0
         drift = self.settings(names[0]).drift
         self.processes = {n: Process(self, n, 1 + self.rng.uniform(-drift, drift), disks) for n in names}
         self.disks = disks
-        self.memory_lost = False  # so many have restarted without a disk that a state may be lost
+        self.memory_lost = False  # so many processes restarted without a disk that a state may be lost
 
     def settings(self, name: str) -> messages.Settings:
-        """The settings of a process."""
+        """Returns the settings of a process."""
         return messages.Settings(name, self.names, self.voters, self.duties, **self.settings_given)
 
     def start(self) -> None:
-        """All at once."""
+        """Starts all processes at once."""
         for process in self.processes.values():
             process.start()
 
     def send(self, sender: str, to: str, items: tuple[messages.Item, ...]) -> None:
-        """A datagram on its way, which may be lost, come twice, or be passed by a later one."""
+        """Sends a datagram, which may be lost, duplicated, or overtaken by a later one."""
         self.datagrams += 1
         self.items += len(items)
         network = self.network
@@ -175,14 +176,14 @@
 
     def _deliver(self, sender: str, to: str, items: tuple[messages.Item, ...], boot: int) -> None:
         process = self.processes[to]
-        # what was sealed for a process before is not taken by the next
+        # a datagram sealed for the previous process is not accepted by the next
         if (sender, to) not in self.network.cut and process.boots == boot:
             process.post(messages.MessagesReceived(sender, items))
 
-    # What is judged
+    # Rules
 
     def on_acquired(self, process: Process, duty: str, token: int, value: messages.Value) -> None:
-        """Somebody acts from now on."""
+        """Records that a process acts from now on, and that it continues from the last committed step."""
         self.history.append((self.core.now, process.name, duty, token))
         step = value[0] if value else 0
         if process.duties is not None and (holding := process.duties.holdings.get(duty)) is not None:
@@ -195,7 +196,7 @@
             self.core.after(STEP_PAUSE, process.claim, duty, step + 1, token, process.boots)
 
     def on_committed(self, process: Process, duty: str, token: int, number: int) -> None:
-        """A claim will not be forgotten: now its step may be done."""
+        """Does a step, as its claim is committed."""
         claim = process.claims.get(duty)
         if claim is None or claim.token != token or number < claim.number or process.duties is None:
             return
@@ -209,7 +210,7 @@
         self.core.after(STEP_PAUSE, process.claim, duty, claim.step + 1, token, process.boots)
 
     def on_obeys(self, process: Process, order: messages.Obeys) -> None:
-        """A member obeys from now on."""
+        """Records that a member obeys an order from now on."""
         if order.token < self.highest_token[order.duty]:
             raise RuleViolation(
                 f"stale_obeyed: {process.name} obeys {order.token} after {self.highest_token[order.duty]}"
@@ -217,7 +218,8 @@
         self.highest_token[order.duty] = order.token
 
     def check(self) -> None:
-        """Raises Broken. Leases and orders only end as time goes: a look after each event is enough."""
+        """Checks that no two holders act or are obeyed. Raises RuleViolation. Leases and orders can only end
+        with time, so checking after each event is enough."""
         self.events += 1
         if self.events % self.check_interval:
             return
@@ -237,18 +239,19 @@
                 raise RuleViolation(f"two_obeyed: orders of {sorted(tokens)} for {duty.name}")
 
     def holder(self, duty: str) -> str:
-        """Who acts for a duty at this moment of true time; empty: nobody."""
+        """Returns the process that acts for a duty at this moment of true time; empty: none."""
         for process in self.processes.values():
             if process.duties is not None and process.duties.acting_token(process.clock(), duty) is not None:
                 return process.name
         return ""
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advances the virtual time."""
         self.core.run(self.core.now + seconds)
 
     def run_until_held(self, within: float) -> float | None:
-        """Seconds until all duties have somebody, or None if one has nobody within that time."""
+        """Runs until all duties have a holder; returns the seconds that took, or None if they exceed
+        `within`."""
         began = self.core.now
         while self.core.now < began + within:
             if all(self.holder(d.name) for d in self.duties):
@@ -273,7 +276,7 @@
 
 
 def inject_fault(simulation: DutySimulation, rng: random.Random, longest: float) -> str:
-    """Let one thing go wrong, and be well again after a while; answers with what it was."""
+    """Injects one fault, which ends after a while; returns a line that describes it."""
     fault = rng.choice((*FAULTS, "all") if simulation.disks else FAULTS)
     names = list(simulation.names)
     holders = [h for d in simulation.duties if (h := simulation.holder(d.name))]
@@ -287,7 +290,7 @@
             process.stop()
             core.after(after, process.go_on)
         case "stop_cut":
-            # it wakes with what came meanwhile, and nothing that it says then comes through
+            # it handles what arrived in the meantime, but nothing that it then sends is delivered
             process.stop()
             core.after(rng.uniform(0.2, 4.0), _go_on_alone, process, after)
         case "unwell":
@@ -339,7 +342,7 @@
 
 
 def run_random_faults(simulation: DutySimulation, seconds: float, longest: float = 5.0) -> list[str]:
-    """Play a random schedule of troubles; answers with what happened. Raises Broken."""
+    """Runs with random faults for some seconds; returns a line for each. Raises RuleViolation."""
     rng = simulation.core.stream("troubles")
     simulation.start()
     faults, until = [], simulation.core.now + seconds
@@ -350,7 +353,7 @@
 
 
 def end_faults(simulation: DutySimulation) -> None:
-    """The end of all troubles."""
+    """Ends all faults."""
     simulation.network.cut.clear()
     simulation.network.loss = simulation.network.duplication = 0.0
     simulation.network.delay = (0.0005, 0.005)
--- a/myrtlecourse/sim/duty_commands.py
+++ b/myrtlecourse/sim/duty_commands.py
@@ -1,4 +1,5 @@
-"""`myrtlecourse search-duties`: elections and duties under random schedules, or all of a small world."""
+"""`myrtlecourse search-duties`: runs elections and duties under random faults, or explores all small
+schedules."""
 
 from __future__ import annotations
 
@@ -16,22 +17,22 @@
 from myrtlecourse.sim.duties import DutySimulation, RuleViolation, end_faults, run_random_faults
 from myrtlecourse.sim.exhaust import explore
 
-EXIT_VIOLATION = 1  # exit code with a find
+EXIT_VIOLATION = 1  # exit code if a rule was violated
 NAMES = ("a", "b", "c", "d", "e")
 VOTERS = NAMES[:3]
 DUTIES = (Duty("x"), Duty("y", ("d", "a")), Duty("z", orders=False))
-FAULT_SECONDS = 30.0  # seconds of a random schedule, on its own clock
+FAULT_SECONDS = 30.0  # virtual seconds of a random schedule
 
 
 def small_settings() -> Settings:
-    """Three processes that vote and two duties, whose holders are two of them."""
+    """Returns the settings of three voters and two duties, whose candidates are two of them."""
     duties = (Duty("x", ("a", "b"), good_for=1.0), Duty("y", ("b", "a"), good_for=1.0))
     times = {"heartbeat": 0.5, "lease": 1.6, "settle": 0.0, "unheard": 2.0, "brake": 2.0}
     return Settings("a", VOTERS, VOTERS, duties, **times)
 
 
 def random_duties(seed: int, disks: bool) -> str:
-    """One schedule of troubles; answers with what broke, or nothing."""
+    """Runs one random schedule of faults on duties; returns the violation, or an empty string."""
     simulation = DutySimulation(NAMES, seed, DUTIES, VOTERS, disks=disks)
     try:
         run_random_faults(simulation, FAULT_SECONDS)
@@ -39,14 +40,14 @@
         settings = simulation.settings("a")
         bound = 3 * settings.lease + settings.settle + max(settings.longest_vacancy(d) for d in DUTIES)
         if simulation.run_until_held(bound) is None:
-            return f"a duty without a holder {bound:.1f} s after the last trouble"
+            return f"a duty without a holder {bound:.1f} s after the last fault"
     except RuleViolation as e:
         return str(e)
     return ""
 
 
 def random_election(seed: int, disks: bool) -> str:
-    """The same of the service address."""
+    """Runs one random schedule of faults on an election; returns the violation, or an empty string."""
     simulation = election.ElectionSimulation(VOTERS if seed % 2 else NAMES, seed, disks=disks)
     try:
         election.run_random_faults(simulation, FAULT_SECONDS)
@@ -56,20 +57,35 @@
 
 
 @click.command("search-duties")
-@click.option("--seconds", type=click.FloatRange(0.0), default=60.0, show_default=True, help="to search for")
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="of the first schedule")
-@click.option("--elections", is_flag=True, help="of the service address in place of duties")
 @click.option(
-    "--all", "troubles", type=click.IntRange(1, 4), help="all schedules of a small world, with so many"
+    "--seconds", type=click.FloatRange(0.0), default=60.0, show_default=True, help="duration of the search"
 )
 @click.option(
-    "--first", type=click.IntRange(1), default=60, show_default=True, help="steps before which they begin"
+    "--seed", type=click.IntRange(0), default=1, show_default=True, help="seed of the first schedule"
 )
+@click.option("--elections", is_flag=True, help="search elections of the service address in place of duties")
 @click.option(
-    "--skip", type=click.IntRange(0), default=0, show_default=True, help="steps that are played before them"
+    "--all",
+    "troubles",
+    type=click.IntRange(1, 4),
+    help="explore all schedules of a small fleet with so many faults",
 )
-@click.option("--disks/--no-disks", default=True, help="whether processes remember over a restart")
-@click.option("--json", "json_file", type=click.Path(path_type=Path), help="write what was found there")
+@click.option(
+    "--first",
+    type=click.IntRange(1),
+    default=60,
+    show_default=True,
+    help="step before which these faults happen",
+)
+@click.option(
+    "--skip",
+    type=click.IntRange(0),
+    default=0,
+    show_default=True,
+    help="steps to run before the first of them",
+)
+@click.option("--disks/--no-disks", default=True, help="whether processes keep their memory over a restart")
+@click.option("--json", "json_file", type=click.Path(path_type=Path), help="write the result to this file")
 def search_duties(
     seconds: float,
     seed: int,
@@ -80,14 +96,16 @@
     disks: bool,
     json_file: Path | None,
 ) -> None:
-    """Look for a schedule in which two are obeyed, something is done twice or forgotten, or nobody holds.
+    """Looks for a schedule in which two holders are obeyed, a step is done twice or forgotten, or nobody
+    holds.
 
     \b
     myrtlecourse search-duties --seconds 600
     myrtlecourse search-duties --elections --no-disks
     myrtlecourse search-duties --all 2 --first 24
 
-    Exit code 0 when nothing was found, 1 with a find, which its seed or its steps play again.
+    Exit code 0 if nothing was found, 1 if a rule was violated. The seed or the steps that are printed repeat
+    it.
     """
     result: dict[str, Any]
     if troubles is not None:
@@ -95,7 +113,10 @@
             small_settings(), disks=disks, deviations=troubles, deviations_before=first, skip=skip
         )
         result = asdict(found)
-        click.echo(f"{found.states:,} states, {found.schedules:,} schedules; " + (found.broken or "no find"))
+        click.echo(
+            f"{found.states:,} states, {found.schedules:,} schedules; "
+            + (found.broken or "no violation found")
+        )
         for step in found.path:
             click.echo(f"  before step {step[0]}: {' '.join(map(str, step[1:]))}")
         broken = bool(found.broken)
@@ -108,7 +129,7 @@
         result = {"schedules": played, "broken": violation, "seed": seed + played - 1 if violation else None}
         click.echo(
             f"{played:,} schedules; "
-            + (f"{violation}, by --seed {seed + played - 1}" if violation else "no find")
+            + (f"{violation}, by --seed {seed + played - 1}" if violation else "no violation found")
         )
         broken = bool(violation)
     if json_file is not None:
--- a/myrtlecourse/sim/election.py
+++ b/myrtlecourse/sim/election.py
@@ -1,6 +1,7 @@
-"""Elections in virtual time: instances whose clocks drift, a network that loses, and true time beside them.
+"""Simulation of elections in virtual time, with clocks that drift and a network that loses messages.
 
-True time is the simulator's; no instance knows it. Each sees its own clock, which runs at a rate of its own.
+True time is the simulator's clock, which no instance can read. Each instance has a clock of its own that runs
+at its own rate.
 """
 
 from __future__ import annotations
@@ -19,27 +20,29 @@
 
 @dataclass
 class Network:
-    """What becomes of a message on its way."""
+    """What can happen to a message on its way."""
 
     loss: float = 0.0
-    duplication: float = 0.0  # chance that it comes once more
-    delay: tuple[float, float] = (0.0005, 0.005)  # seconds; those of two messages differ, so that they pass
-    cut: set[tuple[str, str]] = field(default_factory=set)  # from whom to whom nothing comes through
+    duplication: float = 0.0  # probability that it is delivered twice
+    # seconds, drawn for each message, so that one message may overtake another
+    delay: tuple[float, float] = (0.0005, 0.005)
+    # pairs of sender and receiver whose messages are lost
+    cut: set[tuple[str, str]] = field(default_factory=set)
 
 
 class Instance(Machine[messages.Event]):
-    """One router's part: a process that may die, stand still and start again."""
+    """One router's part: a process that may die, be stopped, and start again."""
 
     def __init__(self, simulation: ElectionSimulation, name: str, rate: float, has_disk: bool) -> None:
         super().__init__(simulation.core, simulation.rng, name, rate)
         self.simulation = simulation
         self.has_disk = has_disk
-        self.saved = messages.Saved()  # on its disk
+        self.saved = messages.Saved()  # what its disk holds
         self.withdrawal_time = 0.0  # seconds that a withdrawal takes
         self.election: Election | None = None
 
     def start(self) -> None:
-        """A new process; without a disk it knows nothing."""
+        """Starts a new process; without a disk it remembers nothing."""
         if self.election is not None:
             return
         self.boots += 1
@@ -51,7 +54,7 @@
         self.post(messages.AbilityReported(self.able))
 
     def kill(self) -> None:
-        """The process dies; nothing of it is said to anyone."""
+        """Kills the process; it sends nothing any more."""
         self.election = None
         self.forget()
 
@@ -60,7 +63,7 @@
         return self.election is not None and self.election.holds(self.clock())
 
     def post(self, event: messages.Event) -> None:
-        """Let its election hear of something, and carry out what it answers."""
+        """Passes an event to the election and carries out its actions; a stopped process gets it later."""
         if self.election is None:
             return
         if self.stopped:
@@ -75,16 +78,15 @@
         match action:
             case messages.Save(saved):
                 self.saved = saved
-                if (
-                    self.has_disk and saved.voted
-                ):  # without one a term is forgotten; what lasts then is the wait
+                # without a disk a term is forgotten, and the wait after a start protects the vote instead
+                if self.has_disk and saved.voted:
                     simulation.votes.setdefault((self.name, saved.term), set()).add(saved.voted)
             case messages.Send(to, message):
                 simulation.send(self.name, to, message)
             case messages.Announce(term):
                 simulation.announced.append((simulation.core.now, self.name, term))
-            case messages.Withdraw(why):
-                simulation.withdrawn.append((simulation.core.now, self.name, why))
+            case messages.Withdraw(reason):
+                simulation.withdrawn.append((simulation.core.now, self.name, reason))
                 boot = self.boots
                 simulation.core.after(self.withdrawal_time, self._withdrawn, boot)
             case messages.SetTimer(at):
@@ -96,11 +98,11 @@
 
 
 class TwoHolders(AssertionError):
-    """Two instances held the address at one moment of true time."""
+    """Two instances held the address at the same moment of true time."""
 
 
 class ElectionSimulation:
-    """Some instances on one clock."""
+    """Several instances in one virtual time, connected by one network."""
 
     def __init__(
         self,
@@ -120,21 +122,22 @@
         self.message_count = 0
         self.announced: list[tuple[float, str, int]] = []
         self.withdrawn: list[tuple[float, str, str]] = []
-        self.votes: dict[tuple[str, int], set[str]] = {}  # by voter and term, as saved
+        # voter and term -> the candidates it stored a vote for
+        self.votes: dict[tuple[str, int], set[str]] = {}
         drift = self.settings(names[0]).drift
         self.instances = {n: Instance(self, n, 1 + self.rng.uniform(-drift, drift), disks) for n in names}
 
     def settings(self, name: str) -> messages.Settings:
-        """The settings of an instance."""
+        """Returns the settings of an instance."""
         return messages.Settings(name, self.names, **self.settings_given)  # type: ignore[arg-type]
 
     def start(self) -> None:
-        """All at once."""
+        """Starts all instances at once."""
         for instance in self.instances.values():
             instance.start()
 
     def send(self, sender: str, to: str, message: messages.Message) -> None:
-        """A message on its way, which may be lost, come twice, or be passed by a later one."""
+        """Sends a message, which may be lost, duplicated, or overtaken by a later one."""
         self.message_count += 1
         network = self.network
         if (sender, to) in network.cut or self.network_rng.random() < network.loss:
@@ -148,11 +151,13 @@
             self.instances[to].post(messages.MessageReceived(sender, message))
 
     def holders(self) -> list[str]:
-        """Who holds the address at this moment of true time."""
+        """Returns the instances that hold the address at this moment of true time."""
         return [name for name, instance in self.instances.items() if instance.holds()]
 
     def check(self) -> None:
-        """Raises TwoHolders. A lease only ends as time goes, so that a look after each event is enough."""
+        """Checks that no two instances hold the address and that no voter voted twice in a term. Raises
+        TwoHolders or AssertionError. A lease can only end with time, so checking after each event is
+        enough."""
         holders = self.holders()
         if len(holders) > 1:
             raise TwoHolders(f"{' and '.join(holders)} at {self.core.now - 1000:.3f} s")
@@ -161,11 +166,12 @@
                 raise AssertionError(f"{voter} voted for {' and '.join(sorted(voted))} in term {term}")
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advances the virtual time."""
         self.core.run(self.core.now + seconds)
 
     def run_until_held(self, within: float) -> float | None:
-        """Seconds until somebody holds the address, or None if nobody does within that time."""
+        """Runs until some instance holds the address; returns the seconds that took, or None if they exceed
+        `within`."""
         began = self.core.now
         while self.core.now < began + within:
             if self.holders():
@@ -178,11 +184,11 @@
 
 
 def inject_fault(simulation: ElectionSimulation, rng: random.Random, longest: float) -> str:
-    """Let one thing go wrong, and be well again after a while; answers with what it was."""
+    """Injects one fault, which ends after a while; returns a line that describes it."""
     fault = rng.choice(FAULTS)
     names = list(simulation.names)
     holders = simulation.holders()
-    # the holder is the one whose troubles matter most
+    # faults of the holder matter most
     name = holders[0] if holders and rng.random() < 0.6 else rng.choice(names)
     instance, after, core = simulation.instances[name], rng.uniform(0.0, longest), simulation.core
     match fault:
@@ -193,7 +199,7 @@
             instance.stop()
             core.after(after, instance.go_on)
         case "stop_cut":
-            # what came meanwhile is read, and nothing that it says then comes through
+            # it handles what arrived in the meantime, but nothing that it then sends is delivered
             instance.stop()
             core.after(rng.uniform(0.2, simulation.settings(name).lease), _go_on_alone, instance, after)
         case "unwell":
@@ -233,7 +239,7 @@
 
 
 def links_to_cut(names: list[str], name: str, fault: str, rng: random.Random) -> set[tuple[str, str]]:
-    """The ways, from whom to whom, that a trouble of this name cuts."""
+    """Returns the links, as pairs of sender and receiver, that a fault of this kind cuts."""
     others = [n for n in names if n != name]
     if fault == "cut_one_way":
         links = [(name, o) for o in others]
@@ -245,7 +251,7 @@
 
 
 def run_random_faults(simulation: ElectionSimulation, seconds: float, longest: float = 4.0) -> list[str]:
-    """Play a random schedule of troubles; answers with what happened. Raises TwoHolders."""
+    """Runs with random faults for some seconds; returns a line for each. Raises TwoHolders."""
     rng = simulation.core.stream("troubles")
     simulation.start()
     faults, until = [], simulation.core.now + seconds
@@ -256,7 +262,7 @@
 
 
 def end_faults(simulation: ElectionSimulation) -> None:
-    """The end of all troubles."""
+    """Ends all faults."""
     simulation.network.cut.clear()
     simulation.network.loss = simulation.network.duplication = 0.0
     simulation.network.delay = (0.0005, 0.005)
--- a/myrtlecourse/sim/exhaust.py
+++ b/myrtlecourse/sim/exhaust.py
@@ -1,10 +1,11 @@
-"""Every schedule of a small world of duties with so many troubles, on the real code; with state hashing.
-
-The usual schedule delivers the oldest message first and lets time pass when none is under way. A deviation is
-one trouble: a message is delivered before older ones, held for long, or lost; a timer fires before messages
-that have come; a process crashes and starts again, stands still, or is cut off. All schedules with at most so
-many deviations, each before any of the first steps, are played to the end (delay-bounded scheduling; Emmi,
-Qadeer and Rakamaric, 2011). States that were seen with as many deviations left are not gone into again.
+"""Exhaustive exploration of the schedules of a small system of duties, on the real code, with state hashing.
+
+The default schedule delivers the oldest message first and advances the time when none is under way. A
+deviation is one fault: a message is delivered before older ones, delayed for long, or lost; a timer fires
+before messages that have arrived; or a process crashes and restarts, is stopped, or is cut off. All schedules
+with a limited number of deviations, each before a given step, are run to the end (delay-bounded scheduling;
+Emmi, Qadeer and Rakamaric, 2011). States that were already seen with as many deviations left are not explored
+again.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 from myrtlecourse.duties.core import Duties
 from myrtlecourse.sim.duties import MakeDuties, RuleViolation, too_few_memories
 
-STEP = 0.001  # seconds that a message takes, and a step at least
+STEP = 0.001  # seconds that a message takes, and the shortest time that a step takes
 
 
 class MidRangeRandom:
-    """In place of random numbers: the middle of each range, so that schedules alone tell runs apart."""
+    """Replaces random numbers by the middle of each range, so that runs differ only by their schedules."""
 
     def random(self) -> float:
         return 0.5
@@ -44,15 +45,16 @@
     duties: Duties | None = None
     saved: dict[str, messages.Memory] | None = None
     boots: int = 0
-    wake: float = float("inf")  # true time
-    fault_until: float = 0.0  # it stands still, or is cut off, or dead, until then
+    wake: float = float("inf")  # true time of its next timer
+    fault_until: float = 0.0  # true time at which its fault ends
     fault: str = ""
-    claims: dict[str, tuple[int, int, int]] = field(default_factory=dict)  # token, step, number of the order
+    # duty -> token, step and number of the order that claims it
+    claims: dict[str, tuple[int, int, int]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class PendingMessage:
-    """A message under way."""
+    """A message on its way."""
 
     sender: str
     to: str
@@ -62,7 +64,7 @@
 
 
 class ModelState:
-    """A state of the world; pickled to be copied."""
+    """A state of the whole system, which is copied by pickling."""
 
     def __init__(self, settings: messages.Settings, make_duties: MakeDuties, disks: bool) -> None:
         self.settings = settings
@@ -81,11 +83,11 @@
             self.start(node)
 
     def clock(self, node: Node) -> float:
-        """A process's own clock."""
+        """Returns the time on a process's own clock."""
         return 100.0 + node.rate * self.now
 
     def start(self, node: Node) -> None:
-        """A new process."""
+        """Starts a new process."""
         node.boots += 1
         own_settings = messages.Settings(
             **{f: getattr(self.settings, f) for f in messages.Settings.__slots__ if f != "name"},
@@ -100,7 +102,7 @@
         self.post(node, messages.AbilityReported(True))
 
     def post(self, node: Node, event: messages.Event) -> None:
-        """An event for a process."""
+        """Passes an event to a process and carries out its actions."""
         if node.duties is None:
             return
         for action in node.duties.handle(self.clock(node), event):
@@ -155,11 +157,11 @@
     # Steps
 
     def is_cut(self, message: PendingMessage) -> bool:
-        """Whether a cut lies between."""
+        """Whether the sender or the receiver of a message is cut off."""
         return "cut" in (self.nodes[message.sender].fault, self.nodes[message.to].fault)
 
     def deliverable(self) -> list[int]:
-        """Letters that may be delivered, the oldest first."""
+        """Returns the indices of the messages that may be delivered, the oldest first."""
         return [
             i
             for i, message in enumerate(self.pending)
@@ -167,14 +169,14 @@
         ]
 
     def deliver(self, i: int) -> None:
-        """One letter comes."""
+        """Delivers one message."""
         message = self.pending.pop(i)
         node = self.nodes[message.to]
         if node.duties is not None and node.boots == message.boot and not self.is_cut(message):
             self.post(node, messages.MessagesReceived(message.sender, message.items))
 
     def advance_time(self) -> None:
-        """On to the next timer, the end of a trouble or of a message's way."""
+        """Advances the time to the next timer, end of a fault, or end of a delay."""
         due = [(n.wake, "wake", n.name) for n in self.nodes.values() if n.duties and n.fault != "stop"]
         due += [(n.fault_until, "end", n.name) for n in self.nodes.values() if n.fault]
         due += [(message.held_until, "", "") for message in self.pending if message.held_until > self.now]
@@ -186,7 +188,7 @@
             self.post(self.nodes[name], messages.TimerFired())
 
     def end_fault(self, node: Node) -> None:
-        """A trouble is over."""
+        """Ends a process's fault."""
         fault, node.fault = node.fault, ""
         if fault == "crash":
             self.start(node)
@@ -194,7 +196,7 @@
             self.post(node, messages.TimerFired())
 
     def start_fault(self, node: Node, fault: str, seconds: float) -> None:
-        """A trouble begins."""
+        """Starts a fault of a process that lasts some seconds."""
         node.fault, node.fault_until = fault, self.now + seconds
         if fault == "crash":
             node.duties = None
@@ -206,7 +208,7 @@
                 )
 
     def check(self) -> None:
-        """Raises Broken."""
+        """Checks that no two holders act or are obeyed. Raises RuleViolation."""
         for duty in self.settings.duties:
             acting, tokens = [], set()
             for node in self.nodes.values():
@@ -220,7 +222,7 @@
                 raise RuleViolation(f"two_obeyed: {acting} act for {duty.name}, {sorted(tokens)} are obeyed")
 
     def default_step(self) -> None:
-        """What happens when nothing goes wrong."""
+        """Takes the next step of the default schedule."""
         deliverable = self.deliverable()
         if deliverable:
             self.now += STEP
@@ -230,7 +232,7 @@
         self.check()
 
     def deviations(self) -> Iterator[tuple[Any, ...]]:
-        """What may go wrong now."""
+        """Yields the deviations that are possible now."""
         deliverable = self.deliverable()
         lease = self.settings.lease
         if deliverable:
@@ -249,7 +251,7 @@
                 yield "crash", node.name, 1.6 * lease
 
     def apply(self, deviation: tuple[Any, ...]) -> None:
-        """Let it go wrong."""
+        """Applies a deviation."""
         match deviation:
             case ("wait",):
                 self.advance_time()
@@ -267,15 +269,17 @@
 
 @dataclass
 class Exploration:
-    """What an exhaustive look came to."""
+    """The result of an exploration."""
 
-    states: int = 0  # different ones
+    states: int = 0  # visited states, without those that hashing skipped
     schedules: int = 0
     broken: str = ""
-    path: tuple[Any, ...] = ()  # the deviations that lead there: after how many steps, which
+    # the deviations that lead to the violation, each with the step before which it happens
+    path: tuple[Any, ...] = ()
 
     @property
     def kept(self) -> bool:
+        """Whether no rule was violated."""
         return not self.broken
 
 
@@ -289,9 +293,10 @@
     max_states: int = 10_000_000,
     skip: int = 0,
 ) -> Exploration:
-    """Play all schedules with so many deviations among the `first` steps, each of them `steps` long.
+    """Runs all schedules with at most `deviations` deviations, for `steps` steps each.
 
-    Begins so many steps (`skip`) after each duty has its holder. `most` bounds the states.
+    Deviations happen before step `deviations_before`. The exploration starts `skip` steps after each duty has
+    got a holder; `max_states` limits the number of states.
     """
     state_at_start = ModelState(settings, make_duties, disks)
     for _ in range(3000):
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,4 +1,5 @@
-"""Duties that one router holds at a time: random and exhaustive schedules on the real code, and its parts."""
+"""Duties that one router holds at a time: random and exhaustive schedules on the real code, and tests of its
+parts."""
 
 from __future__ import annotations
 
@@ -36,7 +37,7 @@
     unheard=2.0,
     brake=2.0,
 )
-CHECKS = hypothesis_settings(
+FIXED_EXAMPLES = hypothesis_settings(
     derandomize=True,
     max_examples=60,
     deadline=None,
@@ -50,20 +51,21 @@
     return DutySimulation(NAMES, seed, DUTIES, VOTERS, **changes)
 
 
-@CHECKS
+@FIXED_EXAMPLES
 @given(st.integers(0, 2**32), st.booleans())
 def test_never_two_are_obeyed_nothing_is_done_twice_and_somebody_holds_again(seed: int, disks: bool) -> None:
     simulation = make_simulation(seed, disks=disks)
     run_random_faults(simulation, 20.0)
     end_faults(simulation)
     config = simulation.settings("a")
-    # whoever gave a duty up may rest first; others need not
+    # an instance that gave a duty up may pause before it campaigns; others need not
     bound = config.lease + config.settle + max(config.longest_vacancy(d) for d in DUTIES)
     assert simulation.run_until_held(bound if disks else bound + 2 * (config.lease + 2.0)) is not None
 
 
 def test_a_step_is_claimed_once_in_a_holding_that_follows_one_of_the_same_process() -> None:
-    """A find of the search: what a process had planned in its last holding claimed each step once more."""
+    """Found by the search: a claim that a process had scheduled in its previous holding claimed each step
+    once more."""
     assert random_duties(502860, disks=True) == ""
 
 
@@ -76,7 +78,7 @@
 
 
 FOUND_EXHAUSTIVELY = {"token_is_not_compared": 20, "wakes_without_a_look": 20}
-# a seed near the first find, to save time: from 0 it takes up to a minute and a half
+# a seed shortly before the first violation, to save time: from 0 it takes up to a minute and a half
 FIRST_SEEDS = {"asks_one": 1820, "lease_from_the_answer": 860, "starts_as_if_nothing_had_been_promised": 1090}
 
 
@@ -101,7 +103,7 @@
     simulation = make_simulation()
     simulation.start()
     assert simulation.run_until_held(10.0) is not None
-    assert simulation.holder("y") == "d"  # it has no vote, and is preferred
+    assert simulation.holder("y") == "d"  # it has no vote, but is the preferred candidate
     simulation.run(10.0)
     before = dict(simulation.committed_steps)
     assert before["x"] > 10 and before["y"] > 10
@@ -128,7 +130,7 @@
 
 
 def test_a_holder_that_members_don_t_hear_gives_up_and_rests() -> None:
-    """It reaches the voters, and two more; three of seven are no majority of those that should obey."""
+    """The holder reaches the voters and two other members, but this is no majority of the members."""
     names = (*NAMES, "f", "g", "h", "i")
     simulation = DutySimulation(names, 1, (Duty("x", ("a", "d", "e")),), VOTERS)
     simulation.start()
@@ -156,7 +158,7 @@
 
 
 def test_one_heartbeat_bears_all_duties_of_a_holder() -> None:
-    """What grows with their number is what the words hold, not how many there are."""
+    """More duties make the datagrams larger, not more numerous."""
     counts = []
     for number in (1, 4, 16):
         each = tuple(Duty(f"x{i}", ("a", "b"), orders=False) for i in range(number))
@@ -234,7 +236,7 @@
         Settings(**(plain | changes))
 
 
-# The parts
+# Tests of the parts
 
 
 BASE = 2**40
@@ -250,7 +252,7 @@
     assert isinstance(answer, messages.Taken) and not answer.kept and member.order_in_force(101.0) is None
     assert member.order(101.5, "h", order(3, 1, answer.stamp)) == messages.Taken(3, 1, True, BASE + 1500)
     assert member.order_in_force(102.9) is not None and member.order_in_force(103.01) is None
-    late = member.order(103.5, "h", order(3, 2, answer.stamp))  # it lay in a queue for two seconds
+    late = member.order(103.5, "h", order(3, 2, answer.stamp))  # it waited in a queue for two seconds
     assert (
         isinstance(late, messages.Taken)
         and not late.kept
@@ -260,7 +262,8 @@
 
 
 def test_a_stamp_of_the_process_before_is_none() -> None:
-    """Found by a random schedule: the holder repeated it, and it was counted from the new start."""
+    """Found by a random schedule: a holder repeated a stamp of the previous process, which was counted from
+    the new start."""
     old = Member(Duty("x"), None, 100.0, BASE)
     stamp = old.stamp(108.0)
     new = Member(Duty("x"), None, 109.0, 2 * BASE)
@@ -276,7 +279,7 @@
     member.order(101.0, "h", order(3, 5, member.stamp(101.0)))
     known = member.survey(101.2, messages.Survey(4))
     assert known == messages.Known(4, 3, 5, False, member.stamp(101.2), (5,))
-    assert member.order_in_force(101.2) is None  # nothing until the next one orders
+    assert member.order_in_force(101.2) is None  # nothing is obeyed until the next holder sends an order
     assert member.order(101.3, "h", order(3, 6, member.stamp(101.3))) == messages.Outdated(4)
     assert member.survey(101.4, messages.Survey(2)) == messages.Outdated(4)
     member.order(101.5, "g", order(4, 1, member.stamp(101.5)))
@@ -294,9 +297,10 @@
     holding = Holding(config, DUTIES[0], 7, 100.0, previous_orders_ended=True)
     holding.on_known(100.1, "b", messages.Known(7, 5, 9, False, 1, (9,)))
     holding.on_known(100.1, "c", messages.Known(7, 6, 2, False, 1, (2,)))
-    holding.on_known(100.1, "d", messages.Known(6, 8, 8, False, 1, (8,)))  # of another question
+    holding.on_known(100.1, "d", messages.Known(6, 8, 8, False, 1, (8,)))  # it answers another survey
     assert not holding.may_start_acting(100.2)
-    holding.on_known(100.1, "e", messages.Known(7, 0, 0, True, 1, ()))  # it has forgotten: no witness
+    # it has lost its memory and does not count towards a majority that remembers
+    holding.on_known(100.1, "e", messages.Known(7, 0, 0, True, 1, ()))
     assert (
         not holding.may_start_acting(100.2)
         and holding.may_start_acting(holding.ask_until)
@@ -324,7 +328,8 @@
     number = holding.set_state(100.2, (1,))
     assert not holding.on_taken(100.3, "e", messages.Taken(7, number, True, 2))[1]
     assert not holding.on_taken(100.3, "a", messages.Taken(7, number, True, 2))[1]
-    holding.change_settings(Settings("a", NAMES[:4], VOTERS, DUTIES))  # e has gone: three of four are wanted
+    # without e, three of four members are a majority
+    holding.change_settings(Settings("a", NAMES[:4], VOTERS, DUTIES))
     assert not holding.on_taken(100.4, "b", messages.Taken(7, number, True, 2))[1]
     assert holding.on_taken(100.4, "c", messages.Taken(7, number, True, 2)) == (None, True)
 
--- a/tests/test_duty_faults.py
+++ b/tests/test_duty_faults.py
@@ -27,26 +27,26 @@
 pytestmark = pytest.mark.processes
 ROUTERS = 7
 VOTERS = (0, 1, 2)
-AT = 4.0
+FAULT_AT = 4.0
 SECONDS = 11.0
-NETWORK = {"copies": 0.2, "spread": 0.02}  # one in five twice, and out of order
+NETWORK = {"copies": 0.2, "spread": 0.02}  # one in five datagrams is duplicated, and they arrive out of order
 LOSSY = NETWORK | {"loss": 0.3}
-# `purge` is held by one without a vote, `tidy` by a voter
+# `purge` is held by a router without a vote, `tidy` by a voter
 PREFERRED = [3, 4, 0]
-EACH = [{"name": "purge", "preferred": PREFERRED}, {"name": "tidy", "preferred": [0, 1, 5]}]
-# reckoned from the settings: the lease, ten heartbeats, an order's time; and a machine that is busy
-GAP = 0.5 + 1.2 + 0.6 + 2.5
-HOUSE = Path(__file__).parent.parent
+DUTIES = [{"name": "purge", "preferred": PREFERRED}, {"name": "tidy", "preferred": [0, 1, 5]}]
+# computed from the settings: the lease, ten heartbeats, an order's validity; plus time for a busy machine
+MAX_GAP = 0.5 + 1.2 + 0.6 + 2.5
+ROOT = Path(__file__).parent.parent
 
 
-def scenario(faults: list[dict[str, Any]], gap: float = GAP, **changes: Any) -> Scenario:
+def scenario(faults: list[dict[str, Any]], gap: float = MAX_GAP, **changes: Any) -> Scenario:
     plain = {
         "seconds": SECONDS,
         "routers": ROUTERS,
         "kinds": [{"name": "std", "boxes": 4, "cores": 4}],
         "classes": [{"name": "read", "work": 0.002, "aim": 0.5, "deadline": 1.5}],
         "peers": NETWORK,
-        "duties": {"voters": list(VOTERS), "each": EACH},
+        "duties": {"voters": list(VOTERS), "each": DUTIES},
         "rules": {"duty_gap": gap},
         "faults": faults,
     }
@@ -61,39 +61,40 @@
 
 
 class Played:
-    """What came of a run."""
+    """The outcome of a run."""
 
-    def __init__(self, folder: Path, told: Scenario, way: str = "") -> None:
-        command = f"{shlex.quote(sys.executable)} -m tests.wrong_duties {way}" if way else COMMAND
+    def __init__(self, folder: Path, plan: Scenario, variant: str = "") -> None:
+        command = f"{shlex.quote(sys.executable)} -m tests.wrong_duties {variant}" if variant else COMMAND
         profile = msgspec.convert(PROFILE, Profile)
-        self.outcome: Outcome = play(told, profile, folder, command, 1, lambda at, counts: None)
+        self.outcome: Outcome = play(plan, profile, folder, command, 1, lambda at, counts: None)
         self.verdict = self.outcome.verdict
-        each = list(seen.merged(sorted(folder.glob("*.jsonl"))))
-        self.began = next(o.at for o in each if isinstance(o, seen.Asked))
-        self.took = [o for o in each if isinstance(o, seen.Holds) and o.token]
-        self.did = [o for o in each if isinstance(o, seen.Did)]
+        observations = list(seen.merged(sorted(folder.glob("*.jsonl"))))
+        self.began = next(o.at for o in observations if isinstance(o, seen.Asked))
+        self.took = [o for o in observations if isinstance(o, seen.Holds) and o.token]
+        self.did = [o for o in observations if isinstance(o, seen.Did)]
         self.logs = {log.stem: log.read_text() for log in sorted(folder.glob("router-*.log"))}
 
     def kept(self) -> None:
-        """The four rules, and those on duties; nobody crashed."""
+        """Checks that all rules were kept and that no process crashed."""
         assert self.verdict["kept"], self.verdict["named"]
         assert not self.outcome.faults
 
     def holders(self, duty: str, after: float) -> list[str]:
-        """Who took a duty so long after the load began (or before it), in their order."""
+        """Returns the routers that acquired a duty from `after` seconds after the start of the load on, in
+        order."""
         return [o.router for o in self.took if o.duty == duty and o.at - self.began >= after]
 
     def steps(self, duty: str, after: float) -> int:
-        """Steps done since then."""
+        """Returns the number of steps done from `after` seconds on."""
         return sum(o.duty == duty and o.at - self.began >= after for o in self.did)
 
 
 def stall(duty: str, seconds: float) -> dict[str, Any]:
-    return {"what": "stall", "at": AT, "holder": duty, "seconds": seconds}
+    return {"what": "stall", "at": FAULT_AT, "holder": duty, "seconds": seconds}
 
 
 def split(routers: list[int], seconds: float = 4.0, **more: Any) -> dict[str, Any]:
-    return {"what": "split", "at": AT, "routers": routers, "seconds": seconds, **more}
+    return {"what": "split", "at": FAULT_AT, "routers": routers, "seconds": seconds, **more}
 
 
 @pytest.mark.parametrize("duty", ["purge", "tidy"])
@@ -102,101 +103,104 @@
 ) -> None:
     played = Played(tmp_path, scenario([stall(duty, 4.0)]))
     played.kept()
-    assert played.holders(duty, AT)[0] != played.holders(duty, -AT)[0], played.took
-    assert played.steps(duty, AT + 5.0) >= 2
+    assert played.holders(duty, FAULT_AT)[0] != played.holders(duty, -FAULT_AT)[0], played.took
+    assert played.steps(duty, FAULT_AT + 5.0) >= 2
 
 
 def test_holders_that_are_killed_are_followed_and_what_they_did_is_not_done_again(tmp_path: Path) -> None:
-    faults = [{"what": "restart", "at": AT, "holder": duty, "kill": True} for duty in ("purge", "tidy")]
-    # with three in ten lost each way a lease of five heartbeats runs out by itself every few seconds
-    told = {"voters": list(VOTERS), "each": EACH, "lease": 1.0}
-    played = Played(tmp_path, scenario(faults, peers=LOSSY, gap=2 * GAP, duties=told))
+    faults = [{"what": "restart", "at": FAULT_AT, "holder": duty, "kill": True} for duty in ("purge", "tidy")]
+    # if three in ten messages are lost each way, a lease of five heartbeats expires by itself every few
+    # seconds
+    duties = {"voters": list(VOTERS), "each": DUTIES, "lease": 1.0}
+    played = Played(tmp_path, scenario(faults, peers=LOSSY, gap=2 * MAX_GAP, duties=duties))
     played.kept()
     for duty in ("purge", "tidy"):
-        assert played.holders(duty, AT) and played.steps(duty, AT + 5.0) >= 2
+        assert played.holders(duty, FAULT_AT) and played.steps(duty, FAULT_AT + 5.0) >= 2
         steps = sorted(o.step for o in played.did if o.duty == duty)
-        # one that was claimed as its holder died may be left out, and nothing else
+        # only a step that was claimed as its holder died may be left out
         assert steps[-1] - len(steps) <= 1, steps
 
 
 def test_a_holder_with_most_members_and_without_the_voters_is_followed_on_their_side(tmp_path: Path) -> None:
-    """Members then obey nobody, as no majority of them is on the voters' side; nobody holds until it ends."""
+    """No majority of the members is on the voters' side, so that nobody acts until the split ends."""
     played = Played(tmp_path, scenario([split([3, 4, 5, 6])], gap=0.0))
     played.kept()
-    during = [o for o in played.did if AT + 1.5 <= o.at - played.began < AT + 4.0]
+    during = [o for o in played.did if FAULT_AT + 1.5 <= o.at - played.began < FAULT_AT + 4.0]
     assert not during
-    assert played.steps("purge", AT + 5.0) >= 3 and played.steps("tidy", AT + 5.0) >= 3
+    assert played.steps("purge", FAULT_AT + 5.0) >= 3 and played.steps("tidy", FAULT_AT + 5.0) >= 3
 
 
 def test_a_holder_with_the_voters_and_without_most_members_gives_up_and_another_tries(tmp_path: Path) -> None:
-    """Router 0 reaches 1 and 2 alone; when members can be reached again somebody is obeyed."""
+    """Router 0 reaches only 1 and 2; once members can be reached again, some router is obeyed."""
     faults = [split([0, 1, 2])]
-    # its holder is one of these three, whoever was ready first
-    told = {"voters": list(VOTERS), "each": [EACH[0], EACH[1] | {"preferred": [0, 1, 2]}]}
-    played = Played(tmp_path, scenario(faults, gap=0.0, duties=told))
+    # its holder is one of these three, whichever was ready first
+    duties = {"voters": list(VOTERS), "each": [DUTIES[0], DUTIES[1] | {"preferred": [0, 1, 2]}]}
+    played = Played(tmp_path, scenario(faults, gap=0.0, duties=duties))
     played.kept()
     assert "not heard by enough" in "".join(played.logs.values())
-    assert played.steps("tidy", AT + 6.0) >= 1
+    assert played.steps("tidy", FAULT_AT + 6.0) >= 1
 
 
 def test_a_holder_that_is_not_heard_gives_up_though_it_hears(tmp_path: Path) -> None:
     played = Played(tmp_path, scenario([split([], holder="purge", one_way=True)]))
     played.kept()
-    assert played.holders("purge", AT)[0] != played.holders("purge", -AT)[0]
-    assert played.steps("purge", AT + 5.0) >= 2
+    assert played.holders("purge", FAULT_AT)[0] != played.holders("purge", -FAULT_AT)[0]
+    assert played.steps("purge", FAULT_AT + 5.0) >= 2
 
 
 @pytest.mark.parametrize("memory", [True, False], ids=["with disks", "without"])
 def test_all_restarted_at_once_go_on(memory: bool, tmp_path: Path) -> None:
-    faults = [{"what": "restart", "at": AT, "router": n, "kill": True} for n in range(ROUTERS)]
-    told = {"voters": list(VOTERS), "each": EACH, "memory": memory}
-    played = Played(tmp_path, scenario(faults, gap=0.0, duties=told))
+    faults = [{"what": "restart", "at": FAULT_AT, "router": n, "kill": True} for n in range(ROUTERS)]
+    duties = {"voters": list(VOTERS), "each": DUTIES, "memory": memory}
+    played = Played(tmp_path, scenario(faults, gap=0.0, duties=duties))
     if memory:
         played.kept()
     else:
-        # nothing is left that could be remembered: steps begin anew, and the log says so or all are new
+        # nothing is remembered: steps start from the first, and the log says so unless all members are new
         breaches = played.verdict["breaches"]
         assert not breaches["two_obeyed"] and not breaches["stale_obeyed"]
     tokens = [o.token for o in played.took if o.duty == "purge"]
-    assert tokens == sorted(set(tokens)) and played.steps("purge", AT + 4.0) >= 3
+    assert tokens == sorted(set(tokens)) and played.steps("purge", FAULT_AT + 4.0) >= 3
 
 
 def test_an_upgrade_of_a_holder_hands_over_and_the_new_process_takes_part(tmp_path: Path) -> None:
-    played = Played(tmp_path, scenario([{"what": "upgrade", "at": AT, "router": 3}]))
+    played = Played(tmp_path, scenario([{"what": "upgrade", "at": FAULT_AT, "router": 3}]))
     played.kept()
-    assert played.steps("purge", AT + 5.0) >= 2
+    assert played.steps("purge", FAULT_AT + 5.0) >= 2
 
 
 def test_a_voter_of_another_version_is_not_heard_and_the_others_go_on(tmp_path: Path) -> None:
-    played = Played(tmp_path, scenario([]), way="one_of_another_version")
+    played = Played(tmp_path, scenario([]), variant="one_of_another_version")
     played.kept()
     assert "of another version" in played.logs["router-1"]
-    assert played.steps("purge", AT) >= 5 and played.steps("tidy", AT) >= 5
+    assert played.steps("purge", FAULT_AT) >= 5 and played.steps("tidy", FAULT_AT) >= 5
 
 
-# the holder says nothing any more, and one that obeys it hears nobody else
-LEFT = [stall("purge", 4.0), split([6])]
+# the holder sends nothing any more, and a member that obeys it receives nothing from the others
+HOLDER_STOPPED_AND_MEMBER_CUT = [stall("purge", 4.0), split([6])]
 
 
 @pytest.mark.parametrize(
-    ("way", "faults", "rule"),
+    ("variant", "faults", "rule"),
     [
-        ("order_without_an_end", LEFT, "two_obeyed"),
-        ("acts_at_once", LEFT, "two_obeyed"),
+        ("order_without_an_end", HOLDER_STOPPED_AND_MEMBER_CUT, "two_obeyed"),
+        ("acts_at_once", HOLDER_STOPPED_AND_MEMBER_CUT, "two_obeyed"),
         ("settles_with_one", [split([6], holder="purge")], "done_twice"),
     ],
     ids=["order without an end", "acts at once", "settles with one"],
 )
-def test_wrong_duties_are_caught(way: str, faults: list[dict[str, Any]], rule: str, tmp_path: Path) -> None:
-    """By orders that are good for longer than a lease."""
-    duties = {"voters": list(VOTERS), "each": [EACH[0] | {"good_for": 1.5, "every": 0.1}]}
-    told = scenario(faults, gap=0.0, peers={}, duties=duties)
-    played = Played(tmp_path, told, way=way)
+def test_wrong_duties_are_caught(
+    variant: str, faults: list[dict[str, Any]], rule: str, tmp_path: Path
+) -> None:
+    """Orders are valid for longer than a lease."""
+    duties = {"voters": list(VOTERS), "each": [DUTIES[0] | {"good_for": 1.5, "every": 0.1}]}
+    plan = scenario(faults, gap=0.0, peers={}, duties=duties)
+    played = Played(tmp_path, plan, variant=variant)
     assert played.verdict["breaches"][rule] > 0, Counter(played.verdict["breaches"])
 
 
 async def reloaded(each: list[Router]) -> None:
-    """Times are taken at SIGHUP; another set of duties is not, and changes nothing."""
+    """Checks that changed times are applied at SIGHUP, and that a changed set of duties is refused."""
     for old, new, answer in (
         ("brake = 2.0", "brake = 3.0", "duties: 7 routers"),
         ('name = "tidy"', 'name = "untidy"', "file not taken"),
@@ -216,7 +220,8 @@
 
 
 def next_holder(each: list[Router]) -> str:
-    """Who was the first to take a duty after it had been handed over, by the routers' logs."""
+    """Returns the router that was the first to acquire a duty after it was handed over, by the routers'
+    logs."""
     logs = {router.name: router.log.read_text() for router in each}
     (handed_over,) = [float(at) for log in logs.values() for at in HANDED_OVER.findall(log)]
     taken = sorted((float(at), name) for name, log in logs.items() for at in TAKEN.findall(log))
@@ -224,18 +229,18 @@
 
 
 def test_staff_see_the_duties_and_move_one(tmp_path: Path) -> None:
-    upgrade = [{"what": "upgrade", "at": 80_000.0, "router": 0}]  # so that routers have an operators' address
+    upgrade = [{"what": "upgrade", "at": 80_000.0, "router": 0}]  # gives the routers an operators' address
 
     async def looked_at(standing: Standing) -> None:
         assert standing.routers is not None
         each = standing.routers.each
-        until = time.monotonic() + 60.0  # each look starts a program
+        until = time.monotonic() + 60.0  # each look starts a process
 
         async def ask(*words: str, at: int = 3) -> tuple[int, str]:
             place = "{}:{}".format(*each[at].ops)  # type: ignore[misc]
             child = await asyncio.create_subprocess_exec(
                 *(sys.executable, "-m", "myrtlecourse", "duty", *words, "--at", place),
-                cwd=HOUSE,
+                cwd=ROOT,
                 stdout=asyncio.subprocess.PIPE,
                 stderr=asyncio.subprocess.PIPE,
             )
@@ -250,13 +255,14 @@
             return found
 
         async def shows(at: int, holds: Callable[[dict[str, Any]], bool]) -> bool:
-            """Whether any look at a router finds this before the time is over."""
+            """Returns whether any look at a router shows this before the time is over."""
             while not (told := holds(await holder(at))) and time.monotonic() < until:
                 await asyncio.sleep(0.1)
             return told
 
         async def acting() -> int:
-            """Who holds it, as router 6 knows too; the third may, where it was ready before the others."""
+            """Returns the holder that router 6 knows too; the third candidate may be it, if it was ready
+            first."""
             for number in itertools.cycle(PREFERRED):
                 if (await holder(number))["acts"] and (await holder(6))["holder"] == f"router-{number}":
                     return number
@@ -267,10 +273,10 @@
         while not accepted and time.monotonic() < until:
             first = await acting()
             other = next(n for n in PREFERRED if n != first)
-            assert (await ask("move", "purge", "router-6", at=first))[0] == 1  # it may not hold it
+            assert (await ask("move", "purge", "router-6", at=first))[0] == 1  # it is not a candidate
             # router 5 does not hold it
             assert (await ask("move", "purge", f"router-{other}", at=5))[0] == 1
-            # refused where a crowded machine has cost it the lease since it was looked at
+            # refused if the holder has lost the lease in the meantime, on a busy machine
             accepted = (await ask("move", "purge", f"router-{other}", at=first))[0] == 0
         assert accepted
         assert await shows(6, lambda duty: duty["holder"] == f"router-{other}")
@@ -288,7 +294,8 @@
         try:
             await looked_at(standing)
         finally:
-            faults = await standing.close()  # whatever fails, no router is left to disturb other tests
+            # ends all routers even after a failure, so that none disturbs other tests
+            faults = await standing.close()
         assert not faults
 
     asyncio.run(fleet())
--- a/tests/test_duty_message_log.py
+++ b/tests/test_duty_message_log.py
@@ -1,4 +1,4 @@
-"""The log of messages of elections: off by default, and a line for each message once it is on."""
+"""The log of election messages: off by default, and one line for each message once it is on."""
 
 from __future__ import annotations
 
--- a/tests/test_duty_parts.py
+++ b/tests/test_duty_parts.py
@@ -1,4 +1,4 @@
-"""What duties rest on: words in datagrams, memories on disk, steps, and a keeper that promises late."""
+"""Parts of duties: messages in datagrams, memories on disk, steps, and the driver's delay of promises."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def message(kind: Any) -> Any:
-    """Any message of a kind."""
+    """Generates any message of a kind."""
     makers = {"int": numbers, "bool": st.booleans(), "Value": values}
     return st.builds(kind, *(makers[str(f.type)] for f in fields(kind)))
 
@@ -99,13 +99,13 @@
 
 
 def test_a_keeper_promises_nothing_before_it_is_on_the_disk(tmp_path: Path) -> None:
-    """And says at once what no promise is: a slow disk must not cost a lease."""
+    """Messages that promise nothing are sent at once, as a slow disk must not cost a lease."""
 
     async def scenario() -> None:
         names, duty = ("a", "b", "c"), Duty("x")
         settings = Settings("a", names, names, (duty,), heartbeat=1.0, lease=60.0, unheard=60.0, settle=0.0)
         peers = dict.fromkeys(names, ("127.0.0.1", 1))
-        memory = tmp_path / "folder" / "memory"  # there is no such folder
+        memory = tmp_path / "folder" / "memory"  # this folder does not exist yet
         driver = DutyDriver(settings, peers, (b"k" * 16, ()), memory, None, lambda: True)
         driver.loop = asyncio.get_running_loop()
         sent: list[messages.Message] = []
@@ -114,7 +114,7 @@
         def deliver(received: messages.Message) -> None:
             driver.post(messages.MessagesReceived("b", ((duty.number, received),)))
 
-        driver.duties.elections["x"].startup_wait_until = time.monotonic()  # the wait after a start is over
+        driver.duties.elections["x"].startup_wait_until = time.monotonic()  # ends the wait after the start
         term = driver.duties.elections["x"].term + 1
         deliver(election.Ask(term, 1, False))
         deliver(messages.Survey(term))
@@ -139,7 +139,7 @@
 
 
 def test_a_disk_that_hangs_costs_words_and_no_memory(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """And what has settled is told once it is well."""
+    """The committed orders are reported once the disk works again."""
 
     async def scenario() -> None:
         settings = Settings("a", ("a", "b", "c"), ("a", "b", "c"), (Duty("x"),))
@@ -171,16 +171,16 @@
     assert steps.on_acquired(0.0, 1000.0, 7, (0, 0, 0)) == []
     (claim,) = steps.tick(0.0, 1000.0, 1)
     assert (claim.action, claim.value) == (StepAction.SET_STATE, (1, 0, 1000))
-    assert steps.tick(20.0, 1020.0, 2) == []  # not before the claim is settled
+    assert steps.tick(20.0, 1020.0, 2) == []  # not before the claim is committed
     assert steps.on_committed(7, 1) == [] and steps.on_committed(6, 2) == []
     (go,) = steps.on_committed(7, 2)
     assert (go.action, go.step) == (StepAction.RUN, 1)
-    assert steps.tick(20.0, 1020.0, 2) == []  # nor while it runs
+    assert steps.tick(20.0, 1020.0, 2) == []  # nor while the step runs
     (done,) = steps.on_finished(7)
     assert done.value == (1, 1, 1000) and steps.on_finished(7) == []
     steps.on_lost()
     assert steps.tick(99.0, 1099.0, 3) == [] and steps.on_committed(7, 9) == []
-    # the next holder: four seconds after the last claim, which is not known to have ended
+    # the next holder starts four seconds after the last claim, which is not known to have finished
     (left,) = Steps(10.0).on_acquired(0.0, 1014.0, 8, (2, 1, 1010))
     assert (left.action, left.step) == (StepAction.UNFINISHED, 2)
     again = Steps(10.0)
@@ -198,7 +198,7 @@
         seen.Holds(2.0, "a", "x", 0),
         seen.Rests(2.0, "a", "x"),
         seen.Holds(2.5, "c", "x", 6),
-        seen.Obeys(2.5, "c", "x", 6),  # while b obeys 5
+        seen.Obeys(2.5, "c", "x", 6),  # while b obeys token 5
         seen.RouterDown(2.6, "b", True),
         seen.Obeys(2.7, "a", "x", 4),
         seen.Did(2.8, "c", "x", 1, 6),
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -1,4 +1,4 @@
-"""Who may hold the service address: one at a time whatever goes wrong, and soon somebody again."""
+"""Elections: at most one instance holds the service address, whatever fails, and a vacancy ends soon."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 THREE_VOTERS = ("a", "b", "c")
 FIVE_VOTERS = ("a", "b", "c", "d", "e")
-CHECKS = hypothesis_settings(
+FIXED_EXAMPLES = hypothesis_settings(
     derandomize=True,
     max_examples=120,
     deadline=None,
@@ -38,12 +38,12 @@
 
 
 def first_holder(simulation: ElectionSimulation, seconds: float = 20.0) -> str:
-    """Who comes to hold the address."""
+    """Runs until some instance holds the address, and returns its name."""
     assert simulation.run_until_held(seconds) is not None
     return simulation.holders()[0]
 
 
-@CHECKS
+@FIXED_EXAMPLES
 @given(st.integers(0, 2**32), st.sampled_from([THREE_VOTERS, FIVE_VOTERS, ("a", "b"), ("a",)]), st.booleans())
 def test_never_two_hold_and_somebody_does_once_a_majority_talks(
     seed: int, names: tuple[str, ...], disks: bool
@@ -55,15 +55,15 @@
     assert simulation.run_until_held(config.lease + config.settle + config.longest_vacancy) is not None
 
 
-class TwoVotes(Election):
-    """Broken on purpose: gives any vote it is asked for."""
+class GrantsAnyVote(Election):
+    """Faulty on purpose: grants any vote that it is asked for."""
 
     def _may_grant(self, sender: str, ask: messages.Ask) -> bool:
         return True
 
 
-class FromTheAnswer(Election):
-    """Broken on purpose: counts the lease from when it was answered."""
+class CountsLeaseFromAnswer(Election):
+    """Faulty on purpose: counts the lease from the time of the answer."""
 
     def _on_renew(self, sender: str, renew: messages.Renew) -> None:
         if renew.number in self.lease.requested_at:
@@ -71,8 +71,8 @@
         super()._on_renew(sender, renew)
 
 
-class Snatches(Election):
-    """Broken on purpose: a word to somebody less preferred binds to nothing."""
+class BreaksPromises(Election):
+    """Faulty on purpose: a promise to a less preferred candidate does not bind it."""
 
     def _promised_to_another(self, other_than: str) -> bool:
         preferred = other_than or self.settings.name
@@ -82,8 +82,8 @@
         return super()._promised_to_another(other_than)
 
 
-class Impatient(Election):
-    """Broken on purpose: votes as soon as it has started."""
+class VotesAtOnce(Election):
+    """Faulty on purpose: votes without a wait after its start."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -91,7 +91,7 @@
 
 
 @needs_sources
-@pytest.mark.parametrize("wrong", [TwoVotes, FromTheAnswer, Snatches])
+@pytest.mark.parametrize("wrong", [GrantsAnyVote, CountsLeaseFromAnswer, BreaksPromises])
 def test_random_schedules_catch_a_wrong_election(wrong: type[Election]) -> None:
     with pytest.raises(AssertionError):
         for seed in range(300):
@@ -99,11 +99,11 @@
 
 
 @needs_sources
-@pytest.mark.parametrize("make_election", [Election, Impatient])
+@pytest.mark.parametrize("make_election", [Election, VotesAtOnce])
 def test_a_voter_that_restarts_without_a_disk_gives_no_word_that_it_may_have_given(
     make_election: type[Election],
 ) -> None:
-    """Its old word bears the holder's lease; a new one would bear a second."""
+    """Its earlier promise still supports the holder's lease; a new one would support a second lease."""
     simulation = make_simulation(make_election=make_election, disks=False, settle=0.0)
     simulation.start()
     first = first_holder(simulation)
@@ -127,7 +127,7 @@
     with pytest.raises(AssertionError, match="voted for"):
         for seed in range(100):
             try:
-                run_random_faults(make_simulation(seed, FIVE_VOTERS, make_election=TwoVotes), 20.0)
+                run_random_faults(make_simulation(seed, FIVE_VOTERS, make_election=GrantsAnyVote), 20.0)
             except TwoHolders:
                 continue
 
@@ -169,9 +169,9 @@
 
 
 @needs_sources
-@pytest.mark.parametrize(("make_election", "kept"), [(Election, True), (Snatches, False)])
+@pytest.mark.parametrize(("make_election", "kept"), [(Election, True), (BreaksPromises, False)])
 def test_no_preference_ends_a_working_lease(make_election: type[Election], kept: bool) -> None:
-    """An instance that comes back must not snatch the address in the middle of traffic."""
+    """An instance that comes back must not take over the address while traffic flows."""
     simulation = make_simulation(make_election=make_election)
     for name in ("b", "c"):
         simulation.instances[name].start()
@@ -266,13 +266,13 @@
     instance.able = False
     instance.post(messages.AbilityReported(False))
     simulation.run(0.5)
-    assert simulation.holders() == [first]  # it may pass
+    assert simulation.holders() == [first]  # it may be able again soon
     simulation.run(2.0)
     second = simulation.holders()
     assert second and second != [first] and simulation.withdrawn[-1][2] == "not able to serve"
     others = [n for n in THREE_VOTERS if n not in (first, *second)]
     simulation.instances[second[0]].kill()
-    for _ in range(20):  # well for half a second, unwell for half a second
+    for _ in range(20):  # able for half a second, unable for half a second
         instance.post(messages.AbilityReported(True))
         simulation.run(0.5)
         instance.post(messages.AbilityReported(False))
@@ -307,12 +307,12 @@
         messages.Save(messages.Saved(1, "b")),
         messages.Send("b", messages.Grant(1, 7, False)),
     ]
-    # the same question again: the same answer, and nothing new to write
+    # the same question again gets the same answer, and there is nothing new to store
     assert deliver(election, "b", messages.Ask(1, 7, False), 10.1) == [
         messages.Send("b", messages.Grant(1, 7, False))
     ]
     assert deliver(election, "c", messages.Ask(1, 9, False), 10.2) == [messages.Send("c", messages.Deny(1))]
-    # and in a higher term not beside the word that holds
+    # nor in a higher term, while the promise to the other holds
     assert deliver(election, "c", messages.Ask(2, 9, False), 10.3) == [messages.Send("c", messages.Deny(1))]
     assert deliver(election, "c", messages.Ask(2, 9, False), 13.0)[-1] == messages.Send(
         "c", messages.Grant(2, 9, False)
@@ -332,7 +332,7 @@
     assert deliver(election, "b", messages.Ask(4, 1, False), 0.5) == [messages.Send("b", messages.Deny(4))]
     assert deliver(election, "b", messages.Beat(4, 1), 0.6) == []
     assert deliver(election, "c", messages.Ask(4, 1, False), 3.0) == [messages.Send("c", messages.Deny(4))]
-    # nor again to the same: it may be another process of it, and a term is the token of one
+    # nor to the same candidate again: it may have restarted, and a term is the token of one process
     assert deliver(election, "b", messages.Ask(4, 1, False), 3.0) == [messages.Send("b", messages.Deny(4))]
     assert deliver(election, "b", messages.Ask(5, 2, False), 3.1)[-1] == messages.Send(
         "b", messages.Grant(5, 2, False)
@@ -408,8 +408,8 @@
     assert election.settings.majority == 3
 
 
-def holder_by(*granted: str) -> Election:
-    """One that holds since 100.0, with the words of these alone."""
+def holder_supported_by(*granted: str) -> Election:
+    """Returns a holder since 100.0 that has the promises of just these voters."""
     election = voter()
     election.role, election.saved = Role.HOLDER, messages.Saved(1, "a")
     election.unable_since = math.inf
@@ -421,21 +421,23 @@
 
 
 def test_a_voter_whose_word_alone_bears_the_lease_does_not_go() -> None:
-    """The holder gave up on the spot, though the other voter was to give its word within a lease."""
-    election = holder_by("c")
-    less = messages.SettingsChanged(settings(voters=("a", "b"), even_voters=True))
+    """Guards against a holder that gave up at once, although another voter would have promised within a
+    lease's time."""
+    election = holder_supported_by("c")
+    fewer_voters = messages.SettingsChanged(settings(voters=("a", "b"), even_voters=True))
     with pytest.raises(messages.ElectionError, match="without c the lease would end"):
-        election.handle(100.1, less)
+        election.handle(100.1, fewer_voters)
     assert election.settings.voters == THREE_VOTERS and election.holds(100.1)
     number = next(iter(election.lease.requested_at))
     deliver(election, "b", messages.Renew(1, number), 100.2)
-    assert not any(isinstance(a, messages.Withdraw) for a in election.handle(100.3, less))
+    assert not any(isinstance(a, messages.Withdraw) for a in election.handle(100.3, fewer_voters))
     assert election.holds(100.3)
 
 
 def test_a_change_that_is_refused_as_the_lease_ends_does_nothing() -> None:
-    """Its withdrawal was decided and lost with the refusal: the instance left for ever."""
-    election = holder_by("c")
+    """Guards against a withdrawal that was decided and then lost with the refusal, so that the instance
+    stayed in LEAVING."""
+    election = holder_supported_by("c")
     with pytest.raises(messages.ElectionError, match="add or remove one at a time"):
         election.handle(200.0, messages.SettingsChanged(settings(voters=("a", "b", "d"))))
     assert election.role is Role.HOLDER and not election.holds(200.0)
@@ -464,8 +466,8 @@
     assert field in str(config.value)
 
 
-def newcomer(term: int) -> tuple[Election, float]:
-    """A voter that has started later than the others, in a term that is higher for that, and is well."""
+def late_starter(term: int) -> tuple[Election, float]:
+    """Returns an able voter that started later than the others, and therefore in a higher term."""
     config = settings("b", settle=0.2)
     voter = Election(config, messages.Saved(term, ""), 0.0, 1)
     voter.handle(0.0, messages.AbilityReported(True))
@@ -473,16 +475,18 @@
 
 
 def test_a_voter_that_began_in_a_higher_term_bears_the_lease_of_a_holder_that_was_there() -> None:
-    """It denied each heartbeat until the next election: a majority of three was two that must not fail."""
-    voter, now = newcomer(50)
+    """Guards against denied heartbeats until the next election, in which no second voter of three may
+    fail."""
+    voter, now = late_starter(50)
     actions = voter.handle(now, messages.MessageReceived("a", messages.Beat(7, 1)))
     assert messages.Send("a", messages.Renew(7, 1)) in actions
-    assert voter.term == 50  # what it votes for is higher than all that went before its start
+    assert voter.term == 50  # the terms it votes for are higher than all terms before its start
 
 
 def test_it_takes_what_it_is_offered() -> None:
-    """It dropped the offer as an old one, and whoever was preferred took what another was named for."""
-    voter, now = newcomer(50)
+    """Guards against an offer that was dropped as outdated, so that the preferred candidate took the duty
+    instead."""
+    voter, now = late_starter(50)
     voter.handle(now, messages.MessageReceived("a", messages.Beat(7, 1)))
     actions = voter.handle(now + 0.1, messages.MessageReceived("a", messages.Take(7)))
     asks = [
@@ -492,15 +496,15 @@
 
 
 def test_a_voter_that_has_learned_a_higher_term_still_denies_an_old_holder() -> None:
-    voter, now = newcomer(5)
-    voter.handle(now, messages.MessageReceived("c", messages.Beat(7, 1)))  # it learns the term of a holder
+    voter, now = late_starter(5)
+    voter.handle(now, messages.MessageReceived("c", messages.Beat(7, 1)))  # it adopts the term of a holder
     later = now + settings().lease + 0.1
     actions = voter.handle(later, messages.MessageReceived("a", messages.Beat(6, 9)))
     assert messages.Send("a", messages.Deny(7)) in actions
 
 
 def failed_candidate() -> tuple[Election, float]:
-    """A voter that has stood in term 2 in vain, beside a holder in term 1."""
+    """Returns a voter that campaigned without success in term 2, while another holds the lease in term 1."""
     candidate, actions, now = successor(1)
     (ask,) = questions(actions)
     assert ask.term == 2
@@ -512,7 +516,8 @@
 
 
 def test_a_voter_that_has_stood_in_vain_bears_the_lease_of_the_holder() -> None:
-    """It denied each heartbeat until the next election: of three voters none might fail any more."""
+    """Guards against denied heartbeats until the next election, so that none of three voters might fail any
+    more."""
     candidate, now = failed_candidate()
     actions = candidate.handle(now, messages.MessageReceived("c", messages.Beat(1, 9)))
     assert messages.Send("c", messages.Renew(1, 9)) in actions and candidate.term == 2
@@ -534,7 +539,7 @@
 
 
 def holding_voter(hours: float) -> tuple[Election, float]:
-    """A voter that has met a vacancy, was elected, and has held the duty for so long."""
+    """Returns a voter that has met a vacancy, was elected, and has held the duty for these hours."""
     config = settings(preferred=("x", "y", "a"), settle=0.0)
     voter = Election(config, messages.Saved(1, ""), 0.0, 1)
     voter.handle(0.0, messages.AbilityReported(True))
@@ -557,11 +562,12 @@
 
 
 def test_a_voter_that_has_held_for_long_invites_a_few_once_it_has_given_up() -> None:
-    """It made up for a turn of each half heartbeat that it had held: 14,400 datagrams an hour at once."""
+    """Guards against catching up on one turn for each half heartbeat of the holding: 14,400 datagrams at once
+    for an hour."""
     voter, now = holding_voter(hours=1.0)
     voter.handle(now, messages.Resign("", 1.0))
     actions = voter.handle(now, messages.Withdrawn())
-    assert candidates_invited(actions) == ["x"]  # the most preferred first
+    assert candidates_invited(actions) == ["x"]  # the most preferred candidate first
     actions = voter.handle(now + voter.settings.heartbeat / 2, messages.TimerFired())
     assert candidates_invited(actions) == ["x", "y"]
 
@@ -575,14 +581,15 @@
 
 
 def questions(actions: list[messages.Action]) -> list[messages.Ask]:
-    """The questions to one of the voters."""
+    """Returns the questions to one of the voters."""
     return [
         a.message for a in actions if isinstance(a, messages.Send) and isinstance(a.message, messages.Ask)
     ][::2]
 
 
 def successor(term: int = 4) -> tuple[Election, list[messages.Action], float]:
-    """A candidate that was just offered what a holder in this term has given up for it, and what it says."""
+    """Returns a candidate that was just offered the duty by a holder in this term, its actions, and the
+    time."""
     config = settings("a", settle=0.2)
     candidate = Election(config, messages.Saved(term, ""), 0.0, 1)
     candidate.handle(0.0, messages.AbilityReported(True))
@@ -591,7 +598,8 @@
 
 
 def test_a_single_denial_in_a_higher_term_does_not_end_a_candidacy() -> None:
-    """A move to a router was lost when a voter that had started later was the first to answer it."""
+    """Guards against a handover that failed because a voter that had started later was the first to
+    answer."""
     candidate, actions, now = successor()
     (ask,) = questions(actions)
     candidate.handle(now, messages.MessageReceived("c", messages.Deny(50)))
@@ -629,7 +637,8 @@
 
 
 def test_a_successor_that_is_denied_before_the_release_is_heard_asks_again() -> None:
-    """Its question overtook the release at a majority, and the duty went back to whoever had given it up."""
+    """Guards against a question that overtakes the release at a majority, after which the duty returned to
+    its former holder."""
     candidate, actions, now = successor()
     for sender in ("b", "c"):
         candidate.handle(now, messages.MessageReceived(sender, messages.Deny(4)))
@@ -659,7 +668,8 @@
 
 
 def test_an_offer_is_not_spent_by_a_vote_that_is_won_too_late() -> None:
-    """The instance stood still between its question and the last yes; it was offered the duty once."""
+    """Guards an offer, which is made once, against an instance that was stopped between its question and the
+    last vote."""
     config = settings("a", lease=1.5, settle=0.2)
     candidate = Election(config, messages.Saved(4, ""), 0.0, 1)
     candidate.handle(0.0, messages.AbilityReported(True))
@@ -675,7 +685,8 @@
 
 
 def test_whoever_has_handed_over_is_not_the_first_to_take_it_back() -> None:
-    """Voters invited it at once, as the most preferred, while the one named still asked."""
+    """Guards against voters that invited the former holder, the most preferred candidate, while its successor
+    still campaigned."""
     config = settings("x", preferred=("x", "y"), settle=0.0)
     holder = Election(config, messages.Saved(4, ""), 0.0, 1)
     holder.handle(0.0, messages.AbilityReported(True))
--- a/tests/wrong_duties.py
+++ b/tests/wrong_duties.py
@@ -1,4 +1,5 @@
-"""Duties done wrongly in one way each, on purpose; as real routers: `python -m tests.wrong_duties WAY`."""
+"""Variants of duties that are each faulty in one way, on purpose. `python -m tests.wrong_duties VARIANT` runs
+a real router with one of them."""
 
 from __future__ import annotations
 
@@ -22,25 +23,25 @@
 
 
 def wakes_without_a_look(patch: Patch) -> None:
-    """Looks at its lease when it was won, and not before each effect."""
+    """Checks its lease when it is won, but not before each effect."""
     patch(Election, "holds", lambda self, now: self.role is Role.HOLDER)
 
 
 def token_is_not_compared(patch: Patch) -> None:
-    """Obeys whoever orders."""
+    """Obeys every holder that sends an order."""
     order, survey = Member.order, Member.survey
 
-    def forgets(self: Member) -> None:
+    def forget(self: Member) -> None:
         self.promised = self.token = self.number = 0
         self.obeyed.token = 0
 
     def any_order(self: Member, now: float, sender: str, message: messages.Order) -> messages.Message:
-        forgets(self)
+        forget(self)
         return order(self, now, sender, message)
 
     def any_survey(self: Member, now: float, message: messages.Survey) -> messages.Message:
         token, number = self.token, self.number
-        forgets(self)
+        forget(self)
         self.token, self.number = token, number
         return survey(self, now, message)
 
@@ -49,20 +50,20 @@
 
 
 def order_without_an_end(patch: Patch) -> None:
-    """Obeys until it hears something else."""
+    """Obeys an order until it receives another."""
     order = Member.order
 
-    def for_good(self: Member, now: float, sender: str, message: messages.Order) -> messages.Message:
+    def obey_forever(self: Member, now: float, sender: str, message: messages.Order) -> messages.Message:
         answer = order(self, now, sender, message)
         if now < self.obeyed.until:
             self.obeyed.until = math.inf
         return answer
 
-    patch(Member, "order", for_good)
+    patch(Member, "order", obey_forever)
 
 
 def counts_from_the_arrival(patch: Patch) -> None:
-    """Takes an order for as good as new, however long it lay in a queue."""
+    """Counts an order's validity from its arrival, however long it waited in a queue."""
     order = Member.order
 
     def taken(self: Member, now: float, sender: str, message: messages.Order) -> messages.Message:
@@ -73,7 +74,7 @@
 
 
 def does_not_ask(patch: Patch) -> None:
-    """Begins with what it knows itself."""
+    """Starts to act with the state that it knows itself."""
     patch(
         Holding,
         "may_start_acting",
@@ -82,7 +83,7 @@
 
 
 def asks_one(patch: Patch) -> None:
-    """Takes one member's word for what was ordered last."""
+    """Relies on one member's report of the last order."""
     patch(
         Holding,
         "may_start_acting",
@@ -91,23 +92,23 @@
 
 
 def acts_at_once(patch: Patch) -> None:
-    """Does not wait until the orders of the holder before are over."""
+    """Does not wait until the orders of the previous holder have ended."""
     may_start_acting = Holding.may_start_acting
 
-    def now_or_never(self: Holding, now: float) -> bool:
+    def start_at_once(self: Holding, now: float) -> bool:
         self.safe_from = -math.inf
         return may_start_acting(self, now)
 
-    patch(Holding, "may_start_acting", now_or_never)
+    patch(Holding, "may_start_acting", start_at_once)
 
 
 def says_that_all_is_clear(patch: Patch) -> None:
-    """Hands over without an answer of those that obey."""
+    """Hands over without answers of the members that obey it."""
     patch(Holding, "nobody_obeys", lambda self, now: True)
 
 
 def settles_with_one(patch: Patch) -> None:
-    """Takes a claim for lasting that one member has taken."""
+    """Takes a claim for committed that a single member has accepted."""
     on_taken = Holding.on_taken
 
     def settled(
@@ -122,51 +123,52 @@
 
 
 def lease_from_the_answer(patch: Patch) -> None:
-    """Counts the lease from when it was answered."""
+    """Counts the lease from the time of the answer."""
     on_renew = Election._on_renew
 
-    def late(self: Election, sender: str, renew: election.Renew) -> None:
+    def renew_late(self: Election, sender: str, renew: election.Renew) -> None:
         if renew.number in self.lease.requested_at:
             self.lease.requested_at[renew.number] = self.now
         on_renew(self, sender, renew)
 
-    patch(Election, "_on_renew", late)
+    patch(Election, "_on_renew", renew_late)
 
 
 def votes_for_all(patch: Patch) -> None:
-    """Gives any vote it is asked for."""
+    """Grants any vote that it is asked for."""
     patch(Election, "_may_grant", lambda self, sender, ask: self.settings.is_voter)
 
 
 def votes_before_it_is_written(patch: Patch) -> None:
-    """Says yes and writes nothing down; after a restart it has never voted, and promised nothing."""
+    """Grants without storing anything; after a restart it has never voted and promised nothing."""
     patch(Duties, "_memory", lambda self, name: messages.Memory(value=self.duties[name].initial_state))
 
 
 def starts_as_if_nothing_had_been_promised(patch: Patch) -> None:
-    """Gives words as soon as it has started."""
+    """Gives promises without a wait after its start."""
     init = Election.__init__
 
-    def at_once(self: Election, *arguments: Any, **more: Any) -> None:
+    def init_without_wait(self: Election, *arguments: Any, **more: Any) -> None:
         init(self, *arguments, **more)
         self.startup_wait_until = -math.inf
 
-    patch(Election, "__init__", at_once)
+    patch(Election, "__init__", init_without_wait)
 
 
 def forgets_that_it_has_forgotten(patch: Patch) -> None:
-    """Without a memory it says all the same that nothing was ordered."""
+    """Reports without a memory that nothing was ordered, as if it remembered."""
     init = Member.__init__
 
-    def sure(self: Member, *arguments: Any) -> None:
+    def init_not_fresh(self: Member, *arguments: Any) -> None:
         init(self, *arguments)
         self.fresh = False
 
-    patch(Member, "__init__", sure)
+    patch(Member, "__init__", init_not_fresh)
 
 
 def one_of_another_version(patch: Patch) -> None:
-    """One router of the fleet, by its configuration's name: not wrong, but older or newer than the others."""
+    """Makes one router of the fleet, named by its configuration, older or newer than the others; it is not
+    faulty."""
     if Path(os.environ.get("RELAY_CONFIG", "")).stem == "router-1":
         patch(wire, "VERSION", wire.VERSION + 1)
 
