--- a/tests/wrong_duties.py
+++ b/tests/wrong_duties.py
@@ -66,11 +66,11 @@
     """Counts an order's validity from its arrival, however long it waited in a queue."""
     order = Member.order
 
-    def taken(self: Member, now: float, sender: str, message: messages.Order) -> messages.Message:
+    def accept_as_new(self: Member, now: float, sender: str, message: messages.Order) -> messages.Message:
         new = messages.Order(message.token, message.number, message.good_for, self.stamp(now), message.value)
         return order(self, now, sender, new)
 
-    patch(Member, "order", taken)
+    patch(Member, "order", accept_as_new)
 
 
 def does_not_ask(patch: Patch) -> None:
@@ -111,7 +111,7 @@
     """Takes a claim for committed that a single member has accepted."""
     on_taken = Holding.on_taken
 
-    def settled(
+    def commit_with_one(
         self: Holding, now: float, member: str, taken: messages.Taken
     ) -> tuple[messages.Message | None, bool]:
         reply, _ = on_taken(self, now, member, taken)
@@ -119,7 +119,7 @@
         self.committed = max(self.committed, self.accepted.get(member, 0))
         return reply, advanced
 
-    patch(Holding, "on_taken", settled)
+    patch(Holding, "on_taken", commit_with_one)
 
 
 def lease_from_the_answer(patch: Patch) -> None:
