--- a/myrtlecourse/evidence.py
+++ b/myrtlecourse/evidence.py
@@ -11,7 +11,7 @@
 import math
 from enum import Enum
 
-from myrtlecourse.interface import Reach, Status
+from myrtlecourse.interface import Reachability, Status
 
 FIRST = 0.001  # seconds: the upper end of the first bucket of latencies
 RATIO = 1.25  # of one bucket's end to that of the next: a quantile is at most so much too long
@@ -35,18 +35,18 @@
     NOTHING = "nothing"  # the client left before an answer was due, or nothing was sent
 
 
-def reach(status: Status, verdict: Verdict) -> Reach | None:
+def reach(status: Status, verdict: Verdict) -> Reachability | None:
     """What an outcome proves of the way to its server, by the verdict on it; None when it proves nothing."""
     if status is Status.CONNECT_FAILED or status is Status.RESET:
-        return Reach.REFUSED
+        return Reachability.REFUSED
     if status in UNHEARD:
         # one that is given up was overdue before, which has been told, or its answer may have been on its way
-        return Reach.SILENT if status is Status.TIMEOUT and verdict is Verdict.STALLED else None
-    return Reach.HEARD
+        return Reachability.SILENT if status is Status.TIMEOUT and verdict is Verdict.STALLED else None
+    return Reachability.ANSWERED
 
 
 FAILURES = (Status.ERROR, Status.RESET, Status.CONNECT_FAILED)
-UNHEARD = (Status.TIMEOUT, Status.CANCELLED, Status.MOOT)
+UNHEARD = (Status.TIMEOUT, Status.CANCELLED, Status.NOT_SENT)
 
 
 class Latencies:
@@ -155,7 +155,7 @@
 
         To be told once of each attempt; `latency` is in seconds, without what the own process added.
         """
-        if status is Status.MOOT:
+        if status is Status.NOT_SENT:
             return Verdict.NOTHING
         if status in UNHEARD:
             if now - sent_at < self.usual:
--- a/myrtlecourse/expect/checker.py
+++ b/myrtlecourse/expect/checker.py
@@ -65,7 +65,7 @@
     now = tuple(entry(s, given) for s in fleet.servers if s.id not in given.gone)
     router.handle(NOW, api.ServerList(api.ListKind.FULL, now))
     for server in given.offline:
-        router.handle(NOW, api.Offline(server))
+        router.handle(NOW, api.ServerBanned(server))
     return router
 
 
@@ -83,7 +83,7 @@
                     sent.append(action.server)
                     answer = "sent"
                 case api.Refuse(request="r"):
-                    answer, come_back = "refused", action.come_back
+                    answer, come_back = "refused", action.retry_after
                 case api.Fail(request="r"):
                     answer = "failed"
         if answer == "sent" and len(sent) <= len(ends):
@@ -97,7 +97,7 @@
     """Leave nothing of a request with the router: its client has gone, and its attempt was never made."""
     router.handle(NOW, api.ClientGone("r"))
     if case.answer == "sent":
-        router.handle(NOW, api.Outcome("r", len(case.sent) - 1, api.Status.MOOT, True))
+        router.handle(NOW, api.Outcome("r", len(case.sent) - 1, api.Status.NOT_SENT, True))
 
 
 def follows(then: Then, case: Case, servers: dict[str, Server]) -> str:
@@ -193,7 +193,7 @@
 
 
 def _absent(server: Server, given: Given, settings: api.Settings) -> str:
-    if settings.aside and server.kind == settings.origin_kind:
+    if settings.cache_aside and server.kind == settings.origin_kind:
         return "the origin, off the ring"
     for why, names in (("gone", given.gone), ("draining", given.draining), ("offline", given.offline)):
         if server.id in names:
--- a/myrtlecourse/interface.py
+++ b/myrtlecourse/interface.py
@@ -27,18 +27,18 @@
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
+class DedupGroup(Enum):
     """The servers that know each other's keyed requests."""
 
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
 
-    def joins(self, one: ServerEntry, other: ServerEntry) -> bool:
+    def includes_both(self, one: ServerEntry, other: ServerEntry) -> bool:
         """Whether two servers drop each other's repeats."""
-        if self is Group.ZONE:
+        if self is DedupGroup.ZONE:
             return one.zone == other.zone
-        return self is Group.ALL or one.cell == other.cell
+        return self is DedupGroup.ALL or one.cell == other.cell
 
 
 class State(Enum):
@@ -68,14 +68,14 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
     MISS = "miss"
 
 
-class Reach(Enum):
+class Reachability(Enum):
     """What the end of an attempt proves of the way to its server."""
 
-    HEARD = "heard"  # something came back
+    ANSWERED = "heard"  # something came back
     REFUSED = "refused"  # no connection, or it broke
     SILENT = "silent"  # nothing came, where an answer is long due
 
@@ -98,7 +98,7 @@
     UNKNOWN = ""
 
 
-NEVER_RAN = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT, Status.MISS)  # proven by the outcome itself
+NEVER_RAN = (Status.FULL, Status.CONNECT_FAILED, Status.NOT_SENT, Status.MISS)  # proven by the outcome itself
 
 
 @dataclass(slots=True, frozen=True)
@@ -108,9 +108,9 @@
     name: str
     aim: float
     effect: Effect = Effect.SAFE
-    group: Group = Group.ALL
-    window: float = 0.0
-    worth: float = 1.0
+    group: DedupGroup = DedupGroup.ALL
+    repeat_window: float = 0.0
+    value: float = 1.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -119,25 +119,25 @@
 
     classes: dict[str, RequestClass]
     tick: float = 0.005
-    aside: bool = False  # a miss is ours to fetch from the origin
+    cache_aside: bool = False  # a miss is ours to fetch from the origin
     origin_kind: str | None = None
     live_weights: bool = False  # a weight falls with its server's load
     subscribe: bool = False  # changes of the list come only after asking
-    second_copies: bool = False
+    hedging: bool = False
     may_cancel: bool = False
     max_attempts: int = 1
-    siblings: int = 1  # routers in all
+    router_count: int = 1  # routers in all
     zone: str = ""  # of this router
     peers: bool = False  # routers may talk to one another
     connection_idle: float = 60.0  # after this a host closes an idle connection by itself
     dial_timeout: float = 0.25  # a connection that is not up by then has failed
     max_retry_after: float = 0.0  # longest time to come back that clients honour
-    connection_price: float = 0.0  # of 100 open connections at every server
-    handshake_price: float = 0.0  # of a new connection for every request
+    connection_cost: float = 0.0  # of 100 open connections at every server
+    handshake_cost: float = 0.0  # of a new connection for every request
     longest_deadline: float = 3.0  # of all classes: for which a client waits, in all its tries
     drain_grace: float = 2.0  # after which nothing new may go to a server that is told to drain, or gone
     cold_share: float = 0.3
-    ramp: float = 10.0
+    ramp_time: float = 10.0
     fall_multiple: float = 2.0
     fall_window: float = 1.0
 
@@ -152,9 +152,9 @@
     zone: str = ""
     cell: int = 0
     weight: float = 0.0
-    since: float = 0.0  # time of the latest start, Unix time by its writer's clock; 0 is long ago
+    listed_start: float = 0.0  # time of the latest start, Unix time by its writer's clock; 0 is long ago
     # the same on the host's clock, if that differs
-    started: float | None = field(default=None, compare=False)
+    local_start: float | None = field(default=None, compare=False)
 
     @property
     def ready(self) -> bool:
@@ -162,9 +162,9 @@
         return self.state is State.READY
 
     @property
-    def start(self) -> float:
+    def start_time(self) -> float:
         """When it started last, on the host's clock; 0 is long ago."""
-        return self.since if self.started is None else self.started
+        return self.listed_start if self.local_start is None else self.local_start
 
 
 @dataclass(slots=True, frozen=True)
@@ -176,23 +176,23 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ListMoved:
+class DiscoveryChanged:
     """The list is told by another discovery from now on; the watch on the one before has ended."""
 
 
 @dataclass(slots=True, frozen=True)
-class Offline:
+class ServerBanned:
     """Operators took a cache server out: nothing new goes to it, whatever the list says, until it is back."""
 
     server: str
 
 
 @dataclass(slots=True, frozen=True)
-class Online:
+class BanLifted:
     """Operators gave a cache server back. It was restarted meanwhile: nothing learned of it holds."""
 
     server: str
-    since: (
+    returned_at: (
         float  # when it was given back, on the host's clock (s); a process that learns of it later needs it
     )
 
@@ -201,11 +201,11 @@
 class Serving:
     """Whether new requests are wanted; while they are not, each is refused before anything is sent for it."""
 
-    wanted: bool
+    accepting: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Retuned:
+class SettingsChanged:
     """New settings for all that comes from now on; open requests end under those that they began with."""
 
     settings: Settings
@@ -221,7 +221,7 @@
     key: str | None
     hint: float | None
     write: bool
-    waited: float  # before it was taken, of the time its client waits
+    read_delay: float  # before it was taken, of the time its client waits
 
     def __init__(
         self,
@@ -231,7 +231,7 @@
         key: str | None = None,
         hint: float | None = None,
         write: bool = False,
-        waited: float = 0.0,
+        read_delay: float = 0.0,
     ) -> None:
         self.request = request
         self.request_class = request_class
@@ -239,7 +239,7 @@
         self.key = key
         self.hint = hint
         self.write = write
-        self.waited = waited
+        self.read_delay = read_delay
 
 
 @dataclass(slots=True, frozen=True)
@@ -248,26 +248,26 @@
 
     request: str
     attempt: int
-    waited: float = 0.0  # seconds that its first bytes lay unread, as the own process was busy
+    read_delay: float = 0.0  # seconds that its first bytes lay unread, as the own process was busy
 
 
 @dataclass(slots=True, unsafe_hash=True, init=False)
 class Outcome:
-    """The end of an attempt; `closed` when the request itself has ended."""
+    """The end of an attempt; `request_ended` when the request itself has ended."""
 
     request: str
     attempt: int
     status: Status
-    closed: bool
+    request_ended: bool
     latency: float
 
     def __init__(
-        self, request: str, attempt: int, status: Status, closed: bool = False, latency: float = 0.0
+        self, request: str, attempt: int, status: Status, request_ended: bool = False, latency: float = 0.0
     ) -> None:
         self.request = request
         self.attempt = attempt
         self.status = status
-        self.closed = closed
+        self.request_ended = request_ended
         self.latency = latency
 
 
@@ -282,67 +282,80 @@
 class TimerFired:
     """A timer set earlier is due."""
 
-    token: str
+    timer: str
 
-    def __init__(self, token: str) -> None:
-        self.token = token
+    def __init__(self, timer: str) -> None:
+        self.timer = timer
 
 
-class Door(Protocol):
+class AdmissionControl(Protocol):
     """Says at a command's arrival, before anything is spent on it, whether the router can bear it."""
 
-    def pause(
-        self, now: float, request_class: str, tenant: str, again: bool, keyed: bool, waited: float
+    def retry_delay(
+        self,
+        now: float,
+        request_class: str,
+        tenant: str,
+        is_retry: bool,
+        has_idempotency_key: bool,
+        read_delay: float,
     ) -> float | None:
-        """None to let it in, else the seconds after which its client may come back.
+        """Return None to admit a command, else the seconds after which its client may retry.
 
-        `again` marks what its client repeats, `keyed` what carries an idempotency key, and `waited` is the
-        time in seconds for which it lay unread.
+        `is_retry` marks a command that its client repeats, `has_idempotency_key` one that carries an
+        idempotency key; `read_delay` is the time in seconds for which it lay unread in the socket's buffer.
         """
 
-    def retuned(self, settings: Settings) -> None:
+    def settings_changed(self, settings: Settings) -> None:
         """New settings; what is known of the load stays."""
 
 
-class Watch(Protocol):
+class ReachabilityObserver(Protocol):
     """Hears what attempts prove of zones, by the decision module's one account."""
 
-    def ended(
-        self, now: float, zone: str, origin: bool, reach: Reach, pressed: bool = False, missed: bool = False
+    def attempt_ended(
+        self,
+        now: float,
+        zone: str,
+        origin: bool,
+        reachability: Reachability,
+        overloaded: bool = False,
+        key_missed: bool = False,
     ) -> None:
-        """An attempt at a server of a zone, or at the origin, has ended or is long overdue; told once.
+        """Record that an attempt at a server of a zone, or at the origin, has ended or is long overdue.
 
-        `pressed`: it was turned away as crowded, or slower than this router wants; `missed`: the key was not
-        there.
+        Called once for each attempt. `overloaded`: the server rejected it as overloaded, or answered later
+        than this router's target; `key_missed`: the server did not have the key.
         """
 
-    def listed(self, zones: Mapping[str, int]) -> None:
+    def servers_listed(self, zones: Mapping[str, int]) -> None:
         """How many cache servers the list names in each zone; told by the host."""
 
 
 @dataclass(slots=True, frozen=True)
-class ZonesLeft:
-    """What the fleet has left, all of it; an empty one is the end of that.
-
-    Nothing new goes to cache servers of `zones`, but for a trial every `trial_every` seconds at zones that
-    are not `forced` out by operators; servers that have started since are not meant, unless the return is
-    `paced`. Requests that lose their server so may go elsewhere as long as the survivors get no more than
-    `spill` times what they got; what is over is refused at once, the least worth first. `origin`: it can't be
-    reached from here either. `shares`: zones that come back, and the share of their servers' points, the
-    same ones at every router, that counts until then.
+class ZoneExit:
+    """The zones that the fleet has left, all of them; an empty exit ends the former one.
+
+    Cache servers of `zones` get no new requests, except for a trial every `trial_interval` seconds at zones
+    that are not in `forced_zones` (those that operators have taken out). Servers that have started since
+    the exit are not affected, unless the return is paced (`paced_return`). Requests that lose their server
+    move to another one as long as the surviving servers get no more than `spill_limit` times their normal
+    traffic; the rest is refused at once, the requests of the least value first. `origin_unreachable`: this
+    router can't reach the origin either. `return_shares`: for each zone that is coming back, the share of
+    its servers' ring points that counts so far; all routers choose the same points.
     """
 
     zones: frozenset[str] = frozenset()
-    origin: bool = False
-    forced: frozenset[str] = frozenset()
-    spill: float = 3.0
-    trial_every: float = 0.5
-    shares: Mapping[str, float] = field(default_factory=dict, hash=False)
-    paced: bool = False
+    origin_unreachable: bool = False
+    forced_zones: frozenset[str] = frozenset()
+    spill_limit: float = 3.0
+    trial_interval: float = 0.5
+    return_shares: Mapping[str, float] = field(default_factory=dict, hash=False)
+    paced_return: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class Preferred:
+class ZonePreferences:
     """How gladly each zone's cache servers are asked: the share of its size that counts for placing keys.
 
     A zone that is not named counts whole.
@@ -353,13 +366,13 @@
 
 Event = (
     ServerList
-    | ListMoved
-    | Offline
-    | Online
+    | DiscoveryChanged
+    | ServerBanned
+    | BanLifted
     | Serving
-    | Retuned
-    | ZonesLeft
-    | Preferred
+    | SettingsChanged
+    | ZoneExit
+    | ZonePreferences
     | Request
     | Streaming
     | Outcome
@@ -372,14 +385,14 @@
 class Send:
     """Start an attempt; a request's attempts are numbered from 0 in the order sent.
 
-    `within`: the time by which its last byte has to be written, as servers drop a repeat only so long; a host
-    that comes to it later does not begin it, and says that it was moot.
+    `write_by`: the time by which the last byte has to be written, as servers drop repeats only for a limited
+    time. A host that gets to it later does not send it and reports `Status.NOT_SENT`.
     """
 
     request: str
     server: str
     timeout: float | None  # None: until the client gives up
-    within: float | None  # None: whenever there is a connection
+    write_by: float | None  # None: whenever there is a connection
     reason: Reason = field(compare=False)
 
     def __init__(
@@ -387,13 +400,13 @@
         request: str,
         server: str,
         timeout: float | None = None,
-        within: float | None = None,
+        write_by: float | None = None,
         reason: Reason = Reason.UNKNOWN,
     ) -> None:
         self.request = request
         self.server = server
         self.timeout = timeout
-        self.within = within
+        self.write_by = write_by
         self.reason = reason
 
 
@@ -402,12 +415,12 @@
     """Final answer: not done, and trying again is harmless."""
 
     request: str
-    come_back: float  # how long the client should wait before that; 0 is no advice
+    retry_after: float  # how long the client should wait before that; 0 is no advice
     reason: Reason = field(compare=False)
 
-    def __init__(self, request: str, come_back: float = 0.0, reason: Reason = Reason.UNKNOWN) -> None:
+    def __init__(self, request: str, retry_after: float = 0.0, reason: Reason = Reason.UNKNOWN) -> None:
         self.request = request
-        self.come_back = come_back
+        self.retry_after = retry_after
         self.reason = reason
 
 
@@ -436,7 +449,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Close:
+class CloseIdle:
     """Close idle connections to a server."""
 
     server: str
@@ -447,11 +460,11 @@
     """Ask for a `TimerFired` after a delay."""
 
     delay: float
-    token: str
+    timer: str
 
-    def __init__(self, delay: float, token: str) -> None:
+    def __init__(self, delay: float, timer: str) -> None:
         self.delay = delay
-        self.token = token
+        self.timer = timer
 
 
 @dataclass(slots=True, frozen=True)
@@ -466,4 +479,4 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Close | SetTimer | Subscribe | Log
+Action = Send | Refuse | Fail | Cancel | CloseIdle | SetTimer | Subscribe | Log
--- a/myrtlecourse/net/connection.py
+++ b/myrtlecourse/net/connection.py
@@ -88,7 +88,7 @@
         drain, or the time in which the server drops its repeat have run out.
         """
         if self.open and self.receiver is not None and not self.receiver.may_begin():
-            self.finish(Status.MOOT)
+            self.finish(Status.NOT_SENT)
         if self.open and self.receiver is not None:
             self.time_left = self.receiver.time_left()
         return self.open
--- a/myrtlecourse/net/discovery.py
+++ b/myrtlecourse/net/discovery.py
@@ -59,7 +59,7 @@
         zone=field(line, "zone", str, where),
         cell=field(line, "group", int, where),
         weight=max(0.0, field(line, "weight", (int, float), where)),
-        since=field(line, "since_ms", (int, float), where) / 1000,  # Unix time, as the host's clock
+        listed_start=field(line, "since_ms", (int, float), where) / 1000,  # Unix time, as the host's clock
     )
     return Member(entry, address)
 
--- a/myrtlecourse/net/host.py
+++ b/myrtlecourse/net/host.py
@@ -54,7 +54,7 @@
         servers: Pool,
         origin: Pool,
         subscribe: Callable[[], None],
-        door: api.Door | None = None,
+        door: api.AdmissionControl | None = None,
     ) -> None:
         self.settings = settings
         self.servers = servers
@@ -109,11 +109,11 @@
                 self._close(action.request, FAILED, action.reason)
             case api.Cancel():
                 self._cancel(action)
-            case api.Close():
+            case api.CloseIdle():
                 if (member := self.members.get(action.server)) is not None:
                     self._pool(member).close_idle(member.address)
             case api.SetTimer():
-                self.timers.after(action.delay, self.post, api.TimerFired(action.token))
+                self.timers.after(action.delay, self.post, api.TimerFired(action.timer))
             case api.Subscribe():
                 self.subscribe()
             case api.Log():
@@ -133,7 +133,7 @@
 
     def list_moved(self) -> None:
         """The list is told elsewhere from now on."""
-        self.post(api.ListMoved())
+        self.post(api.DiscoveryChanged())
 
     def list_failed(self) -> None:
         self.post(api.ServerList(api.ListKind.FAILED))
@@ -189,7 +189,7 @@
         entry = member.entry
         if not self.clock.stepped:
             return entry
-        return replace(entry, started=self.clock.start_of(entry.since))
+        return replace(entry, local_start=self.clock.start_of(entry.listed_start))
 
     def look_at_clock(self) -> None:
         """Notice a step of the wall clock, by which others tell when servers started."""
@@ -213,7 +213,7 @@
     def offline(self, server: str) -> None:
         """Nothing new goes to a cache server; what it has ends there."""
         self.offlined.add(server)
-        self.post(api.Offline(server))
+        self.post(api.ServerBanned(server))
         if (member := self.members.get(server)) is not None:
             self._pool(member).leave(member.address)
 
@@ -222,16 +222,16 @@
         if (member := self.members.get(server)) is not None:
             self._pool(member).leave(member.address)
         self.offlined.discard(server)
-        self.post(api.Online(server, self.clock.start_of(since)))
+        self.post(api.BanLifted(server, self.clock.start_of(since)))
 
     def retune(self, settings: api.Settings) -> None:
         """Other settings from now on; open requests end under those that they began with."""
         self.settings = settings
         for pool in (self.servers, self.origin):
             pool.retune(settings.dial_timeout, settings.connection_idle)
-        self.post(api.Retuned(settings))
+        self.post(api.SettingsChanged(settings))
 
-    def watch(self, watch: api.Watch) -> None:
+    def watch(self, watch: api.ReachabilityObserver) -> None:
         """Let somebody hear what attempts prove, and which zones lists name."""
         self.router.watch = watch
         self._tell_zones()
@@ -239,10 +239,10 @@
     def _tell_zones(self) -> None:
         if self.router.watch is not None:
             zones = (m.entry.zone for m in self.members.values() if not self._is_origin(m))
-            self.router.watch.listed(Counter(zones))
+            self.router.watch.servers_listed(Counter(zones))
 
     def _is_origin(self, member: Member) -> bool:
-        return self.settings.aside and member.entry.kind == self.settings.origin_kind
+        return self.settings.cache_aside and member.entry.kind == self.settings.origin_kind
 
     def _pool(self, member: Member) -> Pool:
         return self.origin if self._is_origin(member) else self.servers
@@ -380,7 +380,7 @@
 
     def _refuse(self, action: api.Refuse) -> None:
         """A refusal at once, that tells the client when to come back if the module has advice."""
-        self._close(action.request, busy(action.come_back), action.reason)
+        self._close(action.request, busy(action.retry_after), action.reason)
 
     # Attempts
 
@@ -390,7 +390,7 @@
             log.error("a send for %s, which is long over", action.request)
             return
         now = self.clock.now()
-        attempt = Attempt(self, taken, now, action.server, action.within)
+        attempt = Attempt(self, taken, now, action.server, action.write_by)
         taken.sent += 1
         taken.attempts[attempt.number] = attempt
         over = taken.closed or taken.overdue or attempt.number >= taken.settings.max_attempts
@@ -402,7 +402,7 @@
             )
         if over or member is None or not taken.reply.there():
             failed = not over and member is None
-            self.finish(taken, attempt, api.Status.CONNECT_FAILED if failed else api.Status.MOOT)
+            self.finish(taken, attempt, api.Status.CONNECT_FAILED if failed else api.Status.NOT_SENT)
             return
         time_left = taken.deadline - now
         if action.timeout is not None and action.timeout < time_left:
--- a/myrtlecourse/net/list_updates.py
+++ b/myrtlecourse/net/list_updates.py
@@ -41,7 +41,7 @@
     """The entry of a server that a whole list does not name any more."""
     entry = member.entry
     left = api.ServerEntry(
-        entry.server, api.State.GONE, entry.kind, entry.zone, entry.cell, entry.weight, entry.since
+        entry.server, api.State.GONE, entry.kind, entry.zone, entry.cell, entry.weight, entry.listed_start
     )
     return Member(left, member.address)
 
--- a/myrtlecourse/net/members.py
+++ b/myrtlecourse/net/members.py
@@ -17,4 +17,4 @@
     @property
     def process(self) -> tuple[str, float]:
         """What tells it from another at the same address, and from itself before a restart."""
-        return self.entry.server, self.entry.since
+        return self.entry.server, self.entry.listed_start
--- a/myrtlecourse/net/pool.py
+++ b/myrtlecourse/net/pool.py
@@ -93,7 +93,7 @@
     def _open(self, address: str, process: object, exchange: Exchange) -> None:
         if not self._has_room():
             # guards against running out of descriptors, which would stop new clients as well
-            exchange.finish(Status.MOOT)  # not the server's fault
+            exchange.finish(Status.NOT_SENT)  # not the server's fault
             return
         dial = asyncio.create_task(self._dial(address, process, exchange))
         self.dialling[address] = self.dialling.get(address, 0) + 1
@@ -137,7 +137,7 @@
         except OSError as e:  # a time-out is one
             # once it is made the request may be on its way, and the connection's end tells what became of it
             if not connection.made:
-                status = Status.MOOT if e.errno in OWN_SHORTAGE else Status.CONNECT_FAILED
+                status = Status.NOT_SENT if e.errno in OWN_SHORTAGE else Status.CONNECT_FAILED
                 self._fail_waiting(address, status)
                 exchange.finish(status)
         finally:
@@ -227,7 +227,7 @@
     def leave(self, address: str) -> None:
         """Nothing more goes to an address: not on a kept connection, nor when a dial is over."""
         self.close_idle(address)
-        self._fail_waiting(address, Status.MOOT)
+        self._fail_waiting(address, Status.NOT_SENT)
 
     def close(self) -> None:
         """Close everything."""
--- a/myrtlecourse/ops/orders.py
+++ b/myrtlecourse/ops/orders.py
@@ -59,16 +59,16 @@
         )
 
 
-def changes(before: Orders, after: Orders) -> Iterator[api.Offline | api.Online]:
+def changes(before: Orders, after: Orders) -> Iterator[api.ServerBanned | api.BanLifted]:
     """What the decision module has to hear when one set of orders follows another."""
     for server in sorted(after.bans.keys() - before.bans.keys()):
-        yield api.Offline(server)
+        yield api.ServerBanned(server)
     for server in sorted(after.returned.keys() - after.bans.keys()):
         if after.returned[server] != before.returned.get(server):
-            yield api.Online(server, after.returned[server])
+            yield api.BanLifted(server, after.returned[server])
     # guards against a ban that only one process would go on keeping, when the call back was long forgotten
     for server in sorted(before.bans.keys() - after.bans.keys() - after.returned.keys()):
-        yield api.Online(server, 0.0)
+        yield api.BanLifted(server, 0.0)
 
 
 def to_table(orders: Orders) -> dict[str, Any]:
--- a/myrtlecourse/overload/core.py
+++ b/myrtlecourse/overload/core.py
@@ -45,7 +45,7 @@
 
     def __init__(self, settings: api.Settings) -> None:
         """Takes classes' aims and worths, and the longest time to come back that clients honour."""
-        self.retuned(settings)
+        self.settings_changed(settings)
         self.share = 1.0
         self.lanes: dict[tuple[str, float], Lane] = {}
         self.tenants: set[str] = set()
@@ -54,15 +54,15 @@
         self.waited = 0.0  # by all of them together
         self.spread = 0.0
 
-    def retuned(self, settings: api.Settings) -> None:
+    def settings_changed(self, settings: api.Settings) -> None:
         """Take new settings; the share let in, which the load has taught, stays."""
         classes = settings.classes.values()
         self.aims = {c.name: c.aim for c in classes}
-        self.worths = {c.name: c.worth for c in classes}
+        self.worths = {c.name: c.value for c in classes}
         self.target = TARGET * min(self.aims.values())
         self.most_pause = settings.max_retry_after
 
-    def pause(
+    def retry_delay(
         self, now: float, request_class: str, tenant: str, again: bool, keyed: bool, waited: float
     ) -> float | None:
         """Take note of a command; None lets it in, a number of seconds is when its client may come back.
--- a/myrtlecourse/peers/speaker.py
+++ b/myrtlecourse/peers/speaker.py
@@ -76,11 +76,11 @@
         for change in done.changes:
             log.info("zone %s: %s", change.zone, change.text)
         if done.left is not None:
-            left = sorted(done.left.zones) + (["the origin"] if done.left.origin else [])
+            left = sorted(done.left.zones) + (["the origin"] if done.left.origin_unreachable else [])
             if left != self.left:
                 log.info("zones left: %s", ", ".join(left) or "none")
             self.left = left
-            back = {zone: round(share, 3) for zone, share in sorted(done.left.shares.items())}
+            back = {zone: round(share, 3) for zone, share in sorted(done.left.return_shares.items())}
             if back != self.back:
                 log.info("zones coming back: %s", " ".join(f"{z}={s}" for z, s in back.items()) or "none")
             self.back = back
--- a/myrtlecourse/policy/leaving.py
+++ b/myrtlecourse/policy/leaving.py
@@ -12,31 +12,31 @@
     """While something is left."""
 
     def __init__(self, chance: random.Random) -> None:
-        self.order = api.ZonesLeft()
+        self.order = api.ZoneExit()
         self.left_at: dict[str, float] = {}  # by zone
         self.random = chance
         self.credit = tuning.SPILL_SAVED  # requests that may move at once
         self.trial_at = 0.0
         self.origin_trial_at = 0.0
 
-    def change(self, now: float, order: api.ZonesLeft) -> None:
+    def change(self, now: float, order: api.ZoneExit) -> None:
         """Take a new order; what was left before stays left since then."""
         self.left_at = {zone: self.left_at.get(zone, now) for zone in order.zones}
         # not at once: all routers hear of it at the same time
-        first = now + order.trial_every * self.random.random()
+        first = now + order.trial_interval * self.random.random()
         self.trial_at = min(self.trial_at, first) if self.order.zones else first
-        self.origin_trial_at = min(self.origin_trial_at, first) if self.order.origin else first
+        self.origin_trial_at = min(self.origin_trial_at, first) if self.order.origin_unreachable else first
         self.order = order
 
     def meant(self, entry: api.ServerEntry) -> bool:
         """Whether a cache server is left: not one that has started since, which a list has told, unless the
         fleet has a pace for it."""
         left_at = self.left_at.get(entry.zone)
-        return left_at is not None and (self.order.paced or entry.start <= left_at)
+        return left_at is not None and (self.order.paced_return or entry.start_time <= left_at)
 
     def stays(self) -> None:
         """A request goes to a survivor that it would have gone to anyway: others may follow in proportion."""
-        gain = self.order.spill - 1.0
+        gain = self.order.spill_limit - 1.0
         # where few stay, many move between two of them
         self.credit = min(max(tuning.SPILL_SAVED, tuning.SPILL_ROUNDS * gain), self.credit + gain)
 
@@ -54,14 +54,14 @@
 
     def trial(self, now: float, zone: str) -> bool:
         """Whether a request may go to a zone that is left, to learn whether it is back."""
-        if now < self.trial_at or zone in self.order.forced:
+        if now < self.trial_at or zone in self.order.forced_zones:
             return False
-        self.trial_at = now + self.order.trial_every * self.random.uniform(0.5, 1.5)
+        self.trial_at = now + self.order.trial_interval * self.random.uniform(0.5, 1.5)
         return True
 
     def origin_trial(self, now: float) -> bool:
         """The same of the origin."""
         if now < self.origin_trial_at:
             return False
-        self.origin_trial_at = now + self.order.trial_every * self.random.uniform(0.5, 1.5)
+        self.origin_trial_at = now + self.order.trial_interval * self.random.uniform(0.5, 1.5)
         return True
--- a/myrtlecourse/policy/line.py
+++ b/myrtlecourse/policy/line.py
@@ -31,7 +31,7 @@
     def push(self, held: Held, often: int) -> None:
         """Stand in the line; `often` tells how often its key is asked for."""
         self.queued += 1
-        heapq.heappush(self.queue, (-held.request_class.worth, -often, self.queued, held))
+        heapq.heappush(self.queue, (-held.request_class.value, -often, self.queued, held))
 
     def pop(self) -> Held | None:
         """The first that still waits."""
--- a/myrtlecourse/policy/members.py
+++ b/myrtlecourse/policy/members.py
@@ -55,7 +55,7 @@
                 self._drop(entry.server)
             elif known is None or _restarted(known.entry, entry):  # a new process: nothing learned holds
                 changed.append(self._admit(entry, self._forget_server(entry.server)))
-                early += entry.start > self.now
+                early += entry.start_time > self.now
             elif known.entry != entry:
                 known.entry = entry
                 changed.append(known)
@@ -74,7 +74,7 @@
     def _mark_left(self) -> None:
         """Nothing new to servers of zones that are left; those of zones that are back begin anew."""
         leaving = self.leaving
-        shares = leaving.order.shares if leaving is not None else {}
+        shares = leaving.order.return_shares if leaving is not None else {}
         caches = self.caches.values()
         meant = {s for s in caches if leaving is not None and leaving.meant(s.entry)}
         if len(meant) == len(caches):
@@ -116,19 +116,19 @@
         self.out.append(api.Log(f"list out of reach, {self.list_failures} in a row"))
 
     def _is_origin(self, entry: api.ServerEntry) -> bool:
-        return self.settings.aside and entry.kind == self.settings.origin_kind
+        return self.settings.cache_aside and entry.kind == self.settings.origin_kind
 
     def _admit(self, entry: api.ServerEntry, former: Server | None = None) -> Server:
         """Begin with a server of which nothing is known; a former process of it leaves it its points."""
         origin = self._is_origin(entry)
         # guards against a start that is said to lie ahead: it would count as cold for as long; and against a
         # list that does not know yet of the restart for which operators took it out
-        started = max(min(entry.start, self.now), self.returned.get(entry.server, 0.0))
+        started = max(min(entry.start_time, self.now), self.returned.get(entry.server, 0.0))
         banned = not origin and entry.server in self.banned
         server = self.servers[entry.server] = Server(entry, not origin, started, banned)
         if origin:
             # guards the origin after a mass restart: forty first guesses are many times what it bears
-            server.limit = max(1.0, tuning.LIMIT_START * min(1.0, tuning.FEW / self.settings.siblings))
+            server.limit = max(1.0, tuning.LIMIT_START * min(1.0, tuning.FEW / self.settings.router_count))
         elif started > 0:
             self.slow_start.began(started, self._cold_time())
         if former is not None:
@@ -140,7 +140,7 @@
 
         Guards the window in which the warm-up ends: what comes in its first part is counted with the rest.
         """
-        return self.settings.ramp + self.settings.fall_window
+        return self.settings.ramp_time + self.settings.fall_window
 
     def _drop(self, name: str) -> None:
         server = self._forget_server(name)
@@ -240,4 +240,8 @@
 
     Once the wall clock was stepped a later start may have an earlier time; else that is an old list.
     """
-    return entry.since > known.since or entry.started is not None and 0 < entry.since < known.since
+    return (
+        entry.listed_start > known.listed_start
+        or entry.local_start is not None
+        and 0 < entry.listed_start < known.listed_start
+    )
--- a/myrtlecourse/policy/router.py
+++ b/myrtlecourse/policy/router.py
@@ -23,8 +23,8 @@
         settings: api.Settings,
         seed: int,
         now: float,
-        door: api.Door | None = None,
-        watch: api.Watch | None = None,
+        door: api.AdmissionControl | None = None,
+        watch: api.ReachabilityObserver | None = None,
     ) -> None:
         super().__init__(settings, seed, now)
         self.door = door
@@ -54,7 +54,7 @@
             return 0.0
         if self.door is None:
             return None
-        pause = self.door.pause(now, request_class, tenant, again, keyed, waited)
+        pause = self.door.retry_delay(now, request_class, tenant, again, keyed, waited)
         # guards the core: nobody waits any more for what would be done now
         return pause if pause is not None or time_left > self.settings.tick else 0.0
 
@@ -69,18 +69,18 @@
             self._on_timer(event)
         elif isinstance(event, api.ServerList):
             self._on_list(event)
-        elif isinstance(event, api.ListMoved):
+        elif isinstance(event, api.DiscoveryChanged):
             self.list_failures = 0  # guards against waiting out the pause that another discovery earned
             self._subscribe()
-        elif isinstance(event, (api.Offline, api.Online)):
+        elif isinstance(event, (api.ServerBanned, api.BanLifted)):
             self._on_operator(event)
         elif isinstance(event, api.Serving):
-            self.wanted = event.wanted
-        elif isinstance(event, api.Retuned):
+            self.wanted = event.accepting
+        elif isinstance(event, api.SettingsChanged):
             self._on_retuned(event.settings)
-        elif isinstance(event, api.ZonesLeft):
+        elif isinstance(event, api.ZoneExit):
             self._on_zones(event)
-        elif isinstance(event, api.Preferred):
+        elif isinstance(event, api.ZonePreferences):
             self.weights = event.weights
             self._build_ring()
         elif isinstance(event, api.ClientGone) and event.request in self.held:
@@ -97,7 +97,7 @@
         if begun is None:
             return
         begun.free()
-        self._learn(begun, api.Status.OK, max(0.0, self.now - begun.sent_at - event.waited))
+        self._learn(begun, api.Status.OK, max(0.0, self.now - begun.sent_at - event.read_delay))
         begun.begun = True
         if (held := self.held.get(event.request)) is not None:
             held.streaming, held.waiting = True, False
@@ -106,16 +106,16 @@
                     self.out.append(api.Cancel(event.request, other))
         self._serve_queue()
 
-    def _on_operator(self, event: api.Offline | api.Online) -> None:
+    def _on_operator(self, event: api.ServerBanned | api.BanLifted) -> None:
         """Begin anew with a server that operators give back; once is enough, whatever was called before."""
-        if isinstance(event, api.Offline):
+        if isinstance(event, api.ServerBanned):
             self.banned.add(event.server)
             self._mark(event.server)
             return
         self.banned.discard(event.server)
-        ramp = self.settings.ramp
+        ramp = self.settings.ramp_time
         self.returned = {name: at for name, at in self.returned.items() if self.now < at + ramp}
-        self.returned[event.server] = min(event.since, self.now)
+        self.returned[event.server] = min(event.returned_at, self.now)
         if (server := self.servers.get(event.server)) is not None and server.cache:
             self._place([self._admit(server.entry, self._forget_server(event.server))])
             self._serve_waiting()
@@ -128,21 +128,21 @@
                 self.slow_start.began(server.started, self._cold_time())
         self.shortest_aim = min(c.aim for c in settings.classes.values())
         if self.door is not None:
-            self.door.retuned(settings)
+            self.door.settings_changed(settings)
         for name, server in list(self.servers.items()):
             if server.cache is self._is_origin(server.entry):
                 self._drop(name)
                 self._admit(server.entry)
         self._build_ring()
 
-    def _on_zones(self, order: api.ZonesLeft) -> None:
+    def _on_zones(self, order: api.ZoneExit) -> None:
         """Leave zones, or the origin, as the fleet does, and come back to them."""
         before = self.leaving
-        if not order.zones and not order.origin and not order.shares:
+        if not order.zones and not order.origin_unreachable and not order.return_shares:
             self.leaving = None
         else:
             self.leaving = before or Leaving(self.random)
-        if before is not None and before.order.origin and not order.origin:
+        if before is not None and before.order.origin_unreachable and not order.origin_unreachable:
             self._ask_origin_again()
         if self.leaving is not None:
             self.leaving.change(self.now, order)
@@ -179,9 +179,9 @@
         request_class = self.settings.classes.get(request.request_class)
         if request_class is None:
             request_class = api.RequestClass(request.request_class, 0.0, api.Effect.UNSAFE)
-        aim = request_class.aim - request.waited
+        aim = request_class.aim - request.read_delay
         until = self.now + min(request.time_left - self.settings.tick, aim)
-        origin = self.settings.aside and request.write
+        origin = self.settings.cache_aside and request.write
         held = self.held[request.request] = Held(request, request_class, self.settings, until, origin)
         self.taken += 1
         self.retries = min(tuning.RETRIES_SAVED, self.retries + tuning.RETRY_SHARE)
@@ -219,7 +219,7 @@
             self.slow_start.sent(self.now, server)
         keyed = held.request_class.effect is api.Effect.KEYED
         within = self._repeat_until(held) if keyed else None
-        self.out.append(api.Send(name, server.entry.server, within=within, reason=reason))
+        self.out.append(api.Send(name, server.entry.server, write_by=within, reason=reason))
         self._look_again(held, attempt)
 
     def _look_again(self, held: Held, attempt: Attempt) -> None:
@@ -249,7 +249,7 @@
         late = self.now - last.sent_at >= self._overdue_after(last.server) - tuning.ROUNDING
         if late and self.watch is not None and not last.overdue and self._quiet(last):
             last.overdue = True
-            self.watch.ended(self.now, last.server.entry.zone, False, api.Reach.SILENT)
+            self.watch.attempt_ended(self.now, last.server.entry.zone, False, api.Reachability.SILENT)
         if late and self.retries >= 1 and self._copy(held, last):
             return
         if last.placed and (not late or held.to_origin):
@@ -273,7 +273,7 @@
         return True
 
     def _on_timer(self, event: api.TimerFired) -> None:
-        what, _, name = event.token.partition(":")
+        what, _, name = event.timer.partition(":")
         if what == "list":
             self.out.append(api.Subscribe())
         elif what == "idle":
@@ -294,14 +294,14 @@
 
     def _close_idle(self, server: Server | None) -> None:
         """Guards against full tables: an idle connection goes once its price has passed a new one's."""
-        price = self.settings.connection_price
+        price = self.settings.connection_cost
         if server is None or server.load or not price:
             return
-        rate = self.taken / max(self.now - self.born, self.shortest_aim) * self.settings.siblings
-        keep = self.keep * self.settings.handshake_price / price * 100 * len(self.caches) / rate
+        rate = self.taken / max(self.now - self.born, self.shortest_aim) * self.settings.router_count
+        keep = self.keep * self.settings.handshake_cost / price * 100 * len(self.caches) / rate
         left = server.used_at + keep - self.now
         if left < self.settings.tick:
-            self.out.append(api.Close(server.entry.server))
+            self.out.append(api.CloseIdle(server.entry.server))
         elif left < self.settings.connection_idle:
             self.out.append(api.SetTimer(left, "idle:" + server.entry.server))
 
@@ -357,7 +357,7 @@
         if attempt.server.cache and verdict not in (Verdict.NOTHING, Verdict.LOST):
             self.good += SMOOTHING * ((event.status in (api.Status.OK, api.Status.MISS)) - self.good)
         if (held := self.held.get(event.request)) is not None:
-            if event.closed or event.status is api.Status.OK:
+            if event.request_ended or event.status is api.Status.OK:
                 self._forget(held, event.status is api.Status.OK and not attempt.server.cache)
             elif not held.waiting and (event.status is api.Status.MISS or not held.open_attempts()):
                 self._after_failure(held, event)
@@ -379,18 +379,22 @@
     def _tell_watch(self, attempt: Attempt, event: api.Outcome, verdict: Verdict) -> None:
         """Once of each attempt; one that was overdue and is answered after all counts as that, too."""
         proven, server = reach(event.status, verdict), attempt.server
-        if self.watch is None or proven is None or (proven is api.Reach.SILENT and attempt.overdue):
+        if self.watch is None or proven is None or (proven is api.Reachability.SILENT and attempt.overdue):
             return
-        pressed = verdict is Verdict.CROWDED or proven is api.Reach.HEARD and event.latency > attempt.target
+        pressed = (
+            verdict is Verdict.CROWDED
+            or proven is api.Reachability.ANSWERED
+            and event.latency > attempt.target
+        )
         missed = event.status is api.Status.MISS
-        self.watch.ended(self.now, server.entry.zone, not server.cache, proven, pressed, missed)
+        self.watch.attempt_ended(self.now, server.entry.zone, not server.cache, proven, pressed, missed)
 
     def _after_failure(self, held: Held, event: api.Outcome) -> None:
         """The origin is next after a miss; after anything else a retry, while the budget lasts."""
-        if event.status is api.Status.MISS and self.settings.aside:
+        if event.status is api.Status.MISS and self.settings.cache_aside:
             held.to_origin = True
             held.missed.append(held.attempts[event.attempt].server)
-        elif event.status is api.Status.ERROR and not self.settings.aside:
+        elif event.status is api.Status.ERROR and not self.settings.cache_aside:
             held.until = self.now  # guards against a failing origin: each server tried fetches the key again
         elif not held.to_origin and (event.status not in tuning.CHEAP or self.good < tuning.ROOM):
             # guards against feeding an overload: full servers made every request into a dozen attempts
--- a/myrtlecourse/policy/walk.py
+++ b/myrtlecourse/policy/walk.py
@@ -41,7 +41,7 @@
         for server, rank in self.ring.around(key, most):
             if not counted:
                 counted = True
-                self.slow_start.comes(self.now, server.entry.server, self.settings.ramp, self.caches)
+                self.slow_start.comes(self.now, server.entry.server, self.settings.ramp_time, self.caches)
             warm = self._warm_share(server)
             # guards against pushing over a cold server: all leave out the same points, and none spills to it
             # a key whose own server has not taken it back yet goes to no other that comes back: else it would
@@ -81,12 +81,12 @@
         if not held.moved:
             self.leaving.stays()
             return True
-        most = max(c.worth for c in self.settings.classes.values())
-        return self.leaving.moves(held.request_class.worth, most)
+        most = max(c.value for c in self.settings.classes.values())
+        return self.leaving.moves(held.request_class.value, most)
 
     def _load_of(self, key: str) -> float:
         """A key's share of own requests, this one counted."""
-        return self.popularity.share(self.now, key, self.settings.ramp, len(self.caches))
+        return self.popularity.share(self.now, key, self.settings.ramp_time, len(self.caches))
 
     def _too_late(self, held: Held, server: Server) -> bool:
         """Refuses by chance what would wait too long. Guards against rooms so full that all is late."""
@@ -108,7 +108,7 @@
 
     def _met_seldom(self) -> bool:
         """Whether this router is one of many: so many failures in a row at one server take it too long."""
-        if self.settings.siblings <= tuning.FEW:
+        if self.settings.router_count <= tuning.FEW:
             return False
         rate = self.taken / max(self.now - self.born, self.shortest_aim) / max(1, len(self.caches))
         return rate * tuning.PAUSE < tuning.FAILURES
@@ -119,7 +119,7 @@
             caches -= sum(s.left for s in self.caches.values())
             failing -= sum(s.left for s in self.failing if s is not server)
         too_many = failing + 1 > tuning.MOST_OUT * caches
-        note_failure(self.now, server, failed and not too_many, count, self.settings.ramp, self.random)
+        note_failure(self.now, server, failed and not too_many, count, self.settings.ramp_time, self.random)
         if server.failures >= tuning.FAILURES and self.caches.get(server.entry.server) is server:
             self.failing.add(server)
         else:
@@ -131,7 +131,7 @@
 
     def _any_cold(self) -> bool:
         """Whether any server is cold; then what all bear is measured now and again."""
-        slow_start, ramp = self.slow_start, self.settings.ramp
+        slow_start, ramp = self.slow_start, self.settings.ramp_time
         slow_start.turned_away = False
         if self.now >= slow_start.cold_until:
             return False
@@ -149,7 +149,7 @@
         # guards against client retries, which multiply what is sent just when servers bear the least; and
         # against an overload, where settings let a cold server bear little more than it can do
         room = self.good * min(1.0, self.settings.fall_multiple / tuning.FALL_ROOM)
-        return room * (1 - (1 - self.settings.cold_share) * max(0.0, 1 - age / self.settings.ramp))
+        return room * (1 - (1 - self.settings.cold_share) * max(0.0, 1 - age / self.settings.ramp_time))
 
     def _warm_share(self, server: Server) -> float:
         """Share of its points that count: as it is warm, and as its zone has come back."""
@@ -165,27 +165,27 @@
         chance = slow_start.chance(server.entry.server, fair, len(self.caches), multiple)
         if self.random.random() < chance:
             return True
-        return slow_start.free(self.now, server, settings.fall_window, settings.siblings)
+        return slow_start.free(self.now, server, settings.fall_window, settings.router_count)
 
     def _permits(self, held: Held, server: Server | None) -> bool:
         """What the class still permits: another send to this server or, with None, a refusal."""
         kind = held.request_class
         ran = [a for a in held.attempts if a.may_have_run]
-        waits = held.open_attempts() and not held.settings.second_copies
+        waits = held.open_attempts() and not held.settings.hedging
         if server is not None and (waits or len(held.attempts) >= held.settings.max_attempts):
             return False
         if kind.effect is api.Effect.SAFE or not ran:
             return True
         if kind.effect is api.Effect.UNSAFE or server is None:
-            return kind.effect is api.Effect.KEYED and kind.group is api.Group.ALL
+            return kind.effect is api.Effect.KEYED and kind.group is api.DedupGroup.ALL
         if self.now >= self._repeat_until(held):
             return False
-        return all(kind.group.joins(a.server.entry, server.entry) for a in ran)
+        return all(kind.group.includes_both(a.server.entry, server.entry) for a in ran)
 
     def _repeat_until(self, held: Held) -> float:
         """By when a keyed request must have arrived again: servers drop its repeat for so long."""
         sent_at = min((a.sent_at for a in held.attempts if a.may_have_run), default=self.now)
-        return sent_at + held.request_class.window - tuning.ARRIVAL
+        return sent_at + held.request_class.repeat_window - tuning.ARRIVAL
 
     def _overdue_after(self, server: Server) -> float:
         """Seconds after which an attempt without an answer is more likely lost than late; 0 if unknown.
@@ -217,7 +217,7 @@
         """
         if origin is None:
             return held.until
-        if self.leaving is not None and self.leaving.order.origin:
+        if self.leaving is not None and self.leaving.order.origin_unreachable:
             # it may be back soon, and an answer after that is worth more than a refusal now; but not for long
             whole = min(held.request.time_left, held.request_class.aim)
             return held.until - (1 - tuning.LEFT_WAIT) * whole
@@ -228,7 +228,7 @@
     def _has_place(self, origin: Server) -> bool:
         """Whether a fetch may go: below the limit, or as a trial when all that is out may be lost."""
         leaving = self.leaving
-        if leaving is not None and leaving.order.origin:
+        if leaving is not None and leaving.order.origin_unreachable:
             return leaving.origin_trial(self.now)  # guards the rest: each would dial in vain
         if self.now < origin.out_until:
             return False
--- a/myrtlecourse/scale/hollow.py
+++ b/myrtlecourse/scale/hollow.py
@@ -159,7 +159,7 @@
                 self._in_force(now, old, GONE)
 
     def _in_force(self, now: float, listed: Listed, status: str) -> None:
-        since_ms = round(listed.entry.since * 1000)
+        since_ms = round(listed.entry.listed_start * 1000)
         record = InForce(now, self.place.number, listed.entry.server, status, since_ms)
         self.counts.in_force.append(record)
 
--- a/myrtlecourse/scale/slopes.py
+++ b/myrtlecourse/scale/slopes.py
@@ -68,7 +68,7 @@
 def settings() -> api.Settings:
     """Those of a router of the fleet to come."""
     read = api.RequestClass("read", aim=1.0)
-    return api.Settings({"read": read}, second_copies=True, may_cancel=True, max_attempts=4, siblings=16_000)
+    return api.Settings({"read": read}, hedging=True, may_cancel=True, max_attempts=4, router_count=16_000)
 
 
 def parse(body: bytes) -> tuple[bool, list[Member]]:
@@ -264,7 +264,7 @@
     me, other = (Agent(Part(name, names(size), "zone-001", KEY), now, WALL, seed) for name in names(2))
     said = other.zones.said(now)
     for agent in (me, other):
-        agent.listed({f"zone-{z:03d}": 48 for z in range(max(1, zones))})
+        agent.servers_listed({f"zone-{z:03d}": 48 for z in range(max(1, zones))})
         acquaint(agent.gossip, said, chance, now)
         agent.tick(now, WALL)
     spent = 0.0
--- a/myrtlecourse/service.py
+++ b/myrtlecourse/service.py
@@ -108,7 +108,7 @@
         self.discovery.subscribe()
 
     def _list_told(self, kind: api.ListKind, members: list[Member]) -> None:
-        origin = self.host.settings.origin_kind if self.host.settings.aside else None
+        origin = self.host.settings.origin_kind if self.host.settings.cache_aside else None
         self.listed.note((m.entry.server, m.entry.kind != origin) for m in members)
         self.host.list_told(kind, members)
         if kind is not api.ListKind.SAVED:
@@ -229,10 +229,10 @@
         """Tell the decisions and the listener what the orders have become."""
         before, self.orders = self.orders, self.store.orders
         for event in changes(before, self.orders):
-            if isinstance(event, api.Offline):
+            if isinstance(event, api.ServerBanned):
                 self.host.offline(event.server)
             else:
-                self.host.online(event.server, event.since)
+                self.host.online(event.server, event.returned_at)
         if before.out_of_service is not self.orders.out_of_service:
             self.host.in_service = not self.orders.out_of_service
             if self.orders.out_of_service:
--- a/myrtlecourse/settings.py
+++ b/myrtlecourse/settings.py
@@ -55,14 +55,14 @@
 def read_class(row: dict[str, Any]) -> api.RequestClass:
     """One class of the settings."""
     where = f"classes[{row['name']}]."
-    groups = {g.value: g for g in api.Group}
+    groups = {g.value: g for g in api.DedupGroup}
     return api.RequestClass(
         name=row["name"],
         aim=number(row, "aim", number(row, "giveUp", 1.0, where), where),
         effect=choice(row, "effect", "single_shot", EFFECTS, where),
         group=choice(row, "group", "cell", groups, where),
-        window=number(row, "repeatWindow", 0.0, where),
-        worth=number(row, "value", 1.0, where),
+        repeat_window=number(row, "repeatWindow", 0.0, where),
+        value=number(row, "value", 1.0, where),
     )
 
 
@@ -80,25 +80,25 @@
     return api.Settings(
         classes=classes,
         tick=number(conf, "resolution", 0.005, ""),
-        aside=choice(info, "mode", "through", {"aside": True, "through": False}, "familyInfo."),
+        cache_aside=choice(info, "mode", "through", {"aside": True, "through": False}, "familyInfo."),
         origin_kind=str(kinds[origin]) if 0 <= origin < len(kinds) else None,
         subscribe=choice(conf, "membershipMode", "automatic", {"subscribe": True, "automatic": False}, ""),
         live_weights=conf.get("weights") == "live",
-        second_copies=bool(limits.get("secondCopies", False)),
+        hedging=bool(limits.get("secondCopies", False)),
         may_cancel=bool(limits.get("mayCancel", False)),
         max_attempts=max(1, int(number(limits, "mostTries", 1, "limits."))),
         zone=conf["zone"] if isinstance(conf.get("zone"), str) else "",
         peers=bool(limits.get("peers", False)),
-        siblings=max(1, int(number(conf, "siblings", 1, ""))),
+        router_count=max(1, int(number(conf, "siblings", 1, ""))),
         connection_idle=number(limits, "connIdle", 60.0, "limits."),
         dial_timeout=number(limits, "dialTimeout", 0.25, "limits."),
         max_retry_after=number(limits, "maxRetryAfter", 0.0, "limits."),
-        connection_price=number(prices, "connection", 0.0, "penalties."),
-        handshake_price=number(prices, "handshake", 0.0, "penalties."),
+        connection_cost=number(prices, "connection", 0.0, "penalties."),
+        handshake_cost=number(prices, "handshake", 0.0, "penalties."),
         longest_deadline=max(number(row, "giveUp", 1.0, "classes.") for row in rows(conf, "classes")),
         drain_grace=number(rules, "stopSendingWithin", 2.0, "rules."),
         cold_share=number(rules, "coldFrom", 0.3, "rules."),
-        ramp=number(rules, "rampTime", 10.0, "rules."),
+        ramp_time=number(rules, "rampTime", 10.0, "rules."),
         fall_multiple=number(rules, "fallMultiple", 2.0, "rules."),
         fall_window=number(rules, "overloadFor", 1.0, "rules."),
     )
--- a/myrtlecourse/sim/meeting.py
+++ b/myrtlecourse/sim/meeting.py
@@ -68,8 +68,8 @@
             for pause in self.ways.fate((router.name, datagram.to)):
                 self.core.after(pause, self._arrive, self.routers[datagram.to], datagram.data)
         if done.left is not None:
-            self.orders.append((self.core.now, router.name, done.left.zones, done.left.origin))
-            self.shares.append((self.core.now, router.name, done.left.shares))
+            self.orders.append((self.core.now, router.name, done.left.zones, done.left.origin_unreachable))
+            self.shares.append((self.core.now, router.name, done.left.return_shares))
         for event in done.events:
             router.post(event)
 
--- a/myrtlecourse/sim/routers.py
+++ b/myrtlecourse/sim/routers.py
@@ -193,7 +193,7 @@
             if before is not None and (entry.status != "in_service" or before.since != entry.since):
                 self.nodes[entry.name].kept.pop(self.name, None)
         if self.up and self.agent is not None:
-            self.agent.listed(Counter(e.zone for e in self.listed.values() if e.kind != ORIGIN))
+            self.agent.servers_listed(Counter(e.zone for e in self.listed.values() if e.kind != ORIGIN))
         self.post(api.ServerList(kind, tuple(map(as_listed, entries))))
 
     def list_failed(self) -> None:
@@ -250,7 +250,7 @@
             case api.Send():
                 self._send(action)
             case api.Refuse():
-                self._close(action.request, "refused", action.come_back)
+                self._close(action.request, "refused", action.retry_after)
             case api.Fail():
                 self._close(action.request, "failed")
             case api.Cancel():
@@ -258,10 +258,10 @@
                 attempt = taken.attempts.get(action.attempt) if taken is not None else None
                 if attempt is not None:
                     self._give_up(attempt, api.Status.CANCELLED)
-            case api.Close():
+            case api.CloseIdle():
                 self.nodes[action.server].kept.pop(self.name, None)
             case api.SetTimer():
-                self.core.after(action.delay, self._fired, self.life, action.token)
+                self.core.after(action.delay, self._fired, self.life, action.timer)
             case api.Subscribe():
                 self.subscribe(self)
             case api.Log():
@@ -302,7 +302,7 @@
         taken.attempts[attempt.number] = attempt
         over = taken.closed or taken.overdue or attempt.number >= self.settings.max_attempts
         if over or node is None:
-            self.finish(attempt, api.Status.MOOT if over else api.Status.CONNECT_FAILED)
+            self.finish(attempt, api.Status.NOT_SENT if over else api.Status.CONNECT_FAILED)
             return
         if action.timeout is not None and action.timeout < taken.deadline - now:
             attempt.timer = self.core.after(
--- a/myrtlecourse/sim/world.py
+++ b/myrtlecourse/sim/world.py
@@ -224,7 +224,7 @@
         for router in self.routers:
             if router.taking and not router.ending:
                 now, box = self.core.now, step.target
-                router.post(api.Online(box, now) if back else api.Offline(box))
+                router.post(api.BanLifted(box, now) if back else api.ServerBanned(box))
                 self.auditor.take(seen.Banned(now, router.name, box, back))
 
     def _start(self, node: Node) -> None:
--- a/myrtlecourse/wirehost.py
+++ b/myrtlecourse/wirehost.py
@@ -27,7 +27,7 @@
     "dial_failed": api.Status.CONNECT_FAILED,
     "dropped": api.Status.RESET,
     "revoked": api.Status.CANCELLED,
-    "unused": api.Status.MOOT,
+    "unused": api.Status.NOT_SENT,
     "empty": api.Status.MISS,
 }
 
@@ -45,7 +45,7 @@
         zone=e.get("site") or "",
         cell=e.get("stripe") or 0,
         weight=max(0.0, e.get("weight") or 0.0),
-        since=e.get("since") or 0.0,
+        listed_start=e.get("since") or 0.0,
     )
 
 
@@ -93,7 +93,7 @@
 
 def write_refuse(a: api.Refuse) -> dict[str, Any]:
     """A refusal, with advice if there is any."""
-    advice = {"coolDown": a.come_back} if a.come_back else {}
+    advice = {"coolDown": a.retry_after} if a.retry_after else {}
     return {"op": "Reject", "ticket": a.request, **advice}
 
 
@@ -102,8 +102,8 @@
     api.Refuse: write_refuse,
     api.Fail: lambda a: {"op": "GiveUp", "ticket": a.request},
     api.Cancel: lambda a: {"op": "Cancel", "ticket": a.request, "sendNo": a.attempt},
-    api.Close: lambda a: {"op": "LetGo", "server": a.server},
-    api.SetTimer: lambda a: {"op": "Timer", "fromNow": a.delay, "ctx": a.token},
+    api.CloseIdle: lambda a: {"op": "LetGo", "server": a.server},
+    api.SetTimer: lambda a: {"op": "Timer", "fromNow": a.delay, "ctx": a.timer},
     api.Subscribe: lambda a: {"op": "Listen", "enable": True},
     api.Log: lambda a: {"op": "Record", "line": a.text},
 }
--- a/myrtlecourse/zones/agent.py
+++ b/myrtlecourse/zones/agent.py
@@ -43,7 +43,7 @@
 
     datagrams: list[Datagram]
     events: list[api.Event]  # for the decision module
-    left: api.ZonesLeft | None  # among them, if it is another than before
+    left: api.ZoneExit | None  # among them, if it is another than before
     changes: list[Change]  # for the log
 
 
@@ -87,7 +87,7 @@
         zones.paced, zones.returns.origin_rate = part.paced, part.origin_rate
         self.part = part
 
-    def listed(self, zones: Mapping[str, int]) -> None:
+    def servers_listed(self, zones: Mapping[str, int]) -> None:
         """How many cache servers a list names in each zone."""
         self.zones.zones(zones)
 
@@ -97,16 +97,16 @@
         each = {zone: tiers.weight(home, zone) for zone in self.zones.sizes}
         return {zone: weight for zone, weight in each.items() if weight != 1.0}
 
-    def ended(
+    def attempt_ended(
         self,
         now: float,
         zone: str,
         origin: bool,
-        reach: api.Reach,
+        reach: api.Reachability,
         pressed: bool = False,
         missed: bool = False,
     ) -> None:
-        """An attempt has ended (`api.Watch`)."""
+        """An attempt has ended (`api.ReachabilityObserver`)."""
         if self.zones.ended(now, ORIGIN if origin else zone, reach, pressed, missed):
             self.gossip.stir(now)
 
@@ -134,7 +134,7 @@
             events.append(left)
         if (preferred := self._preferred()) != self.preferred:
             self.preferred = preferred
-            events.append(api.Preferred(preferred))
+            events.append(api.ZonePreferences(preferred))
         changes, zones.changes = zones.changes, []
         return Done(datagrams, events, left, changes)
 
@@ -174,9 +174,11 @@
                     "since_s": round(since, 1) if since < math.inf else None,
                     "by": names.get(standing.by, ""),
                     "left_s": round(left.until - now, 1) if left and left.until < math.inf else None,
-                    "left": zones.given.origin if name == ORIGIN else name in zones.given.zones,
+                    "left": zones.given.origin_unreachable if name == ORIGIN else name in zones.given.zones,
                     "alone": ident(name, 2) in zones.alone,
-                    "share": round(zones.given.shares[name], 3) if name in zones.given.shares else None,
+                    "share": round(zones.given.return_shares[name], 3)
+                    if name in zones.given.return_shares
+                    else None,
                     "waits": zones.returns.waits.get(ident(name, 2), ""),
                 }
             )
--- a/myrtlecourse/zones/core.py
+++ b/myrtlecourse/zones/core.py
@@ -95,7 +95,7 @@
         self.read: dict[int, tuple[Record, dict[int, Tally]]] = {}  # what they tell, by their owners
         self.members = {self.home: 1}
         self.fleet = 1
-        self.given = api.ZonesLeft()
+        self.given = api.ZoneExit()
         self.changes: list[Change] = []
         self.doubted: dict[int, float] = {}  # zones that others reach and this router does not: since when
         self.alone: set[int] = set()  # those of them for long enough
@@ -110,7 +110,7 @@
     # Evidence
 
     def ended(
-        self, now: float, zone: str, reach: api.Reach, pressed: bool = False, missed: bool = False
+        self, now: float, zone: str, reach: api.Reachability, pressed: bool = False, missed: bool = False
     ) -> bool:
         """An attempt at a zone has ended; answers whether all should hear of it at once."""
         if now < self.unbelieved_until:
@@ -119,8 +119,8 @@
         before = self.counts.tallies(now).get(number, Tally())
         self.counts.add(now, number, reach, pressed, missed)
         if number in self._left():
-            return reach is api.Reach.HEARD and not before.heard  # it may be back
-        return reach is not api.Reach.HEARD and not before.bad and before.heard < ENOUGH_TO_DOUBT
+            return reach is api.Reachability.ANSWERED and not before.heard  # it may be back
+        return reach is not api.Reachability.ANSWERED and not before.bad and before.heard < ENOUGH_TO_DOUBT
 
     def stood_still(self, now: float) -> None:
         """This process did not run for a while: what it knew, and what ends now, says nothing of others."""
@@ -384,7 +384,7 @@
 
     def _left(self) -> set[int]:
         own = {ident(z, 2) for z in self.given.zones}
-        return own | ({ident(ORIGIN, 2)} if self.given.origin else set())
+        return own | ({ident(ORIGIN, 2)} if self.given.origin_unreachable else set())
 
     def _give(self, now: float, numbers: frozenset[int], back: Mapping[int, int]) -> None:
         """Make the order to the decision module, if it is another than before: what is left, and how much of
@@ -398,16 +398,18 @@
             self.names[n] for n in numbers if n != origin and self._ordered(n) is Order.ORDERED_OUT
         )
         before = self.given
-        if abs(every - before.trial_every) <= STEADY * before.trial_every:
-            every = before.trial_every  # a router that comes or goes is no new order
+        if abs(every - before.trial_interval) <= STEADY * before.trial_interval:
+            every = before.trial_interval  # a router that comes or goes is no new order
         routers = {self.names.get(number, ""): count for number, count in self.members.items()}
         spill = self.tiers.spill(self.spill, self.names[self.home], self.sizes, zones, routers)
-        if abs(spill - before.spill) <= STEADY * before.spill and zones == before.zones:
-            spill = before.spill
+        if abs(spill - before.spill_limit) <= STEADY * before.spill_limit and zones == before.zones:
+            spill = before.spill_limit
         shares = {self.names[n]: share / WHOLE for n, share in back.items()}
         left_origin = self.leave_origin and origin in numbers
-        order = api.ZonesLeft(zones, left_origin, forced, spill, every, shares, self.paced)
-        if order != before and any((o.zones or o.origin or o.shares) for o in (order, before)):
+        order = api.ZoneExit(zones, left_origin, forced, spill, every, shares, self.paced)
+        if order != before and any(
+            (o.zones or o.origin_unreachable or o.return_shares) for o in (order, before)
+        ):
             self.given = order
 
     # Operators
--- a/myrtlecourse/zones/evidence.py
+++ b/myrtlecourse/zones/evidence.py
@@ -8,7 +8,7 @@
 
 from dataclasses import astuple, dataclass, fields, replace
 
-from myrtlecourse.interface import Reach
+from myrtlecourse.interface import Reachability
 
 PERIOD = 0.25  # seconds
 SHORT = 2  # periods: enough where a fleet sends much
@@ -75,14 +75,16 @@
                 if not any(any(p) for p in periods):
                     del self.zones[zone]
 
-    def add(self, now: float, zone: int, reach: Reach, pressed: bool = False, missed: bool = False) -> None:
+    def add(
+        self, now: float, zone: int, reach: Reachability, pressed: bool = False, missed: bool = False
+    ) -> None:
         """An attempt at a zone has ended, or is taken for lost."""
         self._advance(now)
         periods = self.zones.setdefault(zone, [[0] * 5 for _ in range(LONG)])
-        periods[0][(Reach.HEARD, Reach.REFUSED, Reach.SILENT).index(reach)] += 1
+        periods[0][(Reachability.ANSWERED, Reachability.REFUSED, Reachability.SILENT).index(reach)] += 1
         periods[0][3] += pressed
         periods[0][4] += missed
-        if reach is Reach.HEARD:
+        if reach is Reachability.ANSWERED:
             self.runs.pop(zone, None)
         else:
             # guards against what each router does by itself: it leaves servers out before it has tried enough
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -9,14 +9,14 @@
 from myrtlecourse.policy import Router
 
 READ = api.RequestClass("read", aim=1.0)
-KEYED = api.RequestClass("keyed", 1.0, api.Effect.KEYED, api.Group.ALL, window=1.5, worth=5.0)
-ONCE = api.RequestClass("once", 1.0, api.Effect.UNSAFE, worth=5.0)
-NEVER_RAN = {api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.MOOT, api.Status.MISS}
+KEYED = api.RequestClass("keyed", 1.0, api.Effect.KEYED, api.DedupGroup.ALL, repeat_window=1.5, value=5.0)
+ONCE = api.RequestClass("once", 1.0, api.Effect.UNSAFE, value=5.0)
+NEVER_RAN = {api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.NOT_SENT, api.Status.MISS}
 
 
 def settings(**changes: Any) -> api.Settings:
     base = api.Settings(
-        classes={c.name: c for c in (READ, KEYED, ONCE)}, second_copies=True, may_cancel=True, max_attempts=4
+        classes={c.name: c for c in (READ, KEYED, ONCE)}, hedging=True, may_cancel=True, max_attempts=4
     )
     return replace(base, **changes)
 
@@ -56,8 +56,8 @@
 
     def check(self, action: api.Action) -> None:
         if isinstance(action, api.SetTimer):
-            assert 0 <= action.delay < 4260 and 1 <= len(action.token) <= 64
-            self.timers.append((self.now + action.delay, action.token))
+            assert 0 <= action.delay < 4260 and 1 <= len(action.timer) <= 64
+            self.timers.append((self.now + action.delay, action.timer))
         elif isinstance(action, api.Cancel):
             assert (action.request, action.attempt) in self.state, "cancels an attempt never made"
         elif isinstance(action, api.Send):
@@ -80,18 +80,18 @@
         assert len(earlier) < conf.max_attempts, "more attempts than allowed"
         ran = [i for i in range(len(earlier)) if self.state[name, i] not in NEVER_RAN]
         outstanding = [i for i in ran if self.state[name, i] is None]
-        assert conf.second_copies or not outstanding, "rule 2: two copies out at once"
+        assert conf.hedging or not outstanding, "rule 2: two copies out at once"
         if ran and kind.effect is not api.Effect.SAFE:
             assert kind.effect is api.Effect.KEYED, "rule 2: an unsafe request sent again"
             first = min(self.sent_at[name][i] for i in ran)
-            assert self.now <= first + kind.window, "rule 2: a keyed request sent after its window"
+            assert self.now <= first + kind.repeat_window, "rule 2: a keyed request sent after its window"
             for i in ran:
                 other = self.listed.get(earlier[i])
-                same = kind.group is api.Group.ALL or (
+                same = kind.group is api.DedupGroup.ALL or (
                     other is not None
                     and (
                         other.zone == target.zone
-                        if kind.group is api.Group.ZONE
+                        if kind.group is api.DedupGroup.ZONE
                         else other.cell == target.cell
                     )
                 )
@@ -107,7 +107,7 @@
         kind = self.under[name].classes[self.open[name].request_class]
         ran = [i for i in range(len(self.sends.get(name, []))) if self.state[name, i] not in NEVER_RAN]
         if ran and kind.effect is not api.Effect.SAFE:
-            harmless = kind.effect is api.Effect.KEYED and kind.group is api.Group.ALL
+            harmless = kind.effect is api.Effect.KEYED and kind.group is api.DedupGroup.ALL
             assert harmless, "rule 2: a refusal of what may have run"
 
     def finish(self, name: str, how: str) -> None:
@@ -126,15 +126,15 @@
 
     def offline(self, server: str) -> None:
         self.banned.add(server)
-        self.feed(api.Offline(server))
+        self.feed(api.ServerBanned(server))
 
     def online(self, server: str) -> None:
         self.banned.discard(server)
-        self.feed(api.Online(server, self.now))
+        self.feed(api.BanLifted(server, self.now))
 
     def retune(self, conf: api.Settings) -> None:
         self.conf = conf
-        self.feed(api.Retuned(conf))
+        self.feed(api.SettingsChanged(conf))
 
     def request(self, name: str, finish: bool = False, **fields: Any) -> str | None:
         """A request arrives; answers with the server its first attempt went to, if any."""
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -29,13 +29,13 @@
 HIT = b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
 READ = api.RequestClass("read", aim=1.0)
-BOOK = api.RequestClass("book", 1.0, api.Effect.KEYED, api.Group.ALL, window=15.0, worth=3.0)
+BOOK = api.RequestClass("book", 1.0, api.Effect.KEYED, api.DedupGroup.ALL, repeat_window=15.0, value=3.0)
 SETTINGS = api.Settings(
     classes={"read": READ, "book": BOOK},
-    aside=True,
+    cache_aside=True,
     origin_kind="origin",
     may_cancel=True,
-    second_copies=True,
+    hedging=True,
     max_attempts=4,
     max_retry_after=2.0,
 )
@@ -203,7 +203,7 @@
         settings: api.Settings = SETTINGS,
         listed: bool = True,
         clients: int = 16,
-        door: api.Door | None = None,
+        door: api.AdmissionControl | None = None,
         connections: int = 16,
     ) -> None:
         self.listed = listed
--- a/tests/test_daily_rules.py
+++ b/tests/test_daily_rules.py
@@ -32,9 +32,9 @@
     d.offline("a")
     lists: list[Callable[[], Any]] = [
         lambda: d.list(*fleet("a", "b")),
-        lambda: d.list(entry("a", since=d.now), kind=api.ListKind.DELTA),
+        lambda: d.list(entry("a", listed_start=d.now), kind=api.ListKind.DELTA),
         lambda: d.list(entry("a", state=api.State.GONE), kind=api.ListKind.DELTA),
-        lambda: d.list(entry("a", since=d.now), kind=api.ListKind.DELTA),
+        lambda: d.list(entry("a", listed_start=d.now), kind=api.ListKind.DELTA),
         lambda: d.list(*fleet("b")),
         lambda: d.list(*fleet("a", "b"), kind=api.ListKind.SAVED),
     ]
@@ -72,21 +72,21 @@
     first = [d.request(f"f{n}", key=f"k{n}") for n in range(30)]
     assert set(first) == {"a", None} and first.count("a") >= tuning.FREE_CALLS
     assert all(d.ended[f"f{n}"] == "refused" for n, server in enumerate(first) if server is None)
-    d.wait(d.conf.ramp + d.conf.fall_window)
+    d.wait(d.conf.ramp_time + d.conf.fall_window)
     assert set(spread(d, 30)) == {"a"}
 
 
 def test_the_origin_is_no_cache_server_to_be_banned() -> None:
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "o"))
-    d.router.handle(d.now, api.Offline("o"))
+    d.router.handle(d.now, api.ServerBanned("o"))
     d.request("w", write=True, request_class="keyed")
     assert d.sends["w"] == ["o"]
 
 
 def test_a_server_given_back_is_cold_and_nothing_learned_of_it_holds() -> None:
     """The list learns of its restart seconds later; with all its points at once it was pushed over."""
-    d = Driver(settings(ramp=10.0, cold_share=0.3))
+    d = Driver(settings(ramp_time=10.0, cold_share=0.3))
     d.list(*fleet("a", "b"))
     for _ in range(40):
         spread(d, 5)
@@ -102,7 +102,7 @@
 
 
 def test_a_list_that_is_late_does_not_make_a_returned_server_warm() -> None:
-    d = Driver(settings(ramp=10.0, cold_share=0.3))
+    d = Driver(settings(ramp_time=10.0, cold_share=0.3))
     d.list(*fleet("a", "b"))
     d.offline("a")
     d.list(*fleet("b"))
@@ -115,8 +115,8 @@
 
 
 def test_a_process_that_learns_late_of_a_return_counts_from_the_call() -> None:
-    d = Driver(settings(ramp=10.0, cold_share=0.3))
-    d.feed(api.Online("a", d.now - 20.0))
+    d = Driver(settings(ramp_time=10.0, cold_share=0.3))
+    d.feed(api.BanLifted("a", d.now - 20.0))
     d.list(*fleet("a", "b"))
     assert spread(d, 400).count("a") > 400 * 0.35
 
@@ -189,9 +189,9 @@
 
 
 def test_another_kind_for_the_origin_makes_servers_what_they_are() -> None:
-    d = Driver(settings(aside=True, origin_kind="origin"))
+    d = Driver(settings(cache_aside=True, origin_kind="origin"))
     d.list(*fleet("a", "o"))
-    d.retune(settings(aside=False))
+    d.retune(settings(cache_aside=False))
     assert {s.cache for s in d.router.servers.values()} == {True}
     assert set(spread(d, 100)) == {"a", "o"}
 
@@ -201,7 +201,7 @@
     door.share = 0.5
     d = Driver(settings())
     d.router.door = door
-    d.retune(settings(classes={"new": api.RequestClass("new", aim=0.2, worth=7.0)}, max_retry_after=3.0))
+    d.retune(settings(classes={"new": api.RequestClass("new", aim=0.2, value=7.0)}, max_retry_after=3.0))
     assert door.aims == {"new": 0.2} and door.worths == {"new": 7.0}
     assert (door.share, door.most_pause) == (0.5, 3.0)
 
@@ -218,16 +218,16 @@
         elif move == "serving":
             self.feed(api.Serving(data.draw(st.booleans())))
         elif move == "retune":
-            kinds = groups(data.draw(st.sampled_from(list(api.Group))))
+            kinds = groups(data.draw(st.sampled_from(list(api.DedupGroup))))
             effect = data.draw(st.sampled_from(list(api.Effect)))
-            changed = {name: replace(c, effect=effect, window=0.5) for name, c in kinds.items()}
+            changed = {name: replace(c, effect=effect, repeat_window=0.5) for name, c in kinds.items()}
             kept = data.draw(st.lists(st.sampled_from(sorted(kinds)), min_size=1, unique=True))
             self.retune(
                 replace(
                     self.conf,
                     classes={name: changed[name] for name in kept},
                     max_attempts=data.draw(st.sampled_from([1, 2, 6])),
-                    second_copies=data.draw(st.booleans()),
+                    hedging=data.draw(st.booleans()),
                 )
             )
         else:
@@ -236,8 +236,8 @@
 
 def drive(data: st.DataObject, make: type[Router] = Router) -> None:
     conf = settings(
-        classes=groups(data.draw(st.sampled_from(list(api.Group)))),
-        second_copies=True,
+        classes=groups(data.draw(st.sampled_from(list(api.DedupGroup)))),
+        hedging=True,
         may_cancel=data.draw(st.booleans()),
         max_attempts=data.draw(st.sampled_from([1, 3, 6])),
         **(ASIDE if data.draw(st.booleans()) else {}),
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -17,7 +17,7 @@
 from tests.driver import settings as conf
 
 OK, TIMEOUT, CANCELLED, FULL = api.Status.OK, api.Status.TIMEOUT, api.Status.CANCELLED, api.Status.FULL
-ASIDE = {"aside": True, "origin_kind": "origin"}
+ASIDE = {"cache_aside": True, "origin_kind": "origin"}
 
 
 def known(usual: float = 0.05) -> Evidence:
@@ -158,7 +158,7 @@
 
     def take(self, now: float, action: api.Action) -> None:
         if isinstance(action, api.SetTimer):
-            self.at(now + action.delay, api.TimerFired(action.token))
+            self.at(now + action.delay, api.TimerFired(action.timer))
         elif isinstance(action, (api.Refuse, api.Fail)):
             self.open.remove(action.request)
         elif isinstance(action, api.Cancel):
--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -54,7 +54,7 @@
 
 class ForgetsBans(Router):
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        return [] if isinstance(event, api.Offline) else super().handle(now, event)
+        return [] if isinstance(event, api.ServerBanned) else super().handle(now, event)
 
 
 class OriginOnTheRing(Router):
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -95,7 +95,7 @@
     """Broken on purpose: hears of no ban."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        return [] if isinstance(event, api.Offline) else super().handle(now, event)
+        return [] if isinstance(event, api.ServerBanned) else super().handle(now, event)
 
 
 @needs_sources
--- a/tests/test_list_updates.py
+++ b/tests/test_list_updates.py
@@ -12,7 +12,9 @@
 
 STATES = st.sampled_from(api.State)
 entries = st.builds(
-    lambda name, state, since: member(f"s{name}", f"127.0.0.1:{1000 + name}", state=state, since=since),
+    lambda name, state, since: member(
+        f"s{name}", f"127.0.0.1:{1000 + name}", state=state, listed_start=since
+    ),
     st.integers(0, 120),
     STATES,
     st.sampled_from([0.0, 5.0]),
--- a/tests/test_long_answers.py
+++ b/tests/test_long_answers.py
@@ -14,7 +14,7 @@
 
 OK, TIMEOUT, CANCELLED = api.Status.OK, api.Status.TIMEOUT, api.Status.CANCELLED
 FLOW = 60.0  # seconds: as long as a client may take
-ASIDE: dict[str, Any] = {"aside": True, "origin_kind": "origin"}
+ASIDE: dict[str, Any] = {"cache_aside": True, "origin_kind": "origin"}
 
 
 def one_cache(**changes: Any) -> Driver:
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize("status", [TIMEOUT, CANCELLED])
 def test_a_flow_that_is_given_up_takes_no_server_out(status: api.Status) -> None:
     """In a large fleet a client that left a long answer took its server out, its limit back at the start."""
-    d = Driver(settings(siblings=40))
+    d = Driver(settings(router_count=40))
     d.list(*map(entry, "abcd"))
     key = next(f"k{n}" for n in range(50) if d.request(f"r{n}", key=f"k{n}", finish=True) == "a")
     server = d.router.servers["a"]
@@ -142,7 +142,7 @@
     d = one_cache()
     d.request("r", time_left=FLOW)
     d.now += 0.5
-    d.feed(api.Streaming("r", 0, waited=0.4))
+    d.feed(api.Streaming("r", 0, read_delay=0.4))
     assert d.router.servers["a"].slowness == pytest.approx(0.2 * 0.1 / (tuning.CACHE_TARGET * 1.0))
     assert d.router.wait == pytest.approx(0.2 * 0.1)
 
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -40,7 +40,7 @@
     assert (config.listen, config.discovery) == (("127.0.0.1", 6379), "127.0.0.1:8500")
     assert (config.seed, config.sockets, config.known_index) == (0x8C1F30D27A5BE964, 1024, 41)
     assert [m.entry.server for m in config.known] == ["s-1"]
-    assert config.settings.classes["pay"].window == 5.0
+    assert config.settings.classes["pay"].repeat_window == 5.0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -61,7 +61,7 @@
     entry = api.ServerEntry("s-1", api.State.READY, "m2", "a", 3, 1.5, 1_790_000_000.25)
     assert member.entry == entry  # named as at every router, since on the host's own clock
     _, _, (old,) = read_list(orjson.loads(message(7, True, {**LINE, "since_ms": 0})))
-    assert old.entry.since == 0
+    assert old.entry.listed_start == 0
 
 
 @pytest.mark.parametrize(
@@ -198,7 +198,9 @@
 @given(st.floats(0.0, 30.0), st.floats(0.1, 10.0), st.integers(1, 400))
 def test_news_is_there_before_it_counts_as_told(grace: float, window: float, failures: int) -> None:
     """Whatever the settings: a watch gone silent is given up, and another is answered, before that."""
-    conf = api.Settings({"read": api.RequestClass("read", 1.0)}, subscribe=True, drain_grace=grace, ramp=60.0)
+    conf = api.Settings(
+        {"read": api.RequestClass("read", 1.0)}, subscribe=True, drain_grace=grace, ramp_time=60.0
+    )
     conf = replace(conf, fall_window=window)
     for pushed in (False, True):
         settings = replace(conf, subscribe=not pushed)
--- a/tests/test_net_errors.py
+++ b/tests/test_net_errors.py
@@ -177,6 +177,6 @@
             assert router.host.router.servers[name].failures == (0 if own else 1)
 
     run(scenario)
-    status = api.Status.MOOT if own else api.Status.CONNECT_FAILED
+    status = api.Status.NOT_SENT if own else api.Status.CONNECT_FAILED
     ends = [r.getMessage() for r in caplog.records if "event=ended" in r.getMessage()]
     assert f"no=0 status={status.value}" in ends[0]
--- a/tests/test_net_hangup.py
+++ b/tests/test_net_hangup.py
@@ -169,9 +169,9 @@
 def test_a_late_dial_sends_nothing_that_must_not_go_any_more(change: str) -> None:
     """After the decision the server began to drain, or its memory of what it would repeat ran out."""
     window = 30.0
-    keyed = replace(SETTINGS.classes["book"], window=window, aim=3 * window)
+    keyed = replace(SETTINGS.classes["book"], repeat_window=window, aim=3 * window)
     late_book = command("C.SET", "k", "r1", "c=book,t=x,d=90000,k=5c0f", b"slot")
-    settings = replace(SETTINGS, aside=False, classes={**SETTINGS.classes, "book": keyed})
+    settings = replace(SETTINGS, cache_aside=False, classes={**SETTINGS.classes, "book": keyed})
 
     def tell(router: Router, names: str) -> None:
         members = [member(n, router.caches[n].address) for n in names]
--- a/tests/test_net_host.py
+++ b/tests/test_net_host.py
@@ -562,7 +562,7 @@
             told = {
                 "gone": replace(entry, state=api.State.GONE),
                 "draining": replace(entry, state=api.State.DRAINING),
-                "restarted": replace(entry, since=9.0),
+                "restarted": replace(entry, listed_start=9.0),
                 "replaced": replace(entry, state=api.State.GONE),
             }
             members = [Member(told[change], connection.address)]
@@ -608,7 +608,7 @@
                 if isinstance(event, api.Request):
                     return [api.Send("r1", "unheard-of"), api.Log("after"), api.Fail("r1")]
                 if isinstance(event, api.Outcome):
-                    assert event.status is api.Status.CONNECT_FAILED and event.closed
+                    assert event.status is api.Status.CONNECT_FAILED and event.request_ended
                 return []
 
             monkeypatch.setattr(router.host.router, "handle", handle)
@@ -640,8 +640,8 @@
             client.write(read("r1") + command("PING"))
             assert error(await client.resp()) == "BUSY 250"
             assert await client.resp() == b"PONG"
-            ends = [(o.attempt, o.status, o.closed) for o in seen]
-            moot, cancelled = api.Status.MOOT, api.Status.CANCELLED
+            ends = [(o.attempt, o.status, o.request_ended) for o in seen]
+            moot, cancelled = api.Status.NOT_SENT, api.Status.CANCELLED
             assert ends == [(1, moot, False), (2, moot, True), (0, cancelled, True)]
 
     run(scenario)
@@ -656,7 +656,7 @@
                 if isinstance(event, api.Request):
                     return [api.Send("r1", "a", 0.05)]
                 if isinstance(event, api.Outcome):
-                    assert event.status is api.Status.TIMEOUT and not event.closed
+                    assert event.status is api.Status.TIMEOUT and not event.request_ended
                     return [api.Fail("r1")]
                 return []
 
@@ -675,13 +675,13 @@
         self.let_in = let_in
         self.seen: list[tuple[str, str, bool, bool]] = []
 
-    def pause(
+    def retry_delay(
         self, now: float, request_class: str, tenant: str, again: bool, keyed: bool, waited: float
     ) -> float | None:
         self.seen.append((request_class, tenant, again, keyed))
         return None if request_class in self.let_in else 0.25
 
-    def retuned(self, settings: api.Settings) -> None:
+    def settings_changed(self, settings: api.Settings) -> None:
         raise AssertionError("no new settings here")
 
 
--- a/tests/test_net_pool.py
+++ b/tests/test_net_pool.py
@@ -329,7 +329,10 @@
             link = await one.link()
             await link.resp()
             ends.start(other.address)
-            assert await ends.end() == (Status.MOOT, b"")  # held against the server, it would lose its keys
+            assert await ends.end() == (
+                Status.NOT_SENT,
+                b"",
+            )  # held against the server, it would lose its keys
             link.write(HIT)
             assert await ends.end() == (Status.OK, b"value")
             ends.start(other.address)  # an idle one makes room
--- a/tests/test_ops_orders.py
+++ b/tests/test_ops_orders.py
@@ -54,7 +54,7 @@
             early = orders
     held = set(early.bans)
     for event in changes(early, orders):
-        if isinstance(event, api.Offline):
+        if isinstance(event, api.ServerBanned):
             held.add(event.server)
         else:
             assert event.server not in orders.bans
--- a/tests/test_overload_core.py
+++ b/tests/test_overload_core.py
@@ -19,7 +19,7 @@
 STEP = 0.001
 
 
-CLASSES = {name: api.RequestClass(name, AIMS[name], worth=WORTHS[name]) for name in AIMS}
+CLASSES = {name: api.RequestClass(name, AIMS[name], value=WORTHS[name]) for name in AIMS}
 
 
 def control() -> CoreControl:
@@ -32,7 +32,7 @@
     start = max(door.window, 1.0)
     for i in range(int(seconds / STEP)):
         request_class, tenant = mix[i % len(mix)]
-        if door.pause(start + i * STEP, request_class, tenant, False, False, waited) is None:
+        if door.retry_delay(start + i * STEP, request_class, tenant, False, False, waited) is None:
             let_in[f"{request_class} {tenant}"] += 1
     return let_in
 
@@ -52,7 +52,7 @@
 def test_a_quiet_time_opens_the_door_too() -> None:
     door = control()
     offer(door, [("read", "a")], 3.0, LONG)
-    assert door.pause(door.window + 2.5, "read", "a", False, False, 0.0) is None
+    assert door.retry_delay(door.window + 2.5, "read", "a", False, False, 0.0) is None
     assert door.share == 1.0
 
 
@@ -81,9 +81,11 @@
     refused = 0
     for i in range(4000):
         now = 1.0 + i * STEP
-        door.pause(now, "read", "a", False, False, LONG)
-        door.pause(now, "book", "a", False, True, LONG)
-        refused += i > 2000 and i % 50 == 0 and door.pause(now, "book", "a", True, True, LONG) is not None
+        door.retry_delay(now, "read", "a", False, False, LONG)
+        door.retry_delay(now, "book", "a", False, True, LONG)
+        refused += (
+            i > 2000 and i % 50 == 0 and door.retry_delay(now, "book", "a", True, True, LONG) is not None
+        )
     assert refused <= 4
 
 
@@ -100,7 +102,7 @@
 
 def told_to_come_back(door: CoreControl, request_class: str, keyed: bool) -> list[float]:
     """When 400 commands at one moment of a full core may come back, in order, without those let in."""
-    pauses = [door.pause(door.window, request_class, "a", False, keyed, LONG) for _ in range(400)]
+    pauses = [door.retry_delay(door.window, request_class, "a", False, keyed, LONG) for _ in range(400)]
     return sorted(p for p in pauses if p is not None)
 
 
@@ -130,10 +132,10 @@
 def test_names_of_tenants_do_not_fill_the_memory() -> None:
     door = control()
     for i in range(20_000):
-        door.pause(1.0 + i / 100_000, "read", f"t{i}", False, False, 0.0)
+        door.retry_delay(1.0 + i / 100_000, "read", f"t{i}", False, False, 0.0)
     assert len(door.lanes) <= core.MOST_TENANTS + 1
     for i in range(100):
-        door.pause(2.0 + i * core.WINDOW, "read", "t", False, False, 0.0)
+        door.retry_delay(2.0 + i * core.WINDOW, "read", "t", False, False, 0.0)
     assert len(door.lanes) == 1
 
 
@@ -157,13 +159,13 @@
     now = 0.0
     for gap, request_class, tenant, again, waited in commands:
         now += gap
-        pause = door.pause(now, request_class, tenant, again, request_class == "book", waited)
+        pause = door.retry_delay(now, request_class, tenant, again, request_class == "book", waited)
         assert pause is None or 0.0 <= pause <= MOST_PAUSE
         assert core.LEAST <= door.share <= 1.0
         assert all(0.0 <= lane.share <= 1.0 + 1e-9 for lane in door.lanes.values())
     for _ in range(50):
         now += core.WINDOW
-        door.pause(now, "read", "a", False, False, 0.0)
+        door.retry_delay(now, "read", "a", False, False, 0.0)
     assert door.share == 1.0
 
 
@@ -196,7 +198,7 @@
             break
         now = max(now, came)
         waited = now - came
-        pause = door.pause(now, "read", "a", tries > 0, False, waited) if door is not None else None
+        pause = door.retry_delay(now, "read", "a", tries > 0, False, waited) if door is not None else None
         if pause is not None:
             now += refusal
             if tries < 2 and now + pause < first + 2 * aim:  # by then its client has given up for good
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -82,7 +82,7 @@
     one, other = Driver(settings(), seed=1), Driver(settings(), seed=2)
     one.list(*(entry(n) for n in "abcd"))
     other.list(*(entry(n) for n in "dx"))
-    other.list(entry("d", since=50.0), entry("x", state=api.State.DRAINING))
+    other.list(entry("d", listed_start=50.0), entry("x", state=api.State.DRAINING))
     other.list(*(entry(n) for n in "cbda"))
     assert primaries(one, "r") == primaries(other, "r")
 
@@ -106,8 +106,8 @@
     """
     shares = []
     for age in (0.0, 5.0, 10.0, 11.0):
-        d = Driver(settings(ramp=10.0, cold_share=0.3, fall_multiple=multiple, fall_window=1.0))
-        d.list(*(entry(f"s{i}") for i in range(9)), entry("cold", since=d.now))
+        d = Driver(settings(ramp_time=10.0, cold_share=0.3, fall_multiple=multiple, fall_window=1.0))
+        d.list(*(entry(f"s{i}") for i in range(9)), entry("cold", listed_start=d.now))
         d.now += age
         shares.append(primaries(d, "r").count("cold") / 2000 * 10)
         # a window that begins as it is just not warm ends one window later
@@ -146,7 +146,7 @@
 
 
 def test_origin_holds_no_points_and_gets_writes_and_misses() -> None:
-    d = Driver(settings(aside=True, origin_kind="origin"))
+    d = Driver(settings(cache_aside=True, origin_kind="origin"))
     d.list(entry("a"), entry("o", kind="origin"))
     assert d.request("w", key="k", write=True) == "o"
     d.ok("w")
@@ -174,7 +174,7 @@
     d.list(*(entry(f"s{i}", weight=2.0 if i % 2 else 1.0) for i in range(30)))
     first = d.request("first", key="hot", finish=True)
     since = d.now if cold else 0.0
-    d.list(*(entry(f"s{i}", since=since if f"s{i}" == first else 0.0) for i in range(30)))
+    d.list(*(entry(f"s{i}", listed_start=since if f"s{i}" == first else 0.0) for i in range(30)))
     sent = [d.request(f"r{n}", key=f"k{n}" if n % 5 else "hot", finish=True) for n in range(2000)]
     hot = sent[200::5]
     assert 5 <= len(set(hot)) <= 8  # a fifth of 30 servers, at 1.25 fair shares each, is 4.8
@@ -185,7 +185,7 @@
 def test_a_cold_server_takes_no_spills() -> None:
     """In a burst, what crowded neighbours could not take pushed over a server just started."""
     d = Driver(settings())
-    d.list(*(entry(n) for n in "abc"), entry("d", since=d.now))
+    d.list(*(entry(n) for n in "abc"), entry("d", listed_start=d.now))
     for n in range(300):
         for s in "abc":
             d.router.servers[s].limit = 0.0
@@ -210,7 +210,7 @@
 def test_a_cold_server_gets_less_while_answers_fail() -> None:
     """In an overload clients retried all that failed, and the multiple pushed over servers just started."""
     d = Driver(settings(cold_share=0.3, max_attempts=1, fall_multiple=4.0))
-    d.list(*(entry(n) for n in "abc"), entry("d", since=d.now))
+    d.list(*(entry(n) for n in "abc"), entry("d", listed_start=d.now))
     assert primaries(d, "a").count("d") > 80
     cold = d.router.servers["d"]
     assert d.router._warm_share(cold) == pytest.approx(0.3)
--- a/tests/test_ring_scale.py
+++ b/tests/test_ring_scale.py
@@ -70,7 +70,7 @@
     d.list(entry("s7", state=api.State.GONE), entry("new"), kind=api.ListKind.DELTA)
     assert set(hashed) == {"s7", "new"}
     hashed.clear()
-    d.list(entry("s9", weight=1.0, since=d.now), kind=api.ListKind.DELTA)  # restarted: its points stay
+    d.list(entry("s9", weight=1.0, listed_start=d.now), kind=api.ListKind.DELTA)  # restarted: its points stay
     assert not hashed
     d.list(entry("s7", weight=1.1), entry("new", state=api.State.DRAINING), kind=api.ListKind.DELTA)
     assert [(p, s.entry.server) for p, s in d.router.ring.points()] == whole
@@ -130,7 +130,9 @@
         if n % 40 == 0:
             name = f"s{chance.randrange(12)}"
             state = chance.choice([api.State.READY, api.State.DRAINING, api.State.GONE])
-            d.list(entry(name, state=state, since=chance.choice([0.0, d.now])), kind=api.ListKind.DELTA)
+            d.list(
+                entry(name, state=state, listed_start=chance.choice([0.0, d.now])), kind=api.ListKind.DELTA
+            )
         sent = d.request(f"r{n}", key=f"k{n}")
         if sent is not None:
             d.now += 0.01
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -16,8 +16,8 @@
 from tests.loopback import needs_sources
 
 MAY_HAVE_RUN = [api.Status.ERROR, api.Status.RESET, api.Status.TIMEOUT, api.Status.CANCELLED]
-NEVER_RAN = [api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.MOOT]
-ASIDE: dict[str, Any] = {"aside": True, "origin_kind": "origin"}
+NEVER_RAN = [api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.NOT_SENT]
+ASIDE: dict[str, Any] = {"cache_aside": True, "origin_kind": "origin"}
 
 
 def fleet(*names: str) -> list[api.ServerEntry]:
@@ -54,9 +54,9 @@
     assert late.end("r", api.Status.RESET) is None
 
 
-@pytest.mark.parametrize("group", [api.Group.ZONE, api.Group.CELL])
-def test_keyed_stays_within_its_group_and_is_then_failed(group: api.Group) -> None:
-    kind = api.RequestClass("keyed", 2.0, api.Effect.KEYED, group, window=1.5)
+@pytest.mark.parametrize("group", [api.DedupGroup.ZONE, api.DedupGroup.CELL])
+def test_keyed_stays_within_its_group_and_is_then_failed(group: api.DedupGroup) -> None:
+    kind = api.RequestClass("keyed", 2.0, api.Effect.KEYED, group, repeat_window=1.5)
     for key in map(str, range(20)):
         d = Driver(settings(classes={"keyed": kind}))
         d.list(*fleet("a", "b", "c", "d"))
@@ -68,7 +68,7 @@
 
 
 def test_no_second_copy_where_the_settings_forbid_it() -> None:
-    d = Driver(settings(second_copies=False))
+    d = Driver(settings(hedging=False))
     d.list(*fleet("a", "b", "c"))
     d.request("r")
     d.wait(1.9)
@@ -166,17 +166,17 @@
         assert isinstance(timer, api.SetTimer)
         pauses.append(timer.delay)
         d.timers.clear()
-        assert d.feed(api.TimerFired(timer.token)) == [api.Subscribe()]
+        assert d.feed(api.TimerFired(timer.timer)) == [api.Subscribe()]
     assert pauses[-1] > pauses[0]
 
 
 def test_warming_server_gets_its_share_and_not_more() -> None:
     """A surge of a thousand requests in a second just after a start: not the full arcs."""
-    d = Driver(settings(ramp=10.0, cold_share=0.3, fall_multiple=2.0, fall_window=1.0))
+    d = Driver(settings(ramp_time=10.0, cold_share=0.3, fall_multiple=2.0, fall_window=1.0))
     d.list(entry("a"), entry("b"), entry("c"))
     for n in range(4000):
         if n == 3000:
-            d.list(entry("a"), entry("b"), entry("c"), entry("d", since=d.now))
+            d.list(entry("a"), entry("b"), entry("c"), entry("d", listed_start=d.now))
         d.now += 0.01 if n < 3000 else 0.001
         d.request(f"r{n}", key=f"k{n}", finish=True)
     cold = sum(s == ["d"] for s in d.sends.values())
@@ -184,8 +184,8 @@
 
 
 def test_warm_server_gets_all_its_arcs_again() -> None:
-    d = Driver(settings(ramp=10.0, cold_share=0.3))
-    d.list(entry("a"), entry("b", since=d.now))
+    d = Driver(settings(ramp_time=10.0, cold_share=0.3))
+    d.list(entry("a"), entry("b", listed_start=d.now))
     d.now += 10.0
     sent = [d.request(f"r{n}", key=f"k{n}", finish=True) for n in range(400)]
     assert sent.count("b") > 120
@@ -225,7 +225,12 @@
         states = st.sampled_from([api.State.READY, api.State.READY, api.State.DRAINING, api.State.GONE])
         since = st.sampled_from([0.0, self.now])
         rows = [
-            entry(n, state=data.draw(states), kind="origin" if n == "o" else "std", since=data.draw(since))
+            entry(
+                n,
+                state=data.draw(states),
+                kind="origin" if n == "o" else "std",
+                listed_start=data.draw(since),
+            )
             for n in names
         ]
         if kind is api.ListKind.FAILED:
@@ -234,17 +239,17 @@
             self.list(*rows, kind=kind)
 
 
-def groups(group: api.Group) -> dict[str, api.RequestClass]:
-    keyed = api.RequestClass("keyed", 1.0, api.Effect.KEYED, group, window=0.5, worth=5.0)
-    once = api.RequestClass("once", 1.0, api.Effect.UNSAFE, worth=5.0)
+def groups(group: api.DedupGroup) -> dict[str, api.RequestClass]:
+    keyed = api.RequestClass("keyed", 1.0, api.Effect.KEYED, group, repeat_window=0.5, value=5.0)
+    once = api.RequestClass("once", 1.0, api.Effect.UNSAFE, value=5.0)
     late = api.RequestClass("late", 0.5)
     return {c.name: c for c in (api.RequestClass("read", 1.0), keyed, once, late)}
 
 
 def drive(data: st.DataObject, make: type[Router] = Router) -> None:
     conf = settings(
-        classes=groups(data.draw(st.sampled_from(list(api.Group)))),
-        second_copies=data.draw(st.booleans()),
+        classes=groups(data.draw(st.sampled_from(list(api.DedupGroup)))),
+        hedging=data.draw(st.booleans()),
         may_cancel=data.draw(st.booleans()),
         max_attempts=data.draw(st.sampled_from([1, 3, 6])),
         subscribe=data.draw(st.booleans()),
@@ -397,7 +402,7 @@
 
 def test_silent_servers_are_passed_without_being_counted() -> None:
     """Servers behind a cut used up the two that a key may pass, and their keys were refused."""
-    d = Driver(settings(second_copies=False))
+    d = Driver(settings(hedging=False))
     d.list(*fleet("a", "b", "c", "d"))
     first, second, third, _ = order_of(d, "k")
     crowd(d, first, second)
@@ -434,13 +439,13 @@
     assert d.router.servers["a"].limit >= tuning.LIMIT_START
 
 
-LARGE: dict[str, Any] = {"siblings": 40}  # routers, of which each meets a server seldom
+LARGE: dict[str, Any] = {"router_count": 40}  # routers, of which each meets a server seldom
 
 
 @pytest.mark.parametrize(("siblings", "out"), [(40, True), (2, False)])
 def test_one_refused_connection_is_enough_where_a_server_is_met_seldom(siblings: int, out: bool) -> None:
     """A zone of 31 servers died; each router ran into each of them three times, for many seconds."""
-    d = Driver(settings(siblings=siblings))
+    d = Driver(settings(router_count=siblings))
     d.list(*fleet("a", "b", "c", "d"))
     first = d.request("r", key="k") or ""
     assert d.end("r", api.Status.CONNECT_FAILED) not in (None, first)
@@ -487,7 +492,7 @@
     """After a mass restart forty routers had four fetches out each, where the origin bears some thirty."""
     out = 0
     for seed in range(routers):
-        d = Driver(settings(**ASIDE, siblings=routers), seed)
+        d = Driver(settings(**ASIDE, router_count=routers), seed)
         d.list(*fleet("a", "b", "c", "o"))
         missed(d, *(f"r{n}" for n in range(5)), key="k0")
         for n in range(5):
@@ -499,12 +504,12 @@
 def test_a_start_in_the_future_counts_as_one_now() -> None:
     """A clock an hour ahead would have kept its server at a cold one's share for an hour."""
     d = Driver(settings(fall_multiple=4.0))
-    actions = d.list(entry("a", since=d.now + 3600), entry("b"))
+    actions = d.list(entry("a", listed_start=d.now + 3600), entry("b"))
     assert api.Log("list: servers that start in the future, taken as started now: 1") in actions
     server = d.router.servers["a"]
     assert d.router._warm_share(server) == pytest.approx(d.conf.cold_share)
-    d.now += d.conf.ramp
-    again = d.list(entry("a", since=server.entry.since), entry("b"))
+    d.now += d.conf.ramp_time
+    again = d.list(entry("a", listed_start=server.entry.listed_start), entry("b"))
     assert d.router._warm_share(server) == 1.0
     assert d.router.servers["a"] is server and not again, "the same process, and nothing new to tell"
 
@@ -602,7 +607,7 @@
     d.list(*fleet("a"))
     d.router.servers["a"].limit = 1.0
     d.request("r1")
-    d.list(entry("a", since=d.now), kind=api.ListKind.DELTA)
+    d.list(entry("a", listed_start=d.now), kind=api.ListKind.DELTA)
     assert d.router.servers["a"].limit == tuning.LIMIT_START
     d.ok("r1")
     assert d.router.servers["a"].load == 0
@@ -644,18 +649,18 @@
 
 def test_idle_connections_are_closed_when_they_cost_more_than_new_ones() -> None:
     """Hundreds of routers kept one open at every server, and four attempts in five found the table full."""
-    d = Driver(settings(siblings=500, connection_price=0.03, handshake_price=0.03))
+    d = Driver(settings(router_count=500, connection_cost=0.03, handshake_cost=0.03))
     d.list(*fleet("a", "b"))
     d.now += 10.0
     d.request("r0", finish=True)
     for n in range(40):
         d.request(f"r{n + 1}", key=f"k{n}", finish=True)
     d.wait(0.1)
-    assert isinstance(d.last[0], api.Close)
-    few = Driver(settings(siblings=1, connection_price=0.03, handshake_price=0.03))
+    assert isinstance(d.last[0], api.CloseIdle)
+    few = Driver(settings(router_count=1, connection_cost=0.03, handshake_cost=0.03))
     few.list(*fleet("a", "b"))
     few.request("r", finish=True)
-    assert not [a for a in few.last if isinstance(a, api.Close)]
+    assert not [a for a in few.last if isinstance(a, api.CloseIdle)]
 
 
 def test_refused_connections_shorten_how_long_idle_ones_are_kept() -> None:
@@ -791,10 +796,10 @@
     d = Driver(settings(subscribe=True))
     for _ in range(4):
         d.feed(api.ServerList(api.ListKind.FAILED))
-    assert d.feed(api.ListMoved()) == [api.Subscribe()]
+    assert d.feed(api.DiscoveryChanged()) == [api.Subscribe()]
     timer, _ = d.feed(api.ServerList(api.ListKind.FAILED))
     assert isinstance(timer, api.SetTimer) and timer.delay <= d.conf.fall_window
-    assert Driver(settings()).feed(api.ListMoved()) == []
+    assert Driver(settings()).feed(api.DiscoveryChanged()) == []
 
 
 def failing(d: Driver, server: str, times: int, status: api.Status = api.Status.CONNECT_FAILED) -> None:
@@ -914,7 +919,7 @@
 @needs_sources
 @pytest.mark.parametrize("why", ["not safe", "no retries", "forbidden", "draining"])
 def test_no_copy_is_sent_where_none_may_be(why: str) -> None:
-    changes = {"second_copies": False} if why == "forbidden" else {}
+    changes = {"hedging": False} if why == "forbidden" else {}
     d = Driver(settings(**{**ASIDE, **changes}))
     unanswered(d, "r1", request_class="once" if why == "not safe" else "read")
     first = d.sends["r1"][0]
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -58,12 +58,12 @@
         self.random = random.Random(world.seed)
         self.settings = api.Settings(
             classes={"read": READ},
-            second_copies=True,
+            hedging=True,
             may_cancel=True,
             max_attempts=6,
-            siblings=world.routers,
+            router_count=world.routers,
             cold_share=0.3,
-            ramp=8.0,
+            ramp_time=8.0,
             fall_multiple=world.multiple,
             fall_window=1.0,
         )
@@ -97,7 +97,7 @@
                     takes = self.random.expovariate(1 / WORK)
                     self.later(now + takes, "ended", router, self.routers[router], request, number, status)
                 case api.SetTimer():
-                    self.later(now + action.delay, "timer", router, self.routers[router], action.token)
+                    self.later(now + action.delay, "timer", router, self.routers[router], action.timer)
                 case api.Refuse() if self.random.random() < self.world.repeats:
                     self.later(now + WORK, "asked", router)
 
@@ -109,11 +109,11 @@
             self.later(self.random.expovariate(rate), "comes", n)
         self.later(self.start, "starts")
         self.later(self.start + 1.0, "anew")
-        end = self.start + self.settings.ramp + 1.0
+        end = self.start + self.settings.ramp_time + 1.0
         while self.events and self.events[0][0] < end:
             now, _, (what, *told) = heapq.heappop(self.events)
             if what == "starts":
-                started = tuple(api.ServerEntry(name, weight=1.0, since=now) for name in self.sent)
+                started = tuple(api.ServerEntry(name, weight=1.0, listed_start=now) for name in self.sent)
                 self.list = replace(self.list, entries=(*started, *self.list.entries[world.cold :]))
                 for n in range(world.routers):
                     self.tell(now, n, api.ServerList(api.ListKind.DELTA, started))
@@ -147,7 +147,7 @@
         for first, at in enumerate(sent):
             while last < len(sent) and sent[last] < at + conf.fall_window:
                 last += 1
-            warm = min(1.0, conf.cold_share + (1 - conf.cold_share) * (at - self.start) / conf.ramp)
+            warm = min(1.0, conf.cold_share + (1 - conf.cold_share) * (at - self.start) / conf.ramp_time)
             budget = conf.fall_multiple * CAPACITY * warm * conf.fall_window
             found = max(found, (last - first) / bound(budget))
         return found
@@ -205,10 +205,15 @@
 def test_with_all_cold_a_request_may_be_refused_until_they_are_warm() -> None:
     d = Driver(
         settings(
-            cold_share=0.25, ramp=8.0, fall_window=1.0, fall_multiple=4.0, siblings=30, max_retry_after=2.0
+            cold_share=0.25,
+            ramp_time=8.0,
+            fall_window=1.0,
+            fall_multiple=4.0,
+            router_count=30,
+            max_retry_after=2.0,
         )
     )
-    d.list(*(entry(name, since=d.now) for name in "abcd"))
+    d.list(*(entry(name, listed_start=d.now) for name in "abcd"))
     served = 0
     for n in range(400):
         if d.request(f"r{n}", key=f"k{n}") is not None:
@@ -219,7 +224,7 @@
     actions = [action for event in events for action in d.router.handle(d.now, event)]
     refused = next(action for action in actions if isinstance(action, api.Refuse))
     assert refused.reason is api.Reason.COLD
-    assert refused.come_back == 2.0  # as long as clients honour: it is over after 9
+    assert refused.retry_after == 2.0  # as long as clients honour: it is over after 9
     d.wait(9.0)
     assert None not in [d.request(f"s{n}", key=f"k{n}", finish=True) for n in range(400)]
 
@@ -254,7 +259,7 @@
     """A budget that no router may use would be kept, too."""
     play = Play(World(30, 4.0, 0.6, 1.0, 0.0, 0.0, 0.0, 0.0, 2.0, 1))
     play.run()
-    mean = 0.6 * CAPACITY * (1 + play.settings.cold_share) / 2 * play.settings.ramp
+    mean = 0.6 * CAPACITY * (1 + play.settings.cold_share) / 2 * play.settings.ramp_time
     assert 0.5 * mean < len(play.sent["s0"])
 
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -78,17 +78,17 @@
 def test_settings_are_read() -> None:
     conf = read_settings(CONF)
     pay = conf.classes["pay"]
-    assert (pay.effect, pay.group, pay.window) == (api.Effect.KEYED, api.Group.ZONE, 5.0)
-    assert (conf.aside, conf.origin_kind, conf.subscribe, conf.tick) == (True, "store", True, 0.01)
-    assert (conf.max_attempts, conf.second_copies, conf.may_cancel) == (3, True, True)
-    assert (conf.cold_share, conf.ramp, conf.fall_multiple, conf.fall_window) == (0.2, 8.0, 3.0, 1.5)
+    assert (pay.effect, pay.group, pay.repeat_window) == (api.Effect.KEYED, api.DedupGroup.ZONE, 5.0)
+    assert (conf.cache_aside, conf.origin_kind, conf.subscribe, conf.tick) == (True, "store", True, 0.01)
+    assert (conf.max_attempts, conf.hedging, conf.may_cancel) == (3, True, True)
+    assert (conf.cold_share, conf.ramp_time, conf.fall_multiple, conf.fall_window) == (0.2, 8.0, 3.0, 1.5)
 
 
 def test_settings_defaults() -> None:
     conf = read_settings({"classes": [{"name": "x"}]})
     # what is not told is taken at its most careful: no repeats, no second copies, one attempt
     assert conf.classes["x"].effect is api.Effect.UNSAFE
-    assert (conf.second_copies, conf.may_cancel, conf.max_attempts) == (False, False, 1)
+    assert (conf.hedging, conf.may_cancel, conf.max_attempts) == (False, False, 1)
 
 
 @pytest.mark.parametrize(
@@ -175,7 +175,7 @@
 def test_actions_in_wire_form() -> None:
     send = wirehost.WRITERS[api.Send](api.Send("1", "a", 0.5))
     assert send == {"op": "Send", "ticket": "1", "server": "a", "timeout": 0.5}
-    assert wirehost.WRITERS[api.Close](api.Close("a")) == {"op": "LetGo", "server": "a"}
+    assert wirehost.WRITERS[api.CloseIdle](api.CloseIdle("a")) == {"op": "LetGo", "server": "a"}
     refuse = wirehost.WRITERS[api.Refuse]
     assert refuse(api.Refuse("1", 0.25)) == {"op": "Reject", "ticket": "1", "coolDown": 0.25}
     assert wirehost.WRITERS[api.Log](api.Log("x")) == {"op": "Record", "line": "x"}
--- a/tests/test_zone_return.py
+++ b/tests/test_zone_return.py
@@ -18,7 +18,7 @@
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.audit.auditor import Auditor, Rules
 from myrtlecourse.fleet.routers import zones_back
-from myrtlecourse.interface import Reach
+from myrtlecourse.interface import Reachability
 from myrtlecourse.peers.gossip import Gossip
 from myrtlecourse.peers.seal import ident
 from myrtlecourse.policy import tuning
@@ -110,13 +110,13 @@
 
 def out_and_back(fleet: Fleet) -> None:
     """All have left the south; it answers trials again, and the return has begun."""
-    fleet.attempts("south", Reach.REFUSED)
+    fleet.attempts("south", Reachability.REFUSED)
     fleet.run(HOLD + 1.0)
     assert set(fleet.left().values()) == {SOUTH}
     for _ in range(20):
-        if any(z.given.shares for z in fleet.each.values()):
+        if any(z.given.return_shares for z in fleet.each.values()):
             return
-        fleet.attempts("south", Reach.HEARD, times=1)
+        fleet.attempts("south", Reachability.ANSWERED, times=1)
         fleet.run(0.2)
     raise AssertionError("nobody returned")
 
@@ -126,13 +126,13 @@
     for _ in range(round(seconds / 0.2)):
         for zones in fleet.each.values():
             for _ in range(4):
-                zones.ended(fleet.now, "north", Reach.HEARD)
-                zones.ended(fleet.now, "south", Reach.HEARD, pressed, missed)
+                zones.ended(fleet.now, "north", Reachability.ANSWERED)
+                zones.ended(fleet.now, "south", Reachability.ANSWERED, pressed, missed)
         fleet.run(0.2)
 
 
 def given_shares(fleet: Fleet) -> list[float]:
-    return [z.given.shares.get("south", 0.0 if z.given.zones else 1.0) for z in fleet.each.values()]
+    return [z.given.return_shares.get("south", 0.0 if z.given.zones else 1.0) for z in fleet.each.values()]
 
 
 def test_a_fleet_returns_by_steps_that_all_routers_of_a_zone_take_together() -> None:
@@ -164,11 +164,11 @@
     monkeypatch.setattr(pace, "step", step)
     fleet = Fleet(*SIX)
     for zone in ("south", "west"):
-        fleet.attempts(zone, Reach.REFUSED)
+        fleet.attempts(zone, Reachability.REFUSED)
     fleet.run(HOLD + 1.0)
     for _ in range(20):
         for zone in ("south", "west"):
-            fleet.attempts(zone, Reach.HEARD, times=1)
+            fleet.attempts(zone, Reachability.ANSWERED, times=1)
         fleet.run(0.2)
     assert len(parts) > 200
     # two routers of twelve: six routers, each with two returns
@@ -198,7 +198,7 @@
     go_on(fleet, 2.0)
     assert all(s > pace.FIRST / WHOLE for s in given_shares(fleet))
     for _ in range(6):
-        fleet.attempts("south", Reach.REFUSED, times=1)
+        fleet.attempts("south", Reachability.REFUSED, times=1)
         fleet.run(0.2)
     assert set(fleet.left().values()) == {SOUTH}
     out_and_back(fleet)
@@ -229,30 +229,30 @@
 def test_a_router_that_reached_it_all_the_time_goes_on_with_all_of_it() -> None:
     fleet = Fleet(*SIX)
     for _ in range(6):
-        fleet.attempts("south", Reach.REFUSED, "r1", "r2", "r3", "r4", "r5", times=3)
-        fleet.attempts("south", Reach.HEARD, "r0", times=1)
+        fleet.attempts("south", Reachability.REFUSED, "r1", "r2", "r3", "r4", "r5", times=3)
+        fleet.attempts("south", Reachability.ANSWERED, "r0", times=1)
         fleet.run(0.2)
     assert not fleet.each["r0"].given.zones and fleet.each["r1"].given.zones
     for _ in range(20):
-        fleet.attempts("south", Reach.HEARD, times=1)
+        fleet.attempts("south", Reachability.ANSWERED, times=1)
         fleet.run(0.2)
-        assert not fleet.each["r0"].given.shares
-        if fleet.each["r3"].given.shares:
+        assert not fleet.each["r0"].given.return_shares
+        if fleet.each["r3"].given.return_shares:
             break
-    assert fleet.each["r3"].given.shares
+    assert fleet.each["r3"].given.return_shares
 
 
 def test_a_router_that_stood_still_keeps_to_its_step_until_it_hears_or_a_while_is_over() -> None:
     fleet = Fleet(*SIX)
     out_and_back(fleet)
     zones = fleet.each["r2"]
-    before = zones.given.shares
+    before = zones.given.return_shares
     fleet.now += 5.0
     zones.stood_still(fleet.now)
     zones.tick(fleet.now, [], {zones.home: 2}, believes=False)
-    assert zones.given.shares == before
+    assert zones.given.return_shares == before
     zones.tick(fleet.now + REST, [], {zones.home: 2}, believes=False)
-    assert not zones.given.shares
+    assert not zones.given.return_shares
 
 
 def test_a_new_process_is_told_at_once() -> None:
@@ -270,7 +270,7 @@
 # The decision module
 
 
-def owners(d: Driver, keys: int, order: api.ZonesLeft) -> list[str]:
+def owners(d: Driver, keys: int, order: api.ZoneExit) -> list[str]:
     """Who gets each key."""
     d.feed(order)
     d.now += 2 * tuning.PAUSE
@@ -286,13 +286,13 @@
 def test_keys_go_over_once_in_a_return_and_to_where_they_belong() -> None:
     d = Driver(conf())
     d.list(*FOUR)
-    usual = owners(d, 400, api.ZonesLeft())
+    usual = owners(d, 400, api.ZoneExit())
     south = {e.server for e in FOUR if e.zone == "south"}
-    none = owners(d, 400, api.ZonesLeft(SOUTH, spill=100.0, trial_every=1e9, paced=True))
+    none = owners(d, 400, api.ZoneExit(SOUTH, spill_limit=100.0, trial_interval=1e9, paced_return=True))
     assert not south & set(none)
     before, came = none, 0
     for share in (0.125, 0.25, 0.5, 0.75):
-        order = api.ZonesLeft(shares={"south": share}, spill=100.0, paced=True)
+        order = api.ZoneExit(return_shares={"south": share}, spill_limit=100.0, paced_return=True)
         after = owners(d, 400, order)
         moved = [(a, b, u) for a, b, u in zip(before, after, usual, strict=True) if a != b]
         # by the bounded walk a few hot keys' requests go on to the next server; none leaves the south
@@ -302,18 +302,18 @@
         assert part == pytest.approx(share, abs=0.15)
         before, came = after, came + len(moved)
     assert came <= sum(u in south for u in usual)
-    assert owners(d, 400, api.ZonesLeft()) == usual
+    assert owners(d, 400, api.ZoneExit()) == usual
 
 
 def test_servers_that_started_since_wait_for_the_pace_and_for_their_own_warm_up() -> None:
     d = Driver(conf())
     d.list(*FOUR)
-    left = api.ZonesLeft(SOUTH, spill=100.0, trial_every=1e9, paced=True)
+    left = api.ZoneExit(SOUTH, spill_limit=100.0, trial_interval=1e9, paced_return=True)
     owners(d, 50, left)
-    again = (entry(s.server, zone=s.zone, since=d.now if s.zone == "south" else 0.0) for s in FOUR)
+    again = (entry(s.server, zone=s.zone, listed_start=d.now if s.zone == "south" else 0.0) for s in FOUR)
     d.list(*again)
     assert not {"c", "d"} & set(owners(d, 50, left))
-    back = owners(d, 400, api.ZonesLeft(shares={"south": 0.9}, spill=100.0, paced=True))
+    back = owners(d, 400, api.ZoneExit(return_shares={"south": 0.9}, spill_limit=100.0, paced_return=True))
     # half of the keys are the south's; cold servers take half of theirs, whatever the fleet's pace
     assert 0 < sum(b in "cd" for b in back) < 0.9 * 0.5 * 400 - 20
 
@@ -321,7 +321,7 @@
 def test_what_goes_past_a_returning_zone_counts_as_moved_and_no_more() -> None:
     d = Driver(conf())
     d.list(*FOUR)
-    d.feed(api.ZonesLeft(shares={"south": 0.1}, spill=1.0, paced=True))
+    d.feed(api.ZoneExit(return_shares={"south": 0.1}, spill_limit=1.0, paced_return=True))
     sent = refused = 0
     for i in range(300):
         d.request(f"q{i}", key=f"k{i}")
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -20,7 +20,7 @@
 from myrtlecourse import interface as api
 from myrtlecourse.config import Config, ConfigError, read_config
 from myrtlecourse.fleet.scenario import Scenario
-from myrtlecourse.interface import Reach
+from myrtlecourse.interface import Reachability
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.operators import read_operators
 from myrtlecourse.peers.records import ROOM, Record, width
@@ -77,13 +77,13 @@
 
 def test_counts_go_with_their_periods() -> None:
     own = Counts(100.0)
-    own.add(100.0, 7, Reach.HEARD)
-    own.add(100.3, 7, Reach.SILENT)
+    own.add(100.0, 7, Reachability.ANSWERED)
+    own.add(100.3, 7, Reachability.SILENT)
     assert own.tallies(100.3)[7] == Tally(1, 0, 1, 1, 0, 1, 1)
     assert own.tallies(100.8)[7] == Tally(0, 0, 0, 1, 0, 1, 1)
     assert own.tallies(100.3 + LONG * PERIOD) == {7: Tally(run=1)}
     assert own.tallies(100.3 + RUN + 0.1) == {}
-    own.add(1000.0, 7, Reach.REFUSED)
+    own.add(1000.0, 7, Reachability.REFUSED)
     assert own.tallies(1000.0)[7] == Tally(0, 1, 0, 0, 1, 0, 1)
 
 
@@ -129,7 +129,7 @@
         for zones in self.each.values():
             zones.zones({"north": 2, "south": 2, "west": 2})
 
-    def attempts(self, zone: str, reach: Reach, *names: str, times: int = 3) -> None:
+    def attempts(self, zone: str, reach: Reachability, *names: str, times: int = 3) -> None:
         for name in names or self.each:
             for _ in range(times):
                 self.each[name].ended(self.now, zone, reach)
@@ -156,20 +156,20 @@
 SIX = ("north", "north", "south", "south", "west", "west")
 
 
-@pytest.mark.parametrize("reach", [Reach.REFUSED, Reach.SILENT])
-def test_a_dead_zone_is_left_by_all_also_by_those_that_have_not_met_it(reach: Reach) -> None:
+@pytest.mark.parametrize("reach", [Reachability.REFUSED, Reachability.SILENT])
+def test_a_dead_zone_is_left_by_all_also_by_those_that_have_not_met_it(reach: Reachability) -> None:
     fleet = Fleet(*SIX)
     fleet.attempts("south", reach, "r0", "r2", "r3")
     fleet.run(0.3)
     assert set(fleet.left().values()) == {frozenset({"south"})}
-    assert fleet.each["r5"].given.trial_every == 2 / TRIALS_A_SECOND
+    assert fleet.each["r5"].given.trial_interval == 2 / TRIALS_A_SECOND
 
 
 def test_a_router_that_alone_can_t_reach_a_zone_takes_nobody_with_it_and_is_told_so() -> None:
     fleet = Fleet(*SIX)
     for _ in range(15):
-        fleet.attempts("south", Reach.SILENT, "r0")
-        fleet.attempts("south", Reach.HEARD, "r1", "r2", "r3", "r4", "r5")
+        fleet.attempts("south", Reachability.SILENT, "r0")
+        fleet.attempts("south", Reachability.ANSWERED, "r1", "r2", "r3", "r4", "r5")
         fleet.run(0.2)
     assert set(fleet.left().values()) == {frozenset()}
     assert ident("south", 2) in fleet.each["r0"].alone
@@ -180,12 +180,12 @@
 def test_a_cut_is_left_by_those_that_it_cuts_off_alone() -> None:
     fleet = Fleet(*SIX)
     for _ in range(5):
-        fleet.attempts(ORIGIN, Reach.REFUSED, "r2", "r3")
-        fleet.attempts("north", Reach.REFUSED, "r2", "r3")
-        fleet.attempts(ORIGIN, Reach.HEARD, "r0", "r1", "r4", "r5")
-        fleet.attempts("north", Reach.HEARD, "r0", "r1", "r4", "r5")
+        fleet.attempts(ORIGIN, Reachability.REFUSED, "r2", "r3")
+        fleet.attempts("north", Reachability.REFUSED, "r2", "r3")
+        fleet.attempts(ORIGIN, Reachability.ANSWERED, "r0", "r1", "r4", "r5")
+        fleet.attempts("north", Reachability.ANSWERED, "r0", "r1", "r4", "r5")
         fleet.run(0.2)
-    given = {name: (z.given.zones, z.given.origin) for name, z in fleet.each.items()}
+    given = {name: (z.given.zones, z.given.origin_unreachable) for name, z in fleet.each.items()}
     assert given["r2"] == given["r3"] == (frozenset({"north"}), True)
     assert {given[n] for n in ("r0", "r1", "r4", "r5")} == {(frozenset(), False)}
 
@@ -195,12 +195,12 @@
     outs = []
     for _ in range(3):
         for _ in range(6):  # what was counted before its return says nothing
-            fleet.attempts("south", Reach.REFUSED, times=1)
+            fleet.attempts("south", Reachability.REFUSED, times=1)
             fleet.run(0.2)
         assert set(fleet.left().values()) == {frozenset({"south"})}
         began = max(z.registers[z.home, ident("south", 2)].since for z in fleet.each.values())
         while any(fleet.left().values()):
-            fleet.attempts("south", Reach.HEARD, "r0", "r2", "r4", times=1)
+            fleet.attempts("south", Reachability.ANSWERED, "r0", "r2", "r4", times=1)
             fleet.run(0.5)
         outs.append(fleet.now - began)
     assert outs[0] >= HOLD and outs[1] >= 2 * HOLD and outs[2] >= 4 * HOLD
@@ -209,22 +209,22 @@
 
 def test_a_trial_that_comes_through_is_followed_by_more_of_them_soon() -> None:
     fleet = Fleet(*SIX)
-    fleet.attempts("south", Reach.REFUSED)
+    fleet.attempts("south", Reachability.REFUSED)
     fleet.run(HOLD + 1.0)
-    seldom = fleet.each["r0"].given.trial_every
-    fleet.attempts("south", Reach.HEARD, "r1", times=1)
+    seldom = fleet.each["r0"].given.trial_interval
+    fleet.attempts("south", Reachability.ANSWERED, "r1", times=1)
     fleet.run(0.2)
-    assert fleet.left()["r0"] and fleet.each["r0"].given.trial_every <= seldom / 2
+    assert fleet.left()["r0"] and fleet.each["r0"].given.trial_interval <= seldom / 2
     fleet.run(LONG * PERIOD + 1.0)
-    assert fleet.left()["r0"] and fleet.each["r0"].given.trial_every == seldom
+    assert fleet.left()["r0"] and fleet.each["r0"].given.trial_interval == seldom
 
 
 def test_trials_that_fail_keep_it_out_and_what_came_before_brings_nobody_back() -> None:
     fleet = Fleet(*SIX)
-    fleet.attempts("south", Reach.HEARD, times=30)
+    fleet.attempts("south", Reachability.ANSWERED, times=30)
     fleet.run(0.6)
     for _ in range(20):
-        fleet.attempts("south", Reach.REFUSED, times=1)
+        fleet.attempts("south", Reachability.REFUSED, times=1)
         fleet.run(0.5)
     assert set(fleet.left().values()) == {frozenset({"south"})}
     assert {z.registers[z.home, ident("south", 2)].standing.epoch for z in fleet.each.values()} == {1}
@@ -233,13 +233,13 @@
 def test_a_split_takes_nobody_out_who_can_reach_the_zone() -> None:
     fleet = Fleet(*SIX)
     for _ in range(10):
-        fleet.attempts("south", Reach.REFUSED, "r0", "r2", "r4")
-        fleet.attempts("south", Reach.HEARD, "r1", "r3", "r5")
+        fleet.attempts("south", Reachability.REFUSED, "r0", "r2", "r4")
+        fleet.attempts("south", Reachability.ANSWERED, "r1", "r3", "r5")
         fleet.run(0.2, apart=("r0", "r2", "r4"))
     left = fleet.left()
     assert {left[n] for n in ("r0", "r2", "r4")} == {frozenset({"south"})}
     for _ in range(5):  # whole again: those that reach it are not taken along by the word of the others
-        fleet.attempts("south", Reach.HEARD, "r1", "r3", "r5")
+        fleet.attempts("south", Reachability.ANSWERED, "r1", "r3", "r5")
         fleet.run(0.2)
         left = fleet.left()
         assert {left[n] for n in ("r1", "r3", "r5")} == {frozenset()}
@@ -247,25 +247,27 @@
 
 def test_who_hears_nobody_goes_by_itself_again() -> None:
     fleet = Fleet(*SIX)
-    fleet.attempts("south", Reach.REFUSED)
+    fleet.attempts("south", Reachability.REFUSED)
     fleet.run(0.3)
     zones = fleet.each["r0"]
     assert zones.given.zones
     zones.tick(fleet.now, [], {zones.home: 1}, believes=False)
     assert zones.given.zones  # for a moment it stays as it was
     zones.tick(fleet.now + REST, [], {zones.home: 1}, believes=False)
-    assert zones.given == api.ZonesLeft(spill=zones.spill, trial_every=zones.given.trial_every, paced=True)
+    assert zones.given == api.ZoneExit(
+        spill_limit=zones.spill, trial_interval=zones.given.trial_interval, paced_return=True
+    )
 
 
 def test_a_process_that_stood_still_counts_nothing_of_that_time() -> None:
     zones = Zones("r0", "north", 1000.0)
     zones.zones({"south": 2})
-    zones.ended(1000.0, "south", Reach.REFUSED)
+    zones.ended(1000.0, "south", Reachability.REFUSED)
     zones.stood_still(1005.0)
     for _ in range(50):  # all that timed out meanwhile, for no fault of the zone
-        zones.ended(1005.1, "south", Reach.SILENT)
+        zones.ended(1005.1, "south", Reachability.SILENT)
     assert zones.counts.tallies(1005.1) == {}
-    zones.ended(1005.0 + UNBELIEVED, "south", Reach.SILENT)
+    zones.ended(1005.0 + UNBELIEVED, "south", Reachability.SILENT)
     assert zones.counts.tallies(1005.6)
 
 
@@ -302,14 +304,14 @@
 def test_an_operator_s_order_holds_everywhere_until_it_ends_and_by_whom_is_known() -> None:
     fleet = Fleet(*SIX)
     fleet.each["r4"].order(fleet.now, "south", Order.ORDERED_OUT, 5.0)
-    fleet.attempts("south", Reach.HEARD, times=5)
+    fleet.attempts("south", Reachability.ANSWERED, times=5)
     fleet.run(0.3)
     assert set(fleet.left().values()) == {frozenset({"south"})}
-    assert fleet.each["r0"].given.forced == frozenset({"south"})
+    assert fleet.each["r0"].given.forced_zones == frozenset({"south"})
     assert fleet.each["r0"].registers[ALL, ident("south", 2)].standing.by == ident("r4")
     fleet.run(5.5)
     assert set(fleet.left().values()) == {frozenset()}
-    fleet.attempts("south", Reach.REFUSED)
+    fleet.attempts("south", Reachability.REFUSED)
     fleet.each["r1"].order(fleet.now, "south", Order.ORDERED_IN, 5.0)
     fleet.run(0.3)
     assert set(fleet.left().values()) == {frozenset()}  # in, whatever the evidence says
@@ -319,13 +321,13 @@
 
 @given(
     st.lists(
-        st.tuples(st.sampled_from(["north", "south"]), st.sampled_from(Reach), st.sampled_from(SIX)),
+        st.tuples(st.sampled_from(["north", "south"]), st.sampled_from(Reachability), st.sampled_from(SIX)),
         max_size=60,
     ),
     st.randoms(use_true_random=False),
 )
 def test_routers_of_a_zone_that_have_heard_the_same_say_the_same(
-    ends: list[tuple[str, Reach, str]], chance: object
+    ends: list[tuple[str, Reachability, str]], chance: object
 ) -> None:
     """Whatever order records come in, and however often."""
     senders = [Zones(f"s{i}", home, 1000.0) for i, home in enumerate(SIX)]
@@ -376,41 +378,45 @@
 def test_nothing_new_goes_to_a_zone_that_is_left_but_trials_and_all_comes_back() -> None:
     d = driver()
     assert sent_to(d, 40) == {"a", "b", "c", "d"}
-    d.feed(api.ZonesLeft(frozenset({"south"}), spill=100.0, trial_every=1e9))
+    d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=100.0, trial_interval=1e9))
     assert sent_to(d, 40) == {"a", "b"}
-    d.feed(api.ZonesLeft(frozenset({"south"}), spill=100.0, trial_every=0.001))
+    d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=100.0, trial_interval=0.001))
     d.now += 10.0
     assert {"c", "d"} & sent_to(d, 40)
-    d.feed(api.ZonesLeft())
+    d.feed(api.ZoneExit())
     d.now += 1.0
     assert sent_to(d, 60) == {"a", "b", "c", "d"}
 
 
 def test_a_forced_zone_gets_no_trial() -> None:
     d = driver()
-    d.feed(api.ZonesLeft(frozenset({"south"}), forced=frozenset({"south"}), spill=100.0, trial_every=0.001))
+    d.feed(
+        api.ZoneExit(
+            frozenset({"south"}), forced_zones=frozenset({"south"}), spill_limit=100.0, trial_interval=0.001
+        )
+    )
     d.now += 10.0
     assert sent_to(d, 60) == {"a", "b"}
 
 
 def test_with_all_zones_left_it_stays_where_it_is() -> None:
     d = driver()
-    d.feed(api.ZonesLeft(frozenset({"north", "south"}), spill=100.0, trial_every=1e9))
+    d.feed(api.ZoneExit(frozenset({"north", "south"}), spill_limit=100.0, trial_interval=1e9))
     assert sent_to(d, 40) == {"a", "b", "c", "d"}
 
 
 def test_servers_that_have_started_since_are_not_meant() -> None:
     d = driver()
-    d.feed(api.ZonesLeft(frozenset({"south"}), spill=100.0, trial_every=1e9))
+    d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=100.0, trial_interval=1e9))
     d.now += 5.0
-    d.list(FOUR[0], FOUR[1], FOUR[2], entry("d", zone="south", since=d.now - 1.0))
+    d.list(FOUR[0], FOUR[1], FOUR[2], entry("d", zone="south", listed_start=d.now - 1.0))
     d.now += 20.0  # warm
     assert sent_to(d, 60) == {"a", "b", "d"}
 
 
 def test_a_router_that_lists_the_zone_only_now_leaves_it_too() -> None:
     d = Driver(conf())
-    d.feed(api.ZonesLeft(frozenset({"south"}), spill=100.0, trial_every=1e9))
+    d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=100.0, trial_interval=1e9))
     d.list(*FOUR)
     assert sent_to(d, 40) <= {"a", "b"}
 
@@ -421,7 +427,7 @@
 ) -> None:
     d = Driver(conf(), seed)
     d.list(*FOUR)
-    d.feed(api.ZonesLeft(frozenset({"south"}), spill=spill, trial_every=1e9))
+    d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=spill, trial_interval=1e9))
     stays = moved = 0
     for i in range(count):
         key = f"{seed}-{i}"
@@ -438,7 +444,7 @@
 
 def test_least_worth_first_is_refused_with_a_time_to_come_back() -> None:
     d = driver(max_retry_after=2.0)
-    d.feed(api.ZonesLeft(frozenset({"south"}), spill=1.0, trial_every=1e9))
+    d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=1.0, trial_interval=1e9))
     refused = {"read": 0, "keyed": 0}
     for i in range(60):
         kind = "read" if i % 2 else "keyed"
@@ -446,7 +452,7 @@
             d.end(f"q{i}", api.Status.OK)
         else:
             refused[kind] += 1
-            assert any(isinstance(a, api.Refuse) and a.come_back >= 0.25 for a in d.last)
+            assert any(isinstance(a, api.Refuse) and a.retry_after >= 0.25 for a in d.last)
     assert refused["read"] > refused["keyed"]
 
 
@@ -456,15 +462,15 @@
         d.request(f"q{i}", key=f"k{i}")
     out = [name for name, sent in d.sends.items() if sent[-1] in ("c", "d")]
     assert out
-    d.feed(api.ZonesLeft(frozenset({"south"}), spill=100.0, trial_every=1e9))
+    d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=100.0, trial_interval=1e9))
     again = [name for name in out if d.sends[name][-1] in ("a", "b")]
     assert again and all(len(d.sends[name]) == 2 for name in again)
 
 
 def test_an_origin_out_of_reach_is_asked_by_trials_alone_while_hits_go_on() -> None:
-    d = Driver(conf(aside=True, origin_kind="origin"))
+    d = Driver(conf(cache_aside=True, origin_kind="origin"))
     d.list(*FOUR, entry("o", kind="origin", zone="north"))
-    d.feed(api.ZonesLeft(origin=True, trial_every=1e9))
+    d.feed(api.ZoneExit(origin_unreachable=True, trial_interval=1e9))
     for i in range(10):
         d.request(f"q{i}", key=f"k{i}")
         d.end(f"q{i}", api.Status.MISS if i % 2 else api.Status.OK)
@@ -473,7 +479,7 @@
             d.wait(0.9)
         assert d.ended[f"q{i}"] == ("refused" if i % 2 else "served")
     assert not any("o" in sent for sent in d.sends.values())
-    d.feed(api.ZonesLeft())
+    d.feed(api.ZoneExit())
     d.now += 1.1  # spread over the routers
     d.request("later", key="x")
     d.end("later", api.Status.MISS)
@@ -481,21 +487,21 @@
 
 
 def test_the_watch_is_told_once_of_each_attempt() -> None:
-    told_of: list[tuple[str, bool, Reach]] = []
+    told_of: list[tuple[str, bool, Reachability]] = []
 
     class Watch:
-        def ended(
+        def attempt_ended(
             self,
             now: float,
             zone: str,
             origin: bool,
-            reach: Reach,
+            reach: Reachability,
             pressed: bool = False,
             missed: bool = False,
         ) -> None:
             told_of.append((zone, origin, reach))
 
-        def listed(self, zones: Mapping[str, int]) -> None:
+        def servers_listed(self, zones: Mapping[str, int]) -> None:
             raise AssertionError("the host tells this")
 
     d = driver()
@@ -505,7 +511,12 @@
     ):
         d.request(f"q{i}", key="k")
         d.end(f"q{i}", status)
-    assert [reach for _, _, reach in told_of[:4]] == [Reach.HEARD, Reach.REFUSED, Reach.REFUSED, Reach.HEARD]
+    assert [reach for _, _, reach in told_of[:4]] == [
+        Reachability.ANSWERED,
+        Reachability.REFUSED,
+        Reachability.REFUSED,
+        Reachability.ANSWERED,
+    ]
     assert {zone for zone, _, _ in told_of} <= {"north", "south"} and not any(o for _, o, _ in told_of)
 
 
@@ -571,7 +582,7 @@
     """Broken on purpose: hears of no order."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        return [] if isinstance(event, api.ZonesLeft) else super().handle(now, event)
+        return [] if isinstance(event, api.ZoneExit) else super().handle(now, event)
 
 
 @needs_sources
@@ -633,16 +644,16 @@
 
     before = shares()
     assert all(share > 0.25 for share in before.values())
-    d.feed(api.Preferred({zone: tiers.weight("north", zone) for zone in zones}))
+    d.feed(api.ZonePreferences({zone: tiers.weight("north", zone) for zone in zones}))
     with_tiers = shares()
     assert with_tiers["north"] == pytest.approx(1.0 / 1.5, abs=0.08)
     assert with_tiers["south"] == pytest.approx(0.4 / 1.5, abs=0.08)
-    d.feed(api.ZonesLeft(frozenset({"north"}), spill=100.0, trial_every=1e9))
+    d.feed(api.ZoneExit(frozenset({"north"}), spill_limit=100.0, trial_interval=1e9))
     left = shares()
     assert left["north"] == 0.0
     assert left["south"] == pytest.approx(0.8, abs=0.1)
-    d.feed(api.ZonesLeft())
-    d.feed(api.Preferred({}))
+    d.feed(api.ZoneExit())
+    d.feed(api.ZonePreferences({}))
     assert all(share > 0.25 for share in shares().values())
 
 
@@ -664,11 +675,11 @@
 
 def test_another_part_is_taken_whole_or_not_at_all() -> None:
     agent = Agent(part_of(), 0.0, 0.0, 1)
-    agent.listed({"north": 2, "south": 2})
+    agent.servers_listed({"north": 2, "south": 2})
     assert agent.tick(0.1, 0.1).events == []
     tiers = Tiers({}, 1.0, 0.5)
     agent.change(part_of(members=("a", "b", "c"), spill=2.0, tiers=tiers, also=(b"j" * 16,), interval=2.0))
-    assert agent.tick(0.2, 0.2).events == [api.Preferred({"south": 0.5})]
+    assert agent.tick(0.2, 0.2).events == [api.ZonePreferences({"south": 0.5})]
     assert [m["name"] for m in agent.status(0.2)["members"]] == ["a", "b", "c"]
     assert agent.zones.spill == 2.0 and agent.gossip.interval == 2.0
     before = agent.part
--- a/tests/wrong_modules.py
+++ b/tests/wrong_modules.py
@@ -32,8 +32,8 @@
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         if isinstance(event, api.ServerList):
-            started = [e for e in event.entries if e.since and e.ready]
-            self.newest = max(started, key=lambda e: e.since).server if started else self.newest
+            started = [e for e in event.entries if e.listed_start and e.ready]
+            self.newest = max(started, key=lambda e: e.listed_start).server if started else self.newest
         actions = super().handle(now, event)
         if isinstance(event, api.Request) and not event.write and self.newest:
             actions += [api.Send(event.request, self.newest)] * 5
@@ -67,7 +67,9 @@
 class TakesAllForSafe(Router):
     """Repeats writes as if they were reads."""
 
-    def __init__(self, settings: api.Settings, seed: int, now: float, door: api.Door | None = None) -> None:
+    def __init__(
+        self, settings: api.Settings, seed: int, now: float, door: api.AdmissionControl | None = None
+    ) -> None:
         safe = {n: replace(c, effect=api.Effect.SAFE) for n, c in settings.classes.items()}
         super().__init__(replace(settings, classes=safe), seed, now, door)
 
@@ -75,16 +77,20 @@
 class ForgetsWindows(Router):
     """Repeats a keyed write as long as its client waits."""
 
-    def __init__(self, settings: api.Settings, seed: int, now: float, door: api.Door | None = None) -> None:
-        wide = {n: replace(c, window=1e6) for n, c in settings.classes.items()}
+    def __init__(
+        self, settings: api.Settings, seed: int, now: float, door: api.AdmissionControl | None = None
+    ) -> None:
+        wide = {n: replace(c, repeat_window=1e6) for n, c in settings.classes.items()}
         super().__init__(replace(settings, classes=wide), seed, now, door)
 
 
 class ForgetsGroups(Router):
     """Takes all servers for one group."""
 
-    def __init__(self, settings: api.Settings, seed: int, now: float, door: api.Door | None = None) -> None:
-        joined = {n: replace(c, group=api.Group.ALL) for n, c in settings.classes.items()}
+    def __init__(
+        self, settings: api.Settings, seed: int, now: float, door: api.AdmissionControl | None = None
+    ) -> None:
+        joined = {n: replace(c, group=api.DedupGroup.ALL) for n, c in settings.classes.items()}
         super().__init__(replace(settings, classes=joined), seed, now, door)
 
 
