--- a/bench/spread_log.py
+++ b/bench/spread_log.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 from typing import Any
 
-from myrtlecourse.spread import head_events as at
+from myrtlecourse.spread import replica_events as at
 from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.head import Head
+from myrtlecourse.spread.replica import Head
 from myrtlecourse.spread.log_file import LogFile
 from myrtlecourse.spread.messages import Purge, Settings, Site
 
--- a/myrtlecourse/beyond.py
+++ b/myrtlecourse/beyond.py
@@ -25,7 +25,7 @@
     from myrtlecourse.operators import Address, Duties, Fleet, OperatorsFile, Spread
     from myrtlecourse.peers.speaker import Speaker
     from myrtlecourse.service import Service
-    from myrtlecourse.spread.keeper import Keeper as SpreadKeeper
+    from myrtlecourse.spread.driver import Keeper as SpreadKeeper
 
 LEAST_SHARE = 0.1  # of commands let in by a full core, below which a router holds no duty
 # what operators' calls are answered where their part is off
@@ -182,7 +182,7 @@
         if told.address is not None and not told.address.peers:
             self._address_as_duty(told.address, self.duties)
         if self.spread is not None and told.spread is not None and told.spread.duty is not None:
-            from myrtlecourse.spread.work import LogWork  # noqa: PLC0415  (an extra)
+            from myrtlecourse.spread.log_duty import LogWork  # noqa: PLC0415  (an extra)
 
             work = LogWork(told.spread.duty, self.duties, self.spread)
             self.duties.works[told.spread.duty] = work
@@ -204,7 +204,7 @@
 
     async def _keep_spread(self, table: Spread) -> None:
         """Take part in the spread of changes and purges."""
-        from myrtlecourse.spread.head_events import LogError  # noqa: PLC0415  (an extra)
+        from myrtlecourse.spread.replica_events import LogError  # noqa: PLC0415  (an extra)
         from myrtlecourse.spread.setup import keeper, own  # noqa: PLC0415
 
         self.spread = keeper(table)
@@ -224,7 +224,7 @@
         if self.spread is None or call.kind not in (Kind.SPREAD_PURGE, Kind.SPREAD_SEND):
             return await self.service.carry_out(call)
         from myrtlecourse.spread.messages import Change, Purge, SpreadError  # noqa: PLC0415  (an extra)
-        from myrtlecourse.spread.work import NotKnown, lasting  # noqa: PLC0415
+        from myrtlecourse.spread.log_duty import NotKnown, lasting  # noqa: PLC0415
 
         purge = call.kind is Kind.SPREAD_PURGE
         try:
--- a/myrtlecourse/fleet/hollow_spread.py
+++ b/myrtlecourse/fleet/hollow_spread.py
@@ -29,8 +29,8 @@
 
 from myrtlecourse.net.pool import address_of
 from myrtlecourse.operators import Spread
-from myrtlecourse.spread.head_events import Acknowledge, Refuse
-from myrtlecourse.spread.keeper import Keeper
+from myrtlecourse.spread.replica_events import Acknowledge, Refuse
+from myrtlecourse.spread.driver import Keeper
 from myrtlecourse.spread.messages import Purge
 from myrtlecourse.spread.setup import keys, peers
 
--- a/myrtlecourse/sim/spread.py
+++ b/myrtlecourse/sim/spread.py
@@ -23,8 +23,8 @@
 from myrtlecourse.sim.spread_judge import Broken, Judge
 from myrtlecourse.spread import messages as said
 from myrtlecourse.spread.codec import SpreadCodec
-from myrtlecourse.spread.head import Head
-from myrtlecourse.spread.head_events import (
+from myrtlecourse.spread.replica import Head
+from myrtlecourse.spread.replica_events import (
     Acknowledge,
     HeadEvent,
     Lost,
--- a/myrtlecourse/spread/keeper.py
+++ b/myrtlecourse/spread/driver.py
@@ -14,11 +14,11 @@
 from myrtlecourse.net.logs import BoundedLog
 from myrtlecourse.peers.end import End, Endpoint
 from myrtlecourse.peers.wire import Wire
-from myrtlecourse.spread import head_events as of_head
+from myrtlecourse.spread import replica_events as of_head
 from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.applied import Applied
+from myrtlecourse.spread.applied_file import Applied
 from myrtlecourse.spread.codec import SpreadCodec
-from myrtlecourse.spread.head import Head
+from myrtlecourse.spread.replica import Head
 from myrtlecourse.spread.log_file import LogFile
 from myrtlecourse.spread.node import Node
 
--- a/myrtlecourse/spread/head_lead.py
+++ b/myrtlecourse/spread/leader.py
@@ -17,8 +17,8 @@
 from typing import Any
 
 from myrtlecourse.peers.seal import LONGEST
-from myrtlecourse.spread import head_events as at
-from myrtlecourse.spread.head_events import MOST_RECORD, HeadAction, Record, Refuse, Saved, fitting
+from myrtlecourse.spread import replica_events as at
+from myrtlecourse.spread.replica_events import MOST_RECORD, HeadAction, Record, Refuse, Saved, fitting
 from myrtlecourse.spread.messages import (
     Change,
     Entry,
--- a/myrtlecourse/spread/work.py
+++ b/myrtlecourse/spread/log_duty.py
@@ -6,8 +6,8 @@
 
 from myrtlecourse.duties import messages as duties
 from myrtlecourse.duties.keeper import Keeper as DutyKeeper
-from myrtlecourse.spread.head_events import Acknowledge, Refuse
-from myrtlecourse.spread.keeper import Keeper
+from myrtlecourse.spread.replica_events import Acknowledge, Refuse
+from myrtlecourse.spread.driver import Keeper
 from myrtlecourse.spread.messages import Entry, SpreadError
 
 PATIENCE = 1.5  # seconds for an entry to last, after which operators are told that it is not known yet
--- a/myrtlecourse/spread/log_file.py
+++ b/myrtlecourse/spread/log_file.py
@@ -19,8 +19,8 @@
 from msgspec import Meta
 
 from myrtlecourse.checked import sync_folder, write_all
-from myrtlecourse.spread import head_events as at
-from myrtlecourse.spread.head_events import LogError, Record, Saved
+from myrtlecourse.spread import replica_events as at
+from myrtlecourse.spread.replica_events import LogError, Record, Saved
 from myrtlecourse.spread.messages import KEY, LARGEST, LONGEST_VALUE, Change, Entry, Purge
 
 HEAD = struct.Struct("<II")
--- a/myrtlecourse/spread/node.py
+++ b/myrtlecourse/spread/node.py
@@ -13,16 +13,16 @@
 from myrtlecourse.peers.seal import SEAL
 from myrtlecourse.peers.wire import HEAD as FRAME
 from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.allowance import Allowance
-from myrtlecourse.spread.asking import Asking
+from myrtlecourse.spread.send_window import Allowance
+from myrtlecourse.spread.retransmission import Asking
 from myrtlecourse.spread.children import Child, Children
 from myrtlecourse.spread.codec import SpreadCodec, room
-from myrtlecourse.spread.lanes import Lanes
+from myrtlecourse.spread.applied_ranges import Lanes
 from myrtlecourse.spread.messages import Action, Beat, Counts, Entry, Event, Heard, News, Settings, Word
 from myrtlecourse.spread.parent import Parent
-from myrtlecourse.spread.serving import HEAD, LEAST_ROOM, Serving
-from myrtlecourse.spread.table import Table
-from myrtlecourse.spread.tail import Tail
+from myrtlecourse.spread.repair import HEAD, LEAST_ROOM, Serving
+from myrtlecourse.spread.change_table import Table
+from myrtlecourse.spread.log_suffix import Tail
 from myrtlecourse.spread.tree import BEAT, CONTROL, LONGEST_NAME, REPORT, Tree, child_cost
 
 NEAR = 256  # entries that a new child may be behind and be sent as news
--- a/myrtlecourse/spread/serving.py
+++ b/myrtlecourse/spread/repair.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from myrtlecourse.spread.lanes import Lanes
+from myrtlecourse.spread.applied_ranges import Lanes
 from myrtlecourse.spread.messages import LONGEST_VALUE, Beyond, Digest, News, Rows, Same, Want, Word
-from myrtlecourse.spread.table import Table
-from myrtlecourse.spread.tail import Tail
+from myrtlecourse.spread.change_table import Table
+from myrtlecourse.spread.log_suffix import Tail
 
 HEAD = 24  # bytes that a `News` takes beside its entries, and the array of parts
 ROWS = 8  # the same of `Rows`
--- a/myrtlecourse/spread/head.py
+++ b/myrtlecourse/spread/replica.py
@@ -12,10 +12,10 @@
 
 from myrtlecourse.peers.seal import LONGEST, SEAL
 from myrtlecourse.peers.wire import HEAD
-from myrtlecourse.spread import head_events as at
+from myrtlecourse.spread import replica_events as at
 from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.head_events import HeadAction, HeadEvent, Record, Saved, Stored, fitting
-from myrtlecourse.spread.head_lead import MOST_FLIGHT, Budget, Lead, Made, Phase, table_from
+from myrtlecourse.spread.replica_events import HeadAction, HeadEvent, Record, Saved, Stored, fitting
+from myrtlecourse.spread.leader import MOST_FLIGHT, Budget, Lead, Made, Phase, table_from
 from myrtlecourse.spread.messages import Change, Entry, Settings, Word
 
 WRITTEN = 52  # bytes at most of a `Written` without its entries
--- a/myrtlecourse/spread/asking.py
+++ b/myrtlecourse/spread/retransmission.py
@@ -4,7 +4,7 @@
 
 import math
 
-from myrtlecourse.spread.lanes import Lanes, Range
+from myrtlecourse.spread.applied_ranges import Lanes, Range
 from myrtlecourse.spread.messages import Want
 
 AT_A_TIME = 512  # entries
--- a/myrtlecourse/spread/setup.py
+++ b/myrtlecourse/spread/setup.py
@@ -9,7 +9,7 @@
 from myrtlecourse.config import ConfigError
 from myrtlecourse.net.pool import address_of
 from myrtlecourse.peers.end import Endpoint
-from myrtlecourse.spread.keeper import Keeper
+from myrtlecourse.spread.driver import Keeper
 
 if TYPE_CHECKING:
     from myrtlecourse.operators import Spread
--- a/tests/spread_heads.py
+++ b/tests/spread_replicas.py
@@ -6,10 +6,10 @@
 import random
 from dataclasses import dataclass, field
 
-from myrtlecourse.spread import head_events as at
+from myrtlecourse.spread import replica_events as at
 from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.head import Head
-from myrtlecourse.spread.head_events import HeadAction, HeadEvent, LogError, Record, Saved
+from myrtlecourse.spread.replica import Head
+from myrtlecourse.spread.replica_events import HeadAction, HeadEvent, LogError, Record, Saved
 from myrtlecourse.spread.messages import Change, Entry, Purge, Settings, Site
 
 
--- a/tests/test_spread_head_worlds.py
+++ b/tests/test_spread_head_worlds.py
@@ -7,7 +7,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from tests.spread_heads import World, played
+from tests.spread_replicas import World, played
 
 CHECKS = hypothesis_settings(
     derandomize=True,
--- a/tests/test_spread_log.py
+++ b/tests/test_spread_log.py
@@ -11,10 +11,10 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from myrtlecourse.spread import head_events as at
-from myrtlecourse.spread.head_events import LogError, Record, Saved
+from myrtlecourse.spread import replica_events as at
+from myrtlecourse.spread.replica_events import LogError, Record, Saved
 from myrtlecourse.spread.log_file import LogFile, packed
-from tests.spread_heads import entry
+from tests.spread_replicas import entry
 
 CHECKS = hypothesis_settings(max_examples=60, suppress_health_check=list(HealthCheck))
 RECORDS: tuple[Record, ...] = (
--- a/tests/test_spread_node.py
+++ b/tests/test_spread_node.py
@@ -11,9 +11,9 @@
 import pytest
 
 from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.allowance import Allowance
+from myrtlecourse.spread.send_window import Allowance
 from myrtlecourse.spread.children import Child, Children
-from myrtlecourse.spread.lanes import Lanes, Range
+from myrtlecourse.spread.applied_ranges import Lanes, Range
 from myrtlecourse.spread.node import Node
 from myrtlecourse.spread.parent import Parent
 from tests.spread_world import CONTROLS, SETTINGS, SITES, Broken, Trouble, World, tiers
--- a/tests/test_spread_operators.py
+++ b/tests/test_spread_operators.py
@@ -29,10 +29,10 @@
 from myrtlecourse.operators import read_operators
 from myrtlecourse.ops.calls import KEY, MAX_VALUE, Answer, Call, Exchange, Kind, read_call
 from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.applied import BEFORE, Applied
-from myrtlecourse.spread.keeper import Keeper
+from myrtlecourse.spread.applied_file import BEFORE, Applied
+from myrtlecourse.spread.driver import Keeper
 from myrtlecourse.spread.messages import SpreadError
-from myrtlecourse.spread.work import NotKnown, lasting
+from myrtlecourse.spread.log_duty import NotKnown, lasting
 from tests.loopback import run, until
 from tests.test_service import site
 
--- a/tests/wrong_spread.py
+++ b/tests/wrong_spread.py
@@ -9,8 +9,8 @@
 
 from myrtlecourse.spread import messages as said
 from myrtlecourse.spread.children import Child, Children
-from myrtlecourse.spread.head import Head
-from myrtlecourse.spread.head_events import Saved
+from myrtlecourse.spread.replica import Head
+from myrtlecourse.spread.replica_events import Saved
 from myrtlecourse.spread.node import Node
 from myrtlecourse.spread.parent import Parent
 
