--- a/bench/spread_log.py
+++ b/bench/spread_log.py
@@ -14,11 +14,11 @@
 from pathlib import Path
 from typing import Any
 
-from myrtlecourse.spread import replica_events as at
 from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.replica import Head
+from myrtlecourse.spread import replica_events as at
 from myrtlecourse.spread.log_file import LogFile
 from myrtlecourse.spread.messages import Purge, Settings, Site
+from myrtlecourse.spread.replica import Replica
 
 NAMES = ("control-1", "control-2", "control-3")
 
@@ -30,22 +30,22 @@
         self.files = {name: LogFile(folder / name) for name in NAMES}
         sites = (Site("s", "r", ("router",)),)
         now = time.monotonic()
-        self.heads = {n: Head(Settings(n, NAMES, sites), f.saved, now) for n, f in self.files.items()}
+        self.heads = {n: Replica(Settings(n, NAMES, sites), f.saved, now) for n, f in self.files.items()}
         self.pool = ThreadPoolExecutor(3)
         self.stores: list[tuple[str, int, Future[None]]] = []
         self.wakes = dict.fromkeys(NAMES, now)
         self.done: dict[int, float] = {}
         self.syncs = self.words = 0
 
-    def post(self, name: str, event: at.HeadEvent) -> None:
+    def post(self, name: str, event: at.ReplicaEvent) -> None:
         todo = [(name, event)]
         while todo:
             name, event = todo.pop(0)
             for action in self.heads[name].handle(time.monotonic(), event):
                 match action:
-                    case said.Say(to, words):
+                    case said.Send(to, words):
                         self.words += 1
-                        todo.append((to, said.Heard(name, words)))
+                        todo.append((to, said.Received(name, words)))
                     case at.Store(number, records):
                         self.syncs += 1
                         written = self.pool.submit(self.files[name].append, records)
@@ -54,7 +54,7 @@
                         self.done[ticket] = time.monotonic()
                     case at.Refuse(ticket, why):
                         raise SystemExit(f"{ticket}: {why}")
-                    case said.Wake(when):
+                    case said.SetTimer(when):
                         self.wakes[name] = when
 
     def turn(self) -> None:
@@ -66,15 +66,15 @@
             self.post(store[0], at.Stored(store[1]))
         for name, when in self.wakes.items():
             if when <= now:
-                self.post(name, said.Woke())
+                self.post(name, said.TimerFired())
         time.sleep(0.0005)
 
 
 def measure(folder: Path, rate: float, seconds: float) -> dict[str, Any]:
     """Propose so many entries a second for so long."""
     run = Run(folder)
-    run.post(NAMES[0], at.Took(1))
-    while run.heads[NAMES[0]].lead is None or not run.heads[NAMES[0]].lead.open:
+    run.post(NAMES[0], at.LeadershipGained(1))
+    while run.heads[NAMES[0]].leader is None or not run.heads[NAMES[0]].leader.is_open:
         run.turn()
     begin, used, asked = time.monotonic(), time.process_time(), list[float]()
     while time.monotonic() < begin + seconds or len(run.done) < len(asked):
--- a/bench/spread_plain.py
+++ b/bench/spread_plain.py
@@ -79,8 +79,8 @@
             self.sent[member], self.moved_at[member] = self.acknowledged[member], now
         while self.sent[member] < last and self.saved >= LONGEST:
             first = self.sent[member] + 1
-            count = min(last + 1 - first, (self.room - 20) // said.KEY)
-            length = LONGEST - self.room + 20 + said.KEY * count
+            count = min(last + 1 - first, (self.room - 20) // said.KEY_BYTES)
+            length = LONGEST - self.room + 20 + said.KEY_BYTES * count
             self.saved -= length
             self.bytes += length
             self.datagrams += 1
--- a/bench/spread_sockets.py
+++ b/bench/spread_sockets.py
@@ -22,13 +22,13 @@
 from myrtlecourse.fleet.hollow_spread import Job
 from myrtlecourse.fleet.reserved_ports import free
 from myrtlecourse.spread.messages import Settings, Site
-from myrtlecourse.spread.tree import CONTROL, HEADS, LEAF, RELAY, Tree
+from myrtlecourse.spread.tree import CONTROL, LEAF, REGION_RELAY, SITE_RELAY, Tree
 
 SITES, ROUTERS, PARTS = 10, 20, 9
 CONTROLS = ("control-0", "control-1", "control-2")
 FOLDER = "/dev/shm" if Path("/dev/shm").is_dir() else None
 SETTLE = 5.0  # seconds until all have a parent
-ROLES = {RELAY: "relay", HEADS: "head", LEAF: "leaf"}
+ROLES = {REGION_RELAY: "relay", SITE_RELAY: "head", LEAF: "leaf"}
 
 
 class Process:
--- a/myrtlecourse/beyond.py
+++ b/myrtlecourse/beyond.py
@@ -25,7 +25,7 @@
     from myrtlecourse.operators import Address, Duties, Fleet, OperatorsFile, Spread
     from myrtlecourse.peers.speaker import Speaker
     from myrtlecourse.service import Service
-    from myrtlecourse.spread.driver import Keeper as SpreadKeeper
+    from myrtlecourse.spread.driver import Driver as SpreadKeeper
 
 LEAST_SHARE = 0.1  # of commands let in by a full core, below which a router holds no duty
 # what operators' calls are answered where their part is off
@@ -182,9 +182,9 @@
         if told.address is not None and not told.address.peers:
             self._address_as_duty(told.address, self.duties)
         if self.spread is not None and told.spread is not None and told.spread.duty is not None:
-            from myrtlecourse.spread.log_duty import LogWork  # noqa: PLC0415  (an extra)
+            from myrtlecourse.spread.log_duty import LogDuty  # noqa: PLC0415  (an extra)
 
-            work = LogWork(told.spread.duty, self.duties, self.spread)
+            work = LogDuty(told.spread.duty, self.duties, self.spread)
             self.duties.works[told.spread.duty] = work
             self.duties.abilities[told.spread.duty] = work.able
         own = address_of(table.listen) if table.listen is not None else peers(table)[table.name]
@@ -205,11 +205,11 @@
     async def _keep_spread(self, table: Spread) -> None:
         """Take part in the spread of changes and purges."""
         from myrtlecourse.spread.replica_events import LogError  # noqa: PLC0415  (an extra)
-        from myrtlecourse.spread.setup import keeper, own  # noqa: PLC0415
+        from myrtlecourse.spread.setup import listen_address, make_driver  # noqa: PLC0415
 
-        self.spread = keeper(table)
+        self.spread = make_driver(table)
         try:
-            await self.spread.start(own(table), shared=self.service.inherited is not None)
+            await self.spread.start(listen_address(table), shared=self.service.inherited is not None)
         except (OSError, LogError) as e:
             raise ConfigError(f"{self.path}: spread: {e}") from e
         self.service.ops.carry_out = self._carry_out_entry
@@ -223,15 +223,15 @@
         """Answer a call for a purge or change once it lasts; all others are the service's."""
         if self.spread is None or call.kind not in (Kind.SPREAD_PURGE, Kind.SPREAD_SEND):
             return await self.service.carry_out(call)
+        from myrtlecourse.spread.log_duty import OutcomeUnknown, commit  # noqa: PLC0415
         from myrtlecourse.spread.messages import Change, Purge, SpreadError  # noqa: PLC0415  (an extra)
-        from myrtlecourse.spread.log_duty import NotKnown, lasting  # noqa: PLC0415
 
         purge = call.kind is Kind.SPREAD_PURGE
         try:
-            number = await lasting(self.spread, Purge(call.key) if purge else Change(call.key, call.value))
+            number = await commit(self.spread, Purge(call.key) if purge else Change(call.key, call.value))
         except SpreadError as e:
             return Answer(HTTPStatus.SERVICE_UNAVAILABLE, str(e))
-        except NotKnown as e:
+        except OutcomeUnknown as e:
             return Answer(HTTPStatus.GATEWAY_TIMEOUT, str(e))
         return Answer(HTTPStatus.OK, str(number))
 
@@ -295,15 +295,15 @@
     @staticmethod
     def _reload_spread(keeper: SpreadKeeper, table: Spread | None) -> None:
         """Keys, and where others are heard; members and figures need a restart. Raises ValueError."""
-        from myrtlecourse.spread.setup import keys, peers  # noqa: PLC0415  (an extra)
+        from myrtlecourse.spread.setup import peer_addresses, read_keys  # noqa: PLC0415  (an extra)
 
         if table is None:
             raise ConfigError("the table `spread` was there at the start and is missing")
         if table.settings() != keeper.settings:
             raise ConfigError("spread: members and figures can't be others while a process runs")
-        taken = keys(table)
+        taken = read_keys(table)
         keeper.wire.seal.change(*taken)
-        keeper.peers = peers(table)
+        keeper.peers = peer_addresses(table)
 
     def _reload_fleet(self, speaker: Speaker, table: Fleet | None) -> None:
         """Everything but this router's name and zone, and where it is heard. Raises ValueError."""
--- a/myrtlecourse/fleet/hollow_spread.py
+++ b/myrtlecourse/fleet/hollow_spread.py
@@ -29,10 +29,10 @@
 
 from myrtlecourse.net.pool import address_of
 from myrtlecourse.operators import Spread
-from myrtlecourse.spread.replica_events import Acknowledge, Refuse
-from myrtlecourse.spread.driver import Keeper
+from myrtlecourse.spread.driver import Driver
 from myrtlecourse.spread.messages import Purge
-from myrtlecourse.spread.setup import keys, peers
+from myrtlecourse.spread.replica_events import Acknowledge, Refuse
+from myrtlecourse.spread.setup import peer_addresses, read_keys
 
 
 class Job(Struct, forbid_unknown_fields=True, frozen=True):
@@ -54,9 +54,9 @@
         # any member does to read the table with, but for control machines, which want more
         some = next(site["routers"][0]["name"] for site in job.spread["site"])
         table = msgspec.convert(job.spread | {"name": some}, Spread)
-        self.settings, self.peers, self.keys = table.settings(), peers(table), keys(table)
+        self.settings, self.peers, self.keys = table.settings(), peer_addresses(table), read_keys(table)
         self.applied_bytes = table.applied_bytes
-        self.keepers: dict[str, Keeper] = {}
+        self.keepers: dict[str, Driver] = {}
         self.before = [0, 0]  # datagrams and bytes of members that are gone
 
     async def start(self, *names: str) -> None:
@@ -68,7 +68,7 @@
                 folder.mkdir(exist_ok=True)
             applied = self.folder / f"{name}.applied" if self.applied else None
             settings = replace(self.settings, name=name)
-            keeper = Keeper(settings, self.peers, self.keys, applied, self.applied_bytes, folder)
+            keeper = Driver(settings, self.peers, self.keys, applied, self.applied_bytes, folder)
             self.keepers[name] = keeper
             await keeper.start(self.listen[name], shared=False)
 
@@ -78,20 +78,20 @@
             keeper = self.keepers.pop(name)
             self.before = [self.before[0] + keeper.sent, self.before[1] + keeper.bytes_sent]
             keeper.leave()
-            keeper.failed = "it has vanished"
-            for task in keeper.running:
+            keeper.failure = "it has vanished"
+            for task in keeper.tasks:
                 task.cancel()
-            if keeper.applied is not None:
-                os.close(keeper.applied.file)
-                keeper.applied = None
-            if keeper.log is not None:
-                keeper.log.close()
+            if keeper.applied_log is not None:
+                os.close(keeper.applied_log.file)
+                keeper.applied_log = None
+            if keeper.log_file is not None:
+                keeper.log_file.close()
 
     async def take(self, name: str, token: str) -> None:
         """A duty without an election: whoever gives orders sees to it that one holds it."""
         keeper = self.keepers[name]
-        keeper.may = lambda: int(token)
-        keeper.took(int(token))
+        keeper.held_token = lambda: int(token)
+        keeper.gain_leadership(int(token))
 
     async def send(self, name: str, rate: str, seconds: str) -> dict[str, Any]:
         """Propose purges at a steady rate."""
@@ -103,7 +103,7 @@
             if isinstance(told, Acknowledge):
                 numbers.append(told.number)
             else:
-                refused.append(told.why)
+                refused.append(told.reason)
             if len(numbers) + len(refused) == count:
                 answered.set()
 
--- a/myrtlecourse/operators.py
+++ b/myrtlecourse/operators.py
@@ -204,7 +204,7 @@
 
     key_file: str
     name: Name
-    control: Annotated[tuple[Peer, ...], Meta(min_length=1, max_length=spread.MOST_CONTROL)]
+    control: Annotated[tuple[Peer, ...], Meta(min_length=1, max_length=spread.MAX_CONTROL_NODES)]
     # of the own region; at a control machine all
     site: Annotated[tuple[SpreadSite, ...], Meta(max_length=5000)] = ()
     listen: Endpoint | None = None  # where not at its own address above
--- a/myrtlecourse/sim/spread.py
+++ b/myrtlecourse/sim/spread.py
@@ -23,19 +23,19 @@
 from myrtlecourse.sim.spread_judge import Broken, Judge
 from myrtlecourse.spread import messages as said
 from myrtlecourse.spread.codec import SpreadCodec
-from myrtlecourse.spread.replica import Head
+from myrtlecourse.spread.node import Node
+from myrtlecourse.spread.replica import Replica
 from myrtlecourse.spread.replica_events import (
     Acknowledge,
-    HeadEvent,
-    Lost,
+    LeadershipGained,
+    LeadershipLost,
+    LogState,
     Propose,
     Refuse,
-    Saved,
+    ReplicaEvent,
     Store,
     Stored,
-    Took,
 )
-from myrtlecourse.spread.node import Node
 
 GREETING = len(msgspec.msgpack.encode([VERSION, "", 2**61, 2**61, 2**20, [HELLO]]))
 MOST_WAITING = 800  # datagrams that wait before a process that stands still: a socket's buffer
@@ -47,7 +47,7 @@
 class ToHead:
     """An event that is not the node's."""
 
-    event: HeadEvent
+    event: ReplicaEvent
 
 
 Told = said.Event | ToHead
@@ -93,7 +93,7 @@
         self.node: Node | None = None
         self.met: dict[int, int] = {}  # the process of another that this one knows, by its index
         self.head = SEAL + GREETING - len(HELLO) - 1 + len(name)  # bytes of a datagram but its words
-        self.alarm = Alarm(self, lambda: self.post(said.Woke()))
+        self.alarm = Alarm(self, lambda: self.post(said.TimerFired()))
 
     def start(self) -> None:
         """A new process."""
@@ -104,7 +104,7 @@
         self.world.judge.begins(self.index)
         settings = self.world.settings(self.name, self.place)
         self.node = self.world.make(settings, self.clock(), self.world.chance.getrandbits(32))
-        self.post(said.Woke())
+        self.post(said.TimerFired())
 
     def kill(self) -> None:
         """The process dies; nothing of it is said to anyone."""
@@ -114,7 +114,7 @@
 
     def go_on(self) -> None:
         """It goes on where it stood, with what a socket keeps of what came meanwhile."""
-        heard = [i for i, event in enumerate(self.waiting) if isinstance(event, said.Heard)]
+        heard = [i for i, event in enumerate(self.waiting) if isinstance(event, said.Received)]
         lost = set(heard[MOST_WAITING:])
         self.waiting = [event for i, event in enumerate(self.waiting) if i not in lost]
         super().go_on()
@@ -132,19 +132,19 @@
         world, judge = self.world, self.world.judge
         for action in self.node.handle(self.clock(), event):
             match action:
-                case said.Say(to, words):
+                case said.Send(to, words):
                     world.send(self, to, words)
-                case said.Wake(at):
+                case said.SetTimer(at):
                     self.alarm.set(at)
                 case said.Apply(first, entries):
                     judge.applied(self.index, first, entries, world.time)
-                case said.Done(number, _, _):
+                case said.Watermark(number, _, _):
                     world.says_done(number)
-                case said.Forget(first, last):
+                case said.AssumePurged(first, last):
                     judge.forgot(self.index, first, last)
                 case said.Restore(number, change):
                     judge.restored(self.index, number, change)
-                case said.Vouches(may):
+                case said.LeaseChanged(may):
                     if may and not self.vouches():
                         raise Broken(f"told_to_vouch: {self.name} may not")
         if judge.have[self.index] < judge.done and self.vouches():
@@ -152,7 +152,7 @@
 
     def vouches(self) -> bool:
         """Whether it would act as if up to date at this moment of true time."""
-        return self.node is not None and self.node.vouches(self.clock())
+        return self.node is not None and self.node.has_lease(self.clock())
 
 
 class Control(Member):
@@ -160,9 +160,9 @@
 
     def __init__(self, world: World, index: int, name: str, place: Place, rate: float) -> None:
         super().__init__(world, index, name, place, rate)
-        self.disk = Saved()  # outlives the process
-        self.log_head: Head | None = None
-        self.head_alarm = Alarm(self, lambda: self.post(ToHead(said.Woke())))
+        self.disk = LogState()  # outlives the process
+        self.log_head: Replica | None = None
+        self.head_alarm = Alarm(self, lambda: self.post(ToHead(said.TimerFired())))
 
     def start(self) -> None:
         if self.node is None:
@@ -170,7 +170,7 @@
             # the process changes what it has read; the disk stays as it is
             self.log_head = self.world.make_head(settings, copy.deepcopy(self.disk), self.clock())
         super().start()
-        self.post(ToHead(said.Woke()))
+        self.post(ToHead(said.TimerFired()))
 
     def kill(self) -> None:
         self.log_head = None
@@ -180,29 +180,29 @@
     def take(self, event: Told) -> None:
         if isinstance(event, ToHead):
             self._head(event.event)
-        elif isinstance(event, said.Heard):
-            heads = tuple(w for w in event.words if isinstance(w, said.OF_HEADS))
-            if len(heads) < len(event.words):
-                words = tuple(w for w in event.words if not isinstance(w, said.OF_HEADS))
-                super().take(said.Heard(event.sender, words) if heads else event)
+        elif isinstance(event, said.Received):
+            heads = tuple(w for w in event.messages if isinstance(w, said.LOG_MESSAGES))
+            if len(heads) < len(event.messages):
+                words = tuple(w for w in event.messages if not isinstance(w, said.LOG_MESSAGES))
+                super().take(said.Received(event.sender, words) if heads else event)
             if heads:
-                self._head(said.Heard(event.sender, heads))
+                self._head(said.Received(event.sender, heads))
         else:
             super().take(event)
 
-    def _head(self, event: HeadEvent) -> None:
+    def _head(self, event: ReplicaEvent) -> None:
         assert self.log_head is not None
         world = self.world
         for action in self.log_head.handle(self.clock(), event):
             match action:
-                case said.Say(to, words):
+                case said.Send(to, words):
                     world.send(self, to, words)
-                case said.Wake(at):
+                case said.SetTimer(at):
                     self.head_alarm.set(at)
-                case said.Settled(_, first, entries):
+                case said.Committed(_, first, entries):
                     world.judge.settled(first, entries)
                     super().take(action)
-                case said.Root():
+                case said.Leadership():
                     super().take(action)
                 case Store():
                     world.core.after(world.disk_time(), self._stored, action, self.boots)
@@ -211,7 +211,7 @@
                 case Refuse(ticket):
                     world.refused += 1
                     del world.tickets[ticket]
-                case said.Forget(first, last):
+                case said.AssumePurged(first, last):
                     world.judge.forgot(self.index, first, last)
                 case said.Restore(number, change):
                     world.judge.restored(self.index, number, change)
@@ -219,7 +219,7 @@
     def _stored(self, store: Store, boot: int) -> None:
         if boot == self.boots and self.node is not None:
             for record in store.records:
-                self.disk.take(record)
+                self.disk.apply(record)
             self.post(ToHead(Stored(store.number)))
 
 
@@ -233,7 +233,7 @@
         seed: int,
         entries: int,
         make: Callable[[said.Settings, float, int], Node] = Node,
-        make_head: Callable[[said.Settings, Saved, float], Head] = Head,
+        make_head: Callable[[said.Settings, LogState, float], Replica] = Replica,
         **figures: Any,
     ) -> None:
         """`entries`: the most that will be proposed; `figures`: of Settings."""
@@ -290,14 +290,14 @@
         self.core.after(1.0, self._second)
         self.seconds.append((np.array(self.bytes), np.array(self.datagrams)))
 
-    def send(self, sender: Member, to: str, words: tuple[said.Word, ...]) -> None:
+    def send(self, sender: Member, to: str, words: tuple[said.Message, ...]) -> None:
         """A datagram on its way. Raises Broken."""
         length = sender.head + CODEC.size(words)
         if length > LONGEST:
             raise Broken(f"too_long: {length} bytes from {sender.name}")
         there = self.members[to]
         self._count(sender, length)
-        known, heard = sender.met.get(there.index, 0), said.Heard(sender.name, words)
+        known, heard = sender.met.get(there.index, 0), said.Received(sender.name, words)
         for pause in self.network.fate(sender.place, there.place):
             self.core.after(pause, self._arrive, there, sender, sender.boots, known, heard)
 
@@ -305,7 +305,7 @@
         self.bytes[sender.index] += length
         self.datagrams[sender.index] += 1
 
-    def _arrive(self, there: Member, sender: Member, boot: int, known: int, heard: said.Heard) -> None:
+    def _arrive(self, there: Member, sender: Member, boot: int, known: int, heard: said.Received) -> None:
         if there.node is None:
             return
         if known != there.boots:
@@ -327,7 +327,7 @@
     def release(self) -> None:
         """The holder is told that it holds no more."""
         if self.holder:
-            self.members[self.holder].post(ToHead(Lost()))
+            self.members[self.holder].post(ToHead(LeadershipLost()))
         self.holder = ""
 
     def hold(self, name: str) -> None:
@@ -335,7 +335,7 @@
         self.release()
         self.token += 1
         self.holder = name
-        self.members[name].post(ToHead(Took(self.token)))
+        self.members[name].post(ToHead(LeadershipGained(self.token)))
 
     def propose(self, entry: said.Entry) -> None:
         """Somebody wants this everywhere."""
@@ -359,10 +359,10 @@
             at = chance.expovariate(rate) if rate else seconds
             while at < seconds:
                 if kind is said.Purge:
-                    entry: said.Entry = said.Purge(chance.randbytes(said.KEY))
+                    entry: said.Entry = said.Purge(chance.randbytes(said.KEY_BYTES))
                 else:
-                    subject = chance.randrange(subjects).to_bytes(said.KEY, "big")
-                    entry = said.Change(subject, chance.randbytes(chance.randint(20, said.LONGEST_VALUE)))
+                    subject = chance.randrange(subjects).to_bytes(said.KEY_BYTES, "big")
+                    entry = said.Change(subject, chance.randbytes(chance.randint(20, said.MAX_VALUE_BYTES)))
                 self.core.after(at, self.propose, entry)
                 at += chance.expovariate(rate)
 
--- a/myrtlecourse/spread/applied_file.py
+++ b/myrtlecourse/spread/applied_file.py
@@ -6,31 +6,40 @@
 import time
 from pathlib import Path
 
-from myrtlecourse.spread.messages import Action, Apply, Done, Entry, Forget, Purge, Restore, Vouches
+from myrtlecourse.spread.messages import (
+    Action,
+    Apply,
+    AssumePurged,
+    Entry,
+    LeaseChanged,
+    Purge,
+    Restore,
+    Watermark,
+)
 
-BEFORE = ".1"  # what the file before is called
+ROTATED_SUFFIX = ".1"  # what the file before is called
 
 
-def told(number: int, entry: Entry) -> str:
+def entry_line(number: int, entry: Entry) -> str:
     """An entry's line, without its time."""
     if isinstance(entry, Purge):
         return f"{number} purge {entry.key.hex()}"
     return f"{number} change {entry.subject.hex()} {entry.value.hex()}"
 
 
-class Applied:
+class AppliedFile:
     """The file. Each line begins with the monotonic time at which it was written, in seconds."""
 
     def __init__(self, path: Path, most: int) -> None:
         """Go on with what is there; at `most` bytes it is begun anew. Raises OSError."""
         self.path = path
-        self.most = most
-        self.vouches = False
-        self.waiting: list[str] = []
+        self.max_bytes = most
+        self.lease_valid = False
+        self.pending: list[str] = []
         self._open()
-        self.waiting.append("start")  # this process remembers nothing of those before
-        self.add(Vouches(False))
-        self.write()
+        self.pending.append("start")  # this process remembers nothing of those before
+        self.add(LeaseChanged(False))
+        self.flush()
 
     def _open(self) -> None:
         flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
@@ -41,40 +50,40 @@
         """Let what a node answers be written with the next `write`."""
         match action:
             case Apply(first, entries):
-                self.waiting += [told(number, entry) for number, entry in enumerate(entries, first)]
+                self.pending += [entry_line(number, entry) for number, entry in enumerate(entries, first)]
             case Restore(number, change):
-                self.waiting.append(told(number, change))
-            case Forget(first, last):
-                self.waiting.append(f"forget {first} {last}")
-            case Vouches(may):
-                self.vouches = may
-                self.waiting.append(f"vouches {'yes' if may else 'no'}")
-            case Done(number, members, away):
-                self.waiting.append(f"done {number} {members} {away}")
+                self.pending.append(entry_line(number, change))
+            case AssumePurged(first, last):
+                self.pending.append(f"forget {first} {last}")
+            case LeaseChanged(may):
+                self.lease_valid = may
+                self.pending.append(f"vouches {'yes' if may else 'no'}")
+            case Watermark(number, members, away):
+                self.pending.append(f"done {number} {members} {away}")
 
-    def write(self) -> None:
+    def flush(self) -> None:
         """Write what waits, whole lines alone. Raises OSError: then the file lacks entries, and its member
         must vouch for nothing any more."""
-        if not self.waiting:
+        if not self.pending:
             return
-        if self.size >= self.most:
-            self._begin_anew()
+        if self.size >= self.max_bytes:
+            self._rotate()
         at = f"{time.monotonic():.6f}"
-        data = "".join(f"{at} {line}\n" for line in self.waiting).encode()
-        self.waiting.clear()
+        data = "".join(f"{at} {line}\n" for line in self.pending).encode()
+        self.pending.clear()
         self.size += len(data)
         if os.write(self.file, data) < len(data):
             raise OSError(f"{self.path}: the disk is full")
 
-    def _begin_anew(self) -> None:
+    def _rotate(self) -> None:
         """Guards the disk. Whoever follows the file before reads it to its end under its new name."""
         os.close(self.file)
-        self.path.replace(self.path.with_name(self.path.name + BEFORE))
+        self.path.replace(self.path.with_name(self.path.name + ROTATED_SUFFIX))
         self._open()
-        self.waiting.insert(0, f"vouches {'yes' if self.vouches else 'no'}")
+        self.pending.insert(0, f"vouches {'yes' if self.lease_valid else 'no'}")
 
     def close(self) -> None:
         """Write no more: nobody applies anything."""
-        self.add(Vouches(False))
-        self.write()
+        self.add(LeaseChanged(False))
+        self.flush()
         os.close(self.file)
--- a/myrtlecourse/spread/applied_ranges.py
+++ b/myrtlecourse/spread/applied_ranges.py
@@ -2,44 +2,44 @@
 
 from __future__ import annotations
 
-MOST_LANES = 8
+MAX_RANGES = 8
 
 Range = tuple[int, int]  # first and last, both within
 
 
-class Lanes:
+class AppliedRanges:
     """Disjoint ranges, none of which touches another, in their order."""
 
     def __init__(self) -> None:
         self.ranges: list[Range] = []
 
     @property
-    def have(self) -> int:
+    def contiguous_until(self) -> int:
         """All up to this number are applied."""
         return self.ranges[0][1] if self.ranges and self.ranges[0][0] == 1 else 0
 
     @property
-    def top(self) -> int:
+    def highest(self) -> int:
         """The highest number that is applied; 0: none."""
         return self.ranges[-1][1] if self.ranges else 0
 
-    def holes(self) -> list[Range]:
+    def gaps(self) -> list[Range]:
         """What is missing below the highest number."""
         starts = [first for first, _ in self.ranges]
         ends = [0, *(last for _, last in self.ranges)]
         return [(end + 1, start - 1) for end, start in zip(ends, starts, strict=False) if start > end + 1]
 
-    def run(self, number: int) -> int:
+    def range_end(self, number: int) -> int:
         """The last number of the range that this one is in; 0: it is in none."""
         return next((last for first, last in self.ranges if first <= number <= last), 0)
 
-    def room(self, first: int, last: int) -> Range | None:
+    def acceptable(self, first: int, last: int) -> Range | None:
         """The first part of a range that is new and would grow a lane, or begin one above all.
 
         Guards the lanes' number and order: what came before its turn in a hole is not taken, and asked for
         again.
         """
-        if first > self.top:
+        if first > self.highest:
             return first, last
         for place, (start, end) in enumerate(self.ranges):
             if start <= first <= end + 1:
@@ -58,6 +58,6 @@
                 first, last = min(first, start), max(last, end)
         self.ranges = sorted([*kept, (first, last)])
 
-    def spill(self) -> Range | None:
+    def excess_gap(self) -> Range | None:
         """The oldest hole, when there are too many lanes: what to forget."""
-        return self.holes()[0] if len(self.ranges) > MOST_LANES else None
+        return self.gaps()[0] if len(self.ranges) > MAX_RANGES else None
--- a/myrtlecourse/spread/codec.py
+++ b/myrtlecourse/spread/codec.py
@@ -14,20 +14,29 @@
 
 from myrtlecourse.peers.seal import LONGEST, SEAL, Dropped
 from myrtlecourse.peers.wire import HEAD
-from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.messages import KEY, LARGEST, LONGEST_VALUE, MOST_RANGES, Change, Entry, Purge, Word
+from myrtlecourse.spread import messages as msg
+from myrtlecourse.spread.messages import (
+    DIGEST_RANGES,
+    KEY_BYTES,
+    MAX_NUMBER,
+    MAX_VALUE_BYTES,
+    Change,
+    Entry,
+    Message,
+    Purge,
+)
 
-LONGEST_LEASE = 1_000_000  # milliseconds that a parent may grant
-MOST_WANTED = 4_096  # entries that one `Want` may ask for
-SUM = 4  # bytes of a digest's sum
+MAX_LEASE_MS = 1_000_000  # milliseconds that a parent may grant
+MAX_REQUESTED_ENTRIES = 4_096  # entries that one `Want` may ask for
+CHECKSUM_BYTES = 4  # bytes of a digest's sum
 
-Number = Annotated[int, Meta(ge=0, le=LARGEST)]
-First = Annotated[int, Meta(ge=1, le=LARGEST)]
-Members = Annotated[int, Meta(ge=0, le=said.MOST_MEMBERS + said.MOST_CONTROL)]
-Key = Annotated[bytes, Meta(min_length=KEY, max_length=KEY)]
-After = Annotated[bytes, Meta(max_length=KEY)]  # a subject, or none
-Value = Annotated[bytes, Meta(max_length=LONGEST_VALUE)]
-Keys = Annotated[bytes, Meta(min_length=KEY, max_length=LONGEST)]  # of a run of purges
+Number = Annotated[int, Meta(ge=0, le=MAX_NUMBER)]
+First = Annotated[int, Meta(ge=1, le=MAX_NUMBER)]
+Members = Annotated[int, Meta(ge=0, le=msg.MAX_MEMBERS + msg.MAX_CONTROL_NODES)]
+Key = Annotated[bytes, Meta(min_length=KEY_BYTES, max_length=KEY_BYTES)]
+SubjectOrNone = Annotated[bytes, Meta(max_length=KEY_BYTES)]  # a subject, or none
+Value = Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)]
+Keys = Annotated[bytes, Meta(min_length=KEY_BYTES, max_length=LONGEST)]  # of a run of purges
 
 
 class _Change(Struct, array_like=True, forbid_unknown_fields=True):
@@ -47,29 +56,29 @@
 Entries = Annotated[tuple[Keys | _Change, ...], Meta(max_length=LONGEST)]
 
 
-class Shape(Struct, array_like=True, forbid_unknown_fields=True):
+class WireMessage(Struct, array_like=True, forbid_unknown_fields=True):
     """A word in a datagram: its fields, in their order in `messages`."""
 
-    word: ClassVar[Any]
+    message: ClassVar[Any]
 
 
-class _News(Shape, tag=0):
-    word = said.News
+class _EntryBatch(WireMessage, tag=0):
+    word = msg.EntryBatch
     epoch: Number
     first: First
     entries: Entries
 
 
-class _Beat(Shape, tag=1):
-    word = said.Beat
+class _Heartbeat(WireMessage, tag=1):
+    word = msg.Heartbeat
     epoch: Number
     last: Number
     echo: Number
-    good_for: Annotated[int, Meta(ge=0, le=LONGEST_LEASE)]
+    good_for: Annotated[int, Meta(ge=0, le=MAX_LEASE_MS)]
 
 
-class _Report(Shape, tag=2):
-    word = said.Report
+class _Report(WireMessage, tag=2):
+    word = msg.Report
     stamp: Number
     epoch: Number
     have: Number
@@ -79,51 +88,53 @@
     behind: Annotated[int, Meta(ge=0, lt=2**32)]
 
 
-class _Leave(Shape, tag=3):
-    word = said.Leave
+class _Leave(WireMessage, tag=3):
+    word = msg.Leave
 
 
-class _Full(Shape, tag=4):
-    word = said.Full
+class _NoCapacity(WireMessage, tag=4):
+    word = msg.NoCapacity
 
 
-class _Want(Shape, tag=5):
-    word = said.Want
+class _RetransmitRequest(WireMessage, tag=5):
+    word = msg.RetransmitRequest
     first: First
-    count: Annotated[int, Meta(ge=1, le=MOST_WANTED)]
+    count: Annotated[int, Meta(ge=1, le=MAX_REQUESTED_ENTRIES)]
 
 
-class _Beyond(Shape, tag=6):
-    word = said.Beyond
+class _EntriesDropped(WireMessage, tag=6):
+    word = msg.EntriesDropped
     oldest: First
 
 
-class _Digest(Shape, tag=7):
-    word = said.Digest
+class _TableDigest(WireMessage, tag=7):
+    word = msg.TableDigest
     upto: First
-    sums: Annotated[bytes, Meta(min_length=SUM * MOST_RANGES, max_length=SUM * MOST_RANGES)]
+    sums: Annotated[
+        bytes, Meta(min_length=CHECKSUM_BYTES * DIGEST_RANGES, max_length=CHECKSUM_BYTES * DIGEST_RANGES)
+    ]
 
 
-class _Rows(Shape, tag=8):
-    word = said.Rows
-    range: Annotated[int, Meta(ge=0, lt=MOST_RANGES)]
+class _TableRows(WireMessage, tag=8):
+    word = msg.TableRows
+    range: Annotated[int, Meta(ge=0, lt=DIGEST_RANGES)]
     rows: Annotated[tuple[_Row, ...], Meta(max_length=LONGEST)]
     more: bool
 
 
-class _Same(Shape, tag=9):
-    word = said.Same
+class _TableInSync(WireMessage, tag=9):
+    word = msg.TableInSync
     upto: First
 
 
-class _Survey(Shape, tag=10):
-    word = said.Survey
+class _Prepare(WireMessage, tag=10):
+    word = msg.Prepare
     epoch: Number
     after: Number
 
 
-class _Written(Shape, tag=11):
-    word = said.Written
+class _PrepareReply(WireMessage, tag=11):
+    word = msg.PrepareReply
     epoch: Number
     first: First
     under: Number
@@ -132,71 +143,71 @@
     settled: Number
 
 
-class _Keep(Shape, tag=12):
-    word = said.Keep
+class _Append(WireMessage, tag=12):
+    word = msg.Append
     epoch: Number
     first: First
     entries: Entries
     settled: Number
 
 
-class _Kept(Shape, tag=13):
-    word = said.Kept
+class _AppendReply(WireMessage, tag=13):
+    word = msg.AppendReply
     epoch: Number
     last: Number
 
 
-class _Outdated(Shape, tag=14):
-    word = said.Outdated
+class _StaleEpoch(WireMessage, tag=14):
+    word = msg.StaleEpoch
     epoch: Number
 
 
-class _Fetch(Shape, tag=15):
-    word = said.Fetch
+class _SnapshotRequest(WireMessage, tag=15):
+    word = msg.SnapshotRequest
     epoch: Number
-    after: After
+    after: SubjectOrNone
 
 
-class _Table(Shape, tag=16):
-    word = said.Table
+class _SnapshotRows(WireMessage, tag=16):
+    word = msg.SnapshotRows
     epoch: Number
     upto: Number
-    after: After
+    after: SubjectOrNone
     rows: Annotated[tuple[_Row, ...], Meta(max_length=LONGEST)]
     more: bool
 
 
 # their numbers are what datagrams carry: new ones come last
-Shapes = (
-    _News
-    | _Beat
+WireMessages = (
+    _EntryBatch
+    | _Heartbeat
     | _Report
     | _Leave
-    | _Full
-    | _Want
-    | _Beyond
-    | _Digest
-    | _Rows
-    | _Same
-    | _Survey
-    | _Written
-    | _Keep
-    | _Kept
-    | _Outdated
-    | _Fetch
-    | _Table
+    | _NoCapacity
+    | _RetransmitRequest
+    | _EntriesDropped
+    | _TableDigest
+    | _TableRows
+    | _TableInSync
+    | _Prepare
+    | _PrepareReply
+    | _Append
+    | _AppendReply
+    | _StaleEpoch
+    | _SnapshotRequest
+    | _SnapshotRows
 )
-SHAPES: dict[type[Any], type[Shape]] = {s.word: s for s in Shapes.__args__}
-NUMBERS = {word: shape.__struct_config__.tag for word, shape in SHAPES.items()}
-FIELDS = {word: shape.__struct_fields__ for word, shape in SHAPES.items()}
+WIRE_TYPES: dict[type[Any], type[WireMessage]] = {s.word: s for s in WireMessages.__args__}
+TAGS = {word: shape.__struct_config__.tag for word, shape in WIRE_TYPES.items()}
+WIRE_FIELDS = {word: shape.__struct_fields__ for word, shape in WIRE_TYPES.items()}
 
 
-def room(name: str) -> int:
+def max_payload(name: str) -> int:
     """Bytes that the parts of a datagram of this sender may take, as `Wire.room` has it."""
     return LONGEST - SEAL - HEAD - len(name.encode())
 
 
-def packed(entries: tuple[Entry, ...]) -> list[Any]:
+def encode_entries(entries: tuple[Entry, ...]) -> list[Any]:
     """Entries as parts: each run of purges as one string of bytes, each change as subject and value."""
     parts: list[Any] = []
     for kind, run in groupby(entries, type):
@@ -207,61 +218,66 @@
     return parts
 
 
-def unpacked(parts: tuple[bytes | _Change, ...]) -> tuple[Entry, ...]:
+def decode_entries(parts: tuple[bytes | _Change, ...]) -> tuple[Entry, ...]:
     """The entries. Raises Dropped."""
     entries: list[Entry] = []
     for part in parts:
         if isinstance(part, _Change):
             entries.append(Change(part.subject, part.value))
-        elif len(part) % KEY:
+        elif len(part) % KEY_BYTES:
             raise Dropped("malformed")
         else:
-            entries += [Purge(part[i : i + KEY]) for i in range(0, len(part), KEY)]
+            entries += [Purge(part[i : i + KEY_BYTES]) for i in range(0, len(part), KEY_BYTES)]
     return tuple(entries)
 
 
 class SpreadCodec:
     """Of members and control machines."""
 
-    def parts(self, message: tuple[Word, ...]) -> list[Any]:
+    def parts(self, message: tuple[Message, ...]) -> list[Any]:
         """What a datagram carries."""
         return [self._part(word) for word in message]
 
-    def size(self, words: tuple[Word, ...]) -> int:
+    def size(self, words: tuple[Message, ...]) -> int:
         """Bytes that the words take in a datagram, against `room`."""
         return len(msgspec.msgpack.encode(self.parts(words)))
 
     @staticmethod
-    def _part(word: Word) -> list[Any]:
+    def _part(word: Message) -> list[Any]:
         kind = type(word)
-        part = [NUMBERS[kind], *(getattr(word, f) for f in FIELDS[kind])]
-        if isinstance(word, said.News | said.Keep | said.Written):
-            part[FIELDS[kind].index("entries") + 1] = packed(word.entries)
-        elif isinstance(word, said.Digest):
-            part[2] = b"".join(s.to_bytes(SUM, "big") for s in word.sums)
-        elif isinstance(word, said.Rows | said.Table):
-            part[FIELDS[kind].index("rows") + 1] = [(number, c.subject, c.value) for number, c in word.rows]
+        part = [TAGS[kind], *(getattr(word, f) for f in WIRE_FIELDS[kind])]
+        if isinstance(word, msg.EntryBatch | msg.Append | msg.PrepareReply):
+            part[WIRE_FIELDS[kind].index("entries") + 1] = encode_entries(word.entries)
+        elif isinstance(word, msg.TableDigest):
+            part[2] = b"".join(s.to_bytes(CHECKSUM_BYTES, "big") for s in word.sums)
+        elif isinstance(word, msg.TableRows | msg.SnapshotRows):
+            part[WIRE_FIELDS[kind].index("rows") + 1] = [
+                (number, c.subject, c.value) for number, c in word.rows
+            ]
         return part
 
-    def read(self, parts: list[Any]) -> tuple[Word, ...]:
+    def read(self, parts: list[Any]) -> tuple[Message, ...]:
         """The words, checked. Raises Dropped."""
         try:
-            shapes = msgspec.convert(parts, tuple[Shapes, ...], builtin_types=(bytes,))
+            shapes = msgspec.convert(parts, tuple[WireMessages, ...], builtin_types=(bytes,))
         except (msgspec.ValidationError, OverflowError):
             raise Dropped("malformed") from None
         return tuple(self._word(shape) for shape in shapes)
 
     @staticmethod
-    def _word(shape: Any) -> Word:
+    def _word(shape: Any) -> Message:
         values = {f: getattr(shape, f) for f in shape.__struct_fields__}
         if "entries" in values:
-            values["entries"] = unpacked(values["entries"])
-        elif isinstance(shape, _Fetch | _Table) and len(shape.after) not in (0, KEY):
+            values["entries"] = decode_entries(values["entries"])
+        elif isinstance(shape, _SnapshotRequest | _SnapshotRows) and len(shape.after) not in (0, KEY_BYTES):
             raise Dropped("malformed")
-        elif isinstance(shape, _Digest):
+        elif isinstance(shape, _TableDigest):
             sums = shape.sums
-            values["sums"] = tuple(int.from_bytes(sums[i : i + SUM], "big") for i in range(0, len(sums), SUM))
-        elif isinstance(shape, _Rows | _Table):
+            values["sums"] = tuple(
+                int.from_bytes(sums[i : i + CHECKSUM_BYTES], "big")
+                for i in range(0, len(sums), CHECKSUM_BYTES)
+            )
+        elif isinstance(shape, _TableRows | _SnapshotRows):
             values["rows"] = tuple((row.number, Change(row.subject, row.value)) for row in shape.rows)
-        word: Word = shape.word(**values)
+        word: Message = shape.word(**values)
         return word
--- a/myrtlecourse/spread/commands.py
+++ b/myrtlecourse/spread/commands.py
@@ -14,17 +14,17 @@
 from rich.table import Table
 
 from myrtlecourse.address.commands import AT, NO, ask_each, call
-from myrtlecourse.spread.messages import KEY, LONGEST_VALUE
+from myrtlecourse.spread.messages import KEY_BYTES, MAX_VALUE_BYTES
 
-ASK = 0.1  # seconds between questions whether an entry is done everywhere
+POLL_INTERVAL = 0.1  # seconds between questions whether an entry is done everywhere
 WAIT = click.option(
     "--wait", type=click.FloatRange(0.0, 3600.0), default=0.0, help="seconds to wait until done everywhere"
 )
 
 
-def key_of(name: str) -> bytes:
+def key_hash(name: str) -> bytes:
     """What a purge's name, or a change's subject, is in the log."""
-    return hashlib.blake2b(name.encode(), digest_size=KEY).digest()
+    return hashlib.blake2b(name.encode(), digest_size=KEY_BYTES).digest()
 
 
 @click.group()
@@ -41,12 +41,12 @@
     """
 
 
-def spelled(value: Any) -> str:
+def format_value(value: Any) -> str:
     """A field's value, a line for each of several."""
     if isinstance(value, dict):
         return ", ".join(f"{k}: {v}" for k, v in value.items())
     if isinstance(value, list):
-        return "\n".join(map(spelled, value))
+        return "\n".join(map(format_value, value))
     return str(value)
 
 
@@ -60,7 +60,7 @@
         table.add_row("done everywhere", f"{number}, by {members:,} members; {away:,} away")
     for part in ("node", "head"):
         for name, value in (told[part] or {}).items():
-            table.add_row(f"{part}: {name}", spelled(value))
+            table.add_row(f"{part}: {name}", format_value(value))
     dropped = ", ".join(f"{count} {why}" for why, count in told["dropped"].items())
     table.add_row("dropped datagrams", dropped or "none")
     return table
@@ -79,7 +79,7 @@
         Console().print(node_table(at, told))
 
 
-def put(places: tuple[str, ...], path: str) -> tuple[str, int]:
+def put_entry(places: tuple[str, ...], path: str) -> tuple[str, int]:
     """Let an entry last; answers with whose log it is in, and its number. Ends with exit code 1 when nobody
     takes it."""
     text = ""
@@ -98,7 +98,7 @@
     sys.exit(NO)
 
 
-def wait_for(at: str, number: int, seconds: float) -> None:
+def wait_until_done(at: str, number: int, seconds: float) -> None:
     """Wait until an entry is done everywhere. Ends with exit code 1 when it is not in time."""
     until = time.monotonic() + seconds
     while True:
@@ -110,7 +110,7 @@
             reached = f"up to {done[0]}" if done is not None else "for none that is known here"
             click.echo(f"myrtlecourse: done everywhere {reached} after {seconds:g} s", err=True)
             sys.exit(NO)
-        time.sleep(ASK)
+        time.sleep(POLL_INTERVAL)
 
 
 @spread.command()
@@ -121,11 +121,11 @@
     """Let all members forget what they keep under these keys; prints the number of each."""
     at, number = places[0], 0
     for name in names:
-        at, number = put(places, f"purge/{key_of(name).hex()}")
+        at, number = put_entry(places, f"purge/{key_hash(name).hex()}")
         click.echo(f"{number} {name}")
         places = (at, *(p for p in places if p != at))
     if wait:
-        wait_for(at, number, wait)
+        wait_until_done(at, number, wait)
 
 
 @spread.command()
@@ -135,9 +135,9 @@
 @WAIT
 def send(subject: str, value: str, places: tuple[str, ...], wait: float) -> None:
     """Let all members have this value for a subject from now on; prints the change's number."""
-    if len(value.encode()) > LONGEST_VALUE:
-        raise click.BadParameter(f"{LONGEST_VALUE} bytes at most", param_hint="VALUE")
-    at, number = put(places, f"send/{key_of(subject).hex()}/{value.encode().hex()}")
+    if len(value.encode()) > MAX_VALUE_BYTES:
+        raise click.BadParameter(f"{MAX_VALUE_BYTES} bytes at most", param_hint="VALUE")
+    at, number = put_entry(places, f"send/{key_hash(subject).hex()}/{value.encode().hex()}")
     click.echo(f"{number} {subject}")
     if wait:
-        wait_for(at, number, wait)
+        wait_until_done(at, number, wait)
--- a/myrtlecourse/spread/driver.py
+++ b/myrtlecourse/spread/driver.py
@@ -14,27 +14,27 @@
 from myrtlecourse.net.logs import BoundedLog
 from myrtlecourse.peers.end import End, Endpoint
 from myrtlecourse.peers.wire import Wire
-from myrtlecourse.spread import replica_events as of_head
-from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.applied_file import Applied
+from myrtlecourse.spread import messages as msg
+from myrtlecourse.spread import replica_events as events
+from myrtlecourse.spread.applied_file import AppliedFile
 from myrtlecourse.spread.codec import SpreadCodec
-from myrtlecourse.spread.replica import Head
 from myrtlecourse.spread.log_file import LogFile
 from myrtlecourse.spread.node import Node
+from myrtlecourse.spread.replica import Replica
 
-AGAIN = 0.2  # seconds until listening is tried again, where the process before this one still does
-MOST_TICKETS = 1000  # entries that are proposed here and not answered
+LISTEN_RETRY = 0.2  # seconds until listening is tried again, where the process before this one still does
+MAX_PROPOSALS = 1000  # entries that are proposed here and not answered
 log = logging.getLogger(__name__)
 bounded = BoundedLog(log)
-Answered = Callable[[of_head.Acknowledge | of_head.Refuse], None]
+ProposalCallback = Callable[[events.Acknowledge | events.Refuse], None]
 
 
-class Keeper(End[tuple[said.Word, ...]]):
+class Driver(End[tuple[msg.Message, ...]]):
     """One process's end."""
 
     def __init__(
         self,
-        settings: said.Settings,
+        settings: msg.Settings,
         peers: dict[str, Endpoint],
         keys: tuple[bytes, tuple[bytes, ...]],
         applied: Path | None = None,
@@ -42,30 +42,30 @@
         folder: Path | None = None,
     ) -> None:
         """`folder` has the log, at control machines. Raises ValueError when a key is too short."""
-        self.chance = random.SystemRandom()
-        start = self.chance.getrandbits(62) + 1
+        self.random = random.SystemRandom()
+        start = self.random.getrandbits(62) + 1
         members = settings.control + tuple(m for s in settings.sites for m in (*s.routers, *s.parts))
         super().__init__(Wire(settings.name, members, keys[0], start, SpreadCodec(), keys[1]), peers)
         self.settings = settings
         self.folder = folder
-        self.applied_file = applied
+        self.applied_path = applied
         self.applied_bytes = applied_bytes
-        self.applied: Applied | None = None
-        self.log: LogFile | None = None
+        self.applied_log: AppliedFile | None = None
+        self.log_file: LogFile | None = None
         self.node: Node | None = None  # from when it listens
-        self.head: Head | None = None
+        self.replica: Replica | None = None
         # the token to write the log with at this very moment, or None
-        self.may: Callable[[], int | None] = lambda: None
-        self.token = 0  # that the head writes under; 0: it does not
-        self.holder = ""  # as is known here
-        self.tickets: dict[int, Answered] = {}
-        self.ticket = 0
-        self.done: said.Done | None = None  # the last that was told here, as the root
-        self.wakes = {"node": math.inf, "head": math.inf}
-        self.due = math.inf
-        self.running: list[asyncio.Task[None]] = []
-        self.storing: asyncio.Task[None] | None = None
-        self.failed = ""  # why this process takes no part any more
+        self.held_token: Callable[[], int | None] = lambda: None
+        self.leader_token = 0  # that the head writes under; 0: it does not
+        self.leader_name = ""  # as is known here
+        self.callbacks: dict[int, ProposalCallback] = {}
+        self.last_proposal = 0
+        self.watermark: msg.Watermark | None = None  # the last that was told here, as the root
+        self.timers = {"node": math.inf, "head": math.inf}
+        self.timer_due = math.inf
+        self.tasks: list[asyncio.Task[None]] = []
+        self.store_task: asyncio.Task[None] | None = None
+        self.failure = ""  # why this process takes no part any more
 
     async def start(self, bind: Endpoint, shared: bool) -> None:
         """Listen, and begin; where another process of this router may still listen (`shared`, at an upgrade)
@@ -76,171 +76,175 @@
             LogError: what the folder holds is no log.
         """
         if shared:
-            self.running.append(asyncio.create_task(self._begin_later(bind)))
+            self.tasks.append(asyncio.create_task(self._open_when_free(bind)))
         else:
-            await self._begin(bind)
+            await self._open(bind)
 
-    async def _begin_later(self, bind: Endpoint) -> None:
+    async def _open_when_free(self, bind: Endpoint) -> None:
         while True:
             try:
-                return await self._begin(bind)
+                return await self._open(bind)
             except OSError as e:
                 bounded.log(logging.INFO, "spread: not begun yet: %s", e)
-                await asyncio.sleep(AGAIN)
-            except of_head.LogError as e:
-                return self._fail(str(e))
+                await asyncio.sleep(LISTEN_RETRY)
+            except events.LogError as e:
+                return self._stop_participating(str(e))
 
-    async def _begin(self, bind: Endpoint) -> None:
+    async def _open(self, bind: Endpoint) -> None:
         at = await self.listen(bind)
         try:
-            if self.applied_file is not None:
-                self.applied = Applied(self.applied_file, self.applied_bytes)
+            if self.applied_path is not None:
+                self.applied_log = AppliedFile(self.applied_path, self.applied_bytes)
             if self.folder is not None:
                 # beside the event loop: a long log takes longer than clients may wait
-                self.log = await asyncio.to_thread(LogFile, self.folder)
-        except (OSError, of_head.LogError):
+                self.log_file = await asyncio.to_thread(LogFile, self.folder)
+        except (OSError, events.LogError):
             self.leave()
             raise
         now = time.monotonic()
-        self.node = Node(self.settings, now, self.chance.getrandbits(32))
-        if self.log is not None:
-            self.head = Head(self.settings, self.log.saved, now)
-            self.tell_head(said.Woke())
-        self.tell_node(said.Woke())
+        self.node = Node(self.settings, now, self.random.getrandbits(32))
+        if self.log_file is not None:
+            self.replica = Replica(self.settings, self.log_file.state, now)
+            self.post_to_replica(msg.TimerFired())
+        self.post_to_node(msg.TimerFired())
         log.info("spread: members are heard on %s:%d", *at)
-        if self.applied is not None:
-            self.running.append(asyncio.create_task(self._vouch()))
+        if self.applied_log is not None:
+            self.tasks.append(asyncio.create_task(self._repeat_lease()))
 
-    async def _vouch(self) -> None:
+    async def _repeat_lease(self) -> None:
         """Repeat whether this member vouches for itself: who follows the file can't know that it lives."""
-        while self.applied is not None and self.node is not None and not self.failed:
-            self._carry_out([said.Vouches(self.node.vouches(time.monotonic()))])
+        while self.applied_log is not None and self.node is not None and not self.failure:
+            self._carry_out([msg.LeaseChanged(self.node.has_lease(time.monotonic()))])
             await asyncio.sleep(self.settings.lease / 4)
 
     # What comes, and what is answered
 
-    def heard(self, sender: str, message: tuple[said.Word, ...]) -> None:
-        of_heads = tuple(word for word in message if isinstance(word, said.OF_HEADS))
-        of_nodes = tuple(word for word in message if not isinstance(word, said.OF_HEADS))
+    def heard(self, sender: str, message: tuple[msg.Message, ...]) -> None:
+        of_heads = tuple(word for word in message if isinstance(word, msg.LOG_MESSAGES))
+        of_nodes = tuple(word for word in message if not isinstance(word, msg.LOG_MESSAGES))
         if of_heads:
-            self.tell_head(said.Heard(sender, of_heads))
+            self.post_to_replica(msg.Received(sender, of_heads))
         if of_nodes:
-            self.tell_node(said.Heard(sender, of_nodes))
+            self.post_to_node(msg.Received(sender, of_nodes))
 
-    def tell_node(self, event: said.Event) -> None:
+    def post_to_node(self, event: msg.Event) -> None:
         """Let the node hear of something, and carry out what it answers."""
-        if self.node is not None and not self.failed:
+        if self.node is not None and not self.failure:
             self._carry_out(self.node.handle(time.monotonic(), event), "node")
 
-    def tell_head(self, event: of_head.HeadEvent) -> None:
+    def post_to_replica(self, event: events.ReplicaEvent) -> None:
         """The same of the head, where there is one."""
-        if self.head is None or self.failed:
+        if self.replica is None or self.failure:
             return
         # guards the log: a process that stood still hears first that it is followed, and then what has come
-        if not self._writes() and self.token:
-            self.token = 0
-            self._carry_out(self.head.handle(time.monotonic(), of_head.Lost()), "head")
-        self._carry_out(self.head.handle(time.monotonic(), event), "head")
+        if not self._is_leader() and self.leader_token:
+            self.leader_token = 0
+            self._carry_out(self.replica.handle(time.monotonic(), events.LeadershipLost()), "head")
+        self._carry_out(self.replica.handle(time.monotonic(), event), "head")
 
-    def _writes(self) -> bool:
+    def _is_leader(self) -> bool:
         """Whether the log is this process's to write at this very moment."""
-        return bool(self.token) and self.may() == self.token
+        return bool(self.leader_token) and self.held_token() == self.leader_token
 
-    def took(self, token: int) -> None:
+    def gain_leadership(self, token: int) -> None:
         """The log is this process's to write."""
-        self.token = token
-        self.tell_head(of_head.Took(token))
+        self.leader_token = token
+        self.post_to_replica(events.LeadershipGained(token))
 
-    def lost(self) -> None:
+    def lose_leadership(self) -> None:
         """It is not any more."""
-        if self.token:
-            self.token = 0
-            self.tell_head(of_head.Lost())
+        if self.leader_token:
+            self.leader_token = 0
+            self.post_to_replica(events.LeadershipLost())
 
-    def propose(self, entry: said.Entry, answered: Answered) -> None:
+    def propose(self, entry: msg.Entry, answered: ProposalCallback) -> None:
         """Let an entry last; answered once, some time later. Raises SpreadError, and then it is not taken."""
-        said.checked_entry(entry)
-        self.tell_head(said.Woke())  # it may have been followed since
-        if not self._writes():
-            raise said.SpreadError(f"the log is not written here; its holder is {self.holder or 'not known'}")
-        if len(self.tickets) >= MOST_TICKETS:
-            raise said.SpreadError(f"{MOST_TICKETS} entries wait already")
-        self.ticket += 1
-        self.tickets[self.ticket] = answered
-        self.tell_head(of_head.Propose(self.ticket, entry))
+        msg.checked_entry(entry)
+        self.post_to_replica(msg.TimerFired())  # it may have been followed since
+        if not self._is_leader():
+            raise msg.SpreadError(
+                f"the log is not written here; its holder is {self.leader_name or 'not known'}"
+            )
+        if len(self.callbacks) >= MAX_PROPOSALS:
+            raise msg.SpreadError(f"{MAX_PROPOSALS} entries wait already")
+        self.last_proposal += 1
+        self.callbacks[self.last_proposal] = answered
+        self.post_to_replica(events.Propose(self.last_proposal, entry))
 
     def _carry_out(self, actions: list[Any], of: str = "") -> None:
         for action in actions:
             match action:
-                case said.Say(to, words):
-                    self._write_applied()  # before anybody hears of it
+                case msg.Send(to, words):
+                    self._flush_applied()  # before anybody hears of it
                     self.send(to, self.wire.pack(to, words))
-                case said.Apply() | said.Forget() | said.Restore() | said.Vouches() | said.Done():
-                    self._told(action)
-                case said.Settled() | said.Root():
-                    self.holder = action.holder if isinstance(action, said.Root) else self.holder
-                    self.tell_node(action)
-                case of_head.Store():
-                    self.storing = asyncio.create_task(self._store(action))
-                case of_head.Acknowledge(ticket) | of_head.Refuse(ticket):
-                    self.tickets.pop(ticket)(action)
-                case said.Wake(at):
-                    self.wakes[of] = at
-            if self.failed:
+                case msg.Apply() | msg.AssumePurged() | msg.Restore() | msg.LeaseChanged() | msg.Watermark():
+                    self._record(action)
+                case msg.Committed() | msg.Leadership():
+                    self.leader_name = (
+                        action.leader if isinstance(action, msg.Leadership) else self.leader_name
+                    )
+                    self.post_to_node(action)
+                case events.Store():
+                    self.store_task = asyncio.create_task(self._store(action))
+                case events.Acknowledge(ticket) | events.Refuse(ticket):
+                    self.callbacks.pop(ticket)(action)
+                case msg.SetTimer(at):
+                    self.timers[of] = at
+            if self.failure:
                 return
-        self._write_applied()
-        self._wake_at(min(self.wakes.values()))
+        self._flush_applied()
+        self._set_timer(min(self.timers.values()))
 
-    def _told(self, action: said.Action) -> None:
-        if isinstance(action, said.Done):
-            self.done = action
-        if isinstance(action, said.Vouches) and self.applied is None:
-            log.info("spread: vouches for itself: %s", "yes" if action.may else "no")
-        if self.applied is not None:
-            self.applied.add(action)
+    def _record(self, action: msg.Action) -> None:
+        if isinstance(action, msg.Watermark):
+            self.watermark = action
+        if isinstance(action, msg.LeaseChanged) and self.applied_log is None:
+            log.info("spread: vouches for itself: %s", "yes" if action.valid else "no")
+        if self.applied_log is not None:
+            self.applied_log.add(action)
 
-    def _write_applied(self) -> None:
+    def _flush_applied(self) -> None:
         """Guards completion: nothing is reported that programs on this host can't see."""
         try:
-            if self.applied is not None:
-                self.applied.write()
+            if self.applied_log is not None:
+                self.applied_log.flush()
         except OSError as e:
-            self._fail(f"what is applied can't be written: {e}")
+            self._stop_participating(f"what is applied can't be written: {e}")
 
-    async def _store(self, store: of_head.Store) -> None:
+    async def _store(self, store: events.Store) -> None:
         """Write to the log beside the event loop: a disk may take longer than a lease."""
-        assert self.log is not None
+        assert self.log_file is not None
         why = ""
         try:
-            await asyncio.to_thread(self.log.append, store.records)
+            await asyncio.to_thread(self.log_file.append, store.records)
         except OSError as e:
             why = str(e)
             bounded.log(logging.ERROR, "spread: the log can't be written: %s", e)
-        self.tell_head(of_head.Stored(store.number, why))
+        self.post_to_replica(events.Stored(store.number, why))
 
-    def _fail(self, why: str) -> None:
+    def _stop_participating(self, why: str) -> None:
         """Fall silent: then this member's lease runs out, and others wait for it no longer than that."""
         log.error("spread: this process takes no part any more: %s", why)
-        self.failed = why
+        self.failure = why
         self.leave()
 
     # Time
 
-    def _wake_at(self, at: float) -> None:
-        if at != self.due:
-            self.due = at
-            self.call_at(at, self._woke)
+    def _set_timer(self, at: float) -> None:
+        if at != self.timer_due:
+            self.timer_due = at
+            self.call_at(at, self._on_timer)
 
-    def _woke(self) -> None:
-        self.due = math.inf
+    def _on_timer(self) -> None:
+        self.timer_due = math.inf
         now = time.monotonic()
-        if self.wakes["head"] <= now:
-            self.wakes["head"] = math.inf
-            self.tell_head(said.Woke())
-        if self.wakes["node"] <= now:
-            self.wakes["node"] = math.inf
-            self.tell_node(said.Woke())
-        self._wake_at(min(self.wakes.values()))
+        if self.timers["head"] <= now:
+            self.timers["head"] = math.inf
+            self.post_to_replica(msg.TimerFired())
+        if self.timers["node"] <= now:
+            self.timers["node"] = math.inf
+            self.post_to_node(msg.TimerFired())
+        self._set_timer(min(self.timers.values()))
 
     # For staff
 
@@ -249,13 +253,15 @@
         now = time.monotonic()
         return {
             "name": self.settings.name,
-            "holder": self.holder,
-            "writes": self._writes(),
-            "vouches": self.node is not None and not self.failed and self.node.vouches(now),
-            "failed": self.failed,
-            "done": None if self.done is None else [self.done.number, self.done.members, self.done.away],
+            "holder": self.leader_name,
+            "writes": self._is_leader(),
+            "vouches": self.node is not None and not self.failure and self.node.has_lease(now),
+            "failed": self.failure,
+            "done": None
+            if self.watermark is None
+            else [self.watermark.number, self.watermark.members, self.watermark.away],
             "node": self.node.status(now) if self.node is not None else None,
-            "head": self.head.status(now) if self.head is not None else None,
+            "head": self.replica.status(now) if self.replica is not None else None,
             "sent": self.sent,
             "bytes_sent": self.bytes_sent,
             "dropped": dict(self.wire.dropped),
@@ -263,19 +269,19 @@
 
     async def close(self) -> None:
         """Say no more, and leave the address, the log and the file to the process that follows."""
-        for task in self.running:
+        for task in self.tasks:
             task.cancel()
-        self.lost()
-        self.failed = self.failed or "it has ended"
-        if self.storing is not None:
-            await self.storing
+        self.lose_leadership()
+        self.failure = self.failure or "it has ended"
+        if self.store_task is not None:
+            await self.store_task
         # guards the start of the process that follows: it takes the log once it has the address
-        if self.log is not None:
-            self.log.close()
-        if self.applied is not None:
+        if self.log_file is not None:
+            self.log_file.close()
+        if self.applied_log is not None:
             try:
-                self.applied.close()
+                self.applied_log.close()
             except OSError as e:
                 log.error("spread: what is applied can't be written: %s", e)
-            self.applied = None
+            self.applied_log = None
         self.leave()
--- a/myrtlecourse/spread/leader.py
+++ b/myrtlecourse/spread/leader.py
@@ -17,267 +17,280 @@
 from typing import Any
 
 from myrtlecourse.peers.seal import LONGEST
-from myrtlecourse.spread import replica_events as at
-from myrtlecourse.spread.replica_events import MOST_RECORD, HeadAction, Record, Refuse, Saved, fitting
+from myrtlecourse.spread import replica_events as events
 from myrtlecourse.spread.messages import (
+    Append,
+    AppendReply,
     Change,
     Entry,
-    Keep,
-    Kept,
-    Say,
+    Message,
+    Prepare,
+    PrepareReply,
+    Send,
     Settings,
+    SnapshotRows,
     SpreadError,
-    Survey,
-    Table,
-    Word,
-    Written,
     checked_entry,
 )
+from myrtlecourse.spread.replica_events import (
+    MAX_RECORD_ENTRIES,
+    LogState,
+    Record,
+    Refuse,
+    ReplicaAction,
+    entries_that_fit,
+)
 
-MOST_WAITING = 10_000  # proposals that are not settled yet
-MOST_SUBJECTS = 100_000  # of changes that the table holds
-MOST_FLIGHT = 2_000  # entries that are sent to one machine and not answered
-KEEP, TABLE, ROW = 32, 37, 25  # bytes at most of a word without its entries, and of a row without its value
-MOST_FAILS = 5  # doublings of the time after which what is not answered is sent again
-Made = HeadAction | Record
+MAX_PENDING_PROPOSALS = 10_000  # proposals that are not settled yet
+MAX_SUBJECTS = 100_000  # of changes that the table holds
+MAX_IN_FLIGHT = 2_000  # entries that are sent to one machine and not answered
+APPEND_BYTES, SNAPSHOT_ROWS_BYTES, ROW_BYTES = (
+    32,
+    37,
+    25,
+)  # bytes at most of a word without its entries, and of a row without its value
+MAX_BACKOFF_DOUBLINGS = 5  # doublings of the time after which what is not answered is sent again
+Output = ReplicaAction | Record
 
 
-class Budget:
+class TokenBucket:
     """Bytes that may be sent for what is old: what is new is not held up, but counts."""
 
     def __init__(self, rate: float, most: float, now: float) -> None:
-        self.rate, self.most, self.left, self.at = rate, most, most, now
+        self.rate, self.capacity, self.available, self.filled_at = rate, most, most, now
 
-    def fill(self, now: float) -> None:
+    def refill(self, now: float) -> None:
         """Time has passed."""
-        self.left = min(self.most, self.left + self.rate * (now - self.at))
-        self.at = now
+        self.available = min(self.capacity, self.available + self.rate * (now - self.filled_at))
+        self.filled_at = now
 
     def spend(self) -> None:
         """One datagram goes out."""
-        self.left = max(-self.most, self.left - LONGEST)
+        self.available = max(-self.capacity, self.available - LONGEST)
 
 
 class Phase(Enum):
     """How far a holder has come."""
 
-    SURVEY = "survey"  # asks a majority what it has written down
+    PREPARE = "survey"  # asks a majority what it has written down
     ADOPT = "adopt"  # writes what it takes over down itself
-    WRITE = "write"
+    REPLICATE = "write"
 
 
 @dataclass(slots=True)
-class Answer:
+class PrepareState:
     """What one machine has told to the survey."""
 
-    got: int  # its entries up to here, without a hole
+    received_until: int  # its entries up to here, without a hole
     last: int | None = None
-    settled: int = 0
+    commit_index: int = 0
 
 
 @dataclass(slots=True)
-class Peer:
+class FollowerProgress:
     """What another control machine has of the holder's log."""
 
     next: int  # to be sent
     acked: int  # it is taken to have all up to here, and is sent again what follows
-    kept: int = 0  # all up to here counts: it is on its disk
-    heard: bool = False
-    fails: int = 0  # times that it was silent in sequence
+    stored: int = 0  # all up to here counts: it is on its disk
+    responded: bool = False
+    timeouts: int = 0  # times that it was silent in sequence
     retry_at: float = -math.inf
-    back_at: float = -math.inf
-    tell_at: float = -math.inf  # when it is told how far the log lasts, if it has nothing else to be told
-    tells: int = 0
+    rewound_at: float = -math.inf
+    commit_notice_at: float = (
+        -math.inf
+    )  # when it is told how far the log lasts, if it has nothing else to be told
+    commit_notices: int = 0
 
 
-class Lead:
+class Leader:
     """One holding, under one epoch."""
 
     def __init__(
-        self, settings: Settings, epoch: int, saved: Saved, budget: Budget, room: int, now: float
+        self, settings: Settings, epoch: int, saved: LogState, budget: TokenBucket, room: int, now: float
     ) -> None:
         """`saved` is what this machine's disk holds, kept up to date by the head."""
         self.settings = settings
         self.epoch = epoch
-        self.saved = saved
+        self.state = saved
         self.budget = budget
-        self.room = room
-        self.phase = Phase.SURVEY
-        self.survey_at = now
-        self.found: dict[int, tuple[int, Entry]] = {}  # by number, under the highest epoch
-        self.answers: dict[str, Answer] = {}
-        self.peers: dict[str, Peer] = {}
-        self.taken_over = 0
-        self.own = 0  # all up to it are on this machine's disk, under this epoch or known to last
-        self.end = 0  # number of the last entry
-        self.settled = 0
+        self.max_payload = room
+        self.phase = Phase.PREPARE
+        self.prepare_at = now
+        self.accepted: dict[int, tuple[int, Entry]] = {}  # by number, under the highest epoch
+        self.answers: dict[str, PrepareState] = {}
+        self.followers: dict[str, FollowerProgress] = {}
+        self.takeover_end = 0
+        self.stored_until = 0  # all up to it are on this machine's disk, under this epoch or known to last
+        self.last = 0  # number of the last entry
+        self.commit_index = 0
         self.subjects: set[bytes] = set()
-        self.waiting: deque[tuple[int, Entry]] = deque()
-        self.tickets: deque[tuple[int, int]] = deque()  # numbers, and whom they answer
+        self.queue: deque[tuple[int, Entry]] = deque()
+        self.uncommitted: deque[tuple[int, int]] = deque()  # numbers, and whom they answer
         self.flush_at = now
-        self.step = settings.pause / 4
+        self.batch_interval = settings.pause / 4
 
     @property
-    def others(self) -> list[str]:
+    def follower_names(self) -> list[str]:
         return [name for name in self.settings.control if name != self.settings.name]
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Whether all that was taken over lasts, so that something new may follow."""
-        return self.phase is Phase.WRITE and self.settled >= self.taken_over
+        return self.phase is Phase.REPLICATE and self.commit_index >= self.takeover_end
 
     # Taking over
 
-    def _survey(self, now: float) -> Iterator[Made]:
+    def _prepare(self, now: float) -> Iterator[Output]:
         """Guards what epochs before have made last: a majority tells what it has, and is bound by that."""
-        if self.saved.promised < self.epoch:
+        if self.state.promised < self.epoch:
             return
-        if now >= self.survey_at:
-            self.survey_at = now + self.settings.pause
-            for name in self.others:
-                told = self.answers.setdefault(name, Answer(self.saved.settled))
-                told.got = max(told.got, self.saved.settled)
-                if told.last is None or told.got < told.last:
-                    yield Say(name, (Survey(self.epoch, told.got),))
-        whole = [a for a in self.answers.values() if a.last is not None and a.got >= a.last]
-        if 1 + len(whole) >= self.settings.majority:
+        if now >= self.prepare_at:
+            self.prepare_at = now + self.settings.pause
+            for name in self.follower_names:
+                told = self.answers.setdefault(name, PrepareState(self.state.commit_index))
+                told.received_until = max(told.received_until, self.state.commit_index)
+                if told.last is None or told.received_until < told.last:
+                    yield Send(name, (Prepare(self.epoch, told.received_until),))
+        whole = [a for a in self.answers.values() if a.last is not None and a.received_until >= a.last]
+        if 1 + len(whole) >= self.settings.quorum:
             self.phase = Phase.ADOPT
             yield from self.adopt()
-            known = max([self.saved.settled, *(a.settled for a in whole)])
-            self.settled = min(known, self.taken_over)
-            yield from self.stored(now)  # if nothing was to be written
+            known = max([self.state.commit_index, *(a.commit_index for a in whole)])
+            self.commit_index = min(known, self.takeover_end)
+            yield from self.on_stored(now)  # if nothing was to be written
 
-    def written(self, sender: str, word: Written) -> None:
+    def on_prepare_reply(self, sender: str, word: PrepareReply) -> None:
         """What another has written down."""
-        if word.epoch != self.epoch or self.phase is not Phase.SURVEY:
+        if word.epoch != self.epoch or self.phase is not Phase.PREPARE:
             return
-        told = self.answers.setdefault(sender, Answer(self.saved.settled))
+        told = self.answers.setdefault(sender, PrepareState(self.state.commit_index))
         for number, entry in enumerate(word.entries, word.first):
-            if number not in self.found or self.found[number][0] < word.under:
-                self.found[number] = word.under, entry
-        if word.first <= told.got + 1:
-            told.got = max(told.got, word.first + len(word.entries) - 1)
-        told.last, told.settled = word.last, max(word.settled, told.settled)
+            if number not in self.accepted or self.accepted[number][0] < word.under:
+                self.accepted[number] = word.under, entry
+        if word.first <= told.received_until + 1:
+            told.received_until = max(told.received_until, word.first + len(word.entries) - 1)
+        told.last, told.commit_index = word.last, max(word.settled, told.commit_index)
 
-    def adopt(self) -> Iterator[Made]:
+    def adopt(self) -> Iterator[Output]:
         """Write all that may have been acknowledged under this epoch: for each number what was written under
         the highest."""
-        saved, entries = self.saved, list[Entry]()
-        first = number = saved.settled + 1
+        saved, entries = self.state, list[Entry]()
+        first = number = saved.commit_index + 1
         while True:
-            best = self.found.get(number)
+            best = self.accepted.get(number)
             if saved.base < number <= saved.last:
-                own = saved.unders[number - 1 - saved.base], saved.entries[number - 1 - saved.base]
+                own = saved.entry_epochs[number - 1 - saved.base], saved.entries[number - 1 - saved.base]
                 best = own if best is None or best[0] < own[0] else best
             if best is None:
                 break
             entries.append(best[1])
             number += 1
-        self.taken_over = self.end = number - 1
-        for i in range(0, len(entries), MOST_RECORD):
-            yield at.Write(first + i, self.epoch, tuple(entries[i : i + MOST_RECORD]))
+        self.takeover_end = self.last = number - 1
+        for i in range(0, len(entries), MAX_RECORD_ENTRIES):
+            yield events.Write(first + i, self.epoch, tuple(entries[i : i + MAX_RECORD_ENTRIES]))
 
-    def _begin(self, now: float) -> None:
+    def _start_replication(self, now: float) -> None:
         """What was taken over is on this machine's disk: have the others write it."""
-        self.phase = Phase.WRITE
-        self.own = self.taken_over
-        for name in self.others:
+        self.phase = Phase.REPLICATE
+        self.stored_until = self.takeover_end
+        for name in self.follower_names:
             told = self.answers.get(name)
-            known = told.settled if told is not None and told.last is not None else self.settled
-            self.peers[name] = Peer(known + 1, known)
-        self.found.clear()
+            known = told.commit_index if told is not None and told.last is not None else self.commit_index
+            self.followers[name] = FollowerProgress(known + 1, known)
+        self.accepted.clear()
         self.answers.clear()
-        self.subjects = set(self.saved.table)
-        self.subjects.update(e.subject for e in self.saved.entries if isinstance(e, Change))
+        self.subjects = set(self.state.table)
+        self.subjects.update(e.subject for e in self.state.entries if isinstance(e, Change))
 
     # What is new
 
-    def propose(self, ticket: int, entry: Entry) -> Iterator[Made]:
+    def propose(self, ticket: int, entry: Entry) -> Iterator[Output]:
         """Take an entry, or say why not."""
         why = ""
         try:
             checked_entry(entry)
         except SpreadError as e:
             why = str(e)
-        if not self.open:
+        if not self.is_open:
             why = why or "it is still taking over"
-        elif len(self.waiting) + len(self.tickets) >= MOST_WAITING:
-            why = why or f"{MOST_WAITING} wait already"
+        elif len(self.queue) + len(self.uncommitted) >= MAX_PENDING_PROPOSALS:
+            why = why or f"{MAX_PENDING_PROPOSALS} wait already"
         elif isinstance(entry, Change) and not why:
-            if TABLE + ROW + len(entry.value) > self.room:
-                why = f"value: beside so long a name {self.room - TABLE - ROW} bytes at most"
-            elif entry.subject not in self.subjects and len(self.subjects) >= MOST_SUBJECTS:
-                why = f"subject: there are {MOST_SUBJECTS} already"
+            if SNAPSHOT_ROWS_BYTES + ROW_BYTES + len(entry.value) > self.max_payload:
+                why = f"value: beside so long a name {self.max_payload - SNAPSHOT_ROWS_BYTES - ROW_BYTES} bytes at most"
+            elif entry.subject not in self.subjects and len(self.subjects) >= MAX_SUBJECTS:
+                why = f"subject: there are {MAX_SUBJECTS} already"
             else:
                 self.subjects.add(entry.subject)
         if why:
             yield Refuse(ticket, why)
         else:
-            self.waiting.append((ticket, entry))
+            self.queue.append((ticket, entry))
 
-    def _flush(self, now: float) -> Iterator[Made]:
+    def _flush(self, now: float) -> Iterator[Output]:
         """Guards disks and the network: what comes at one moment is one record and few datagrams."""
-        if not self.waiting or now < self.flush_at:
+        if not self.queue or now < self.flush_at:
             return
-        self.flush_at = now + self.step
-        while self.waiting:
-            batch = [self.waiting.popleft() for _ in range(min(MOST_RECORD, len(self.waiting)))]
-            yield at.Write(self.end + 1, self.epoch, tuple(entry for _, entry in batch))
+        self.flush_at = now + self.batch_interval
+        while self.queue:
+            batch = [self.queue.popleft() for _ in range(min(MAX_RECORD_ENTRIES, len(self.queue)))]
+            yield events.Write(self.last + 1, self.epoch, tuple(entry for _, entry in batch))
             for ticket, _ in batch:
-                self.end += 1
-                self.tickets.append((self.end, ticket))
+                self.last += 1
+                self.uncommitted.append((self.last, ticket))
 
-    def stored(self, now: float) -> Iterator[Made]:
+    def on_stored(self, now: float) -> Iterator[Output]:
         """What this machine's disk holds has changed. Others hear of an entry only then: one that can't be
         written here is known to nobody, and may be refused."""
-        if self.phase is Phase.ADOPT and self.saved.agreed(self.epoch) >= self.taken_over:
-            self._begin(now)
-        if self.phase is not Phase.WRITE:
+        if self.phase is Phase.ADOPT and self.state.matching_until(self.epoch) >= self.takeover_end:
+            self._start_replication(now)
+        if self.phase is not Phase.REPLICATE:
             return
-        fresh, self.own = self.own + 1, self.saved.last
-        for name, peer in self.peers.items():
-            if peer.next == fresh and not peer.fails:
-                while peer.next <= self.own and self._may_fly(peer):
-                    yield self._send(now, name, peer)
-        yield from self._count(now)
-
-    def failed(self, why: str) -> Iterator[Made]:
+        fresh, self.stored_until = self.stored_until + 1, self.state.last
+        for name, peer in self.followers.items():
+            if peer.next == fresh and not peer.timeouts:
+                while peer.next <= self.stored_until and self._has_window(peer):
+                    yield self._next_append(now, name, peer)
+        yield from self._advance_commit(now)
+
+    def on_store_failed(self, why: str) -> Iterator[Output]:
         """The disk took nothing of what was waiting for it."""
         if self.phase is Phase.ADOPT:
             yield from self.adopt()
-        elif self.phase is Phase.WRITE:
-            while self.tickets and self.tickets[-1][0] > self.own:
-                yield Refuse(self.tickets.pop()[1], f"it can't be written down: {why}")
-            self.end = self.own
+        elif self.phase is Phase.REPLICATE:
+            while self.uncommitted and self.uncommitted[-1][0] > self.stored_until:
+                yield Refuse(self.uncommitted.pop()[1], f"it can't be written down: {why}")
+            self.last = self.stored_until
 
-    def lost(self) -> Iterator[Made]:
+    def on_leadership_lost(self) -> Iterator[Output]:
         """The holding is over."""
-        for _, ticket in self.tickets:
+        for _, ticket in self.uncommitted:
             yield Refuse(ticket, "not the holder any more", True)
-        for ticket, _ in self.waiting:
+        for ticket, _ in self.queue:
             yield Refuse(ticket, "not the holder any more")
 
-    def _count(self, now: float) -> Iterator[Made]:
+    def _advance_commit(self, now: float) -> Iterator[Output]:
         """Guards what is acknowledged: a majority has it on disk, under this epoch."""
-        reached = sorted([self.own, *(p.kept for p in self.peers.values())], reverse=True)
-        lasts = reached[self.settings.majority - 1]
-        if lasts > self.settled:
-            self.settled = lasts
-            for peer in self.peers.values():
-                peer.tells = 0
-                peer.tell_at = min(peer.tell_at, now + self.step)
-        while self.tickets and self.tickets[0][0] <= self.settled:
-            number, ticket = self.tickets.popleft()
-            yield at.Acknowledge(ticket, number)
+        reached = sorted([self.stored_until, *(p.stored for p in self.followers.values())], reverse=True)
+        lasts = reached[self.settings.quorum - 1]
+        if lasts > self.commit_index:
+            self.commit_index = lasts
+            for peer in self.followers.values():
+                peer.commit_notices = 0
+                peer.commit_notice_at = min(peer.commit_notice_at, now + self.batch_interval)
+        while self.uncommitted and self.uncommitted[0][0] <= self.commit_index:
+            number, ticket = self.uncommitted.popleft()
+            yield events.Acknowledge(ticket, number)
 
     # What the others get
 
-    def kept(self, now: float, sender: str, word: Kept) -> Iterator[Made]:
+    def on_append_reply(self, now: float, sender: str, word: AppendReply) -> Iterator[Output]:
         """Another has it on disk up to there."""
-        peer = self.peers.get(sender)
-        if word.epoch != self.epoch or peer is None or word.last > self.own:
+        peer = self.followers.get(sender)
+        if word.epoch != self.epoch or peer is None or word.last > self.stored_until:
             return
-        before, peer.heard = peer.heard, True
+        before, peer.responded = peer.responded, True
         if word.last < peer.acked:
             if before:
                 return  # an answer that later ones have passed
@@ -285,110 +298,112 @@
         elif word.last > peer.acked:
             peer.acked, peer.next = word.last, max(peer.next, word.last + 1)
             peer.retry_at = now + self.settings.pause
-        elif peer.next > word.last + 1 and now - peer.back_at >= self.settings.pause:
+        elif peer.next > word.last + 1 and now - peer.rewound_at >= self.settings.pause:
             # nothing new was taken: one before was lost
-            peer.next, peer.back_at = word.last + 1, now
-        peer.fails = 0
-        peer.kept = max(peer.kept, word.last)
-        yield from self._count(now)
+            peer.next, peer.rewound_at = word.last + 1, now
+        peer.timeouts = 0
+        peer.stored = max(peer.stored, word.last)
+        yield from self._advance_commit(now)
 
-    def _may_fly(self, peer: Peer) -> bool:
+    def _has_window(self, peer: FollowerProgress) -> bool:
         """Guards a machine that is silent, and the network: it gets one datagram at a time."""
         flying = peer.next - 1 - peer.acked
-        return flying <= 0 if peer.fails > 1 else flying < MOST_FLIGHT
+        return flying <= 0 if peer.timeouts > 1 else flying < MAX_IN_FLIGHT
 
-    def _send(self, now: float, name: str, peer: Peer) -> Say:
+    def _next_append(self, now: float, name: str, peer: FollowerProgress) -> Send:
         """The next entries, or where the table begins."""
         self.budget.spend()
-        if peer.next == peer.acked + 1 or peer.next <= self.saved.base:
-            peer.retry_at = now + self.settings.pause * 2 ** min(peer.fails, MOST_FAILS)
-        if peer.next <= self.saved.base:
-            return Say(name, (table_from(self.epoch, self.saved, b"", self.room),))
-        words: tuple[Word, ...] = ()
-        if self.open and peer.acked <= self.taken_over:
-            words = (Keep(self.epoch, self.taken_over + 1, (), self.settled),)
-        here = peer.next - 1 - self.saved.base
-        count = max(1, fitting(self.saved.entries, here, self.room - KEEP * (1 + len(words))))
-        entries = self.saved.part(peer.next, min(count, self.own + 1 - peer.next))
-        words = (*words, Keep(self.epoch, peer.next, entries, self.settled if self.open else 0))
+        if peer.next == peer.acked + 1 or peer.next <= self.state.base:
+            peer.retry_at = now + self.settings.pause * 2 ** min(peer.timeouts, MAX_BACKOFF_DOUBLINGS)
+        if peer.next <= self.state.base:
+            return Send(name, (snapshot_rows(self.epoch, self.state, b"", self.max_payload),))
+        words: tuple[Message, ...] = ()
+        if self.is_open and peer.acked <= self.takeover_end:
+            words = (Append(self.epoch, self.takeover_end + 1, (), self.commit_index),)
+        here = peer.next - 1 - self.state.base
+        count = max(
+            1, entries_that_fit(self.state.entries, here, self.max_payload - APPEND_BYTES * (1 + len(words)))
+        )
+        entries = self.state.entries_from(peer.next, min(count, self.stored_until + 1 - peer.next))
+        words = (*words, Append(self.epoch, peer.next, entries, self.commit_index if self.is_open else 0))
         peer.next += len(entries)
-        self._told(now, peer)
-        return Say(name, words)
-
-    def _told(self, now: float, peer: Peer) -> None:
-        peer.tells += 1
-        again = self.settings.pause * 2 ** min(peer.tells, MOST_FAILS)
-        peer.tell_at = now + max(self.settings.pause, min(again, self.settings.lease / 2))
-
-    def _serve(self, now: float) -> Iterator[Made]:
-        for peer in self.peers.values():
-            if self.budget.left > 0 and now >= peer.retry_at > -math.inf and self._unanswered(peer):
-                peer.fails += 1
+        self._schedule_commit_notice(now, peer)
+        return Send(name, words)
+
+    def _schedule_commit_notice(self, now: float, peer: FollowerProgress) -> None:
+        peer.commit_notices += 1
+        again = self.settings.pause * 2 ** min(peer.commit_notices, MAX_BACKOFF_DOUBLINGS)
+        peer.commit_notice_at = now + max(self.settings.pause, min(again, self.settings.lease / 2))
+
+    def _replicate(self, now: float) -> Iterator[Output]:
+        for peer in self.followers.values():
+            if self.budget.available > 0 and now >= peer.retry_at > -math.inf and self._awaits_reply(peer):
+                peer.timeouts += 1
                 peer.next = peer.acked + 1
-        behind = [(n, p) for n, p in self.peers.items() if self._owed(now, p)]
-        while behind and self.budget.left > 0:
+        behind = [(n, p) for n, p in self.followers.items() if self._has_due_append(now, p)]
+        while behind and self.budget.available > 0:
             for name, peer in behind:
-                yield self._send(now, name, peer)
-            behind = [(n, p) for n, p in behind if self._owed(now, p)]
-        if self.open:
-            for name, peer in self.peers.items():
-                if now >= peer.tell_at:
+                yield self._next_append(now, name, peer)
+            behind = [(n, p) for n, p in behind if self._has_due_append(now, p)]
+        if self.is_open:
+            for name, peer in self.followers.items():
+                if now >= peer.commit_notice_at:
                     self.budget.spend()
-                    self._told(now, peer)
-                    yield Say(name, (Keep(self.epoch, self.taken_over + 1, (), self.settled),))
+                    self._schedule_commit_notice(now, peer)
+                    yield Send(name, (Append(self.epoch, self.takeover_end + 1, (), self.commit_index),))
 
-    def _unanswered(self, peer: Peer) -> bool:
-        return peer.next > peer.acked + 1 or peer.next <= self.saved.base
+    def _awaits_reply(self, peer: FollowerProgress) -> bool:
+        return peer.next > peer.acked + 1 or peer.next <= self.state.base
 
-    def _owed(self, now: float, peer: Peer) -> bool:
-        if peer.next <= self.saved.base:
+    def _has_due_append(self, now: float, peer: FollowerProgress) -> bool:
+        if peer.next <= self.state.base:
             return now >= peer.retry_at
-        return peer.next <= self.own and self._may_fly(peer)
+        return peer.next <= self.stored_until and self._has_window(peer)
 
-    def tick(self, now: float) -> Iterator[Made]:
+    def tick(self, now: float) -> Iterator[Output]:
         """Do what is due."""
-        if self.phase is Phase.SURVEY:
-            yield from self._survey(now)
-        elif self.phase is Phase.WRITE:
+        if self.phase is Phase.PREPARE:
+            yield from self._prepare(now)
+        elif self.phase is Phase.REPLICATE:
             yield from self._flush(now)
-            yield from self._serve(now)
+            yield from self._replicate(now)
 
-    def next(self, now: float) -> float:
+    def next_timer(self, now: float) -> float:
         """When something is due."""
-        if self.phase is Phase.SURVEY:
-            return self.survey_at if self.saved.promised >= self.epoch else math.inf
+        if self.phase is Phase.PREPARE:
+            return self.prepare_at if self.state.promised >= self.epoch else math.inf
         if self.phase is Phase.ADOPT:
             return math.inf
-        times = [self.flush_at] if self.waiting else []
-        spent = now + self.step if self.budget.left <= 0 else now
-        for peer in self.peers.values():
-            if self._owed(now, peer):
-                times.append(now + self.step)
-            elif self._unanswered(peer):
+        times = [self.flush_at] if self.queue else []
+        spent = now + self.batch_interval if self.budget.available <= 0 else now
+        for peer in self.followers.values():
+            if self._has_due_append(now, peer):
+                times.append(now + self.batch_interval)
+            elif self._awaits_reply(peer):
                 times.append(max(spent, peer.retry_at))
-            if self.open:
-                times.append(peer.tell_at)
+            if self.is_open:
+                times.append(peer.commit_notice_at)
         return max(min(times, default=math.inf), now)
 
     def status(self) -> dict[str, Any]:
         """What staff may want to know; JSON-able."""
         return {
             "phase": self.phase.value,
-            "taken_over": self.taken_over,
-            "waiting": len(self.waiting) + len(self.tickets),
-            "kept": {name: peer.kept for name, peer in self.peers.items()},
-            "silent": [name for name, peer in self.peers.items() if peer.fails > 1],
+            "taken_over": self.takeover_end,
+            "waiting": len(self.queue) + len(self.uncommitted),
+            "kept": {name: peer.stored for name, peer in self.followers.items()},
+            "silent": [name for name, peer in self.followers.items() if peer.timeouts > 1],
         }
 
 
-def table_from(epoch: int, saved: Saved, after: bytes, room: int) -> Table:
+def snapshot_rows(epoch: int, saved: LogState, after: bytes, room: int) -> SnapshotRows:
     """The rows that follow on a subject, as many as fit one datagram."""
-    rows, left = list[tuple[int, Change]](), room - TABLE
-    begin = bisect_right(saved.subjects, after) if after else 0
-    for subject in saved.subjects[begin : begin + room]:
+    rows, left = list[tuple[int, Change]](), room - SNAPSHOT_ROWS_BYTES
+    begin = bisect_right(saved.sorted_subjects, after) if after else 0
+    for subject in saved.sorted_subjects[begin : begin + room]:
         row = saved.table[subject]
-        left -= ROW + len(row[1].value)
+        left -= ROW_BYTES + len(row[1].value)
         if left < 0 and rows:
             break
         rows.append(row)
-    return Table(epoch, saved.base, after, tuple(rows), begin + len(rows) < len(saved.subjects))
+    return SnapshotRows(epoch, saved.base, after, tuple(rows), begin + len(rows) < len(saved.sorted_subjects))
--- a/myrtlecourse/spread/log_duty.py
+++ b/myrtlecourse/spread/log_duty.py
@@ -6,31 +6,31 @@
 
 from myrtlecourse.duties import messages as duties
 from myrtlecourse.duties.keeper import Keeper as DutyKeeper
-from myrtlecourse.spread.replica_events import Acknowledge, Refuse
-from myrtlecourse.spread.driver import Keeper
+from myrtlecourse.spread.driver import Driver
 from myrtlecourse.spread.messages import Entry, SpreadError
+from myrtlecourse.spread.replica_events import Acknowledge, Refuse
 
-PATIENCE = 1.5  # seconds for an entry to last, after which operators are told that it is not known yet
+COMMIT_TIMEOUT = 1.5  # seconds for an entry to last, after which operators are told that it is not known yet
 
 
-class LogWork:
+class LogDuty:
     """The duty of writing the log. It has no orders: that it is held is all, and its token is the epoch."""
 
-    def __init__(self, duty: str, of_duties: DutyKeeper, keeper: Keeper) -> None:
+    def __init__(self, duty: str, of_duties: DutyKeeper, keeper: Driver) -> None:
         self.duty = duty
         self.duties = of_duties
-        self.keeper = keeper
-        keeper.may = lambda: of_duties.may(duty)
+        self.driver = keeper
+        keeper.held_token = lambda: of_duties.may(duty)
 
     def able(self) -> bool:
         """Whether this process can write a log: not while the one before it still does."""
-        return self.keeper.head is not None and not self.keeper.failed
+        return self.driver.replica is not None and not self.driver.failure
 
     def took(self, token: int, value: duties.Value) -> None:
-        self.keeper.took(token)
+        self.driver.gain_leadership(token)
 
     def lost(self) -> None:
-        self.keeper.lost()
+        self.driver.lose_leadership()
         # not from within what told it
         asyncio.get_running_loop().call_soon(self.duties.post, duties.Stopped(self.duty))
 
@@ -44,11 +44,11 @@
         """It begins nothing that would have to end."""
 
 
-class NotKnown(Exception):
+class OutcomeUnknown(Exception):
     """Whether an entry lasts is not known: it may, and to propose it again does no harm but a number more."""
 
 
-async def lasting(keeper: Keeper, entry: Entry) -> int:
+async def commit(keeper: Driver, entry: Entry) -> int:
     """Let an entry last; answers with its number.
 
     Raises:
@@ -58,10 +58,14 @@
     answer: asyncio.Future[Acknowledge | Refuse] = asyncio.get_running_loop().create_future()
     keeper.propose(entry, lambda told: None if answer.done() else answer.set_result(told))
     try:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(COMMIT_TIMEOUT):
             told = await answer
     except TimeoutError:
-        raise NotKnown(f"not known to last after {PATIENCE:g} s; it may yet") from None
+        raise OutcomeUnknown(f"not known to last after {COMMIT_TIMEOUT:g} s; it may yet") from None
     if isinstance(told, Acknowledge):
         return told.number
-    raise NotKnown(f"{told.why}; it may last all the same") if told.maybe else SpreadError(told.why)
+    raise (
+        OutcomeUnknown(f"{told.reason}; it may last all the same")
+        if told.may_commit
+        else SpreadError(told.reason)
+    )
--- a/myrtlecourse/spread/log_file.py
+++ b/myrtlecourse/spread/log_file.py
@@ -19,83 +19,85 @@
 from msgspec import Meta
 
 from myrtlecourse.checked import sync_folder, write_all
-from myrtlecourse.spread import replica_events as at
-from myrtlecourse.spread.replica_events import LogError, Record, Saved
-from myrtlecourse.spread.messages import KEY, LARGEST, LONGEST_VALUE, Change, Entry, Purge
+from myrtlecourse.spread import replica_events as events
+from myrtlecourse.spread.messages import KEY_BYTES, MAX_NUMBER, MAX_VALUE_BYTES, Change, Entry, Purge
+from myrtlecourse.spread.replica_events import LogError, LogState, Record
 
-HEAD = struct.Struct("<II")
-MOST_BYTES = 64 * 1024 * 1024  # of a record: a table of all subjects
-SEGMENT = 8 * 1024 * 1024  # bytes after which the next one is begun
+RECORD_HEADER = struct.Struct("<II")
+MAX_RECORD_BYTES = 64 * 1024 * 1024  # of a record: a table of all subjects
+SEGMENT_BYTES = 8 * 1024 * 1024  # bytes after which the next one is begun
 log = logging.getLogger(__name__)
 
-Number = Annotated[int, Meta(ge=0, lt=LARGEST)]
-Key = Annotated[bytes, Meta(min_length=KEY, max_length=KEY)]
-Value = Annotated[bytes, Meta(max_length=LONGEST_VALUE)]
-Plain = tuple[Key, Value | None]  # a purge has no value
+Number = Annotated[int, Meta(ge=0, lt=MAX_NUMBER)]
+Key = Annotated[bytes, Meta(min_length=KEY_BYTES, max_length=KEY_BYTES)]
+Value = Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)]
+StoredEntry = tuple[Key, Value | None]  # a purge has no value
 
 
-class Row(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
+class StoredRecord(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
     """A record as it lies on the disk."""
 
     kind: Annotated[int, Meta(ge=0, le=4)]
     number: Number  # an epoch, or the entry's that is meant
     under: Number = 0
-    entries: tuple[Plain, ...] = ()
+    entries: tuple[StoredEntry, ...] = ()
     numbers: tuple[Number, ...] = ()  # of a snapshot's changes
 
 
-DECODER = msgspec.msgpack.Decoder(Row)
+DECODER = msgspec.msgpack.Decoder(StoredRecord)
 
 
-def packed(record: Record) -> bytes:
+def encode_record(record: Record) -> bytes:
     """A record with its length and checksum."""
     match record:
-        case at.Promise(epoch):
-            row = Row(0, epoch)
-        case at.Write(first, under, entries):
-            row = Row(1, first, under, tuple(map(_plain, entries)))
-        case at.Cut(last):
-            row = Row(2, last)
-        case at.Lasts(number):
-            row = Row(3, number)
-        case at.Snapshot(upto, rows):
-            row = Row(4, upto, 0, tuple(_plain(change) for _, change in rows), tuple(n for n, _ in rows))
+        case events.Promise(epoch):
+            row = StoredRecord(0, epoch)
+        case events.Write(first, under, entries):
+            row = StoredRecord(1, first, under, tuple(map(_stored_entry, entries)))
+        case events.Truncate(last):
+            row = StoredRecord(2, last)
+        case events.Commit(number):
+            row = StoredRecord(3, number)
+        case events.Snapshot(upto, rows):
+            row = StoredRecord(
+                4, upto, 0, tuple(_stored_entry(change) for _, change in rows), tuple(n for n, _ in rows)
+            )
     body = msgspec.msgpack.encode(row)
-    return HEAD.pack(len(body), zlib.crc32(body)) + body
+    return RECORD_HEADER.pack(len(body), zlib.crc32(body)) + body
 
 
-def _plain(entry: Entry) -> Plain:
+def _stored_entry(entry: Entry) -> StoredEntry:
     return (entry.key, None) if isinstance(entry, Purge) else (entry.subject, entry.value)
 
 
-def _entry(plain: Plain) -> Entry:
+def _entry_from(plain: StoredEntry) -> Entry:
     return Purge(plain[0]) if plain[1] is None else Change(plain[0], plain[1])
 
 
-def unpacked(data: bytes, place: int) -> tuple[Record, int] | None:
+def decode_record(data: bytes, place: int) -> tuple[Record, int] | None:
     """The record at a place and where the next begins; None: none is whole there. Raises ValueError."""
-    if place + HEAD.size > len(data):
+    if place + RECORD_HEADER.size > len(data):
         return None
-    length, checksum = HEAD.unpack_from(data, place)
-    end = place + HEAD.size + length
+    length, checksum = RECORD_HEADER.unpack_from(data, place)
+    end = place + RECORD_HEADER.size + length
     if end > len(data):
         return None
-    body = data[place + HEAD.size : end]
-    if not 0 < length <= MOST_BYTES or zlib.crc32(body) != checksum:
+    body = data[place + RECORD_HEADER.size : end]
+    if not 0 < length <= MAX_RECORD_BYTES or zlib.crc32(body) != checksum:
         raise ValueError("its checksum does not fit")
     row = DECODER.decode(body)
-    entries = tuple(map(_entry, row.entries))
+    entries = tuple(map(_entry_from, row.entries))
     match row.kind:
         case 0:
-            return at.Promise(row.number), end
+            return events.Promise(row.number), end
         case 1:
-            return at.Write(row.number, row.under, entries), end
+            return events.Write(row.number, row.under, entries), end
         case 2:
-            return at.Cut(row.number), end
+            return events.Truncate(row.number), end
         case 3:
-            return at.Lasts(row.number), end
+            return events.Commit(row.number), end
     changes = tuple(e for e in entries if isinstance(e, Change))
-    return at.Snapshot(row.number, tuple(zip(row.numbers, changes, strict=True))), end
+    return events.Snapshot(row.number, tuple(zip(row.numbers, changes, strict=True))), end
 
 
 class LogFile:
@@ -123,32 +125,32 @@
             raise
 
     def _read(self) -> None:
-        self.saved = Saved()
+        self.state = LogState()
         snapshot = self.folder / "snapshot"
         if snapshot.exists():
-            self.saved.take(self._records(snapshot, last=False)[0][0])
+            self.state.apply(self._read_records(snapshot, last=False)[0][0])
         segments = sorted(self.folder.glob("*.log"))
-        self.highest: dict[Path, int] = {}  # number that each segment names
+        self.highest_entry: dict[Path, int] = {}  # number that each segment names
         size = 0
         for segment in segments:
-            records, size = self._records(segment, segment == segments[-1])
-            self.highest[segment] = 0
+            records, size = self._read_records(segment, segment == segments[-1])
+            self.highest_entry[segment] = 0
             for record in records:
                 try:
-                    self.saved.take(record)
+                    self.state.apply(record)
                 except LogError as e:
                     raise LogError(f"{segment}: {e}") from None
-                self._note(segment, record)
-        self.promised, self.lasting = self.saved.promised, self.saved.settled
-        self.upto = self.saved.base  # numbers that the snapshot stands for
-        self.torn = False
-        self._open(segments[-1] if segments else self.folder / f"{1:016d}.log", size)
+                self._note_entries(segment, record)
+        self.promised_epoch, self.commit_index = self.state.promised, self.state.commit_index
+        self.snapshot_until = self.state.base  # numbers that the snapshot stands for
+        self.has_torn_end = False
+        self._open_segment(segments[-1] if segments else self.folder / f"{1:016d}.log", size)
 
-    def _records(self, path: Path, last: bool) -> tuple[list[Record], int]:
+    def _read_records(self, path: Path, last: bool) -> tuple[list[Record], int]:
         data, place, found = path.read_bytes(), 0, list[Record]()
         while place < len(data):
             try:
-                one = unpacked(data, place)
+                one = decode_record(data, place)
             except (ValueError, msgspec.DecodeError) as e:
                 raise LogError(f"{path} at {place}: {e}") from None
             if one is None:
@@ -160,23 +162,25 @@
             found.append(record)
         return found, place
 
-    def _note(self, segment: Path, record: Record) -> None:
-        if isinstance(record, at.Write):
-            self.highest[segment] = max(self.highest[segment], record.first + len(record.entries) - 1)
+    def _note_entries(self, segment: Path, record: Record) -> None:
+        if isinstance(record, events.Write):
+            self.highest_entry[segment] = max(
+                self.highest_entry[segment], record.first + len(record.entries) - 1
+            )
 
-    def _open(self, path: Path, size: int) -> None:
+    def _open_segment(self, path: Path, size: int) -> None:
         """Go on with a segment from so many bytes on."""
         self.path, self.size = path, size
-        self.highest.setdefault(path, 0)
+        self.highest_entry.setdefault(path, 0)
         self.file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
-        self._cut()
+        self._truncate()
         sync_folder(self.folder)
 
-    def _cut(self) -> None:
+    def _truncate(self) -> None:
         """Guards the log: nothing is written behind what is torn."""
         os.ftruncate(self.file, self.size)
         os.fsync(self.file)
-        self.torn = False
+        self.has_torn_end = False
 
     def append(self, records: tuple[Record, ...]) -> None:
         """Write records down, on the disk before this returns. Blocks, as long as a disk may.
@@ -184,50 +188,52 @@
         Raises:
             OSError: none of them is there, but for a snapshot, which says nothing that did not last.
         """
-        if self.torn:
-            self._cut()
+        if self.has_torn_end:
+            self._truncate()
         for record in records:
-            if isinstance(record, at.Snapshot):
-                self._snapshot(record)
-        rest = [record for record in records if not isinstance(record, at.Snapshot)]
-        data = b"".join(map(packed, rest))
+            if isinstance(record, events.Snapshot):
+                self._write_snapshot(record)
+        rest = [record for record in records if not isinstance(record, events.Snapshot)]
+        data = b"".join(map(encode_record, rest))
         try:
             write_all(self.file, data)
             os.fsync(self.file)
         except OSError:
-            self.torn = True
-            self._cut()
+            self.has_torn_end = True
+            self._truncate()
             raise
         self.size += len(data)
         for record in rest:
-            self._note(self.path, record)
+            self._note_entries(self.path, record)
             match record:
-                case at.Promise(epoch) | at.Write(under=epoch):
-                    self.promised = max(epoch, self.promised)
-                case at.Lasts(number):
-                    self.lasting = max(number, self.lasting)
-        if self.size >= SEGMENT or len(rest) < len(records):
+                case events.Promise(epoch) | events.Write(epoch=epoch):
+                    self.promised_epoch = max(epoch, self.promised_epoch)
+                case events.Commit(number):
+                    self.commit_index = max(number, self.commit_index)
+        if self.size >= SEGMENT_BYTES or len(rest) < len(records):
             try:
-                self._roll()
+                self._start_segment()
             except OSError as e:
                 log.warning("%s: goes on in its segment: %s", self.path, e)
 
-    def _snapshot(self, record: at.Snapshot) -> None:
+    def _write_snapshot(self, record: events.Snapshot) -> None:
         new = self.folder / "snapshot.new"
         file = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
-            write_all(file, packed(record))
+            write_all(file, encode_record(record))
             os.fsync(file)
         finally:
             os.close(file)
         new.rename(self.folder / "snapshot")
         sync_folder(self.folder)
-        self.upto = record.upto
+        self.snapshot_until = record.upto
 
-    def _roll(self) -> None:
+    def _start_segment(self) -> None:
         """Begin a segment, which says again what must not go with older ones, and drop those that may."""
         path = self.folder / f"{int(self.path.stem) + 1:016d}.log"
-        data = packed(at.Promise(self.promised)) + packed(at.Lasts(self.lasting))
+        data = encode_record(events.Promise(self.promised_epoch)) + encode_record(
+            events.Commit(self.commit_index)
+        )
         file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600)
         try:
             write_all(file, data)
@@ -240,12 +246,12 @@
             raise
         os.close(self.file)
         self.file, self.path, self.size = file, path, len(data)
-        self.highest[path] = 0
-        for old in sorted(self.highest):
-            if old == path or self.highest[old] > self.upto:
+        self.highest_entry[path] = 0
+        for old in sorted(self.highest_entry):
+            if old == path or self.highest_entry[old] > self.snapshot_until:
                 break
             old.unlink()
-            del self.highest[old]
+            del self.highest_entry[old]
 
     def close(self) -> None:
         """Let another process have it."""
--- a/myrtlecourse/spread/messages.py
+++ b/myrtlecourse/spread/messages.py
@@ -12,12 +12,12 @@
 
 from myrtlecourse.peers.seal import ident
 
-KEY = 8  # bytes of a purge's key and of a change's subject: the first of their digests
-LONGEST_VALUE = 120  # bytes of a change's value: with its number and head it fits one datagram
-MOST_CONTROL = 31
-MOST_MEMBERS = 40_000
-LARGEST = 2**62  # that a number, an epoch or a stamp may be
-MOST_RANGES = 16  # that a digest of the table has
+KEY_BYTES = 8  # bytes of a purge's key and of a change's subject: the first of their digests
+MAX_VALUE_BYTES = 120  # bytes of a change's value: with its number and head it fits one datagram
+MAX_CONTROL_NODES = 31
+MAX_MEMBERS = 40_000
+MAX_NUMBER = 2**62  # that a number, an epoch or a stamp may be
+DIGEST_RANGES = 16  # that a digest of the table has
 
 
 class SpreadError(ValueError):
@@ -45,10 +45,10 @@
 def checked_entry(entry: Entry) -> Entry:
     """The entry, if all members can take it. Raises SpreadError."""
     key = entry.key if isinstance(entry, Purge) else entry.subject
-    if len(key) != KEY:
-        raise SpreadError(f"an entry's key has {KEY} bytes, not {len(key)}")
-    if isinstance(entry, Change) and len(entry.value) > LONGEST_VALUE:
-        raise SpreadError(f"a change's value has {LONGEST_VALUE} bytes at most, not {len(entry.value)}")
+    if len(key) != KEY_BYTES:
+        raise SpreadError(f"an entry's key has {KEY_BYTES} bytes, not {len(key)}")
+    if isinstance(entry, Change) and len(entry.value) > MAX_VALUE_BYTES:
+        raise SpreadError(f"a change's value has {MAX_VALUE_BYTES} bytes at most, not {len(entry.value)}")
     return entry
 
 
@@ -87,12 +87,12 @@
 
     def __post_init__(self) -> None:
         names = [*self.control, *(m for s in self.sites for m in (*s.routers, *s.parts))]
-        if not 1 <= len(self.control) <= MOST_CONTROL:
-            raise SpreadError(f"control: 1 to {MOST_CONTROL} machines")
+        if not 1 <= len(self.control) <= MAX_CONTROL_NODES:
+            raise SpreadError(f"control: 1 to {MAX_CONTROL_NODES} machines")
         if self.name not in names:
             raise SpreadError(f"name: {self.name} is neither a control machine nor a member of a site")
-        if len(names) > MOST_MEMBERS or len(set(names)) < len(names):
-            raise SpreadError(f"sites: each member once, {MOST_MEMBERS} at most")
+        if len(names) > MAX_MEMBERS or len(set(names)) < len(names):
+            raise SpreadError(f"sites: each member once, {MAX_MEMBERS} at most")
         if len({s.name for s in self.sites}) < len(self.sites):
             raise SpreadError("sites: each under a name of its own")
         for site in self.sites:
@@ -109,14 +109,14 @@
             raise SpreadError("lease: at least four times `report`, as reports may be lost")
 
     @property
-    def control_half(self) -> float:
+    def half_control_budget(self) -> float:
         """Bytes a second that a control machine may send for the log, and as many for the tree below it.
 
         Guards its budget: each of the two keeps to its own, and both are busiest at the same time."""
         return self.control_budget / 2
 
     @property
-    def majority(self) -> int:
+    def quorum(self) -> int:
         """Control machines that make an entry last."""
         return len(self.control) // 2 + 1
 
@@ -125,7 +125,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class News:
+class EntryBatch:
     """Entries that follow on one another: what is new, or what was asked for with `Want`."""
 
     epoch: int
@@ -134,7 +134,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Beat:
+class Heartbeat:
     """From a parent: how far the log goes with me, and what your report was worth.
 
     The receiver may vouch for `good_for` milliseconds from when it sent the report with the stamp `echo`;
@@ -169,12 +169,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Full:
+class NoCapacity:
     """From a node that can bear no more children: try another."""
 
 
 @dataclass(slots=True, frozen=True)
-class Want:
+class RetransmitRequest:
     """So many entries from a number on are missing here."""
 
     first: int
@@ -182,7 +182,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Beyond:
+class EntriesDropped:
     """From one that was asked for what it keeps no more: its entries begin with `oldest`.
 
     The receiver treats all that it may have missed before as purged, and asks for the table of changes.
@@ -192,7 +192,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Digest:
+class TableDigest:
     """Sums over the changes that hold, by ranges of subjects; asks for the rows of those that differ."""
 
     upto: int  # entries before this number are meant
@@ -200,7 +200,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Rows:
+class TableRows:
     """Changes that hold at the sender, of one range, in their subjects' order; `more`: others follow."""
 
     range: int
@@ -209,7 +209,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Same:
+class TableInSync:
     """The table of changes that the digest asked about is the receiver's, up to that number."""
 
     upto: int
@@ -219,7 +219,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Survey:
+class Prepare:
     """I write the log under this epoch: what have you written down after `after`?"""
 
     epoch: int
@@ -227,7 +227,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Written:
+class PrepareReply:
     """What I have written down, and that I write for nobody of a lower epoch any more.
 
     `under` is the epoch in which the entries were written, `last` the number of my last one, `settled` how
@@ -243,7 +243,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Keep:
+class Append:
     """From the holder: write these down; all up to `settled` last.
 
     No entries: only that, and all that was taken over from epochs before lasts. Then `first` is the number
@@ -257,7 +257,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Kept:
+class AppendReply:
     """All up to this number are on my disk, as the holder of this epoch has them."""
 
     epoch: int
@@ -265,14 +265,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Outdated:
+class StaleEpoch:
     """There is a higher epoch than yours."""
 
     epoch: int
 
 
 @dataclass(slots=True, frozen=True)
-class Fetch:
+class SnapshotRequest:
     """From a control machine whose log ends before the receiver's begins: the changes that hold, from the
     subject after `after` on."""
 
@@ -281,7 +281,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Table:
+class SnapshotRows:
     """Changes that hold up to a number, in their subjects' order; those up to it are in no log any more."""
 
     epoch: int
@@ -291,46 +291,54 @@
     more: bool
 
 
-Word = (
-    News
-    | Beat
+Message = (
+    EntryBatch
+    | Heartbeat
     | Report
     | Leave
-    | Full
-    | Want
-    | Beyond
-    | Digest
-    | Rows
-    | Same
-    | Survey
-    | Written
-    | Keep
-    | Kept
-    | Outdated
-    | Fetch
-    | Table
+    | NoCapacity
+    | RetransmitRequest
+    | EntriesDropped
+    | TableDigest
+    | TableRows
+    | TableInSync
+    | Prepare
+    | PrepareReply
+    | Append
+    | AppendReply
+    | StaleEpoch
+    | SnapshotRequest
+    | SnapshotRows
 )
-OF_HEADS = (Survey, Written, Keep, Kept, Outdated, Fetch, Table)  # words that are for a head and not a node
+LOG_MESSAGES = (
+    Prepare,
+    PrepareReply,
+    Append,
+    AppendReply,
+    StaleEpoch,
+    SnapshotRequest,
+    SnapshotRows,
+)  # words that are for a head and not a node
 
 
 # What a node or a head is told
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
+class Received:
     """What another member says, all of one datagram."""
 
     sender: str
-    words: tuple[Word, ...]
+    messages: tuple[Message, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Woke:
+class TimerFired:
     """The time of a `Wake` has come."""
 
 
 @dataclass(slots=True, frozen=True)
-class Settled:
+class Committed:
     """To the node of a control machine, from its head: these entries last, and may go down the tree."""
 
     epoch: int
@@ -339,22 +347,22 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Root:
+class Leadership:
     """To the node of a control machine: who writes the log, as is known here; itself: it is the root."""
 
     epoch: int
-    holder: str  # empty: nobody
+    leader: str  # empty: nobody
 
 
 # What it answers
 
 
 @dataclass(slots=True, frozen=True)
-class Say:
+class Send:
     """Send these words in one datagram; they fit."""
 
     to: str
-    words: tuple[Word, ...]
+    messages: tuple[Message, ...]
 
 
 @dataclass(slots=True, frozen=True)
@@ -366,7 +374,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Forget:
+class AssumePurged:
     """Entries from `first` to `last` are not to be had any more: treat all that a purge among them may have
     meant as purged. Changes among them are told on their own, as `Restore`."""
 
@@ -383,14 +391,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Vouches:
+class LeaseChanged:
     """Whether this member may act as if up to date from now on; until told otherwise it may not."""
 
-    may: bool
+    valid: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Done:
+class Watermark:
     """At the root: each member that counts has applied all up to this number."""
 
     number: int
@@ -399,14 +407,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Wake:
+class SetTimer:
     """Call back at this time; replaces the one before. Infinity: never."""
 
     at: float
 
 
-Event = Heard | Woke | Settled | Root
-Action = Say | Apply | Forget | Restore | Vouches | Done | Wake
+Event = Received | TimerFired | Committed | Leadership
+Action = Send | Apply | AssumePurged | Restore | LeaseChanged | Watermark | SetTimer
 
 
 @dataclass(slots=True)
@@ -421,6 +429,6 @@
     more: dict[str, Any] = field(default_factory=dict)
 
 
-def number_of(name: str) -> int:
+def member_ident(name: str) -> int:
     """What a member is in a datagram."""
     return ident(name)
--- a/myrtlecourse/spread/node.py
+++ b/myrtlecourse/spread/node.py
@@ -12,22 +12,32 @@
 
 from myrtlecourse.peers.seal import SEAL
 from myrtlecourse.peers.wire import HEAD as FRAME
-from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.send_window import Allowance
-from myrtlecourse.spread.retransmission import Asking
+from myrtlecourse.spread import messages as msg
+from myrtlecourse.spread.applied_ranges import AppliedRanges
+from myrtlecourse.spread.change_table import ChangeTable
 from myrtlecourse.spread.children import Child, Children
-from myrtlecourse.spread.codec import SpreadCodec, room
-from myrtlecourse.spread.applied_ranges import Lanes
-from myrtlecourse.spread.messages import Action, Beat, Counts, Entry, Event, Heard, News, Settings, Word
+from myrtlecourse.spread.codec import SpreadCodec, max_payload
+from myrtlecourse.spread.log_suffix import LogSuffix
+from myrtlecourse.spread.messages import (
+    Action,
+    Counts,
+    Entry,
+    EntryBatch,
+    Event,
+    Heartbeat,
+    Message,
+    Received,
+    Settings,
+)
 from myrtlecourse.spread.parent import Parent
-from myrtlecourse.spread.repair import HEAD, LEAST_ROOM, Serving
-from myrtlecourse.spread.change_table import Table
-from myrtlecourse.spread.log_suffix import Tail
-from myrtlecourse.spread.tree import BEAT, CONTROL, LONGEST_NAME, REPORT, Tree, child_cost
-
-NEAR = 256  # entries that a new child may be behind and be sent as news
-WAITS = 4  # pauses for which news waits for a hole of this node's to be filled
-KEEPS = 0.1  # of the budget that what is asked for has at least
+from myrtlecourse.spread.repair import BATCH_OVERHEAD, MIN_PAYLOAD, RepairQueue
+from myrtlecourse.spread.retransmission import RetransmitRequests
+from myrtlecourse.spread.send_window import SendWindow
+from myrtlecourse.spread.tree import CONTROL, HEARTBEAT_BYTES, MAX_NAME_BYTES, REPORT_BYTES, Tree, child_cost
+
+LIVE_CATCH_UP_LIMIT = 256  # entries that a new child may be behind and be sent as news
+GAP_PATIENCE = 4  # pauses for which news waits for a hole of this node's to be filled
+MIN_REPAIR_SHARE = 0.1  # of the budget that what is asked for has at least
 NEVER = math.inf
 CODEC = SpreadCodec()
 
@@ -43,177 +53,197 @@
         self.tree = Tree(settings)
         self.tier = self.tree.tier(self.name)
         control = self.tier == CONTROL
-        bound = self.tree.children_bound(self.name)
-        self.room = room(self.name)
-        if bound and self.room < LEAST_ROOM:
-            raise said.SpreadError(f"name: {self.name} is too long by {LEAST_ROOM - self.room} bytes")
+        bound = self.tree.max_children(self.name)
+        self.max_payload = max_payload(self.name)
+        if bound and self.max_payload < MIN_PAYLOAD:
+            raise msg.SpreadError(f"name: {self.name} is too long by {MIN_PAYLOAD - self.max_payload} bytes")
         self.epoch = 0
         self.counts = Counts()
-        self.lanes = Lanes()
-        self.tail = Tail((settings.control_tail if control else settings.tail) if bound else 0)
-        self.table = Table()
+        self.applied = AppliedRanges()
+        self.suffix = LogSuffix((settings.control_tail if control else settings.tail) if bound else 0)
+        self.table = ChangeTable()
         self.parent = Parent(settings, self.tree.candidates(self.name), now, seed)
         self.children = Children(settings, bound)
-        self.serving = Serving(bound, self.room, self.lanes, self.tail, self.table)
-        self.asking = Asking(2 * settings.pause)  # for entries
-        self.comparing = Asking(4 * settings.pause)  # the table
-        self.allowance = Allowance(settings.control_half if control else settings.budget)
+        self.repairs = RepairQueue(bound, self.max_payload, self.applied, self.suffix, self.table)
+        self.retransmits = RetransmitRequests(2 * settings.pause)  # for entries
+        self.table_sync = RetransmitRequests(4 * settings.pause)  # the table
+        self.send_window = SendWindow(settings.half_control_budget if control else settings.budget)
         self.is_root = False
-        self.quiet_until = NEVER  # a root says nothing before: some may vouch by the root before
-        self.told = 0  # by `Done`
-        self.vouching = False
-        self.forgotten: tuple[int, int] | None = None  # first and last, until the table is known to be whole
+        self.watermark_held_until = NEVER  # a root says nothing before: some may vouch by the root before
+        self.announced_watermark = 0  # by `Done`
+        self.lease_announced = False
+        self.purged_range: tuple[int, int] | None = (
+            None  # first and last, until the table is known to be whole
+        )
         self.digest_at = NEVER
-        self.hole_at = -NEVER  # when the newest hole was seen
+        self.gap_seen_at = -NEVER  # when the newest hole was seen
         self.report_at = now + self.parent.random.random() * settings.report
-        self.news_at, self.news_sent = NEVER, -NEVER
-        self.serve_at, self.served_at, self.share = NEVER, -NEVER, 0.0
-        self.out: list[Action] = []
+        self.forward_at, self.forwarded_at = NEVER, -NEVER
+        self.repair_at, self.repaired_at, self.repair_credit = NEVER, -NEVER, 0.0
+        self.actions: list[Action] = []
 
     @property
-    def have(self) -> int:
+    def applied_until(self) -> int:
         """All up to this number is applied, or its changes are known from a table."""
-        return min(self.lanes.have, self.forgotten[0] - 1) if self.forgotten else self.lanes.have
+        return (
+            min(self.applied.contiguous_until, self.purged_range[0] - 1)
+            if self.purged_range
+            else self.applied.contiguous_until
+        )
 
-    def vouches(self, now: float) -> bool:
+    def has_lease(self, now: float) -> bool:
         """Whether this member may act as if up to date at this very moment."""
         return self.is_root or now < self.parent.lease_until
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Take one event and answer with actions, to be carried out in order."""
-        self.now, self.out = max(now, self.now), []
-        self._tell_vouches()
+        self.now, self.actions = max(now, self.now), []
+        self._announce_lease()
         match event:
-            case Heard(sender, words):
-                self._on_words(sender, words)
-            case said.Settled(epoch, first, entries):
-                self._on_settled(epoch, first, entries)
-            case said.Root(epoch, holder):
-                self._on_root(epoch, holder)
-            case said.Woke():
+            case Received(sender, words):
+                self._on_messages(sender, words)
+            case msg.Committed(epoch, first, entries):
+                self._on_committed(epoch, first, entries)
+            case msg.Leadership(epoch, holder):
+                self._on_leadership(epoch, holder)
+            case msg.TimerFired():
                 pass
-        self._pace()
-        self._tell_vouches()
-        self.out.append(said.Wake(self._next()))
-        return self.out
-
-    def _next(self) -> float:
-        answers = min((c.answer_at for c in self.children.all.values()), default=NEVER)
-        ends = self.parent.lease_until if self.vouching and not self.is_root else NEVER
-        times = (self.report_at, self.news_at, answers, self.serve_at, self.asking.at, self.digest_at, ends)
+        self._run_due()
+        self._announce_lease()
+        self.actions.append(msg.SetTimer(self._next_timer()))
+        return self.actions
+
+    def _next_timer(self) -> float:
+        answers = min((c.reply_due for c in self.children.by_name.values()), default=NEVER)
+        ends = self.parent.lease_until if self.lease_announced and not self.is_root else NEVER
+        times = (
+            self.report_at,
+            self.forward_at,
+            answers,
+            self.repair_at,
+            self.retransmits.retry_at,
+            self.digest_at,
+            ends,
+        )
         return max(min(times), self.now)
 
-    def _tell_vouches(self) -> None:
-        may = self.vouches(self.now)
-        if may != self.vouching:
-            self.vouching = may
-            self.out.append(said.Vouches(may))
+    def _announce_lease(self) -> None:
+        may = self.has_lease(self.now)
+        if may != self.lease_announced:
+            self.lease_announced = may
+            self.actions.append(msg.LeaseChanged(may))
 
-    def _pace(self) -> None:
+    def _run_due(self) -> None:
         """What is due."""
         if self.now >= self.report_at:
-            self._report()
-        self._ask()
-        news = self.now >= self.news_at
+            self._send_reports()
+        self._request_repairs()
+        news = self.now >= self.forward_at
         if news:
-            self.news_sent, self.news_at = self.now, NEVER
+            self.forwarded_at, self.forward_at = self.now, NEVER
         packed: dict[tuple[int, int], tuple[Entry, ...]] = {}
-        for child in list(self.children.all.values()):
-            if news or child.answer_at <= self.now:
-                self._pass_on(child, packed)
-        self._serve()
+        for child in list(self.children.by_name.values()):
+            if news or child.reply_due <= self.now:
+                self._send_to_child(child, packed)
+        self._send_repairs()
 
-    def _say(self, to: str, *words: Word) -> bool:
+    def _send(self, to: str, *words: Message) -> bool:
         """Whether the budget had it."""
         size = SEAL + FRAME + len(self.name.encode()) + CODEC.size(words)
-        if not self.allowance.take(self.now, size):
+        if not self.send_window.try_spend(self.now, size):
             return False
         self.counts.bytes_out += size
-        self.out.append(said.Say(to, words))
+        self.actions.append(msg.Send(to, words))
         return True
 
     # Words
 
-    def _on_words(self, sender: str, words: tuple[Word, ...]) -> None:
-        if sender in (*self.parent.reports_to(), self._asked(self.asking), self._asked(self.comparing)):
+    def _on_messages(self, sender: str, words: tuple[Message, ...]) -> None:
+        if sender in (
+            *self.parent.report_targets(),
+            self._repair_source(self.retransmits),
+            self._repair_source(self.table_sync),
+        ):
             for word in words:
-                self._on_above(sender, word)
-        elif self.tree.bears(self.name, sender) and (self.is_root or self.tree.tier(sender) != CONTROL):
-            self._on_below(sender, words)
+                self._on_parent_message(sender, word)
+        elif self.tree.may_be_parent(self.name, sender) and (
+            self.is_root or self.tree.tier(sender) != CONTROL
+        ):
+            self._on_child_messages(sender, words)
         else:
             self.counts.refused += len(words)
 
-    def _on_above(self, sender: str, word: Word) -> None:
+    def _on_parent_message(self, sender: str, word: Message) -> None:
         """A parent, the one on trial, or one that was asked."""
         match word:
-            case News() | Beat() if word.epoch < self.epoch:
+            case EntryBatch() | Heartbeat() if word.epoch < self.epoch:
                 self.counts.stale += 1
-            case News() if self.tier != CONTROL:
+            case EntryBatch() if self.tier != CONTROL:
                 self.epoch = word.epoch
                 self._on_entries(word.first, word.entries)
-            case Beat():
+            case Heartbeat():
                 self.epoch = word.epoch
-                self._on_beat(sender, word)
-            case said.Full():
-                self.parent.full(self.now, sender)
-            case said.Beyond(oldest) if self.asking.asked:
-                self._on_beyond(oldest)
-            case said.Rows() if self.forgotten:
-                self._on_rows(word)
-            case said.Same(upto) if self.forgotten and upto == self.forgotten[1] + 1:
-                self.forgotten, self.digest_at = None, NEVER
+                self._on_heartbeat(sender, word)
+            case msg.NoCapacity():
+                self.parent.on_no_capacity(self.now, sender)
+            case msg.EntriesDropped(oldest) if self.retransmits.requested:
+                self._on_entries_dropped(oldest)
+            case msg.TableRows() if self.purged_range:
+                self._on_table_rows(word)
+            case msg.TableInSync(upto) if self.purged_range and upto == self.purged_range[1] + 1:
+                self.purged_range, self.digest_at = None, NEVER
             case _:
                 self.counts.refused += 1
 
-    def _on_below(self, sender: str, words: tuple[Word, ...]) -> None:
+    def _on_child_messages(self, sender: str, words: tuple[Message, ...]) -> None:
         """A child, or one that another does not answer. What it leaves by bears a report, or it is an old
         one."""
         reported = False
         for word in words:
             match word:
-                case said.Report():
+                case msg.Report():
                     reported = self._on_report(sender, word)
-                case said.Leave() if reported:
-                    self.children.leave(sender)
-                    self.serving.forget(sender)
-                case said.Want() if self.serving.want(sender, word):
-                    self.serve_at = min(self.serve_at, self.now)
-                case said.Digest():
+                case msg.Leave() if reported:
+                    self.children.remove(sender)
+                    self.repairs.drop(sender)
+                case msg.RetransmitRequest() if self.repairs.request_entries(sender, word):
+                    self.repair_at = min(self.repair_at, self.now)
+                case msg.TableDigest():
                     self._on_digest(sender, word)
                 case _:
                     self.counts.refused += 1
 
-    def _on_report(self, sender: str, report: said.Report) -> bool:
+    def _on_report(self, sender: str, report: msg.Report) -> bool:
         if report.epoch < self.epoch:
             self.counts.stale += 1
-        behind = self.lanes.top - report.have
-        cursor = report.have + 1 if behind <= NEAR else self.lanes.top + 1
-        child = self.children.hear(self.now, sender, report, cursor)
+        behind = self.applied.highest - report.have
+        cursor = report.have + 1 if behind <= LIVE_CATCH_UP_LIMIT else self.applied.highest + 1
+        child = self.children.on_report(self.now, sender, report, cursor)
         if child is None:
-            if sender not in self.children.all:
-                self._say(sender, said.Full())
+            if sender not in self.children.by_name:
+                self._send(sender, msg.NoCapacity())
             return False
-        if self.tree.tier(sender) != CONTROL and child.cursor <= self.lanes.top:
-            self._news()
+        if self.tree.tier(sender) != CONTROL and child.cursor <= self.applied.highest:
+            self._schedule_forwarding()
         if self.is_root:
-            self._tell_done()
+            self._announce_watermark()
         return True
 
-    def _on_beat(self, sender: str, beat: Beat) -> None:
-        left = self.parent.beat(self.now, sender, beat, self.children.granted_until(self.now))
+    def _on_heartbeat(self, sender: str, beat: Heartbeat) -> None:
+        left = self.parent.on_heartbeat(self.now, sender, beat, self.children.last_lease_end(self.now))
         if left:
             # guards `done` against waiting for a grant that is not used any more
             stamp = self.parent.next_stamp(self.now)
-            self.parent.sent.clear()
-            self._say(left, self._report_word(stamp), said.Leave())
+            self.parent.sent_reports.clear()
+            self._send(left, self._build_report(stamp), msg.Leave())
 
-    def _on_digest(self, sender: str, digest: said.Digest) -> None:
-        complete = not self.forgotten and self.lanes.have >= digest.upto - 1
-        same = self.serving.digest(sender, digest, complete)
+    def _on_digest(self, sender: str, digest: msg.TableDigest) -> None:
+        complete = not self.purged_range and self.applied.contiguous_until >= digest.upto - 1
+        same = self.repairs.request_table(sender, digest, complete)
         if same is not None:
-            self._say(sender, same)
+            self._send(sender, same)
         elif complete:
-            self.serve_at = min(self.serve_at, self.now)
+            self.repair_at = min(self.repair_at, self.now)
 
     # Entries
 
@@ -221,9 +251,9 @@
         last = first + len(entries) - 1
         number = first
         while number <= last:
-            new = self.lanes.room(number, last)
+            new = self.applied.acceptable(number, last)
             if new is None:
-                end = self.lanes.run(number)
+                end = self.applied.range_end(number)
                 if not end:
                     self.counts.refused += 1  # before its turn; it is asked for again
                     return
@@ -234,208 +264,222 @@
 
     def _apply(self, first: int, entries: tuple[Entry, ...]) -> None:
         last = first + len(entries) - 1
-        if first > self.lanes.top + 1:
-            self.hole_at = self.now
-        asked = self.asking.asked
+        if first > self.applied.highest + 1:
+            self.gap_seen_at = self.now
+        asked = self.retransmits.requested
         if asked and asked[0] <= first <= asked[1]:
             self.counts.repaired += len(entries)
-            self.asking.came(self.now)
-        self.lanes.add(first, last)
+            self.retransmits.on_answer(self.now)
+        self.applied.add(first, last)
         for number, entry in enumerate(entries, first):
-            if self.tail.most:
-                self.tail.add(number, entry)
-            if isinstance(entry, said.Change):
+            if self.suffix.capacity:
+                self.suffix.add(number, entry)
+            if isinstance(entry, msg.Change):
                 self.table.put(number, entry)
-        self.out.append(said.Apply(first, entries))
-        while (spilt := self.lanes.spill()) is not None:
-            self._forget(*spilt)
-        self._news()
+        self.actions.append(msg.Apply(first, entries))
+        while (spilt := self.applied.excess_gap()) is not None:
+            self._assume_purged(*spilt)
+        self._schedule_forwarding()
 
-    def _news(self) -> None:
-        if self.children.all:
-            self.news_at = min(self.news_at, max(self.now, self.news_sent + self.settings.pause))
+    def _schedule_forwarding(self) -> None:
+        if self.children.by_name:
+            self.forward_at = min(self.forward_at, max(self.now, self.forwarded_at + self.settings.pause))
 
-    def _forget(self, first: int, last: int) -> None:
+    def _assume_purged(self, first: int, last: int) -> None:
         """What is not to be had any more; its changes are, from a table."""
-        self.out.append(said.Forget(first, last))
-        self.lanes.add(first, last)
+        self.actions.append(msg.AssumePurged(first, last))
+        self.applied.add(first, last)
         if not self.is_root:
-            before = self.forgotten or (first, last)
-            self.forgotten = min(first, before[0]), max(last, before[1])
+            before = self.purged_range or (first, last)
+            self.purged_range = min(first, before[0]), max(last, before[1])
             self.digest_at = self.now
 
-    def _on_beyond(self, oldest: int) -> None:
-        self.asking.came(self.now)
-        known = max(self.lanes.top, self.parent.last)
-        holes = self.lanes.holes()
-        if self.parent.last > self.lanes.top:
-            holes.append((self.lanes.top + 1, self.parent.last))
+    def _on_entries_dropped(self, oldest: int) -> None:
+        self.retransmits.on_answer(self.now)
+        known = max(self.applied.highest, self.parent.log_end)
+        holes = self.applied.gaps()
+        if self.parent.log_end > self.applied.highest:
+            holes.append((self.applied.highest + 1, self.parent.log_end))
         for first, last in holes:
             if first < oldest <= known + 1:
-                self._forget(first, min(last, oldest - 1))
+                self._assume_purged(first, min(last, oldest - 1))
 
-    def _on_rows(self, rows: said.Rows) -> None:
+    def _on_table_rows(self, rows: msg.TableRows) -> None:
         for number, change in rows.rows:
             if self.table.put(number, change):
-                self.out.append(said.Restore(number, change))
-        self.comparing.tries = 0
-        self.digest_at = self.now + self.comparing.retry if rows.more else self.now
+                self.actions.append(msg.Restore(number, change))
+        self.table_sync.tries = 0
+        self.digest_at = self.now + self.table_sync.retry_delay if rows.more else self.now
 
-    def _on_settled(self, epoch: int, first: int, entries: tuple[Entry, ...]) -> None:
+    def _on_committed(self, epoch: int, first: int, entries: tuple[Entry, ...]) -> None:
         if self.tier != CONTROL or epoch < self.epoch:
             self.counts.stale += 1
             return
         self.epoch = epoch
-        if first > self.lanes.top + 1:
-            self._forget(self.lanes.top + 1, first - 1)  # the log begins later
+        if first > self.applied.highest + 1:
+            self._assume_purged(self.applied.highest + 1, first - 1)  # the log begins later
         if entries:
             self._on_entries(first, entries)
 
-    def _on_root(self, epoch: int, holder: str) -> None:
+    def _on_leadership(self, epoch: int, holder: str) -> None:
         if self.tier != CONTROL or epoch < self.epoch:
             self.counts.stale += 1
             return
         was, self.is_root = self.is_root, holder == self.name
         if self.is_root and (not was or epoch > self.epoch):
-            self.quiet_until = self.now + self.settings.lease * self.children.apart
-            self.forgotten, self.digest_at = None, NEVER
-            self.children.told_before = self.lanes.top
+            self.watermark_held_until = self.now + self.settings.lease * self.children.clock_ratio
+            self.purged_range, self.digest_at = None, NEVER
+            self.children.inherited_watermark = self.applied.highest
         if was != self.is_root:
             self.parent.lease_until = -NEVER
         self.epoch = epoch
-        self.parent.follow(self.now, (holder,) if holder not in ("", self.name) else ())
+        self.parent.set_candidates(self.now, (holder,) if holder not in ("", self.name) else ())
 
     # What goes up
 
-    def _report_word(self, stamp: int) -> said.Report:
-        done, behind = self.children.done(self.now, self.have)
-        below, away = self.children.counted(self.now)
-        return said.Report(stamp, self.epoch, self.have, done, below, away, behind)
+    def _build_report(self, stamp: int) -> msg.Report:
+        done, behind = self.children.advance_watermark(self.now, self.applied_until)
+        below, away = self.children.member_counts(self.now)
+        return msg.Report(stamp, self.epoch, self.applied_until, done, below, away, behind)
 
-    def _report(self) -> None:
+    def _send_reports(self) -> None:
         self.report_at = self.now + self.settings.report
-        self.children.tick(self.now)
+        self.children.expire(self.now)
         if self.is_root:
-            self._tell_done()
+            self._announce_watermark()
             return
-        self.parent.tick(self.now, self.have >= self.parent.last)
-        self.counts.moved = self.parent.moved
-        to = self.parent.reports_to()
+        self.parent.tick(self.now, self.applied_until >= self.parent.log_end)
+        self.counts.moved = self.parent.moves
+        to = self.parent.report_targets()
         if to:
-            word = self._report_word(self.parent.next_stamp(self.now))
+            word = self._build_report(self.parent.next_stamp(self.now))
             for name in to:
-                self._say(name, word)
+                self._send(name, word)
 
-    def _tell_done(self) -> None:
-        if self.now < self.quiet_until:
+    def _announce_watermark(self) -> None:
+        if self.now < self.watermark_held_until:
             return
-        done, _ = self.children.done(self.now, self.have)
-        if done > self.told:
-            self.told = done
-            self.out.append(said.Done(done, *self.children.counted(self.now)))
+        done, _ = self.children.advance_watermark(self.now, self.applied_until)
+        if done > self.announced_watermark:
+            self.announced_watermark = done
+            self.actions.append(msg.Watermark(done, *self.children.member_counts(self.now)))
 
-    def _asked(self, asking: Asking) -> str:
-        return asking.whom(self.parent.at, self.parent.candidates)
+    def _repair_source(self, asking: RetransmitRequests) -> str:
+        return asking.target(self.parent.index, self.parent.candidates)
 
-    def _ask(self) -> None:
+    def _request_repairs(self) -> None:
         if self.tier != CONTROL:
-            want = self.asking.next(self.now, self.lanes, self.parent.last)
+            want = self.retransmits.next_request(self.now, self.applied, self.parent.log_end)
             if want is not None:
-                self._say(self._asked(self.asking), want)
-        if self.forgotten and self.now >= self.digest_at:
-            upto = self.forgotten[1] + 1
-            self.digest_at = self.now + self.comparing.retry
-            self.comparing.vain()
-            if self._asked(self.comparing):
-                self._say(self._asked(self.comparing), said.Digest(upto, self.table.sums(upto)))
+                self._send(self._repair_source(self.retransmits), want)
+        if self.purged_range and self.now >= self.digest_at:
+            upto = self.purged_range[1] + 1
+            self.digest_at = self.now + self.table_sync.retry_delay
+            self.table_sync.on_timeout()
+            if self._repair_source(self.table_sync):
+                self._send(
+                    self._repair_source(self.table_sync), msg.TableDigest(upto, self.table.checksums(upto))
+                )
 
     # What goes down
 
     def _lease_left(self) -> float:
         return self.settings.lease if self.is_root else self.parent.lease_until - self.now
 
-    def _pass_on(self, child: Child, packed: dict[tuple[int, int], tuple[Entry, ...]]) -> None:
+    def _send_to_child(self, child: Child, packed: dict[tuple[int, int], tuple[Entry, ...]]) -> None:
         """News from where the child is, and the answer to its report."""
-        answers = child.answer_at < NEVER
+        answers = child.reply_due < NEVER
         control = self.tree.tier(child.name) == CONTROL
         while True:
             entries: tuple[Entry, ...] = ()
-            if not control and child.cursor <= self.lanes.top:
-                space = self.room - HEAD - BEAT * answers
-                entries = self._run(child, space, packed)
-            words: list[Word] = [News(self.epoch, child.cursor, entries)] if entries else []
+            if not control and child.cursor <= self.applied.highest:
+                space = self.max_payload - BATCH_OVERHEAD - HEARTBEAT_BYTES * answers
+                entries = self._next_batch(child, space, packed)
+            words: list[Message] = [EntryBatch(self.epoch, child.cursor, entries)] if entries else []
             if answers:
-                last = self.lanes.have if control else min(self.lanes.have, child.cursor + len(entries) - 1)
+                last = (
+                    self.applied.contiguous_until
+                    if control
+                    else min(self.applied.contiguous_until, child.cursor + len(entries) - 1)
+                )
                 good_for = self.children.grant(self.now, child, self._lease_left(), self.epoch)
-                words.append(Beat(self.epoch, last, child.stamp, good_for))
+                words.append(Heartbeat(self.epoch, last, child.stamp, good_for))
             if not words:
                 break
-            if not self._say(child.name, *words):
-                child.answer_at = self.now + self.settings.pause if answers else NEVER
+            if not self._send(child.name, *words):
+                child.reply_due = self.now + self.settings.pause if answers else NEVER
                 break
             child.cursor += len(entries)
-            child.answer_at, answers = NEVER, False
-        if not control and child.cursor <= self.lanes.top:
-            self.news_at = min(self.news_at, self.now + self.settings.pause)
+            child.reply_due, answers = NEVER, False
+        if not control and child.cursor <= self.applied.highest:
+            self.forward_at = min(self.forward_at, self.now + self.settings.pause)
 
-    def _run(
+    def _next_batch(
         self, child: Child, space: int, packed: dict[tuple[int, int], tuple[Entry, ...]]
     ) -> tuple[Entry, ...]:
         """The next entries for a child. A hole of this node's is waited for, as it will be filled soon."""
-        end = self.lanes.run(child.cursor)
+        end = self.applied.range_end(child.cursor)
         if not end:
-            if self.now < self.hole_at + WAITS * self.settings.pause:
+            if self.now < self.gap_seen_at + GAP_PATIENCE * self.settings.pause:
                 return ()
-            child.cursor = next(first for first, _ in self.lanes.ranges if first > child.cursor)
-            end = self.lanes.run(child.cursor)
+            child.cursor = next(first for first, _ in self.applied.ranges if first > child.cursor)
+            end = self.applied.range_end(child.cursor)
         key = (child.cursor, space)
         if key not in packed:
-            packed[key] = self.tail.run(child.cursor, end, space)
-            if not packed[key] and self.tail.get(child.cursor) is None:
-                child.cursor = min(self.tail.next(child.cursor), end + 1)  # kept no more: the child asks
+            packed[key] = self.suffix.batch(child.cursor, end, space)
+            if not packed[key] and self.suffix.get(child.cursor) is None:
+                child.cursor = min(
+                    self.suffix.next_kept(child.cursor), end + 1
+                )  # kept no more: the child asks
         return packed[key]
 
-    def _serve(self) -> None:
+    def _send_repairs(self) -> None:
         """What others have asked for, by what the budget leaves."""
-        if self.now < self.serve_at:
+        if self.now < self.repair_at:
             return
         settings = self.settings
-        self.serve_at = NEVER
-        if self.now >= self.served_at + settings.pause:
-            news = len(self.children.all) * child_cost(settings, LONGEST_NAME) + REPORT / settings.report
-            left = max(KEEPS * self.allowance.budget, self.allowance.budget - news)
-            self.served_at, self.share = self.now, min(self.share, 0.0) + left * settings.pause
-        while self.share > 0:
-            found = self.serving.next(self.epoch)
+        self.repair_at = NEVER
+        if self.now >= self.repaired_at + settings.pause:
+            news = (
+                len(self.children.by_name) * child_cost(settings, MAX_NAME_BYTES)
+                + REPORT_BYTES / settings.report
+            )
+            left = max(MIN_REPAIR_SHARE * self.send_window.budget, self.send_window.budget - news)
+            self.repaired_at, self.repair_credit = (
+                self.now,
+                min(self.repair_credit, 0.0) + left * settings.pause,
+            )
+        while self.repair_credit > 0:
+            found = self.repairs.next_reply(self.epoch)
             if found is None:
                 return
             before = self.counts.bytes_out
-            if not self._say(found[0], found[1]):
+            if not self._send(found[0], found[1]):
                 break
-            self.share -= self.counts.bytes_out - before
-        self.serve_at = self.served_at + settings.pause
+            self.repair_credit -= self.counts.bytes_out - before
+        self.repair_at = self.repaired_at + settings.pause
 
     def status(self, now: float) -> dict[str, Any]:
         """What staff may want to know."""
         counts = asdict(self.counts)
-        done, behind = self.children.reported, self.children.lowest(now, self.have)[1]
+        done, behind = self.children.watermark, self.children.lowest_acknowledged(now, self.applied_until)[1]
         return {
             "tier": self.tier,
             "root": self.is_root,
             "parent": self.parent.name,
             "epoch": self.epoch,
-            "have": self.have,
-            "last": max(self.lanes.top, self.parent.last),
+            "have": self.applied_until,
+            "last": max(self.applied.highest, self.parent.log_end),
             "done": done,
             "behind": behind,
-            "lanes": list(self.lanes.ranges),
-            "forgotten": self.forgotten,
+            "lanes": list(self.applied.ranges),
+            "forgotten": self.purged_range,
             "children": {
-                c.name: {"have": c.have, "done": c.done, "counts": c.counts_until > now}
-                for c in self.children.all.values()
+                c.name: {"have": c.applied_until, "done": c.acknowledged, "counts": c.counted_until > now}
+                for c in self.children.by_name.values()
             },
             "away": {name: below for name, (below, _) in self.children.silent.items()},
-            "vouches": self.vouches(now),
+            "vouches": self.has_lease(now),
             "lease_left": max(0.0, self.parent.lease_until - now) if not self.is_root else None,
             "counts": counts,
         }
--- a/myrtlecourse/spread/repair.py
+++ b/myrtlecourse/spread/repair.py
@@ -2,75 +2,88 @@
 
 from __future__ import annotations
 
-from myrtlecourse.spread.applied_ranges import Lanes
-from myrtlecourse.spread.messages import LONGEST_VALUE, Beyond, Digest, News, Rows, Same, Want, Word
-from myrtlecourse.spread.change_table import Table
-from myrtlecourse.spread.log_suffix import Tail
+from myrtlecourse.spread.applied_ranges import AppliedRanges
+from myrtlecourse.spread.change_table import ChangeTable
+from myrtlecourse.spread.log_suffix import LogSuffix
+from myrtlecourse.spread.messages import (
+    MAX_VALUE_BYTES,
+    EntriesDropped,
+    EntryBatch,
+    Message,
+    RetransmitRequest,
+    TableDigest,
+    TableInSync,
+    TableRows,
+)
 
-HEAD = 24  # bytes that a `News` takes beside its entries, and the array of parts
-ROWS = 8  # the same of `Rows`
-ASKERS = 16  # beside the children that a node may have
-LONGEST_ENTRY = 14 + LONGEST_VALUE  # bytes that the longest entry takes
-LEAST_ROOM = HEAD + LONGEST_ENTRY  # of a datagram, for one that passes on
+BATCH_OVERHEAD = 24  # bytes that a `News` takes beside its entries, and the array of parts
+ROWS_OVERHEAD = 8  # the same of `Rows`
+EXTRA_REQUESTERS = 16  # beside the children that a node may have
+MAX_ENTRY_BYTES = 14 + MAX_VALUE_BYTES  # bytes that the longest entry takes
+MIN_PAYLOAD = BATCH_OVERHEAD + MAX_ENTRY_BYTES  # of a datagram, for one that passes on
 
 
-class Serving:
+class RepairQueue:
     """Everybody's turn: a datagram each, round and round."""
 
-    def __init__(self, bound: int, room: int, lanes: Lanes, tail: Tail, table: Table) -> None:
-        self.bound = bound + ASKERS if bound else 0
-        self.room = room
-        self.lanes, self.tail, self.table = lanes, tail, table
-        self.wants: dict[str, tuple[int, int]] = {}
-        self.digests: dict[str, tuple[int, bytes]] = {}  # range, and the last subject that was sent
+    def __init__(
+        self, bound: int, room: int, lanes: AppliedRanges, tail: LogSuffix, table: ChangeTable
+    ) -> None:
+        self.max_requesters = bound + EXTRA_REQUESTERS if bound else 0
+        self.max_payload = room
+        self.applied, self.suffix, self.table = lanes, tail, table
+        self.entry_requests: dict[str, tuple[int, int]] = {}
+        self.table_requests: dict[str, tuple[int, bytes]] = {}  # range, and the last subject that was sent
 
-    def _may_ask(self, asker: str, asked: dict[str, tuple[int, int]] | dict[str, tuple[int, bytes]]) -> bool:
-        return asker in asked or len(asked) < self.bound
+    def _has_place(
+        self, asker: str, asked: dict[str, tuple[int, int]] | dict[str, tuple[int, bytes]]
+    ) -> bool:
+        return asker in asked or len(asked) < self.max_requesters
 
-    def want(self, asker: str, want: Want) -> bool:
+    def request_entries(self, asker: str, want: RetransmitRequest) -> bool:
         """Whether it will be looked for; a new question replaces the asker's one before."""
-        if not self._may_ask(asker, self.wants):
+        if not self._has_place(asker, self.entry_requests):
             return False
-        self.wants[asker] = (want.first, want.first + want.count - 1)
+        self.entry_requests[asker] = (want.first, want.first + want.count - 1)
         return True
 
-    def digest(self, asker: str, digest: Digest, complete: bool) -> Word | None:
+    def request_table(self, asker: str, digest: TableDigest, complete: bool) -> Message | None:
         """Compare the table with the asker's; `complete`: it is known to lack nothing itself."""
-        if not complete or not self._may_ask(asker, self.digests):
+        if not complete or not self._has_place(asker, self.table_requests):
             return None
-        own = self.table.sums(digest.upto)
+        own = self.table.checksums(digest.upto)
         for which, (mine, other) in enumerate(zip(own, digest.sums, strict=True)):
             if mine != other:
-                self.digests[asker] = (which, b"")
+                self.table_requests[asker] = (which, b"")
                 return None
-        return Same(digest.upto)
+        return TableInSync(digest.upto)
 
-    def forget(self, asker: str) -> None:
+    def drop(self, asker: str) -> None:
         """It needs nothing from here any more."""
-        self.wants.pop(asker, None)
-        self.digests.pop(asker, None)
+        self.entry_requests.pop(asker, None)
+        self.table_requests.pop(asker, None)
 
-    def next(self, epoch: int) -> tuple[str, Word] | None:
+    def next_reply(self, epoch: int) -> tuple[str, Message] | None:
         """The next datagram for one of them, who goes to the end of the line."""
-        while self.wants:
-            asker = next(iter(self.wants))
-            word = self._entries(epoch, *self.wants.pop(asker), asker)
+        while self.entry_requests:
+            asker = next(iter(self.entry_requests))
+            word = self._entry_reply(epoch, *self.entry_requests.pop(asker), asker)
             if word is not None:
                 return asker, word
-        while self.digests:
-            asker = next(iter(self.digests))
-            which, after = self.digests.pop(asker)
-            rows, more = self.table.rows(which, after, self.room - ROWS)
+        while self.table_requests:
+            asker = next(iter(self.table_requests))
+            which, after = self.table_requests.pop(asker)
+            rows, more = self.table.rows(which, after, self.max_payload - ROWS_OVERHEAD)
             if more and rows:
-                self.digests[asker] = (which, rows[-1][1].subject)
-            return asker, Rows(which, rows, more)
+                self.table_requests[asker] = (which, rows[-1][1].subject)
+            return asker, TableRows(which, rows, more)
         return None
 
-    def _entries(self, epoch: int, first: int, last: int, asker: str) -> Word | None:
-        found = self.tail.run(first, min(last, self.tail.top), self.room - HEAD)
+    def _entry_reply(self, epoch: int, first: int, last: int, asker: str) -> Message | None:
+        found = self.suffix.batch(first, min(last, self.suffix.highest), self.max_payload - BATCH_OVERHEAD)
         if found:
             if first + len(found) <= last:
-                self.wants[asker] = (first + len(found), last)
-            return News(epoch, first, found)
+                self.entry_requests[asker] = (first + len(found), last)
+            return EntryBatch(epoch, first, found)
         # applied here and kept no more; what is missing here too, another candidate may have
-        return Beyond(self.tail.next(first)) if self.lanes.run(first) else None
+        return EntriesDropped(self.suffix.next_kept(first)) if self.applied.range_end(first) else None
--- a/myrtlecourse/spread/replica.py
+++ b/myrtlecourse/spread/replica.py
@@ -12,355 +12,379 @@
 
 from myrtlecourse.peers.seal import LONGEST, SEAL
 from myrtlecourse.peers.wire import HEAD
-from myrtlecourse.spread import replica_events as at
-from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.replica_events import HeadAction, HeadEvent, Record, Saved, Stored, fitting
-from myrtlecourse.spread.leader import MOST_FLIGHT, Budget, Lead, Made, Phase, table_from
-from myrtlecourse.spread.messages import Change, Entry, Settings, Word
-
-WRITTEN = 52  # bytes at most of a `Written` without its entries
-MOST_BURST = 32  # datagrams of the table that are sent for one question
-MOST_TOLD = 10_000  # entries that the node is told of at once
-PATIENCE = 4  # pauses for which one that sends its table may be silent before another's is taken
-KEEPS_MORE = 1.25  # times the tail, before what is older becomes a table
-RECORDS = (at.Promise, at.Write, at.Cut, at.Lasts, at.Snapshot)
-
-
-class Gather:
+from myrtlecourse.spread import messages as msg
+from myrtlecourse.spread import replica_events as events
+from myrtlecourse.spread.leader import MAX_IN_FLIGHT, Leader, Output, Phase, TokenBucket, snapshot_rows
+from myrtlecourse.spread.messages import Change, Entry, Message, Settings
+from myrtlecourse.spread.replica_events import (
+    LogState,
+    Record,
+    ReplicaAction,
+    ReplicaEvent,
+    Stored,
+    entries_that_fit,
+)
+
+PREPARE_REPLY_BYTES = 52  # bytes at most of a `Written` without its entries
+MAX_SNAPSHOT_BURST = 32  # datagrams of the table that are sent for one question
+MAX_COMMITTED_BATCH = 10_000  # entries that the node is told of at once
+SENDER_PATIENCE = 4  # pauses for which one that sends its table may be silent before another's is taken
+COMPACTION_FACTOR = 1.25  # times the tail, before what is older becomes a table
+RECORD_TYPES = (events.Promise, events.Write, events.Truncate, events.Commit, events.Snapshot)
+
+
+class SnapshotTransfer:
     """The table that comes from another machine, row by row."""
 
     def __init__(self, sender: str, upto: int) -> None:
         self.sender = sender
         self.upto = upto
-        self.after = b""
+        self.last_subject = b""
         self.rows: list[tuple[int, Change]] = []
-        self.whole = False
-        self.came = 0  # datagrams since it was last asked for
-        self.at = -math.inf  # when rows last came
-        self.ask_at = -math.inf
+        self.complete = False
+        self.received = 0  # datagrams since it was last asked for
+        self.received_at = -math.inf  # when rows last came
+        self.request_at = -math.inf
 
 
-class Head:
+class Replica:
     """One control machine's part."""
 
-    def __init__(self, settings: Settings, saved: Saved, now: float) -> None:
+    def __init__(self, settings: Settings, saved: LogState, now: float) -> None:
         """`saved` is what the disk holds; it is the head's from now on."""
         self.settings = settings
-        self.saved = saved
+        self.state = saved
         self.now = now
         names = [*settings.control, *(m for s in settings.sites for m in (*s.routers, *s.parts))]
         # what is written has to reach members with longer names, too
-        self.room = LONGEST - SEAL - HEAD - max(len(name.encode()) for name in names)
-        self.promised = saved.promised  # ahead of the disk, for a moment
-        self.agreed = saved.agreed(saved.promised)  # all up to here is as who writes under that epoch has it
-        self.taken = self.agreed  # the same, with what is still to be written down
-        self.known = saved.settled  # how far the log lasts, as was heard
-        self.told = 0  # entries that the node knows of
-        self.lasting = saved.settled  # what the disk knows of that
-        self.lead: Lead | None = None
-        self.budget = Budget(settings.control_half, settings.control_half * settings.pause, now)
-        self.records: list[Record] = []  # that wait for the disk
-        self.storing: tuple[Record, ...] = ()
-        self.store = 0
+        self.max_payload = LONGEST - SEAL - HEAD - max(len(name.encode()) for name in names)
+        self.promised_epoch = saved.promised  # ahead of the disk, for a moment
+        self.matching_until = saved.matching_until(
+            saved.promised
+        )  # all up to here is as who writes under that epoch has it
+        self.accepted_until = self.matching_until  # the same, with what is still to be written down
+        self.known_commit = saved.commit_index  # how far the log lasts, as was heard
+        self.delivered = 0  # entries that the node knows of
+        self.stored_commit = saved.commit_index  # what the disk knows of that
+        self.leader: Leader | None = None
+        self.budget = TokenBucket(
+            settings.half_control_budget, settings.half_control_budget * settings.pause, now
+        )
+        self.pending_records: list[Record] = []  # that wait for the disk
+        self.records_in_flight: tuple[Record, ...] = ()
+        self.store_number = 0
         self.retry_at = now
-        self.asked: tuple[str, said.Survey] | None = None
-        self.owes = ""  # to whom it is to be said how far all is written
-        self.gather: Gather | None = None
-        self.root = said.Root(0, "")
-        self.counts = said.Counts()
-        self.why = ""  # what the disk said last
-        self.out: list[HeadAction] = []
-
-    def handle(self, now: float, event: HeadEvent) -> list[HeadAction]:
+        self.pending_prepare: tuple[str, msg.Prepare] | None = None
+        self.reply_to = ""  # to whom it is to be said how far all is written
+        self.transfer: SnapshotTransfer | None = None
+        self.leadership = msg.Leadership(0, "")
+        self.counts = msg.Counts()
+        self.disk_error = ""  # what the disk said last
+        self.actions: list[ReplicaAction] = []
+
+    def handle(self, now: float, event: ReplicaEvent) -> list[ReplicaAction]:
         """Take one event and answer with actions, to be carried out in order."""
-        self.now, self.out = max(now, self.now), []
-        self.budget.fill(self.now)
+        self.now, self.actions = max(now, self.now), []
+        self.budget.refill(self.now)
         match event:
-            case said.Heard(sender, words) if sender in self.settings.control:
+            case msg.Received(sender, words) if sender in self.settings.control:
                 for word in words:
-                    self._hear(sender, word)
-            case at.Took(token):
-                self._took(token)
-            case at.Lost() if self.lead is not None:
-                self._lost()
-            case at.Propose(ticket, entry):
-                if self.lead is None:
-                    self.out.append(at.Refuse(ticket, "not the holder"))
+                    self._on_message(sender, word)
+            case events.LeadershipGained(token):
+                self._on_leadership_gained(token)
+            case events.LeadershipLost() if self.leader is not None:
+                self._on_leadership_lost()
+            case events.Propose(ticket, entry):
+                if self.leader is None:
+                    self.actions.append(events.Refuse(ticket, "not the holder"))
                 else:
-                    self._take(self.lead.propose(ticket, entry))
+                    self._collect(self.leader.propose(ticket, entry))
             case Stored():
-                self._stored(event)
-        self._serve()
-        return self.out
+                self._on_stored(event)
+        self._run_due()
+        return self.actions
 
-    def _take(self, made: Iterable[Made]) -> None:
+    def _collect(self, made: Iterable[Output]) -> None:
         for each in made:
-            if isinstance(each, RECORDS):
-                self.records.append(each)
+            if isinstance(each, RECORD_TYPES):
+                self.pending_records.append(each)
             else:
-                self.out.append(each)
+                self.actions.append(each)
 
-    def _say(self, to: str, *words: Word) -> None:
-        self.out.append(said.Say(to, words))
+    def _send(self, to: str, *words: Message) -> None:
+        self.actions.append(msg.Send(to, words))
 
     # Who writes
 
-    def _took(self, token: int) -> None:
+    def _on_leadership_gained(self, token: int) -> None:
         """Guards epochs: one that was promised before is another's, or of the process before this one."""
-        if token > self.promised:
+        if token > self.promised_epoch:
             # not the root yet: before the takeover it may lack what the root before said to be done
-            self._promise(token, "")
-            self.lead = Lead(self.settings, token, self.saved, self.budget, self.room, self.now)
-
-    def _lost(self) -> None:
-        if self.lead is not None:
-            self._take(self.lead.lost())
-            self.lead = None
-            self._root("")
-
-    def _promise(self, epoch: int, holder: str) -> None:
-        self._lost()
-        self.promised = epoch
-        self.agreed = self.taken = self.saved.settled
-        self.asked, self.owes, self.gather = None, "", None
-        self._root(holder)
-
-    def _root(self, holder: str) -> None:
-        root = said.Root(self.promised, holder)
-        if root != self.root:
-            self.root = root
-            self.out.append(root)
-
-    def _follows(self, sender: str, epoch: int) -> bool:
+            self._enter_epoch(token, "")
+            self.leader = Leader(self.settings, token, self.state, self.budget, self.max_payload, self.now)
+
+    def _on_leadership_lost(self) -> None:
+        if self.leader is not None:
+            self._collect(self.leader.on_leadership_lost())
+            self.leader = None
+            self._set_leader("")
+
+    def _enter_epoch(self, epoch: int, holder: str) -> None:
+        self._on_leadership_lost()
+        self.promised_epoch = epoch
+        self.matching_until = self.accepted_until = self.state.commit_index
+        self.pending_prepare, self.reply_to, self.transfer = None, "", None
+        self._set_leader(holder)
+
+    def _set_leader(self, holder: str) -> None:
+        root = msg.Leadership(self.promised_epoch, holder)
+        if root != self.leadership:
+            self.leadership = root
+            self.actions.append(root)
+
+    def _accepts_epoch(self, sender: str, epoch: int) -> bool:
         """Whether a holder's word counts; from now on none of a lower epoch does."""
-        if epoch < self.promised:
+        if epoch < self.promised_epoch:
             self.counts.stale += 1
-            self._say(sender, said.Outdated(self.promised))
+            self._send(sender, msg.StaleEpoch(self.promised_epoch))
             return False
-        if epoch > self.promised:
-            self._promise(epoch, sender)
-        elif self.lead is not None:
+        if epoch > self.promised_epoch:
+            self._enter_epoch(epoch, sender)
+        elif self.leader is not None:
             self.counts.refused += 1
             return False
-        self._root(sender)
+        self._set_leader(sender)
         return True
 
     # Words
 
-    def _hear(self, sender: str, word: Word) -> None:
+    def _on_message(self, sender: str, word: Message) -> None:
         match word:
-            case said.Survey(epoch):
-                if self._follows(sender, epoch):
-                    self.asked = sender, word
-            case said.Keep(epoch):
-                if self._follows(sender, epoch):
-                    self._keep(sender, word)
-            case said.Written() if self.lead is not None:
-                self.lead.written(sender, word)
-            case said.Kept() if self.lead is not None:
-                self._take(self.lead.kept(self.now, sender, word))
-            case said.Outdated(epoch) if self.lead is not None and epoch > self.lead.epoch:
-                self._promise(epoch, "")
-            case said.Fetch():
-                self._rows(sender, word)
-            case said.Table():
-                self._table(sender, word)
+            case msg.Prepare(epoch):
+                if self._accepts_epoch(sender, epoch):
+                    self.pending_prepare = sender, word
+            case msg.Append(epoch):
+                if self._accepts_epoch(sender, epoch):
+                    self._on_append(sender, word)
+            case msg.PrepareReply() if self.leader is not None:
+                self.leader.on_prepare_reply(sender, word)
+            case msg.AppendReply() if self.leader is not None:
+                self._collect(self.leader.on_append_reply(self.now, sender, word))
+            case msg.StaleEpoch(epoch) if self.leader is not None and epoch > self.leader.epoch:
+                self._enter_epoch(epoch, "")
+            case msg.SnapshotRequest():
+                self._send_snapshot_rows(sender, word)
+            case msg.SnapshotRows():
+                self._on_snapshot_rows(sender, word)
             case _:
                 self.counts.stale += 1
 
-    def _keep(self, sender: str, word: said.Keep) -> None:
+    def _on_append(self, sender: str, word: msg.Append) -> None:
         """Write down what follows; a hole is told by how far all is written."""
         if not word.entries:
             # all that was taken over lasts, by a majority: what else is here was never acknowledged
-            last = max(self.taken, word.first - 1)
-            waiting = [r.first + len(r.entries) - 1 for r in self._pending() if isinstance(r, at.Write)]
-            if max([self.saved.last, *waiting]) > last and at.Cut(last) not in self.records:
-                self.records.append(at.Cut(last))
-        skip = self.taken + 1 - word.first
+            last = max(self.accepted_until, word.first - 1)
+            waiting = [
+                r.first + len(r.entries) - 1 for r in self._unstored_records() if isinstance(r, events.Write)
+            ]
+            if max([self.state.last, *waiting]) > last and events.Truncate(last) not in self.pending_records:
+                self.pending_records.append(events.Truncate(last))
+        skip = self.accepted_until + 1 - word.first
         fresh = word.entries[skip:] if skip >= 0 else ()
-        if fresh and self.taken - self.agreed < MOST_FLIGHT:
-            self.records.append(at.Write(self.taken + 1, word.epoch, fresh))
-            self.taken += len(fresh)
-        self.known = max(self.known, word.settled)
-        if self.taken == self.agreed:
-            self.owes = sender  # else it is answered for what is being written
-
-    def _written(self, sender: str, survey: said.Survey) -> None:
+        if fresh and self.accepted_until - self.matching_until < MAX_IN_FLIGHT:
+            self.pending_records.append(events.Write(self.accepted_until + 1, word.epoch, fresh))
+            self.accepted_until += len(fresh)
+        self.known_commit = max(self.known_commit, word.settled)
+        if self.accepted_until == self.matching_until:
+            self.reply_to = sender  # else it is answered for what is being written
+
+    def _reply_to_prepare(self, sender: str, survey: msg.Prepare) -> None:
         """Answer a survey, as far as the budget goes; it is asked again for the rest."""
-        saved, after = self.saved, survey.after
+        saved, after = self.state, survey.after
         if after < saved.base:
-            self._say(sender, table_from(self.promised, saved, b"", self.room))
+            self._send(sender, snapshot_rows(self.promised_epoch, saved, b"", self.max_payload))
             return
         while True:
             entries: tuple[Entry, ...] = ()
             under = 0
             if after < saved.last:
                 here = after - saved.base
-                count = max(1, fitting(saved.entries, here, self.room - WRITTEN))
-                under = saved.unders[here]
-                same = next((i for i in range(count) if saved.unders[here + i] != under), count)
-                entries = saved.part(after + 1, same)
+                count = max(1, entries_that_fit(saved.entries, here, self.max_payload - PREPARE_REPLY_BYTES))
+                under = saved.entry_epochs[here]
+                same = next((i for i in range(count) if saved.entry_epochs[here + i] != under), count)
+                entries = saved.entries_from(after + 1, same)
             self.budget.spend()
-            word = said.Written(survey.epoch, after + 1, under, entries, saved.last, saved.settled)
-            self._say(sender, word)
+            word = msg.PrepareReply(survey.epoch, after + 1, under, entries, saved.last, saved.commit_index)
+            self._send(sender, word)
             after += len(entries)
-            if after >= saved.last or self.budget.left <= 0:
+            if after >= saved.last or self.budget.available <= 0:
                 return
 
     # A log that begins behind where this one ends
 
-    def _rows(self, sender: str, word: said.Fetch) -> None:
+    def _send_snapshot_rows(self, sender: str, word: msg.SnapshotRequest) -> None:
         after = word.after
-        for _ in range(MOST_BURST):
-            if self.budget.left <= 0:
+        for _ in range(MAX_SNAPSHOT_BURST):
+            if self.budget.available <= 0:
                 return
             self.budget.spend()
-            table = table_from(word.epoch, self.saved, after, self.room)
-            self._say(sender, table)
+            table = snapshot_rows(word.epoch, self.state, after, self.max_payload)
+            self._send(sender, table)
             if not table.more:
                 return
             after = table.rows[-1][1].subject
 
-    def _table(self, sender: str, word: said.Table) -> None:
+    def _on_snapshot_rows(self, sender: str, word: msg.SnapshotRows) -> None:
         """Take rows in order; guards what lasts: nothing that is known here is replaced by older."""
-        if self.lead is not None:
-            if word.epoch != self.lead.epoch or self.lead.phase is not Phase.SURVEY:
+        if self.leader is not None:
+            if word.epoch != self.leader.epoch or self.leader.phase is not Phase.PREPARE:
                 return
-        elif not self._follows(sender, word.epoch):
+        elif not self._accepts_epoch(sender, word.epoch):
             return
-        if word.upto <= self.saved.settled:
+        if word.upto <= self.state.commit_index:
             return
-        gather = self.gather
+        gather = self.transfer
         if gather is None or (gather.sender, gather.upto) != (sender, word.upto):
-            lately = gather is not None and self.now - gather.at < PATIENCE * self.settings.pause
-            if word.after or (gather is not None and (gather.whole or (lately and gather.sender != sender))):
+            lately = (
+                gather is not None and self.now - gather.received_at < SENDER_PATIENCE * self.settings.pause
+            )
+            if word.after or (
+                gather is not None and (gather.complete or (lately and gather.sender != sender))
+            ):
                 return
-            gather = self.gather = Gather(sender, word.upto)
-        if gather.whole or word.after != gather.after:
+            gather = self.transfer = SnapshotTransfer(sender, word.upto)
+        if gather.complete or word.after != gather.last_subject:
             return
         gather.rows += word.rows
-        gather.came, gather.at = gather.came + 1, self.now
-        gather.whole = not word.more
-        if gather.whole:
-            self.records.append(at.Snapshot(word.upto, tuple(gather.rows)))
+        gather.received, gather.received_at = gather.received + 1, self.now
+        gather.complete = not word.more
+        if gather.complete:
+            self.pending_records.append(events.Snapshot(word.upto, tuple(gather.rows)))
         elif word.rows:
-            gather.after = word.rows[-1][1].subject
+            gather.last_subject = word.rows[-1][1].subject
 
-    def _fetch(self) -> None:
-        gather = self.gather
-        if gather is None or gather.whole:
+    def _request_snapshot_rows(self) -> None:
+        gather = self.transfer
+        if gather is None or gather.complete:
             return
-        if self.now >= gather.ask_at or gather.came >= MOST_BURST:
-            gather.came, gather.ask_at = 0, self.now + self.settings.pause
-            self._say(gather.sender, said.Fetch(self.promised, gather.after))
+        if self.now >= gather.request_at or gather.received >= MAX_SNAPSHOT_BURST:
+            gather.received, gather.request_at = 0, self.now + self.settings.pause
+            self._send(gather.sender, msg.SnapshotRequest(self.promised_epoch, gather.last_subject))
 
     # The disk
 
-    def _stored(self, event: Stored) -> None:
-        if not self.storing or event.number != self.store:
+    def _on_stored(self, event: Stored) -> None:
+        if not self.records_in_flight or event.number != self.store_number:
             return
-        records, self.storing = self.storing, ()
-        self.why = event.why
-        if event.why:
+        records, self.records_in_flight = self.records_in_flight, ()
+        self.disk_error = event.error
+        if event.error:
             # guards the log: what was to follow on what failed follows on nothing
-            self.records = []
-            self.taken = self.agreed
+            self.pending_records = []
+            self.accepted_until = self.matching_until
             self.retry_at = self.now + self.settings.pause
-            self.gather = None
-            if self.lead is not None:
-                self._take(self.lead.failed(event.why))
+            self.transfer = None
+            if self.leader is not None:
+                self._collect(self.leader.on_store_failed(event.error))
             return
         for record in records:
-            self.saved.take(record)
+            self.state.apply(record)
             match record:
-                case at.Lasts(number):
-                    self.lasting = number
-                case at.Write(first, under, entries) if under == self.promised:
-                    self.agreed = max(self.agreed, first + len(entries) - 1)
-                    self.owes = self.root.holder
-                case at.Snapshot(upto):
-                    self.agreed, self.taken = max(upto, self.agreed), max(upto, self.taken)
-                    if self.gather is not None and self.gather.upto <= upto:
-                        self.gather, self.owes = None, self.root.holder
-        if self.lead is not None:
-            self.owes = ""
-            self._take(self.lead.stored(self.now))
-
-    def _serve(self) -> None:
+                case events.Commit(number):
+                    self.stored_commit = number
+                case events.Write(first, under, entries) if under == self.promised_epoch:
+                    self.matching_until = max(self.matching_until, first + len(entries) - 1)
+                    self.reply_to = self.leadership.leader
+                case events.Snapshot(upto):
+                    self.matching_until, self.accepted_until = (
+                        max(upto, self.matching_until),
+                        max(upto, self.accepted_until),
+                    )
+                    if self.transfer is not None and self.transfer.upto <= upto:
+                        self.transfer, self.reply_to = None, self.leadership.leader
+        if self.leader is not None:
+            self.reply_to = ""
+            self._collect(self.leader.on_stored(self.now))
+
+    def _run_due(self) -> None:
         """Do what is due."""
-        if self.lead is not None:
-            self._take(self.lead.tick(self.now))
-        self._learn()
-        if self.lead is not None and self.lead.open:
-            self._root(self.settings.name)
-        self._fetch()
-        on_disk = self.saved.promised >= self.promised
-        if self.asked is not None and on_disk:
-            self._written(*self.asked)
-            self.asked = None
-        if self.owes and on_disk:
-            self._say(self.owes, said.Kept(self.promised, self.agreed))
-            self.owes = ""
-        self._write_down()
-        self.out.append(said.Wake(self._next()))
-
-    def _learn(self) -> None:
+        if self.leader is not None:
+            self._collect(self.leader.tick(self.now))
+        self._deliver_committed()
+        if self.leader is not None and self.leader.is_open:
+            self._set_leader(self.settings.name)
+        self._request_snapshot_rows()
+        on_disk = self.state.promised >= self.promised_epoch
+        if self.pending_prepare is not None and on_disk:
+            self._reply_to_prepare(*self.pending_prepare)
+            self.pending_prepare = None
+        if self.reply_to and on_disk:
+            self._send(self.reply_to, msg.AppendReply(self.promised_epoch, self.matching_until))
+            self.reply_to = ""
+        self._store_records()
+        self.actions.append(msg.SetTimer(self._next_timer()))
+
+    def _deliver_committed(self) -> None:
         """Tell the node what lasts: in order, each entry once in a process."""
-        saved = self.saved
-        if self.lead is not None and self.lead.phase is Phase.WRITE:
-            self.known = max(self.known, self.lead.settled)
-        saved.settled = max(saved.settled, min(self.known, self.agreed))
-        if self.told < saved.base:
-            self.out.append(said.Forget(self.told + 1, saved.base))
-            rows = (saved.table[subject] for subject in saved.subjects)
-            self.out += [said.Restore(number, change) for number, change in rows if number > self.told]
-            self.told = saved.base
-        while self.told < saved.settled:
-            entries = saved.part(self.told + 1, min(MOST_TOLD, saved.settled - self.told))
-            self.out.append(said.Settled(self.promised, self.told + 1, entries))
-            self.told += len(entries)
-
-    def _pending(self) -> tuple[Record, ...]:
-        return (*self.storing, *self.records)
-
-    def _write_down(self) -> None:
+        saved = self.state
+        if self.leader is not None and self.leader.phase is Phase.REPLICATE:
+            self.known_commit = max(self.known_commit, self.leader.commit_index)
+        saved.commit_index = max(saved.commit_index, min(self.known_commit, self.matching_until))
+        if self.delivered < saved.base:
+            self.actions.append(msg.AssumePurged(self.delivered + 1, saved.base))
+            rows = (saved.table[subject] for subject in saved.sorted_subjects)
+            self.actions += [
+                msg.Restore(number, change) for number, change in rows if number > self.delivered
+            ]
+            self.delivered = saved.base
+        while self.delivered < saved.commit_index:
+            entries = saved.entries_from(
+                self.delivered + 1, min(MAX_COMMITTED_BATCH, saved.commit_index - self.delivered)
+            )
+            self.actions.append(msg.Committed(self.promised_epoch, self.delivered + 1, entries))
+            self.delivered += len(entries)
+
+    def _unstored_records(self) -> tuple[Record, ...]:
+        return (*self.records_in_flight, *self.pending_records)
+
+    def _store_records(self) -> None:
         """One store at a time: what comes meanwhile shares the next sync."""
-        saved, pending = self.saved, self._pending()
-        if saved.promised < self.promised and at.Promise(self.promised) not in pending:
-            self.records.append(at.Promise(self.promised))
-        upto = min(saved.last - self.settings.control_tail, saved.settled)
-        full = len(saved.entries) > KEEPS_MORE * self.settings.control_tail
-        if full and upto > saved.base and not any(isinstance(r, at.Snapshot) for r in pending):
-            self.records.append(saved.fold(upto))
-        if not self.records or self.storing or self.now < self.retry_at:
+        saved, pending = self.state, self._unstored_records()
+        if saved.promised < self.promised_epoch and events.Promise(self.promised_epoch) not in pending:
+            self.pending_records.append(events.Promise(self.promised_epoch))
+        upto = min(saved.last - self.settings.control_tail, saved.commit_index)
+        full = len(saved.entries) > COMPACTION_FACTOR * self.settings.control_tail
+        if full and upto > saved.base and not any(isinstance(r, events.Snapshot) for r in pending):
+            self.pending_records.append(saved.snapshot_at(upto))
+        if not self.pending_records or self.records_in_flight or self.now < self.retry_at:
             return
-        if saved.settled > self.lasting:
-            self.records.append(at.Lasts(saved.settled))
-        self.store += 1
-        self.storing, self.records = tuple(self.records), []
-        self.out.append(at.Store(self.store, self.storing))
+        if saved.commit_index > self.stored_commit:
+            self.pending_records.append(events.Commit(saved.commit_index))
+        self.store_number += 1
+        self.records_in_flight, self.pending_records = tuple(self.pending_records), []
+        self.actions.append(events.Store(self.store_number, self.records_in_flight))
 
-    def _next(self) -> float:
+    def _next_timer(self) -> float:
         times = [math.inf]
-        if self.lead is not None:
-            times.append(self.lead.next(self.now))
-        if self.gather is not None and not self.gather.whole:
-            times.append(self.gather.ask_at)
-        if self.records and not self.storing:
+        if self.leader is not None:
+            times.append(self.leader.next_timer(self.now))
+        if self.transfer is not None and not self.transfer.complete:
+            times.append(self.transfer.request_at)
+        if self.pending_records and not self.records_in_flight:
             times.append(self.retry_at)
         return min(times)
 
     def status(self, now: float) -> dict[str, Any]:
         """What staff may want to know; JSON-able."""
         return {
-            "epoch": self.promised,
-            "holder": self.root.holder,
-            "first": self.saved.base + 1,
-            "last": self.saved.last,
-            "settled": self.saved.settled,
-            "subjects": len(self.saved.table),
-            "gathers_from": self.gather.sender if self.gather is not None else "",
-            "disk": self.why,
+            "epoch": self.promised_epoch,
+            "holder": self.leadership.leader,
+            "first": self.state.base + 1,
+            "last": self.state.last,
+            "settled": self.state.commit_index,
+            "subjects": len(self.state.table),
+            "gathers_from": self.transfer.sender if self.transfer is not None else "",
+            "disk": self.disk_error,
             "dropped": {"stale": self.counts.stale, "refused": self.counts.refused},
-            "lead": self.lead.status() if self.lead is not None else None,
+            "lead": self.leader.status() if self.leader is not None else None,
         }
