--- a/myrtlecourse/spread/replica_events.py
+++ b/myrtlecourse/spread/replica_events.py
@@ -5,20 +5,20 @@
 from dataclasses import dataclass, field
 
 from myrtlecourse.spread.messages import (
+    AssumePurged,
     Change,
+    Committed,
     Entry,
-    Forget,
-    Heard,
+    Leadership,
     Purge,
+    Received,
     Restore,
-    Root,
-    Say,
-    Settled,
-    Wake,
-    Woke,
+    Send,
+    SetTimer,
+    TimerFired,
 )
 
-MOST_RECORD = 1_000  # entries of one record
+MAX_RECORD_ENTRIES = 1_000  # entries of one record
 
 
 class LogError(Exception):
@@ -40,19 +40,19 @@
     """Entries as the holder of an epoch has them, in place of what was there under a lower one."""
 
     first: int
-    under: int
+    epoch: int
     entries: tuple[Entry, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Cut:
+class Truncate:
     """What follows on this number is void."""
 
     last: int
 
 
 @dataclass(slots=True, frozen=True)
-class Lasts:
+class Commit:
     """All up to this number is known to last."""
 
     number: int
@@ -66,26 +66,26 @@
     rows: tuple[tuple[int, Change], ...]
 
 
-Record = Promise | Write | Cut | Lasts | Snapshot
+Record = Promise | Write | Truncate | Commit | Snapshot
 
 
 @dataclass(slots=True)
-class Saved:
+class LogState:
     """What the records of a disk add up to."""
 
     promised: int = 0
     base: int = 0  # entries up to it are no more than the table
     table: dict[bytes, tuple[int, Change]] = field(default_factory=dict)
-    subjects: list[bytes] = field(default_factory=list)  # of the table, in order
+    sorted_subjects: list[bytes] = field(default_factory=list)  # of the table, in order
     entries: list[Entry] = field(default_factory=list)  # that follow on `base`
-    unders: list[int] = field(default_factory=list)  # the epoch in which each was written
-    settled: int = 0
+    entry_epochs: list[int] = field(default_factory=list)  # the epoch in which each was written
+    commit_index: int = 0
 
     @property
     def last(self) -> int:
         return self.base + len(self.entries)
 
-    def take(self, record: Record) -> None:
+    def apply(self, record: Record) -> None:
         """One record more. Raises LogError: it does not follow on those before."""
         match record:
             case Promise(epoch):
@@ -97,36 +97,36 @@
                 entries = entries[max(0, -at) :]
                 at = max(0, at)
                 self.entries[at : at + len(entries)] = entries
-                self.unders[at : at + len(entries)] = [under] * len(entries)
+                self.entry_epochs[at : at + len(entries)] = [under] * len(entries)
                 self.promised = max(under, self.promised)
-            case Cut(last):
+            case Truncate(last):
                 # guards what lasts: nobody may void it
-                at = max(last, self.settled) - self.base
-                del self.entries[at:], self.unders[at:]
-            case Lasts(number):
-                self.settled = max(self.settled, min(number, self.last))
+                at = max(last, self.commit_index) - self.base
+                del self.entries[at:], self.entry_epochs[at:]
+            case Commit(number):
+                self.commit_index = max(self.commit_index, min(number, self.last))
             case Snapshot(upto, rows) if upto > self.base:
                 count = upto - self.base
-                del self.entries[:count], self.unders[:count]
-                self.base, self.settled = upto, max(upto, self.settled)
+                del self.entries[:count], self.entry_epochs[:count]
+                self.base, self.commit_index = upto, max(upto, self.commit_index)
                 self.table = {change.subject: (number, change) for number, change in rows}
-                self.subjects = sorted(self.table)
+                self.sorted_subjects = sorted(self.table)
 
-    def agreed(self, epoch: int) -> int:
+    def matching_until(self, epoch: int) -> int:
         """Up to which number all is as the holder of an epoch has it."""
-        number = self.settled
-        while number < self.last and self.unders[number - self.base] == epoch:
+        number = self.commit_index
+        while number < self.last and self.entry_epochs[number - self.base] == epoch:
             number += 1
         return number
 
-    def part(self, first: int, count: int) -> tuple[Entry, ...]:
+    def entries_from(self, first: int, count: int) -> tuple[Entry, ...]:
         """So many entries from a number on, fewer at the end."""
         return tuple(self.entries[first - 1 - self.base : first - 1 - self.base + count])
 
-    def fold(self, upto: int) -> Snapshot:
+    def snapshot_at(self, upto: int) -> Snapshot:
         """What is to be kept in place of all entries up to a number."""
         table = dict(self.table)
-        for number, entry in enumerate(self.part(self.base + 1, upto - self.base), self.base + 1):
+        for number, entry in enumerate(self.entries_from(self.base + 1, upto - self.base), self.base + 1):
             if isinstance(entry, Change):
                 table[entry.subject] = (number, entry)
         return Snapshot(upto, tuple(table[subject] for subject in sorted(table)))
@@ -136,14 +136,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Took:
+class LeadershipGained:
     """The duty is this process's, under a token that nobody else has."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
-class Lost:
+class LeadershipLost:
     """It is not any more."""
 
 
@@ -160,7 +160,7 @@
     """The records of a `Store` are on the disk; or none of them is, and `why` says what is wrong."""
 
     number: int
-    why: str = ""
+    error: str = ""
 
 
 # What it answers beside `Say`, `Settled`, `Root`, `Forget`, `Restore` and `Wake`
@@ -187,15 +187,17 @@
     """What was proposed is not taken; `maybe`: it may last all the same, as it had been sent."""
 
     ticket: int
-    why: str
-    maybe: bool = False
+    reason: str
+    may_commit: bool = False
 
 
-HeadEvent = Heard | Woke | Took | Lost | Propose | Stored
-HeadAction = Say | Store | Acknowledge | Refuse | Settled | Root | Forget | Restore | Wake
+ReplicaEvent = Received | TimerFired | LeadershipGained | LeadershipLost | Propose | Stored
+ReplicaAction = (
+    Send | Store | Acknowledge | Refuse | Committed | Leadership | AssumePurged | Restore | SetTimer
+)
 
 
-def fitting(entries: list[Entry], at: int, room: int) -> int:
+def entries_that_fit(entries: list[Entry], at: int, room: int) -> int:
     """How many entries from a place on surely take no more than so many bytes as MessagePack."""
     count, before = 0, False
     for entry in entries[at : at + room]:
--- a/myrtlecourse/spread/retransmission.py
+++ b/myrtlecourse/spread/retransmission.py
@@ -4,57 +4,57 @@
 
 import math
 
-from myrtlecourse.spread.applied_ranges import Lanes, Range
-from myrtlecourse.spread.messages import Want
+from myrtlecourse.spread.applied_ranges import AppliedRanges, Range
+from myrtlecourse.spread.messages import RetransmitRequest
 
-AT_A_TIME = 512  # entries
-TRIES = 2  # without an entry, after which another is asked
+MAX_REQUEST_ENTRIES = 512  # entries
+MAX_TRIES = 2  # without an entry, after which another is asked
 
 
-class Asking:
+class RetransmitRequests:
     """One question at a time; and whom."""
 
     def __init__(self, retry: float) -> None:
-        self.retry = retry  # seconds without an entry after which a question is asked again
-        self.asked: Range | None = None
-        self.turn = 0  # candidates from the parent on that were asked in vain
+        self.retry_delay = retry  # seconds without an entry after which a question is asked again
+        self.requested: Range | None = None
+        self.candidate_offset = 0  # candidates from the parent on that were asked in vain
         self.tries = 0
-        self.at = math.inf  # when to look again
+        self.retry_at = math.inf  # when to look again
 
-    def whom(self, parent: int, candidates: tuple[str, ...]) -> str:
+    def target(self, parent: int, candidates: tuple[str, ...]) -> str:
         """To ask now; the parent first."""
-        return candidates[(parent + self.turn) % len(candidates)] if candidates else ""
+        return candidates[(parent + self.candidate_offset) % len(candidates)] if candidates else ""
 
-    def came(self, now: float) -> None:
+    def on_answer(self, now: float) -> None:
         """Something did that was asked for: the one that is asked has it."""
         self.tries = 0
-        if self.at < math.inf:
-            self.at = now + self.retry
+        if self.retry_at < math.inf:
+            self.retry_at = now + self.retry_delay
 
-    def vain(self) -> None:
+    def on_timeout(self) -> None:
         """A question was not answered."""
         self.tries += 1
-        if self.tries >= TRIES:
-            self.tries, self.turn = 0, self.turn + 1
+        if self.tries >= MAX_TRIES:
+            self.tries, self.candidate_offset = 0, self.candidate_offset + 1
 
-    def missing(self, lanes: Lanes, last: int) -> Range | None:
+    def smallest_gap(self, lanes: AppliedRanges, last: int) -> Range | None:
         """What to ask for first: the shortest hole, so that a backlog does not hold up what is new."""
-        holes = lanes.holes()
-        if last > lanes.top:
-            holes.append((lanes.top + 1, last))
+        holes = lanes.gaps()
+        if last > lanes.highest:
+            holes.append((lanes.highest + 1, last))
         return min(holes, key=lambda hole: hole[1] - hole[0], default=None)
 
-    def next(self, now: float, lanes: Lanes, last: int) -> Want | None:
+    def next_request(self, now: float, lanes: AppliedRanges, last: int) -> RetransmitRequest | None:
         """The question to ask now, if there is one."""
-        hole = self.missing(lanes, last)
+        hole = self.smallest_gap(lanes, last)
         if hole is None:
-            self.asked, self.at, self.turn, self.tries = None, math.inf, 0, 0
+            self.requested, self.retry_at, self.candidate_offset, self.tries = None, math.inf, 0, 0
             return None
-        if self.asked is not None and hole[0] <= self.asked[1] and self.asked[0] <= hole[1]:
-            if now < self.at:
+        if self.requested is not None and hole[0] <= self.requested[1] and self.requested[0] <= hole[1]:
+            if now < self.retry_at:
                 return None
-            self.vain()
-        count = min(hole[1] - hole[0] + 1, AT_A_TIME)
-        self.asked = (hole[0], hole[0] + count - 1)
-        self.at = now + self.retry
-        return Want(hole[0], count)
+            self.on_timeout()
+        count = min(hole[1] - hole[0] + 1, MAX_REQUEST_ENTRIES)
+        self.requested = (hole[0], hole[0] + count - 1)
+        self.retry_at = now + self.retry_delay
+        return RetransmitRequest(hole[0], count)
--- a/myrtlecourse/spread/send_window.py
+++ b/myrtlecourse/spread/send_window.py
@@ -4,10 +4,10 @@
 
 from collections import deque
 
-SECOND = 1.0
+WINDOW = 1.0
 
 
-class Allowance:
+class SendWindow:
     """The datagrams of the last second."""
 
     def __init__(self, budget: float) -> None:
@@ -16,15 +16,15 @@
         self.spent = 0
         self.total = 0
 
-    def left(self, now: float) -> float:
+    def available(self, now: float) -> float:
         """Bytes that may go out now."""
-        while self.sent and self.sent[0][0] < now - SECOND:
+        while self.sent and self.sent[0][0] < now - WINDOW:
             self.spent -= self.sent.popleft()[1]
         return self.budget - self.spent
 
-    def take(self, now: float, size: int) -> bool:
+    def try_spend(self, now: float, size: int) -> bool:
         """Spend so many, if they are left."""
-        if size > self.left(now):
+        if size > self.available(now):
             return False
         self.sent.append((now, size))
         self.spent += size
--- a/myrtlecourse/spread/setup.py
+++ b/myrtlecourse/spread/setup.py
@@ -9,35 +9,37 @@
 from myrtlecourse.config import ConfigError
 from myrtlecourse.net.pool import address_of
 from myrtlecourse.peers.end import Endpoint
-from myrtlecourse.spread.driver import Keeper
+from myrtlecourse.spread.driver import Driver
 
 if TYPE_CHECKING:
     from myrtlecourse.operators import Spread
 
 
-def peers(table: Spread) -> dict[str, Endpoint]:
+def peer_addresses(table: Spread) -> dict[str, Endpoint]:
     """Where each member hears the others."""
     return {p.name: address_of(p.at) for p in table.members()}
 
 
-def keys(table: Spread) -> tuple[bytes, tuple[bytes, ...]]:
+def read_keys(table: Spread) -> tuple[bytes, tuple[bytes, ...]]:
     """The key to seal with, and those that are taken as well. Raises ConfigError."""
     also = (read_key(Path(file), "spread.also_key_files") for file in table.also_key_files)
     return read_key(Path(table.key_file), "spread.key_file"), tuple(also)
 
 
-def keeper(table: Spread) -> Keeper:
+def make_driver(table: Spread) -> Driver:
     """The keeper of a process. Raises ConfigError: a file that is named can't be used."""
     applied = Path(table.applied_file) if table.applied_file is not None else None
     folder = Path(table.folder) if table.folder is not None else None
     if folder is not None and not folder.is_dir():
         raise ConfigError(f"spread.folder: {folder} is no folder")
     try:
-        return Keeper(table.settings(), peers(table), keys(table), applied, table.applied_bytes, folder)
+        return Driver(
+            table.settings(), peer_addresses(table), read_keys(table), applied, table.applied_bytes, folder
+        )
     except ValueError as e:
         raise ConfigError(str(e) if isinstance(e, ConfigError) else f"spread.key_file: {e}") from e
 
 
-def own(table: Spread) -> Endpoint:
+def listen_address(table: Spread) -> Endpoint:
     """Where this process listens."""
-    return address_of(table.listen) if table.listen is not None else peers(table)[table.name]
+    return address_of(table.listen) if table.listen is not None else peer_addresses(table)[table.name]
--- a/myrtlecourse/spread/tree.py
+++ b/myrtlecourse/spread/tree.py
@@ -14,16 +14,16 @@
 
 from myrtlecourse.peers.seal import LONGEST, SEAL
 from myrtlecourse.peers.wire import HEAD
-from myrtlecourse.spread.messages import KEY, Settings, Site
+from myrtlecourse.spread.messages import KEY_BYTES, Settings, Site
 
-CONTROL, RELAY, HEADS, LEAF = range(4)  # tiers; a member passes on to those of the next
-LEAST = 2  # relays of a region and heads of a site, where there are so many routers: one may die
-NEWS = 20  # bytes that a `News` takes beside its keys
-BEAT = 26  # bytes that a `Beat` takes
-REPORT = 48  # bytes that a `Report` takes
+CONTROL, REGION_RELAY, SITE_RELAY, LEAF = range(4)  # tiers; a member passes on to those of the next
+MIN_RELAYS = 2  # relays of a region and heads of a site, where there are so many routers: one may die
+BATCH_BYTES = 20  # bytes that a `News` takes beside its keys
+HEARTBEAT_BYTES = 26  # bytes that a `Beat` takes
+REPORT_BYTES = 48  # bytes that a `Report` takes
 # bytes of a name that may pass on, with room for each entry; whoever reads, as all must lay out the same tree
-LONGEST_NAME = 46
-SHARED = 64  # layouts that members of one process (a simulation's) share
+MAX_NAME_BYTES = 46
+MAX_CACHED_LAYOUTS = 64  # layouts that members of one process (a simulation's) share
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,8 +32,8 @@
 
     tiers: dict[str, int]
     sites: dict[str, Site]  # by member
-    relays: dict[str, tuple[str, ...]]  # by region
-    heads: dict[str, tuple[str, ...]]  # by site
+    region_relays: dict[str, tuple[str, ...]]  # by region
+    site_relays: dict[str, tuple[str, ...]]  # by site
 
 
 def ranked(key: str, names: Iterable[str]) -> list[str]:
@@ -53,23 +53,23 @@
     a `News` takes, and KEY bytes an entry. Answers: a `Beat` each `report`, in datagrams of news. With the
     defaults and a name of 46 bytes: 10 * (16 + 36 + 46 + 20) + 8 * 100 + 5 * 26 = 2,110.
     """
-    frame = SEAL + HEAD + longest + NEWS
-    datagrams = max(1 / settings.pause, settings.rate * KEY / (LONGEST - frame - BEAT))
-    return datagrams * frame + settings.rate * KEY + BEAT / settings.report
+    frame = SEAL + HEAD + longest + BATCH_BYTES
+    datagrams = max(1 / settings.pause, settings.rate * KEY_BYTES / (LONGEST - frame - HEARTBEAT_BYTES))
+    return datagrams * frame + settings.rate * KEY_BYTES + HEARTBEAT_BYTES / settings.report
 
 
-def most_children(settings: Settings, budget: float, longest: int) -> int:
+def affordable_children(settings: Settings, budget: float, longest: int) -> int:
     """Children that a budget bears: what the node's own reports leave, by `child_cost`; one at least."""
-    reports = (SEAL + HEAD + longest + REPORT) / settings.report
+    reports = (SEAL + HEAD + longest + REPORT_BYTES) / settings.report
     return max(1, int((budget - reports) / child_cost(settings, longest)))
 
 
-def _passing(members: int, routers: int, half: float) -> int:
+def _relay_count(members: int, routers: int, half: float) -> int:
     """How many of so many members pass on, when each shall have `half` children at most in the mean."""
-    return min(routers, max(LEAST, math.ceil(members / (1 + half))))
+    return min(routers, max(MIN_RELAYS, math.ceil(members / (1 + half))))
 
 
-@lru_cache(maxsize=SHARED)
+@lru_cache(maxsize=MAX_CACHED_LAYOUTS)
 def _layout(control: tuple[str, ...], sites: tuple[Site, ...], half: float) -> Layout:
     tiers: dict[str, int] = dict.fromkeys(control, CONTROL)
     of, relays, heads = {}, {}, {}
@@ -78,20 +78,20 @@
         regions.setdefault(site.region, []).append(site)
     for region, inside in regions.items():
         routers = [r for s in inside for r in s.routers]
-        under = sum(_passing(len(s.routers) + len(s.parts), len(s.routers), half) for s in inside)
-        count = min(len(routers), max(LEAST, math.ceil(under / half)))
+        under = sum(_relay_count(len(s.routers) + len(s.parts), len(s.routers), half) for s in inside)
+        count = min(len(routers), max(MIN_RELAYS, math.ceil(under / half)))
         relays[region] = tuple(ranked(f"relays of {region}", routers)[:count])
-        tiers.update(dict.fromkeys(relays[region], RELAY))
+        tiers.update(dict.fromkeys(relays[region], REGION_RELAY))
         for site in inside:
             rest = [r for r in site.routers if r not in tiers]
             members = len(rest) + len(site.parts)
-            most = _passing(members, len(rest), half)
+            most = _relay_count(members, len(rest), half)
             heads[site.name] = tuple(ranked(f"heads of {site.name}", rest)[:most])
             # a site whose routers are all relays has its other members right below them
-            below = LEAF if heads[site.name] else HEADS
+            below = LEAF if heads[site.name] else SITE_RELAY
             for name in (*site.routers, *site.parts):
                 of[name] = site
-                tiers.setdefault(name, HEADS if name in heads[site.name] else below)
+                tiers.setdefault(name, SITE_RELAY if name in heads[site.name] else below)
     return Layout(tiers, of, relays, heads)
 
 
@@ -100,41 +100,44 @@
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.bounds = [
-            most_children(settings, b, LONGEST_NAME) for b in (settings.control_half, settings.budget)
+        self.child_limits = [
+            affordable_children(settings, b, MAX_NAME_BYTES)
+            for b in (settings.half_control_budget, settings.budget)
         ]
-        self.layout = _layout(settings.control, settings.sites, self.half)
+        self.layout = _layout(settings.control, settings.sites, self.mean_children)
 
     @property
-    def half(self) -> float:
+    def mean_children(self) -> float:
         """Children of a relay or head in the mean: half of the bound, so that it can bear a dead one's."""
-        return max(1.0, self.bounds[1] / 2)
+        return max(1.0, self.child_limits[1] / 2)
 
     def tier(self, name: str) -> int:
         """0: a control machine; 1: a region's relay; 2: a site's head; 3: another. Raises KeyError when it is
         not in view."""
         return self.layout.tiers[name]
 
-    def passes_on(self, name: str) -> bool:
+    def may_have_children(self, name: str) -> bool:
         """Whether it may have children."""
         layout, tier = self.layout, self.tier(name)
-        return tier <= RELAY or (tier == HEADS and name in layout.heads[layout.sites[name].name])
+        return tier <= REGION_RELAY or (
+            tier == SITE_RELAY and name in layout.site_relays[layout.sites[name].name]
+        )
 
     def _parents(self, name: str) -> tuple[str, ...]:
         layout, tier = self.layout, self.tier(name)
         if tier == CONTROL:
             return ()
-        if tier == RELAY:
+        if tier == REGION_RELAY:
             return self.settings.control
         site = layout.sites[name]
-        return layout.relays[site.region] if tier == HEADS else layout.heads[site.name]
+        return layout.region_relays[site.region] if tier == SITE_RELAY else layout.site_relays[site.name]
 
     def candidates(self, name: str) -> tuple[str, ...]:
         """Members one tier up that may be its parent, in an order of its own. None for a control machine:
         `Root` names its parent. Raises KeyError when it is not in view."""
         return tuple(ranked(f"parent of {name}", self._parents(name)))
 
-    def bears(self, parent: str, child: str) -> bool:
+    def may_be_parent(self, parent: str, child: str) -> bool:
         """Whether one may be the other's parent."""
         tiers = self.layout.tiers
         if child not in tiers or parent == child:
@@ -143,10 +146,10 @@
             return tiers[parent] == CONTROL
         return parent in self._parents(child)
 
-    def children_bound(self, name: str) -> int:
+    def max_children(self, name: str) -> int:
         """Children that it may have: the other control machines at the root's, and what its budget bears by
         `child_cost`: with the defaults (27,000 - 730) / 2,110 = 12, of a control machine 118.
         None for one that does not pass on."""
-        if not self.passes_on(name):
+        if not self.may_have_children(name):
             return 0
-        return self.bounds[0] if self.tier(name) == CONTROL else self.bounds[1]
+        return self.child_limits[0] if self.tier(name) == CONTROL else self.child_limits[1]
--- a/tests/spread_replicas.py
+++ b/tests/spread_replicas.py
@@ -6,11 +6,11 @@
 import random
 from dataclasses import dataclass, field
 
-from myrtlecourse.spread import replica_events as at
-from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.replica import Head
-from myrtlecourse.spread.replica_events import HeadAction, HeadEvent, LogError, Record, Saved
+from myrtlecourse.spread import messages as msg
+from myrtlecourse.spread import replica_events as events
 from myrtlecourse.spread.messages import Change, Entry, Purge, Settings, Site
+from myrtlecourse.spread.replica import Replica
+from myrtlecourse.spread.replica_events import LogError, LogState, Record, ReplicaAction, ReplicaEvent
 
 
 class BrokenError(AssertionError):
@@ -22,9 +22,9 @@
     """One control machine: a process, and a disk that outlives it."""
 
     disk: list[Record] = field(default_factory=list)
-    head: Head | None = None
+    head: Replica | None = None
     life: int = 0  # grows with each process
-    store: at.Store | None = None
+    store: events.Store | None = None
     wake: float = 0.0
     woken: int = 0  # times at one moment, and
     woken_at: float = -1.0
@@ -47,14 +47,14 @@
     """A few of them."""
 
     def __init__(
-        self, count: int, seed: int, *, tail: int = 400_000, kind: type[Head] = Head, calm: bool = False
+        self, count: int, seed: int, *, tail: int = 400_000, kind: type[Replica] = Replica, calm: bool = False
     ) -> None:
         self.random = random.Random(seed)
         self.names = tuple("abcde"[:count])
         self.tail, self.kind = tail, kind
         self.machines = {name: Machine() for name in self.names}
         self.now = 0.0
-        self.queue: list[tuple[float, int, str, int, HeadEvent]] = []
+        self.queue: list[tuple[float, int, str, int, ReplicaEvent]] = []
         self.counter = 0
         self.loss = 0.0 if calm else self.random.choice((0.0, 0.05, 0.3))
         self.late = 0.002 if calm else self.random.choice((0.002, 0.05, 0.5))
@@ -62,7 +62,7 @@
         self.cut: set[str] = set()
         self.token = 0
         self.entries: dict[int, Entry] = {}  # by ticket
-        self.refused: dict[int, at.Refuse] = {}
+        self.refused: dict[int, events.Refuse] = {}
         self.acknowledged: dict[int, int] = {}  # numbers, and tickets
         self.settled: dict[int, Entry] = {}
         self.changes: dict[int, Change] = {}
@@ -73,13 +73,13 @@
     # Processes
 
     def start(self, name: str) -> None:
-        machine, saved = self.machines[name], Saved()
+        machine, saved = self.machines[name], LogState()
         for record in machine.disk:
-            saved.take(record)
+            saved.apply(record)
         machine.head = self.kind(settings(name, self.names, control_tail=self.tail), saved, self.now)
         machine.life += 1
         machine.told, machine.store = 0, None
-        self.post(name, said.Woke())
+        self.post(name, msg.TimerFired())
 
     def crash(self, name: str) -> None:
         """Any part of what was being written may be on the disk, from its beginning."""
@@ -91,17 +91,17 @@
 
     def took(self, name: str) -> None:
         self.token += 1
-        self.post(name, at.Took(self.token))
+        self.post(name, events.LeadershipGained(self.token))
 
     def propose(self, name: str, count: int = 1) -> None:
         for _ in range(count):
             ticket = len(self.entries) + 1
             self.entries[ticket] = entry(ticket)
-            self.post(name, at.Propose(ticket, self.entries[ticket]))
+            self.post(name, events.Propose(ticket, self.entries[ticket]))
 
     # Time
 
-    def put(self, after: float, name: str, event: HeadEvent) -> None:
+    def put(self, after: float, name: str, event: ReplicaEvent) -> None:
         self.counter += 1
         place = self.now + after, self.counter, name, self.machines[name].life, event
         heapq.heappush(self.queue, place)
@@ -111,8 +111,8 @@
         while self.queue and self.queue[0][0] <= until:
             self.now, _, name, life, event = heapq.heappop(self.queue)
             machine = self.machines[name]
-            if isinstance(event, said.Heard) or life == machine.life:
-                if isinstance(event, said.Woke):
+            if isinstance(event, msg.Received) or life == machine.life:
+                if isinstance(event, msg.TimerFired):
                     if machine.wake > self.now:
                         continue
                     machine.woken = machine.woken + 1 if machine.woken_at == self.now else 0
@@ -122,69 +122,71 @@
                 self.post(name, event)
         self.now = until
 
-    def post(self, name: str, event: HeadEvent) -> None:
+    def post(self, name: str, event: ReplicaEvent) -> None:
         machine = self.machines[name]
-        if machine.head is None or (isinstance(event, said.Heard) and name in self.cut):
+        if machine.head is None or (isinstance(event, msg.Received) and name in self.cut):
             return
-        if isinstance(event, at.Stored):
+        if isinstance(event, events.Stored):
             assert machine.store is not None and machine.store.number == event.number
-            if not event.why:
+            if not event.error:
                 machine.disk += machine.store.records
             machine.store = None
         actions = machine.head.handle(self.now, event)
-        if sum(isinstance(a, said.Wake) for a in actions) != 1 or not isinstance(actions[-1], said.Wake):
+        if sum(isinstance(a, msg.SetTimer) for a in actions) != 1 or not isinstance(
+            actions[-1], msg.SetTimer
+        ):
             raise BrokenError("one wake, and last")
         for action in actions:
             self.carry_out(name, machine, action)
 
-    def carry_out(self, name: str, machine: Machine, action: HeadAction) -> None:
+    def carry_out(self, name: str, machine: Machine, action: ReplicaAction) -> None:
         match action:
-            case said.Say(to, words):
+            case msg.Send(to, words):
                 self.said += 1
                 if name not in self.cut:
                     for _ in range(1 + (self.random.random() < self.copies)):
                         if self.random.random() >= self.loss:
-                            self.put(self.random.uniform(0, self.late), to, said.Heard(name, words))
-            case at.Store(number, _):
+                            self.put(self.random.uniform(0, self.late), to, msg.Received(name, words))
+            case events.Store(number, _):
                 if machine.store is not None:
                     raise BrokenError("two stores at a time")
                 machine.store = action
                 why = "no room" if machine.full else ""
-                self.put(self.random.uniform(0, 0.03), name, at.Stored(number, why))
-            case at.Acknowledge() | at.Refuse():
+                self.put(self.random.uniform(0, 0.03), name, events.Stored(number, why))
+            case events.Acknowledge() | events.Refuse():
                 self.answered(action)
-            case said.Settled() | said.Forget() | said.Restore():
+            case msg.Committed() | msg.AssumePurged() | msg.Restore():
                 self.learned(machine, action)
-            case said.Wake(when):
+            case msg.SetTimer(when):
                 if when < self.now:
                     raise BrokenError("wakes in the past")
                 machine.wake = when
                 if when < float("inf"):
-                    self.put(when - self.now, name, said.Woke())
+                    self.put(when - self.now, name, msg.TimerFired())
 
-    def answered(self, action: at.Acknowledge | at.Refuse) -> None:
+    def answered(self, action: events.Acknowledge | events.Refuse) -> None:
         match action:
-            case at.Acknowledge(ticket, number):
+            case events.Acknowledge(ticket, number):
                 if number in self.acknowledged or ticket in self.refused:
                     raise BrokenError("answered twice")
                 self.acknowledged[number] = ticket
-            case at.Refuse(ticket):
+            case events.Refuse(ticket):
                 if ticket in self.refused or ticket in self.acknowledged.values():
                     raise BrokenError("answered twice")
                 self.refused[ticket] = action
 
-    def learned(self, machine: Machine, action: said.Settled | said.Forget | said.Restore) -> None:
+    def learned(self, machine: Machine, action: msg.Committed | msg.AssumePurged | msg.Restore) -> None:
         match action:
-            case said.Settled(_, first, entries):
+            case msg.Committed(_, first, entries):
                 if first != machine.told + 1 or not entries:
                     raise BrokenError(f"settled from {first} after {machine.told}")
                 machine.told += len(entries)
                 self.compare(first, entries)
-            case said.Forget(first, last):
+            case msg.AssumePurged(first, last):
                 if first != machine.told + 1 or last < first:
                     raise BrokenError(f"forgets from {first} after {machine.told}")
                 machine.told = last
-            case said.Restore(number, change):
+            case msg.Restore(number, change):
                 if self.settled.setdefault(number, change) != change:
                     raise BrokenError(f"two changes under {number}")
 
@@ -210,7 +212,7 @@
         holder = self.random.choice(self.names)
         for name in self.names:
             if name != holder:
-                self.post(name, at.Lost())
+                self.post(name, events.LeadershipLost())
         self.took(holder)
         return holder
 
@@ -218,11 +220,11 @@
         """All have all that was acknowledged, and the same."""
         head = self.machines[holder].head
         assert head is not None
-        if head.lead is None or not head.lead.open:
+        if head.leader is None or not head.leader.is_open:
             raise BrokenError("nobody writes the log")
         for name, machine in self.machines.items():
-            if machine.told != head.saved.last or machine.told < max(self.acknowledged, default=0):
-                raise BrokenError(f"{name} knows of {machine.told} of {head.saved.last}")
+            if machine.told != head.state.last or machine.told < max(self.acknowledged, default=0):
+                raise BrokenError(f"{name} knows of {machine.told} of {head.state.last}")
         for number, ticket in self.acknowledged.items():
             if number in self.settled and self.settled[number] != self.entries[ticket]:
                 raise BrokenError(f"{number} was acknowledged as another")
@@ -230,12 +232,12 @@
                 raise BrokenError(f"{number} was acknowledged, and is lost")
         latest: dict[bytes, int] = {}
         for number, found in self.settled.items():
-            if isinstance(found, Change) and number <= head.saved.base:
+            if isinstance(found, Change) and number <= head.state.base:
                 latest[found.subject] = max(number, latest.get(found.subject, 0))
-        if latest != {subject: number for subject, (number, _) in head.saved.table.items()}:
+        if latest != {subject: number for subject, (number, _) in head.state.table.items()}:
             raise BrokenError("the table is another")
         for ticket, answer in self.refused.items():
-            if not answer.maybe and self.entries[ticket] in self.settled.values():
+            if not answer.may_commit and self.entries[ticket] in self.settled.values():
                 raise BrokenError(f"{ticket} was refused, and lasts")
 
 
@@ -251,7 +253,7 @@
             case 0:
                 world.took(name)  # whoever held it before may not know
             case 1:
-                world.post(name, at.Lost())
+                world.post(name, events.LeadershipLost())
             case 2 if machine.head is not None:
                 world.crash(name)
             case 3 | 4 if machine.head is None:
@@ -262,7 +264,7 @@
                 machine.full = not machine.full
             case _:
                 holders = [
-                    n for n, m in world.machines.items() if m.head is not None and m.head.lead is not None
+                    n for n, m in world.machines.items() if m.head is not None and m.head.leader is not None
                 ]
                 for holder in holders:
                     world.propose(holder, chance.randint(1, burst))
--- a/tests/spread_world.py
+++ b/tests/spread_world.py
@@ -17,9 +17,9 @@
 
 from myrtlecourse.peers.seal import SEAL
 from myrtlecourse.peers.wire import HEAD
-from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.codec import SpreadCodec, room
-from myrtlecourse.spread.messages import Change, Entry, Heard, Purge, Settings, Site
+from myrtlecourse.spread import messages as msg
+from myrtlecourse.spread.codec import SpreadCodec, max_payload
+from myrtlecourse.spread.messages import Change, Entry, Purge, Received, Settings, Site
 from myrtlecourse.spread.node import Node
 from myrtlecourse.spread.tree import Tree
 
@@ -101,7 +101,7 @@
         self.log = 0
         self.root = ""
         self.epoch = 0
-        self.done: list[tuple[float, said.Done]] = []
+        self.done: list[tuple[float, msg.Watermark]] = []
         self.most_done = 0
         self.words: Counter[type] = Counter()  # that were sent
         self.sent: dict[tuple[str, int], list[tuple[float, int]]] = defaultdict(list)  # by process
@@ -123,12 +123,12 @@
             Node(settings, 100.0, self.random.getrandbits(32)), self.at, rate, self.starts[name]
         )
         self.processes[name] = process
-        self.give(name, said.Woke())
+        self.give(name, msg.TimerFired())
         if name in self.settings.control:
             if self.log:
                 self.settle(name, 1, self.log)
             if self.root:
-                self.give(name, said.Root(self.epoch, self.root))
+                self.give(name, msg.Leadership(self.epoch, self.root))
 
     def stop(self, name: str) -> None:
         self.processes.pop(name, None)
@@ -138,7 +138,7 @@
         self.epoch += 1
         before, self.root = self.root, name
         if before in self.processes and before != name:
-            self.give(before, said.Root(self.epoch, ""))
+            self.give(before, msg.Leadership(self.epoch, ""))
         for control in self.settings.control:
             if control in self.processes:
                 self.later(0.0 if control == name else self.random.random() * 0.3, self._tell_root(control))
@@ -148,14 +148,14 @@
 
         def tell() -> None:
             if control in self.processes and epoch == self.epoch:
-                self.give(control, said.Root(epoch, root))
+                self.give(control, msg.Leadership(epoch, root))
 
         return tell
 
     def settle(self, control: str, first: int, last: int) -> None:
         if control in self.processes:
             entries = tuple(entry_at(n) for n in range(first, last + 1))
-            self.give(control, said.Settled(self.epoch, first, entries))
+            self.give(control, msg.Committed(self.epoch, first, entries))
 
     def write(self, count: int) -> None:
         """So many entries more last, and the control machines' heads know it."""
@@ -165,36 +165,38 @@
             if process is not None:
                 self.settle(control, first, self.log)
 
-    def give(self, name: str, event: said.Event) -> None:
+    def give(self, name: str, event: msg.Event) -> None:
         process = self.processes[name]
         actions = process.node.handle(process.now(self.at), event)
-        if sum(isinstance(a, said.Wake) for a in actions) != 1 or not isinstance(actions[-1], said.Wake):
+        if sum(isinstance(a, msg.SetTimer) for a in actions) != 1 or not isinstance(
+            actions[-1], msg.SetTimer
+        ):
             raise Broken("one Wake, at the end")
         for action in actions:
             self._act(name, process, action)
         self.check_bounds(name, process)
 
-    def _act(self, name: str, process: Process, action: said.Action) -> None:
+    def _act(self, name: str, process: Process, action: msg.Action) -> None:
         match action:
-            case said.Say(to, words):
+            case msg.Send(to, words):
                 self._send(name, process, to, words)
-            case said.Apply(first, entries):
+            case msg.Apply(first, entries):
                 self._apply(name, process, first, entries)
-            case said.Restore(number, change):
+            case msg.Restore(number, change):
                 if change != entry_at(number):
                     raise Broken(f"{name} restores another {number}")
                 process.restored += 1
                 self._hold(process, number, change)
-            case said.Forget(first, last):
+            case msg.AssumePurged(first, last):
                 process.forgotten.append((first, last))
                 process.top = max(process.top, last)
-            case said.Vouches(may):
+            case msg.LeaseChanged(may):
                 process.told = may
-            case said.Done():
+            case msg.Watermark():
                 self.done.append((self.at, action))
                 self.most_done = max(self.most_done, action.number)
                 self.check_done(action.number)
-            case said.Wake(at):
+            case msg.SetTimer(at):
                 process.wakes += 1
                 if at < math.inf:
                     self._wake(name, process, process.wakes, at)
@@ -220,13 +222,13 @@
     def _wake(self, name: str, process: Process, number: int, at: float) -> None:
         def wake() -> None:
             if self.processes.get(name) is process and process.wakes == number:
-                self.give(name, said.Woke())
+                self.give(name, msg.TimerFired())
 
         self.later(max(0.0, (at - process.now(self.at)) / process.rate) + 1e-6, wake)
 
-    def _send(self, name: str, process: Process, to: str, words: tuple[said.Word, ...]) -> None:
+    def _send(self, name: str, process: Process, to: str, words: tuple[msg.Message, ...]) -> None:
         size = CODEC.size(words)
-        if size > room(name):
+        if size > max_payload(name):
             raise Broken(f"{name} says {size} bytes at once")
         self.sent[name, process.started].append((process.now(self.at), SEAL + HEAD + len(name) + size))
         words = CODEC.read(CODEC.parts(words))
@@ -239,7 +241,7 @@
             # the wire takes nothing of or for a process that is over
             taken = receiver is not None and self.processes.get(to) is receiver
             if taken and self.processes.get(name, process) is process:
-                self.give(to, Heard(name, words))
+                self.give(to, Received(name, words))
 
         for _ in range(1 + (self.random.random() < self.trouble.copies)):
             delay = self.trouble.delay * (0.2 + 0.8 * self.random.random())
@@ -254,17 +256,20 @@
     def check_done(self, number: int) -> None:
         """Guards the word `done`: no member that vouches for itself at this moment lacks any of it."""
         for name, process in self.processes.items():
-            if process.node.vouches(process.now(self.at)) and process.node.have < number:
-                raise Broken(f"{name} vouches with {process.node.have}, {number} is said to be done")
+            if process.node.has_lease(process.now(self.at)) and process.node.applied_until < number:
+                raise Broken(f"{name} vouches with {process.node.applied_until}, {number} is said to be done")
 
     def check_bounds(self, name: str, process: Process) -> None:
         """Guards a process's memory, after each event that it is given: nothing else changes its state."""
         node = process.node
-        if len(node.lanes.ranges) > 8:
-            raise Broken(f"{name} has {len(node.lanes.ranges)} lanes")
-        if len(node.children.all) > node.tree.children_bound(name):
-            raise Broken(f"{name} has {len(node.children.all)} children")
-        if len(node.serving.wants) > node.serving.bound or len(node.tail.blocks) > node.tail.most / 256 + 3:
+        if len(node.applied.ranges) > 8:
+            raise Broken(f"{name} has {len(node.applied.ranges)} lanes")
+        if len(node.children.by_name) > node.tree.max_children(name):
+            raise Broken(f"{name} has {len(node.children.by_name)} children")
+        if (
+            len(node.repairs.entry_requests) > node.repairs.max_requesters
+            or len(node.suffix.blocks) > node.suffix.capacity / 256 + 3
+        ):
             raise Broken(f"{name} keeps too much")
 
     def check_bytes(self) -> None:
@@ -308,11 +313,11 @@
         for name, process in self.processes.items():
             forgotten = {n for first, last in process.forgotten for n in range(first, last + 1)}
             missing = set(range(1, self.log + 1)) - set(process.applied) - forgotten
-            if missing or process.node.have != self.log:
+            if missing or process.node.applied_until != self.log:
                 raise Broken(f"{name} lacks {sorted(missing)[:5]}: {self.status(name)}")
             if process.table != expected:
                 raise Broken(f"{name} has another table")
-            if not process.node.vouches(process.now(self.at)) or not process.told:
+            if not process.node.has_lease(process.now(self.at)) or not process.told:
                 raise Broken(f"{name} does not vouch: {self.status(name)}")
         if self.done[-1][1].number != self.log or self.done[-1][1].members != len(self.processes):
             raise Broken(f"done is {self.done[-1]}, of {self.log}: {self.status(self.root)}")
--- a/tests/test_spread_log.py
+++ b/tests/test_spread_log.py
@@ -11,31 +11,36 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from myrtlecourse.spread import replica_events as at
-from myrtlecourse.spread.replica_events import LogError, Record, Saved
-from myrtlecourse.spread.log_file import LogFile, packed
+from myrtlecourse.spread import replica_events as events
+from myrtlecourse.spread.log_file import LogFile, encode_record
+from myrtlecourse.spread.replica_events import LogError, LogState, Record
 from tests.spread_replicas import entry
 
 CHECKS = hypothesis_settings(max_examples=60, suppress_health_check=list(HealthCheck))
 RECORDS: tuple[Record, ...] = (
-    *(at.Promise(3), at.Write(1, 3, tuple(map(entry, range(1, 8)))), at.Lasts(5), at.Cut(6)),
-    *(at.Promise(9), at.Write(6, 9, (entry(20), entry(21)))),
+    *(
+        events.Promise(3),
+        events.Write(1, 3, tuple(map(entry, range(1, 8)))),
+        events.Commit(5),
+        events.Truncate(6),
+    ),
+    *(events.Promise(9), events.Write(6, 9, (entry(20), entry(21)))),
 )
-DATA = b"".join(map(packed, RECORDS))
+DATA = b"".join(map(encode_record, RECORDS))
 FIRST = "0000000000000001.log"
 
 
-def sums(records: tuple[Record, ...]) -> Saved:
-    saved = Saved()
+def sums(records: tuple[Record, ...]) -> LogState:
+    saved = LogState()
     for record in records:
-        saved.take(record)
+        saved.apply(record)
     return saved
 
 
-def read(folder: Path) -> Saved:
+def read(folder: Path) -> LogState:
     file = LogFile(folder)
     file.close()
-    return file.saved
+    return file.state
 
 
 def test_what_was_appended_is_read_again(tmp_path: Path) -> None:
@@ -54,13 +59,13 @@
     folder = tmp_path_factory.mktemp("log")
     (folder / FIRST).write_bytes(DATA[:size])
     whole, place = 0, 0
-    while whole < len(RECORDS) and (place := place + len(packed(RECORDS[whole]))) <= size:
+    while whole < len(RECORDS) and (place := place + len(encode_record(RECORDS[whole]))) <= size:
         whole += 1
     assert read(folder) == sums(RECORDS[:whole])
     file = LogFile(folder)  # and what is torn is gone: the next record follows on what is whole
-    file.append((at.Promise(50),))
+    file.append((events.Promise(50),))
     file.close()
-    assert read(folder) == sums((*RECORDS[:whole], at.Promise(50)))
+    assert read(folder) == sums((*RECORDS[:whole], events.Promise(50)))
 
 
 @CHECKS
@@ -82,7 +87,7 @@
 
 def test_a_segment_before_the_last_that_is_torn_is_an_error(tmp_path: Path) -> None:
     (tmp_path / FIRST).write_bytes(DATA[:-1])
-    (tmp_path / "0000000000000002.log").write_bytes(packed(at.Promise(10)))
+    (tmp_path / "0000000000000002.log").write_bytes(encode_record(events.Promise(10)))
     with pytest.raises(LogError, match=rf"{FIRST} at \d+: it ends within"):
         LogFile(tmp_path)
 
@@ -110,25 +115,25 @@
 
     monkeypatch.setattr(os, "write", write)
     with pytest.raises(OSError, match="No space"):
-        file.append((at.Write(8, 3, tuple(map(entry, range(8, 20)))),))
+        file.append((events.Write(8, 3, tuple(map(entry, range(8, 20)))),))
     monkeypatch.undo()
-    file.append((at.Write(8, 3, (entry(99),)),))
+    file.append((events.Write(8, 3, (entry(99),)),))
     file.close()
-    assert read(tmp_path) == sums((*RECORDS[:2], at.Write(8, 3, (entry(99),))))
+    assert read(tmp_path) == sums((*RECORDS[:2], events.Write(8, 3, (entry(99),))))
 
 
 def test_a_snapshot_stands_for_older_segments(tmp_path: Path) -> None:
     file, every = LogFile(tmp_path), list[Record]()
     for first in range(1, 301, 100):
-        every.append(at.Write(first, 7, tuple(map(entry, range(first, first + 100)))))
+        every.append(events.Write(first, 7, tuple(map(entry, range(first, first + 100)))))
         file.append((every[-1],))
-    every.append(at.Lasts(250))
-    every.append(sums(tuple(every)).fold(220))
+    every.append(events.Commit(250))
+    every.append(sums(tuple(every)).snapshot_at(220))
     file.append(tuple(every[-2:]))
-    every.append(sums(tuple(every)).fold(250))
-    every += [at.Write(301, 7, (entry(301),)), at.Lasts(300), at.Promise(8)]
+    every.append(sums(tuple(every)).snapshot_at(250))
+    every += [events.Write(301, 7, (entry(301),)), events.Commit(300), events.Promise(8)]
     file.append(tuple(every[-4:]))
-    every.append(sums(tuple(every)).fold(300))
+    every.append(sums(tuple(every)).snapshot_at(300))
     file.append((every[-1],))
     # the second has entry 301, which the snapshot does not stand for, and what comes after it stays
     assert sorted(int(path.stem) for path in tmp_path.glob("*.log")) == [2, 3, 4]
--- a/tests/test_spread_node.py
+++ b/tests/test_spread_node.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.send_window import Allowance
+from myrtlecourse.spread import messages as msg
+from myrtlecourse.spread.applied_ranges import AppliedRanges, Range
 from myrtlecourse.spread.children import Child, Children
-from myrtlecourse.spread.applied_ranges import Lanes, Range
 from myrtlecourse.spread.node import Node
 from myrtlecourse.spread.parent import Parent
+from myrtlecourse.spread.send_window import SendWindow
 from tests.spread_world import CONTROLS, SETTINGS, SITES, Broken, Trouble, World, tiers
 
 
@@ -115,24 +115,33 @@
     world.check_bytes()
     assert {name for name, p in world.processes.items() if p.forgotten} == {away}
     assert world.processes[away].restored
-    assert all(world.words[word] for word in (said.Want, said.Beyond, said.Digest, said.Rows, said.Same))
+    assert all(
+        world.words[word]
+        for word in (
+            msg.RetransmitRequest,
+            msg.EntriesDropped,
+            msg.TableDigest,
+            msg.TableRows,
+            msg.TableInSync,
+        )
+    )
 
 
 def root_says_done_at_once(patch: pytest.MonkeyPatch) -> None:
     """A new root that does not wait for leases of the one before."""
-    patch.setattr(Node, "_tell_done", lambda self: tell(self, at_once=True))
+    patch.setattr(Node, "_announce_watermark", lambda self: tell(self, at_once=True))
 
 
 def tell(self: Node, at_once: bool) -> None:
-    done, _ = self.children.done(self.now, self.have)
-    if done > self.told:
-        self.told = done
-        self.out.append(said.Done(done, *self.children.counted(self.now)))
+    done, _ = self.children.advance_watermark(self.now, self.applied_until)
+    if done > self.announced_watermark:
+        self.announced_watermark = done
+        self.actions.append(msg.Watermark(done, *self.children.member_counts(self.now)))
 
 
 def done_ignores_the_children(patch: pytest.MonkeyPatch) -> None:
     """Says for all what it has itself."""
-    patch.setattr(Children, "lowest", lambda self, now, have: (have, 0))
+    patch.setattr(Children, "lowest_acknowledged", lambda self, now, applied_until: (applied_until, 0))
 
 
 def counts_nobody_after_the_answer(patch: pytest.MonkeyPatch) -> None:
@@ -141,7 +150,7 @@
 
     def forgets(self: Children, now: float, child: Child, left: float, epoch: int) -> int:
         good_for = grant(self, now, child, left, epoch)
-        child.counts_until = now
+        child.counted_until = now
         return good_for
 
     patch.setattr(Children, "grant", forgets)
@@ -149,7 +158,7 @@
 
 def counts_no_grant_of_a_process_before(patch: pytest.MonkeyPatch) -> None:
     """Forgets those that vouch by a grant which a child gave on before it started again."""
-    patch.setattr(Children, "_floor", lambda self, now, done, until: None)
+    patch.setattr(Children, "_add_lease_floor", lambda self, now, done, until: None)
 
 
 def admits_before_it_has_caught_up(patch: pytest.MonkeyPatch) -> None:
@@ -158,8 +167,8 @@
     def grant(self: Children, now: float, child: Child, left: float, epoch: int) -> int:
         if child.epoch < epoch or left <= 0:
             return 0
-        good_for = int(left / self.apart * 1000)
-        child.counts_until = max(child.counts_until, now + good_for / 1000 * self.apart)
+        good_for = int(left / self.clock_ratio * 1000)
+        child.counted_until = max(child.counted_until, now + good_for / 1000 * self.clock_ratio)
         return good_for
 
     patch.setattr(Children, "grant", grant)
@@ -167,36 +176,36 @@
 
 def lease_runs_from_the_answer(patch: pytest.MonkeyPatch) -> None:
     """Counts a lease from when the answer comes, and not from when the report went out."""
-    beat = Parent.beat
+    beat = Parent.on_heartbeat
 
-    def late(self: Parent, now: float, sender: str, word: said.Beat, granted_until: float) -> str:
-        if word.echo in self.sent:
-            self.sent[word.echo] = now
+    def late(self: Parent, now: float, sender: str, word: msg.Heartbeat, granted_until: float) -> str:
+        if word.echo in self.sent_reports:
+            self.sent_reports[word.echo] = now
         return beat(self, now, sender, word, granted_until)
 
-    patch.setattr(Parent, "beat", late)
+    patch.setattr(Parent, "on_heartbeat", late)
 
 
 def spends_what_it_likes(patch: pytest.MonkeyPatch) -> None:
     """Has a budget without an end."""
-    patch.setattr(Allowance, "left", lambda self, now: math.inf)
+    patch.setattr(SendWindow, "available", lambda self, now: math.inf)
 
 
 def applies_copies(patch: pytest.MonkeyPatch) -> None:
     """Takes all that comes."""
-    patch.setattr(Lanes, "room", lambda self, first, last: (first, last))
+    patch.setattr(AppliedRanges, "acceptable", lambda self, first, last: (first, last))
 
 
 def fills_holes_in_any_order(patch: pytest.MonkeyPatch) -> None:
     """Takes what is in a hole before its turn."""
-    room = Lanes.room
+    room = AppliedRanges.acceptable
 
-    def early(self: Lanes, first: int, last: int) -> Range | None:
-        if first > self.top or self.run(first):
+    def early(self: AppliedRanges, first: int, last: int) -> Range | None:
+        if first > self.highest or self.range_end(first):
             return room(self, first, last)
         return first, min(last, next(start for start, _ in self.ranges if start > first) - 1)
 
-    patch.setattr(Lanes, "room", early)
+    patch.setattr(AppliedRanges, "acceptable", early)
 
 
 AHEAD = "is said to be done"
--- a/tests/test_spread_operators.py
+++ b/tests/test_spread_operators.py
@@ -28,11 +28,11 @@
 from myrtlecourse.fleet.reserved_ports import free
 from myrtlecourse.operators import read_operators
 from myrtlecourse.ops.calls import KEY, MAX_VALUE, Answer, Call, Exchange, Kind, read_call
-from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.applied_file import BEFORE, Applied
-from myrtlecourse.spread.driver import Keeper
+from myrtlecourse.spread import messages as msg
+from myrtlecourse.spread.applied_file import ROTATED_SUFFIX, AppliedFile
+from myrtlecourse.spread.driver import Driver
+from myrtlecourse.spread.log_duty import OutcomeUnknown, commit
 from myrtlecourse.spread.messages import SpreadError
-from myrtlecourse.spread.log_duty import NotKnown, lasting
 from tests.loopback import run, until
 from tests.test_service import site
 
@@ -80,8 +80,8 @@
     assert told is not None
     settings = told.settings()
     assert (settings.name, settings.control, settings.rate, settings.tail) == ("a", CONTROL, 50.0, 1000)
-    assert settings.sites == (said.Site("s", "r", ("a", "b"), ("p",)),)
-    assert settings == said.Settings("a", CONTROL, settings.sites, rate=50.0, tail=1000)
+    assert settings.sites == (msg.Site("s", "r", ("a", "b"), ("p",)),)
+    assert settings == msg.Settings("a", CONTROL, settings.sites, rate=50.0, tail=1000)
     assert {p.name: p.at for p in told.members()}["p"] == "127.0.0.1:13"
 
 
@@ -149,12 +149,12 @@
     assert told == Call(Kind.SPREAD_PURGE, key=bytes.fromhex(key))
     told = Exchange().receive(sent("PUT", f"/control/spread/send/{key}/6f6b"))
     assert told == Call(Kind.SPREAD_SEND, key=bytes.fromhex(key), value=b"ok")
-    longest = Exchange().receive(sent("PUT", f"/control/spread/send/{key}/{'ff' * said.LONGEST_VALUE}"))
-    assert isinstance(longest, Call) and len(longest.value) == said.LONGEST_VALUE
+    longest = Exchange().receive(sent("PUT", f"/control/spread/send/{key}/{'ff' * msg.MAX_VALUE_BYTES}"))
+    assert isinstance(longest, Call) and len(longest.value) == msg.MAX_VALUE_BYTES
 
 
 def test_calls_bear_what_the_log_takes() -> None:
-    assert KEY == 2 * said.KEY and MAX_VALUE == 2 * said.LONGEST_VALUE
+    assert KEY == 2 * msg.KEY_BYTES and MAX_VALUE == 2 * msg.MAX_VALUE_BYTES
 
 
 @pytest.mark.parametrize(
@@ -184,12 +184,12 @@
     told = read_call(b"PUT", b"/control/spread/" + rest)
     assert isinstance(told, Call | Answer)
     if isinstance(told, Call):
-        assert len(told.key) == said.KEY and len(told.value) <= said.LONGEST_VALUE
+        assert len(told.key) == msg.KEY_BYTES and len(told.value) <= msg.MAX_VALUE_BYTES
 
 
 # The file of what was applied
 
-PURGE, CHANGE = said.Purge(b"12345678"), said.Change(b"abcdefgh", b"\x00v")
+PURGE, CHANGE = msg.Purge(b"12345678"), msg.Change(b"abcdefgh", b"\x00v")
 
 
 def lines(path: Path) -> list[str]:
@@ -199,14 +199,14 @@
 
 def test_what_is_applied_is_a_line_each_with_its_time(tmp_path: Path) -> None:
     path, before = tmp_path / "applied", time.monotonic()
-    file = Applied(path, 10_000)
+    file = AppliedFile(path, 10_000)
     for action in (
-        *(said.Vouches(True), said.Apply(7, (PURGE, CHANGE)), said.Forget(1, 6)),
-        *(said.Restore(3, CHANGE), said.Done(7, 2, 1)),
+        *(msg.LeaseChanged(True), msg.Apply(7, (PURGE, CHANGE)), msg.AssumePurged(1, 6)),
+        *(msg.Restore(3, CHANGE), msg.Watermark(7, 2, 1)),
     ):
         file.add(action)
     assert lines(path) == ["start", "vouches no"]  # until `write`
-    file.write()
+    file.flush()
     file.close()
     assert lines(path) == [
         "start",
@@ -226,22 +226,22 @@
 def test_the_file_is_gone_on_with_and_begun_anew_at_its_bound(tmp_path: Path) -> None:
     path = tmp_path / "applied"
     for number in range(2):
-        file = Applied(path, 4096)
-        file.add(said.Apply(number, (PURGE,)))
+        file = AppliedFile(path, 4096)
+        file.add(msg.Apply(number, (PURGE,)))
         file.close()
     assert [line for line in lines(path) if "purge" in line] == [
         f"{n} purge {PURGE.key.hex()}" for n in (0, 1)
     ]
-    file, longest = Applied(path, 4096), 0
-    file.add(said.Vouches(True))
+    file, longest = AppliedFile(path, 4096), 0
+    file.add(msg.LeaseChanged(True))
     for number in range(2, 1002):
-        file.add(said.Apply(number, (PURGE,)))
-        file.write()
+        file.add(msg.Apply(number, (PURGE,)))
+        file.flush()
         longest = max(longest, path.stat().st_size)
     assert 4096 <= longest < 4096 + 100
     # a follower that reads the one before to its end has all of the last ones, and who vouches
     assert lines(path)[0] == "vouches yes"
-    both = lines(path.with_name(path.name + BEFORE)) + lines(path)
+    both = lines(path.with_name(path.name + ROTATED_SUFFIX)) + lines(path)
     numbers = [int(line.split()[0]) for line in both if "purge" in line]
     assert numbers == list(range(numbers[0], 1002))
 
@@ -251,7 +251,7 @@
     if not full.exists():
         pytest.skip("this machine has no device that is full")
     with pytest.raises(OSError, match="No space left"):
-        Applied(full, 4096)
+        AppliedFile(full, 4096)
 
 
 @pytest.mark.processes
@@ -380,29 +380,29 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.peers = {n: free() for n in (*CONTROL, "a", "b", "p")}
-        self.each: dict[str, Keeper] = {}
+        self.each: dict[str, Driver] = {}
 
-    def make(self, name: str) -> Keeper:
-        sites = (said.Site("s", "r", ("a", "b"), ("p",)),)
+    def make(self, name: str) -> Driver:
+        sites = (msg.Site("s", "r", ("a", "b"), ("p",)),)
         log = self.folder / f"{name}.log"
         if name in CONTROL:
             log.mkdir(exist_ok=True)
-        settings = said.Settings(name, CONTROL, sites, **FIGURES)
+        settings = msg.Settings(name, CONTROL, sites, **FIGURES)
         applied = self.folder / f"{name}.applied"
-        made = Keeper(settings, self.peers, (b"k" * 16, ()), applied, 2**20, log if name in CONTROL else None)
+        made = Driver(settings, self.peers, (b"k" * 16, ()), applied, 2**20, log if name in CONTROL else None)
         self.each[name] = made
         return made
 
-    async def start(self, shared: bool = False) -> Keeper:
+    async def start(self, shared: bool = False) -> Driver:
         """Start all; answers with the one that writes the log."""
         for name in self.peers:
             await self.make(name).start(self.peers[name], shared)
         writer = self.each["c1"]
-        writer.may = lambda: 1
-        writer.took(1)
+        writer.held_token = lambda: 1
+        writer.gain_leadership(1)
         return writer
 
-    def has(self, name: str, entry: said.Entry) -> bool:
+    def has(self, name: str, entry: msg.Entry) -> bool:
         return any(entry_line(entry) in line for line in lines(self.folder / f"{name}.applied"))
 
     async def close(self) -> None:
@@ -410,15 +410,15 @@
             await keeper.close()
 
 
-def entry_line(entry: said.Entry) -> str:
-    return f"purge {entry.key.hex()}" if isinstance(entry, said.Purge) else f"change {entry.subject.hex()}"
+def entry_line(entry: msg.Entry) -> str:
+    return f"purge {entry.key.hex()}" if isinstance(entry, msg.Purge) else f"change {entry.subject.hex()}"
 
 
-async def lasts(writer: Keeper, entry: said.Entry) -> int:
+async def lasts(writer: Driver, entry: msg.Entry) -> int:
     """Propose until it is taken: a writer that has just begun asks the others first."""
     while True:
         try:
-            return await lasting(writer, entry)
+            return await commit(writer, entry)
         except SpreadError:
             await asyncio.sleep(0.01)
 
@@ -429,7 +429,7 @@
         writer = await keepers.start()
         number = await lasts(writer, PURGE)
         await until(lambda: all(keepers.has(name, PURGE) for name in keepers.peers))
-        await until(lambda: writer.done is not None and writer.done.number >= number)
+        await until(lambda: writer.watermark is not None and writer.watermark.number >= number)
         told = writer.status()
         assert told["writes"] and told["holder"] == "c1" and not told["failed"]
         json.dumps(told), json.dumps(keepers.each["p"].status())
@@ -437,7 +437,7 @@
         with pytest.raises(SpreadError, match="its holder is c1"):
             keepers.each["c2"].propose(PURGE, lambda _: None)
         # the duty is over and nobody has said so yet
-        writer.may = lambda: None
+        writer.held_token = lambda: None
         with pytest.raises(SpreadError, match="its holder is not known"):
             writer.propose(PURGE, lambda _: None)
         assert not writer.status()["writes"]
@@ -452,11 +452,11 @@
         writer = await keepers.start()
         part = keepers.each["p"]
         await until(lambda: part.status()["vouches"])
-        assert part.applied is not None
+        assert part.applied_log is not None
         with open("/dev/full", "wb") as full:
-            os.dup2(full.fileno(), part.applied.file)
+            os.dup2(full.fileno(), part.applied_log.file)
         await lasts(writer, PURGE)
-        await until(lambda: bool(part.failed))
+        await until(lambda: bool(part.failure))
         told = part.status()
         assert "can't be written" in told["failed"] and not told["vouches"]
         assert part.transport is None
@@ -472,9 +472,9 @@
         before = keepers.each["c2"]
         after = keepers.make("c2")
         await after.start(keepers.peers["c2"], shared=True)
-        assert after.node is None and after.log is None and after.applied is None
+        assert after.node is None and after.log_file is None and after.applied_log is None
         await before.close()
-        await until(lambda: after.head is not None)
+        await until(lambda: after.replica is not None)
         await keepers.close()
 
     run(scenario)
@@ -489,10 +489,10 @@
         def broken(records: Any) -> None:
             raise OSError("a broken disk")
 
-        assert writer.log is not None
-        writer.log.append = broken  # type: ignore[method-assign]
-        with pytest.raises((SpreadError, NotKnown), match="a broken disk"):
-            await lasting(writer, CHANGE)
+        assert writer.log_file is not None
+        writer.log_file.append = broken  # type: ignore[method-assign]
+        with pytest.raises((SpreadError, OutcomeUnknown), match="a broken disk"):
+            await commit(writer, CHANGE)
         await keepers.close()
 
     run(scenario)
--- a/tests/test_spread_processes.py
+++ b/tests/test_spread_processes.py
@@ -16,7 +16,7 @@
 import pytest
 
 from myrtlecourse.peers.wire import Wire
-from myrtlecourse.spread import messages as said
+from myrtlecourse.spread import messages as msg
 from myrtlecourse.spread.codec import SpreadCodec
 from tests.spread_fleet import CONTROL, EAST, FIGURES, GROUPS, KEY, NAMES, PARTS, Fleet, fleet, until
 
@@ -93,7 +93,7 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             forger = Wire("c1", NAMES, KEY, 1, SpreadCodec())
             for name in NAMES:
-                cut = forger.pack(name, (said.Beat(2**40, 2**40, 0, 1000),))[:-1]
+                cut = forger.pack(name, (msg.Heartbeat(2**40, 2**40, 0, 1000),))[:-1]
                 for data in (b"", b"x", os.urandom(16), os.urandom(200), os.urandom(1400), cut):
                     stranger.sendto(data, there.heard_at[name])
         await there.whole()
--- a/tests/test_spread_tree.py
+++ b/tests/test_spread_tree.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from myrtlecourse.spread.messages import Settings, Site
-from myrtlecourse.spread.tree import CONTROL, HEADS, LEAF, RELAY, Tree, child_cost
+from myrtlecourse.spread.tree import CONTROL, LEAF, REGION_RELAY, SITE_RELAY, Tree, child_cost
 
 CONTROLS = tuple(f"control-{i:02}" for i in range(20))
 
@@ -61,10 +61,12 @@
         assert candidates == whole.candidates(name) and candidates
         for parent in candidates:
             assert whole.tier(parent) == whole.tier(name) - 1
-            assert whole.bears(parent, name) and not whole.bears(name, parent)
-            assert parent not in parts and whole.passes_on(parent)
-        assert whole.passes_on(name) == (tree.children_bound(name) > 0)
-        assert not any(whole.bears(other, name) for other in members(sites) if other not in candidates)
+            assert whole.may_be_parent(parent, name) and not whole.may_be_parent(name, parent)
+            assert parent not in parts and whole.may_have_children(parent)
+        assert whole.may_have_children(name) == (tree.max_children(name) > 0)
+        assert not any(
+            whole.may_be_parent(other, name) for other in members(sites) if other not in candidates
+        )
 
 
 def test_the_fleet_has_half_of_what_each_could_bear() -> None:
@@ -72,12 +74,12 @@
     sites = fleet(43, 15, 25, 10)
     tree = Tree(Settings(CONTROLS[0], CONTROLS, sites))
     tiers = Counter(tree.tier(name) for name in members(sites))
-    bound = tree.children_bound(next(n for n in members(sites) if tree.tier(n) == RELAY))
-    assert tiers[HEADS] / tiers[RELAY] <= bound / 2
-    assert tiers[LEAF] / tiers[HEADS] <= bound / 2
-    assert tiers[RELAY] / len(CONTROLS) <= tree.children_bound(CONTROLS[1]) / 2
-    first = Counter(tree.candidates(n)[0] for n in members(sites) if tree.tier(n) == RELAY)
-    assert len(first) == len(CONTROLS) and max(first.values()) <= tree.children_bound(CONTROLS[1])
+    bound = tree.max_children(next(n for n in members(sites) if tree.tier(n) == REGION_RELAY))
+    assert tiers[SITE_RELAY] / tiers[REGION_RELAY] <= bound / 2
+    assert tiers[LEAF] / tiers[SITE_RELAY] <= bound / 2
+    assert tiers[REGION_RELAY] / len(CONTROLS) <= tree.max_children(CONTROLS[1]) / 2
+    first = Counter(tree.candidates(n)[0] for n in members(sites) if tree.tier(n) == REGION_RELAY)
+    assert len(first) == len(CONTROLS) and max(first.values()) <= tree.max_children(CONTROLS[1])
     # the children that a bound allows are within the budget
     assert bound * child_cost(tree.settings, len(CONTROLS[0])) <= tree.settings.budget
 
@@ -94,19 +96,19 @@
 def test_a_site_of_relays_alone_has_its_parts_below_them() -> None:
     sites = (Site("s", "r", ("a",), ("p", "q")),)
     tree = Tree(Settings("p", CONTROLS, sites))
-    assert [tree.tier(n) for n in ("a", "p", "q")] == [RELAY, HEADS, HEADS]
+    assert [tree.tier(n) for n in ("a", "p", "q")] == [REGION_RELAY, SITE_RELAY, SITE_RELAY]
     assert tree.candidates("p") == ("a",)
-    assert tree.children_bound("p") == 0 and not tree.bears("p", "q")
+    assert tree.max_children("p") == 0 and not tree.may_be_parent("p", "q")
 
 
 def test_control_machines_are_below_the_root_and_name_no_candidates() -> None:
     tree = Tree(Settings(CONTROLS[3], CONTROLS, fleet(1, 1, 3, 0)))
     assert tree.tier(CONTROLS[3]) == CONTROL
     assert tree.candidates(CONTROLS[3]) == ()
-    assert tree.bears(CONTROLS[0], CONTROLS[3]) and not tree.bears(CONTROLS[3], CONTROLS[3])
+    assert tree.may_be_parent(CONTROLS[0], CONTROLS[3]) and not tree.may_be_parent(CONTROLS[3], CONTROLS[3])
     with pytest.raises(KeyError):
         tree.tier("nobody")
-    assert not tree.bears(CONTROLS[0], "nobody")
+    assert not tree.may_be_parent(CONTROLS[0], "nobody")
 
 
 def test_what_a_child_costs_is_counted_in_bytes() -> None:
--- a/tests/test_spread_worlds.py
+++ b/tests/test_spread_worlds.py
@@ -11,7 +11,7 @@
 from myrtlecourse.sim.spread import World
 from myrtlecourse.sim.spread_judge import Broken, Judge
 from myrtlecourse.sim.spread_troubles import schedule, well_again
-from myrtlecourse.spread import messages as said
+from myrtlecourse.spread import messages as msg
 from myrtlecourse.spread.messages import Purge
 from myrtlecourse.spread.tree import Tree
 from tests.wrong_spread import HEADS, NODES
@@ -68,7 +68,9 @@
     for member in there.each:
         own = Tree(there.settings(member.name, member.place))
         assert own.tier(member.name) == of_all.tier(member.name), member.name
-        assert all(of_all.bears(parent, member.name) for parent in own.candidates(member.name)), member.name
+        assert all(of_all.may_be_parent(parent, member.name) for parent in own.candidates(member.name)), (
+            member.name
+        )
 
 
 def test_same_seed_plays_the_same() -> None:
@@ -104,7 +106,7 @@
 
 # The judge itself
 
-KEYS = [Purge(bytes([i]) * said.KEY) for i in range(9)]
+KEYS = [Purge(bytes([i]) * msg.KEY_BYTES) for i in range(9)]
 
 
 def judge() -> Judge:
--- a/tests/wrong_spread.py
+++ b/tests/wrong_spread.py
@@ -7,72 +7,74 @@
 from dataclasses import fields
 from typing import Any
 
-from myrtlecourse.spread import messages as said
+from myrtlecourse.spread import messages as msg
 from myrtlecourse.spread.children import Child, Children
-from myrtlecourse.spread.replica import Head
-from myrtlecourse.spread.replica_events import Saved
 from myrtlecourse.spread.node import Node
 from myrtlecourse.spread.parent import Parent
+from myrtlecourse.spread.replica import Replica
+from myrtlecourse.spread.replica_events import LogState
 
-Make = Callable[[said.Settings, float, int], Node]
-MakeHead = Callable[[said.Settings, Saved, float], Head]
+Make = Callable[[msg.Settings, float, int], Node]
+MakeHead = Callable[[msg.Settings, LogState, float], Replica]
 
 
 class CountsNoChild(Children):
-    def lowest(self, now: float, have: int) -> tuple[int, int]:
-        return have, 0
+    def lowest_acknowledged(self, now: float, applied_until: int) -> tuple[int, int]:
+        return applied_until, 0
 
 
 class GrantsTheLate(Children):
     """A lease to a child that lacks what was said to be done."""
 
     def grant(self, now: float, child: Child, left: float, epoch: int) -> int:
-        reported, self.reported = self.reported, 0
+        watermark, self.watermark = self.watermark, 0
         try:
             return super().grant(now, child, left, epoch)
         finally:
-            self.reported = reported
+            self.watermark = watermark
 
 
 class ForgetsTheSilent(Children):
     """A child is counted no more once it is silent, whatever lease it still has."""
 
-    def _floor(self, now: float, done: int, until: float) -> None:
+    def _add_lease_floor(self, now: float, done: int, until: float) -> None:
         return
 
 
 class CountsFromTheAnswer(Parent):
     """A lease runs from when it came, and not from the report."""
 
-    def beat(self, now: float, sender: str, beat: said.Beat, granted_until: float) -> str:
-        if beat.echo in self.sent:
-            self.sent[beat.echo] = now
-        return super().beat(now, sender, beat, granted_until)
+    def on_heartbeat(self, now: float, sender: str, beat: msg.Heartbeat, granted_until: float) -> str:
+        if beat.echo in self.sent_reports:
+            self.sent_reports[beat.echo] = now
+        return super().on_heartbeat(now, sender, beat, granted_until)
 
 
 def with_children(kind: type[Children]) -> Make:
     """A node whose children are counted in another way."""
 
     class Wrong(Node):
-        def __init__(self, settings: said.Settings, now: float, seed: int) -> None:
+        def __init__(self, settings: msg.Settings, now: float, seed: int) -> None:
             super().__init__(settings, now, seed)
-            self.children = kind(settings, self.children.bound)
+            self.children = kind(settings, self.children.limit)
 
     return Wrong
 
 
 class LeaseFromTheAnswer(Node):
-    def __init__(self, settings: said.Settings, now: float, seed: int) -> None:
+    def __init__(self, settings: msg.Settings, now: float, seed: int) -> None:
         super().__init__(settings, now, seed)
         self.parent.__class__ = CountsFromTheAnswer
 
 
 class VouchesForEver(Node):
-    def vouches(self, now: float) -> bool:
+    def has_lease(self, now: float) -> bool:
         return self.is_root or self.parent.lease_until > -math.inf
 
-    def _next(self) -> float:
-        return max(super()._next(), self.now + 0.02)  # it would wake without end for a lease that is over
+    def _next_timer(self) -> float:
+        return max(
+            super()._next_timer(), self.now + 0.02
+        )  # it would wake without end for a lease that is over
 
 
 class GrantsMoreThanItHas(Node):
@@ -85,33 +87,33 @@
 class SpeaksAtOnce(Node):
     """A new root says what is done while members may vouch by the root before."""
 
-    def _on_root(self, epoch: int, holder: str) -> None:
-        super()._on_root(epoch, holder)
-        self.quiet_until = -math.inf
+    def _on_leadership(self, epoch: int, leader: str) -> None:
+        super()._on_leadership(epoch, leader)
+        self.watermark_held_until = -math.inf
 
 
 class AppliesAgain(Node):
-    def _on_entries(self, first: int, entries: tuple[said.Entry, ...]) -> None:
+    def _on_entries(self, first: int, entries: tuple[msg.Entry, ...]) -> None:
         self._apply(first, entries)
 
 
-class Alone(said.Settings):
+class Alone(msg.Settings):
     """One disk is enough."""
 
     __slots__ = ()
 
     @property
-    def majority(self) -> int:
+    def quorum(self) -> int:
         return 1
 
 
-def settles_alone(settings: said.Settings, saved: Saved, now: float) -> Head:
+def settles_alone(settings: msg.Settings, saved: LogState, now: float) -> Replica:
     values: list[Any] = [getattr(settings, f.name) for f in fields(settings)]
-    return Head(Alone(*values), saved, now)
+    return Replica(Alone(*values), saved, now)
 
 
-def forgets_its_disk(settings: said.Settings, saved: Saved, now: float) -> Head:
-    return Head(settings, Saved(), now)
+def forgets_its_disk(settings: msg.Settings, saved: LogState, now: float) -> Replica:
+    return Replica(settings, LogState(), now)
 
 
 NODES: dict[str, Make] = {
