--- a/myrtlecourse/spread/codec.py
+++ b/myrtlecourse/spread/codec.py
@@ -1,7 +1,7 @@
-"""What members of a spread say as the parts of datagrams; no I/O.
+"""Encodes and decodes the messages between members as parts of datagrams; no I/O.
 
-A word is its kind's number and its fields. Runs of purges are one string of bytes, KEY a purge: a number and
-a head for each would double what a purge costs.
+A message is the number of its kind followed by its fields. Consecutive purges are one byte string of
+KEY_BYTES per purge, because a number and a header for each would double the size of a purge.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
 )
 
 MAX_LEASE_MS = 1_000_000  # milliseconds that a parent may grant
-MAX_REQUESTED_ENTRIES = 4_096  # entries that one `Want` may ask for
-CHECKSUM_BYTES = 4  # bytes of a digest's sum
+MAX_REQUESTED_ENTRIES = 4_096  # entries that one `RetransmitRequest` may ask for
+CHECKSUM_BYTES = 4  # bytes of a digest's checksum
 
 Number = Annotated[int, Meta(ge=0, le=MAX_NUMBER)]
 First = Annotated[int, Meta(ge=1, le=MAX_NUMBER)]
 Members = Annotated[int, Meta(ge=0, le=msg.MAX_MEMBERS + msg.MAX_CONTROL_NODES)]
 Key = Annotated[bytes, Meta(min_length=KEY_BYTES, max_length=KEY_BYTES)]
-SubjectOrNone = Annotated[bytes, Meta(max_length=KEY_BYTES)]  # a subject, or none
+SubjectOrNone = Annotated[bytes, Meta(max_length=KEY_BYTES)]  # a subject, or empty
 Value = Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)]
-Keys = Annotated[bytes, Meta(min_length=KEY_BYTES, max_length=LONGEST)]  # of a run of purges
+Keys = Annotated[bytes, Meta(min_length=KEY_BYTES, max_length=LONGEST)]  # of consecutive purges
 
 
 class _Change(Struct, array_like=True, forbid_unknown_fields=True):
-    """In a datagram. A class, as msgspec 0.23 crashes the process over `bytes | tuple[bytes, bytes]` with
-    lengths checked."""
+    """A change in a datagram. It is a class because msgspec 0.23 crashes the process when it decodes a union
+    of bytes and a tuple of bytes with length constraints."""
 
     subject: Key
     value: Value
@@ -57,7 +57,7 @@
 
 
 class WireMessage(Struct, array_like=True, forbid_unknown_fields=True):
-    """A word in a datagram: its fields, in their order in `messages`."""
+    """A message in a datagram: its fields in the order that they have in `messages`."""
 
     message: ClassVar[Any]
 
@@ -177,7 +177,7 @@
     more: bool
 
 
-# their numbers are what datagrams carry: new ones come last
+# The tags are part of the wire format: new messages are added at the end.
 WireMessages = (
     _EntryBatch
     | _Heartbeat
@@ -203,12 +203,12 @@
 
 
 def max_payload(name: str) -> int:
-    """Bytes that the parts of a datagram of this sender may take, as `Wire.room` has it."""
+    """Return how many bytes the parts of a datagram from this sender may take; equals `Wire.room`."""
     return LONGEST - SEAL - HEAD - len(name.encode())
 
 
 def encode_entries(entries: tuple[Entry, ...]) -> list[Any]:
-    """Entries as parts: each run of purges as one string of bytes, each change as subject and value."""
+    """Encode entries as parts: consecutive purges as one byte string, each change as subject and value."""
     parts: list[Any] = []
     for kind, run in groupby(entries, type):
         if kind is Purge:
@@ -219,7 +219,7 @@
 
 
 def decode_entries(parts: tuple[bytes | _Change, ...]) -> tuple[Entry, ...]:
-    """The entries. Raises Dropped."""
+    """Decode entries. Raises Dropped when they are malformed."""
     entries: list[Entry] = []
     for part in parts:
         if isinstance(part, _Change):
@@ -232,14 +232,14 @@
 
 
 class SpreadCodec:
-    """Of members and control machines."""
+    """Encodes and decodes the messages of tree nodes and control nodes."""
 
     def parts(self, message: tuple[Message, ...]) -> list[Any]:
-        """What a datagram carries."""
+        """Return the parts that a datagram carries."""
         return [self._part(word) for word in message]
 
     def size(self, words: tuple[Message, ...]) -> int:
-        """Bytes that the words take in a datagram, against `room`."""
+        """Return how many bytes the messages take in a datagram, to compare with `max_payload`."""
         return len(msgspec.msgpack.encode(self.parts(words)))
 
     @staticmethod
@@ -257,7 +257,7 @@
         return part
 
     def read(self, parts: list[Any]) -> tuple[Message, ...]:
-        """The words, checked. Raises Dropped."""
+        """Decode and validate messages. Raises Dropped when they are malformed."""
         try:
             shapes = msgspec.convert(parts, tuple[WireMessages, ...], builtin_types=(bytes,))
         except (msgspec.ValidationError, OverflowError):
--- a/myrtlecourse/spread/messages.py
+++ b/myrtlecourse/spread/messages.py
@@ -1,8 +1,8 @@
-"""What members of a spread say to one another, what a member is told, and what it answers.
+"""Messages between the members of a fleet, and the events and actions of a member's node.
 
-Entries are numbered from 1 in one log. An epoch is the token of the duty whose holder writes the log. Times
-are seconds on the process's own monotonic clock; clocks need not agree on the time, and must not run apart by
-more than the stated drift.
+Log entries are numbered from 1. An epoch is the fencing token of the duty whose holder, the leader, writes
+the log. Times are seconds on the process's own monotonic clock; clocks need not show the same time, but their
+rates must not differ by more than the configured drift.
 """
 
 from __future__ import annotations
@@ -12,38 +12,38 @@
 
 from myrtlecourse.peers.seal import ident
 
-KEY_BYTES = 8  # bytes of a purge's key and of a change's subject: the first of their digests
-MAX_VALUE_BYTES = 120  # bytes of a change's value: with its number and head it fits one datagram
+KEY_BYTES = 8  # bytes of a purge's key and of a change's subject, which are the first bytes of their digests
+MAX_VALUE_BYTES = 120  # bytes of a change's value: with its number and header it fits one datagram
 MAX_CONTROL_NODES = 31
 MAX_MEMBERS = 40_000
-MAX_NUMBER = 2**62  # that a number, an epoch or a stamp may be
-DIGEST_RANGES = 16  # that a digest of the table has
+MAX_NUMBER = 2**62  # upper bound of a log number, an epoch or a stamp
+DIGEST_RANGES = 16  # number of subject ranges in a digest of the change table
 
 
 class SpreadError(ValueError):
-    """Settings or an entry that can't hold; the message names the field."""
+    """Raised for contradictory settings or an invalid entry; the message names the field."""
 
 
 @dataclass(slots=True, frozen=True)
 class Purge:
-    """Forget what is kept under a key. May be done twice, and in any order."""
+    """Discards what is cached under a key. Idempotent, and independent of the order of purges."""
 
-    key: bytes  # of KEY bytes
+    key: bytes  # of KEY_BYTES bytes
 
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """A subject's configuration is this from now on; of two for one subject the higher number holds."""
+    """Sets a subject's configuration; of two changes of one subject the one with the higher number wins."""
 
-    subject: bytes  # of KEY bytes
-    value: bytes  # LONGEST_VALUE at most
+    subject: bytes  # of KEY_BYTES bytes
+    value: bytes  # at most MAX_VALUE_BYTES bytes
 
 
 Entry = Purge | Change
 
 
 def checked_entry(entry: Entry) -> Entry:
-    """The entry, if all members can take it. Raises SpreadError."""
+    """Return the entry if every member can accept it. Raises SpreadError otherwise."""
     key = entry.key if isinstance(entry, Purge) else entry.subject
     if len(key) != KEY_BYTES:
         raise SpreadError(f"an entry's key has {KEY_BYTES} bytes, not {len(key)}")
@@ -54,7 +54,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Site:
-    """A site's members: routers, any of which may pass entries on, and cache servers' parts, which don't."""
+    """A site's members: routers, any of which may relay entries, and cache servers' parts, which are always
+    leaves."""
 
     name: str
     region: str
@@ -64,26 +65,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """One member's view: the control machines, and its region's sites (a control machine: all regions').
+    """One member's configuration: the control nodes and the sites of its region (of all regions on a control
+    node).
 
     Raises:
-        SpreadError: they contradict each other; the message names the field.
+        SpreadError: the settings contradict each other; the message names the field.
     """
 
     name: str
-    control: tuple[str, ...]  # that keep the log: one of them holds the duty and writes it
+    control: tuple[str, ...]  # the nodes that replicate the log; the one that holds the duty is its leader
     sites: tuple[Site, ...]
     budget: float = (
-        27_000.0  # bytes a second that a member which passes on may send for this, datagrams' heads aside
+        27_000.0  # bytes per second that a relay may send for this subsystem, without datagram headers
     )
-    control_budget: float = 500_000.0  # the same of a control machine
-    rate: float = 100.0  # entries a second that the tree is laid out for
-    pause: float = 0.1  # seconds for which a node gathers entries before it sends them on
+    control_budget: float = 500_000.0  # the same for a control node
+    rate: float = 100.0  # entries per second that the tree is dimensioned for
+    pause: float = 0.1  # seconds for which a node batches entries before it forwards them
     report: float = 0.2  # seconds between a member's reports to its parent
-    lease: float = 2.0  # seconds after which a member that has heard nothing vouches for nothing
-    drift: float = 0.02  # by which a clock's rate may be off
-    tail: int = 20_000  # entries that a member keeps for those below it
-    control_tail: int = 400_000  # that a control machine keeps
+    lease: float = 2.0  # seconds without a renewal after which a member's lease has expired
+    drift: float = 0.02  # maximum relative error of a clock's rate
+    tail: int = 20_000  # entries that a member keeps for retransmission to its descendants
+    control_tail: int = 400_000  # entries that a control node keeps
 
     def __post_init__(self) -> None:
         names = [*self.control, *(m for s in self.sites for m in (*s.routers, *s.parts))]
@@ -110,72 +112,74 @@
 
     @property
     def half_control_budget(self) -> float:
-        """Bytes a second that a control machine may send for the log, and as many for the tree below it.
+        """Bytes per second that a control node may send for the log, and as many again for the tree below it.
 
-        Guards its budget: each of the two keeps to its own, and both are busiest at the same time."""
+        Each of the two keeps to its own half, because both are busiest at the same time.
+        """
         return self.control_budget / 2
 
     @property
     def quorum(self) -> int:
-        """Control machines that make an entry last."""
+        """The number of control nodes that must have stored an entry before it is committed."""
         return len(self.control) // 2 + 1
 
 
-# What nodes of the tree say. Each datagram bears as many words as fit.
+# Messages between nodes of the tree. A datagram carries as many messages as fit.
 
 
 @dataclass(slots=True, frozen=True)
 class EntryBatch:
-    """Entries that follow on one another: what is new, or what was asked for with `Want`."""
+    """Consecutive entries, either new ones or ones that were requested with `RetransmitRequest`."""
 
     epoch: int
-    first: int  # number of the first
+    first: int  # number of the first entry
     entries: tuple[Entry, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class Heartbeat:
-    """From a parent: how far the log goes with me, and what your report was worth.
+    """Sent by a parent: how far its log goes, and the lease granted in answer to a report.
 
-    The receiver may vouch for `good_for` milliseconds from when it sent the report with the stamp `echo`;
-    0: not at all.
+    The lease lasts `good_for` milliseconds from when the receiver sent the report with the stamp `echo`; 0
+    grants no lease.
     """
 
     epoch: int
-    last: int  # number of the last entry that the sender has without a gap
+    last: int  # number of the last entry up to which the sender has no gap
     echo: int
     good_for: int
 
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """To a parent: I am below you, and this is how far I and all below me are.
+    """Sent to a parent: registers the sender as its child and acknowledges entries for the sender's subtree.
 
-    `have`: all up to it are applied here; `done`: by all that are counted at and below the sender.
+    The sender has applied all entries up to `have`; all counted members of its subtree have applied all up to
+    `done`.
     """
 
     stamp: int  # grows with each report of a process
     epoch: int
     have: int
     done: int
-    below: int  # members that are counted, the sender too
-    away: int  # members below that were counted and are silent
-    behind: int  # ident of the one whose `have` holds `done` back; 0: nobody's
+    below: int  # counted members of the subtree, including the sender
+    away: int  # members of the subtree that were counted and are now silent
+    behind: int  # ident of the member whose `have` limits `done`; 0: none
 
 
 @dataclass(slots=True, frozen=True)
 class Leave:
-    """To a parent: count me no more, I vouch for nothing until another lets me."""
+    """Sent to a parent: the sender no longer relies on leases from it and need not be counted."""
 
 
 @dataclass(slots=True, frozen=True)
 class NoCapacity:
-    """From a node that can bear no more children: try another."""
+    """Sent by a node that can't accept another child: the receiver has to try another parent."""
 
 
 @dataclass(slots=True, frozen=True)
 class RetransmitRequest:
-    """So many entries from a number on are missing here."""
+    """Requests `count` consecutive entries, from `first` on."""
 
     first: int
     count: int
@@ -183,9 +187,9 @@
 
 @dataclass(slots=True, frozen=True)
 class EntriesDropped:
-    """From one that was asked for what it keeps no more: its entries begin with `oldest`.
+    """Answers a request for entries that are no longer kept: the sender's log suffix begins with `oldest`.
 
-    The receiver treats all that it may have missed before as purged, and asks for the table of changes.
+    The receiver treats everything that it may have missed before as purged, and requests the change table.
     """
 
     oldest: int
@@ -193,34 +197,34 @@
 
 @dataclass(slots=True, frozen=True)
 class TableDigest:
-    """Sums over the changes that hold, by ranges of subjects; asks for the rows of those that differ."""
+    """Checksums of the sender's change table by subject range; requests the rows of ranges that differ."""
 
-    upto: int  # entries before this number are meant
-    sums: tuple[int, ...]  # MOST_RANGES, 4 bytes each
+    upto: int  # covers entries before this number
+    sums: tuple[int, ...]  # DIGEST_RANGES checksums of 4 bytes each
 
 
 @dataclass(slots=True, frozen=True)
 class TableRows:
-    """Changes that hold at the sender, of one range, in their subjects' order; `more`: others follow."""
+    """Current changes of one range, ordered by subject; `more`: further rows follow."""
 
     range: int
-    rows: tuple[tuple[int, Change], ...]  # number, and the change
+    rows: tuple[tuple[int, Change], ...]  # log number and change
     more: bool
 
 
 @dataclass(slots=True, frozen=True)
 class TableInSync:
-    """The table of changes that the digest asked about is the receiver's, up to that number."""
+    """Answers a digest: the receiver's change table equals the sender's up to that number."""
 
     upto: int
 
 
-# What control machines say of the log
+# Messages between control nodes about the log
 
 
 @dataclass(slots=True, frozen=True)
 class Prepare:
-    """I write the log under this epoch: what have you written down after `after`?"""
+    """Paxos phase 1a: the sender leads this epoch and asks for the entries stored after `after`."""
 
     epoch: int
     after: int
@@ -228,10 +232,10 @@
 
 @dataclass(slots=True, frozen=True)
 class PrepareReply:
-    """What I have written down, and that I write for nobody of a lower epoch any more.
+    """Paxos phase 1b: the stored entries, and the promise to accept nothing from a lower epoch.
 
-    `under` is the epoch in which the entries were written, `last` the number of my last one, `settled` how
-    far I know the log to last.
+    `under` is the epoch in which the entries were written, `last` the number of the sender's last entry and
+    `settled` its commit index.
     """
 
     epoch: int  # of the question
@@ -244,10 +248,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Append:
-    """From the holder: write these down; all up to `settled` last.
+    """Sent by the leader: store these entries; `settled` is the commit index.
 
-    No entries: only that, and all that was taken over from epochs before lasts. Then `first` is the number
-    after it: what the receiver has from there on under a lower epoch is void.
+    Without entries it announces the commit index alone, and that all entries taken over from earlier epochs
+    are committed. Then `first` is the number after those: the receiver discards entries from there on that
+    have a lower epoch.
     """
 
     epoch: int
@@ -258,7 +263,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AppendReply:
-    """All up to this number are on my disk, as the holder of this epoch has them."""
+    """All entries up to `last` are on the sender's disk, as written by the leader of this epoch."""
 
     epoch: int
     last: int
@@ -266,28 +271,29 @@
 
 @dataclass(slots=True, frozen=True)
 class StaleEpoch:
-    """There is a higher epoch than yours."""
+    """Answers a message of an epoch that is lower than one the sender has promised."""
 
     epoch: int
 
 
 @dataclass(slots=True, frozen=True)
 class SnapshotRequest:
-    """From a control machine whose log ends before the receiver's begins: the changes that hold, from the
-    subject after `after` on."""
+    """Sent by a control node whose log ends before the receiver's begins: requests the current changes after
+    the subject `after`."""
 
     epoch: int
-    after: bytes  # empty: from the first
+    after: bytes  # empty: from the first subject on
 
 
 @dataclass(slots=True, frozen=True)
 class SnapshotRows:
-    """Changes that hold up to a number, in their subjects' order; those up to it are in no log any more."""
+    """Current changes up to a log number, ordered by subject; they replace log entries that are no longer
+    kept."""
 
     epoch: int
     upto: int
-    after: bytes  # the subject before the first row; empty: they are the first
-    rows: tuple[tuple[int, Change], ...]  # number, and the change
+    after: bytes  # the subject before the first row; empty for the first rows
+    rows: tuple[tuple[int, Change], ...]  # log number and change
     more: bool
 
 
@@ -318,15 +324,15 @@
     StaleEpoch,
     SnapshotRequest,
     SnapshotRows,
-)  # words that are for a head and not a node
+)  # handled by a replica of the log, not by a node of the tree
 
 
-# What a node or a head is told
+# Events of a node or a replica
 
 
 @dataclass(slots=True, frozen=True)
 class Received:
-    """What another member says, all of one datagram."""
+    """All messages of one datagram from another member."""
 
     sender: str
     messages: tuple[Message, ...]
@@ -334,12 +340,12 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """The time of a `Wake` has come."""
+    """The time set with `SetTimer` has come."""
 
 
 @dataclass(slots=True, frozen=True)
 class Committed:
-    """To the node of a control machine, from its head: these entries last, and may go down the tree."""
+    """From a control node's replica to its tree node: these entries are committed and may be forwarded."""
 
     epoch: int
     first: int
@@ -348,18 +354,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Leadership:
-    """To the node of a control machine: who writes the log, as is known here; itself: it is the root."""
+    """To the tree node of a control node: the known leader, which is the root of the tree."""
 
     epoch: int
-    leader: str  # empty: nobody
+    leader: str  # empty: none is known
 
 
-# What it answers
+# Actions of a node or a replica
 
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Send these words in one datagram; they fit."""
+    """Send these messages in one datagram; they fit."""
 
     to: str
     messages: tuple[Message, ...]
@@ -367,7 +373,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Apply:
-    """Act by these entries, the first of them under this number. Each is told once."""
+    """Apply these entries; `first` is the number of the first one. No entry is applied twice."""
 
     first: int
     entries: tuple[Entry, ...]
@@ -375,8 +381,8 @@
 
 @dataclass(slots=True, frozen=True)
 class AssumePurged:
-    """Entries from `first` to `last` are not to be had any more: treat all that a purge among them may have
-    meant as purged. Changes among them are told on their own, as `Restore`."""
+    """Entries from `first` to `last` are unavailable: discard everything that a purge among them may have
+    named. Changes among them follow as `Restore`."""
 
     first: int
     last: int
@@ -384,7 +390,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Restore:
-    """A change that holds, from a table and not from the log."""
+    """A current change that comes from a change table instead of the log."""
 
     number: int
     change: Change
@@ -392,14 +398,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseChanged:
-    """Whether this member may act as if up to date from now on; until told otherwise it may not."""
+    """Whether this member holds a valid lease from now on; initially it does not."""
 
     valid: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Watermark:
-    """At the root: each member that counts has applied all up to this number."""
+    """At the root: all counted members have applied all entries up to `number`."""
 
     number: int
     members: int
@@ -408,7 +414,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Call back at this time; replaces the one before. Infinity: never."""
+    """Fire a timer at this time, in place of the one before; infinity: never."""
 
     at: float
 
@@ -419,16 +425,16 @@
 
 @dataclass(slots=True)
 class Counts:
-    """What staff may want to know of a node, or a head."""
+    """Counters of a node or a replica, shown to operators."""
 
-    stale: int = 0  # words of an older epoch, dropped
-    refused: int = 0  # words that its state does not allow
-    repaired: int = 0  # entries that came after they were asked for
-    moved: int = 0  # times that another parent was taken
+    stale: int = 0  # messages of an older epoch, dropped
+    refused: int = 0  # messages that are invalid in the present state
+    repaired: int = 0  # entries that arrived after they had been requested
+    moved: int = 0  # changes of parent
     bytes_out: int = 0
     more: dict[str, Any] = field(default_factory=dict)
 
 
 def member_ident(name: str) -> int:
-    """What a member is in a datagram."""
+    """Return the number that stands for a member's name in datagrams."""
     return ident(name)
--- a/myrtlecourse/spread/replica_events.py
+++ b/myrtlecourse/spread/replica_events.py
@@ -1,4 +1,4 @@
-"""What a control machine's head is told and answers beside words, and what its disk holds as records."""
+"""Events and actions of a control node's log replica, and the records of its disk."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class LogError(Exception):
-    """What the disk holds is no log; the message names the file and the place."""
+    """Raised when the stored log is corrupt; the message names the file and the offset."""
 
 
 # Records
@@ -30,14 +30,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Promise:
-    """Nothing is written for an epoch below this one any more."""
+    """The replica accepts nothing from epochs below this one."""
 
     epoch: int
 
 
 @dataclass(slots=True, frozen=True)
 class Write:
-    """Entries as the holder of an epoch has them, in place of what was there under a lower one."""
+    """Entries as the leader of an epoch wrote them; they replace entries of a lower epoch with the same
+    numbers."""
 
     first: int
     epoch: int
@@ -46,21 +47,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Truncate:
-    """What follows on this number is void."""
+    """Entries after `last` are void."""
 
     last: int
 
 
 @dataclass(slots=True, frozen=True)
 class Commit:
-    """All up to this number is known to last."""
+    """All entries up to this number are known to be committed."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
 class Snapshot:
-    """The changes that hold up to a number, in their subjects' order, in place of the entries up to it."""
+    """The current changes up to a log number, ordered by subject; it replaces all entries up to that
+    number."""
 
     upto: int
     rows: tuple[tuple[int, Change], ...]
@@ -71,14 +73,14 @@
 
 @dataclass(slots=True)
 class LogState:
-    """What the records of a disk add up to."""
+    """The state that results from replaying a disk's records."""
 
     promised: int = 0
-    base: int = 0  # entries up to it are no more than the table
+    base: int = 0  # entries up to this number are only kept as rows of the table
     table: dict[bytes, tuple[int, Change]] = field(default_factory=dict)
-    sorted_subjects: list[bytes] = field(default_factory=list)  # of the table, in order
-    entries: list[Entry] = field(default_factory=list)  # that follow on `base`
-    entry_epochs: list[int] = field(default_factory=list)  # the epoch in which each was written
+    sorted_subjects: list[bytes] = field(default_factory=list)  # the table's subjects in order
+    entries: list[Entry] = field(default_factory=list)  # the entries after `base`
+    entry_epochs: list[int] = field(default_factory=list)  # the epoch in which each entry was written
     commit_index: int = 0
 
     @property
@@ -86,7 +88,7 @@
         return self.base + len(self.entries)
 
     def apply(self, record: Record) -> None:
-        """One record more. Raises LogError: it does not follow on those before."""
+        """Apply one more record. Raises LogError when it leaves a gap after the records before."""
         match record:
             case Promise(epoch):
                 self.promised = max(epoch, self.promised)
@@ -100,7 +102,7 @@
                 self.entry_epochs[at : at + len(entries)] = [under] * len(entries)
                 self.promised = max(under, self.promised)
             case Truncate(last):
-                # guards what lasts: nobody may void it
+                # committed entries must never be truncated
                 at = max(last, self.commit_index) - self.base
                 del self.entries[at:], self.entry_epochs[at:]
             case Commit(number):
@@ -113,18 +115,18 @@
                 self.sorted_subjects = sorted(self.table)
 
     def matching_until(self, epoch: int) -> int:
-        """Up to which number all is as the holder of an epoch has it."""
+        """Return the number up to which all entries are known to equal those of the leader of an epoch."""
         number = self.commit_index
         while number < self.last and self.entry_epochs[number - self.base] == epoch:
             number += 1
         return number
 
     def entries_from(self, first: int, count: int) -> tuple[Entry, ...]:
-        """So many entries from a number on, fewer at the end."""
+        """Return up to `count` consecutive entries from number `first` on; fewer at the end of the log."""
         return tuple(self.entries[first - 1 - self.base : first - 1 - self.base + count])
 
     def snapshot_at(self, upto: int) -> Snapshot:
-        """What is to be kept in place of all entries up to a number."""
+        """Return the snapshot that replaces all entries up to a number."""
         table = dict(self.table)
         for number, entry in enumerate(self.entries_from(self.base + 1, upto - self.base), self.base + 1):
             if isinstance(entry, Change):
@@ -132,24 +134,24 @@
         return Snapshot(upto, tuple(table[subject] for subject in sorted(table)))
 
 
-# What a head is told beside `Heard` and `Woke`
+# Events of a replica besides `Received` and `TimerFired`
 
 
 @dataclass(slots=True, frozen=True)
 class LeadershipGained:
-    """The duty is this process's, under a token that nobody else has."""
+    """This process holds the duty, with a fencing token that no other holder has."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class LeadershipLost:
-    """It is not any more."""
+    """This process no longer holds the duty."""
 
 
 @dataclass(slots=True, frozen=True)
 class Propose:
-    """An entry that is to last; answered with `Acknowledge` or `Refuse` under the same ticket."""
+    """Requests that an entry be committed; answered with `Acknowledge` or `Refuse` with the same ticket."""
 
     ticket: int
     entry: Entry
@@ -157,18 +159,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Stored:
-    """The records of a `Store` are on the disk; or none of them is, and `why` says what is wrong."""
+    """The records of a `Store` are on disk; when `error` is not empty, none of them is."""
 
     number: int
     error: str = ""
 
 
-# What it answers beside `Say`, `Settled`, `Root`, `Forget`, `Restore` and `Wake`
+# Actions of a replica besides `Send`, `Committed`, `Leadership`, `AssumePurged`, `Restore` and `SetTimer`
 
 
 @dataclass(slots=True, frozen=True)
 class Store:
-    """Write these down, in their order, all or none; one is told after the other has been `Stored`."""
+    """Write these records in order, all or none; the next `Store` follows only after this one's `Stored`."""
 
     number: int
     records: tuple[Record, ...]
@@ -176,7 +178,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Acknowledge:
-    """What was proposed lasts, under this number."""
+    """The proposed entry is committed with this number."""
 
     ticket: int
     number: int
@@ -184,7 +186,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """What was proposed is not taken; `maybe`: it may last all the same, as it had been sent."""
+    """The proposed entry is rejected; `may_commit`: it had been sent to others, so it may still be
+    committed."""
 
     ticket: int
     reason: str
@@ -198,11 +201,11 @@
 
 
 def entries_that_fit(entries: list[Entry], at: int, room: int) -> int:
-    """How many entries from a place on surely take no more than so many bytes as MessagePack."""
+    """Return how many entries from an index on take at most so many bytes as MessagePack."""
     count, before = 0, False
     for entry in entries[at : at + room]:
         purge = isinstance(entry, Purge)
-        # runs of purges are one string of bytes
+        # consecutive purges are encoded as one byte string
         room -= (8 if before else 11) if purge else 15 + len(entry.value)  # type: ignore[union-attr]
         if room < 0:
             break
