--- a/myrtlecourse/spread/applied_file.py
+++ b/myrtlecourse/spread/applied_file.py
@@ -1,4 +1,4 @@
-"""What a member has applied, as a file that other programs on its host follow: a line an entry."""
+"""The file of applied entries, which other programs on the host follow: one line per entry."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
     Watermark,
 )
 
-ROTATED_SUFFIX = ".1"  # what the file before is called
+ROTATED_SUFFIX = ".1"  # suffix of the previous file's name
 
 
 def entry_line(number: int, entry: Entry) -> str:
-    """An entry's line, without its time."""
+    """Return the line of an entry, without its time."""
     if isinstance(entry, Purge):
         return f"{number} purge {entry.key.hex()}"
     return f"{number} change {entry.subject.hex()} {entry.value.hex()}"
 
 
 class AppliedFile:
-    """The file. Each line begins with the monotonic time at which it was written, in seconds."""
+    """The file. Each line begins with the monotonic time in seconds at which it was written."""
 
     def __init__(self, path: Path, most: int) -> None:
-        """Go on with what is there; at `most` bytes it is begun anew. Raises OSError."""
+        """Append to the file if it exists; it is rotated at `max_bytes`. Raises OSError."""
         self.path = path
         self.max_bytes = most
         self.lease_valid = False
         self.pending: list[str] = []
         self._open()
-        self.pending.append("start")  # this process remembers nothing of those before
+        self.pending.append("start")  # This process has no memory of what earlier ones applied.
         self.add(LeaseChanged(False))
         self.flush()
 
@@ -47,7 +47,7 @@
         self.size = os.fstat(self.file).st_size
 
     def add(self, action: Action) -> None:
-        """Let what a node answers be written with the next `write`."""
+        """Queue the line of a node's action for the next `flush`."""
         match action:
             case Apply(first, entries):
                 self.pending += [entry_line(number, entry) for number, entry in enumerate(entries, first)]
@@ -62,8 +62,8 @@
                 self.pending.append(f"done {number} {members} {away}")
 
     def flush(self) -> None:
-        """Write what waits, whole lines alone. Raises OSError: then the file lacks entries, and its member
-        must vouch for nothing any more."""
+        """Write all queued lines. Raises OSError: the file may then lack entries, and the member must not
+        rely on its lease any more."""
         if not self.pending:
             return
         if self.size >= self.max_bytes:
@@ -76,14 +76,15 @@
             raise OSError(f"{self.path}: the disk is full")
 
     def _rotate(self) -> None:
-        """Guards the disk. Whoever follows the file before reads it to its end under its new name."""
+        """Rotate the file, which bounds the space on disk. A follower reads the previous file to its end
+        under its new name."""
         os.close(self.file)
         self.path.replace(self.path.with_name(self.path.name + ROTATED_SUFFIX))
         self._open()
         self.pending.insert(0, f"vouches {'yes' if self.lease_valid else 'no'}")
 
     def close(self) -> None:
-        """Write no more: nobody applies anything."""
+        """Close the file; nothing is applied any more."""
         self.add(LeaseChanged(False))
         self.flush()
         os.close(self.file)
--- a/myrtlecourse/spread/children.py
+++ b/myrtlecourse/spread/children.py
@@ -1,7 +1,8 @@
-"""Those right below a node: how far they are, who counts, and what they are owed.
+"""A node's children: how far they are, which of them count, and what they have to be sent.
 
-A child counts from its grant on, until that grant must be over on its own clock. While it counts nothing that
-it lacks is done; and it is granted a lease only when it lacks nothing that was said to be done.
+A child counts from the moment it is granted a lease until that lease must have expired on the child's own
+clock. While it counts, the watermark does not pass what it has acknowledged. A lease is only granted to a
+child that has everything up to the watermark.
 """
 
 from __future__ import annotations
@@ -13,21 +14,22 @@
 
 NEW_PROCESS_STAMP_GAP = (
     2**32
-)  # by which the stamps of two processes are apart, as they begin at a random number
-MAX_SILENT_CHILDREN = 64  # names that are remembered
-SILENT_LEASES = 30  # leases for which they are
-HOLD_REST_LEASES = 5  # leases after which a child that has held `done` back in vain may again
+)  # Stamps of two processes of one member differ at least by this much, as they start at a random number.
+MAX_SILENT_CHILDREN = 64  # names of silent children that are remembered
+SILENT_LEASES = 30  # leases for which they are remembered
+# leases after which a child that has held back the watermark without success may do so again
+HOLD_REST_LEASES = 5
 MS_PER_S = 1000.0
 
 
 @dataclass(slots=True)
 class Child:
-    """One of them."""
+    """One child."""
 
     name: str
     stamp: int
     reported_at: float
-    cursor: int  # number of the next entry that it is sent
+    cursor: int  # number of the next entry to send to it
     applied_until: int = 0
     acknowledged: int = 0
     members: int = 1
@@ -35,36 +37,41 @@
     slowest: int = 0
     epoch: int = 0
     counted_until: float = -math.inf
-    holding_since: float = -math.inf  # since when it has held `done` back to come in
-    reply_due: float = math.inf  # by when its report is to be answered
+    # since when it has held back the watermark in order to be granted a lease
+    holding_since: float = -math.inf
+    reply_due: float = math.inf  # when its report has to be answered at the latest
 
 
 @dataclass(slots=True)
 class Children:
-    """All of one node's."""
+    """All children of one node."""
 
     settings: Settings
     limit: int
     by_name: dict[str, Child] = field(default_factory=dict)
     lease_floors: list[tuple[int, float]] = field(
         default_factory=list
-    )  # `done` of processes before, and until when
-    silent: dict[str, tuple[int, float]] = field(default_factory=dict)  # members with it, until when told
-    watermark: int = 0  # what was said to be done; it never falls
-    inherited_watermark: int = 0  # at a new root: the most that the root before may have said to be done
+    )  # the watermark that earlier processes of children hold back, and until when
+    # members of a silent child's subtree, and until when it is remembered
+    silent: dict[str, tuple[int, float]] = field(default_factory=dict)
+    watermark: int = 0  # what was reported as applied by all; it never decreases
+    # at a new root: the highest watermark that the previous root may have reported
+    inherited_watermark: int = 0
 
     @property
     def clock_ratio(self) -> float:
-        """How much longer a time may be on one clock than on another."""
+        """The largest ratio between the lengths of one interval on two clocks."""
         return (1 + self.settings.drift) / (1 - self.settings.drift)
 
     def on_report(self, now: float, sender: str, report: Report, cursor: int) -> Child | None:
-        """Take a child's report; None if it is an old one, or there is no room for another child."""
+        """Process a child's report. Return None for a delayed report or when there is no room for another
+        child."""
         child = self.by_name.get(sender)
         if child is not None and 0 <= child.stamp - report.stamp < NEW_PROCESS_STAMP_GAP:
             return None
         if child is not None and abs(report.stamp - child.stamp) >= NEW_PROCESS_STAMP_GAP:
-            # guards those below that vouch by a grant of the process before: it stays counted as it was
+            # The child's previous process may have granted leases to its own children, so it stays counted as
+            # it was.
             if child.counted_until > now:
                 self._add_lease_floor(now, child.acknowledged, child.counted_until)
             child = None
@@ -100,8 +107,8 @@
         return self.watermark - child.acknowledged <= max(100.0, self.settings.rate * self.settings.lease)
 
     def grant(self, now: float, child: Child, left: float, epoch: int) -> int:
-        """Milliseconds that a child may vouch from its last report on, when so many seconds of the node's own
-        lease are left: nothing before it has all that was said to be done."""
+        """Return the milliseconds for which a child holds a lease from its last report on, when `left`
+        seconds of the node's own lease are left; 0 while the child lacks entries up to the watermark."""
         if child.counted_until <= now and child.acknowledged < max(self.watermark, self.inherited_watermark):
             return 0
         if child.epoch < epoch or left <= 0:
@@ -111,11 +118,11 @@
         return good_for
 
     def remove(self, sender: str) -> None:
-        """A child vouches for nothing any more by a grant from here."""
+        """Remove a child that no longer relies on a lease from here."""
         self.by_name.pop(sender, None)
 
     def expire(self, now: float) -> None:
-        """Those that were silent for a lease are away."""
+        """Remove children that have been silent for the length of a lease."""
         for name in [n for n, c in self.by_name.items() if c.reported_at < now - self.settings.lease]:
             child = self.by_name.pop(name)
             if child.counted_until > now:
@@ -132,7 +139,8 @@
         return child.counted_until > now or near
 
     def lowest_acknowledged(self, now: float, have: int) -> tuple[int, int]:
-        """What all have that count, the node itself too, and who holds it back."""
+        """Return the number up to which all counted members have applied entries, including this node, and
+        the ident of the slowest one."""
         lowest, behind = have, 0
         for child in self.by_name.values():
             if child.acknowledged < lowest and self._counts(now, child):
@@ -140,19 +148,19 @@
         return min([lowest, *(done for done, until in self.lease_floors if until > now)]), behind
 
     def advance_watermark(self, now: float, have: int) -> tuple[int, int]:
-        """The same, as it is said from now on: it never falls."""
+        """Return the same, and advance the watermark to it; the watermark never decreases."""
         lowest, behind = self.lowest_acknowledged(now, have)
         self.watermark = max(self.watermark, lowest)
         return self.watermark, behind
 
     def member_counts(self, now: float) -> tuple[int, int]:
-        """Members that count, the node itself too; and those that are away."""
+        """Return how many members count, including this node, and how many are silent."""
         counted = [c for c in self.by_name.values() if c.counted_until > now]
         away = sum(c.away for c in counted) + sum(below for below, _ in self.silent.values())
         return 1 + sum(c.members for c in counted), away
 
     def last_lease_end(self, now: float) -> float:
-        """When the last grant is over that a child may still have."""
+        """Return when the last lease ends that was granted to a child."""
         return max(
             [
                 now,
--- a/myrtlecourse/spread/commands.py
+++ b/myrtlecourse/spread/commands.py
@@ -1,4 +1,5 @@
-"""`myrtlecourse spread`: what staff ask of the spread of changes and purges, over operators' addresses."""
+"""`myrtlecourse spread`: the operators' commands for changes and purges, over the routers' operators'
+addresses."""
 
 from __future__ import annotations
 
@@ -16,20 +17,20 @@
 from myrtlecourse.address.commands import AT, NO, ask_each, call
 from myrtlecourse.spread.messages import KEY_BYTES, MAX_VALUE_BYTES
 
-POLL_INTERVAL = 0.1  # seconds between questions whether an entry is done everywhere
+POLL_INTERVAL = 0.1  # seconds between queries whether an entry is applied everywhere
 WAIT = click.option(
     "--wait", type=click.FloatRange(0.0, 3600.0), default=0.0, help="seconds to wait until done everywhere"
 )
 
 
 def key_hash(name: str) -> bytes:
-    """What a purge's name, or a change's subject, is in the log."""
+    """Return the log key of a purge's name or a change's subject."""
     return hashlib.blake2b(name.encode(), digest_size=KEY_BYTES).digest()
 
 
 @click.group()
 def spread() -> None:
-    """Changes and purges for every member of a fleet: sending them, and where they are.
+    """Send changes and purges to every member of a fleet, and show how far they are.
 
     \b
     myrtlecourse spread status --at 10.0.0.4:15000 --at 10.0.0.5:15000
@@ -37,12 +38,12 @@
     myrtlecourse spread send limits/news rate=200 --at 10.0.0.4:15000
 
     --at is a router's operators' address (`ops`); to send, name the control machines: the one that writes
-    the log takes it. Exit code 0, 1 when the answer is no or not known, 2 when nobody answers.
+    the log accepts the entry. Exit code 0, 1 when the answer is no or not known, 2 when nobody answers.
     """
 
 
 def format_value(value: Any) -> str:
-    """A field's value, a line for each of several."""
+    """Return a field's value as text, with a line for each element of a list."""
     if isinstance(value, dict):
         return ", ".join(f"{k}: {v}" for k, v in value.items())
     if isinstance(value, list):
@@ -51,7 +52,7 @@
 
 
 def node_table(at: str, told: dict[str, Any]) -> Table:
-    """A member's view of the spread."""
+    """Return a member's state as a table."""
     vouches = "vouches for itself" if told["vouches"] else "vouches for nothing"
     title = f"{at}: {told['name']}, {vouches}, log written by {told['holder'] or 'nobody known'}"
     table = Table(title=f"{title}, {told['failed']}" if told["failed"] else title, show_header=False)
@@ -70,7 +71,7 @@
 @AT
 @click.option("--json", "as_json", is_flag=True, help="print JSON, an object for each --at")
 def status(places: tuple[str, ...], as_json: bool) -> None:
-    """What each member knows: who writes the log, how far it is, and who holds completion back."""
+    """Show what each member knows: the leader of the log, how far it is, and who holds completion back."""
     found = ask_each(places, "spread")
     if as_json:
         click.echo(json.dumps(found, indent=2))
@@ -80,8 +81,8 @@
 
 
 def put_entry(places: tuple[str, ...], path: str) -> tuple[str, int]:
-    """Let an entry last; answers with whose log it is in, and its number. Ends with exit code 1 when nobody
-    takes it."""
+    """Commit an entry. Return the address of the node that accepted it, and its log number. Exits with code 1
+    when no node accepts it."""
     text = ""
     for at in places:
         try:
@@ -89,17 +90,17 @@
         except SystemExit:
             if at == places[-1]:
                 raise
-            continue  # it has said that it is not reached; another may write the log by now
+            continue  # `call` has reported it as unreachable; another node may lead by now
         if code == HTTPStatus.OK:
             return at, int(text)
         if code != HTTPStatus.SERVICE_UNAVAILABLE:
-            break  # it may have been taken: another would take it a second time
+            break  # it may have been accepted, and another node would accept it a second time
     click.echo(f"myrtlecourse: {text}", err=True)
     sys.exit(NO)
 
 
 def wait_until_done(at: str, number: int, seconds: float) -> None:
-    """Wait until an entry is done everywhere. Ends with exit code 1 when it is not in time."""
+    """Wait until an entry is applied everywhere. Exits with code 1 when it is not in time."""
     until = time.monotonic() + seconds
     while True:
         done = ask_each((at,), "spread")[at]["done"]
@@ -118,7 +119,7 @@
 @AT
 @WAIT
 def purge(names: tuple[str, ...], places: tuple[str, ...], wait: float) -> None:
-    """Let all members forget what they keep under these keys; prints the number of each."""
+    """Make all members discard what they cache under these keys; prints the log number of each."""
     at, number = places[0], 0
     for name in names:
         at, number = put_entry(places, f"purge/{key_hash(name).hex()}")
@@ -134,7 +135,7 @@
 @AT
 @WAIT
 def send(subject: str, value: str, places: tuple[str, ...], wait: float) -> None:
-    """Let all members have this value for a subject from now on; prints the change's number."""
+    """Set a subject's value for all members; prints the change's log number."""
     if len(value.encode()) > MAX_VALUE_BYTES:
         raise click.BadParameter(f"{MAX_VALUE_BYTES} bytes at most", param_hint="VALUE")
     at, number = put_entry(places, f"send/{key_hash(subject).hex()}/{value.encode().hex()}")
--- a/myrtlecourse/spread/driver.py
+++ b/myrtlecourse/spread/driver.py
@@ -1,4 +1,5 @@
-"""Keeps one process's part in the spread: its socket, its node and, at a control machine, the log."""
+"""Drives one process's part in the spread: its socket, its tree node and, on a control node, the log
+replica."""
 
 from __future__ import annotations
 
@@ -22,15 +23,15 @@
 from myrtlecourse.spread.node import Node
 from myrtlecourse.spread.replica import Replica
 
-LISTEN_RETRY = 0.2  # seconds until listening is tried again, where the process before this one still does
-MAX_PROPOSALS = 1000  # entries that are proposed here and not answered
+LISTEN_RETRY = 0.2  # seconds between attempts to listen while the predecessor of this process still does
+MAX_PROPOSALS = 1000  # entries proposed here that are not answered yet
 log = logging.getLogger(__name__)
 bounded = BoundedLog(log)
 ProposalCallback = Callable[[events.Acknowledge | events.Refuse], None]
 
 
 class Driver(End[tuple[msg.Message, ...]]):
-    """One process's end."""
+    """The I/O around one process's node and replica."""
 
     def __init__(
         self,
@@ -41,7 +42,7 @@
         applied_bytes: int = 2**26,
         folder: Path | None = None,
     ) -> None:
-        """`folder` has the log, at control machines. Raises ValueError when a key is too short."""
+        """`folder` holds the log on a control node. Raises ValueError when a key is too short."""
         self.random = random.SystemRandom()
         start = self.random.getrandbits(62) + 1
         members = settings.control + tuple(m for s in settings.sites for m in (*s.routers, *s.parts))
@@ -52,28 +53,29 @@
         self.applied_bytes = applied_bytes
         self.applied_log: AppliedFile | None = None
         self.log_file: LogFile | None = None
-        self.node: Node | None = None  # from when it listens
+        self.node: Node | None = None  # set once the socket is open
         self.replica: Replica | None = None
-        # the token to write the log with at this very moment, or None
+        # Returns the fencing token with which this process may write the log at this moment, or None.
         self.held_token: Callable[[], int | None] = lambda: None
-        self.leader_token = 0  # that the head writes under; 0: it does not
-        self.leader_name = ""  # as is known here
+        self.leader_token = 0  # the epoch in which this process leads; 0: it does not
+        self.leader_name = ""  # the known leader, or empty
         self.callbacks: dict[int, ProposalCallback] = {}
         self.last_proposal = 0
-        self.watermark: msg.Watermark | None = None  # the last that was told here, as the root
+        self.watermark: msg.Watermark | None = None  # the last one that was reported here, as the root
         self.timers = {"node": math.inf, "head": math.inf}
         self.timer_due = math.inf
         self.tasks: list[asyncio.Task[None]] = []
         self.store_task: asyncio.Task[None] | None = None
-        self.failure = ""  # why this process takes no part any more
+        self.failure = ""  # why this process no longer participates
 
     async def start(self, bind: Endpoint, shared: bool) -> None:
-        """Listen, and begin; where another process of this router may still listen (`shared`, at an upgrade)
-        once that one has let go: log and applied file are its until then.
+        """Open the socket and start. With `shared`, during an upgrade, another process of this router may
+        still listen; then start once it has closed its socket, as the log and the applied file belong to it
+        until then.
 
         Raises:
-            OSError: the address or a file can't be had.
-            LogError: what the folder holds is no log.
+            OSError: the address or a file is not available.
+            LogError: the folder does not hold a valid log.
         """
         if shared:
             self.tasks.append(asyncio.create_task(self._open_when_free(bind)))
@@ -96,7 +98,7 @@
             if self.applied_path is not None:
                 self.applied_log = AppliedFile(self.applied_path, self.applied_bytes)
             if self.folder is not None:
-                # beside the event loop: a long log takes longer than clients may wait
+                # In a thread, because reading a long log would block clients for too long.
                 self.log_file = await asyncio.to_thread(LogFile, self.folder)
         except (OSError, events.LogError):
             self.leave()
@@ -112,12 +114,13 @@
             self.tasks.append(asyncio.create_task(self._repeat_lease()))
 
     async def _repeat_lease(self) -> None:
-        """Repeat whether this member vouches for itself: who follows the file can't know that it lives."""
+        """Repeat periodically whether this member holds a lease, as followers of the file can't know whether
+        the process is alive."""
         while self.applied_log is not None and self.node is not None and not self.failure:
             self._carry_out([msg.LeaseChanged(self.node.has_lease(time.monotonic()))])
             await asyncio.sleep(self.settings.lease / 4)
 
-    # What comes, and what is answered
+    # Events and actions
 
     def heard(self, sender: str, message: tuple[msg.Message, ...]) -> None:
         of_heads = tuple(word for word in message if isinstance(word, msg.LOG_MESSAGES))
@@ -128,39 +131,41 @@
             self.post_to_node(msg.Received(sender, of_nodes))
 
     def post_to_node(self, event: msg.Event) -> None:
-        """Let the node hear of something, and carry out what it answers."""
+        """Pass an event to the tree node and carry out its actions."""
         if self.node is not None and not self.failure:
             self._carry_out(self.node.handle(time.monotonic(), event), "node")
 
     def post_to_replica(self, event: events.ReplicaEvent) -> None:
-        """The same of the head, where there is one."""
+        """Pass an event to the replica, if there is one, and carry out its actions."""
         if self.replica is None or self.failure:
             return
-        # guards the log: a process that stood still hears first that it is followed, and then what has come
+        # A process that was suspended must learn that it has lost the leadership before it handles what has
+        # arrived meanwhile.
         if not self._is_leader() and self.leader_token:
             self.leader_token = 0
             self._carry_out(self.replica.handle(time.monotonic(), events.LeadershipLost()), "head")
         self._carry_out(self.replica.handle(time.monotonic(), event), "head")
 
     def _is_leader(self) -> bool:
-        """Whether the log is this process's to write at this very moment."""
+        """Return whether this process may write the log at this moment."""
         return bool(self.leader_token) and self.held_token() == self.leader_token
 
     def gain_leadership(self, token: int) -> None:
-        """The log is this process's to write."""
+        """This process now holds the duty, with this fencing token."""
         self.leader_token = token
         self.post_to_replica(events.LeadershipGained(token))
 
     def lose_leadership(self) -> None:
-        """It is not any more."""
+        """This process no longer holds the duty."""
         if self.leader_token:
             self.leader_token = 0
             self.post_to_replica(events.LeadershipLost())
 
     def propose(self, entry: msg.Entry, answered: ProposalCallback) -> None:
-        """Let an entry last; answered once, some time later. Raises SpreadError, and then it is not taken."""
+        """Propose an entry; the callback is called once, with the outcome. Raises SpreadError when it is
+        rejected at once."""
         msg.checked_entry(entry)
-        self.post_to_replica(msg.TimerFired())  # it may have been followed since
+        self.post_to_replica(msg.TimerFired())  # notices if the leadership was lost meanwhile
         if not self._is_leader():
             raise msg.SpreadError(
                 f"the log is not written here; its holder is {self.leader_name or 'not known'}"
@@ -175,7 +180,7 @@
         for action in actions:
             match action:
                 case msg.Send(to, words):
-                    self._flush_applied()  # before anybody hears of it
+                    self._flush_applied()  # written before others learn of it
                     self.send(to, self.wire.pack(to, words))
                 case msg.Apply() | msg.AssumePurged() | msg.Restore() | msg.LeaseChanged() | msg.Watermark():
                     self._record(action)
@@ -204,7 +209,8 @@
             self.applied_log.add(action)
 
     def _flush_applied(self) -> None:
-        """Guards completion: nothing is reported that programs on this host can't see."""
+        """Write what was applied, before it is acknowledged to others: programs on this host must be able to
+        see it."""
         try:
             if self.applied_log is not None:
                 self.applied_log.flush()
@@ -212,7 +218,7 @@
             self._stop_participating(f"what is applied can't be written: {e}")
 
     async def _store(self, store: events.Store) -> None:
-        """Write to the log beside the event loop: a disk may take longer than a lease."""
+        """Write records in a thread, because a disk can take longer than a lease."""
         assert self.log_file is not None
         why = ""
         try:
@@ -223,12 +229,12 @@
         self.post_to_replica(events.Stored(store.number, why))
 
     def _stop_participating(self, why: str) -> None:
-        """Fall silent: then this member's lease runs out, and others wait for it no longer than that."""
+        """Stop sending, so that this member's lease expires and others wait for it no longer than that."""
         log.error("spread: this process takes no part any more: %s", why)
         self.failure = why
         self.leave()
 
-    # Time
+    # Timers
 
     def _set_timer(self, at: float) -> None:
         if at != self.timer_due:
@@ -246,10 +252,10 @@
             self.post_to_node(msg.TimerFired())
         self._set_timer(min(self.timers.values()))
 
-    # For staff
+    # For operators
 
     def status(self) -> dict[str, Any]:
-        """What staff may want to know; JSON-able. Times in seconds."""
+        """Return the state for operators; JSON-serialisable. Times are in seconds."""
         now = time.monotonic()
         return {
             "name": self.settings.name,
@@ -268,14 +274,15 @@
         }
 
     async def close(self) -> None:
-        """Say no more, and leave the address, the log and the file to the process that follows."""
+        """Stop, and leave the address, the log and the applied file to the succeeding process."""
         for task in self.tasks:
             task.cancel()
         self.lose_leadership()
         self.failure = self.failure or "it has ended"
         if self.store_task is not None:
             await self.store_task
-        # guards the start of the process that follows: it takes the log once it has the address
+        # The files are closed before the socket, because the succeeding process opens the log once it has the
+        # address.
         if self.log_file is not None:
             self.log_file.close()
         if self.applied_log is not None:
--- a/myrtlecourse/spread/leader.py
+++ b/myrtlecourse/spread/leader.py
@@ -1,9 +1,11 @@
-"""The holder's part in the log: asks what is written, takes it over, has a majority write what is new.
-
-Paxos per number (Lamport, 1998) with the election in front; the epoch is the ballot. Entries of epochs before
-are written again under the holder's own, and count only as that: a number that a majority has under an older
-epoch may still be replaced (Ongaro and Ousterhout, 2014, figure 8). They are all to last before anything new
-is taken; so what others have behind them under lower epochs was never acknowledged, and is void.
+"""The leader's part in the log: collects what was stored, takes it over and replicates new entries to a
+majority.
+
+This is Paxos for each log number (Lamport, 1998) with a separate leader election; the epoch is the ballot
+number. Entries of earlier epochs are stored again under the leader's own epoch and only count as such,
+because an entry that a majority has stored under an older epoch may still be replaced (Ongaro and Ousterhout,
+2014, figure 8). All of them must be committed before a new entry is accepted. Any further entries that other
+replicas hold under lower epochs were therefore never acknowledged, and are void.
 """
 
 from __future__ import annotations
@@ -41,75 +43,78 @@
     entries_that_fit,
 )
 
-MAX_PENDING_PROPOSALS = 10_000  # proposals that are not settled yet
-MAX_SUBJECTS = 100_000  # of changes that the table holds
-MAX_IN_FLIGHT = 2_000  # entries that are sent to one machine and not answered
+MAX_PENDING_PROPOSALS = 10_000  # proposals that are not committed yet
+MAX_SUBJECTS = 100_000  # subjects of changes that the table may hold
+MAX_IN_FLIGHT = 2_000  # entries that are sent to one follower and not yet acknowledged
 APPEND_BYTES, SNAPSHOT_ROWS_BYTES, ROW_BYTES = (
     32,
     37,
     25,
-)  # bytes at most of a word without its entries, and of a row without its value
-MAX_BACKOFF_DOUBLINGS = 5  # doublings of the time after which what is not answered is sent again
+    # maximum sizes in bytes of an `Append` without its entries, of `SnapshotRows` without rows, and of a row
+    # without its value
+)
+MAX_BACKOFF_DOUBLINGS = 5  # doublings of the retransmission timeout
 Output = ReplicaAction | Record
 
 
 class TokenBucket:
-    """Bytes that may be sent for what is old: what is new is not held up, but counts."""
+    """Token bucket of bytes for retransmissions. New entries are never delayed by it, but are charged to
+    it."""
 
     def __init__(self, rate: float, most: float, now: float) -> None:
         self.rate, self.capacity, self.available, self.filled_at = rate, most, most, now
 
     def refill(self, now: float) -> None:
-        """Time has passed."""
+        """Add the bytes that have become available since the last call."""
         self.available = min(self.capacity, self.available + self.rate * (now - self.filled_at))
         self.filled_at = now
 
     def spend(self) -> None:
-        """One datagram goes out."""
+        """Charge one datagram of maximum size."""
         self.available = max(-self.capacity, self.available - LONGEST)
 
 
 class Phase(Enum):
-    """How far a holder has come."""
+    """The progress of a leader."""
 
-    PREPARE = "survey"  # asks a majority what it has written down
-    ADOPT = "adopt"  # writes what it takes over down itself
+    PREPARE = "survey"  # asks a majority for the entries that it has stored
+    ADOPT = "adopt"  # stores the entries that it takes over on its own disk
     REPLICATE = "write"
 
 
 @dataclass(slots=True)
 class PrepareState:
-    """What one machine has told to the survey."""
+    """What one control node has answered to `Prepare`."""
 
-    received_until: int  # its entries up to here, without a hole
+    received_until: int  # all its entries up to here were received, without a gap
     last: int | None = None
     commit_index: int = 0
 
 
 @dataclass(slots=True)
 class FollowerProgress:
-    """What another control machine has of the holder's log."""
+    """The leader's view of another control node's log."""
 
-    next: int  # to be sent
-    acked: int  # it is taken to have all up to here, and is sent again what follows
-    stored: int = 0  # all up to here counts: it is on its disk
+    next: int  # number of the next entry to send
+    acked: int  # assumed to have all entries up to here; later ones are sent again after a timeout
+    stored: int = 0  # confirmed to be on its disk up to here; this is what counts towards a majority
     responded: bool = False
-    timeouts: int = 0  # times that it was silent in sequence
+    timeouts: int = 0  # consecutive timeouts
     retry_at: float = -math.inf
     rewound_at: float = -math.inf
     commit_notice_at: float = (
         -math.inf
-    )  # when it is told how far the log lasts, if it has nothing else to be told
+    )  # when to announce the commit index, unless a message with entries has carried it before
     commit_notices: int = 0
 
 
 class Leader:
-    """One holding, under one epoch."""
+    """One term of leadership, under one epoch."""
 
     def __init__(
         self, settings: Settings, epoch: int, saved: LogState, budget: TokenBucket, room: int, now: float
     ) -> None:
-        """`saved` is what this machine's disk holds, kept up to date by the head."""
+        """`saved` is the state of this node's disk, which the replica keeps up to date."""
         self.settings = settings
         self.epoch = epoch
         self.state = saved
@@ -117,16 +122,19 @@
         self.max_payload = room
         self.phase = Phase.PREPARE
         self.prepare_at = now
-        self.accepted: dict[int, tuple[int, Entry]] = {}  # by number, under the highest epoch
+        # by number: the epoch, which is the highest reported one, and the entry
+        self.accepted: dict[int, tuple[int, Entry]] = {}
         self.answers: dict[str, PrepareState] = {}
         self.followers: dict[str, FollowerProgress] = {}
         self.takeover_end = 0
-        self.stored_until = 0  # all up to it are on this machine's disk, under this epoch or known to last
+        # entries up to here are on this node's disk, under this epoch or known to be committed
+        self.stored_until = 0
         self.last = 0  # number of the last entry
         self.commit_index = 0
         self.subjects: set[bytes] = set()
         self.queue: deque[tuple[int, Entry]] = deque()
-        self.uncommitted: deque[tuple[int, int]] = deque()  # numbers, and whom they answer
+        # number and ticket of each entry that is not committed yet
+        self.uncommitted: deque[tuple[int, int]] = deque()
         self.flush_at = now
         self.batch_interval = settings.pause / 4
 
@@ -136,13 +144,14 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether all that was taken over lasts, so that something new may follow."""
+        """Whether all entries taken over are committed, so that new ones may be accepted."""
         return self.phase is Phase.REPLICATE and self.commit_index >= self.takeover_end
 
-    # Taking over
+    # Takeover
 
     def _prepare(self, now: float) -> Iterator[Output]:
-        """Guards what epochs before have made last: a majority tells what it has, and is bound by that."""
+        """Paxos phase 1: ask the other nodes what they have stored. A majority's answers contain every entry
+        that earlier epochs have committed, and bind those nodes to reject lower epochs."""
         if self.state.promised < self.epoch:
             return
         if now >= self.prepare_at:
@@ -158,10 +167,10 @@
             yield from self.adopt()
             known = max([self.state.commit_index, *(a.commit_index for a in whole)])
             self.commit_index = min(known, self.takeover_end)
-            yield from self.on_stored(now)  # if nothing was to be written
+            yield from self.on_stored(now)  # needed when there was nothing to store
 
     def on_prepare_reply(self, sender: str, word: PrepareReply) -> None:
-        """What another has written down."""
+        """Record what another node has stored."""
         if word.epoch != self.epoch or self.phase is not Phase.PREPARE:
             return
         told = self.answers.setdefault(sender, PrepareState(self.state.commit_index))
@@ -173,8 +182,8 @@
         told.last, told.commit_index = word.last, max(word.settled, told.commit_index)
 
     def adopt(self) -> Iterator[Output]:
-        """Write all that may have been acknowledged under this epoch: for each number what was written under
-        the highest."""
+        """Store under this epoch every entry that may have been acknowledged: for each number the one with
+        the highest reported epoch."""
         saved, entries = self.state, list[Entry]()
         first = number = saved.commit_index + 1
         while True:
@@ -191,7 +200,7 @@
             yield events.Write(first + i, self.epoch, tuple(entries[i : i + MAX_RECORD_ENTRIES]))
 
     def _start_replication(self, now: float) -> None:
-        """What was taken over is on this machine's disk: have the others write it."""
+        """Start replicating: this node's disk holds all entries that were taken over."""
         self.phase = Phase.REPLICATE
         self.stored_until = self.takeover_end
         for name in self.follower_names:
@@ -203,10 +212,10 @@
         self.subjects = set(self.state.table)
         self.subjects.update(e.subject for e in self.state.entries if isinstance(e, Change))
 
-    # What is new
+    # New entries
 
     def propose(self, ticket: int, entry: Entry) -> Iterator[Output]:
-        """Take an entry, or say why not."""
+        """Accept an entry, or refuse it with a reason."""
         why = ""
         try:
             checked_entry(entry)
@@ -229,7 +238,8 @@
             self.queue.append((ticket, entry))
 
     def _flush(self, now: float) -> Iterator[Output]:
-        """Guards disks and the network: what comes at one moment is one record and few datagrams."""
+        """Store the queued entries. Entries that arrive within one batch interval share a record and few
+        datagrams, which limits the load on disks and the network."""
         if not self.queue or now < self.flush_at:
             return
         self.flush_at = now + self.batch_interval
@@ -241,8 +251,8 @@
                 self.uncommitted.append((self.last, ticket))
 
     def on_stored(self, now: float) -> Iterator[Output]:
-        """What this machine's disk holds has changed. Others hear of an entry only then: one that can't be
-        written here is known to nobody, and may be refused."""
+        """Continue after records were stored on this node's disk. Entries are sent to others only then: an
+        entry that can't be stored here is unknown to everybody and can safely be refused."""
         if self.phase is Phase.ADOPT and self.state.matching_until(self.epoch) >= self.takeover_end:
             self._start_replication(now)
         if self.phase is not Phase.REPLICATE:
@@ -255,7 +265,7 @@
         yield from self._advance_commit(now)
 
     def on_store_failed(self, why: str) -> Iterator[Output]:
-        """The disk took nothing of what was waiting for it."""
+        """Continue after the disk has rejected all pending records."""
         if self.phase is Phase.ADOPT:
             yield from self.adopt()
         elif self.phase is Phase.REPLICATE:
@@ -264,14 +274,14 @@
             self.last = self.stored_until
 
     def on_leadership_lost(self) -> Iterator[Output]:
-        """The holding is over."""
+        """Refuse all open proposals, because this node is no longer the leader."""
         for _, ticket in self.uncommitted:
             yield Refuse(ticket, "not the holder any more", True)
         for ticket, _ in self.queue:
             yield Refuse(ticket, "not the holder any more")
 
     def _advance_commit(self, now: float) -> Iterator[Output]:
-        """Guards what is acknowledged: a majority has it on disk, under this epoch."""
+        """Advance the commit index to the highest number that a majority has on disk under this epoch."""
         reached = sorted([self.stored_until, *(p.stored for p in self.followers.values())], reverse=True)
         lasts = reached[self.settings.quorum - 1]
         if lasts > self.commit_index:
@@ -283,35 +293,37 @@
             number, ticket = self.uncommitted.popleft()
             yield events.Acknowledge(ticket, number)
 
-    # What the others get
+    # Replication
 
     def on_append_reply(self, now: float, sender: str, word: AppendReply) -> Iterator[Output]:
-        """Another has it on disk up to there."""
+        """Process another node's acknowledgement of entries that it has on disk."""
         peer = self.followers.get(sender)
         if word.epoch != self.epoch or peer is None or word.last > self.stored_until:
             return
         before, peer.responded = peer.responded, True
         if word.last < peer.acked:
             if before:
-                return  # an answer that later ones have passed
+                return  # a reply that arrived out of order, after later ones
             peer.acked, peer.next = word.last, word.last + 1
         elif word.last > peer.acked:
             peer.acked, peer.next = word.last, max(peer.next, word.last + 1)
             peer.retry_at = now + self.settings.pause
         elif peer.next > word.last + 1 and now - peer.rewound_at >= self.settings.pause:
-            # nothing new was taken: one before was lost
+            # The reply acknowledges nothing new, so an earlier message was lost.
             peer.next, peer.rewound_at = word.last + 1, now
         peer.timeouts = 0
         peer.stored = max(peer.stored, word.last)
         yield from self._advance_commit(now)
 
     def _has_window(self, peer: FollowerProgress) -> bool:
-        """Guards a machine that is silent, and the network: it gets one datagram at a time."""
+        """Return whether more entries may be in flight to a node. One that is silent gets a single datagram
+        at a time, which spares the network."""
         flying = peer.next - 1 - peer.acked
         return flying <= 0 if peer.timeouts > 1 else flying < MAX_IN_FLIGHT
 
     def _next_append(self, now: float, name: str, peer: FollowerProgress) -> Send:
-        """The next entries, or where the table begins."""
+        """Return the next entries for a node, or the first rows of the snapshot if they are no longer in the
+        log."""
         self.budget.spend()
         if peer.next == peer.acked + 1 or peer.next <= self.state.base:
             peer.retry_at = now + self.settings.pause * 2 ** min(peer.timeouts, MAX_BACKOFF_DOUBLINGS)
@@ -361,7 +373,7 @@
         return peer.next <= self.stored_until and self._has_window(peer)
 
     def tick(self, now: float) -> Iterator[Output]:
-        """Do what is due."""
+        """Carry out everything that is due."""
         if self.phase is Phase.PREPARE:
             yield from self._prepare(now)
         elif self.phase is Phase.REPLICATE:
@@ -369,7 +381,7 @@
             yield from self._replicate(now)
 
     def next_timer(self, now: float) -> float:
-        """When something is due."""
+        """Return the time at which something is due next."""
         if self.phase is Phase.PREPARE:
             return self.prepare_at if self.state.promised >= self.epoch else math.inf
         if self.phase is Phase.ADOPT:
@@ -386,7 +398,7 @@
         return max(min(times, default=math.inf), now)
 
     def status(self) -> dict[str, Any]:
-        """What staff may want to know; JSON-able."""
+        """Return the leader's state for operators; JSON-serialisable."""
         return {
             "phase": self.phase.value,
             "taken_over": self.takeover_end,
@@ -397,7 +409,7 @@
 
 
 def snapshot_rows(epoch: int, saved: LogState, after: bytes, room: int) -> SnapshotRows:
-    """The rows that follow on a subject, as many as fit one datagram."""
+    """Return the snapshot's rows after a subject, as many as fit one datagram."""
     rows, left = list[tuple[int, Change]](), room - SNAPSHOT_ROWS_BYTES
     begin = bisect_right(saved.sorted_subjects, after) if after else 0
     for subject in saved.sorted_subjects[begin : begin + room]:
--- a/myrtlecourse/spread/log_duty.py
+++ b/myrtlecourse/spread/log_duty.py
@@ -1,4 +1,4 @@
-"""Who holds the duty writes the log: a control machine's part in it, and in what operators send."""
+"""The duty of writing the log: makes its holder the leader, and commits the entries that operators send."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 from myrtlecourse.spread.messages import Entry, SpreadError
 from myrtlecourse.spread.replica_events import Acknowledge, Refuse
 
-COMMIT_TIMEOUT = 1.5  # seconds for an entry to last, after which operators are told that it is not known yet
+# seconds for an entry to be committed, after which operators are told that its outcome is unknown
+COMMIT_TIMEOUT = 1.5
 
 
 class LogDuty:
-    """The duty of writing the log. It has no orders: that it is held is all, and its token is the epoch."""
+    """The duty of writing the log. It has no numbered orders; its fencing token is the log's epoch."""
 
     def __init__(self, duty: str, of_duties: DutyKeeper, keeper: Driver) -> None:
         self.duty = duty
@@ -23,7 +24,7 @@
         keeper.held_token = lambda: of_duties.may(duty)
 
     def able(self) -> bool:
-        """Whether this process can write a log: not while the one before it still does."""
+        """Return whether this process can lead; it can't while its predecessor still holds the log."""
         return self.driver.replica is not None and not self.driver.failure
 
     def took(self, token: int, value: duties.Value) -> None:
@@ -31,29 +32,30 @@
 
     def lost(self) -> None:
         self.driver.lose_leadership()
-        # not from within what told it
+        # The duty must not be called back from within its own notification.
         asyncio.get_running_loop().call_soon(self.duties.post, duties.Stopped(self.duty))
 
     def settled(self, token: int, number: int) -> None:
-        """It orders nothing."""
+        """Ignored, because this duty has no orders."""
 
     def look(self) -> None:
-        """It has nothing due."""
+        """Do nothing, because this duty has nothing periodic."""
 
     async def close(self) -> None:
-        """It begins nothing that would have to end."""
+        """Do nothing, because this duty starts nothing that has to be stopped."""
 
 
 class OutcomeUnknown(Exception):
-    """Whether an entry lasts is not known: it may, and to propose it again does no harm but a number more."""
+    """Raised when it is unknown whether an entry is committed. Proposing it again is harmless and uses
+    another number."""
 
 
 async def commit(keeper: Driver, entry: Entry) -> int:
-    """Let an entry last; answers with its number.
+    """Commit an entry and return its log number.
 
     Raises:
-        SpreadError: it was not taken; the message says why.
-        NotKnown: it may last all the same.
+        SpreadError: it was rejected; the message says why.
+        OutcomeUnknown: it may still be committed.
     """
     answer: asyncio.Future[Acknowledge | Refuse] = asyncio.get_running_loop().create_future()
     keeper.propose(entry, lambda told: None if answer.done() else answer.set_result(told))
--- a/myrtlecourse/spread/log_file.py
+++ b/myrtlecourse/spread/log_file.py
@@ -1,7 +1,8 @@
-"""The log of a control machine on its disk: segments that are only added to, each record with its checksum.
+"""A control node's log on disk: append-only segments, with a checksum per record.
 
-A record is its length and CRC-32 (4 bytes each) and a MessagePack body. What a crash has torn at the end of
-the last segment was never told to be stored, and is cut off; all else that does not fit is an error.
+A record is its length and its CRC-32 (4 bytes each) followed by a MessagePack body. An incomplete record at
+the end of the last segment is the trace of a crash; it was never reported as stored and is truncated.
+Anything else that is invalid is an error.
 """
 
 from __future__ import annotations
@@ -24,31 +25,31 @@
 from myrtlecourse.spread.replica_events import LogError, LogState, Record
 
 RECORD_HEADER = struct.Struct("<II")
-MAX_RECORD_BYTES = 64 * 1024 * 1024  # of a record: a table of all subjects
-SEGMENT_BYTES = 8 * 1024 * 1024  # bytes after which the next one is begun
+MAX_RECORD_BYTES = 64 * 1024 * 1024  # of a record; the largest one is a snapshot of all subjects
+SEGMENT_BYTES = 8 * 1024 * 1024  # size at which the next segment is started
 log = logging.getLogger(__name__)
 
 Number = Annotated[int, Meta(ge=0, lt=MAX_NUMBER)]
 Key = Annotated[bytes, Meta(min_length=KEY_BYTES, max_length=KEY_BYTES)]
 Value = Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)]
-StoredEntry = tuple[Key, Value | None]  # a purge has no value
+StoredEntry = tuple[Key, Value | None]  # None for a purge
 
 
 class StoredRecord(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """A record as it lies on the disk."""
+    """A record as it is stored on disk."""
 
     kind: Annotated[int, Meta(ge=0, le=4)]
-    number: Number  # an epoch, or the entry's that is meant
+    number: Number  # an epoch, or the number of an entry
     under: Number = 0
     entries: tuple[StoredEntry, ...] = ()
-    numbers: tuple[Number, ...] = ()  # of a snapshot's changes
+    numbers: tuple[Number, ...] = ()  # of the changes in a snapshot
 
 
 DECODER = msgspec.msgpack.Decoder(StoredRecord)
 
 
 def encode_record(record: Record) -> bytes:
-    """A record with its length and checksum."""
+    """Return a record with its length and checksum."""
     match record:
         case events.Promise(epoch):
             row = StoredRecord(0, epoch)
@@ -75,7 +76,8 @@
 
 
 def decode_record(data: bytes, place: int) -> tuple[Record, int] | None:
-    """The record at a place and where the next begins; None: none is whole there. Raises ValueError."""
+    """Return the record at an offset and the offset of the next one; None if no complete record follows.
+    Raises ValueError."""
     if place + RECORD_HEADER.size > len(data):
         return None
     length, checksum = RECORD_HEADER.unpack_from(data, place)
@@ -101,14 +103,14 @@
 
 
 class LogFile:
-    """One machine's folder, held by one process."""
+    """One control node's folder, locked by one process."""
 
     def __init__(self, folder: Path) -> None:
-        """Read it, into `saved`, which is handed to the head and then its own.
+        """Read the log into `state`, which then belongs to the replica.
 
         Raises:
-            LogError: another process has it, or what it holds is no log.
-            OSError: it can't be read or written.
+            LogError: another process has locked the folder, or it does not hold a valid log.
+            OSError: the log can't be read or written.
         """
         self.folder = folder
         folder.mkdir(parents=True, exist_ok=True)
@@ -130,7 +132,7 @@
         if snapshot.exists():
             self.state.apply(self._read_records(snapshot, last=False)[0][0])
         segments = sorted(self.folder.glob("*.log"))
-        self.highest_entry: dict[Path, int] = {}  # number that each segment names
+        self.highest_entry: dict[Path, int] = {}  # by segment: the highest entry number in it
         size = 0
         for segment in segments:
             records, size = self._read_records(segment, segment == segments[-1])
@@ -142,7 +144,7 @@
                     raise LogError(f"{segment}: {e}") from None
                 self._note_entries(segment, record)
         self.promised_epoch, self.commit_index = self.state.promised, self.state.commit_index
-        self.snapshot_until = self.state.base  # numbers that the snapshot stands for
+        self.snapshot_until = self.state.base  # the snapshot replaces entries up to this number
         self.has_torn_end = False
         self._open_segment(segments[-1] if segments else self.folder / f"{1:016d}.log", size)
 
@@ -169,7 +171,7 @@
             )
 
     def _open_segment(self, path: Path, size: int) -> None:
-        """Go on with a segment from so many bytes on."""
+        """Continue a segment at an offset."""
         self.path, self.size = path, size
         self.highest_entry.setdefault(path, 0)
         self.file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
@@ -177,16 +179,17 @@
         sync_folder(self.folder)
 
     def _truncate(self) -> None:
-        """Guards the log: nothing is written behind what is torn."""
+        """Remove an incomplete record, so that nothing is ever appended after one."""
         os.ftruncate(self.file, self.size)
         os.fsync(self.file)
         self.has_torn_end = False
 
     def append(self, records: tuple[Record, ...]) -> None:
-        """Write records down, on the disk before this returns. Blocks, as long as a disk may.
+        """Append records and sync them to disk before returning. Blocks for as long as the disk takes.
 
         Raises:
-            OSError: none of them is there, but for a snapshot, which says nothing that did not last.
+            OSError: none of the records is stored, except for a snapshot, which only contains committed
+            entries.
         """
         if self.has_torn_end:
             self._truncate()
@@ -229,7 +232,8 @@
         self.snapshot_until = record.upto
 
     def _start_segment(self) -> None:
-        """Begin a segment, which says again what must not go with older ones, and drop those that may."""
+        """Start a segment with the state that must outlive older segments, and delete those that the snapshot
+        replaces."""
         path = self.folder / f"{int(self.path.stem) + 1:016d}.log"
         data = encode_record(events.Promise(self.promised_epoch)) + encode_record(
             events.Commit(self.commit_index)
@@ -254,6 +258,6 @@
             del self.highest_entry[old]
 
     def close(self) -> None:
-        """Let another process have it."""
+        """Release the folder for another process."""
         os.close(self.file)
         os.close(self.lock)
--- a/myrtlecourse/spread/log_suffix.py
+++ b/myrtlecourse/spread/log_suffix.py
@@ -1,4 +1,5 @@
-"""The last entries of the log, for those below who missed them; packed, as an hour of them is 360,000."""
+"""The newest entries of the log, kept for retransmission to descendants. They are packed, because an hour of
+them can be 360,000 entries."""
 
 from __future__ import annotations
 
@@ -6,20 +7,20 @@
 
 from myrtlecourse.spread.messages import KEY_BYTES, Change, Entry, Purge
 
-BLOCK_ENTRIES = 256  # entries of a block
+BLOCK_ENTRIES = 256  # entries per block
 
 
 @dataclass(slots=True)
 class Block:
-    """Entries whose numbers have the same quotient by WIDTH."""
+    """Entries whose numbers have the same quotient by BLOCK_ENTRIES."""
 
-    present: int = 0  # places that are taken, as bits
+    present: int = 0  # bit set of the positions in use
     keys: bytearray = field(default_factory=lambda: bytearray(BLOCK_ENTRIES * KEY_BYTES))
     changes: dict[int, Change] = field(default_factory=dict)
 
 
 class LogSuffix:
-    """So many of the highest numbers, and up to a block more."""
+    """Keeps `capacity` of the highest numbers, and up to one block more."""
 
     def __init__(self, most: int) -> None:
         self.capacity = most
@@ -28,7 +29,7 @@
 
     @property
     def lowest(self) -> int:
-        """Nothing before this number is kept."""
+        """The lowest number that may still be kept."""
         return max(1, (self.highest - self.capacity) // BLOCK_ENTRIES * BLOCK_ENTRIES)
 
     def add(self, number: int, entry: Entry) -> None:
@@ -51,7 +52,7 @@
             block.changes[at] = entry
 
     def get(self, number: int) -> Entry | None:
-        """The entry under a number, if it is kept."""
+        """Return the entry with a number, or None if it is not kept."""
         place, at = divmod(number, BLOCK_ENTRIES)
         block = self.blocks.get(place)
         if block is None or not block.present >> at & 1:
@@ -59,7 +60,7 @@
         return block.changes.get(at) or Purge(bytes(block.keys[at * KEY_BYTES : (at + 1) * KEY_BYTES]))
 
     def batch(self, first: int, last: int, room: int) -> tuple[Entry, ...]:
-        """Entries that follow on one another from a number on, and take so many bytes of a `News` at most."""
+        """Return consecutive entries from a number on, as many as fit the given size in an `EntryBatch`."""
         found: list[Entry] = []
         before: type[Entry] | None = None
         for number in range(first, last + 1):
@@ -77,7 +78,7 @@
         return tuple(found)
 
     def next_kept(self, number: int) -> int:
-        """The first number from this one on that is kept; one over the highest: none is."""
+        """Return the first kept number from this one on; if there is none, one above the highest."""
         place, at = divmod(max(number, self.lowest), BLOCK_ENTRIES)
         while place * BLOCK_ENTRIES <= self.highest:
             block = self.blocks.get(place)
--- a/myrtlecourse/spread/node.py
+++ b/myrtlecourse/spread/node.py
@@ -1,7 +1,8 @@
-"""A member's part in the spread: takes entries from its parent, passes them on, says how far it is; no I/O.
+"""A member's node in the dissemination tree: receives entries from its parent, forwards them to its children
+and acknowledges them up the tree; no I/O.
 
-`docs/design/spread.md` has the rules. News goes to the children every `pause`, each report is answered within
-one; what is asked for goes out by what the budget leaves.
+`docs/design/spread.md` has the protocol's rules. New entries are forwarded to the children every `pause`
+seconds and each report is answered within one. Retransmissions share what these leave of the send budget.
 """
 
 from __future__ import annotations
@@ -35,18 +36,19 @@
 from myrtlecourse.spread.send_window import SendWindow
 from myrtlecourse.spread.tree import CONTROL, HEARTBEAT_BYTES, MAX_NAME_BYTES, REPORT_BYTES, Tree, child_cost
 
-LIVE_CATCH_UP_LIMIT = 256  # entries that a new child may be behind and be sent as news
-GAP_PATIENCE = 4  # pauses for which news waits for a hole of this node's to be filled
-MIN_REPAIR_SHARE = 0.1  # of the budget that what is asked for has at least
+LIVE_CATCH_UP_LIMIT = 256  # entries that a new child may be behind and still receive through the live stream
+GAP_PATIENCE = 4  # pauses for which forwarding waits for a gap of this node to be filled
+MIN_REPAIR_SHARE = 0.1  # least share of the send budget that is reserved for retransmissions
 NEVER = math.inf
 CODEC = SpreadCodec()
 
 
 class Node:
-    """Any member."""
+    """The node of any member, on every tier."""
 
     def __init__(self, settings: Settings, now: float, seed: int) -> None:
-        """Begins with nothing. Raises SpreadError when datagrams of this name can't bear every entry."""
+        """Start without any entries. Raises SpreadError when the name is so long that some entries don't fit
+        a datagram."""
         self.settings = settings
         self.name = settings.name
         self.now = now
@@ -65,18 +67,20 @@
         self.parent = Parent(settings, self.tree.candidates(self.name), now, seed)
         self.children = Children(settings, bound)
         self.repairs = RepairQueue(bound, self.max_payload, self.applied, self.suffix, self.table)
-        self.retransmits = RetransmitRequests(2 * settings.pause)  # for entries
-        self.table_sync = RetransmitRequests(4 * settings.pause)  # the table
+        self.retransmits = RetransmitRequests(2 * settings.pause)  # requests for entries
+        self.table_sync = RetransmitRequests(4 * settings.pause)  # requests for rows of the change table
         self.send_window = SendWindow(settings.half_control_budget if control else settings.budget)
         self.is_root = False
-        self.watermark_held_until = NEVER  # a root says nothing before: some may vouch by the root before
-        self.announced_watermark = 0  # by `Done`
+        # A new root reports no watermark before this time: until then members may hold leases of the previous
+        # root.
+        self.watermark_held_until = NEVER
+        self.announced_watermark = 0  # the last one reported with `Watermark`
         self.lease_announced = False
         self.purged_range: tuple[int, int] | None = (
-            None  # first and last, until the table is known to be whole
+            None  # first and last number, until the change table is known to be complete
         )
         self.digest_at = NEVER
-        self.gap_seen_at = -NEVER  # when the newest hole was seen
+        self.gap_seen_at = -NEVER  # when the newest gap appeared
         self.report_at = now + self.parent.random.random() * settings.report
         self.forward_at, self.forwarded_at = NEVER, -NEVER
         self.repair_at, self.repaired_at, self.repair_credit = NEVER, -NEVER, 0.0
@@ -84,7 +88,7 @@
 
     @property
     def applied_until(self) -> int:
-        """All up to this number is applied, or its changes are known from a table."""
+        """The number up to which all entries are applied, or their changes are known from a change table."""
         return (
             min(self.applied.contiguous_until, self.purged_range[0] - 1)
             if self.purged_range
@@ -92,11 +96,11 @@
         )
 
     def has_lease(self, now: float) -> bool:
-        """Whether this member may act as if up to date at this very moment."""
+        """Return whether this member may act as up to date at this moment."""
         return self.is_root or now < self.parent.lease_until
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event and answer with actions, to be carried out in order."""
+        """Process one event and return actions, which have to be carried out in order."""
         self.now, self.actions = max(now, self.now), []
         self._announce_lease()
         match event:
@@ -134,7 +138,7 @@
             self.actions.append(msg.LeaseChanged(may))
 
     def _run_due(self) -> None:
-        """What is due."""
+        """Carry out everything that is due."""
         if self.now >= self.report_at:
             self._send_reports()
         self._request_repairs()
@@ -148,7 +152,7 @@
         self._send_repairs()
 
     def _send(self, to: str, *words: Message) -> bool:
-        """Whether the budget had it."""
+        """Send messages if the send window allows it; return whether it did."""
         size = SEAL + FRAME + len(self.name.encode()) + CODEC.size(words)
         if not self.send_window.try_spend(self.now, size):
             return False
@@ -156,7 +160,7 @@
         self.actions.append(msg.Send(to, words))
         return True
 
-    # Words
+    # Messages
 
     def _on_messages(self, sender: str, words: tuple[Message, ...]) -> None:
         if sender in (
@@ -174,7 +178,8 @@
             self.counts.refused += len(words)
 
     def _on_parent_message(self, sender: str, word: Message) -> None:
-        """A parent, the one on trial, or one that was asked."""
+        """Process a message from the parent, from the parent on trial, or from a node that was asked for
+        repairs."""
         match word:
             case EntryBatch() | Heartbeat() if word.epoch < self.epoch:
                 self.counts.stale += 1
@@ -196,8 +201,8 @@
                 self.counts.refused += 1
 
     def _on_child_messages(self, sender: str, words: tuple[Message, ...]) -> None:
-        """A child, or one that another does not answer. What it leaves by bears a report, or it is an old
-        one."""
+        """Process a datagram from a child, or from a node whose parent does not answer. `Leave` is only valid
+        after a report in the same datagram, which shows that the datagram is not a delayed one."""
         reported = False
         for word in words:
             match word:
@@ -232,7 +237,7 @@
     def _on_heartbeat(self, sender: str, beat: Heartbeat) -> None:
         left = self.parent.on_heartbeat(self.now, sender, beat, self.children.last_lease_end(self.now))
         if left:
-            # guards `done` against waiting for a grant that is not used any more
+            # The former parent must be told, or its watermark would wait for a lease that is no longer used.
             stamp = self.parent.next_stamp(self.now)
             self.parent.sent_reports.clear()
             self._send(left, self._build_report(stamp), msg.Leave())
@@ -255,7 +260,7 @@
             if new is None:
                 end = self.applied.range_end(number)
                 if not end:
-                    self.counts.refused += 1  # before its turn; it is asked for again
+                    self.counts.refused += 1  # out of order within a gap; requested again later
                     return
                 number = end + 1
                 continue
@@ -286,7 +291,7 @@
             self.forward_at = min(self.forward_at, max(self.now, self.forwarded_at + self.settings.pause))
 
     def _assume_purged(self, first: int, last: int) -> None:
-        """What is not to be had any more; its changes are, from a table."""
+        """Mark entries as unavailable; their changes are fetched from a change table."""
         self.actions.append(msg.AssumePurged(first, last))
         self.applied.add(first, last)
         if not self.is_root:
@@ -317,7 +322,7 @@
             return
         self.epoch = epoch
         if first > self.applied.highest + 1:
-            self._assume_purged(self.applied.highest + 1, first - 1)  # the log begins later
+            self._assume_purged(self.applied.highest + 1, first - 1)  # the received log begins later
         if entries:
             self._on_entries(first, entries)
 
@@ -335,7 +340,7 @@
         self.epoch = epoch
         self.parent.set_candidates(self.now, (holder,) if holder not in ("", self.name) else ())
 
-    # What goes up
+    # Reports to the parent
 
     def _build_report(self, stamp: int) -> msg.Report:
         done, behind = self.children.advance_watermark(self.now, self.applied_until)
@@ -381,13 +386,13 @@
                     self._repair_source(self.table_sync), msg.TableDigest(upto, self.table.checksums(upto))
                 )
 
-    # What goes down
+    # Forwarding to the children
 
     def _lease_left(self) -> float:
         return self.settings.lease if self.is_root else self.parent.lease_until - self.now
 
     def _send_to_child(self, child: Child, packed: dict[tuple[int, int], tuple[Entry, ...]]) -> None:
-        """News from where the child is, and the answer to its report."""
+        """Send a child the entries from its position on, and the answer to its report."""
         answers = child.reply_due < NEVER
         control = self.tree.tier(child.name) == CONTROL
         while True:
@@ -417,7 +422,8 @@
     def _next_batch(
         self, child: Child, space: int, packed: dict[tuple[int, int], tuple[Entry, ...]]
     ) -> tuple[Entry, ...]:
-        """The next entries for a child. A hole of this node's is waited for, as it will be filled soon."""
+        """Return the next entries for a child. Forwarding waits at a gap of this node, because it is usually
+        filled soon."""
         end = self.applied.range_end(child.cursor)
         if not end:
             if self.now < self.gap_seen_at + GAP_PATIENCE * self.settings.pause:
@@ -430,11 +436,11 @@
             if not packed[key] and self.suffix.get(child.cursor) is None:
                 child.cursor = min(
                     self.suffix.next_kept(child.cursor), end + 1
-                )  # kept no more: the child asks
+                )  # no longer kept here: the child will request it
         return packed[key]
 
     def _send_repairs(self) -> None:
-        """What others have asked for, by what the budget leaves."""
+        """Send requested retransmissions, as far as the send budget allows."""
         if self.now < self.repair_at:
             return
         settings = self.settings
@@ -460,7 +466,7 @@
         self.repair_at = self.repaired_at + settings.pause
 
     def status(self, now: float) -> dict[str, Any]:
-        """What staff may want to know."""
+        """Return the node's state for operators; JSON-serialisable."""
         counts = asdict(self.counts)
         done, behind = self.children.watermark, self.children.lowest_acknowledged(now, self.applied_until)[1]
         return {
--- a/myrtlecourse/spread/parent.py
+++ b/myrtlecourse/spread/parent.py
@@ -1,7 +1,7 @@
-"""Whom a node reports to, and the lease that it has of it.
+"""A node's choice of parent, and the lease that the parent grants it.
 
-The lease runs from the moment of the report that the answer repeats, on the node's own clock: however long
-either was under way, it ends before the parent counts the node no more (Gray and Cheriton, 1989).
+The lease begins when the node sent the report that the answer echoes, on the node's own clock. However long
+both messages were under way, it ends before the parent stops counting the node (Gray and Cheriton, 1989).
 """
 
 from __future__ import annotations
@@ -11,42 +11,45 @@
 
 from myrtlecourse.spread.messages import Heartbeat, Settings
 
-MAX_UNANSWERED_REPORTS = 3  # reports without an answer after which a parent is left
-MAX_LEASES_WITHOUT_GRANT = 3  # leases after which one is left that answers and grants nothing
-LEASES_BEFORE_TRIAL = 10  # leases after which a node that is with a late candidate tries its first again
-TRIAL_LEASES = 2  # leases that such a trial lasts
+MAX_UNANSWERED_REPORTS = 3  # reports without an answer after which a parent is replaced
+MAX_LEASES_WITHOUT_GRANT = 3  # leases after which a parent that answers without granting a lease is replaced
+# leases after which a node whose parent is a late candidate tries its first candidate again
+LEASES_BEFORE_TRIAL = 10
+TRIAL_LEASES = 2  # leases for which such a trial lasts
 
 
 class Parent:
-    """A node's choice among its candidates."""
+    """Chooses a parent among the candidates."""
 
     def __init__(self, settings: Settings, candidates: tuple[str, ...], now: float, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.candidates = candidates
         self.index = 0
-        self.trial_parent = ""  # the first candidate, while it is tried beside the present parent
+        self.trial_parent = ""  # the first candidate, while it is tried in parallel with the present parent
         self.trial_until = math.inf
         self.moves = 0
-        self.stamp = self.random.getrandbits(48)  # guards against answers to the process before this one
-        self.sent_reports: dict[int, float] = {}  # when each report of the last lease went out
+        # random, so that answers to a previous process are not mistaken for answers to this one
+        self.stamp = self.random.getrandbits(48)
+        self.sent_reports: dict[int, float] = {}  # by stamp: when each report of the last lease was sent
         self.lease_until = -math.inf
-        self.log_end = 0  # of the log, as the parent has told
+        self.log_end = 0  # number of the parent's last entry
         self.heard_at = self.granted_at = self.chosen_at = now
         self.silence_limit = self._draw_silence_limit()
-        self.refused = False  # by the present parent
+        self.refused = False  # the present parent has answered `NoCapacity`
 
     @property
     def name(self) -> str:
-        """The present parent; empty: there is nobody."""
+        """The present parent; empty when there is none."""
         return self.candidates[self.index] if self.candidates else ""
 
     def _draw_silence_limit(self) -> float:
-        """Guards a new parent against all children of a dead one in one moment."""
+        """Return a random time limit, so that not all children of a dead parent turn to a new one at the same
+        moment."""
         return (MAX_UNANSWERED_REPORTS + 2 * self.random.random()) * self.settings.report
 
     def set_candidates(self, now: float, candidates: tuple[str, ...]) -> None:
-        """Others than before may be the parent: a control machine's, when the holder changes."""
+        """Replace the candidates; on a control node the leader is the only one."""
         if candidates != self.candidates:
             self.candidates, self.index, self.trial_parent = candidates, 0, ""
             self._reset(now)
@@ -58,11 +61,11 @@
         self.log_end = 0
 
     def report_targets(self) -> tuple[str, ...]:
-        """The present parent, and the one that is tried."""
+        """Return the present parent and the parent on trial."""
         return tuple(n for n in (self.name, self.trial_parent) if n)
 
     def next_stamp(self, now: float) -> int:
-        """For a report that goes out now."""
+        """Return the stamp of a report that is sent now."""
         self.stamp += 1
         self.sent_reports[self.stamp] = now
         while next(iter(self.sent_reports.values())) < now - self.settings.lease:
@@ -70,8 +73,8 @@
         return self.stamp
 
     def tick(self, now: float, waits: bool) -> None:
-        """Leave a parent that is silent, refuses, or grants nothing though nothing is missing here (`waits`);
-        later try the first again."""
+        """Replace a parent that is silent, has no capacity, or grants no lease although this node has all of
+        its entries (`waits`); later try the first candidate again."""
         lease = self.settings.lease
         if not waits:
             self.granted_at = max(self.granted_at, now - lease)
@@ -93,16 +96,18 @@
             self.trial_parent, self.trial_until = self.candidates[0], now + TRIAL_LEASES * lease
 
     def on_no_capacity(self, now: float, sender: str) -> None:
-        """One can't bear another child."""
+        """Process `NoCapacity` from the parent or the parent on trial."""
         if sender == self.trial_parent:
             self.trial_parent, self.chosen_at = "", now
         elif sender == self.name:
             self.refused = True
 
     def on_heartbeat(self, now: float, sender: str, beat: Heartbeat, granted_until: float) -> str:
-        """Take an answer. Returns a parent that is to be left: it has been replaced by the one on trial.
+        """Process an answer to a report. Return the name of the former parent when the one on trial has
+        replaced it, else an empty string.
 
-        That one's lease must bear all grants given on from the old one's, or those would be counted nowhere.
+        The new parent's lease must cover all leases that this node has granted on the strength of the old
+        one, because no other node would count them.
         """
         sent = self.sent_reports.get(beat.echo)
         until = -math.inf if sent is None or not beat.good_for else sent + beat.good_for / 1000.0
@@ -117,6 +122,7 @@
             self.moves += 1
             self._reset(now)
             self.lease_until, self.log_end = until, beat.last
-            self.sent_reports.clear()  # guards the old one, which counts this node no more, against being believed
+            # Answers of the old parent, which no longer counts this node, must not be accepted.
+            self.sent_reports.clear()
             return left
         return ""
--- a/myrtlecourse/spread/repair.py
+++ b/myrtlecourse/spread/repair.py
@@ -1,4 +1,5 @@
-"""What others have asked a node for: entries that they miss, and rows of the table."""
+"""Requests of other members that a node has to answer: for missing entries, and for rows of the change
+table."""
 
 from __future__ import annotations
 
@@ -16,15 +17,15 @@
     TableRows,
 )
 
-BATCH_OVERHEAD = 24  # bytes that a `News` takes beside its entries, and the array of parts
-ROWS_OVERHEAD = 8  # the same of `Rows`
-EXTRA_REQUESTERS = 16  # beside the children that a node may have
-MAX_ENTRY_BYTES = 14 + MAX_VALUE_BYTES  # bytes that the longest entry takes
-MIN_PAYLOAD = BATCH_OVERHEAD + MAX_ENTRY_BYTES  # of a datagram, for one that passes on
+BATCH_OVERHEAD = 24  # bytes of an `EntryBatch` besides its entries, and of the array of parts
+ROWS_OVERHEAD = 8  # bytes of `TableRows` besides its rows
+EXTRA_REQUESTERS = 16  # requesters that a node accepts in addition to its maximum number of children
+MAX_ENTRY_BYTES = 14 + MAX_VALUE_BYTES  # bytes of the longest entry
+MIN_PAYLOAD = BATCH_OVERHEAD + MAX_ENTRY_BYTES  # bytes that a relay needs in a datagram
 
 
 class RepairQueue:
-    """Everybody's turn: a datagram each, round and round."""
+    """Open requests, answered round-robin with one datagram each."""
 
     def __init__(
         self, bound: int, room: int, lanes: AppliedRanges, tail: LogSuffix, table: ChangeTable
@@ -41,14 +42,16 @@
         return asker in asked or len(asked) < self.max_requesters
 
     def request_entries(self, asker: str, want: RetransmitRequest) -> bool:
-        """Whether it will be looked for; a new question replaces the asker's one before."""
+        """Queue a request; it replaces an earlier one of the same requester. Return whether it was
+        accepted."""
         if not self._has_place(asker, self.entry_requests):
             return False
         self.entry_requests[asker] = (want.first, want.first + want.count - 1)
         return True
 
     def request_table(self, asker: str, digest: TableDigest, complete: bool) -> Message | None:
-        """Compare the table with the asker's; `complete`: it is known to lack nothing itself."""
+        """Compare the requester's change table with this node's and queue a request for rows if they differ.
+        Return `TableInSync` if they are equal. `complete`: this node's table is known to be complete."""
         if not complete or not self._has_place(asker, self.table_requests):
             return None
         own = self.table.checksums(digest.upto)
@@ -59,12 +62,12 @@
         return TableInSync(digest.upto)
 
     def drop(self, asker: str) -> None:
-        """It needs nothing from here any more."""
+        """Remove all requests of a member."""
         self.entry_requests.pop(asker, None)
         self.table_requests.pop(asker, None)
 
     def next_reply(self, epoch: int) -> tuple[str, Message] | None:
-        """The next datagram for one of them, who goes to the end of the line."""
+        """Return the next datagram to send and its receiver, whose next turn comes after all others."""
         while self.entry_requests:
             asker = next(iter(self.entry_requests))
             word = self._entry_reply(epoch, *self.entry_requests.pop(asker), asker)
@@ -85,5 +88,6 @@
             if first + len(found) <= last:
                 self.entry_requests[asker] = (first + len(found), last)
             return EntryBatch(epoch, first, found)
-        # applied here and kept no more; what is missing here too, another candidate may have
+        # Applied here but no longer kept. Entries that are missing here too may be had from another
+        # candidate.
         return EntriesDropped(self.suffix.next_kept(first)) if self.applied.range_end(first) else None
--- a/myrtlecourse/spread/replica.py
+++ b/myrtlecourse/spread/replica.py
@@ -1,7 +1,8 @@
-"""A control machine's part in the log of changes and purges; events in, actions out, no I/O and no clock.
+"""A control node's replica of the log of changes and purges: events in, actions out, no I/O and no clock.
 
-What is promised or written goes out only once it is on the disk, in whose order all of it stands: what is
-here in memory of the log is what the disk holds. The holder's part is `head_lead.py`.
+Promises and stored entries are announced to others only once they are on disk. Records are written in the
+order in which they arise, so the log in memory always equals the log on disk. The leader's part is in
+`leader.py`.
 """
 
 from __future__ import annotations
@@ -25,16 +26,17 @@
     entries_that_fit,
 )
 
-PREPARE_REPLY_BYTES = 52  # bytes at most of a `Written` without its entries
-MAX_SNAPSHOT_BURST = 32  # datagrams of the table that are sent for one question
-MAX_COMMITTED_BATCH = 10_000  # entries that the node is told of at once
-SENDER_PATIENCE = 4  # pauses for which one that sends its table may be silent before another's is taken
-COMPACTION_FACTOR = 1.25  # times the tail, before what is older becomes a table
+PREPARE_REPLY_BYTES = 52  # maximum size in bytes of a `PrepareReply` without its entries
+MAX_SNAPSHOT_BURST = 32  # datagrams of a snapshot that are sent in answer to one request
+MAX_COMMITTED_BATCH = 10_000  # entries that are handed to the tree node at once
+# pauses for which the sender of a snapshot may be silent before another sender is accepted
+SENDER_PATIENCE = 4
+COMPACTION_FACTOR = 1.25  # the log is compacted into a snapshot when it exceeds `control_tail` by this factor
 RECORD_TYPES = (events.Promise, events.Write, events.Truncate, events.Commit, events.Snapshot)
 
 
 class SnapshotTransfer:
-    """The table that comes from another machine, row by row."""
+    """A snapshot that is being received from another control node, row by row."""
 
     def __init__(self, sender: str, upto: int) -> None:
         self.sender = sender
@@ -42,48 +44,49 @@
         self.last_subject = b""
         self.rows: list[tuple[int, Change]] = []
         self.complete = False
-        self.received = 0  # datagrams since it was last asked for
-        self.received_at = -math.inf  # when rows last came
+        self.received = 0  # datagrams since the last request
+        self.received_at = -math.inf  # when rows last arrived
         self.request_at = -math.inf
 
 
 class Replica:
-    """One control machine's part."""
+    """One control node's replica."""
 
     def __init__(self, settings: Settings, saved: LogState, now: float) -> None:
-        """`saved` is what the disk holds; it is the head's from now on."""
+        """Start from `saved`, the state on disk, which the replica owns and changes from now on."""
         self.settings = settings
         self.state = saved
         self.now = now
         names = [*settings.control, *(m for s in settings.sites for m in (*s.routers, *s.parts))]
-        # what is written has to reach members with longer names, too
+        # messages must also fit datagrams of members with longer names
         self.max_payload = LONGEST - SEAL - HEAD - max(len(name.encode()) for name in names)
-        self.promised_epoch = saved.promised  # ahead of the disk, for a moment
+        self.promised_epoch = saved.promised  # is ahead of the disk until the promise has been stored
         self.matching_until = saved.matching_until(
             saved.promised
-        )  # all up to here is as who writes under that epoch has it
-        self.accepted_until = self.matching_until  # the same, with what is still to be written down
-        self.known_commit = saved.commit_index  # how far the log lasts, as was heard
-        self.delivered = 0  # entries that the node knows of
-        self.stored_commit = saved.commit_index  # what the disk knows of that
+        )  # all entries up to here equal those of the leader of the promised epoch
+        # like `matching_until`, including entries that are still being stored
+        self.accepted_until = self.matching_until
+        self.known_commit = saved.commit_index  # the highest commit index that was announced to this replica
+        self.delivered = 0  # number of the last entry that was handed to the tree node
+        self.stored_commit = saved.commit_index  # the commit index that is on disk
         self.leader: Leader | None = None
         self.budget = TokenBucket(
             settings.half_control_budget, settings.half_control_budget * settings.pause, now
         )
-        self.pending_records: list[Record] = []  # that wait for the disk
+        self.pending_records: list[Record] = []  # records that wait to be written
         self.records_in_flight: tuple[Record, ...] = ()
         self.store_number = 0
         self.retry_at = now
         self.pending_prepare: tuple[str, msg.Prepare] | None = None
-        self.reply_to = ""  # to whom it is to be said how far all is written
+        self.reply_to = ""  # name of the leader that has yet to be told how far entries are stored
         self.transfer: SnapshotTransfer | None = None
         self.leadership = msg.Leadership(0, "")
         self.counts = msg.Counts()
-        self.disk_error = ""  # what the disk said last
+        self.disk_error = ""  # the last error of the disk
         self.actions: list[ReplicaAction] = []
 
     def handle(self, now: float, event: ReplicaEvent) -> list[ReplicaAction]:
-        """Take one event and answer with actions, to be carried out in order."""
+        """Process one event and return actions, which have to be carried out in order."""
         self.now, self.actions = max(now, self.now), []
         self.budget.refill(self.now)
         match event:
@@ -114,12 +117,14 @@
     def _send(self, to: str, *words: Message) -> None:
         self.actions.append(msg.Send(to, words))
 
-    # Who writes
+    # Leadership and epochs
 
     def _on_leadership_gained(self, token: int) -> None:
-        """Guards epochs: one that was promised before is another's, or of the process before this one."""
+        """Start leading, unless the epoch was promised before: then it is another leader's or that of a
+        previous process of this node."""
         if token > self.promised_epoch:
-            # not the root yet: before the takeover it may lack what the root before said to be done
+            # This node is not announced as root yet: before the takeover is complete it may lack entries that
+            # the previous root reported as applied everywhere.
             self._enter_epoch(token, "")
             self.leader = Leader(self.settings, token, self.state, self.budget, self.max_payload, self.now)
 
@@ -143,7 +148,7 @@
             self.actions.append(root)
 
     def _accepts_epoch(self, sender: str, epoch: int) -> bool:
-        """Whether a holder's word counts; from now on none of a lower epoch does."""
+        """Return whether a leader's message is valid; from then on messages of lower epochs are rejected."""
         if epoch < self.promised_epoch:
             self.counts.stale += 1
             self._send(sender, msg.StaleEpoch(self.promised_epoch))
@@ -156,7 +161,7 @@
         self._set_leader(sender)
         return True
 
-    # Words
+    # Messages
 
     def _on_message(self, sender: str, word: Message) -> None:
         match word:
@@ -180,9 +185,11 @@
                 self.counts.stale += 1
 
     def _on_append(self, sender: str, word: msg.Append) -> None:
-        """Write down what follows; a hole is told by how far all is written."""
+        """Store entries that follow directly on the log; a gap shows in the reply, which says how far entries
+        are stored."""
         if not word.entries:
-            # all that was taken over lasts, by a majority: what else is here was never acknowledged
+            # A majority has stored everything that was taken over, so any other entries here were never
+            # acknowledged.
             last = max(self.accepted_until, word.first - 1)
             waiting = [
                 r.first + len(r.entries) - 1 for r in self._unstored_records() if isinstance(r, events.Write)
@@ -196,10 +203,10 @@
             self.accepted_until += len(fresh)
         self.known_commit = max(self.known_commit, word.settled)
         if self.accepted_until == self.matching_until:
-            self.reply_to = sender  # else it is answered for what is being written
+            self.reply_to = sender  # otherwise the reply follows when the pending writes are stored
 
     def _reply_to_prepare(self, sender: str, survey: msg.Prepare) -> None:
-        """Answer a survey, as far as the budget goes; it is asked again for the rest."""
+        """Answer a `Prepare` as far as the send budget allows; the leader asks again for the rest."""
         saved, after = self.state, survey.after
         if after < saved.base:
             self._send(sender, snapshot_rows(self.promised_epoch, saved, b"", self.max_payload))
@@ -220,7 +227,7 @@
             if after >= saved.last or self.budget.available <= 0:
                 return
 
-    # A log that begins behind where this one ends
+    # Transfer of a snapshot, when another replica's log begins after the end of this one
 
     def _send_snapshot_rows(self, sender: str, word: msg.SnapshotRequest) -> None:
         after = word.after
@@ -235,7 +242,8 @@
             after = table.rows[-1][1].subject
 
     def _on_snapshot_rows(self, sender: str, word: msg.SnapshotRows) -> None:
-        """Take rows in order; guards what lasts: nothing that is known here is replaced by older."""
+        """Accept rows in order. A snapshot that ends at or before this replica's commit index is ignored, so
+        committed state is never replaced by older state."""
         if self.leader is not None:
             if word.epoch != self.leader.epoch or self.leader.phase is not Phase.PREPARE:
                 return
@@ -279,7 +287,7 @@
         records, self.records_in_flight = self.records_in_flight, ()
         self.disk_error = event.error
         if event.error:
-            # guards the log: what was to follow on what failed follows on nothing
+            # After a failed write the records that were to follow it no longer continue the log.
             self.pending_records = []
             self.accepted_until = self.matching_until
             self.retry_at = self.now + self.settings.pause
@@ -307,7 +315,7 @@
             self._collect(self.leader.on_stored(self.now))
 
     def _run_due(self) -> None:
-        """Do what is due."""
+        """Carry out everything that is due."""
         if self.leader is not None:
             self._collect(self.leader.tick(self.now))
         self._deliver_committed()
@@ -325,7 +333,7 @@
         self.actions.append(msg.SetTimer(self._next_timer()))
 
     def _deliver_committed(self) -> None:
-        """Tell the node what lasts: in order, each entry once in a process."""
+        """Hand committed entries to the tree node, in order and each one once per process."""
         saved = self.state
         if self.leader is not None and self.leader.phase is Phase.REPLICATE:
             self.known_commit = max(self.known_commit, self.leader.commit_index)
@@ -348,7 +356,8 @@
         return (*self.records_in_flight, *self.pending_records)
 
     def _store_records(self) -> None:
-        """One store at a time: what comes meanwhile shares the next sync."""
+        """Write all pending records. Only one store is in progress at a time; records that arise meanwhile
+        share the next sync."""
         saved, pending = self.state, self._unstored_records()
         if saved.promised < self.promised_epoch and events.Promise(self.promised_epoch) not in pending:
             self.pending_records.append(events.Promise(self.promised_epoch))
@@ -375,7 +384,7 @@
         return min(times)
 
     def status(self, now: float) -> dict[str, Any]:
-        """What staff may want to know; JSON-able."""
+        """Return the replica's state for operators; JSON-serialisable."""
         return {
             "epoch": self.promised_epoch,
             "holder": self.leadership.leader,
--- a/myrtlecourse/spread/retransmission.py
+++ b/myrtlecourse/spread/retransmission.py
@@ -1,4 +1,5 @@
-"""What a node misses, and asks its parent for, then its next candidates: a bounded number at a time."""
+"""Requests for missing entries, to the parent and then to the other candidates, each for a bounded number of
+entries."""
 
 from __future__ import annotations
 
@@ -7,45 +8,45 @@
 from myrtlecourse.spread.applied_ranges import AppliedRanges, Range
 from myrtlecourse.spread.messages import RetransmitRequest
 
-MAX_REQUEST_ENTRIES = 512  # entries
-MAX_TRIES = 2  # without an entry, after which another is asked
+MAX_REQUEST_ENTRIES = 512  # entries per request
+MAX_TRIES = 2  # requests without an answer before another node is asked
 
 
 class RetransmitRequests:
-    """One question at a time; and whom."""
+    """One open request at a time, and the node that it is sent to."""
 
     def __init__(self, retry: float) -> None:
-        self.retry_delay = retry  # seconds without an entry after which a question is asked again
+        self.retry_delay = retry  # seconds without an answer before a request is repeated
         self.requested: Range | None = None
-        self.candidate_offset = 0  # candidates from the parent on that were asked in vain
+        self.candidate_offset = 0  # candidates from the parent on that were asked without success
         self.tries = 0
-        self.retry_at = math.inf  # when to look again
+        self.retry_at = math.inf  # when to check again
 
     def target(self, parent: int, candidates: tuple[str, ...]) -> str:
-        """To ask now; the parent first."""
+        """Return the node to ask now; the parent comes first."""
         return candidates[(parent + self.candidate_offset) % len(candidates)] if candidates else ""
 
     def on_answer(self, now: float) -> None:
-        """Something did that was asked for: the one that is asked has it."""
+        """A requested entry has arrived, so the node that was asked has the entries."""
         self.tries = 0
         if self.retry_at < math.inf:
             self.retry_at = now + self.retry_delay
 
     def on_timeout(self) -> None:
-        """A question was not answered."""
+        """A request was not answered in time."""
         self.tries += 1
         if self.tries >= MAX_TRIES:
             self.tries, self.candidate_offset = 0, self.candidate_offset + 1
 
     def smallest_gap(self, lanes: AppliedRanges, last: int) -> Range | None:
-        """What to ask for first: the shortest hole, so that a backlog does not hold up what is new."""
+        """Return the shortest gap, so that a backlog does not delay new entries."""
         holes = lanes.gaps()
         if last > lanes.highest:
             holes.append((lanes.highest + 1, last))
         return min(holes, key=lambda hole: hole[1] - hole[0], default=None)
 
     def next_request(self, now: float, lanes: AppliedRanges, last: int) -> RetransmitRequest | None:
-        """The question to ask now, if there is one."""
+        """Return the request to send now, if any."""
         hole = self.smallest_gap(lanes, last)
         if hole is None:
             self.requested, self.retry_at, self.candidate_offset, self.tries = None, math.inf, 0, 0
--- a/myrtlecourse/spread/send_window.py
+++ b/myrtlecourse/spread/send_window.py
@@ -1,4 +1,4 @@
-"""Bytes that a node may send: never more in any second than its budget."""
+"""Limits what a node sends to its budget in any interval of one second."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SendWindow:
-    """The datagrams of the last second."""
+    """The datagrams sent within the last second."""
 
     def __init__(self, budget: float) -> None:
         self.budget = budget
@@ -17,13 +17,13 @@
         self.total = 0
 
     def available(self, now: float) -> float:
-        """Bytes that may go out now."""
+        """Return how many bytes may be sent now."""
         while self.sent and self.sent[0][0] < now - WINDOW:
             self.spent -= self.sent.popleft()[1]
         return self.budget - self.spent
 
     def try_spend(self, now: float, size: int) -> bool:
-        """Spend so many, if they are left."""
+        """Reserve bytes for a datagram; return False if they are not available."""
         if size > self.available(now):
             return False
         self.sent.append((now, size))
--- a/myrtlecourse/spread/setup.py
+++ b/myrtlecourse/spread/setup.py
@@ -1,4 +1,4 @@
-"""Makes a keeper of the spread of what the operators' file says."""
+"""Creates the driver from the `spread` table of the operators' file."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
 
 
 def peer_addresses(table: Spread) -> dict[str, Endpoint]:
-    """Where each member hears the others."""
+    """Return the address of each member."""
     return {p.name: address_of(p.at) for p in table.members()}
 
 
 def read_keys(table: Spread) -> tuple[bytes, tuple[bytes, ...]]:
-    """The key to seal with, and those that are taken as well. Raises ConfigError."""
+    """Return the key to seal with and further keys that are accepted. Raises ConfigError."""
     also = (read_key(Path(file), "spread.also_key_files") for file in table.also_key_files)
     return read_key(Path(table.key_file), "spread.key_file"), tuple(also)
 
 
 def make_driver(table: Spread) -> Driver:
-    """The keeper of a process. Raises ConfigError: a file that is named can't be used."""
+    """Create the driver of this process. Raises ConfigError when a file that the table names can't be
+    used."""
     applied = Path(table.applied_file) if table.applied_file is not None else None
     folder = Path(table.folder) if table.folder is not None else None
     if folder is not None and not folder.is_dir():
@@ -41,5 +42,5 @@
 
 
 def listen_address(table: Spread) -> Endpoint:
-    """Where this process listens."""
+    """Return the address to listen on."""
     return address_of(table.listen) if table.listen is not None else peer_addresses(table)[table.name]
--- a/myrtlecourse/spread/tree.py
+++ b/myrtlecourse/spread/tree.py
@@ -1,7 +1,7 @@
-"""Who may be whose parent: four tiers that each member works out alone, from the members' names.
+"""The dissemination tree: four tiers, which each member computes on its own from the members' names.
 
-The first by rendezvous hashing (Thaler and Ravishankar, 1998) pass on: a region's relays, a site's heads. So
-all agree without an election, and one that goes or comes moves no others.
+In each region and site the first members in the order of rendezvous hashing (Thaler and Ravishankar, 1998)
+are relays. All members thus agree without an election, and one that joins or leaves moves few others.
 """
 
 from __future__ import annotations
@@ -16,19 +16,20 @@
 from myrtlecourse.peers.wire import HEAD
 from myrtlecourse.spread.messages import KEY_BYTES, Settings, Site
 
-CONTROL, REGION_RELAY, SITE_RELAY, LEAF = range(4)  # tiers; a member passes on to those of the next
-MIN_RELAYS = 2  # relays of a region and heads of a site, where there are so many routers: one may die
-BATCH_BYTES = 20  # bytes that a `News` takes beside its keys
-HEARTBEAT_BYTES = 26  # bytes that a `Beat` takes
-REPORT_BYTES = 48  # bytes that a `Report` takes
-# bytes of a name that may pass on, with room for each entry; whoever reads, as all must lay out the same tree
+CONTROL, REGION_RELAY, SITE_RELAY, LEAF = range(4)  # tiers; a member forwards to those of the next tier
+MIN_RELAYS = 2  # relays per region and per site, if there are as many routers, so that one may fail
+BATCH_BYTES = 20  # bytes of an `EntryBatch` besides its keys
+HEARTBEAT_BYTES = 26  # bytes of a `Heartbeat`
+REPORT_BYTES = 48  # bytes of a `Report`
+# Assumed length in bytes of a relay's name, which leaves room for the longest entry. It is the same for all
+# members, because all must compute the same tree.
 MAX_NAME_BYTES = 46
-MAX_CACHED_LAYOUTS = 64  # layouts that members of one process (a simulation's) share
+MAX_CACHED_LAYOUTS = 64  # layouts that members in one process, such as a simulation's, share
 
 
 @dataclass(slots=True, frozen=True)
 class Layout:
-    """The tiers of all members in view."""
+    """The tiers of all known members."""
 
     tiers: dict[str, int]
     sites: dict[str, Site]  # by member
@@ -37,7 +38,7 @@
 
 
 def ranked(key: str, names: Iterable[str]) -> list[str]:
-    """The names in the order that rendezvous hashing gives them for a key."""
+    """Return the names in the order of rendezvous hashing for a key."""
     seed = hashlib.blake2b(key.encode(), digest_size=16).digest()
 
     def weight(name: str) -> bytes:
@@ -47,11 +48,12 @@
 
 
 def child_cost(settings: Settings, longest: int) -> float:
-    """Bytes a second that one child costs its parent, whose name has so many bytes.
+    """Return the bytes per second that one child costs its parent, whose name has `longest` bytes.
 
-    News: a datagram each `pause` (more when the keys of a pause don't fit one) with seal, head, name and what
-    a `News` takes, and KEY bytes an entry. Answers: a `Beat` each `report`, in datagrams of news. With the
-    defaults and a name of 46 bytes: 10 * (16 + 36 + 46 + 20) + 8 * 100 + 5 * 26 = 2,110.
+    Entries take a datagram every `pause` (more when the keys of one pause don't fit) with seal, header, name
+    and the overhead of an `EntryBatch`, and KEY_BYTES per entry. Answers take a `Heartbeat` every `report`,
+    in the same datagrams. With the defaults and a name of 46 bytes: 10 * (16 + 36 + 46 + 20) + 8 * 100 + 5 *
+    26 = 2,110.
     """
     frame = SEAL + HEAD + longest + BATCH_BYTES
     datagrams = max(1 / settings.pause, settings.rate * KEY_BYTES / (LONGEST - frame - HEARTBEAT_BYTES))
@@ -59,13 +61,14 @@
 
 
 def affordable_children(settings: Settings, budget: float, longest: int) -> int:
-    """Children that a budget bears: what the node's own reports leave, by `child_cost`; one at least."""
+    """Return how many children a budget supports by `child_cost`, after the node's own reports; at least
+    one."""
     reports = (SEAL + HEAD + longest + REPORT_BYTES) / settings.report
     return max(1, int((budget - reports) / child_cost(settings, longest)))
 
 
 def _relay_count(members: int, routers: int, half: float) -> int:
-    """How many of so many members pass on, when each shall have `half` children at most in the mean."""
+    """Return how many of the members must be relays when each relay is to have `half` children on average."""
     return min(routers, max(MIN_RELAYS, math.ceil(members / (1 + half))))
 
 
@@ -87,7 +90,7 @@
             members = len(rest) + len(site.parts)
             most = _relay_count(members, len(rest), half)
             heads[site.name] = tuple(ranked(f"heads of {site.name}", rest)[:most])
-            # a site whose routers are all relays has its other members right below them
+            # In a site whose routers are all relays of the region, the other members are children of these.
             below = LEAF if heads[site.name] else SITE_RELAY
             for name in (*site.routers, *site.parts):
                 of[name] = site
@@ -96,7 +99,7 @@
 
 
 class Tree:
-    """One member's view of it. Members of one process that see the same share the layout."""
+    """One member's view of the tree. Members of one process with equal settings share the layout."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -108,16 +111,17 @@
 
     @property
     def mean_children(self) -> float:
-        """Children of a relay or head in the mean: half of the bound, so that it can bear a dead one's."""
+        """The intended mean number of children of a relay: half of the limit, so that it can also take over
+        those of a failed relay."""
         return max(1.0, self.child_limits[1] / 2)
 
     def tier(self, name: str) -> int:
-        """0: a control machine; 1: a region's relay; 2: a site's head; 3: another. Raises KeyError when it is
-        not in view."""
+        """Return a member's tier: 0 for a control node, 1 for a region's relay, 2 for a site's relay, 3 for
+        others. Raises KeyError for an unknown name."""
         return self.layout.tiers[name]
 
     def may_have_children(self, name: str) -> bool:
-        """Whether it may have children."""
+        """Return whether a member may have children."""
         layout, tier = self.layout, self.tier(name)
         return tier <= REGION_RELAY or (
             tier == SITE_RELAY and name in layout.site_relays[layout.sites[name].name]
@@ -133,12 +137,12 @@
         return layout.region_relays[site.region] if tier == SITE_RELAY else layout.site_relays[site.name]
 
     def candidates(self, name: str) -> tuple[str, ...]:
-        """Members one tier up that may be its parent, in an order of its own. None for a control machine:
-        `Root` names its parent. Raises KeyError when it is not in view."""
+        """Return the members one tier up that may be its parent, in its own order of preference. Empty for a
+        control node, whose parent is named by `Leadership`. Raises KeyError for an unknown name."""
         return tuple(ranked(f"parent of {name}", self._parents(name)))
 
     def may_be_parent(self, parent: str, child: str) -> bool:
-        """Whether one may be the other's parent."""
+        """Return whether one member may be the other's parent."""
         tiers = self.layout.tiers
         if child not in tiers or parent == child:
             return False
@@ -147,9 +151,9 @@
         return parent in self._parents(child)
 
     def max_children(self, name: str) -> int:
-        """Children that it may have: the other control machines at the root's, and what its budget bears by
-        `child_cost`: with the defaults (27,000 - 730) / 2,110 = 12, of a control machine 118.
-        None for one that does not pass on."""
+        """Return how many children a member may have: as many as its budget supports by `child_cost`, and 0
+        for a member that is no relay. With the defaults (27,000 - 730) / 2,110 = 12, for a control node 118;
+        the root's children include the other control nodes."""
         if not self.may_have_children(name):
             return 0
         return self.child_limits[0] if self.tier(name) == CONTROL else self.child_limits[1]
