--- a/myrtlecourse/spread/applied_file.py
+++ b/myrtlecourse/spread/applied_file.py
@@ -30,10 +30,10 @@
 class AppliedFile:
     """The file. Each line begins with the monotonic time in seconds at which it was written."""
 
-    def __init__(self, path: Path, most: int) -> None:
+    def __init__(self, path: Path, max_bytes: int) -> None:
         """Append to the file if it exists; it is rotated at `max_bytes`. Raises OSError."""
         self.path = path
-        self.max_bytes = most
+        self.max_bytes = max_bytes
         self.lease_valid = False
         self.pending: list[str] = []
         self._open()
@@ -55,9 +55,9 @@
                 self.pending.append(entry_line(number, change))
             case AssumePurged(first, last):
                 self.pending.append(f"forget {first} {last}")
-            case LeaseChanged(may):
-                self.lease_valid = may
-                self.pending.append(f"vouches {'yes' if may else 'no'}")
+            case LeaseChanged(valid):
+                self.lease_valid = valid
+                self.pending.append(f"vouches {'yes' if valid else 'no'}")
             case Watermark(number, members, away):
                 self.pending.append(f"done {number} {members} {away}")
 
@@ -68,8 +68,8 @@
             return
         if self.size >= self.max_bytes:
             self._rotate()
-        at = f"{time.monotonic():.6f}"
-        data = "".join(f"{at} {line}\n" for line in self.pending).encode()
+        written_at = f"{time.monotonic():.6f}"
+        data = "".join(f"{written_at} {line}\n" for line in self.pending).encode()
         self.pending.clear()
         self.size += len(data)
         if os.write(self.file, data) < len(data):
--- a/myrtlecourse/spread/applied_ranges.py
+++ b/myrtlecourse/spread/applied_ranges.py
@@ -43,22 +43,22 @@
         """
         if first > self.highest:
             return first, last
-        for place, (start, end) in enumerate(self.ranges):
+        for position, (start, end) in enumerate(self.ranges):
             if start <= first <= end + 1:
-                if place + 1 < len(self.ranges):
-                    last = min(last, self.ranges[place + 1][0] - 1)
+                if position + 1 < len(self.ranges):
+                    last = min(last, self.ranges[position + 1][0] - 1)
                 return (max(first, end + 1), last) if last > end else None
         return (1, min(last, self.ranges[0][0] - 1)) if first == 1 else None
 
     def add(self, first: int, last: int) -> None:
         """Add a range that has been applied or is no longer needed."""
-        kept: list[Range] = []
+        ranges: list[Range] = []
         for start, end in self.ranges:
             if end + 1 < first or last + 1 < start:
-                kept.append((start, end))
+                ranges.append((start, end))
             else:
                 first, last = min(first, start), max(last, end)
-        self.ranges = sorted([*kept, (first, last)])
+        self.ranges = sorted([*ranges, (first, last)])
 
     def excess_gap(self) -> Range | None:
         """Return the lowest gap when there are too many ranges; its entries then count as unavailable."""
--- a/myrtlecourse/spread/change_table.py
+++ b/myrtlecourse/spread/change_table.py
@@ -29,8 +29,8 @@
     def put(self, number: int, change: Change) -> bool:
         """Store a change; return whether it is the newest of its subject."""
         rows = self.ranges[change.subject[0] * DIGEST_RANGES // 256]
-        held = rows.get(change.subject)
-        if held is not None and held[0] >= number:
+        current = rows.get(change.subject)
+        if current is not None and current[0] >= number:
             return False
         rows[change.subject] = (number, change)
         if len(rows) > MAX_ROWS // DIGEST_RANGES:
@@ -44,14 +44,14 @@
             sum(row_checksum(n, c) for n, c in rows.values() if n < upto) % 2**32 for rows in self.ranges
         )
 
-    def rows(self, which: int, after: bytes, room: int) -> tuple[tuple[Row, ...], bool]:
+    def rows(self, range_number: int, after: bytes, size: int) -> tuple[tuple[Row, ...], bool]:
         """Return the rows of a range after a subject, as many as fit, and whether further rows follow."""
-        rows = self.ranges[which]
-        subjects = heapq.nsmallest(room // ROW_OVERHEAD + 1, (s for s in rows if s > after))
-        found: list[Row] = []
+        rows = self.ranges[range_number]
+        subjects = heapq.nsmallest(size // ROW_OVERHEAD + 1, (s for s in rows if s > after))
+        result: list[Row] = []
         for subject in subjects:
-            room -= ROW_OVERHEAD + len(rows[subject][1].value)
-            if room < 0:
+            size -= ROW_OVERHEAD + len(rows[subject][1].value)
+            if size < 0:
                 break
-            found.append(rows[subject])
-        return tuple(found), len(found) < len(subjects)
+            result.append(rows[subject])
+        return tuple(result), len(result) < len(subjects)
--- a/myrtlecourse/spread/children.py
+++ b/myrtlecourse/spread/children.py
@@ -87,33 +87,33 @@
         )
         child.members, child.away, child.slowest = report.below, report.away, report.behind
         child.reply_due = min(child.reply_due, now + self.settings.pause)
-        rested = now > child.holding_since + HOLD_REST_LEASES * self.settings.lease
+        may_hold_again = now > child.holding_since + HOLD_REST_LEASES * self.settings.lease
         if (
             child.counted_until <= now
             and child.acknowledged < self.watermark
             and self._is_near(child)
-            and rested
+            and may_hold_again
         ):
             child.holding_since = now
         return child
 
-    def _add_lease_floor(self, now: float, done: int, until: float) -> None:
+    def _add_lease_floor(self, now: float, acknowledged: int, until: float) -> None:
         self.lease_floors = [f for f in self.lease_floors if f[1] > now]
         if len(self.lease_floors) >= 2 * self.limit:
             self.lease_floors = [(min(f[0] for f in self.lease_floors), max(f[1] for f in self.lease_floors))]
-        self.lease_floors.append((done, until))
+        self.lease_floors.append((acknowledged, until))
 
     def _is_near(self, child: Child) -> bool:
         return self.watermark - child.acknowledged <= max(100.0, self.settings.rate * self.settings.lease)
 
-    def grant(self, now: float, child: Child, left: float, epoch: int) -> int:
+    def grant(self, now: float, child: Child, lease_left: float, epoch: int) -> int:
         """Return the milliseconds for which a child holds a lease from its last report on, when `left`
         seconds of the node's own lease are left; 0 while the child lacks entries up to the watermark."""
         if child.counted_until <= now and child.acknowledged < max(self.watermark, self.inherited_watermark):
             return 0
-        if child.epoch < epoch or left <= 0:
+        if child.epoch < epoch or lease_left <= 0:
             return 0
-        good_for = int(left / self.clock_ratio * MS_PER_S)
+        good_for = int(lease_left / self.clock_ratio * MS_PER_S)
         child.counted_until = max(child.counted_until, now + good_for / MS_PER_S * self.clock_ratio)
         return good_for
 
@@ -130,33 +130,35 @@
             if child.counted_until > -math.inf:
                 self.silent[name] = child.members, now + SILENT_LEASES * self.settings.lease
         while len(self.silent) > MAX_SILENT_CHILDREN or any(
-            u <= now for _, u in list(self.silent.values())[:1]
+            until <= now for _, until in list(self.silent.values())[:1]
         ):
             del self.silent[next(iter(self.silent))]
 
     def _counts(self, now: float, child: Child) -> bool:
-        near = now < child.holding_since + self.settings.lease and child.acknowledged < self.watermark
-        return child.counted_until > now or near
+        holding = now < child.holding_since + self.settings.lease and child.acknowledged < self.watermark
+        return child.counted_until > now or holding
 
-    def lowest_acknowledged(self, now: float, have: int) -> tuple[int, int]:
+    def lowest_acknowledged(self, now: float, applied_until: int) -> tuple[int, int]:
         """Return the number up to which all counted members have applied entries, including this node, and
         the ident of the slowest one."""
-        lowest, behind = have, 0
+        lowest, slowest = applied_until, 0
         for child in self.by_name.values():
             if child.acknowledged < lowest and self._counts(now, child):
-                lowest, behind = child.acknowledged, child.slowest or member_ident(child.name)
-        return min([lowest, *(done for done, until in self.lease_floors if until > now)]), behind
+                lowest, slowest = child.acknowledged, child.slowest or member_ident(child.name)
+        return min(
+            [lowest, *(acknowledged for acknowledged, until in self.lease_floors if until > now)]
+        ), slowest
 
-    def advance_watermark(self, now: float, have: int) -> tuple[int, int]:
+    def advance_watermark(self, now: float, applied_until: int) -> tuple[int, int]:
         """Return the same, and advance the watermark to it; the watermark never decreases."""
-        lowest, behind = self.lowest_acknowledged(now, have)
+        lowest, slowest = self.lowest_acknowledged(now, applied_until)
         self.watermark = max(self.watermark, lowest)
-        return self.watermark, behind
+        return self.watermark, slowest
 
     def member_counts(self, now: float) -> tuple[int, int]:
         """Return how many members count, including this node, and how many are silent."""
         counted = [c for c in self.by_name.values() if c.counted_until > now]
-        away = sum(c.away for c in counted) + sum(below for below, _ in self.silent.values())
+        away = sum(c.away for c in counted) + sum(members for members, _ in self.silent.values())
         return 1 + sum(c.members for c in counted), away
 
     def last_lease_end(self, now: float) -> float:
--- a/myrtlecourse/spread/codec.py
+++ b/myrtlecourse/spread/codec.py
@@ -63,14 +63,14 @@
 
 
 class _EntryBatch(WireMessage, tag=0):
-    word = msg.EntryBatch
+    message = msg.EntryBatch
     epoch: Number
     first: First
     entries: Entries
 
 
 class _Heartbeat(WireMessage, tag=1):
-    word = msg.Heartbeat
+    message = msg.Heartbeat
     epoch: Number
     last: Number
     echo: Number
@@ -78,7 +78,7 @@
 
 
 class _Report(WireMessage, tag=2):
-    word = msg.Report
+    message = msg.Report
     stamp: Number
     epoch: Number
     have: Number
@@ -89,26 +89,26 @@
 
 
 class _Leave(WireMessage, tag=3):
-    word = msg.Leave
+    message = msg.Leave
 
 
 class _NoCapacity(WireMessage, tag=4):
-    word = msg.NoCapacity
+    message = msg.NoCapacity
 
 
 class _RetransmitRequest(WireMessage, tag=5):
-    word = msg.RetransmitRequest
+    message = msg.RetransmitRequest
     first: First
     count: Annotated[int, Meta(ge=1, le=MAX_REQUESTED_ENTRIES)]
 
 
 class _EntriesDropped(WireMessage, tag=6):
-    word = msg.EntriesDropped
+    message = msg.EntriesDropped
     oldest: First
 
 
 class _TableDigest(WireMessage, tag=7):
-    word = msg.TableDigest
+    message = msg.TableDigest
     upto: First
     sums: Annotated[
         bytes, Meta(min_length=CHECKSUM_BYTES * DIGEST_RANGES, max_length=CHECKSUM_BYTES * DIGEST_RANGES)
@@ -116,25 +116,25 @@
 
 
 class _TableRows(WireMessage, tag=8):
-    word = msg.TableRows
+    message = msg.TableRows
     range: Annotated[int, Meta(ge=0, lt=DIGEST_RANGES)]
     rows: Annotated[tuple[_Row, ...], Meta(max_length=LONGEST)]
     more: bool
 
 
 class _TableInSync(WireMessage, tag=9):
-    word = msg.TableInSync
+    message = msg.TableInSync
     upto: First
 
 
 class _Prepare(WireMessage, tag=10):
-    word = msg.Prepare
+    message = msg.Prepare
     epoch: Number
     after: Number
 
 
 class _PrepareReply(WireMessage, tag=11):
-    word = msg.PrepareReply
+    message = msg.PrepareReply
     epoch: Number
     first: First
     under: Number
@@ -144,7 +144,7 @@
 
 
 class _Append(WireMessage, tag=12):
-    word = msg.Append
+    message = msg.Append
     epoch: Number
     first: First
     entries: Entries
@@ -152,24 +152,24 @@
 
 
 class _AppendReply(WireMessage, tag=13):
-    word = msg.AppendReply
+    message = msg.AppendReply
     epoch: Number
     last: Number
 
 
 class _StaleEpoch(WireMessage, tag=14):
-    word = msg.StaleEpoch
+    message = msg.StaleEpoch
     epoch: Number
 
 
 class _SnapshotRequest(WireMessage, tag=15):
-    word = msg.SnapshotRequest
+    message = msg.SnapshotRequest
     epoch: Number
     after: SubjectOrNone
 
 
 class _SnapshotRows(WireMessage, tag=16):
-    word = msg.SnapshotRows
+    message = msg.SnapshotRows
     epoch: Number
     upto: Number
     after: SubjectOrNone
@@ -198,8 +198,8 @@
     | _SnapshotRows
 )
 WIRE_TYPES: dict[type[Any], type[WireMessage]] = {s.word: s for s in WireMessages.__args__}
-TAGS = {word: shape.__struct_config__.tag for word, shape in WIRE_TYPES.items()}
-WIRE_FIELDS = {word: shape.__struct_fields__ for word, shape in WIRE_TYPES.items()}
+TAGS = {message: shape.__struct_config__.tag for message, shape in WIRE_TYPES.items()}
+WIRE_FIELDS = {message: shape.__struct_fields__ for message, shape in WIRE_TYPES.items()}
 
 
 def max_payload(name: str) -> int:
@@ -236,48 +236,51 @@
 
     def parts(self, message: tuple[Message, ...]) -> list[Any]:
         """Return the parts that a datagram carries."""
-        return [self._part(word) for word in message]
+        return [self._part(message) for message in message]
 
-    def size(self, words: tuple[Message, ...]) -> int:
+    def size(self, messages: tuple[Message, ...]) -> int:
         """Return how many bytes the messages take in a datagram, to compare with `max_payload`."""
-        return len(msgspec.msgpack.encode(self.parts(words)))
+        return len(msgspec.msgpack.encode(self.parts(messages)))
 
     @staticmethod
-    def _part(word: Message) -> list[Any]:
-        kind = type(word)
-        part = [TAGS[kind], *(getattr(word, f) for f in WIRE_FIELDS[kind])]
-        if isinstance(word, msg.EntryBatch | msg.Append | msg.PrepareReply):
-            part[WIRE_FIELDS[kind].index("entries") + 1] = encode_entries(word.entries)
-        elif isinstance(word, msg.TableDigest):
-            part[2] = b"".join(s.to_bytes(CHECKSUM_BYTES, "big") for s in word.sums)
-        elif isinstance(word, msg.TableRows | msg.SnapshotRows):
+    def _part(message: Message) -> list[Any]:
+        kind = type(message)
+        part = [TAGS[kind], *(getattr(message, f) for f in WIRE_FIELDS[kind])]
+        if isinstance(message, msg.EntryBatch | msg.Append | msg.PrepareReply):
+            part[WIRE_FIELDS[kind].index("entries") + 1] = encode_entries(message.entries)
+        elif isinstance(message, msg.TableDigest):
+            part[2] = b"".join(s.to_bytes(CHECKSUM_BYTES, "big") for s in message.sums)
+        elif isinstance(message, msg.TableRows | msg.SnapshotRows):
             part[WIRE_FIELDS[kind].index("rows") + 1] = [
-                (number, c.subject, c.value) for number, c in word.rows
+                (number, c.subject, c.value) for number, c in message.rows
             ]
         return part
 
     def read(self, parts: list[Any]) -> tuple[Message, ...]:
         """Decode and validate messages. Raises Dropped when they are malformed."""
         try:
-            shapes = msgspec.convert(parts, tuple[WireMessages, ...], builtin_types=(bytes,))
+            decoded = msgspec.convert(parts, tuple[WireMessages, ...], builtin_types=(bytes,))
         except (msgspec.ValidationError, OverflowError):
             raise Dropped("malformed") from None
-        return tuple(self._word(shape) for shape in shapes)
+        return tuple(self._word(shape) for shape in decoded)
 
     @staticmethod
-    def _word(shape: Any) -> Message:
-        values = {f: getattr(shape, f) for f in shape.__struct_fields__}
+    def _word(decoded: Any) -> Message:
+        values = {f: getattr(decoded, f) for f in decoded.__struct_fields__}
         if "entries" in values:
             values["entries"] = decode_entries(values["entries"])
-        elif isinstance(shape, _SnapshotRequest | _SnapshotRows) and len(shape.after) not in (0, KEY_BYTES):
+        elif isinstance(decoded, _SnapshotRequest | _SnapshotRows) and len(decoded.after) not in (
+            0,
+            KEY_BYTES,
+        ):
             raise Dropped("malformed")
-        elif isinstance(shape, _TableDigest):
-            sums = shape.sums
+        elif isinstance(decoded, _TableDigest):
+            sums = decoded.sums
             values["sums"] = tuple(
                 int.from_bytes(sums[i : i + CHECKSUM_BYTES], "big")
                 for i in range(0, len(sums), CHECKSUM_BYTES)
             )
-        elif isinstance(shape, _TableRows | _SnapshotRows):
-            values["rows"] = tuple((row.number, Change(row.subject, row.value)) for row in shape.rows)
-        word: Message = shape.word(**values)
-        return word
+        elif isinstance(decoded, _TableRows | _SnapshotRows):
+            values["rows"] = tuple((row.number, Change(row.subject, row.value)) for row in decoded.rows)
+        message: Message = decoded.word(**values)
+        return message
--- a/myrtlecourse/spread/commands.py
+++ b/myrtlecourse/spread/commands.py
@@ -51,18 +51,18 @@
     return str(value)
 
 
-def node_table(at: str, told: dict[str, Any]) -> Table:
+def node_table(at: str, state: dict[str, Any]) -> Table:
     """Return a member's state as a table."""
-    vouches = "vouches for itself" if told["vouches"] else "vouches for nothing"
-    title = f"{at}: {told['name']}, {vouches}, log written by {told['holder'] or 'nobody known'}"
-    table = Table(title=f"{title}, {told['failed']}" if told["failed"] else title, show_header=False)
-    if told["done"] is not None:
-        number, members, away = told["done"]
+    vouches = "vouches for itself" if state["vouches"] else "vouches for nothing"
+    title = f"{at}: {state['name']}, {vouches}, log written by {state['holder'] or 'nobody known'}"
+    table = Table(title=f"{title}, {state['failed']}" if state["failed"] else title, show_header=False)
+    if state["done"] is not None:
+        number, members, away = state["done"]
         table.add_row("done everywhere", f"{number}, by {members:,} members; {away:,} away")
     for part in ("node", "head"):
-        for name, value in (told[part] or {}).items():
+        for name, value in (state[part] or {}).items():
             table.add_row(f"{part}: {name}", format_value(value))
-    dropped = ", ".join(f"{count} {why}" for why, count in told["dropped"].items())
+    dropped = ", ".join(f"{count} {why}" for why, count in state["dropped"].items())
     table.add_row("dropped datagrams", dropped or "none")
     return table
 
@@ -76,8 +76,8 @@
     if as_json:
         click.echo(json.dumps(found, indent=2))
         return
-    for at, told in found.items():
-        Console().print(node_table(at, told))
+    for at, state in found.items():
+        Console().print(node_table(at, state))
 
 
 def put_entry(places: tuple[str, ...], path: str) -> tuple[str, int]:
@@ -101,13 +101,13 @@
 
 def wait_until_done(at: str, number: int, seconds: float) -> None:
     """Wait until an entry is applied everywhere. Exits with code 1 when it is not in time."""
-    until = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     while True:
         done = ask_each((at,), "spread")[at]["done"]
         if done is not None and done[0] >= number:
             click.echo(f"done everywhere up to {done[0]}: {done[1]} members, {done[2]} away")
             return
-        if time.monotonic() > until:
+        if time.monotonic() > deadline:
             reached = f"up to {done[0]}" if done is not None else "for none that is known here"
             click.echo(f"myrtlecourse: done everywhere {reached} after {seconds:g} s", err=True)
             sys.exit(NO)
--- a/myrtlecourse/spread/driver.py
+++ b/myrtlecourse/spread/driver.py
@@ -44,9 +44,9 @@
     ) -> None:
         """`folder` holds the log on a control node. Raises ValueError when a key is too short."""
         self.random = random.SystemRandom()
-        start = self.random.getrandbits(62) + 1
+        incarnation = self.random.getrandbits(62) + 1
         members = settings.control + tuple(m for s in settings.sites for m in (*s.routers, *s.parts))
-        super().__init__(Wire(settings.name, members, keys[0], start, SpreadCodec(), keys[1]), peers)
+        super().__init__(Wire(settings.name, members, keys[0], incarnation, SpreadCodec(), keys[1]), peers)
         self.settings = settings
         self.folder = folder
         self.applied_path = applied
@@ -123,12 +123,12 @@
     # Events and actions
 
     def heard(self, sender: str, message: tuple[msg.Message, ...]) -> None:
-        of_heads = tuple(word for word in message if isinstance(word, msg.LOG_MESSAGES))
-        of_nodes = tuple(word for word in message if not isinstance(word, msg.LOG_MESSAGES))
-        if of_heads:
-            self.post_to_replica(msg.Received(sender, of_heads))
-        if of_nodes:
-            self.post_to_node(msg.Received(sender, of_nodes))
+        for_replica = tuple(word for word in message if isinstance(word, msg.LOG_MESSAGES))
+        for_node = tuple(word for word in message if not isinstance(word, msg.LOG_MESSAGES))
+        if for_replica:
+            self.post_to_replica(msg.Received(sender, for_replica))
+        if for_node:
+            self.post_to_node(msg.Received(sender, for_node))
 
     def post_to_node(self, event: msg.Event) -> None:
         """Pass an event to the tree node and carry out its actions."""
@@ -161,7 +161,7 @@
             self.leader_token = 0
             self.post_to_replica(events.LeadershipLost())
 
-    def propose(self, entry: msg.Entry, answered: ProposalCallback) -> None:
+    def propose(self, entry: msg.Entry, callback: ProposalCallback) -> None:
         """Propose an entry; the callback is called once, with the outcome. Raises SpreadError when it is
         rejected at once."""
         msg.checked_entry(entry)
@@ -173,15 +173,15 @@
         if len(self.callbacks) >= MAX_PROPOSALS:
             raise msg.SpreadError(f"{MAX_PROPOSALS} entries wait already")
         self.last_proposal += 1
-        self.callbacks[self.last_proposal] = answered
+        self.callbacks[self.last_proposal] = callback
         self.post_to_replica(events.Propose(self.last_proposal, entry))
 
-    def _carry_out(self, actions: list[Any], of: str = "") -> None:
+    def _carry_out(self, actions: list[Any], owner: str = "") -> None:
         for action in actions:
             match action:
-                case msg.Send(to, words):
+                case msg.Send(to, messages):
                     self._flush_applied()  # written before others learn of it
-                    self.send(to, self.wire.pack(to, words))
+                    self.send(to, self.wire.pack(to, messages))
                 case msg.Apply() | msg.AssumePurged() | msg.Restore() | msg.LeaseChanged() | msg.Watermark():
                     self._record(action)
                 case msg.Committed() | msg.Leadership():
@@ -194,7 +194,7 @@
                 case events.Acknowledge(ticket) | events.Refuse(ticket):
                     self.callbacks.pop(ticket)(action)
                 case msg.SetTimer(at):
-                    self.timers[of] = at
+                    self.timers[owner] = at
             if self.failure:
                 return
         self._flush_applied()
@@ -220,18 +220,18 @@
     async def _store(self, store: events.Store) -> None:
         """Write records in a thread, because a disk can take longer than a lease."""
         assert self.log_file is not None
-        why = ""
+        error = ""
         try:
             await asyncio.to_thread(self.log_file.append, store.records)
         except OSError as e:
-            why = str(e)
+            error = str(e)
             bounded.log(logging.ERROR, "spread: the log can't be written: %s", e)
-        self.post_to_replica(events.Stored(store.number, why))
+        self.post_to_replica(events.Stored(store.number, error))
 
-    def _stop_participating(self, why: str) -> None:
+    def _stop_participating(self, reason: str) -> None:
         """Stop sending, so that this member's lease expires and others wait for it no longer than that."""
-        log.error("spread: this process takes no part any more: %s", why)
-        self.failure = why
+        log.error("spread: this process takes no part any more: %s", reason)
+        self.failure = reason
         self.leave()
 
     # Timers
--- a/myrtlecourse/spread/leader.py
+++ b/myrtlecourse/spread/leader.py
@@ -61,8 +61,8 @@
     """Token bucket of bytes for retransmissions. New entries are never delayed by it, but are charged to
     it."""
 
-    def __init__(self, rate: float, most: float, now: float) -> None:
-        self.rate, self.capacity, self.available, self.filled_at = rate, most, most, now
+    def __init__(self, rate: float, capacity: float, now: float) -> None:
+        self.rate, self.capacity, self.available, self.filled_at = rate, capacity, capacity, now
 
     def refill(self, now: float) -> None:
         """Add the bytes that have become available since the last call."""
@@ -112,14 +112,20 @@
     """One term of leadership, under one epoch."""
 
     def __init__(
-        self, settings: Settings, epoch: int, saved: LogState, budget: TokenBucket, room: int, now: float
+        self,
+        settings: Settings,
+        epoch: int,
+        state: LogState,
+        budget: TokenBucket,
+        max_payload: int,
+        now: float,
     ) -> None:
         """`saved` is the state of this node's disk, which the replica keeps up to date."""
         self.settings = settings
         self.epoch = epoch
-        self.state = saved
+        self.state = state
         self.budget = budget
-        self.max_payload = room
+        self.max_payload = max_payload
         self.phase = Phase.PREPARE
         self.prepare_at = now
         # by number: the epoch, which is the highest reported one, and the entry
@@ -157,39 +163,39 @@
         if now >= self.prepare_at:
             self.prepare_at = now + self.settings.pause
             for name in self.follower_names:
-                told = self.answers.setdefault(name, PrepareState(self.state.commit_index))
-                told.received_until = max(told.received_until, self.state.commit_index)
-                if told.last is None or told.received_until < told.last:
-                    yield Send(name, (Prepare(self.epoch, told.received_until),))
-        whole = [a for a in self.answers.values() if a.last is not None and a.received_until >= a.last]
-        if 1 + len(whole) >= self.settings.quorum:
+                answer = self.answers.setdefault(name, PrepareState(self.state.commit_index))
+                answer.received_until = max(answer.received_until, self.state.commit_index)
+                if answer.last is None or answer.received_until < answer.last:
+                    yield Send(name, (Prepare(self.epoch, answer.received_until),))
+        complete = [a for a in self.answers.values() if a.last is not None and a.received_until >= a.last]
+        if 1 + len(complete) >= self.settings.quorum:
             self.phase = Phase.ADOPT
             yield from self.adopt()
-            known = max([self.state.commit_index, *(a.commit_index for a in whole)])
+            known = max([self.state.commit_index, *(a.commit_index for a in complete)])
             self.commit_index = min(known, self.takeover_end)
             yield from self.on_stored(now)  # needed when there was nothing to store
 
-    def on_prepare_reply(self, sender: str, word: PrepareReply) -> None:
+    def on_prepare_reply(self, sender: str, reply: PrepareReply) -> None:
         """Record what another node has stored."""
-        if word.epoch != self.epoch or self.phase is not Phase.PREPARE:
+        if reply.epoch != self.epoch or self.phase is not Phase.PREPARE:
             return
-        told = self.answers.setdefault(sender, PrepareState(self.state.commit_index))
-        for number, entry in enumerate(word.entries, word.first):
-            if number not in self.accepted or self.accepted[number][0] < word.under:
-                self.accepted[number] = word.under, entry
-        if word.first <= told.received_until + 1:
-            told.received_until = max(told.received_until, word.first + len(word.entries) - 1)
-        told.last, told.commit_index = word.last, max(word.settled, told.commit_index)
+        answer = self.answers.setdefault(sender, PrepareState(self.state.commit_index))
+        for number, entry in enumerate(reply.entries, reply.first):
+            if number not in self.accepted or self.accepted[number][0] < reply.under:
+                self.accepted[number] = reply.under, entry
+        if reply.first <= answer.received_until + 1:
+            answer.received_until = max(answer.received_until, reply.first + len(reply.entries) - 1)
+        answer.last, answer.commit_index = reply.last, max(reply.settled, answer.commit_index)
 
     def adopt(self) -> Iterator[Output]:
         """Store under this epoch every entry that may have been acknowledged: for each number the one with
         the highest reported epoch."""
-        saved, entries = self.state, list[Entry]()
-        first = number = saved.commit_index + 1
+        state, entries = self.state, list[Entry]()
+        first = number = state.commit_index + 1
         while True:
             best = self.accepted.get(number)
-            if saved.base < number <= saved.last:
-                own = saved.entry_epochs[number - 1 - saved.base], saved.entries[number - 1 - saved.base]
+            if state.base < number <= state.last:
+                own = state.entry_epochs[number - 1 - state.base], state.entries[number - 1 - state.base]
                 best = own if best is None or best[0] < own[0] else best
             if best is None:
                 break
@@ -204,8 +210,10 @@
         self.phase = Phase.REPLICATE
         self.stored_until = self.takeover_end
         for name in self.follower_names:
-            told = self.answers.get(name)
-            known = told.commit_index if told is not None and told.last is not None else self.commit_index
+            answer = self.answers.get(name)
+            known = (
+                answer.commit_index if answer is not None and answer.last is not None else self.commit_index
+            )
             self.followers[name] = FollowerProgress(known + 1, known)
         self.accepted.clear()
         self.answers.clear()
@@ -216,24 +224,24 @@
 
     def propose(self, ticket: int, entry: Entry) -> Iterator[Output]:
         """Accept an entry, or refuse it with a reason."""
-        why = ""
+        reason = ""
         try:
             checked_entry(entry)
         except SpreadError as e:
-            why = str(e)
+            reason = str(e)
         if not self.is_open:
-            why = why or "it is still taking over"
+            reason = reason or "it is still taking over"
         elif len(self.queue) + len(self.uncommitted) >= MAX_PENDING_PROPOSALS:
-            why = why or f"{MAX_PENDING_PROPOSALS} wait already"
-        elif isinstance(entry, Change) and not why:
+            reason = reason or f"{MAX_PENDING_PROPOSALS} wait already"
+        elif isinstance(entry, Change) and not reason:
             if SNAPSHOT_ROWS_BYTES + ROW_BYTES + len(entry.value) > self.max_payload:
-                why = f"value: beside so long a name {self.max_payload - SNAPSHOT_ROWS_BYTES - ROW_BYTES} bytes at most"
+                reason = f"value: beside so long a name {self.max_payload - SNAPSHOT_ROWS_BYTES - ROW_BYTES} bytes at most"
             elif entry.subject not in self.subjects and len(self.subjects) >= MAX_SUBJECTS:
-                why = f"subject: there are {MAX_SUBJECTS} already"
+                reason = f"subject: there are {MAX_SUBJECTS} already"
             else:
                 self.subjects.add(entry.subject)
-        if why:
-            yield Refuse(ticket, why)
+        if reason:
+            yield Refuse(ticket, reason)
         else:
             self.queue.append((ticket, entry))
 
@@ -257,20 +265,20 @@
             self._start_replication(now)
         if self.phase is not Phase.REPLICATE:
             return
-        fresh, self.stored_until = self.stored_until + 1, self.state.last
-        for name, peer in self.followers.items():
-            if peer.next == fresh and not peer.timeouts:
-                while peer.next <= self.stored_until and self._has_window(peer):
-                    yield self._next_append(now, name, peer)
+        first_new, self.stored_until = self.stored_until + 1, self.state.last
+        for name, follower in self.followers.items():
+            if follower.next == first_new and not follower.timeouts:
+                while follower.next <= self.stored_until and self._has_window(follower):
+                    yield self._next_append(now, name, follower)
         yield from self._advance_commit(now)
 
-    def on_store_failed(self, why: str) -> Iterator[Output]:
+    def on_store_failed(self, reason: str) -> Iterator[Output]:
         """Continue after the disk has rejected all pending records."""
         if self.phase is Phase.ADOPT:
             yield from self.adopt()
         elif self.phase is Phase.REPLICATE:
             while self.uncommitted and self.uncommitted[-1][0] > self.stored_until:
-                yield Refuse(self.uncommitted.pop()[1], f"it can't be written down: {why}")
+                yield Refuse(self.uncommitted.pop()[1], f"it can't be written down: {reason}")
             self.last = self.stored_until
 
     def on_leadership_lost(self) -> Iterator[Output]:
@@ -282,95 +290,105 @@
 
     def _advance_commit(self, now: float) -> Iterator[Output]:
         """Advance the commit index to the highest number that a majority has on disk under this epoch."""
-        reached = sorted([self.stored_until, *(p.stored for p in self.followers.values())], reverse=True)
-        lasts = reached[self.settings.quorum - 1]
-        if lasts > self.commit_index:
-            self.commit_index = lasts
-            for peer in self.followers.values():
-                peer.commit_notices = 0
-                peer.commit_notice_at = min(peer.commit_notice_at, now + self.batch_interval)
+        stored = sorted([self.stored_until, *(p.stored for p in self.followers.values())], reverse=True)
+        committed = stored[self.settings.quorum - 1]
+        if committed > self.commit_index:
+            self.commit_index = committed
+            for follower in self.followers.values():
+                follower.commit_notices = 0
+                follower.commit_notice_at = min(follower.commit_notice_at, now + self.batch_interval)
         while self.uncommitted and self.uncommitted[0][0] <= self.commit_index:
             number, ticket = self.uncommitted.popleft()
             yield events.Acknowledge(ticket, number)
 
     # Replication
 
-    def on_append_reply(self, now: float, sender: str, word: AppendReply) -> Iterator[Output]:
+    def on_append_reply(self, now: float, sender: str, reply: AppendReply) -> Iterator[Output]:
         """Process another node's acknowledgement of entries that it has on disk."""
-        peer = self.followers.get(sender)
-        if word.epoch != self.epoch or peer is None or word.last > self.stored_until:
+        follower = self.followers.get(sender)
+        if reply.epoch != self.epoch or follower is None or reply.last > self.stored_until:
             return
-        before, peer.responded = peer.responded, True
-        if word.last < peer.acked:
-            if before:
+        responded_before, follower.responded = follower.responded, True
+        if reply.last < follower.acked:
+            if responded_before:
                 return  # a reply that arrived out of order, after later ones
-            peer.acked, peer.next = word.last, word.last + 1
-        elif word.last > peer.acked:
-            peer.acked, peer.next = word.last, max(peer.next, word.last + 1)
-            peer.retry_at = now + self.settings.pause
-        elif peer.next > word.last + 1 and now - peer.rewound_at >= self.settings.pause:
+            follower.acked, follower.next = reply.last, reply.last + 1
+        elif reply.last > follower.acked:
+            follower.acked, follower.next = reply.last, max(follower.next, reply.last + 1)
+            follower.retry_at = now + self.settings.pause
+        elif follower.next > reply.last + 1 and now - follower.rewound_at >= self.settings.pause:
             # The reply acknowledges nothing new, so an earlier message was lost.
-            peer.next, peer.rewound_at = word.last + 1, now
-        peer.timeouts = 0
-        peer.stored = max(peer.stored, word.last)
+            follower.next, follower.rewound_at = reply.last + 1, now
+        follower.timeouts = 0
+        follower.stored = max(follower.stored, reply.last)
         yield from self._advance_commit(now)
 
-    def _has_window(self, peer: FollowerProgress) -> bool:
+    def _has_window(self, follower: FollowerProgress) -> bool:
         """Return whether more entries may be in flight to a node. One that is silent gets a single datagram
         at a time, which spares the network."""
-        flying = peer.next - 1 - peer.acked
-        return flying <= 0 if peer.timeouts > 1 else flying < MAX_IN_FLIGHT
+        in_flight = follower.next - 1 - follower.acked
+        return in_flight <= 0 if follower.timeouts > 1 else in_flight < MAX_IN_FLIGHT
 
-    def _next_append(self, now: float, name: str, peer: FollowerProgress) -> Send:
+    def _next_append(self, now: float, name: str, follower: FollowerProgress) -> Send:
         """Return the next entries for a node, or the first rows of the snapshot if they are no longer in the
         log."""
         self.budget.spend()
-        if peer.next == peer.acked + 1 or peer.next <= self.state.base:
-            peer.retry_at = now + self.settings.pause * 2 ** min(peer.timeouts, MAX_BACKOFF_DOUBLINGS)
-        if peer.next <= self.state.base:
+        if follower.next == follower.acked + 1 or follower.next <= self.state.base:
+            follower.retry_at = now + self.settings.pause * 2 ** min(follower.timeouts, MAX_BACKOFF_DOUBLINGS)
+        if follower.next <= self.state.base:
             return Send(name, (snapshot_rows(self.epoch, self.state, b"", self.max_payload),))
-        words: tuple[Message, ...] = ()
-        if self.is_open and peer.acked <= self.takeover_end:
-            words = (Append(self.epoch, self.takeover_end + 1, (), self.commit_index),)
-        here = peer.next - 1 - self.state.base
+        messages: tuple[Message, ...] = ()
+        if self.is_open and follower.acked <= self.takeover_end:
+            messages = (Append(self.epoch, self.takeover_end + 1, (), self.commit_index),)
+        index = follower.next - 1 - self.state.base
         count = max(
-            1, entries_that_fit(self.state.entries, here, self.max_payload - APPEND_BYTES * (1 + len(words)))
+            1,
+            entries_that_fit(
+                self.state.entries, index, self.max_payload - APPEND_BYTES * (1 + len(messages))
+            ),
         )
-        entries = self.state.entries_from(peer.next, min(count, self.stored_until + 1 - peer.next))
-        words = (*words, Append(self.epoch, peer.next, entries, self.commit_index if self.is_open else 0))
-        peer.next += len(entries)
-        self._schedule_commit_notice(now, peer)
-        return Send(name, words)
+        entries = self.state.entries_from(follower.next, min(count, self.stored_until + 1 - follower.next))
+        messages = (
+            *messages,
+            Append(self.epoch, follower.next, entries, self.commit_index if self.is_open else 0),
+        )
+        follower.next += len(entries)
+        self._schedule_commit_notice(now, follower)
+        return Send(name, messages)
 
-    def _schedule_commit_notice(self, now: float, peer: FollowerProgress) -> None:
-        peer.commit_notices += 1
-        again = self.settings.pause * 2 ** min(peer.commit_notices, MAX_BACKOFF_DOUBLINGS)
-        peer.commit_notice_at = now + max(self.settings.pause, min(again, self.settings.lease / 2))
+    def _schedule_commit_notice(self, now: float, follower: FollowerProgress) -> None:
+        follower.commit_notices += 1
+        delay = self.settings.pause * 2 ** min(follower.commit_notices, MAX_BACKOFF_DOUBLINGS)
+        follower.commit_notice_at = now + max(self.settings.pause, min(delay, self.settings.lease / 2))
 
     def _replicate(self, now: float) -> Iterator[Output]:
-        for peer in self.followers.values():
-            if self.budget.available > 0 and now >= peer.retry_at > -math.inf and self._awaits_reply(peer):
-                peer.timeouts += 1
-                peer.next = peer.acked + 1
-        behind = [(n, p) for n, p in self.followers.items() if self._has_due_append(now, p)]
-        while behind and self.budget.available > 0:
-            for name, peer in behind:
-                yield self._next_append(now, name, peer)
-            behind = [(n, p) for n, p in behind if self._has_due_append(now, p)]
+        for follower in self.followers.values():
+            if (
+                self.budget.available > 0
+                and now >= follower.retry_at > -math.inf
+                and self._awaits_reply(follower)
+            ):
+                follower.timeouts += 1
+                follower.next = follower.acked + 1
+        lagging = [(n, p) for n, p in self.followers.items() if self._has_due_append(now, p)]
+        while lagging and self.budget.available > 0:
+            for name, follower in lagging:
+                yield self._next_append(now, name, follower)
+            lagging = [(n, p) for n, p in lagging if self._has_due_append(now, p)]
         if self.is_open:
-            for name, peer in self.followers.items():
-                if now >= peer.commit_notice_at:
+            for name, follower in self.followers.items():
+                if now >= follower.commit_notice_at:
                     self.budget.spend()
-                    self._schedule_commit_notice(now, peer)
+                    self._schedule_commit_notice(now, follower)
                     yield Send(name, (Append(self.epoch, self.takeover_end + 1, (), self.commit_index),))
 
-    def _awaits_reply(self, peer: FollowerProgress) -> bool:
-        return peer.next > peer.acked + 1 or peer.next <= self.state.base
+    def _awaits_reply(self, follower: FollowerProgress) -> bool:
+        return follower.next > follower.acked + 1 or follower.next <= self.state.base
 
-    def _has_due_append(self, now: float, peer: FollowerProgress) -> bool:
-        if peer.next <= self.state.base:
-            return now >= peer.retry_at
-        return peer.next <= self.stored_until and self._has_window(peer)
+    def _has_due_append(self, now: float, follower: FollowerProgress) -> bool:
+        if follower.next <= self.state.base:
+            return now >= follower.retry_at
+        return follower.next <= self.stored_until and self._has_window(follower)
 
     def tick(self, now: float) -> Iterator[Output]:
         """Carry out everything that is due."""
@@ -387,14 +405,14 @@
         if self.phase is Phase.ADOPT:
             return math.inf
         times = [self.flush_at] if self.queue else []
-        spent = now + self.batch_interval if self.budget.available <= 0 else now
-        for peer in self.followers.values():
-            if self._has_due_append(now, peer):
+        earliest = now + self.batch_interval if self.budget.available <= 0 else now
+        for follower in self.followers.values():
+            if self._has_due_append(now, follower):
                 times.append(now + self.batch_interval)
-            elif self._awaits_reply(peer):
-                times.append(max(spent, peer.retry_at))
+            elif self._awaits_reply(follower):
+                times.append(max(earliest, follower.retry_at))
             if self.is_open:
-                times.append(peer.commit_notice_at)
+                times.append(follower.commit_notice_at)
         return max(min(times, default=math.inf), now)
 
     def status(self) -> dict[str, Any]:
@@ -403,19 +421,19 @@
             "phase": self.phase.value,
             "taken_over": self.takeover_end,
             "waiting": len(self.queue) + len(self.uncommitted),
-            "kept": {name: peer.stored for name, peer in self.followers.items()},
-            "silent": [name for name, peer in self.followers.items() if peer.timeouts > 1],
+            "kept": {name: follower.stored for name, follower in self.followers.items()},
+            "silent": [name for name, follower in self.followers.items() if follower.timeouts > 1],
         }
 
 
-def snapshot_rows(epoch: int, saved: LogState, after: bytes, room: int) -> SnapshotRows:
+def snapshot_rows(epoch: int, state: LogState, after: bytes, size: int) -> SnapshotRows:
     """Return the snapshot's rows after a subject, as many as fit one datagram."""
-    rows, left = list[tuple[int, Change]](), room - SNAPSHOT_ROWS_BYTES
-    begin = bisect_right(saved.sorted_subjects, after) if after else 0
-    for subject in saved.sorted_subjects[begin : begin + room]:
-        row = saved.table[subject]
+    rows, left = list[tuple[int, Change]](), size - SNAPSHOT_ROWS_BYTES
+    start = bisect_right(state.sorted_subjects, after) if after else 0
+    for subject in state.sorted_subjects[start : start + size]:
+        row = state.table[subject]
         left -= ROW_BYTES + len(row[1].value)
         if left < 0 and rows:
             break
         rows.append(row)
-    return SnapshotRows(epoch, saved.base, after, tuple(rows), begin + len(rows) < len(saved.sorted_subjects))
+    return SnapshotRows(epoch, state.base, after, tuple(rows), start + len(rows) < len(state.sorted_subjects))
--- a/myrtlecourse/spread/log_duty.py
+++ b/myrtlecourse/spread/log_duty.py
@@ -17,11 +17,11 @@
 class LogDuty:
     """The duty of writing the log. It has no numbered orders; its fencing token is the log's epoch."""
 
-    def __init__(self, duty: str, of_duties: DutyKeeper, keeper: Driver) -> None:
+    def __init__(self, duty: str, duty_driver: DutyKeeper, driver: Driver) -> None:
         self.duty = duty
-        self.duties = of_duties
-        self.driver = keeper
-        keeper.held_token = lambda: of_duties.may(duty)
+        self.duties = duty_driver
+        self.driver = driver
+        driver.held_token = lambda: duty_driver.may(duty)
 
     def able(self) -> bool:
         """Return whether this process can lead; it can't while its predecessor still holds the log."""
@@ -50,24 +50,24 @@
     another number."""
 
 
-async def commit(keeper: Driver, entry: Entry) -> int:
+async def commit(driver: Driver, entry: Entry) -> int:
     """Commit an entry and return its log number.
 
     Raises:
         SpreadError: it was rejected; the message says why.
         OutcomeUnknown: it may still be committed.
     """
-    answer: asyncio.Future[Acknowledge | Refuse] = asyncio.get_running_loop().create_future()
-    keeper.propose(entry, lambda told: None if answer.done() else answer.set_result(told))
+    future: asyncio.Future[Acknowledge | Refuse] = asyncio.get_running_loop().create_future()
+    driver.propose(entry, lambda outcome: None if future.done() else future.set_result(outcome))
     try:
         async with asyncio.timeout(COMMIT_TIMEOUT):
-            told = await answer
+            outcome = await future
     except TimeoutError:
         raise OutcomeUnknown(f"not known to last after {COMMIT_TIMEOUT:g} s; it may yet") from None
-    if isinstance(told, Acknowledge):
-        return told.number
+    if isinstance(outcome, Acknowledge):
+        return outcome.number
     raise (
-        OutcomeUnknown(f"{told.reason}; it may last all the same")
-        if told.may_commit
-        else SpreadError(told.reason)
+        OutcomeUnknown(f"{outcome.reason}; it may last all the same")
+        if outcome.may_commit
+        else SpreadError(outcome.reason)
     )
--- a/myrtlecourse/spread/log_file.py
+++ b/myrtlecourse/spread/log_file.py
@@ -52,18 +52,18 @@
     """Return a record with its length and checksum."""
     match record:
         case events.Promise(epoch):
-            row = StoredRecord(0, epoch)
+            stored = StoredRecord(0, epoch)
         case events.Write(first, under, entries):
-            row = StoredRecord(1, first, under, tuple(map(_stored_entry, entries)))
+            stored = StoredRecord(1, first, under, tuple(map(_stored_entry, entries)))
         case events.Truncate(last):
-            row = StoredRecord(2, last)
+            stored = StoredRecord(2, last)
         case events.Commit(number):
-            row = StoredRecord(3, number)
+            stored = StoredRecord(3, number)
         case events.Snapshot(upto, rows):
-            row = StoredRecord(
+            stored = StoredRecord(
                 4, upto, 0, tuple(_stored_entry(change) for _, change in rows), tuple(n for n, _ in rows)
             )
-    body = msgspec.msgpack.encode(row)
+    body = msgspec.msgpack.encode(stored)
     return RECORD_HEADER.pack(len(body), zlib.crc32(body)) + body
 
 
@@ -71,35 +71,35 @@
     return (entry.key, None) if isinstance(entry, Purge) else (entry.subject, entry.value)
 
 
-def _entry_from(plain: StoredEntry) -> Entry:
-    return Purge(plain[0]) if plain[1] is None else Change(plain[0], plain[1])
+def _entry_from(stored: StoredEntry) -> Entry:
+    return Purge(stored[0]) if stored[1] is None else Change(stored[0], stored[1])
 
 
-def decode_record(data: bytes, place: int) -> tuple[Record, int] | None:
+def decode_record(data: bytes, offset: int) -> tuple[Record, int] | None:
     """Return the record at an offset and the offset of the next one; None if no complete record follows.
     Raises ValueError."""
-    if place + RECORD_HEADER.size > len(data):
+    if offset + RECORD_HEADER.size > len(data):
         return None
-    length, checksum = RECORD_HEADER.unpack_from(data, place)
-    end = place + RECORD_HEADER.size + length
+    length, checksum = RECORD_HEADER.unpack_from(data, offset)
+    end = offset + RECORD_HEADER.size + length
     if end > len(data):
         return None
-    body = data[place + RECORD_HEADER.size : end]
+    body = data[offset + RECORD_HEADER.size : end]
     if not 0 < length <= MAX_RECORD_BYTES or zlib.crc32(body) != checksum:
         raise ValueError("its checksum does not fit")
-    row = DECODER.decode(body)
-    entries = tuple(map(_entry_from, row.entries))
-    match row.kind:
+    stored = DECODER.decode(body)
+    entries = tuple(map(_entry_from, stored.entries))
+    match stored.kind:
         case 0:
-            return events.Promise(row.number), end
+            return events.Promise(stored.number), end
         case 1:
-            return events.Write(row.number, row.under, entries), end
+            return events.Write(stored.number, stored.under, entries), end
         case 2:
-            return events.Truncate(row.number), end
+            return events.Truncate(stored.number), end
         case 3:
-            return events.Commit(row.number), end
+            return events.Commit(stored.number), end
     changes = tuple(e for e in entries if isinstance(e, Change))
-    return events.Snapshot(row.number, tuple(zip(row.numbers, changes, strict=True))), end
+    return events.Snapshot(stored.number, tuple(zip(stored.numbers, changes, strict=True))), end
 
 
 class LogFile:
@@ -149,20 +149,20 @@
         self._open_segment(segments[-1] if segments else self.folder / f"{1:016d}.log", size)
 
     def _read_records(self, path: Path, last: bool) -> tuple[list[Record], int]:
-        data, place, found = path.read_bytes(), 0, list[Record]()
-        while place < len(data):
+        data, offset, records = path.read_bytes(), 0, list[Record]()
+        while offset < len(data):
             try:
-                one = decode_record(data, place)
+                decoded = decode_record(data, offset)
             except (ValueError, msgspec.DecodeError) as e:
-                raise LogError(f"{path} at {place}: {e}") from None
-            if one is None:
+                raise LogError(f"{path} at {offset}: {e}") from None
+            if decoded is None:
                 if not last:
-                    raise LogError(f"{path} at {place}: it ends within a record")
-                log.warning("%s: a torn record of %d bytes is cut off", path, len(data) - place)
+                    raise LogError(f"{path} at {offset}: it ends within a record")
+                log.warning("%s: a torn record of %d bytes is cut off", path, len(data) - offset)
                 break
-            record, place = one
-            found.append(record)
-        return found, place
+            record, offset = decoded
+            records.append(record)
+        return records, offset
 
     def _note_entries(self, segment: Path, record: Record) -> None:
         if isinstance(record, events.Write):
@@ -196,8 +196,8 @@
         for record in records:
             if isinstance(record, events.Snapshot):
                 self._write_snapshot(record)
-        rest = [record for record in records if not isinstance(record, events.Snapshot)]
-        data = b"".join(map(encode_record, rest))
+        log_records = [record for record in records if not isinstance(record, events.Snapshot)]
+        data = b"".join(map(encode_record, log_records))
         try:
             write_all(self.file, data)
             os.fsync(self.file)
@@ -206,28 +206,28 @@
             self._truncate()
             raise
         self.size += len(data)
-        for record in rest:
+        for record in log_records:
             self._note_entries(self.path, record)
             match record:
                 case events.Promise(epoch) | events.Write(epoch=epoch):
                     self.promised_epoch = max(epoch, self.promised_epoch)
                 case events.Commit(number):
                     self.commit_index = max(number, self.commit_index)
-        if self.size >= SEGMENT_BYTES or len(rest) < len(records):
+        if self.size >= SEGMENT_BYTES or len(log_records) < len(records):
             try:
                 self._start_segment()
             except OSError as e:
                 log.warning("%s: goes on in its segment: %s", self.path, e)
 
     def _write_snapshot(self, record: events.Snapshot) -> None:
-        new = self.folder / "snapshot.new"
-        file = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+        path = self.folder / "snapshot.new"
+        file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
             write_all(file, encode_record(record))
             os.fsync(file)
         finally:
             os.close(file)
-        new.rename(self.folder / "snapshot")
+        path.rename(self.folder / "snapshot")
         sync_folder(self.folder)
         self.snapshot_until = record.upto
 
--- a/myrtlecourse/spread/log_suffix.py
+++ b/myrtlecourse/spread/log_suffix.py
@@ -22,8 +22,8 @@
 class LogSuffix:
     """Keeps `capacity` of the highest numbers, and up to one block more."""
 
-    def __init__(self, most: int) -> None:
-        self.capacity = most
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity
         self.blocks: dict[int, Block] = {}
         self.highest = 0
 
@@ -34,56 +34,58 @@
 
     def add(self, number: int, entry: Entry) -> None:
         """Keep an entry, unless it is too old."""
-        place, at = divmod(number, BLOCK_ENTRIES)
+        block_number, index = divmod(number, BLOCK_ENTRIES)
         if number > self.highest:
-            grown, self.highest = place > self.highest // BLOCK_ENTRIES, number
-            if grown:
-                for old in [p for p in self.blocks if p < self.lowest // BLOCK_ENTRIES]:
+            new_block, self.highest = block_number > self.highest // BLOCK_ENTRIES, number
+            if new_block:
+                for old in [number_ for number_ in self.blocks if number_ < self.lowest // BLOCK_ENTRIES]:
                     del self.blocks[old]
         if number < self.lowest:
             return
-        block = self.blocks.get(place)
+        block = self.blocks.get(block_number)
         if block is None:
-            block = self.blocks[place] = Block()
-        block.present |= 1 << at
+            block = self.blocks[block_number] = Block()
+        block.present |= 1 << index
         if isinstance(entry, Purge):
-            block.keys[at * KEY_BYTES : (at + 1) * KEY_BYTES] = entry.key
+            block.keys[index * KEY_BYTES : (index + 1) * KEY_BYTES] = entry.key
         else:
-            block.changes[at] = entry
+            block.changes[index] = entry
 
     def get(self, number: int) -> Entry | None:
         """Return the entry with a number, or None if it is not kept."""
-        place, at = divmod(number, BLOCK_ENTRIES)
-        block = self.blocks.get(place)
-        if block is None or not block.present >> at & 1:
+        block_number, index = divmod(number, BLOCK_ENTRIES)
+        block = self.blocks.get(block_number)
+        if block is None or not block.present >> index & 1:
             return None
-        return block.changes.get(at) or Purge(bytes(block.keys[at * KEY_BYTES : (at + 1) * KEY_BYTES]))
+        return block.changes.get(index) or Purge(
+            bytes(block.keys[index * KEY_BYTES : (index + 1) * KEY_BYTES])
+        )
 
-    def batch(self, first: int, last: int, room: int) -> tuple[Entry, ...]:
+    def batch(self, first: int, last: int, size: int) -> tuple[Entry, ...]:
         """Return consecutive entries from a number on, as many as fit the given size in an `EntryBatch`."""
-        found: list[Entry] = []
-        before: type[Entry] | None = None
+        entries: list[Entry] = []
+        previous: type[Entry] | None = None
         for number in range(first, last + 1):
             entry = self.get(number)
             if entry is None:
                 break
             if isinstance(entry, Purge):
-                room -= KEY_BYTES + (0 if before is Purge else 3)
+                size -= KEY_BYTES + (0 if previous is Purge else 3)
             else:
-                room -= KEY_BYTES + len(entry.value) + 5
-            if room < 0:
+                size -= KEY_BYTES + len(entry.value) + 5
+            if size < 0:
                 break
-            found.append(entry)
-            before = type(entry)
-        return tuple(found)
+            entries.append(entry)
+            previous = type(entry)
+        return tuple(entries)
 
     def next_kept(self, number: int) -> int:
         """Return the first kept number from this one on; if there is none, one above the highest."""
-        place, at = divmod(max(number, self.lowest), BLOCK_ENTRIES)
-        while place * BLOCK_ENTRIES <= self.highest:
-            block = self.blocks.get(place)
-            left = block.present >> at if block else 0
-            if left:
-                return place * BLOCK_ENTRIES + at + (left & -left).bit_length() - 1
-            place, at = place + 1, 0
+        block_number, index = divmod(max(number, self.lowest), BLOCK_ENTRIES)
+        while block_number * BLOCK_ENTRIES <= self.highest:
+            block = self.blocks.get(block_number)
+            present = block.present >> index if block else 0
+            if present:
+                return block_number * BLOCK_ENTRIES + index + (present & -present).bit_length() - 1
+            block_number, index = block_number + 1, 0
         return self.highest + 1
--- a/myrtlecourse/spread/messages.py
+++ b/myrtlecourse/spread/messages.py
@@ -100,13 +100,13 @@
         for site in self.sites:
             if not site.routers:
                 raise SpreadError(f"sites.{site.name}.routers: at least one")
-        for name, least, most in (
+        for name, minimum, maximum in (
             *(("budget", 2_000.0, 1e8), ("control_budget", 2_000.0, 1e9), ("rate", 0.1, 10_000.0)),
             *(("pause", 0.005, 5.0), ("report", 0.01, 10.0), ("lease", 0.1, 600.0), ("drift", 0.0, 0.1)),
             *(("tail", 100, 10_000_000), ("control_tail", 100, 10_000_000)),
         ):
-            if not least <= getattr(self, name) <= most:
-                raise SpreadError(f"{name}: from {least:g} to {most:g}")
+            if not minimum <= getattr(self, name) <= maximum:
+                raise SpreadError(f"{name}: from {minimum:g} to {maximum:g}")
         if self.lease < 4 * self.report:
             raise SpreadError("lease: at least four times `report`, as reports may be lost")
 
--- a/myrtlecourse/spread/node.py
+++ b/myrtlecourse/spread/node.py
@@ -55,18 +55,18 @@
         self.tree = Tree(settings)
         self.tier = self.tree.tier(self.name)
         control = self.tier == CONTROL
-        bound = self.tree.max_children(self.name)
+        child_limit = self.tree.max_children(self.name)
         self.max_payload = max_payload(self.name)
-        if bound and self.max_payload < MIN_PAYLOAD:
+        if child_limit and self.max_payload < MIN_PAYLOAD:
             raise msg.SpreadError(f"name: {self.name} is too long by {MIN_PAYLOAD - self.max_payload} bytes")
         self.epoch = 0
         self.counts = Counts()
         self.applied = AppliedRanges()
-        self.suffix = LogSuffix((settings.control_tail if control else settings.tail) if bound else 0)
+        self.suffix = LogSuffix((settings.control_tail if control else settings.tail) if child_limit else 0)
         self.table = ChangeTable()
         self.parent = Parent(settings, self.tree.candidates(self.name), now, seed)
-        self.children = Children(settings, bound)
-        self.repairs = RepairQueue(bound, self.max_payload, self.applied, self.suffix, self.table)
+        self.children = Children(settings, child_limit)
+        self.repairs = RepairQueue(child_limit, self.max_payload, self.applied, self.suffix, self.table)
         self.retransmits = RetransmitRequests(2 * settings.pause)  # requests for entries
         self.table_sync = RetransmitRequests(4 * settings.pause)  # requests for rows of the change table
         self.send_window = SendWindow(settings.half_control_budget if control else settings.budget)
@@ -104,8 +104,8 @@
         self.now, self.actions = max(now, self.now), []
         self._announce_lease()
         match event:
-            case Received(sender, words):
-                self._on_messages(sender, words)
+            case Received(sender, messages):
+                self._on_messages(sender, messages)
             case msg.Committed(epoch, first, entries):
                 self._on_committed(epoch, first, entries)
             case msg.Leadership(epoch, holder):
@@ -118,24 +118,24 @@
         return self.actions
 
     def _next_timer(self) -> float:
-        answers = min((c.reply_due for c in self.children.by_name.values()), default=NEVER)
-        ends = self.parent.lease_until if self.lease_announced and not self.is_root else NEVER
+        reply_due = min((c.reply_due for c in self.children.by_name.values()), default=NEVER)
+        lease_end = self.parent.lease_until if self.lease_announced and not self.is_root else NEVER
         times = (
             self.report_at,
             self.forward_at,
-            answers,
+            reply_due,
             self.repair_at,
             self.retransmits.retry_at,
             self.digest_at,
-            ends,
+            lease_end,
         )
         return max(min(times), self.now)
 
     def _announce_lease(self) -> None:
-        may = self.has_lease(self.now)
-        if may != self.lease_announced:
-            self.lease_announced = may
-            self.actions.append(msg.LeaseChanged(may))
+        valid = self.has_lease(self.now)
+        if valid != self.lease_announced:
+            self.lease_announced = valid
+            self.actions.append(msg.LeaseChanged(valid))
 
     def _run_due(self) -> None:
         """Carry out everything that is due."""
@@ -151,78 +151,78 @@
                 self._send_to_child(child, packed)
         self._send_repairs()
 
-    def _send(self, to: str, *words: Message) -> bool:
+    def _send(self, to: str, *messages: Message) -> bool:
         """Send messages if the send window allows it; return whether it did."""
-        size = SEAL + FRAME + len(self.name.encode()) + CODEC.size(words)
+        size = SEAL + FRAME + len(self.name.encode()) + CODEC.size(messages)
         if not self.send_window.try_spend(self.now, size):
             return False
         self.counts.bytes_out += size
-        self.actions.append(msg.Send(to, words))
+        self.actions.append(msg.Send(to, messages))
         return True
 
     # Messages
 
-    def _on_messages(self, sender: str, words: tuple[Message, ...]) -> None:
+    def _on_messages(self, sender: str, messages: tuple[Message, ...]) -> None:
         if sender in (
             *self.parent.report_targets(),
             self._repair_source(self.retransmits),
             self._repair_source(self.table_sync),
         ):
-            for word in words:
-                self._on_parent_message(sender, word)
+            for message in messages:
+                self._on_parent_message(sender, message)
         elif self.tree.may_be_parent(self.name, sender) and (
             self.is_root or self.tree.tier(sender) != CONTROL
         ):
-            self._on_child_messages(sender, words)
+            self._on_child_messages(sender, messages)
         else:
-            self.counts.refused += len(words)
+            self.counts.refused += len(messages)
 
-    def _on_parent_message(self, sender: str, word: Message) -> None:
+    def _on_parent_message(self, sender: str, message: Message) -> None:
         """Process a message from the parent, from the parent on trial, or from a node that was asked for
         repairs."""
-        match word:
-            case EntryBatch() | Heartbeat() if word.epoch < self.epoch:
+        match message:
+            case EntryBatch() | Heartbeat() if message.epoch < self.epoch:
                 self.counts.stale += 1
             case EntryBatch() if self.tier != CONTROL:
-                self.epoch = word.epoch
-                self._on_entries(word.first, word.entries)
+                self.epoch = message.epoch
+                self._on_entries(message.first, message.entries)
             case Heartbeat():
-                self.epoch = word.epoch
-                self._on_heartbeat(sender, word)
+                self.epoch = message.epoch
+                self._on_heartbeat(sender, message)
             case msg.NoCapacity():
                 self.parent.on_no_capacity(self.now, sender)
             case msg.EntriesDropped(oldest) if self.retransmits.requested:
                 self._on_entries_dropped(oldest)
             case msg.TableRows() if self.purged_range:
-                self._on_table_rows(word)
+                self._on_table_rows(message)
             case msg.TableInSync(upto) if self.purged_range and upto == self.purged_range[1] + 1:
                 self.purged_range, self.digest_at = None, NEVER
             case _:
                 self.counts.refused += 1
 
-    def _on_child_messages(self, sender: str, words: tuple[Message, ...]) -> None:
+    def _on_child_messages(self, sender: str, messages: tuple[Message, ...]) -> None:
         """Process a datagram from a child, or from a node whose parent does not answer. `Leave` is only valid
         after a report in the same datagram, which shows that the datagram is not a delayed one."""
         reported = False
-        for word in words:
-            match word:
+        for message in messages:
+            match message:
                 case msg.Report():
-                    reported = self._on_report(sender, word)
+                    reported = self._on_report(sender, message)
                 case msg.Leave() if reported:
                     self.children.remove(sender)
                     self.repairs.drop(sender)
-                case msg.RetransmitRequest() if self.repairs.request_entries(sender, word):
+                case msg.RetransmitRequest() if self.repairs.request_entries(sender, message):
                     self.repair_at = min(self.repair_at, self.now)
                 case msg.TableDigest():
-                    self._on_digest(sender, word)
+                    self._on_digest(sender, message)
                 case _:
                     self.counts.refused += 1
 
     def _on_report(self, sender: str, report: msg.Report) -> bool:
         if report.epoch < self.epoch:
             self.counts.stale += 1
-        behind = self.applied.highest - report.have
-        cursor = report.have + 1 if behind <= LIVE_CATCH_UP_LIMIT else self.applied.highest + 1
+        lag = self.applied.highest - report.have
+        cursor = report.have + 1 if lag <= LIVE_CATCH_UP_LIMIT else self.applied.highest + 1
         child = self.children.on_report(self.now, sender, report, cursor)
         if child is None:
             if sender not in self.children.by_name:
@@ -234,19 +234,21 @@
             self._announce_watermark()
         return True
 
-    def _on_heartbeat(self, sender: str, beat: Heartbeat) -> None:
-        left = self.parent.on_heartbeat(self.now, sender, beat, self.children.last_lease_end(self.now))
-        if left:
+    def _on_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
+        former_parent = self.parent.on_heartbeat(
+            self.now, sender, heartbeat, self.children.last_lease_end(self.now)
+        )
+        if former_parent:
             # The former parent must be told, or its watermark would wait for a lease that is no longer used.
             stamp = self.parent.next_stamp(self.now)
             self.parent.sent_reports.clear()
-            self._send(left, self._build_report(stamp), msg.Leave())
+            self._send(former_parent, self._build_report(stamp), msg.Leave())
 
     def _on_digest(self, sender: str, digest: msg.TableDigest) -> None:
         complete = not self.purged_range and self.applied.contiguous_until >= digest.upto - 1
-        same = self.repairs.request_table(sender, digest, complete)
-        if same is not None:
-            self._send(sender, same)
+        reply = self.repairs.request_table(sender, digest, complete)
+        if reply is not None:
+            self._send(sender, reply)
         elif complete:
             self.repair_at = min(self.repair_at, self.now)
 
@@ -256,23 +258,23 @@
         last = first + len(entries) - 1
         number = first
         while number <= last:
-            new = self.applied.acceptable(number, last)
-            if new is None:
+            accepted = self.applied.acceptable(number, last)
+            if accepted is None:
                 end = self.applied.range_end(number)
                 if not end:
                     self.counts.refused += 1  # out of order within a gap; requested again later
                     return
                 number = end + 1
                 continue
-            self._apply(new[0], entries[new[0] - first : new[1] - first + 1])
-            number = new[1] + 1
+            self._apply(accepted[0], entries[accepted[0] - first : accepted[1] - first + 1])
+            number = accepted[1] + 1
 
     def _apply(self, first: int, entries: tuple[Entry, ...]) -> None:
         last = first + len(entries) - 1
         if first > self.applied.highest + 1:
             self.gap_seen_at = self.now
-        asked = self.retransmits.requested
-        if asked and asked[0] <= first <= asked[1]:
+        requested = self.retransmits.requested
+        if requested and requested[0] <= first <= requested[1]:
             self.counts.repaired += len(entries)
             self.retransmits.on_answer(self.now)
         self.applied.add(first, last)
@@ -282,8 +284,8 @@
             if isinstance(entry, msg.Change):
                 self.table.put(number, entry)
         self.actions.append(msg.Apply(first, entries))
-        while (spilt := self.applied.excess_gap()) is not None:
-            self._assume_purged(*spilt)
+        while (excess := self.applied.excess_gap()) is not None:
+            self._assume_purged(*excess)
         self._schedule_forwarding()
 
     def _schedule_forwarding(self) -> None:
@@ -295,18 +297,18 @@
         self.actions.append(msg.AssumePurged(first, last))
         self.applied.add(first, last)
         if not self.is_root:
-            before = self.purged_range or (first, last)
-            self.purged_range = min(first, before[0]), max(last, before[1])
+            earlier = self.purged_range or (first, last)
+            self.purged_range = min(first, earlier[0]), max(last, earlier[1])
             self.digest_at = self.now
 
     def _on_entries_dropped(self, oldest: int) -> None:
         self.retransmits.on_answer(self.now)
-        known = max(self.applied.highest, self.parent.log_end)
-        holes = self.applied.gaps()
+        known_end = max(self.applied.highest, self.parent.log_end)
+        gaps = self.applied.gaps()
         if self.parent.log_end > self.applied.highest:
-            holes.append((self.applied.highest + 1, self.parent.log_end))
-        for first, last in holes:
-            if first < oldest <= known + 1:
+            gaps.append((self.applied.highest + 1, self.parent.log_end))
+        for first, last in gaps:
+            if first < oldest <= known_end + 1:
                 self._assume_purged(first, min(last, oldest - 1))
 
     def _on_table_rows(self, rows: msg.TableRows) -> None:
@@ -326,26 +328,26 @@
         if entries:
             self._on_entries(first, entries)
 
-    def _on_leadership(self, epoch: int, holder: str) -> None:
+    def _on_leadership(self, epoch: int, leader: str) -> None:
         if self.tier != CONTROL or epoch < self.epoch:
             self.counts.stale += 1
             return
-        was, self.is_root = self.is_root, holder == self.name
-        if self.is_root and (not was or epoch > self.epoch):
+        was_root, self.is_root = self.is_root, leader == self.name
+        if self.is_root and (not was_root or epoch > self.epoch):
             self.watermark_held_until = self.now + self.settings.lease * self.children.clock_ratio
             self.purged_range, self.digest_at = None, NEVER
             self.children.inherited_watermark = self.applied.highest
-        if was != self.is_root:
+        if was_root != self.is_root:
             self.parent.lease_until = -NEVER
         self.epoch = epoch
-        self.parent.set_candidates(self.now, (holder,) if holder not in ("", self.name) else ())
+        self.parent.set_candidates(self.now, (leader,) if leader not in ("", self.name) else ())
 
     # Reports to the parent
 
     def _build_report(self, stamp: int) -> msg.Report:
-        done, behind = self.children.advance_watermark(self.now, self.applied_until)
-        below, away = self.children.member_counts(self.now)
-        return msg.Report(stamp, self.epoch, self.applied_until, done, below, away, behind)
+        acknowledged, slowest = self.children.advance_watermark(self.now, self.applied_until)
+        members, away = self.children.member_counts(self.now)
+        return msg.Report(stamp, self.epoch, self.applied_until, acknowledged, members, away, slowest)
 
     def _send_reports(self) -> None:
         self.report_at = self.now + self.settings.report
@@ -355,28 +357,28 @@
             return
         self.parent.tick(self.now, self.applied_until >= self.parent.log_end)
         self.counts.moved = self.parent.moves
-        to = self.parent.report_targets()
-        if to:
-            word = self._build_report(self.parent.next_stamp(self.now))
-            for name in to:
-                self._send(name, word)
+        targets = self.parent.report_targets()
+        if targets:
+            report = self._build_report(self.parent.next_stamp(self.now))
+            for name in targets:
+                self._send(name, report)
 
     def _announce_watermark(self) -> None:
         if self.now < self.watermark_held_until:
             return
-        done, _ = self.children.advance_watermark(self.now, self.applied_until)
-        if done > self.announced_watermark:
-            self.announced_watermark = done
-            self.actions.append(msg.Watermark(done, *self.children.member_counts(self.now)))
+        watermark, _ = self.children.advance_watermark(self.now, self.applied_until)
+        if watermark > self.announced_watermark:
+            self.announced_watermark = watermark
+            self.actions.append(msg.Watermark(watermark, *self.children.member_counts(self.now)))
 
     def _repair_source(self, asking: RetransmitRequests) -> str:
         return asking.target(self.parent.index, self.parent.candidates)
 
     def _request_repairs(self) -> None:
         if self.tier != CONTROL:
-            want = self.retransmits.next_request(self.now, self.applied, self.parent.log_end)
-            if want is not None:
-                self._send(self._repair_source(self.retransmits), want)
+            request = self.retransmits.next_request(self.now, self.applied, self.parent.log_end)
+            if request is not None:
+                self._send(self._repair_source(self.retransmits), request)
         if self.purged_range and self.now >= self.digest_at:
             upto = self.purged_range[1] + 1
             self.digest_at = self.now + self.table_sync.retry_delay
@@ -393,34 +395,34 @@
 
     def _send_to_child(self, child: Child, packed: dict[tuple[int, int], tuple[Entry, ...]]) -> None:
         """Send a child the entries from its position on, and the answer to its report."""
-        answers = child.reply_due < NEVER
+        with_reply = child.reply_due < NEVER
         control = self.tree.tier(child.name) == CONTROL
         while True:
             entries: tuple[Entry, ...] = ()
             if not control and child.cursor <= self.applied.highest:
-                space = self.max_payload - BATCH_OVERHEAD - HEARTBEAT_BYTES * answers
-                entries = self._next_batch(child, space, packed)
-            words: list[Message] = [EntryBatch(self.epoch, child.cursor, entries)] if entries else []
-            if answers:
+                size = self.max_payload - BATCH_OVERHEAD - HEARTBEAT_BYTES * with_reply
+                entries = self._next_batch(child, size, packed)
+            messages: list[Message] = [EntryBatch(self.epoch, child.cursor, entries)] if entries else []
+            if with_reply:
                 last = (
                     self.applied.contiguous_until
                     if control
                     else min(self.applied.contiguous_until, child.cursor + len(entries) - 1)
                 )
                 good_for = self.children.grant(self.now, child, self._lease_left(), self.epoch)
-                words.append(Heartbeat(self.epoch, last, child.stamp, good_for))
-            if not words:
+                messages.append(Heartbeat(self.epoch, last, child.stamp, good_for))
+            if not messages:
                 break
-            if not self._send(child.name, *words):
-                child.reply_due = self.now + self.settings.pause if answers else NEVER
+            if not self._send(child.name, *messages):
+                child.reply_due = self.now + self.settings.pause if with_reply else NEVER
                 break
             child.cursor += len(entries)
-            child.reply_due, answers = NEVER, False
+            child.reply_due, with_reply = NEVER, False
         if not control and child.cursor <= self.applied.highest:
             self.forward_at = min(self.forward_at, self.now + self.settings.pause)
 
     def _next_batch(
-        self, child: Child, space: int, packed: dict[tuple[int, int], tuple[Entry, ...]]
+        self, child: Child, size: int, packed: dict[tuple[int, int], tuple[Entry, ...]]
     ) -> tuple[Entry, ...]:
         """Return the next entries for a child. Forwarding waits at a gap of this node, because it is usually
         filled soon."""
@@ -430,9 +432,9 @@
                 return ()
             child.cursor = next(first for first, _ in self.applied.ranges if first > child.cursor)
             end = self.applied.range_end(child.cursor)
-        key = (child.cursor, space)
+        key = (child.cursor, size)
         if key not in packed:
-            packed[key] = self.suffix.batch(child.cursor, end, space)
+            packed[key] = self.suffix.batch(child.cursor, end, size)
             if not packed[key] and self.suffix.get(child.cursor) is None:
                 child.cursor = min(
                     self.suffix.next_kept(child.cursor), end + 1
@@ -446,29 +448,32 @@
         settings = self.settings
         self.repair_at = NEVER
         if self.now >= self.repaired_at + settings.pause:
-            news = (
+            reserved = (
                 len(self.children.by_name) * child_cost(settings, MAX_NAME_BYTES)
                 + REPORT_BYTES / settings.report
             )
-            left = max(MIN_REPAIR_SHARE * self.send_window.budget, self.send_window.budget - news)
+            unreserved = max(MIN_REPAIR_SHARE * self.send_window.budget, self.send_window.budget - reserved)
             self.repaired_at, self.repair_credit = (
                 self.now,
-                min(self.repair_credit, 0.0) + left * settings.pause,
+                min(self.repair_credit, 0.0) + unreserved * settings.pause,
             )
         while self.repair_credit > 0:
-            found = self.repairs.next_reply(self.epoch)
-            if found is None:
+            reply = self.repairs.next_reply(self.epoch)
+            if reply is None:
                 return
-            before = self.counts.bytes_out
-            if not self._send(found[0], found[1]):
+            sent_before = self.counts.bytes_out
+            if not self._send(reply[0], reply[1]):
                 break
-            self.repair_credit -= self.counts.bytes_out - before
+            self.repair_credit -= self.counts.bytes_out - sent_before
         self.repair_at = self.repaired_at + settings.pause
 
     def status(self, now: float) -> dict[str, Any]:
         """Return the node's state for operators; JSON-serialisable."""
         counts = asdict(self.counts)
-        done, behind = self.children.watermark, self.children.lowest_acknowledged(now, self.applied_until)[1]
+        watermark, slowest = (
+            self.children.watermark,
+            self.children.lowest_acknowledged(now, self.applied_until)[1],
+        )
         return {
             "tier": self.tier,
             "root": self.is_root,
@@ -476,15 +481,15 @@
             "epoch": self.epoch,
             "have": self.applied_until,
             "last": max(self.applied.highest, self.parent.log_end),
-            "done": done,
-            "behind": behind,
+            "done": watermark,
+            "behind": slowest,
             "lanes": list(self.applied.ranges),
             "forgotten": self.purged_range,
             "children": {
                 c.name: {"have": c.applied_until, "done": c.acknowledged, "counts": c.counted_until > now}
                 for c in self.children.by_name.values()
             },
-            "away": {name: below for name, (below, _) in self.children.silent.items()},
+            "away": {name: members for name, (members, _) in self.children.silent.items()},
             "vouches": self.has_lease(now),
             "lease_left": max(0.0, self.parent.lease_until - now) if not self.is_root else None,
             "counts": counts,
--- a/myrtlecourse/spread/parent.py
+++ b/myrtlecourse/spread/parent.py
@@ -72,15 +72,15 @@
             del self.sent_reports[next(iter(self.sent_reports))]
         return self.stamp
 
-    def tick(self, now: float, waits: bool) -> None:
+    def tick(self, now: float, caught_up: bool) -> None:
         """Replace a parent that is silent, has no capacity, or grants no lease although this node has all of
         its entries (`waits`); later try the first candidate again."""
         lease = self.settings.lease
-        if not waits:
+        if not caught_up:
             self.granted_at = max(self.granted_at, now - lease)
-        in_vain = now - self.granted_at > MAX_LEASES_WITHOUT_GRANT * lease + 5 * self.silence_limit
+        without_grant = now - self.granted_at > MAX_LEASES_WITHOUT_GRANT * lease + 5 * self.silence_limit
         silent = now - self.heard_at > self.silence_limit
-        if len(self.candidates) > 1 and (silent or in_vain or (self.refused and now > self.chosen_at)):
+        if len(self.candidates) > 1 and (silent or without_grant or (self.refused and now > self.chosen_at)):
             self.index = (self.index + 1) % len(self.candidates)
             if self.name == self.trial_parent:
                 self.trial_parent = ""
@@ -102,27 +102,29 @@
         elif sender == self.name:
             self.refused = True
 
-    def on_heartbeat(self, now: float, sender: str, beat: Heartbeat, granted_until: float) -> str:
+    def on_heartbeat(self, now: float, sender: str, heartbeat: Heartbeat, granted_until: float) -> str:
         """Process an answer to a report. Return the name of the former parent when the one on trial has
         replaced it, else an empty string.
 
         The new parent's lease must cover all leases that this node has granted on the strength of the old
         one, because no other node would count them.
         """
-        sent = self.sent_reports.get(beat.echo)
-        until = -math.inf if sent is None or not beat.good_for else sent + beat.good_for / 1000.0
+        sent_at = self.sent_reports.get(heartbeat.echo)
+        lease_until = (
+            -math.inf if sent_at is None or not heartbeat.good_for else sent_at + heartbeat.good_for / 1000.0
+        )
         if sender == self.name:
             self.heard_at = now
-            self.log_end = max(self.log_end, beat.last)
-            if until > now:
-                self.lease_until, self.granted_at = max(self.lease_until, until), now
-        elif sender == self.trial_parent and until > now and until >= granted_until:
-            left = self.name
+            self.log_end = max(self.log_end, heartbeat.last)
+            if lease_until > now:
+                self.lease_until, self.granted_at = max(self.lease_until, lease_until), now
+        elif sender == self.trial_parent and lease_until > now and lease_until >= granted_until:
+            former_parent = self.name
             self.index, self.trial_parent = self.candidates.index(sender), ""
             self.moves += 1
             self._reset(now)
-            self.lease_until, self.log_end = until, beat.last
+            self.lease_until, self.log_end = lease_until, heartbeat.last
             # Answers of the old parent, which no longer counts this node, must not be accepted.
             self.sent_reports.clear()
-            return left
+            return former_parent
         return ""
--- a/myrtlecourse/spread/repair.py
+++ b/myrtlecourse/spread/repair.py
@@ -28,66 +28,71 @@
     """Open requests, answered round-robin with one datagram each."""
 
     def __init__(
-        self, bound: int, room: int, lanes: AppliedRanges, tail: LogSuffix, table: ChangeTable
+        self,
+        max_children: int,
+        max_payload: int,
+        applied: AppliedRanges,
+        suffix: LogSuffix,
+        table: ChangeTable,
     ) -> None:
-        self.max_requesters = bound + EXTRA_REQUESTERS if bound else 0
-        self.max_payload = room
-        self.applied, self.suffix, self.table = lanes, tail, table
+        self.max_requesters = max_children + EXTRA_REQUESTERS if max_children else 0
+        self.max_payload = max_payload
+        self.applied, self.suffix, self.table = applied, suffix, table
         self.entry_requests: dict[str, tuple[int, int]] = {}
         self.table_requests: dict[str, tuple[int, bytes]] = {}  # range, and the last subject that was sent
 
     def _has_place(
-        self, asker: str, asked: dict[str, tuple[int, int]] | dict[str, tuple[int, bytes]]
+        self, requester: str, requests: dict[str, tuple[int, int]] | dict[str, tuple[int, bytes]]
     ) -> bool:
-        return asker in asked or len(asked) < self.max_requesters
+        return requester in requests or len(requests) < self.max_requesters
 
-    def request_entries(self, asker: str, want: RetransmitRequest) -> bool:
+    def request_entries(self, requester: str, request: RetransmitRequest) -> bool:
         """Queue a request; it replaces an earlier one of the same requester. Return whether it was
         accepted."""
-        if not self._has_place(asker, self.entry_requests):
+        if not self._has_place(requester, self.entry_requests):
             return False
-        self.entry_requests[asker] = (want.first, want.first + want.count - 1)
+        self.entry_requests[requester] = (request.first, request.first + request.count - 1)
         return True
 
-    def request_table(self, asker: str, digest: TableDigest, complete: bool) -> Message | None:
+    def request_table(self, requester: str, digest: TableDigest, complete: bool) -> Message | None:
         """Compare the requester's change table with this node's and queue a request for rows if they differ.
         Return `TableInSync` if they are equal. `complete`: this node's table is known to be complete."""
-        if not complete or not self._has_place(asker, self.table_requests):
+        if not complete or not self._has_place(requester, self.table_requests):
             return None
-        own = self.table.checksums(digest.upto)
-        for which, (mine, other) in enumerate(zip(own, digest.sums, strict=True)):
-            if mine != other:
-                self.table_requests[asker] = (which, b"")
+        checksums = self.table.checksums(digest.upto)
+        for range_number, (checksum, other_checksum) in enumerate(zip(checksums, digest.sums, strict=True)):
+            if checksum != other_checksum:
+                self.table_requests[requester] = (range_number, b"")
                 return None
         return TableInSync(digest.upto)
 
-    def drop(self, asker: str) -> None:
+    def drop(self, requester: str) -> None:
         """Remove all requests of a member."""
-        self.entry_requests.pop(asker, None)
-        self.table_requests.pop(asker, None)
+        self.entry_requests.pop(requester, None)
+        self.table_requests.pop(requester, None)
 
     def next_reply(self, epoch: int) -> tuple[str, Message] | None:
         """Return the next datagram to send and its receiver, whose next turn comes after all others."""
         while self.entry_requests:
-            asker = next(iter(self.entry_requests))
-            word = self._entry_reply(epoch, *self.entry_requests.pop(asker), asker)
-            if word is not None:
-                return asker, word
+            requester = next(iter(self.entry_requests))
+            reply = self._entry_reply(epoch, *self.entry_requests.pop(requester), requester)
+            if reply is not None:
+                return requester, reply
         while self.table_requests:
-            asker = next(iter(self.table_requests))
-            which, after = self.table_requests.pop(asker)
-            rows, more = self.table.rows(which, after, self.max_payload - ROWS_OVERHEAD)
+            requester = next(iter(self.table_requests))
+            range_number, after = self.table_requests.pop(requester)
+            rows, more = self.table.rows(range_number, after, self.max_payload - ROWS_OVERHEAD)
             if more and rows:
-                self.table_requests[asker] = (which, rows[-1][1].subject)
-            return asker, TableRows(which, rows, more)
+                self.table_requests[requester] = (range_number, rows[-1][1].subject)
+            return requester, TableRows(range_number, rows, more)
         return None
 
-    def _entry_reply(self, epoch: int, first: int, last: int, asker: str) -> Message | None:
-        found = self.suffix.batch(first, min(last, self.suffix.highest), self.max_payload - BATCH_OVERHEAD)
-        if found:
-            if first + len(found) <= last:
-                self.entry_requests[asker] = (first + len(found), last)
-            return EntryBatch(epoch, first, found)
+    def _entry_reply(self, epoch: int, first: int, last: int, requester: str) -> Message | None:
+        entries = self.suffix.batch(first, min(last, self.suffix.highest), self.max_payload - BATCH_OVERHEAD)
+        if entries:
+            if first + len(entries) <= last:
+                self.entry_requests[requester] = (first + len(entries), last)
+            return EntryBatch(epoch, first, entries)
         # Applied here but no longer kept. Entries that are missing here too may be had from another
         # candidate.
         return EntriesDropped(self.suffix.next_kept(first)) if self.applied.range_end(first) else None
--- a/myrtlecourse/spread/replica.py
+++ b/myrtlecourse/spread/replica.py
@@ -52,23 +52,23 @@
 class Replica:
     """One control node's replica."""
 
-    def __init__(self, settings: Settings, saved: LogState, now: float) -> None:
+    def __init__(self, settings: Settings, state: LogState, now: float) -> None:
         """Start from `saved`, the state on disk, which the replica owns and changes from now on."""
         self.settings = settings
-        self.state = saved
+        self.state = state
         self.now = now
         names = [*settings.control, *(m for s in settings.sites for m in (*s.routers, *s.parts))]
         # messages must also fit datagrams of members with longer names
         self.max_payload = LONGEST - SEAL - HEAD - max(len(name.encode()) for name in names)
-        self.promised_epoch = saved.promised  # is ahead of the disk until the promise has been stored
-        self.matching_until = saved.matching_until(
-            saved.promised
+        self.promised_epoch = state.promised  # is ahead of the disk until the promise has been stored
+        self.matching_until = state.matching_until(
+            state.promised
         )  # all entries up to here equal those of the leader of the promised epoch
         # like `matching_until`, including entries that are still being stored
         self.accepted_until = self.matching_until
-        self.known_commit = saved.commit_index  # the highest commit index that was announced to this replica
+        self.known_commit = state.commit_index  # the highest commit index that was announced to this replica
         self.delivered = 0  # number of the last entry that was handed to the tree node
-        self.stored_commit = saved.commit_index  # the commit index that is on disk
+        self.stored_commit = state.commit_index  # the commit index that is on disk
         self.leader: Leader | None = None
         self.budget = TokenBucket(
             settings.half_control_budget, settings.half_control_budget * settings.pause, now
@@ -90,9 +90,9 @@
         self.now, self.actions = max(now, self.now), []
         self.budget.refill(self.now)
         match event:
-            case msg.Received(sender, words) if sender in self.settings.control:
-                for word in words:
-                    self._on_message(sender, word)
+            case msg.Received(sender, messages) if sender in self.settings.control:
+                for message in messages:
+                    self._on_message(sender, message)
             case events.LeadershipGained(token):
                 self._on_leadership_gained(token)
             case events.LeadershipLost() if self.leader is not None:
@@ -107,15 +107,15 @@
         self._run_due()
         return self.actions
 
-    def _collect(self, made: Iterable[Output]) -> None:
-        for each in made:
-            if isinstance(each, RECORD_TYPES):
-                self.pending_records.append(each)
+    def _collect(self, outputs: Iterable[Output]) -> None:
+        for output in outputs:
+            if isinstance(output, RECORD_TYPES):
+                self.pending_records.append(output)
             else:
-                self.actions.append(each)
+                self.actions.append(output)
 
-    def _send(self, to: str, *words: Message) -> None:
-        self.actions.append(msg.Send(to, words))
+    def _send(self, to: str, *messages: Message) -> None:
+        self.actions.append(msg.Send(to, messages))
 
     # Leadership and epochs
 
@@ -134,18 +134,18 @@
             self.leader = None
             self._set_leader("")
 
-    def _enter_epoch(self, epoch: int, holder: str) -> None:
+    def _enter_epoch(self, epoch: int, leader: str) -> None:
         self._on_leadership_lost()
         self.promised_epoch = epoch
         self.matching_until = self.accepted_until = self.state.commit_index
         self.pending_prepare, self.reply_to, self.transfer = None, "", None
-        self._set_leader(holder)
+        self._set_leader(leader)
 
-    def _set_leader(self, holder: str) -> None:
-        root = msg.Leadership(self.promised_epoch, holder)
-        if root != self.leadership:
-            self.leadership = root
-            self.actions.append(root)
+    def _set_leader(self, leader: str) -> None:
+        leadership = msg.Leadership(self.promised_epoch, leader)
+        if leadership != self.leadership:
+            self.leadership = leadership
+            self.actions.append(leadership)
 
     def _accepts_epoch(self, sender: str, epoch: int) -> bool:
         """Return whether a leader's message is valid; from then on messages of lower epochs are rejected."""
@@ -163,121 +163,129 @@
 
     # Messages
 
-    def _on_message(self, sender: str, word: Message) -> None:
-        match word:
+    def _on_message(self, sender: str, message: Message) -> None:
+        match message:
             case msg.Prepare(epoch):
                 if self._accepts_epoch(sender, epoch):
-                    self.pending_prepare = sender, word
+                    self.pending_prepare = sender, message
             case msg.Append(epoch):
                 if self._accepts_epoch(sender, epoch):
-                    self._on_append(sender, word)
+                    self._on_append(sender, message)
             case msg.PrepareReply() if self.leader is not None:
-                self.leader.on_prepare_reply(sender, word)
+                self.leader.on_prepare_reply(sender, message)
             case msg.AppendReply() if self.leader is not None:
-                self._collect(self.leader.on_append_reply(self.now, sender, word))
+                self._collect(self.leader.on_append_reply(self.now, sender, message))
             case msg.StaleEpoch(epoch) if self.leader is not None and epoch > self.leader.epoch:
                 self._enter_epoch(epoch, "")
             case msg.SnapshotRequest():
-                self._send_snapshot_rows(sender, word)
+                self._send_snapshot_rows(sender, message)
             case msg.SnapshotRows():
-                self._on_snapshot_rows(sender, word)
+                self._on_snapshot_rows(sender, message)
             case _:
                 self.counts.stale += 1
 
-    def _on_append(self, sender: str, word: msg.Append) -> None:
+    def _on_append(self, sender: str, message: msg.Append) -> None:
         """Store entries that follow directly on the log; a gap shows in the reply, which says how far entries
         are stored."""
-        if not word.entries:
+        if not message.entries:
             # A majority has stored everything that was taken over, so any other entries here were never
             # acknowledged.
-            last = max(self.accepted_until, word.first - 1)
-            waiting = [
+            last = max(self.accepted_until, message.first - 1)
+            unstored_ends = [
                 r.first + len(r.entries) - 1 for r in self._unstored_records() if isinstance(r, events.Write)
             ]
-            if max([self.state.last, *waiting]) > last and events.Truncate(last) not in self.pending_records:
+            if (
+                max([self.state.last, *unstored_ends]) > last
+                and events.Truncate(last) not in self.pending_records
+            ):
                 self.pending_records.append(events.Truncate(last))
-        skip = self.accepted_until + 1 - word.first
-        fresh = word.entries[skip:] if skip >= 0 else ()
-        if fresh and self.accepted_until - self.matching_until < MAX_IN_FLIGHT:
-            self.pending_records.append(events.Write(self.accepted_until + 1, word.epoch, fresh))
-            self.accepted_until += len(fresh)
-        self.known_commit = max(self.known_commit, word.settled)
+        skip = self.accepted_until + 1 - message.first
+        new_entries = message.entries[skip:] if skip >= 0 else ()
+        if new_entries and self.accepted_until - self.matching_until < MAX_IN_FLIGHT:
+            self.pending_records.append(events.Write(self.accepted_until + 1, message.epoch, new_entries))
+            self.accepted_until += len(new_entries)
+        self.known_commit = max(self.known_commit, message.settled)
         if self.accepted_until == self.matching_until:
             self.reply_to = sender  # otherwise the reply follows when the pending writes are stored
 
-    def _reply_to_prepare(self, sender: str, survey: msg.Prepare) -> None:
+    def _reply_to_prepare(self, sender: str, prepare: msg.Prepare) -> None:
         """Answer a `Prepare` as far as the send budget allows; the leader asks again for the rest."""
-        saved, after = self.state, survey.after
-        if after < saved.base:
-            self._send(sender, snapshot_rows(self.promised_epoch, saved, b"", self.max_payload))
+        state, after = self.state, prepare.after
+        if after < state.base:
+            self._send(sender, snapshot_rows(self.promised_epoch, state, b"", self.max_payload))
             return
         while True:
             entries: tuple[Entry, ...] = ()
-            under = 0
-            if after < saved.last:
-                here = after - saved.base
-                count = max(1, entries_that_fit(saved.entries, here, self.max_payload - PREPARE_REPLY_BYTES))
-                under = saved.entry_epochs[here]
-                same = next((i for i in range(count) if saved.entry_epochs[here + i] != under), count)
-                entries = saved.entries_from(after + 1, same)
+            entry_epoch = 0
+            if after < state.last:
+                index = after - state.base
+                count = max(1, entries_that_fit(state.entries, index, self.max_payload - PREPARE_REPLY_BYTES))
+                entry_epoch = state.entry_epochs[index]
+                same_epoch = next(
+                    (i for i in range(count) if state.entry_epochs[index + i] != entry_epoch), count
+                )
+                entries = state.entries_from(after + 1, same_epoch)
             self.budget.spend()
-            word = msg.PrepareReply(survey.epoch, after + 1, under, entries, saved.last, saved.commit_index)
-            self._send(sender, word)
+            reply = msg.PrepareReply(
+                prepare.epoch, after + 1, entry_epoch, entries, state.last, state.commit_index
+            )
+            self._send(sender, reply)
             after += len(entries)
-            if after >= saved.last or self.budget.available <= 0:
+            if after >= state.last or self.budget.available <= 0:
                 return
 
     # Transfer of a snapshot, when another replica's log begins after the end of this one
 
-    def _send_snapshot_rows(self, sender: str, word: msg.SnapshotRequest) -> None:
-        after = word.after
+    def _send_snapshot_rows(self, sender: str, request: msg.SnapshotRequest) -> None:
+        after = request.after
         for _ in range(MAX_SNAPSHOT_BURST):
             if self.budget.available <= 0:
                 return
             self.budget.spend()
-            table = snapshot_rows(word.epoch, self.state, after, self.max_payload)
-            self._send(sender, table)
-            if not table.more:
+            rows = snapshot_rows(request.epoch, self.state, after, self.max_payload)
+            self._send(sender, rows)
+            if not rows.more:
                 return
-            after = table.rows[-1][1].subject
+            after = rows.rows[-1][1].subject
 
-    def _on_snapshot_rows(self, sender: str, word: msg.SnapshotRows) -> None:
+    def _on_snapshot_rows(self, sender: str, message: msg.SnapshotRows) -> None:
         """Accept rows in order. A snapshot that ends at or before this replica's commit index is ignored, so
         committed state is never replaced by older state."""
         if self.leader is not None:
-            if word.epoch != self.leader.epoch or self.leader.phase is not Phase.PREPARE:
+            if message.epoch != self.leader.epoch or self.leader.phase is not Phase.PREPARE:
                 return
-        elif not self._accepts_epoch(sender, word.epoch):
+        elif not self._accepts_epoch(sender, message.epoch):
             return
-        if word.upto <= self.state.commit_index:
+        if message.upto <= self.state.commit_index:
             return
-        gather = self.transfer
-        if gather is None or (gather.sender, gather.upto) != (sender, word.upto):
-            lately = (
-                gather is not None and self.now - gather.received_at < SENDER_PATIENCE * self.settings.pause
+        transfer = self.transfer
+        if transfer is None or (transfer.sender, transfer.upto) != (sender, message.upto):
+            recent = (
+                transfer is not None
+                and self.now - transfer.received_at < SENDER_PATIENCE * self.settings.pause
             )
-            if word.after or (
-                gather is not None and (gather.complete or (lately and gather.sender != sender))
+            if message.after or (
+                transfer is not None and (transfer.complete or (recent and transfer.sender != sender))
             ):
                 return
-            gather = self.transfer = SnapshotTransfer(sender, word.upto)
-        if gather.complete or word.after != gather.last_subject:
+            transfer = self.transfer = SnapshotTransfer(sender, message.upto)
+        if transfer.complete or message.after != transfer.last_subject:
             return
-        gather.rows += word.rows
-        gather.received, gather.received_at = gather.received + 1, self.now
-        gather.complete = not word.more
-        if gather.complete:
-            self.pending_records.append(events.Snapshot(word.upto, tuple(gather.rows)))
-        elif word.rows:
-            gather.last_subject = word.rows[-1][1].subject
+        transfer.rows += message.rows
+        transfer.received, transfer.received_at = transfer.received + 1, self.now
+        transfer.complete = not message.more
+        if transfer.complete:
+            self.pending_records.append(events.Snapshot(message.upto, tuple(transfer.rows)))
+        elif message.rows:
+            transfer.last_subject = message.rows[-1][1].subject
 
     def _request_snapshot_rows(self) -> None:
-        gather = self.transfer
-        if gather is None or gather.complete:
+        transfer = self.transfer
+        if transfer is None or transfer.complete:
             return
-        if self.now >= gather.request_at or gather.received >= MAX_SNAPSHOT_BURST:
-            gather.received, gather.request_at = 0, self.now + self.settings.pause
-            self._send(gather.sender, msg.SnapshotRequest(self.promised_epoch, gather.last_subject))
+        if self.now >= transfer.request_at or transfer.received >= MAX_SNAPSHOT_BURST:
+            transfer.received, transfer.request_at = 0, self.now + self.settings.pause
+            self._send(transfer.sender, msg.SnapshotRequest(self.promised_epoch, transfer.last_subject))
 
     # The disk
 
@@ -334,20 +342,20 @@
 
     def _deliver_committed(self) -> None:
         """Hand committed entries to the tree node, in order and each one once per process."""
-        saved = self.state
+        state = self.state
         if self.leader is not None and self.leader.phase is Phase.REPLICATE:
             self.known_commit = max(self.known_commit, self.leader.commit_index)
-        saved.commit_index = max(saved.commit_index, min(self.known_commit, self.matching_until))
-        if self.delivered < saved.base:
-            self.actions.append(msg.AssumePurged(self.delivered + 1, saved.base))
-            rows = (saved.table[subject] for subject in saved.sorted_subjects)
+        state.commit_index = max(state.commit_index, min(self.known_commit, self.matching_until))
+        if self.delivered < state.base:
+            self.actions.append(msg.AssumePurged(self.delivered + 1, state.base))
+            rows = (state.table[subject] for subject in state.sorted_subjects)
             self.actions += [
                 msg.Restore(number, change) for number, change in rows if number > self.delivered
             ]
-            self.delivered = saved.base
-        while self.delivered < saved.commit_index:
-            entries = saved.entries_from(
-                self.delivered + 1, min(MAX_COMMITTED_BATCH, saved.commit_index - self.delivered)
+            self.delivered = state.base
+        while self.delivered < state.commit_index:
+            entries = state.entries_from(
+                self.delivered + 1, min(MAX_COMMITTED_BATCH, state.commit_index - self.delivered)
             )
             self.actions.append(msg.Committed(self.promised_epoch, self.delivered + 1, entries))
             self.delivered += len(entries)
@@ -358,17 +366,21 @@
     def _store_records(self) -> None:
         """Write all pending records. Only one store is in progress at a time; records that arise meanwhile
         share the next sync."""
-        saved, pending = self.state, self._unstored_records()
-        if saved.promised < self.promised_epoch and events.Promise(self.promised_epoch) not in pending:
+        state, pending = self.state, self._unstored_records()
+        if state.promised < self.promised_epoch and events.Promise(self.promised_epoch) not in pending:
             self.pending_records.append(events.Promise(self.promised_epoch))
-        upto = min(saved.last - self.settings.control_tail, saved.commit_index)
-        full = len(saved.entries) > COMPACTION_FACTOR * self.settings.control_tail
-        if full and upto > saved.base and not any(isinstance(r, events.Snapshot) for r in pending):
-            self.pending_records.append(saved.snapshot_at(upto))
+        snapshot_end = min(state.last - self.settings.control_tail, state.commit_index)
+        oversized = len(state.entries) > COMPACTION_FACTOR * self.settings.control_tail
+        if (
+            oversized
+            and snapshot_end > state.base
+            and not any(isinstance(r, events.Snapshot) for r in pending)
+        ):
+            self.pending_records.append(state.snapshot_at(snapshot_end))
         if not self.pending_records or self.records_in_flight or self.now < self.retry_at:
             return
-        if saved.commit_index > self.stored_commit:
-            self.pending_records.append(events.Commit(saved.commit_index))
+        if state.commit_index > self.stored_commit:
+            self.pending_records.append(events.Commit(state.commit_index))
         self.store_number += 1
         self.records_in_flight, self.pending_records = tuple(self.pending_records), []
         self.actions.append(events.Store(self.store_number, self.records_in_flight))
--- a/myrtlecourse/spread/replica_events.py
+++ b/myrtlecourse/spread/replica_events.py
@@ -93,18 +93,18 @@
             case Promise(epoch):
                 self.promised = max(epoch, self.promised)
             case Write(first, under, entries):
-                at = first - 1 - self.base
-                if at > len(self.entries):
+                index = first - 1 - self.base
+                if index > len(self.entries):
                     raise LogError(f"entry {first} follows on {self.last}")
-                entries = entries[max(0, -at) :]
-                at = max(0, at)
-                self.entries[at : at + len(entries)] = entries
-                self.entry_epochs[at : at + len(entries)] = [under] * len(entries)
+                entries = entries[max(0, -index) :]
+                index = max(0, index)
+                self.entries[index : index + len(entries)] = entries
+                self.entry_epochs[index : index + len(entries)] = [under] * len(entries)
                 self.promised = max(under, self.promised)
             case Truncate(last):
                 # committed entries must never be truncated
-                at = max(last, self.commit_index) - self.base
-                del self.entries[at:], self.entry_epochs[at:]
+                index = max(last, self.commit_index) - self.base
+                del self.entries[index:], self.entry_epochs[index:]
             case Commit(number):
                 self.commit_index = max(self.commit_index, min(number, self.last))
             case Snapshot(upto, rows) if upto > self.base:
@@ -200,14 +200,14 @@
 )
 
 
-def entries_that_fit(entries: list[Entry], at: int, room: int) -> int:
+def entries_that_fit(entries: list[Entry], start: int, size: int) -> int:
     """Return how many entries from an index on take at most so many bytes as MessagePack."""
-    count, before = 0, False
-    for entry in entries[at : at + room]:
+    count, after_purge = 0, False
+    for entry in entries[start : start + size]:
         purge = isinstance(entry, Purge)
         # consecutive purges are encoded as one byte string
-        room -= (8 if before else 11) if purge else 15 + len(entry.value)  # type: ignore[union-attr]
-        if room < 0:
+        size -= (8 if after_purge else 11) if purge else 15 + len(entry.value)  # type: ignore[union-attr]
+        if size < 0:
             break
-        count, before = count + 1, purge
+        count, after_purge = count + 1, purge
     return count
--- a/myrtlecourse/spread/retransmission.py
+++ b/myrtlecourse/spread/retransmission.py
@@ -15,8 +15,8 @@
 class RetransmitRequests:
     """One open request at a time, and the node that it is sent to."""
 
-    def __init__(self, retry: float) -> None:
-        self.retry_delay = retry  # seconds without an answer before a request is repeated
+    def __init__(self, retry_delay: float) -> None:
+        self.retry_delay = retry_delay  # seconds without an answer before a request is repeated
         self.requested: Range | None = None
         self.candidate_offset = 0  # candidates from the parent on that were asked without success
         self.tries = 0
@@ -38,24 +38,24 @@
         if self.tries >= MAX_TRIES:
             self.tries, self.candidate_offset = 0, self.candidate_offset + 1
 
-    def smallest_gap(self, lanes: AppliedRanges, last: int) -> Range | None:
+    def smallest_gap(self, applied: AppliedRanges, last: int) -> Range | None:
         """Return the shortest gap, so that a backlog does not delay new entries."""
-        holes = lanes.gaps()
-        if last > lanes.highest:
-            holes.append((lanes.highest + 1, last))
-        return min(holes, key=lambda hole: hole[1] - hole[0], default=None)
+        gaps = applied.gaps()
+        if last > applied.highest:
+            gaps.append((applied.highest + 1, last))
+        return min(gaps, key=lambda gap: gap[1] - gap[0], default=None)
 
-    def next_request(self, now: float, lanes: AppliedRanges, last: int) -> RetransmitRequest | None:
+    def next_request(self, now: float, applied: AppliedRanges, last: int) -> RetransmitRequest | None:
         """Return the request to send now, if any."""
-        hole = self.smallest_gap(lanes, last)
-        if hole is None:
+        gap = self.smallest_gap(applied, last)
+        if gap is None:
             self.requested, self.retry_at, self.candidate_offset, self.tries = None, math.inf, 0, 0
             return None
-        if self.requested is not None and hole[0] <= self.requested[1] and self.requested[0] <= hole[1]:
+        if self.requested is not None and gap[0] <= self.requested[1] and self.requested[0] <= gap[1]:
             if now < self.retry_at:
                 return None
             self.on_timeout()
-        count = min(hole[1] - hole[0] + 1, MAX_REQUEST_ENTRIES)
-        self.requested = (hole[0], hole[0] + count - 1)
+        count = min(gap[1] - gap[0] + 1, MAX_REQUEST_ENTRIES)
+        self.requested = (gap[0], gap[0] + count - 1)
         self.retry_at = now + self.retry_delay
-        return RetransmitRequest(hole[0], count)
+        return RetransmitRequest(gap[0], count)
--- a/myrtlecourse/spread/setup.py
+++ b/myrtlecourse/spread/setup.py
@@ -22,8 +22,8 @@
 
 def read_keys(table: Spread) -> tuple[bytes, tuple[bytes, ...]]:
     """Return the key to seal with and further keys that are accepted. Raises ConfigError."""
-    also = (read_key(Path(file), "spread.also_key_files") for file in table.also_key_files)
-    return read_key(Path(table.key_file), "spread.key_file"), tuple(also)
+    further = (read_key(Path(file), "spread.also_key_files") for file in table.also_key_files)
+    return read_key(Path(table.key_file), "spread.key_file"), tuple(further)
 
 
 def make_driver(table: Spread) -> Driver:
--- a/myrtlecourse/spread/tree.py
+++ b/myrtlecourse/spread/tree.py
@@ -47,7 +47,7 @@
     return sorted(names, key=weight, reverse=True)
 
 
-def child_cost(settings: Settings, longest: int) -> float:
+def child_cost(settings: Settings, name_bytes: int) -> float:
     """Return the bytes per second that one child costs its parent, whose name has `longest` bytes.
 
     Entries take a datagram every `pause` (more when the keys of one pause don't fit) with seal, header, name
@@ -55,47 +55,49 @@
     in the same datagrams. With the defaults and a name of 46 bytes: 10 * (16 + 36 + 46 + 20) + 8 * 100 + 5 *
     26 = 2,110.
     """
-    frame = SEAL + HEAD + longest + BATCH_BYTES
+    frame = SEAL + HEAD + name_bytes + BATCH_BYTES
     datagrams = max(1 / settings.pause, settings.rate * KEY_BYTES / (LONGEST - frame - HEARTBEAT_BYTES))
     return datagrams * frame + settings.rate * KEY_BYTES + HEARTBEAT_BYTES / settings.report
 
 
-def affordable_children(settings: Settings, budget: float, longest: int) -> int:
+def affordable_children(settings: Settings, budget: float, name_bytes: int) -> int:
     """Return how many children a budget supports by `child_cost`, after the node's own reports; at least
     one."""
-    reports = (SEAL + HEAD + longest + REPORT_BYTES) / settings.report
-    return max(1, int((budget - reports) / child_cost(settings, longest)))
+    reports = (SEAL + HEAD + name_bytes + REPORT_BYTES) / settings.report
+    return max(1, int((budget - reports) / child_cost(settings, name_bytes)))
 
 
-def _relay_count(members: int, routers: int, half: float) -> int:
+def _relay_count(members: int, routers: int, mean_children: float) -> int:
     """Return how many of the members must be relays when each relay is to have `half` children on average."""
-    return min(routers, max(MIN_RELAYS, math.ceil(members / (1 + half))))
+    return min(routers, max(MIN_RELAYS, math.ceil(members / (1 + mean_children))))
 
 
 @lru_cache(maxsize=MAX_CACHED_LAYOUTS)
-def _layout(control: tuple[str, ...], sites: tuple[Site, ...], half: float) -> Layout:
+def _layout(control: tuple[str, ...], sites: tuple[Site, ...], mean_children: float) -> Layout:
     tiers: dict[str, int] = dict.fromkeys(control, CONTROL)
-    of, relays, heads = {}, {}, {}
+    site_of, region_relays, site_relays = {}, {}, {}
     regions: dict[str, list[Site]] = {}
     for site in sites:
         regions.setdefault(site.region, []).append(site)
-    for region, inside in regions.items():
-        routers = [r for s in inside for r in s.routers]
-        under = sum(_relay_count(len(s.routers) + len(s.parts), len(s.routers), half) for s in inside)
-        count = min(len(routers), max(MIN_RELAYS, math.ceil(under / half)))
-        relays[region] = tuple(ranked(f"relays of {region}", routers)[:count])
-        tiers.update(dict.fromkeys(relays[region], REGION_RELAY))
-        for site in inside:
-            rest = [r for r in site.routers if r not in tiers]
-            members = len(rest) + len(site.parts)
-            most = _relay_count(members, len(rest), half)
-            heads[site.name] = tuple(ranked(f"heads of {site.name}", rest)[:most])
+    for region, region_sites in regions.items():
+        routers = [r for s in region_sites for r in s.routers]
+        relays_below = sum(
+            _relay_count(len(s.routers) + len(s.parts), len(s.routers), mean_children) for s in region_sites
+        )
+        count = min(len(routers), max(MIN_RELAYS, math.ceil(relays_below / mean_children)))
+        region_relays[region] = tuple(ranked(f"relays of {region}", routers)[:count])
+        tiers.update(dict.fromkeys(region_relays[region], REGION_RELAY))
+        for site in region_sites:
+            others = [r for r in site.routers if r not in tiers]
+            members = len(others) + len(site.parts)
+            relay_count = _relay_count(members, len(others), mean_children)
+            site_relays[site.name] = tuple(ranked(f"heads of {site.name}", others)[:relay_count])
             # In a site whose routers are all relays of the region, the other members are children of these.
-            below = LEAF if heads[site.name] else SITE_RELAY
+            tier_below = LEAF if site_relays[site.name] else SITE_RELAY
             for name in (*site.routers, *site.parts):
-                of[name] = site
-                tiers.setdefault(name, SITE_RELAY if name in heads[site.name] else below)
-    return Layout(tiers, of, relays, heads)
+                site_of[name] = site
+                tiers.setdefault(name, SITE_RELAY if name in site_relays[site.name] else tier_below)
+    return Layout(tiers, site_of, region_relays, site_relays)
 
 
 class Tree:
