--- a/bench/spread_log.py
+++ b/bench/spread_log.py
@@ -30,7 +30,7 @@
         self.files = {name: LogFile(folder / name) for name in NAMES}
         sites = (Site("s", "r", ("router",)),)
         now = time.monotonic()
-        self.heads = {n: Replica(Settings(n, NAMES, sites), f.saved, now) for n, f in self.files.items()}
+        self.heads = {n: Replica(Settings(n, NAMES, sites), f.state, now) for n, f in self.files.items()}
         self.pool = ThreadPoolExecutor(3)
         self.stores: list[tuple[str, int, Future[None]]] = []
         self.wakes = dict.fromkeys(NAMES, now)
--- a/myrtlecourse/spread/codec.py
+++ b/myrtlecourse/spread/codec.py
@@ -59,18 +59,18 @@
 class WireMessage(Struct, array_like=True, forbid_unknown_fields=True):
     """A message in a datagram: its fields in the order that they have in `messages`."""
 
-    message: ClassVar[Any]
+    message_type: ClassVar[Any]
 
 
 class _EntryBatch(WireMessage, tag=0):
-    message = msg.EntryBatch
+    message_type = msg.EntryBatch
     epoch: Number
     first: First
     entries: Entries
 
 
 class _Heartbeat(WireMessage, tag=1):
-    message = msg.Heartbeat
+    message_type = msg.Heartbeat
     epoch: Number
     last: Number
     echo: Number
@@ -78,7 +78,7 @@
 
 
 class _Report(WireMessage, tag=2):
-    message = msg.Report
+    message_type = msg.Report
     stamp: Number
     epoch: Number
     have: Number
@@ -89,26 +89,26 @@
 
 
 class _Leave(WireMessage, tag=3):
-    message = msg.Leave
+    message_type = msg.Leave
 
 
 class _NoCapacity(WireMessage, tag=4):
-    message = msg.NoCapacity
+    message_type = msg.NoCapacity
 
 
 class _RetransmitRequest(WireMessage, tag=5):
-    message = msg.RetransmitRequest
+    message_type = msg.RetransmitRequest
     first: First
     count: Annotated[int, Meta(ge=1, le=MAX_REQUESTED_ENTRIES)]
 
 
 class _EntriesDropped(WireMessage, tag=6):
-    message = msg.EntriesDropped
+    message_type = msg.EntriesDropped
     oldest: First
 
 
 class _TableDigest(WireMessage, tag=7):
-    message = msg.TableDigest
+    message_type = msg.TableDigest
     upto: First
     sums: Annotated[
         bytes, Meta(min_length=CHECKSUM_BYTES * DIGEST_RANGES, max_length=CHECKSUM_BYTES * DIGEST_RANGES)
@@ -116,25 +116,25 @@
 
 
 class _TableRows(WireMessage, tag=8):
-    message = msg.TableRows
+    message_type = msg.TableRows
     range: Annotated[int, Meta(ge=0, lt=DIGEST_RANGES)]
     rows: Annotated[tuple[_Row, ...], Meta(max_length=LONGEST)]
     more: bool
 
 
 class _TableInSync(WireMessage, tag=9):
-    message = msg.TableInSync
+    message_type = msg.TableInSync
     upto: First
 
 
 class _Prepare(WireMessage, tag=10):
-    message = msg.Prepare
+    message_type = msg.Prepare
     epoch: Number
     after: Number
 
 
 class _PrepareReply(WireMessage, tag=11):
-    message = msg.PrepareReply
+    message_type = msg.PrepareReply
     epoch: Number
     first: First
     under: Number
@@ -144,7 +144,7 @@
 
 
 class _Append(WireMessage, tag=12):
-    message = msg.Append
+    message_type = msg.Append
     epoch: Number
     first: First
     entries: Entries
@@ -152,24 +152,24 @@
 
 
 class _AppendReply(WireMessage, tag=13):
-    message = msg.AppendReply
+    message_type = msg.AppendReply
     epoch: Number
     last: Number
 
 
 class _StaleEpoch(WireMessage, tag=14):
-    message = msg.StaleEpoch
+    message_type = msg.StaleEpoch
     epoch: Number
 
 
 class _SnapshotRequest(WireMessage, tag=15):
-    message = msg.SnapshotRequest
+    message_type = msg.SnapshotRequest
     epoch: Number
     after: SubjectOrNone
 
 
 class _SnapshotRows(WireMessage, tag=16):
-    message = msg.SnapshotRows
+    message_type = msg.SnapshotRows
     epoch: Number
     upto: Number
     after: SubjectOrNone
@@ -197,7 +197,7 @@
     | _SnapshotRequest
     | _SnapshotRows
 )
-WIRE_TYPES: dict[type[Any], type[WireMessage]] = {s.word: s for s in WireMessages.__args__}
+WIRE_TYPES: dict[type[Any], type[WireMessage]] = {s.message_type: s for s in WireMessages.__args__}
 TAGS = {message: shape.__struct_config__.tag for message, shape in WIRE_TYPES.items()}
 WIRE_FIELDS = {message: shape.__struct_fields__ for message, shape in WIRE_TYPES.items()}
 
@@ -234,9 +234,9 @@
 class SpreadCodec:
     """Encodes and decodes the messages of tree nodes and control nodes."""
 
-    def parts(self, message: tuple[Message, ...]) -> list[Any]:
+    def parts(self, messages: tuple[Message, ...]) -> list[Any]:
         """Return the parts that a datagram carries."""
-        return [self._part(message) for message in message]
+        return [self._part(message) for message in messages]
 
     def size(self, messages: tuple[Message, ...]) -> int:
         """Return how many bytes the messages take in a datagram, to compare with `max_payload`."""
@@ -262,10 +262,10 @@
             decoded = msgspec.convert(parts, tuple[WireMessages, ...], builtin_types=(bytes,))
         except (msgspec.ValidationError, OverflowError):
             raise Dropped("malformed") from None
-        return tuple(self._word(shape) for shape in decoded)
+        return tuple(self._message(each) for each in decoded)
 
     @staticmethod
-    def _word(decoded: Any) -> Message:
+    def _message(decoded: Any) -> Message:
         values = {f: getattr(decoded, f) for f in decoded.__struct_fields__}
         if "entries" in values:
             values["entries"] = decode_entries(values["entries"])
@@ -282,5 +282,5 @@
             )
         elif isinstance(decoded, _TableRows | _SnapshotRows):
             values["rows"] = tuple((row.number, Change(row.subject, row.value)) for row in decoded.rows)
-        message: Message = decoded.word(**values)
+        message: Message = decoded.message_type(**values)
         return message
