--- a/myrtlecourse/spread/driver.py
+++ b/myrtlecourse/spread/driver.py
@@ -62,7 +62,7 @@
         self.callbacks: dict[int, ProposalCallback] = {}
         self.last_proposal = 0
         self.watermark: msg.Watermark | None = None  # the last one that was reported here, as the root
-        self.timers = {"node": math.inf, "head": math.inf}
+        self.timers = {"node": math.inf, "replica": math.inf}
         self.timer_due = math.inf
         self.tasks: list[asyncio.Task[None]] = []
         self.store_task: asyncio.Task[None] | None = None
@@ -87,7 +87,7 @@
             try:
                 return await self._open(bind)
             except OSError as e:
-                bounded.log(logging.INFO, "spread: not begun yet: %s", e)
+                bounded.log(logging.INFO, "spread: waiting for the previous process: %s", e)
                 await asyncio.sleep(LISTEN_RETRY)
             except events.LogError as e:
                 return self._stop_participating(str(e))
@@ -109,7 +109,7 @@
             self.replica = Replica(self.settings, self.log_file.state, now)
             self.post_to_replica(msg.TimerFired())
         self.post_to_node(msg.TimerFired())
-        log.info("spread: members are heard on %s:%d", *at)
+        log.info("spread: receiving from members on %s:%d", *at)
         if self.applied_log is not None:
             self.tasks.append(asyncio.create_task(self._repeat_lease()))
 
@@ -143,8 +143,8 @@
         # arrived meanwhile.
         if not self._is_leader() and self.leader_token:
             self.leader_token = 0
-            self._carry_out(self.replica.handle(time.monotonic(), events.LeadershipLost()), "head")
-        self._carry_out(self.replica.handle(time.monotonic(), event), "head")
+            self._carry_out(self.replica.handle(time.monotonic(), events.LeadershipLost()), "replica")
+        self._carry_out(self.replica.handle(time.monotonic(), event), "replica")
 
     def _is_leader(self) -> bool:
         """Return whether this process may write the log at this moment."""
@@ -171,7 +171,7 @@
                 f"the log is not written here; its holder is {self.leader_name or 'not known'}"
             )
         if len(self.callbacks) >= MAX_PROPOSALS:
-            raise msg.SpreadError(f"{MAX_PROPOSALS} entries wait already")
+            raise msg.SpreadError(f"{MAX_PROPOSALS} entries are pending already")
         self.last_proposal += 1
         self.callbacks[self.last_proposal] = callback
         self.post_to_replica(events.Propose(self.last_proposal, entry))
@@ -204,7 +204,7 @@
         if isinstance(action, msg.Watermark):
             self.watermark = action
         if isinstance(action, msg.LeaseChanged) and self.applied_log is None:
-            log.info("spread: vouches for itself: %s", "yes" if action.valid else "no")
+            log.info("spread: lease valid: %s", "yes" if action.valid else "no")
         if self.applied_log is not None:
             self.applied_log.add(action)
 
@@ -215,7 +215,7 @@
             if self.applied_log is not None:
                 self.applied_log.flush()
         except OSError as e:
-            self._stop_participating(f"what is applied can't be written: {e}")
+            self._stop_participating(f"the file of applied entries can't be written: {e}")
 
     async def _store(self, store: events.Store) -> None:
         """Write records in a thread, because a disk can take longer than a lease."""
@@ -230,7 +230,7 @@
 
     def _stop_participating(self, reason: str) -> None:
         """Stop sending, so that this member's lease expires and others wait for it no longer than that."""
-        log.error("spread: this process takes no part any more: %s", reason)
+        log.error("spread: this process has stopped participating: %s", reason)
         self.failure = reason
         self.leave()
 
@@ -244,8 +244,8 @@
     def _on_timer(self) -> None:
         self.timer_due = math.inf
         now = time.monotonic()
-        if self.timers["head"] <= now:
-            self.timers["head"] = math.inf
+        if self.timers["replica"] <= now:
+            self.timers["replica"] = math.inf
             self.post_to_replica(msg.TimerFired())
         if self.timers["node"] <= now:
             self.timers["node"] = math.inf
@@ -278,7 +278,7 @@
         for task in self.tasks:
             task.cancel()
         self.lose_leadership()
-        self.failure = self.failure or "it has ended"
+        self.failure = self.failure or "the process has stopped"
         if self.store_task is not None:
             await self.store_task
         # The files are closed before the socket, because the succeeding process opens the log once it has the
@@ -289,6 +289,6 @@
             try:
                 self.applied_log.close()
             except OSError as e:
-                log.error("spread: what is applied can't be written: %s", e)
+                log.error("spread: the file of applied entries can't be written: %s", e)
             self.applied_log = None
         self.leave()
--- a/myrtlecourse/spread/leader.py
+++ b/myrtlecourse/spread/leader.py
@@ -230,14 +230,14 @@
         except SpreadError as e:
             reason = str(e)
         if not self.is_open:
-            reason = reason or "it is still taking over"
+            reason = reason or "the leader is still taking over earlier entries"
         elif len(self.queue) + len(self.uncommitted) >= MAX_PENDING_PROPOSALS:
-            reason = reason or f"{MAX_PENDING_PROPOSALS} wait already"
+            reason = reason or f"{MAX_PENDING_PROPOSALS} proposals are pending already"
         elif isinstance(entry, Change) and not reason:
             if SNAPSHOT_ROWS_BYTES + ROW_BYTES + len(entry.value) > self.max_payload:
-                reason = f"value: beside so long a name {self.max_payload - SNAPSHOT_ROWS_BYTES - ROW_BYTES} bytes at most"
+                reason = f"value: at most {self.max_payload - SNAPSHOT_ROWS_BYTES - ROW_BYTES} bytes beside the longest name"
             elif entry.subject not in self.subjects and len(self.subjects) >= MAX_SUBJECTS:
-                reason = f"subject: there are {MAX_SUBJECTS} already"
+                reason = f"subject: the limit of {MAX_SUBJECTS} is reached"
             else:
                 self.subjects.add(entry.subject)
         if reason:
@@ -278,15 +278,15 @@
             yield from self.adopt()
         elif self.phase is Phase.REPLICATE:
             while self.uncommitted and self.uncommitted[-1][0] > self.stored_until:
-                yield Refuse(self.uncommitted.pop()[1], f"it can't be written down: {reason}")
+                yield Refuse(self.uncommitted.pop()[1], f"the entry can't be stored: {reason}")
             self.last = self.stored_until
 
     def on_leadership_lost(self) -> Iterator[Output]:
         """Refuse all open proposals, because this node is no longer the leader."""
         for _, ticket in self.uncommitted:
-            yield Refuse(ticket, "not the holder any more", True)
+            yield Refuse(ticket, "this node is no longer the leader", True)
         for ticket, _ in self.queue:
-            yield Refuse(ticket, "not the holder any more")
+            yield Refuse(ticket, "this node is no longer the leader")
 
     def _advance_commit(self, now: float) -> Iterator[Output]:
         """Advance the commit index to the highest number that a majority has on disk under this epoch."""
--- a/myrtlecourse/spread/log_duty.py
+++ b/myrtlecourse/spread/log_duty.py
@@ -63,11 +63,13 @@
         async with asyncio.timeout(COMMIT_TIMEOUT):
             outcome = await future
     except TimeoutError:
-        raise OutcomeUnknown(f"not known to last after {COMMIT_TIMEOUT:g} s; it may yet") from None
+        raise OutcomeUnknown(
+            f"no outcome after {COMMIT_TIMEOUT:g} s; the entry may still be committed"
+        ) from None
     if isinstance(outcome, Acknowledge):
         return outcome.number
     raise (
-        OutcomeUnknown(f"{outcome.reason}; it may last all the same")
+        OutcomeUnknown(f"{outcome.reason}; the entry may still be committed")
         if outcome.may_commit
         else SpreadError(outcome.reason)
     )
--- a/myrtlecourse/spread/log_file.py
+++ b/myrtlecourse/spread/log_file.py
@@ -86,7 +86,7 @@
         return None
     body = data[offset + RECORD_HEADER.size : end]
     if not 0 < length <= MAX_RECORD_BYTES or zlib.crc32(body) != checksum:
-        raise ValueError("its checksum does not fit")
+        raise ValueError("checksum mismatch")
     stored = DECODER.decode(body)
     entries = tuple(map(_entry_from, stored.entries))
     match stored.kind:
@@ -119,7 +119,7 @@
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self.lock)
-            raise LogError(f"{folder}: another process writes this log") from None
+            raise LogError(f"{folder}: another process has locked this log") from None
         try:
             self._read()
         except BaseException:
@@ -158,7 +158,7 @@
             if decoded is None:
                 if not last:
                     raise LogError(f"{path} at {offset}: it ends within a record")
-                log.warning("%s: a torn record of %d bytes is cut off", path, len(data) - offset)
+                log.warning("%s: truncating an incomplete record of %d bytes", path, len(data) - offset)
                 break
             record, offset = decoded
             records.append(record)
@@ -217,7 +217,7 @@
             try:
                 self._start_segment()
             except OSError as e:
-                log.warning("%s: goes on in its segment: %s", self.path, e)
+                log.warning("%s: no new segment could be started, continuing with this one: %s", self.path, e)
 
     def _write_snapshot(self, record: events.Snapshot) -> None:
         path = self.folder / "snapshot.new"
--- a/myrtlecourse/spread/messages.py
+++ b/myrtlecourse/spread/messages.py
@@ -46,9 +46,11 @@
     """Return the entry if every member can accept it. Raises SpreadError otherwise."""
     key = entry.key if isinstance(entry, Purge) else entry.subject
     if len(key) != KEY_BYTES:
-        raise SpreadError(f"an entry's key has {KEY_BYTES} bytes, not {len(key)}")
+        raise SpreadError(f"an entry's key must have {KEY_BYTES} bytes, not {len(key)}")
     if isinstance(entry, Change) and len(entry.value) > MAX_VALUE_BYTES:
-        raise SpreadError(f"a change's value has {MAX_VALUE_BYTES} bytes at most, not {len(entry.value)}")
+        raise SpreadError(
+            f"a change's value must have at most {MAX_VALUE_BYTES} bytes, not {len(entry.value)}"
+        )
     return entry
 
 
--- a/myrtlecourse/spread/replica.py
+++ b/myrtlecourse/spread/replica.py
@@ -99,7 +99,7 @@
                 self._on_leadership_lost()
             case events.Propose(ticket, entry):
                 if self.leader is None:
-                    self.actions.append(events.Refuse(ticket, "not the holder"))
+                    self.actions.append(events.Refuse(ticket, "this node is not the leader"))
                 else:
                     self._collect(self.leader.propose(ticket, entry))
             case Stored():
--- a/myrtlecourse/spread/replica_events.py
+++ b/myrtlecourse/spread/replica_events.py
@@ -95,7 +95,7 @@
             case Write(first, under, entries):
                 index = first - 1 - self.base
                 if index > len(self.entries):
-                    raise LogError(f"entry {first} follows on {self.last}")
+                    raise LogError(f"entry {first} leaves a gap after {self.last}")
                 entries = entries[max(0, -index) :]
                 index = max(0, index)
                 self.entries[index : index + len(entries)] = entries
