--- a/myrtlecourse/spread/applied_ranges.py
+++ b/myrtlecourse/spread/applied_ranges.py
@@ -1,5 +1,5 @@
-"""The log numbers that a member has applied, as a few ranges, each of which only grows upward. The lowest
-range is extended by catch-up, the highest by the live stream."""
+"""The log numbers that a member has applied, as a few ranges, each of which only grows upward. Catch-up
+extends the lower ranges, and the live stream the highest one."""
 
 from __future__ import annotations
 
--- a/myrtlecourse/spread/children.py
+++ b/myrtlecourse/spread/children.py
@@ -12,9 +12,8 @@
 
 from myrtlecourse.spread.messages import Report, Settings, member_ident
 
-NEW_PROCESS_STAMP_GAP = (
-    2**32
-)  # Stamps of two processes of one member differ at least by this much, as they start at a random number.
+# Stamps of two processes of one member differ at least by this much, as they start at a random number.
+NEW_PROCESS_STAMP_GAP = 2**32
 MAX_SILENT_CHILDREN = 64  # names of silent children that are remembered
 SILENT_LEASES = 30  # leases for which they are remembered
 # leases after which a child that has held back the watermark without success may do so again
@@ -49,9 +48,8 @@
     settings: Settings
     limit: int
     by_name: dict[str, Child] = field(default_factory=dict)
-    lease_floors: list[tuple[int, float]] = field(
-        default_factory=list
-    )  # the watermark that earlier processes of children hold back, and until when
+    # watermarks that must not be passed for the sake of children's earlier processes, and until when
+    lease_floors: list[tuple[int, float]] = field(default_factory=list)
     # members of a silent child's subtree, and until when it is remembered
     silent: dict[str, tuple[int, float]] = field(default_factory=dict)
     watermark: int = 0  # what was reported as applied by all; it never decreases
@@ -107,8 +105,9 @@
         return self.watermark - child.acknowledged <= max(100.0, self.settings.rate * self.settings.lease)
 
     def grant(self, now: float, child: Child, lease_left: float, epoch: int) -> int:
-        """Return the milliseconds for which a child holds a lease from its last report on, when `left`
-        seconds of the node's own lease are left; 0 while the child lacks entries up to the watermark."""
+        """Return the milliseconds for which a child holds a lease from its last report on, when
+        `lease_left` seconds of the node's own lease are left; 0 while the child lacks entries up to the
+        watermark."""
         if child.counted_until <= now and child.acknowledged < max(self.watermark, self.inherited_watermark):
             return 0
         if child.epoch < epoch or lease_left <= 0:
@@ -150,7 +149,8 @@
         ), slowest
 
     def advance_watermark(self, now: float, applied_until: int) -> tuple[int, int]:
-        """Return the same, and advance the watermark to it; the watermark never decreases."""
+        """Advance the watermark to the lowest acknowledged number. Return it and the slowest member's
+        ident."""
         lowest, slowest = self.lowest_acknowledged(now, applied_until)
         self.watermark = max(self.watermark, lowest)
         return self.watermark, slowest
--- a/myrtlecourse/spread/driver.py
+++ b/myrtlecourse/spread/driver.py
@@ -93,7 +93,7 @@
                 return self._stop_participating(str(e))
 
     async def _open(self, bind: Endpoint) -> None:
-        at = await self.listen(bind)
+        address = await self.listen(bind)
         try:
             if self.applied_path is not None:
                 self.applied_log = AppliedFile(self.applied_path, self.applied_bytes)
@@ -109,7 +109,7 @@
             self.replica = Replica(self.settings, self.log_file.state, now)
             self.post_to_replica(msg.TimerFired())
         self.post_to_node(msg.TimerFired())
-        log.info("spread: receiving from members on %s:%d", *at)
+        log.info("spread: receiving from members on %s:%d", *address)
         if self.applied_log is not None:
             self.tasks.append(asyncio.create_task(self._repeat_lease()))
 
@@ -123,8 +123,8 @@
     # Events and actions
 
     def heard(self, sender: str, message: tuple[msg.Message, ...]) -> None:
-        for_replica = tuple(word for word in message if isinstance(word, msg.LOG_MESSAGES))
-        for_node = tuple(word for word in message if not isinstance(word, msg.LOG_MESSAGES))
+        for_replica = tuple(each for each in message if isinstance(each, msg.LOG_MESSAGES))
+        for_node = tuple(each for each in message if not isinstance(each, msg.LOG_MESSAGES))
         if for_replica:
             self.post_to_replica(msg.Received(sender, for_replica))
         if for_node:
--- a/myrtlecourse/spread/leader.py
+++ b/myrtlecourse/spread/leader.py
@@ -46,13 +46,9 @@
 MAX_PENDING_PROPOSALS = 10_000  # proposals that are not committed yet
 MAX_SUBJECTS = 100_000  # subjects of changes that the table may hold
 MAX_IN_FLIGHT = 2_000  # entries that are sent to one follower and not yet acknowledged
-APPEND_BYTES, SNAPSHOT_ROWS_BYTES, ROW_BYTES = (
-    32,
-    37,
-    25,
-    # maximum sizes in bytes of an `Append` without its entries, of `SnapshotRows` without rows, and of a row
-    # without its value
-)
+# maximum sizes in bytes of an `Append` without its entries, of `SnapshotRows` without rows, and of a row
+# without its value
+APPEND_BYTES, SNAPSHOT_ROWS_BYTES, ROW_BYTES = 32, 37, 25
 MAX_BACKOFF_DOUBLINGS = 5  # doublings of the retransmission timeout
 Output = ReplicaAction | Record
 
@@ -102,9 +98,8 @@
     timeouts: int = 0  # consecutive timeouts
     retry_at: float = -math.inf
     rewound_at: float = -math.inf
-    commit_notice_at: float = (
-        -math.inf
-    )  # when to announce the commit index, unless a message with entries has carried it before
+    # when to announce the commit index, unless a message with entries has carried it before
+    commit_notice_at: float = -math.inf
     commit_notices: int = 0
 
 
@@ -120,7 +115,7 @@
         max_payload: int,
         now: float,
     ) -> None:
-        """`saved` is the state of this node's disk, which the replica keeps up to date."""
+        """`state` is the state of this node's disk, which the replica keeps up to date."""
         self.settings = settings
         self.epoch = epoch
         self.state = state
@@ -235,7 +230,10 @@
             reason = reason or f"{MAX_PENDING_PROPOSALS} proposals are pending already"
         elif isinstance(entry, Change) and not reason:
             if SNAPSHOT_ROWS_BYTES + ROW_BYTES + len(entry.value) > self.max_payload:
-                reason = f"value: at most {self.max_payload - SNAPSHOT_ROWS_BYTES - ROW_BYTES} bytes beside the longest name"
+                reason = (
+                    f"value: at most {self.max_payload - SNAPSHOT_ROWS_BYTES - ROW_BYTES} bytes, "
+                    f"as it shares a datagram with the longest name"
+                )
             elif entry.subject not in self.subjects and len(self.subjects) >= MAX_SUBJECTS:
                 reason = f"subject: the limit of {MAX_SUBJECTS} is reached"
             else:
--- a/myrtlecourse/spread/log_file.py
+++ b/myrtlecourse/spread/log_file.py
@@ -53,8 +53,8 @@
     match record:
         case events.Promise(epoch):
             stored = StoredRecord(0, epoch)
-        case events.Write(first, under, entries):
-            stored = StoredRecord(1, first, under, tuple(map(_stored_entry, entries)))
+        case events.Write(first, entry_epoch, entries):
+            stored = StoredRecord(1, first, entry_epoch, tuple(map(_stored_entry, entries)))
         case events.Truncate(last):
             stored = StoredRecord(2, last)
         case events.Commit(number):
--- a/myrtlecourse/spread/log_suffix.py
+++ b/myrtlecourse/spread/log_suffix.py
@@ -38,7 +38,7 @@
         if number > self.highest:
             new_block, self.highest = block_number > self.highest // BLOCK_ENTRIES, number
             if new_block:
-                for old in [number_ for number_ in self.blocks if number_ < self.lowest // BLOCK_ENTRIES]:
+                for old in [n for n in self.blocks if n < self.lowest // BLOCK_ENTRIES]:
                     del self.blocks[old]
         if number < self.lowest:
             return
--- a/myrtlecourse/spread/node.py
+++ b/myrtlecourse/spread/node.py
@@ -76,9 +76,8 @@
         self.watermark_held_until = NEVER
         self.announced_watermark = 0  # the last one reported with `Watermark`
         self.lease_announced = False
-        self.purged_range: tuple[int, int] | None = (
-            None  # first and last number, until the change table is known to be complete
-        )
+        # first and last number of the entries that are assumed purged, until the change table is complete
+        self.purged_range: tuple[int, int] | None = None
         self.digest_at = NEVER
         self.gap_seen_at = -NEVER  # when the newest gap appeared
         self.report_at = now + self.parent.random.random() * settings.report
@@ -108,8 +107,8 @@
                 self._on_messages(sender, messages)
             case msg.Committed(epoch, first, entries):
                 self._on_committed(epoch, first, entries)
-            case msg.Leadership(epoch, holder):
-                self._on_leadership(epoch, holder)
+            case msg.Leadership(epoch, leader):
+                self._on_leadership(epoch, leader)
             case msg.TimerFired():
                 pass
         self._run_due()
@@ -142,13 +141,13 @@
         if self.now >= self.report_at:
             self._send_reports()
         self._request_repairs()
-        news = self.now >= self.forward_at
-        if news:
+        forwarding = self.now >= self.forward_at
+        if forwarding:
             self.forwarded_at, self.forward_at = self.now, NEVER
-        packed: dict[tuple[int, int], tuple[Entry, ...]] = {}
+        batches: dict[tuple[int, int], tuple[Entry, ...]] = {}
         for child in list(self.children.by_name.values()):
-            if news or child.reply_due <= self.now:
-                self._send_to_child(child, packed)
+            if forwarding or child.reply_due <= self.now:
+                self._send_to_child(child, batches)
         self._send_repairs()
 
     def _send(self, to: str, *messages: Message) -> bool:
@@ -371,8 +370,8 @@
             self.announced_watermark = watermark
             self.actions.append(msg.Watermark(watermark, *self.children.member_counts(self.now)))
 
-    def _repair_source(self, asking: RetransmitRequests) -> str:
-        return asking.target(self.parent.index, self.parent.candidates)
+    def _repair_source(self, requests: RetransmitRequests) -> str:
+        return requests.target(self.parent.index, self.parent.candidates)
 
     def _request_repairs(self) -> None:
         if self.tier != CONTROL:
@@ -393,7 +392,7 @@
     def _lease_left(self) -> float:
         return self.settings.lease if self.is_root else self.parent.lease_until - self.now
 
-    def _send_to_child(self, child: Child, packed: dict[tuple[int, int], tuple[Entry, ...]]) -> None:
+    def _send_to_child(self, child: Child, batches: dict[tuple[int, int], tuple[Entry, ...]]) -> None:
         """Send a child the entries from its position on, and the answer to its report."""
         with_reply = child.reply_due < NEVER
         control = self.tree.tier(child.name) == CONTROL
@@ -401,7 +400,7 @@
             entries: tuple[Entry, ...] = ()
             if not control and child.cursor <= self.applied.highest:
                 size = self.max_payload - BATCH_OVERHEAD - HEARTBEAT_BYTES * with_reply
-                entries = self._next_batch(child, size, packed)
+                entries = self._next_batch(child, size, batches)
             messages: list[Message] = [EntryBatch(self.epoch, child.cursor, entries)] if entries else []
             if with_reply:
                 last = (
@@ -422,7 +421,7 @@
             self.forward_at = min(self.forward_at, self.now + self.settings.pause)
 
     def _next_batch(
-        self, child: Child, size: int, packed: dict[tuple[int, int], tuple[Entry, ...]]
+        self, child: Child, size: int, batches: dict[tuple[int, int], tuple[Entry, ...]]
     ) -> tuple[Entry, ...]:
         """Return the next entries for a child. Forwarding waits at a gap of this node, because it is usually
         filled soon."""
@@ -433,13 +432,12 @@
             child.cursor = next(first for first, _ in self.applied.ranges if first > child.cursor)
             end = self.applied.range_end(child.cursor)
         key = (child.cursor, size)
-        if key not in packed:
-            packed[key] = self.suffix.batch(child.cursor, end, size)
-            if not packed[key] and self.suffix.get(child.cursor) is None:
-                child.cursor = min(
-                    self.suffix.next_kept(child.cursor), end + 1
-                )  # no longer kept here: the child will request it
-        return packed[key]
+        if key not in batches:
+            batches[key] = self.suffix.batch(child.cursor, end, size)
+            if not batches[key] and self.suffix.get(child.cursor) is None:
+                # no longer kept here: the child will request it
+                child.cursor = min(self.suffix.next_kept(child.cursor), end + 1)
+        return batches[key]
 
     def _send_repairs(self) -> None:
         """Send requested retransmissions, as far as the send budget allows."""
--- a/myrtlecourse/spread/parent.py
+++ b/myrtlecourse/spread/parent.py
@@ -74,7 +74,7 @@
 
     def tick(self, now: float, caught_up: bool) -> None:
         """Replace a parent that is silent, has no capacity, or grants no lease although this node has all of
-        its entries (`waits`); later try the first candidate again."""
+        its entries (`caught_up`); later try the first candidate again."""
         lease = self.settings.lease
         if not caught_up:
             self.granted_at = max(self.granted_at, now - lease)
--- a/myrtlecourse/spread/replica.py
+++ b/myrtlecourse/spread/replica.py
@@ -53,7 +53,7 @@
     """One control node's replica."""
 
     def __init__(self, settings: Settings, state: LogState, now: float) -> None:
-        """Start from `saved`, the state on disk, which the replica owns and changes from now on."""
+        """Start from `state`, the state on disk, which the replica owns and changes from now on."""
         self.settings = settings
         self.state = state
         self.now = now
@@ -61,9 +61,8 @@
         # messages must also fit datagrams of members with longer names
         self.max_payload = LONGEST - SEAL - HEAD - max(len(name.encode()) for name in names)
         self.promised_epoch = state.promised  # is ahead of the disk until the promise has been stored
-        self.matching_until = state.matching_until(
-            state.promised
-        )  # all entries up to here equal those of the leader of the promised epoch
+        # all entries up to here equal those of the leader of the promised epoch
+        self.matching_until = state.matching_until(state.promised)
         # like `matching_until`, including entries that are still being stored
         self.accepted_until = self.matching_until
         self.known_commit = state.commit_index  # the highest commit index that was announced to this replica
@@ -148,7 +147,8 @@
             self.actions.append(leadership)
 
     def _accepts_epoch(self, sender: str, epoch: int) -> bool:
-        """Return whether a leader's message is valid; from then on messages of lower epochs are rejected."""
+        """Return whether a leader's message is current; messages of lower epochs are rejected
+        from then on."""
         if epoch < self.promised_epoch:
             self.counts.stale += 1
             self._send(sender, msg.StaleEpoch(self.promised_epoch))
@@ -308,7 +308,7 @@
             match record:
                 case events.Commit(number):
                     self.stored_commit = number
-                case events.Write(first, under, entries) if under == self.promised_epoch:
+                case events.Write(first, entry_epoch, entries) if entry_epoch == self.promised_epoch:
                     self.matching_until = max(self.matching_until, first + len(entries) - 1)
                     self.reply_to = self.leadership.leader
                 case events.Snapshot(upto):
--- a/myrtlecourse/spread/replica_events.py
+++ b/myrtlecourse/spread/replica_events.py
@@ -92,15 +92,15 @@
         match record:
             case Promise(epoch):
                 self.promised = max(epoch, self.promised)
-            case Write(first, under, entries):
+            case Write(first, entry_epoch, entries):
                 index = first - 1 - self.base
                 if index > len(self.entries):
                     raise LogError(f"entry {first} leaves a gap after {self.last}")
                 entries = entries[max(0, -index) :]
                 index = max(0, index)
                 self.entries[index : index + len(entries)] = entries
-                self.entry_epochs[index : index + len(entries)] = [under] * len(entries)
-                self.promised = max(under, self.promised)
+                self.entry_epochs[index : index + len(entries)] = [entry_epoch] * len(entries)
+                self.promised = max(entry_epoch, self.promised)
             case Truncate(last):
                 # committed entries must never be truncated
                 index = max(last, self.commit_index) - self.base
--- a/myrtlecourse/spread/send_window.py
+++ b/myrtlecourse/spread/send_window.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-WINDOW = 1.0
+WINDOW = 1.0  # seconds  # seconds
 
 
 class SendWindow:
--- a/myrtlecourse/spread/tree.py
+++ b/myrtlecourse/spread/tree.py
@@ -48,7 +48,7 @@
 
 
 def child_cost(settings: Settings, name_bytes: int) -> float:
-    """Return the bytes per second that one child costs its parent, whose name has `longest` bytes.
+    """Return the bytes per second that one child costs its parent, whose name has `name_bytes` bytes.
 
     Entries take a datagram every `pause` (more when the keys of one pause don't fit) with seal, header, name
     and the overhead of an `EntryBatch`, and KEY_BYTES per entry. Answers take a `Heartbeat` every `report`,
@@ -68,7 +68,7 @@
 
 
 def _relay_count(members: int, routers: int, mean_children: float) -> int:
-    """Return how many of the members must be relays when each relay is to have `half` children on average."""
+    """Return how many of the members must be relays when each relay is to have `mean_children` on average."""
     return min(routers, max(MIN_RELAYS, math.ceil(members / (1 + mean_children))))
 
 
