--- a/tests/spread_fleet.py
+++ b/tests/spread_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes that carry changes and purges, for tests, and what they wrote, judged."""
+"""A fleet of real processes that carry changes and purges, and checks of the files that they write."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 from tests.loopback import spelled
 from tests.test_service import Process, Site, site
 
-HARD_END = 60.0  # seconds for what a test waits for; nothing is judged by how soon it comes
+HARD_END = 60.0  # seconds that a test waits for a condition; no test depends on how fast it is met
 CONTROL = ("c1", "c2", "c3")
-EAST = ("e1", "e2")  # real routers, the only ones of their region: its relays
+EAST = ("e1", "e2")  # real routers, the only ones of their region and therefore its relays
 PARTS = tuple(f"p{n}" for n in range(10))
 WEST = tuple(f"w{n}" for n in range(12))
 WEST_PARTS = tuple(f"q{n}" for n in range(4))
 GROUPS = {"control": CONTROL, "east": EAST, "parts": PARTS, "west": WEST + WEST_PARTS}
 NAMES = tuple(name for names in GROUPS.values() for name in names)
-# what one of the two heads of a site bears, so that it can bear the other's children too, at this pause
+# The budget allows one of a site's two relays to take over the other's children as well, at this pause.
 FIGURES = {"lease": 2.0, "report": 0.1, "pause": 0.05, "budget": 50_000.0}
 KEY = b"a key that the whole fleet has"
-Entry = tuple[str, ...]  # kind, key and value as the files have them
+Entry = tuple[str, ...]  # kind, key and value as in the files
 
 
 async def until(true: Callable[[], bool], what: Callable[[], str]) -> None:
-    """Wait for what other processes bring about; it fails when that does not come at all."""
+    """Wait for a condition that other processes bring about; fails after HARD_END."""
     end = time.monotonic() + HARD_END
     while not true():
         assert time.monotonic() < end, what()
@@ -44,14 +44,14 @@
 
 
 class Hollow:
-    """A process of many members without routers."""
+    """A process that plays many members without routers."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
         self.turn = asyncio.Lock()
 
     async def order(self, *words: str) -> Any:
-        """One order, and its answer."""
+        """Send one command and return its answer."""
         assert self.process.stdin is not None and self.process.stdout is not None
         async with self.turn:
             self.process.stdin.write((" ".join(words) + "\n").encode())
@@ -67,9 +67,9 @@
     def __init__(self) -> None:
         self.entries: dict[int, Entry] = {}
         self.twice: list[int] = []
-        self.covered = 0  # all up to here are applied, or to be treated as purged
+        self.covered = 0  # all entries up to here are applied or to be treated as purged
         self.forgotten = 0
-        self.vouched: list[tuple[float, int]] = []  # when it said that it vouches, and `covered` then
+        self.vouched: list[tuple[float, int]] = []  # when a lease was written, and `covered` at that time
         self.vouches = False
         self.done: list[tuple[float, int]] = []
 
@@ -93,7 +93,7 @@
             self.covered += 1
 
     def held(self) -> dict[str, tuple[int, str]]:
-        """By subject the change that holds."""
+        """Return the current change by subject."""
         found: dict[str, tuple[int, str]] = {}
         for number in sorted(self.entries):
             kind, subject, *value = self.entries[number]
@@ -103,7 +103,7 @@
 
 
 def lives(path: Path) -> list[Life]:
-    """A member's processes, in their order."""
+    """Return the records of a member's processes in order."""
     found: list[Life] = []
     for line in path.read_text().splitlines() if path.exists() else []:
         at, *words = line.split(" ")
@@ -115,7 +115,7 @@
 
 
 class Fleet:
-    """Three control machines and two routers as `run` starts them, and two processes of other members."""
+    """Three control nodes and two routers started with `run`, and two processes that play further members."""
 
     def __init__(self, folder: Path, here: Site) -> None:
         self.folder = folder
@@ -127,12 +127,12 @@
         self.processes: dict[str, Process] = {}
         self.hollow: dict[str, Hollow] = {}
         self.acknowledged: dict[int, Entry] = {}
-        self.refused: list[tuple[str, int, str]] = []  # by whom, how and why
+        self.refused: list[tuple[str, int, str]] = []  # by which node, with which status code and why
         self.chance = random.Random(1)
         (folder / "key").write_bytes(KEY)
 
     async def stand_up(self) -> None:
-        """Start all."""
+        """Start all processes."""
         loop = self.relays.loop = asyncio.get_running_loop()
         self.relays.heard_at = self.heard_at
         for way in [(group, name) for group in GROUPS for name in NAMES]:
@@ -148,7 +148,7 @@
         )
 
     def table(self, group: str) -> dict[str, Any]:
-        """What all members of a group have; each other is heard at the end of a way."""
+        """Return the table of all members of a group; each reaches the others through its own relays."""
 
         def peers(names: tuple[str, ...]) -> list[dict[str, str]]:
             return [{"name": n, "at": spelled(self.relays.at[group, n])} for n in names]
@@ -164,7 +164,7 @@
         return self.folder / f"{name}.applied"
 
     async def start(self, name: str) -> None:
-        """Start a router, or start it again."""
+        """Start or restart a router."""
         group = "control" if name in CONTROL else "east"
         table = self.table(group) | {"name": name, "listen": spelled(self.heard_at[name])}
         table |= {"applied_file": str(self.applied(name))}
@@ -214,10 +214,10 @@
                 await hollow.process.wait()
         self.relays.close()
 
-    # What operators do
+    # Operators' calls
 
     async def status(self, name: str) -> dict[str, Any]:
-        """A member's view."""
+        """Return a member's status."""
         for group, hollow in self.hollow.items():
             if name in GROUPS[group]:
                 told: dict[str, Any] = await hollow.order("status", name)
@@ -228,7 +228,7 @@
         return found
 
     async def holder(self, other_than: str = "", among: tuple[str, ...] = CONTROL) -> str:
-        """Who writes the log, once somebody does."""
+        """Return the leader of the log, once there is one."""
         end = time.monotonic() + HARD_END
         while time.monotonic() < end:
             for name in among:
@@ -239,12 +239,12 @@
         raise AssertionError("nobody writes the log")
 
     async def put(self, name: str, entry: Entry) -> int:
-        """Ask one control machine to let an entry last; answers with its number, 0 if it does not know."""
+        """Ask one control node to commit an entry. Return its number, or 0 if the outcome is unknown."""
         verb, path = ("purge", entry[1]) if entry[0] == "purge" else ("send", "/".join(entry[1:]))
         try:
             code, text = await self.processes[name].call("PUT", f"spread/{verb}/{path}")
         except (OSError, ValueError, IndexError):
-            return 0  # it ended in the middle
+            return 0  # the process ended during the call
         if code != 200:
             self.refused.append((name, code, text))
             return 0
@@ -253,8 +253,7 @@
         return int(text)
 
     async def send(self, count: int, among: tuple[str, ...] = CONTROL) -> int:
-        """Let so many entries last, one after the other, wherever that can be had; answers with the last's
-        number."""
+        """Commit entries one after the other at any node that accepts them. Return the last number."""
         number, at = 0, 0
         end = time.monotonic() + HARD_END
         for each in range(count):
@@ -269,7 +268,7 @@
         return number
 
     async def parent_of(self, name: str) -> str:
-        """Of whom a member hears, once it has a parent."""
+        """Return a member's parent, once it has one."""
         end = time.monotonic() + HARD_END
         while time.monotonic() < end:
             if parent := (await self.status(name))["node"]["parent"]:
@@ -277,14 +276,14 @@
             await asyncio.sleep(0.05)
         raise AssertionError(f"{name} has no parent")
 
-    # Judged
+    # Checks
 
     def members(self) -> dict[str, list[Life]]:
         return {name: lives(self.applied(name)) for name in NAMES}
 
     async def whole(self) -> None:
-        """Wait until one entry more is with all members, all vouch for themselves, and it is told as done
-        everywhere; and judge all that was written up to then."""
+        """Wait until a further entry has reached all members, all of them hold leases, and it is reported as
+        applied everywhere; then check everything that was written."""
         number = await self.send(1)
 
         def lacking() -> list[str]:
@@ -302,7 +301,8 @@
             assert changes == held[CONTROL[0]], f"{name} has another configuration than {CONTROL[0]}"
 
     def judge(self) -> None:
-        """The same log everywhere, nothing lost that was acknowledged, no completion before its time."""
+        """Check that all have the same log, that no acknowledged entry is lost, and that nothing was reported
+        as applied everywhere too early."""
         log: dict[int, Entry] = dict(self.acknowledged)
         each = self.members()
         for name, all_lives in each.items():
@@ -319,7 +319,7 @@
 
 
 def toml(value: Any) -> str:
-    """A value as TOML has it, in one line."""
+    """Return a value as TOML in one line."""
     if isinstance(value, dict):
         return "{" + ", ".join(f"{key} = {toml(each)}" for key, each in value.items()) + "}"
     if isinstance(value, list):
@@ -329,7 +329,7 @@
 
 @asynccontextmanager
 async def fleet(folder: Path) -> AsyncIterator[Fleet]:
-    """One that stands, until the test has ended."""
+    """Run a fleet until the test has ended."""
     async with site(folder) as here:
         made = Fleet(folder, here)
         try:
--- a/tests/spread_replicas.py
+++ b/tests/spread_replicas.py
@@ -1,4 +1,4 @@
-"""Control machines on a network that loses, copies and holds back; disks and crashes, in virtual time."""
+"""Control nodes in virtual time, with a lossy, duplicating and delaying network, disk errors and crashes."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 
 class BrokenError(AssertionError):
-    """A rule was broken; the message says which."""
+    """Raised when a rule is violated; the message says which."""
 
 
 @dataclass
 class Machine:
-    """One control machine: a process, and a disk that outlives it."""
+    """One control node: a process, and a disk that outlives it."""
 
     disk: list[Record] = field(default_factory=list)
     head: Replica | None = None
     life: int = 0  # grows with each process
     store: events.Store | None = None
     wake: float = 0.0
-    woken: int = 0  # times at one moment, and
+    woken: int = 0  # timers fired in sequence at `woken_at`
     woken_at: float = -1.0
-    told: int = 0  # entries that this process has settled
+    told: int = 0  # number of the last entry that this process has delivered
     full: bool = False
 
 
 def entry(number: int) -> Entry:
-    """One of its own kind; a third are changes, of few subjects."""
+    """Return an entry that is unique to its number; a third are changes, of few subjects."""
     if number % 3:
         return Purge(number.to_bytes(8, "big"))
     return Change((number % 10).to_bytes(8, "big"), str(number).encode() * 3)
@@ -44,7 +44,7 @@
 
 
 class World:
-    """A few of them."""
+    """A few control nodes and the network between them."""
 
     def __init__(
         self, count: int, seed: int, *, tail: int = 400_000, kind: type[Replica] = Replica, calm: bool = False
@@ -63,7 +63,7 @@
         self.token = 0
         self.entries: dict[int, Entry] = {}  # by ticket
         self.refused: dict[int, events.Refuse] = {}
-        self.acknowledged: dict[int, int] = {}  # numbers, and tickets
+        self.acknowledged: dict[int, int] = {}  # by number: the ticket
         self.settled: dict[int, Entry] = {}
         self.changes: dict[int, Change] = {}
         self.said = 0
@@ -82,7 +82,7 @@
         self.post(name, msg.TimerFired())
 
     def crash(self, name: str) -> None:
-        """Any part of what was being written may be on the disk, from its beginning."""
+        """End a process. Any prefix of the records being written may be on the disk."""
         machine = self.machines[name]
         if machine.store is not None:
             machine.disk += machine.store.records[: self.random.randint(0, len(machine.store.records))]
@@ -201,7 +201,7 @@
     # Checks
 
     def well(self) -> str:
-        """All is well again, and somebody new holds the duty; answers with who."""
+        """End all faults, give the duty to one node and return its name."""
         self.loss = self.copies = 0.0
         self.late = 0.01
         self.cut.clear()
@@ -217,7 +217,7 @@
         return holder
 
     def check_whole(self, holder: str) -> None:
-        """All have all that was acknowledged, and the same."""
+        """Check that all nodes have the same log, with every acknowledged entry."""
         head = self.machines[holder].head
         assert head is not None
         if head.leader is None or not head.leader.is_open:
@@ -242,7 +242,7 @@
 
 
 def schedule(world: World, seconds: float, burst: int = 5) -> None:
-    """Troubles of all kinds."""
+    """Inject faults of all kinds."""
     chance, until = world.random, world.now + seconds
     world.took(chance.choice(world.names))
     while world.now < until:
@@ -251,7 +251,7 @@
         machine = world.machines[name]
         match chance.randrange(11):
             case 0:
-                world.took(name)  # whoever held it before may not know
+                world.took(name)  # the previous holder may not know
             case 1:
                 world.post(name, events.LeadershipLost())
             case 2 if machine.head is not None:
@@ -271,7 +271,7 @@
 
 
 def played(world: World, seconds: float = 20.0, burst: int = 5) -> str:
-    """What was broken, or nothing."""
+    """Return the rule that was violated, or an empty string."""
     try:
         schedule(world, seconds, burst)
         holder = world.well()
--- a/tests/spread_world.py
+++ b/tests/spread_world.py
@@ -1,7 +1,8 @@
-"""A small fleet of spread nodes over a network that loses, copies, delays and cuts, on a fake clock.
+"""A small fleet of tree nodes with virtual time, over a network that loses, duplicates, delays and
+partitions.
 
-Time is true time; each process has a clock of its own. What `peers/wire.py` drops is dropped here too: words
-to and from processes that are over.
+Time is true time; each process has a clock of its own. As in `peers/wire.py`, messages from and to processes
+that have ended are dropped.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 def entry_at(number: int, subjects: int = 5) -> Entry:
-    """What the log has under a number: each fourth is a change."""
+    """Return the log entry with a number; every fourth one is a change."""
     key = number.to_bytes(8, "big")
     if number % 4:
         return Purge(key)
@@ -46,18 +47,18 @@
 
     node: Node
     born: float  # true time
-    rate: float  # seconds of its clock in one of true time
-    started: int  # which process of the member it is
-    wakes: int = 0  # number of the last `Wake`
-    told: bool = False  # the last `Vouches`
+    rate: float  # seconds of its clock per second of true time
+    started: int  # ordinal of the process among the member's processes
+    wakes: int = 0  # number of the last `SetTimer`
+    told: bool = False  # the last `LeaseChanged`
     applied: dict[int, Entry] = field(default_factory=dict)
     forgotten: list[tuple[int, int]] = field(default_factory=list)
     table: dict[bytes, tuple[int, Change]] = field(default_factory=dict)
     restored: int = 0
-    top: int = 0  # the highest number that was applied or forgotten
+    top: int = 0  # the highest number that was applied or assumed purged
 
     def follows(self, first: int) -> bool:
-        """Whether this number goes on in a lane, or begins one above all others."""
+        """Return whether this number extends a range of applied numbers, or begins one above all others."""
         before = first - 1
         known = not before or before in self.applied or any(f <= before <= t for f, t in self.forgotten)
         return known or first > self.top
@@ -67,23 +68,23 @@
 
 
 class Broken(AssertionError):
-    """A property does not hold."""
+    """Raised when a property is violated."""
 
 
 @dataclass
 class Trouble:
-    """What the network does."""
+    """The faults of the network."""
 
     loss: float = 0.0
     copies: float = 0.0
-    delay: float = 0.02  # seconds, each datagram's own: so they pass one another
-    slow: float = 0.0  # share of datagrams that take up to a second more
-    far: frozenset[str] = frozenset()  # members
-    more: float = 0.0  # seconds that a datagram from others to these takes more
+    delay: float = 0.02  # seconds, drawn per datagram, so datagrams overtake each other
+    slow: float = 0.0  # share of datagrams that take up to a second longer
+    far: frozenset[str] = frozenset()  # members of a distant site
+    more: float = 0.0  # additional seconds for a datagram from other members to these
 
 
 class World:
-    """All processes, the datagrams under way, and the log."""
+    """All processes, the datagrams in flight, and the log."""
 
     def __init__(
         self, seed: int, settings: Settings = SETTINGS, trouble: Trouble | None = None, drift: float = 0.02
@@ -97,25 +98,26 @@
         self.order = itertools.count()
         self.processes: dict[str, Process] = {}
         self.starts: dict[str, int] = defaultdict(int)
-        self.cut: set[str] = set()  # those on the far side
+        self.cut: set[str] = set()  # members on the other side of a partition
         self.log = 0
         self.root = ""
         self.epoch = 0
         self.done: list[tuple[float, msg.Watermark]] = []
         self.most_done = 0
-        self.words: Counter[type] = Counter()  # that were sent
-        self.sent: dict[tuple[str, int], list[tuple[float, int]]] = defaultdict(list)  # by process
+        self.words: Counter[type] = Counter()  # number of sent messages by type
+        # by process: the time and size of each datagram
+        self.sent: dict[tuple[str, int], list[tuple[float, int]]] = defaultdict(list)
         self.members = (*settings.control, *(m for s in settings.sites for m in (*s.routers, *s.parts)))
         for name in self.members:
             self.start(name)
 
-    # What happens
+    # Events
 
     def later(self, after: float, what: Callable[[], None]) -> None:
         heapq.heappush(self.events, (self.at + after, next(self.order), what))
 
     def start(self, name: str) -> None:
-        """A member's process begins, or begins again with nothing."""
+        """Start a member's process, which has no state of earlier ones."""
         self.starts[name] += 1
         rate = 1 + self.random.uniform(-self.drift, self.drift)
         settings = replace(self.settings, name=name)
@@ -134,7 +136,8 @@
         self.processes.pop(name, None)
 
     def elect(self, name: str) -> None:
-        """Another holds the duty; the one before knows it first, as its lease was over before."""
+        """Make another control node the leader. The former leader learns it first, because its lease has
+        ended before."""
         self.epoch += 1
         before, self.root = self.root, name
         if before in self.processes and before != name:
@@ -158,7 +161,7 @@
             self.give(control, msg.Committed(self.epoch, first, entries))
 
     def write(self, count: int) -> None:
-        """So many entries more last, and the control machines' heads know it."""
+        """Commit entries and report them to all control nodes."""
         first, self.log = self.log + 1, self.log + count
         for control in self.settings.control:
             process = self.processes.get(control)
@@ -238,7 +241,7 @@
         receiver = self.processes.get(to)
 
         def arrive() -> None:
-            # the wire takes nothing of or for a process that is over
+            # The wire drops datagrams from and to processes that have ended.
             taken = receiver is not None and self.processes.get(to) is receiver
             if taken and self.processes.get(name, process) is process:
                 self.give(to, Received(name, words))
@@ -251,16 +254,17 @@
                 delay += self.trouble.more
             self.later(delay, arrive)
 
-    # What must hold
+    # Properties
 
     def check_done(self, number: int) -> None:
-        """Guards the word `done`: no member that vouches for itself at this moment lacks any of it."""
+        """Check that no member with a lease at this moment lacks an entry up to the watermark."""
         for name, process in self.processes.items():
             if process.node.has_lease(process.now(self.at)) and process.node.applied_until < number:
                 raise Broken(f"{name} vouches with {process.node.applied_until}, {number} is said to be done")
 
     def check_bounds(self, name: str, process: Process) -> None:
-        """Guards a process's memory, after each event that it is given: nothing else changes its state."""
+        """Check that a process's memory is bounded. This is done after each event, as nothing else changes
+        its state."""
         node = process.node
         if len(node.applied.ranges) > 8:
             raise Broken(f"{name} has {len(node.applied.ranges)} lanes")
@@ -273,8 +277,8 @@
             raise Broken(f"{name} keeps too much")
 
     def check_bytes(self) -> None:
-        """Guards the budget in each second of each process, by its clock: that of the member's next one
-        begins anew."""
+        """Check that no process exceeds its send budget in any second of its own clock; a member's next
+        process starts again from zero."""
         for (name, _), sent in self.sent.items():
             budget = self.settings.control_budget if name in self.settings.control else self.settings.budget
             start = spent = 0
@@ -287,7 +291,7 @@
                     raise Broken(f"{name} sends {spent} bytes in a second")
 
     def run(self, seconds: float, write: int = 0, every: float = 0.1) -> None:
-        """Let time pass, with so many entries written each so many seconds."""
+        """Let time pass, and write entries at regular intervals."""
         end = self.at + seconds
         if write:
 
@@ -304,7 +308,7 @@
         self.at = end
 
     def check_all_same(self) -> None:
-        """After all was well for long enough."""
+        """Check that all members agree, after a sufficiently long time without faults."""
         expected: dict[bytes, tuple[int, Change]] = {}
         for number in range(1, self.log + 1):
             entry = entry_at(number)
--- a/tests/test_spread_codec.py
+++ b/tests/test_spread_codec.py
@@ -1,4 +1,4 @@
-"""Words of a spread come through a datagram whole, or are dropped."""
+"""Messages of the spread survive encoding and decoding, or are dropped."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 
 
 def sent(words: tuple[Message, ...]) -> Any:
-    """The parts, as they come out of a datagram."""
+    """Return the parts as they are decoded from a datagram."""
     return msgspec.msgpack.decode(msgspec.msgpack.encode(CODEC.parts(words)))
 
 
@@ -81,7 +81,7 @@
 
 
 def test_each_word_has_a_shape() -> None:
-    """One without was a crash of the sender, in the hour in which a control machine came back."""
+    """A message without a wire type would crash its sender. This happened when a control node came back."""
     assert set(WIRE_TYPES) == set(get_args(Message))
 
 
@@ -109,7 +109,7 @@
 
 @given(WORDS, st.data())
 def test_a_word_with_another_value_is_read_whole_or_dropped(word: Message, data: st.DataObject) -> None:
-    """Guards each field: no other type, no more and no fewer of them."""
+    """Covers each field: no other type and no other number of fields is accepted."""
     part = sent((word,))[0]
     place = data.draw(st.integers(0, len(part)))
     changed = [*part[:place], data.draw(PLAIN), *part[place + data.draw(st.integers(0, 1)) :]]
@@ -126,8 +126,8 @@
         [],
         [99],
         [-1],
-        [3, 0],  # `Leave` has nothing to say
-        [5, 0, 1],  # entries begin with 1
+        [3, 0],  # `Leave` has no fields
+        [5, 0, 1],  # entries are numbered from 1
         [5, 1, 0],
         [5, 1, MAX_REQUESTED_ENTRIES + 1],
         [5, True, 1],
--- a/tests/test_spread_head_worlds.py
+++ b/tests/test_spread_head_worlds.py
@@ -1,4 +1,5 @@
-"""The log of control machines in random worlds: losses, copies, crashes, full disks, two holders at once."""
+"""The replicated log with random faults: lost and duplicated messages, crashes, full disks, two holders at
+once."""
 
 from __future__ import annotations
 
@@ -33,5 +34,6 @@
 
 @pytest.mark.parametrize("seed", [588, 600])
 def test_a_holder_that_has_spent_its_budget_sleeps_until_it_has_some(seed: int) -> None:
-    """Finds of the search: both woke without end, as what was due could not be sent."""
+    """Seeds found by a search: a leader without send budget kept waking up, because what was due could not be
+    sent."""
     assert played(World(5, seed, tail=100), burst=60) == ""
--- a/tests/test_spread_log.py
+++ b/tests/test_spread_log.py
@@ -1,4 +1,4 @@
-"""The log of a control machine on its disk: torn ends, flipped bytes, full disks, two processes."""
+"""A control node's log on disk: incomplete records, corrupt bytes, full disks, concurrent processes."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
     while whole < len(RECORDS) and (place := place + len(encode_record(RECORDS[whole]))) <= size:
         whole += 1
     assert read(folder) == sums(RECORDS[:whole])
-    file = LogFile(folder)  # and what is torn is gone: the next record follows on what is whole
+    file = LogFile(folder)  # the incomplete record is removed, and the next one follows the last complete one
     file.append((events.Promise(50),))
     file.close()
     assert read(folder) == sums((*RECORDS[:whole], events.Promise(50)))
@@ -81,7 +81,7 @@
         found = read(folder)
     except LogError as e:
         assert FIRST in str(e) and " at " in str(e)
-    else:  # a length that now points behind the end can't be told from a torn one
+    else:  # a length that points beyond the end can't be told from an incomplete record
         assert found in [sums(RECORDS[:n]) for n in range(len(RECORDS))]
 
 
@@ -135,7 +135,7 @@
     file.append(tuple(every[-4:]))
     every.append(sums(tuple(every)).snapshot_at(300))
     file.append((every[-1],))
-    # the second has entry 301, which the snapshot does not stand for, and what comes after it stays
+    # The second segment holds entry 301, which the snapshot does not replace, so it and later ones stay.
     assert sorted(int(path.stem) for path in tmp_path.glob("*.log")) == [2, 3, 4]
     file.close()
     assert read(tmp_path) == sums(tuple(every))
--- a/tests/test_spread_node.py
+++ b/tests/test_spread_node.py
@@ -1,4 +1,4 @@
-"""A spread's nodes, alone and as a small fleet on a fake clock."""
+"""Tree nodes, alone and as a small fleet in virtual time."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def play(seed: int) -> World:
-    """A world of random troubles, which then is well for long enough."""
+    """Run a fleet with random faults, then without faults for long enough to recover."""
     chance = random.Random(seed)
     trouble = Trouble(
         loss=chance.choice([0.0, 0.01, 0.05, 0.2]),
@@ -78,7 +78,7 @@
 
 
 def play_far(seed: int) -> None:
-    """What goes to one site is under way ever longer; then the site is cut off."""
+    """Delay datagrams to one site more and more, then cut it off."""
     far = frozenset(SITES[1].routers + SITES[1].parts)
     world = World(seed)
     world.elect("c1")
@@ -128,7 +128,7 @@
 
 
 def root_says_done_at_once(patch: pytest.MonkeyPatch) -> None:
-    """A new root that does not wait for leases of the one before."""
+    """A new root that does not wait for the previous root's leases to expire."""
     patch.setattr(Node, "_announce_watermark", lambda self: tell(self, at_once=True))
 
 
@@ -140,12 +140,12 @@
 
 
 def done_ignores_the_children(patch: pytest.MonkeyPatch) -> None:
-    """Says for all what it has itself."""
+    """A node that reports its own progress for its whole subtree."""
     patch.setattr(Children, "lowest_acknowledged", lambda self, now, applied_until: (applied_until, 0))
 
 
 def counts_nobody_after_the_answer(patch: pytest.MonkeyPatch) -> None:
-    """Grants leases and counts only those that hold `done` back to come in."""
+    """A node that grants leases but only counts children that hold back the watermark in order to get one."""
     grant = Children.grant
 
     def forgets(self: Children, now: float, child: Child, left: float, epoch: int) -> int:
@@ -157,12 +157,12 @@
 
 
 def counts_no_grant_of_a_process_before(patch: pytest.MonkeyPatch) -> None:
-    """Forgets those that vouch by a grant which a child gave on before it started again."""
+    """A node that forgets members whose lease derives from a grant to a child's previous process."""
     patch.setattr(Children, "_add_lease_floor", lambda self, now, done, until: None)
 
 
 def admits_before_it_has_caught_up(patch: pytest.MonkeyPatch) -> None:
-    """Grants a child a lease that lacks what was said to be done."""
+    """A node that grants a lease to a child which lacks entries up to the watermark."""
 
     def grant(self: Children, now: float, child: Child, left: float, epoch: int) -> int:
         if child.epoch < epoch or left <= 0:
@@ -175,7 +175,7 @@
 
 
 def lease_runs_from_the_answer(patch: pytest.MonkeyPatch) -> None:
-    """Counts a lease from when the answer comes, and not from when the report went out."""
+    """A node whose lease starts when the answer arrives instead of when the report was sent."""
     beat = Parent.on_heartbeat
 
     def late(self: Parent, now: float, sender: str, word: msg.Heartbeat, granted_until: float) -> str:
@@ -187,17 +187,17 @@
 
 
 def spends_what_it_likes(patch: pytest.MonkeyPatch) -> None:
-    """Has a budget without an end."""
+    """A node with an unlimited send budget."""
     patch.setattr(SendWindow, "available", lambda self, now: math.inf)
 
 
 def applies_copies(patch: pytest.MonkeyPatch) -> None:
-    """Takes all that comes."""
+    """A node that applies duplicates."""
     patch.setattr(AppliedRanges, "acceptable", lambda self, first, last: (first, last))
 
 
 def fills_holes_in_any_order(patch: pytest.MonkeyPatch) -> None:
-    """Takes what is in a hole before its turn."""
+    """A node that applies entries within a gap out of order."""
     room = AppliedRanges.acceptable
 
     def early(self: AppliedRanges, first: int, last: int) -> Range | None:
@@ -208,7 +208,7 @@
     patch.setattr(AppliedRanges, "acceptable", early)
 
 
-AHEAD = "is said to be done"
+AHEAD = "reported as applied everywhere"
 
 
 @pytest.mark.parametrize(
@@ -221,7 +221,7 @@
         (admits_before_it_has_caught_up, AHEAD, (0, 1, 5)),
         (spends_what_it_likes, "bytes in a second", (0,)),
         (applies_copies, "twice", (0, 2, 3)),
-        (fills_holes_in_any_order, "out of its turn", (0, 1)),
+        (fills_holes_in_any_order, "out of order", (0, 1)),
     ],
 )
 def test_a_wrong_form_is_caught(
--- a/tests/test_spread_operators.py
+++ b/tests/test_spread_operators.py
@@ -1,4 +1,4 @@
-"""What operators have of the spread: the table, calls, commands, and the file of what was applied."""
+"""The operators' view of the spread: the table, calls, commands, and the file of applied entries."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def table(**changes: Any) -> dict[str, Any]:
-    """A router's, as it should be."""
+    """Return a valid table of a router."""
     site = {"name": "s", "region": "r", "routers": [peer("a", 11), peer("b", 12)], "parts": [peer("p", 13)]}
     control = [peer(name, number) for number, name in enumerate(CONTROL, 1)]
     told = {"name": "a", "key_file": "key", "control": control, "site": [site]} | changes
@@ -61,7 +61,7 @@
 
 
 def write(folder: Path, **tables: Any) -> Path:
-    """Hands msgspec TOML; msgspec writes none itself without another library."""
+    """Write TOML by hand, as msgspec needs another library to write it."""
 
     def spell(value: Any) -> str:
         if isinstance(value, dict):
@@ -187,13 +187,13 @@
         assert len(told.key) == msg.KEY_BYTES and len(told.value) <= msg.MAX_VALUE_BYTES
 
 
-# The file of what was applied
+# The file of applied entries
 
 PURGE, CHANGE = msg.Purge(b"12345678"), msg.Change(b"abcdefgh", b"\x00v")
 
 
 def lines(path: Path) -> list[str]:
-    """Without their times."""
+    """Return the file's lines without their times."""
     return [line.partition(" ")[2] for line in path.read_text().splitlines()]
 
 
@@ -205,7 +205,7 @@
         *(msg.Restore(3, CHANGE), msg.Watermark(7, 2, 1)),
     ):
         file.add(action)
-    assert lines(path) == ["start", "vouches no"]  # until `write`
+    assert lines(path) == ["start", "vouches no"]  # nothing else until `flush`
     file.flush()
     file.close()
     assert lines(path) == [
@@ -239,7 +239,7 @@
         file.flush()
         longest = max(longest, path.stat().st_size)
     assert 4096 <= longest < 4096 + 100
-    # a follower that reads the one before to its end has all of the last ones, and who vouches
+    # A follower that reads the previous file to its end has all recent entries and the state of the lease.
     assert lines(path)[0] == "vouches yes"
     both = lines(path.with_name(path.name + ROTATED_SUFFIX)) + lines(path)
     numbers = [int(line.split()[0]) for line in both if "purge" in line]
@@ -280,7 +280,7 @@
 
 
 class Answers(BaseHTTPRequestHandler):
-    """Operators' address of a member that says what it was told to say."""
+    """A member's operators' address with prepared answers."""
 
     def _answer(self) -> None:
         server: Any = self.server
@@ -293,12 +293,12 @@
     do_GET = do_PUT = _answer
 
     def log_message(self, format: str, *args: Any) -> None:
-        """Says nothing."""
+        """Discard the message."""
 
 
 @contextmanager
 def answering(*answers: tuple[int, str]) -> Iterator[Any]:
-    """A server that gives these answers in turn, the last one again and again."""
+    """Run a server that gives these answers in sequence and repeats the last one."""
     server: Any = ThreadingHTTPServer(("127.0.0.1", 0), Answers)
     server.answers, server.asked = list(answers), []
     server.at = f"127.0.0.1:{server.server_address[1]}"
@@ -329,7 +329,7 @@
     assert (done.exit_code, done.output) == (0, "7 x\n8 y\ndone everywhere up to 8: 40 members, 2 away\n")
     hashed = [blake2b(name, digest_size=8).hexdigest() for name in (b"x", b"y")]
     paths = [f"/control/spread/purge/{key}" for key in hashed]
-    assert other.asked == [("PUT", paths[0])]  # and then the one that took the first is asked
+    assert other.asked == [("PUT", paths[0])]  # further calls go to the node that accepted the first
     assert holder.asked == [("PUT", paths[0]), ("PUT", paths[1]), ("GET", "/control/spread")]
 
 
@@ -369,13 +369,13 @@
     assert json.loads(as_json.output)[at.at]["done"] == [8, 40, 2]
 
 
-# Keepers on loopback
+# Drivers on loopback
 
 FIGURES: dict[str, Any] = {"lease": 1.0, "report": 0.05, "pause": 0.02}
 
 
 class Keepers:
-    """All members of one small fleet, in this process."""
+    """All members of a small fleet in this process."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -394,7 +394,7 @@
         return made
 
     async def start(self, shared: bool = False) -> Driver:
-        """Start all; answers with the one that writes the log."""
+        """Start all members and return the leader's driver."""
         for name in self.peers:
             await self.make(name).start(self.peers[name], shared)
         writer = self.each["c1"]
@@ -415,7 +415,7 @@
 
 
 async def lasts(writer: Driver, entry: msg.Entry) -> int:
-    """Propose until it is taken: a writer that has just begun asks the others first."""
+    """Propose until the entry is accepted: a new leader first completes its takeover."""
     while True:
         try:
             return await commit(writer, entry)
@@ -436,7 +436,7 @@
         await until(lambda: all(k.status()["vouches"] for k in keepers.each.values()))
         with pytest.raises(SpreadError, match="its holder is c1"):
             keepers.each["c2"].propose(PURGE, lambda _: None)
-        # the duty is over and nobody has said so yet
+        # The duty has ended, but the driver has not been notified yet.
         writer.held_token = lambda: None
         with pytest.raises(SpreadError, match="its holder is not known"):
             writer.propose(PURGE, lambda _: None)
--- a/tests/test_spread_processes.py
+++ b/tests/test_spread_processes.py
@@ -1,6 +1,6 @@
-"""Real processes that carry changes and purges, with faults between them: the log, and what is told of it.
+"""Real processes that carry changes and purges, with faults between them.
 
-Nothing here is judged by how soon it comes: machines that test may be busy.
+No test depends on timing, as the machines that run them may be busy.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def played(folder: Path, faults: Callable[[Fleet], Awaitable[None]]) -> None:
-    """Stand a fleet up, let faults happen, and look at the whole once more."""
+    """Start a fleet, inject faults and check the whole fleet again."""
 
     async def scenario() -> None:
         async with fleet(folder) as there:
@@ -77,7 +77,7 @@
         west = GROUPS["west"]
         there.ways.cut("west", {(g, n) for g in GROUPS for n in NAMES if (g == "west") is not (n in west)})
         number = await there.send(20)
-        # completion goes on without those that know that they are cut off
+        # Completion continues without members that know that they are cut off.
         await until(lambda: told(there) >= number, lambda: f"done {told(there)} of {number}")
         assert all(there.members()[name][-1].covered < number for name in west)
         await asyncio.sleep(CUT)
@@ -125,7 +125,7 @@
         others = tuple(name for name in CONTROL if name != old)
         await there.holder(old, others)
         await there.send(20, others)
-        # what is proposed while it stands still is there when it wakes, and is to be refused
+        # A proposal that arrives while the process is stopped is read when it continues, and must be refused.
         late = asyncio.create_task(there.put(old, ("purge", "00" * 8)))
         await asyncio.sleep(0.1)
         process.send_signal(signal.SIGCONT)
@@ -134,7 +134,8 @@
         assert (name, code) == (old, 503) and "its holder is" in why
         await there.whole()
 
-        # what operators ask of a member that only hears, and what a new file of theirs may not change
+        # Operators' calls to a router that only receives, and a reload with settings that can't change at run
+        # time.
         router = there.processes[EAST[0]]
         assert (await router.call("PUT", "spread/purge/" + "00" * 8))[0] == 503
         assert (await router.call("PUT", "spread/purge/00"))[0] == 400
--- a/tests/test_spread_tree.py
+++ b/tests/test_spread_tree.py
@@ -1,4 +1,4 @@
-"""The tree that all members work out alone."""
+"""The dissemination tree, which all members compute on their own."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 
 
 def test_the_fleet_has_half_of_what_each_could_bear() -> None:
-    """The operators' fleet: 16,000 routers and 6,700 cache servers' parts at 650 sites in 43 regions."""
+    """The target fleet: 16,000 routers and 6,700 cache servers' parts at 650 sites in 43 regions."""
     sites = fleet(43, 15, 25, 10)
     tree = Tree(Settings(CONTROLS[0], CONTROLS, sites))
     tiers = Counter(tree.tier(name) for name in members(sites))
@@ -80,12 +80,12 @@
     assert tiers[REGION_RELAY] / len(CONTROLS) <= tree.max_children(CONTROLS[1]) / 2
     first = Counter(tree.candidates(n)[0] for n in members(sites) if tree.tier(n) == REGION_RELAY)
     assert len(first) == len(CONTROLS) and max(first.values()) <= tree.max_children(CONTROLS[1])
-    # the children that a bound allows are within the budget
+    # The maximum number of children is within the budget.
     assert bound * child_cost(tree.settings, len(CONTROLS[0])) <= tree.settings.budget
 
 
 def test_one_that_goes_moves_few() -> None:
-    """Guards against a tree laid out anew by each change of the fleet."""
+    """A change of the fleet must not rearrange the whole tree."""
     sites = fleet(1, 8, 20, 4)
     gone = sites[0].routers[3]
     fewer = (replace(sites[0], routers=tuple(r for r in sites[0].routers if r != gone)), *sites[1:])
@@ -112,8 +112,8 @@
 
 
 def test_what_a_child_costs_is_counted_in_bytes() -> None:
-    """By hand: ten datagrams of 16 + 36 + 20 + 20, 100 keys of 8, five answers of 26."""
+    """Computed by hand: ten datagrams of 16 + 36 + 20 + 20, 100 keys of 8, five answers of 26."""
     assert child_cost(Settings("c", ("c",), ()), 20) == pytest.approx(920 + 800 + 130)
-    # more entries than a datagram each pause holds
+    # more entries than fit one datagram per pause
     crowded = Settings("c", ("c",), (), rate=1_000.0)
     assert child_cost(crowded, 20) == pytest.approx(1_000 * 8 / 138 * 92 + 8_000 + 130)
--- a/tests/test_spread_worlds.py
+++ b/tests/test_spread_worlds.py
@@ -1,4 +1,4 @@
-"""Small fleets in virtual time under troubles of chance, and wrong forms of what the judge judges."""
+"""Small fleets in virtual time with random faults, and faulty variants that the judge must detect."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 SITES = laid_out(regions=3, sites=5, routers=25, parts=10)
 FIGURES: dict[str, Any] = {"tail": 200, "control_tail": 400}
-SECONDS = 8.0  # of troubles
-LOAD = 20.0  # purges a second
-# the seed that is tried first; what a world brings about changes with each change of the cores
+SECONDS = 8.0  # with faults
+LOAD = 20.0  # purges per second
+# The seed to try first. Which faults a world produces changes with each change of the code under test.
 WRONG = {
     "counts_no_child": 1,
     "grants_the_late": 1,
@@ -36,7 +36,7 @@
 
 
 def world(seed: int, **more: Any) -> World:
-    """A fleet of 38, joined."""
+    """Return a running fleet of 38 members."""
     there = World(SITES, 3, seed, 1_000, **(FIGURES | more))
     there.start(1.0)
     there.run(1.0)
@@ -45,7 +45,7 @@
 
 
 def play(there: World, seconds: float = SECONDS) -> list[str]:
-    """Troubles under load; and all is well, and the same everywhere, after them."""
+    """Inject faults under load, then check that all members recover and agree."""
     there.load(LOAD, 1.0, seconds)
     told = schedule(there, seconds)
     well_again(there)
@@ -110,7 +110,7 @@
 
 
 def judge() -> Judge:
-    """Of two members; five entries are settled."""
+    """Return a judge of two members with five committed entries."""
     found = Judge(2, 8)
     found.settled(1, tuple(KEYS[:5]))
     return found
@@ -132,7 +132,7 @@
     with pytest.raises(Broken, match="gap"):
         there.settled(7, (KEYS[7],))
     with pytest.raises(Broken, match="other_entries"):
-        there.applied(1, 5, (KEYS[4], KEYS[5]), 1.0)  # the sixth does not last yet
+        there.applied(1, 5, (KEYS[4], KEYS[5]), 1.0)  # the sixth is not committed yet
 
 
 def test_judge_sees_what_was_acknowledged_and_is_not_kept() -> None:
--- a/tests/wrong_spread.py
+++ b/tests/wrong_spread.py
@@ -1,4 +1,4 @@
-"""Wrong forms of the spread, one rule broken in each, which random worlds must catch."""
+"""Faulty variants of the spread, each of which breaks one rule; random worlds must detect them."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class GrantsTheLate(Children):
-    """A lease to a child that lacks what was said to be done."""
+    """Grants a lease to a child that lacks entries up to the watermark."""
 
     def grant(self, now: float, child: Child, left: float, epoch: int) -> int:
         watermark, self.watermark = self.watermark, 0
@@ -35,14 +35,14 @@
 
 
 class ForgetsTheSilent(Children):
-    """A child is counted no more once it is silent, whatever lease it still has."""
+    """Stops counting a silent child although its lease may still be valid."""
 
     def _add_lease_floor(self, now: float, done: int, until: float) -> None:
         return
 
 
 class CountsFromTheAnswer(Parent):
-    """A lease runs from when it came, and not from the report."""
+    """Starts a lease when the answer arrives instead of when the report was sent."""
 
     def on_heartbeat(self, now: float, sender: str, beat: msg.Heartbeat, granted_until: float) -> str:
         if beat.echo in self.sent_reports:
@@ -51,7 +51,7 @@
 
 
 def with_children(kind: type[Children]) -> Make:
-    """A node whose children are counted in another way."""
+    """Return a node class that counts its children in another way."""
 
     class Wrong(Node):
         def __init__(self, settings: msg.Settings, now: float, seed: int) -> None:
@@ -72,20 +72,18 @@
         return self.is_root or self.parent.lease_until > -math.inf
 
     def _next_timer(self) -> float:
-        return max(
-            super()._next_timer(), self.now + 0.02
-        )  # it would wake without end for a lease that is over
+        return max(super()._next_timer(), self.now + 0.02)  # avoids endless wake-ups for an expired lease
 
 
 class GrantsMoreThanItHas(Node):
-    """A whole lease to each child, whatever is left of its own."""
+    """Grants each child a full lease, whatever is left of its own."""
 
     def _lease_left(self) -> float:
         return self.settings.lease
 
 
 class SpeaksAtOnce(Node):
-    """A new root says what is done while members may vouch by the root before."""
+    """A new root reports the watermark while members may still hold leases of the previous root."""
 
     def _on_leadership(self, epoch: int, leader: str) -> None:
         super()._on_leadership(epoch, leader)
@@ -98,7 +96,7 @@
 
 
 class Alone(msg.Settings):
-    """One disk is enough."""
+    """Treats one disk as a majority."""
 
     __slots__ = ()
 
