--- a/tests/spread_fleet.py
+++ b/tests/spread_fleet.py
@@ -21,7 +21,7 @@
 from tests.loopback import spelled
 from tests.test_service import Process, Site, site
 
-HARD_END = 60.0  # seconds that a test waits for a condition; no test depends on how fast it is met
+TIMEOUT = 60.0  # seconds that a test waits for a condition; no test depends on how fast it is met
 CONTROL = ("c1", "c2", "c3")
 EAST = ("e1", "e2")  # real routers, the only ones of their region and therefore its relays
 PARTS = tuple(f"p{n}" for n in range(10))
@@ -36,55 +36,55 @@
 
 
 async def until(true: Callable[[], bool], what: Callable[[], str]) -> None:
-    """Wait for a condition that other processes bring about; fails after HARD_END."""
-    end = time.monotonic() + HARD_END
+    """Wait for a condition that other processes bring about; fails after TIMEOUT."""
+    end = time.monotonic() + TIMEOUT
     while not true():
         assert time.monotonic() < end, what()
         await asyncio.sleep(0.05)
 
 
-class Hollow:
+class MemberProcess:
     """A process that plays many members without routers."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
-        self.turn = asyncio.Lock()
+        self.lock = asyncio.Lock()
 
-    async def order(self, *words: str) -> Any:
+    async def command(self, *words: str) -> Any:
         """Send one command and return its answer."""
         assert self.process.stdin is not None and self.process.stdout is not None
-        async with self.turn:
+        async with self.lock:
             self.process.stdin.write((" ".join(words) + "\n").encode())
-            async with asyncio.timeout(HARD_END):
+            async with asyncio.timeout(TIMEOUT):
                 line = await self.process.stdout.readline()
-        assert line, "a hollow process has ended"
+        assert line, "a process of members has ended"
         return json.loads(line)
 
 
-class Life:
+class ProcessRecord:
     """What one process of a member has written."""
 
     def __init__(self) -> None:
         self.entries: dict[int, Entry] = {}
         self.twice: list[int] = []
         self.covered = 0  # all entries up to here are applied or to be treated as purged
-        self.forgotten = 0
-        self.vouched: list[tuple[float, int]] = []  # when a lease was written, and `covered` at that time
-        self.vouches = False
-        self.done: list[tuple[float, int]] = []
+        self.purges = 0
+        self.leases: list[tuple[float, int]] = []  # when a lease was written, and `covered` at that time
+        self.lease_valid = False
+        self.watermarks: list[tuple[float, int]] = []
 
-    def take(self, at: float, words: list[str]) -> None:
+    def add(self, at: float, words: list[str]) -> None:
         match words:
             case ["vouches", said]:
-                self.vouches = said == "yes"
-                if self.vouches:
-                    self.vouched.append((at, self.covered))
+                self.lease_valid = said == "yes"
+                if self.lease_valid:
+                    self.leases.append((at, self.covered))
             case ["forget", first, last]:
                 if int(first) <= self.covered + 1:
                     self.covered = max(self.covered, int(last))
-                self.forgotten += 1
+                self.purges += 1
             case ["done", number, _, _]:
-                self.done.append((at, int(number)))
+                self.watermarks.append((at, int(number)))
             case [number, *entry]:
                 if int(number) in self.entries and entry[0] == "purge":
                     self.twice.append(int(number))
@@ -92,26 +92,26 @@
         while self.covered + 1 in self.entries:
             self.covered += 1
 
-    def held(self) -> dict[str, tuple[int, str]]:
+    def current_changes(self) -> dict[str, tuple[int, str]]:
         """Return the current change by subject."""
-        found: dict[str, tuple[int, str]] = {}
+        result: dict[str, tuple[int, str]] = {}
         for number in sorted(self.entries):
             kind, subject, *value = self.entries[number]
             if kind == "change":
-                found[subject] = number, value[0]
-        return found
+                result[subject] = number, value[0]
+        return result
 
 
-def lives(path: Path) -> list[Life]:
+def read_records(path: Path) -> list[ProcessRecord]:
     """Return the records of a member's processes in order."""
-    found: list[Life] = []
+    result: list[ProcessRecord] = []
     for line in path.read_text().splitlines() if path.exists() else []:
         at, *words = line.split(" ")
         if words == ["start"]:
-            found.append(Life())
+            result.append(ProcessRecord())
         else:
-            found[-1].take(float(at), words)
-    return found
+            result[-1].add(float(at), words)
+    return result
 
 
 class Fleet:
@@ -125,13 +125,13 @@
         self.heard_at = {name: free() for name in NAMES}
         self.duties_at = {name: free() for name in CONTROL}
         self.processes: dict[str, Process] = {}
-        self.hollow: dict[str, Hollow] = {}
+        self.member_processes: dict[str, MemberProcess] = {}
         self.acknowledged: dict[int, Entry] = {}
         self.refused: list[tuple[str, int, str]] = []  # by which node, with which status code and why
         self.chance = random.Random(1)
         (folder / "key").write_bytes(KEY)
 
-    async def stand_up(self) -> None:
+    async def start_all(self) -> None:
         """Start all processes."""
         loop = self.relays.loop = asyncio.get_running_loop()
         self.relays.heard_at = self.heard_at
@@ -144,7 +144,7 @@
             self.relays.at[way] = transport.get_extra_info("sockname")
         await asyncio.gather(
             *(self.start(name) for name in (*CONTROL, *EAST)),
-            *(self.start_hollow(group) for group in ("parts", "west")),
+            *(self.start_member_process(group) for group in ("parts", "west")),
         )
 
     def table(self, group: str) -> dict[str, Any]:
@@ -192,7 +192,7 @@
         self.here.processes.append(self.processes[name])
         await self.processes[name].logged(r"operators call (\S+)\n")
 
-    async def start_hollow(self, group: str) -> None:
+    async def start_member_process(self, group: str) -> None:
         listen = {name: spelled(self.heard_at[name]) for name in GROUPS[group]}
         job = self.folder / f"{group}.json"
         job.write_bytes(
@@ -203,40 +203,40 @@
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
         )
-        self.hollow[group] = Hollow(process)
+        self.member_processes[group] = MemberProcess(process)
         assert process.stdout is not None
         assert await process.stdout.readline() == b"ready\n"
 
     async def close(self) -> None:
-        for hollow in self.hollow.values():
-            if hollow.process.returncode is None:
-                hollow.process.kill()
-                await hollow.process.wait()
+        for member_process in self.member_processes.values():
+            if member_process.process.returncode is None:
+                member_process.process.kill()
+                await member_process.process.wait()
         self.relays.close()
 
     # Operators' calls
 
     async def status(self, name: str) -> dict[str, Any]:
         """Return a member's status."""
-        for group, hollow in self.hollow.items():
+        for group, member_process in self.member_processes.items():
             if name in GROUPS[group]:
-                told: dict[str, Any] = await hollow.order("status", name)
-                return told
+                state: dict[str, Any] = await member_process.command("status", name)
+                return state
         code, text = await self.processes[name].call("GET", "spread")
         assert code == 200, text
-        found: dict[str, Any] = orjson.loads(text)
-        return found
+        result: dict[str, Any] = orjson.loads(text)
+        return result
 
     async def holder(self, other_than: str = "", among: tuple[str, ...] = CONTROL) -> str:
         """Return the leader of the log, once there is one."""
-        end = time.monotonic() + HARD_END
+        end = time.monotonic() + TIMEOUT
         while time.monotonic() < end:
             for name in among:
                 with suppress(OSError, AssertionError):
                     if name != other_than and (await self.status(name))["writes"]:
                         return name
             await asyncio.sleep(0.05)
-        raise AssertionError("nobody writes the log")
+        raise AssertionError("there is no leader")
 
     async def put(self, name: str, entry: Entry) -> int:
         """Ask one control node to commit an entry. Return its number, or 0 if the outcome is unknown."""
@@ -255,7 +255,7 @@
     async def send(self, count: int, among: tuple[str, ...] = CONTROL) -> int:
         """Commit entries one after the other at any node that accepts them. Return the last number."""
         number, at = 0, 0
-        end = time.monotonic() + HARD_END
+        end = time.monotonic() + TIMEOUT
         for each in range(count):
             key = self.chance.randbytes(8).hex()
             value = f"{each:04x}"
@@ -269,7 +269,7 @@
 
     async def parent_of(self, name: str) -> str:
         """Return a member's parent, once it has one."""
-        end = time.monotonic() + HARD_END
+        end = time.monotonic() + TIMEOUT
         while time.monotonic() < end:
             if parent := (await self.status(name))["node"]["parent"]:
                 return str(parent)
@@ -278,10 +278,10 @@
 
     # Checks
 
-    def members(self) -> dict[str, list[Life]]:
-        return {name: lives(self.applied(name)) for name in NAMES}
+    def members(self) -> dict[str, list[ProcessRecord]]:
+        return {name: read_records(self.applied(name)) for name in NAMES}
 
-    async def whole(self) -> None:
+    async def check_complete(self) -> None:
         """Wait until a further entry has reached all members, all of them hold leases, and it is reported as
         applied everywhere; then check everything that was written."""
         number = await self.send(1)
@@ -289,33 +289,37 @@
         def lacking() -> list[str]:
             now = self.members()
             late = [n for n, each in now.items() if not each or each[-1].covered < number]
-            late += [f"{n} does not vouch" for n, each in now.items() if each and not each[-1].vouches]
-            if not any(at >= number for n in CONTROL for life in now[n] for _, at in life.done):
-                late.append("nobody says done")
+            late += [f"{n} has no lease" for n, each in now.items() if each and not each[-1].lease_valid]
+            if not any(at >= number for n in CONTROL for record in now[n] for _, at in record.watermarks):
+                late.append("nobody reports a watermark")
             return late
 
         await until(lambda: not lacking(), lambda: f"{number}: {lacking()}")
-        self.judge()
-        held = {name: each[-1].held() for name, each in self.members().items()}
-        for name, changes in held.items():
-            assert changes == held[CONTROL[0]], f"{name} has another configuration than {CONTROL[0]}"
+        self.check_files()
+        current = {name: each[-1].current_changes() for name, each in self.members().items()}
+        for name, changes in current.items():
+            assert changes == current[CONTROL[0]], f"{name} has a different configuration than {CONTROL[0]}"
 
-    def judge(self) -> None:
+    def check_files(self) -> None:
         """Check that all have the same log, that no acknowledged entry is lost, and that nothing was reported
         as applied everywhere too early."""
         log: dict[int, Entry] = dict(self.acknowledged)
-        each = self.members()
-        for name, all_lives in each.items():
-            for life in all_lives:
-                assert not life.twice, f"{name} applied {life.twice[:9]} twice"
-                for number, entry in life.entries.items():
-                    assert log.setdefault(number, entry) == entry, f"{name} has another {number}"
-        told = sorted(told for name in CONTROL for life in each[name] for told in life.done)
-        for name, all_lives in each.items():
-            for life in all_lives:
-                for at, covered in life.vouched:
-                    done = max((number for when, number in told if when < at), default=0)
-                    assert covered >= done, f"{name} vouches with {covered} when {done} is told as done"
+        members = self.members()
+        for name, records in members.items():
+            for record in records:
+                assert not record.twice, f"{name} applied {record.twice[:9]} twice"
+                for number, entry in record.entries.items():
+                    assert log.setdefault(number, entry) == entry, f"{name} has a different {number}"
+        reported = sorted(
+            reported for name in CONTROL for record in members[name] for reported in record.watermarks
+        )
+        for name, records in members.items():
+            for record in records:
+                for at, covered in record.leases:
+                    done = max((number for when, number in reported if when < at), default=0)
+                    assert covered >= done, (
+                        f"{name} has a lease with {covered} when {done} is reported as applied everywhere"
+                    )
 
 
 def toml(value: Any) -> str:
@@ -333,8 +337,8 @@
     async with site(folder) as here:
         made = Fleet(folder, here)
         try:
-            await made.stand_up()
-            await made.whole()
+            await made.start_all()
+            await made.check_complete()
             yield made
         finally:
             for process in made.processes.values():
--- a/tests/spread_replicas.py
+++ b/tests/spread_replicas.py
@@ -18,28 +18,28 @@
 
 
 @dataclass
-class Machine:
+class ControlNode:
     """One control node: a process, and a disk that outlives it."""
 
     disk: list[Record] = field(default_factory=list)
-    head: Replica | None = None
-    life: int = 0  # grows with each process
+    replica: Replica | None = None
+    incarnation: int = 0  # grows with each process
     store: events.Store | None = None
     wake: float = 0.0
-    woken: int = 0  # timers fired in sequence at `woken_at`
-    woken_at: float = -1.0
-    told: int = 0  # number of the last entry that this process has delivered
-    full: bool = False
+    wake_ups: int = 0  # timers fired in sequence at `last_wake_up`
+    last_wake_up: float = -1.0
+    delivered: int = 0  # number of the last entry that this process has delivered
+    disk_full: bool = False
 
 
-def entry(number: int) -> Entry:
+def make_entry(number: int) -> Entry:
     """Return an entry that is unique to its number; a third are changes, of few subjects."""
     if number % 3:
         return Purge(number.to_bytes(8, "big"))
     return Change((number % 10).to_bytes(8, "big"), str(number).encode() * 3)
 
 
-def settings(name: str, names: tuple[str, ...], **changes: float) -> Settings:
+def make_settings(name: str, names: tuple[str, ...], **changes: float) -> Settings:
     return Settings(name, names, (Site("s", "r", ("router",)),), **changes)  # type: ignore[arg-type]
 
 
@@ -51,118 +51,122 @@
     ) -> None:
         self.random = random.Random(seed)
         self.names = tuple("abcde"[:count])
-        self.tail, self.kind = tail, kind
-        self.machines = {name: Machine() for name in self.names}
+        self.tail, self.replica_class = tail, kind
+        self.machines = {name: ControlNode() for name in self.names}
         self.now = 0.0
         self.queue: list[tuple[float, int, str, int, ReplicaEvent]] = []
         self.counter = 0
         self.loss = 0.0 if calm else self.random.choice((0.0, 0.05, 0.3))
-        self.late = 0.002 if calm else self.random.choice((0.002, 0.05, 0.5))
-        self.copies = 0.0 if calm else self.random.choice((0.0, 0.1))
-        self.cut: set[str] = set()
+        self.max_delay = 0.002 if calm else self.random.choice((0.002, 0.05, 0.5))
+        self.duplicates = 0.0 if calm else self.random.choice((0.0, 0.1))
+        self.isolated: set[str] = set()
         self.token = 0
         self.entries: dict[int, Entry] = {}  # by ticket
         self.refused: dict[int, events.Refuse] = {}
         self.acknowledged: dict[int, int] = {}  # by number: the ticket
-        self.settled: dict[int, Entry] = {}
+        self.committed: dict[int, Entry] = {}
         self.changes: dict[int, Change] = {}
-        self.said = 0
+        self.messages_sent = 0
         for name in self.names:
             self.start(name)
 
     # Processes
 
     def start(self, name: str) -> None:
-        machine, saved = self.machines[name], LogState()
-        for record in machine.disk:
+        node, saved = self.machines[name], LogState()
+        for record in node.disk:
             saved.apply(record)
-        machine.head = self.kind(settings(name, self.names, control_tail=self.tail), saved, self.now)
-        machine.life += 1
-        machine.told, machine.store = 0, None
+        node.replica = self.replica_class(
+            make_settings(name, self.names, control_tail=self.tail), saved, self.now
+        )
+        node.incarnation += 1
+        node.delivered, node.store = 0, None
         self.post(name, msg.TimerFired())
 
     def crash(self, name: str) -> None:
         """End a process. Any prefix of the records being written may be on the disk."""
-        machine = self.machines[name]
-        if machine.store is not None:
-            machine.disk += machine.store.records[: self.random.randint(0, len(machine.store.records))]
-        machine.head, machine.store = None, None
-        machine.life += 1
+        node = self.machines[name]
+        if node.store is not None:
+            node.disk += node.store.records[: self.random.randint(0, len(node.store.records))]
+        node.replica, node.store = None, None
+        node.incarnation += 1
 
-    def took(self, name: str) -> None:
+    def give_duty(self, name: str) -> None:
         self.token += 1
         self.post(name, events.LeadershipGained(self.token))
 
     def propose(self, name: str, count: int = 1) -> None:
         for _ in range(count):
             ticket = len(self.entries) + 1
-            self.entries[ticket] = entry(ticket)
+            self.entries[ticket] = make_entry(ticket)
             self.post(name, events.Propose(ticket, self.entries[ticket]))
 
     # Time
 
-    def put(self, after: float, name: str, event: ReplicaEvent) -> None:
+    def schedule(self, after: float, name: str, event: ReplicaEvent) -> None:
         self.counter += 1
-        place = self.now + after, self.counter, name, self.machines[name].life, event
+        place = self.now + after, self.counter, name, self.machines[name].incarnation, event
         heapq.heappush(self.queue, place)
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
         while self.queue and self.queue[0][0] <= until:
             self.now, _, name, life, event = heapq.heappop(self.queue)
-            machine = self.machines[name]
-            if isinstance(event, msg.Received) or life == machine.life:
+            node = self.machines[name]
+            if isinstance(event, msg.Received) or life == node.incarnation:
                 if isinstance(event, msg.TimerFired):
-                    if machine.wake > self.now:
+                    if node.wake > self.now:
                         continue
-                    machine.woken = machine.woken + 1 if machine.woken_at == self.now else 0
-                    machine.woken_at = self.now
-                    if machine.woken > 50:
-                        raise BrokenError("wakes without end")
+                    node.wake_ups = node.wake_ups + 1 if node.last_wake_up == self.now else 0
+                    node.last_wake_up = self.now
+                    if node.wake_ups > 50:
+                        raise BrokenError("endless timers")
                 self.post(name, event)
         self.now = until
 
     def post(self, name: str, event: ReplicaEvent) -> None:
-        machine = self.machines[name]
-        if machine.head is None or (isinstance(event, msg.Received) and name in self.cut):
+        node = self.machines[name]
+        if node.replica is None or (isinstance(event, msg.Received) and name in self.isolated):
             return
         if isinstance(event, events.Stored):
-            assert machine.store is not None and machine.store.number == event.number
+            assert node.store is not None and node.store.number == event.number
             if not event.error:
-                machine.disk += machine.store.records
-            machine.store = None
-        actions = machine.head.handle(self.now, event)
+                node.disk += node.store.records
+            node.store = None
+        actions = node.replica.handle(self.now, event)
         if sum(isinstance(a, msg.SetTimer) for a in actions) != 1 or not isinstance(
             actions[-1], msg.SetTimer
         ):
-            raise BrokenError("one wake, and last")
+            raise BrokenError("each list of actions must end with its only SetTimer")
         for action in actions:
-            self.carry_out(name, machine, action)
+            self.carry_out(name, node, action)
 
-    def carry_out(self, name: str, machine: Machine, action: ReplicaAction) -> None:
+    def carry_out(self, name: str, node: ControlNode, action: ReplicaAction) -> None:
         match action:
-            case msg.Send(to, words):
-                self.said += 1
-                if name not in self.cut:
-                    for _ in range(1 + (self.random.random() < self.copies)):
+            case msg.Send(to, messages):
+                self.messages_sent += 1
+                if name not in self.isolated:
+                    for _ in range(1 + (self.random.random() < self.duplicates)):
                         if self.random.random() >= self.loss:
-                            self.put(self.random.uniform(0, self.late), to, msg.Received(name, words))
+                            self.schedule(
+                                self.random.uniform(0, self.max_delay), to, msg.Received(name, messages)
+                            )
             case events.Store(number, _):
-                if machine.store is not None:
-                    raise BrokenError("two stores at a time")
-                machine.store = action
-                why = "no room" if machine.full else ""
-                self.put(self.random.uniform(0, 0.03), name, events.Stored(number, why))
+                if node.store is not None:
+                    raise BrokenError("two stores at the same time")
+                node.store = action
+                why = "no room" if node.disk_full else ""
+                self.schedule(self.random.uniform(0, 0.03), name, events.Stored(number, why))
             case events.Acknowledge() | events.Refuse():
                 self.answered(action)
             case msg.Committed() | msg.AssumePurged() | msg.Restore():
-                self.learned(machine, action)
+                self.on_delivered(node, action)
             case msg.SetTimer(when):
                 if when < self.now:
-                    raise BrokenError("wakes in the past")
-                machine.wake = when
+                    raise BrokenError("timer in the past")
+                node.wake = when
                 if when < float("inf"):
-                    self.put(when - self.now, name, msg.TimerFired())
+                    self.schedule(when - self.now, name, msg.TimerFired())
 
     def answered(self, action: events.Acknowledge | events.Refuse) -> None:
         match action:
@@ -175,96 +179,98 @@
                     raise BrokenError("answered twice")
                 self.refused[ticket] = action
 
-    def learned(self, machine: Machine, action: msg.Committed | msg.AssumePurged | msg.Restore) -> None:
+    def on_delivered(self, node: ControlNode, action: msg.Committed | msg.AssumePurged | msg.Restore) -> None:
         match action:
             case msg.Committed(_, first, entries):
-                if first != machine.told + 1 or not entries:
-                    raise BrokenError(f"settled from {first} after {machine.told}")
-                machine.told += len(entries)
-                self.compare(first, entries)
+                if first != node.delivered + 1 or not entries:
+                    raise BrokenError(f"committed from {first} after {node.delivered}")
+                node.delivered += len(entries)
+                self.check_committed(first, entries)
             case msg.AssumePurged(first, last):
-                if first != machine.told + 1 or last < first:
-                    raise BrokenError(f"forgets from {first} after {machine.told}")
-                machine.told = last
+                if first != node.delivered + 1 or last < first:
+                    raise BrokenError(f"assumes purged from {first} after {node.delivered}")
+                node.delivered = last
             case msg.Restore(number, change):
-                if self.settled.setdefault(number, change) != change:
-                    raise BrokenError(f"two changes under {number}")
+                if self.committed.setdefault(number, change) != change:
+                    raise BrokenError(f"two changes with number {number}")
 
-    def compare(self, first: int, entries: tuple[Entry, ...]) -> None:
+    def check_committed(self, first: int, entries: tuple[Entry, ...]) -> None:
         for number, found in enumerate(entries, first):
-            if self.settled.setdefault(number, found) != found:
-                raise BrokenError(f"two entries settled under {number}")
+            if self.committed.setdefault(number, found) != found:
+                raise BrokenError(f"two entries committed as {number}")
             ticket = self.acknowledged.get(number)
             if ticket is not None and self.entries[ticket] != found:
-                raise BrokenError(f"{number} was acknowledged as another")
+                raise BrokenError(f"{number} was acknowledged as a different entry")
 
     # Checks
 
-    def well(self) -> str:
+    def recover(self) -> str:
         """End all faults, give the duty to one node and return its name."""
-        self.loss = self.copies = 0.0
-        self.late = 0.01
-        self.cut.clear()
-        for name, machine in self.machines.items():
-            machine.full = False
-            if machine.head is None:
+        self.loss = self.duplicates = 0.0
+        self.max_delay = 0.01
+        self.isolated.clear()
+        for name, node in self.machines.items():
+            node.disk_full = False
+            if node.replica is None:
                 self.start(name)
         holder = self.random.choice(self.names)
         for name in self.names:
             if name != holder:
                 self.post(name, events.LeadershipLost())
-        self.took(holder)
+        self.give_duty(holder)
         return holder
 
-    def check_whole(self, holder: str) -> None:
+    def check_complete(self, holder: str) -> None:
         """Check that all nodes have the same log, with every acknowledged entry."""
-        head = self.machines[holder].head
-        assert head is not None
-        if head.leader is None or not head.leader.is_open:
-            raise BrokenError("nobody writes the log")
-        for name, machine in self.machines.items():
-            if machine.told != head.state.last or machine.told < max(self.acknowledged, default=0):
-                raise BrokenError(f"{name} knows of {machine.told} of {head.state.last}")
+        replica = self.machines[holder].replica
+        assert replica is not None
+        if replica.leader is None or not replica.leader.is_open:
+            raise BrokenError("there is no leader")
+        for name, node in self.machines.items():
+            if node.delivered != replica.state.last or node.delivered < max(self.acknowledged, default=0):
+                raise BrokenError(f"{name} has delivered {node.delivered} of {replica.state.last}")
         for number, ticket in self.acknowledged.items():
-            if number in self.settled and self.settled[number] != self.entries[ticket]:
-                raise BrokenError(f"{number} was acknowledged as another")
-            if number not in self.settled:
-                raise BrokenError(f"{number} was acknowledged, and is lost")
+            if number in self.committed and self.committed[number] != self.entries[ticket]:
+                raise BrokenError(f"{number} was acknowledged as a different entry")
+            if number not in self.committed:
+                raise BrokenError(f"{number} was acknowledged and is lost")
         latest: dict[bytes, int] = {}
-        for number, found in self.settled.items():
-            if isinstance(found, Change) and number <= head.state.base:
+        for number, found in self.committed.items():
+            if isinstance(found, Change) and number <= replica.state.base:
                 latest[found.subject] = max(number, latest.get(found.subject, 0))
-        if latest != {subject: number for subject, (number, _) in head.state.table.items()}:
-            raise BrokenError("the table is another")
+        if latest != {subject: number for subject, (number, _) in replica.state.table.items()}:
+            raise BrokenError("the table differs")
         for ticket, answer in self.refused.items():
-            if not answer.may_commit and self.entries[ticket] in self.settled.values():
-                raise BrokenError(f"{ticket} was refused, and lasts")
+            if not answer.may_commit and self.entries[ticket] in self.committed.values():
+                raise BrokenError(f"{ticket} was refused and is committed")
 
 
-def schedule(world: World, seconds: float, burst: int = 5) -> None:
+def inject_faults(world: World, seconds: float, burst: int = 5) -> None:
     """Inject faults of all kinds."""
     chance, until = world.random, world.now + seconds
-    world.took(chance.choice(world.names))
+    world.give_duty(chance.choice(world.names))
     while world.now < until:
         world.run(chance.choice((0.005, 0.05, 0.3, 1.0)))
         name = chance.choice(world.names)
-        machine = world.machines[name]
+        node = world.machines[name]
         match chance.randrange(11):
             case 0:
-                world.took(name)  # the previous holder may not know
+                world.give_duty(name)  # the previous holder may not know
             case 1:
                 world.post(name, events.LeadershipLost())
-            case 2 if machine.head is not None:
+            case 2 if node.replica is not None:
                 world.crash(name)
-            case 3 | 4 if machine.head is None:
+            case 3 | 4 if node.replica is None:
                 world.start(name)
             case 5:
-                world.cut ^= {name}
+                world.isolated ^= {name}
             case 6:
-                machine.full = not machine.full
+                node.disk_full = not node.disk_full
             case _:
                 holders = [
-                    n for n, m in world.machines.items() if m.head is not None and m.head.leader is not None
+                    n
+                    for n, node_ in world.machines.items()
+                    if node_.replica is not None and node_.replica.leader is not None
                 ]
                 for holder in holders:
                     world.propose(holder, chance.randint(1, burst))
@@ -273,10 +279,10 @@
 def played(world: World, seconds: float = 20.0, burst: int = 5) -> str:
     """Return the rule that was violated, or an empty string."""
     try:
-        schedule(world, seconds, burst)
-        holder = world.well()
+        inject_faults(world, seconds, burst)
+        holder = world.recover()
         world.run(15.0)
-        world.check_whole(holder)
+        world.check_complete(holder)
     except (BrokenError, LogError) as e:
         return str(e) or "broken"
     return ""
--- a/tests/spread_world.py
+++ b/tests/spread_world.py
@@ -46,13 +46,13 @@
     """One process of a member."""
 
     node: Node
-    born: float  # true time
+    started_at: float  # true time
     rate: float  # seconds of its clock per second of true time
-    started: int  # ordinal of the process among the member's processes
+    ordinal: int  # ordinal of the process among the member's processes
     wakes: int = 0  # number of the last `SetTimer`
-    told: bool = False  # the last `LeaseChanged`
+    lease_valid: bool = False  # the last `LeaseChanged`
     applied: dict[int, Entry] = field(default_factory=dict)
-    forgotten: list[tuple[int, int]] = field(default_factory=list)
+    purged: list[tuple[int, int]] = field(default_factory=list)
     table: dict[bytes, tuple[int, Change]] = field(default_factory=dict)
     restored: int = 0
     top: int = 0  # the highest number that was applied or assumed purged
@@ -60,11 +60,11 @@
     def follows(self, first: int) -> bool:
         """Return whether this number extends a range of applied numbers, or begins one above all others."""
         before = first - 1
-        known = not before or before in self.applied or any(f <= before <= t for f, t in self.forgotten)
+        known = not before or before in self.applied or any(f <= before <= t for f, t in self.purged)
         return known or first > self.top
 
     def now(self, at: float) -> float:
-        return 100.0 + (at - self.born) * self.rate
+        return 100.0 + (at - self.started_at) * self.rate
 
 
 class Broken(AssertionError):
@@ -72,39 +72,43 @@
 
 
 @dataclass
-class Trouble:
+class NetworkFaults:
     """The faults of the network."""
 
     loss: float = 0.0
-    copies: float = 0.0
+    duplicates: float = 0.0
     delay: float = 0.02  # seconds, drawn per datagram, so datagrams overtake each other
     slow: float = 0.0  # share of datagrams that take up to a second longer
-    far: frozenset[str] = frozenset()  # members of a distant site
-    more: float = 0.0  # additional seconds for a datagram from other members to these
+    distant: frozenset[str] = frozenset()  # members of a distant site
+    extra_delay: float = 0.0  # additional seconds for a datagram from other members to these
 
 
-class World:
+class Simulation:
     """All processes, the datagrams in flight, and the log."""
 
     def __init__(
-        self, seed: int, settings: Settings = SETTINGS, trouble: Trouble | None = None, drift: float = 0.02
+        self,
+        seed: int,
+        settings: Settings = SETTINGS,
+        faults: NetworkFaults | None = None,
+        drift: float = 0.02,
     ) -> None:
         self.random = random.Random(seed)
         self.settings = settings
-        self.trouble = trouble or Trouble()
+        self.faults = faults or NetworkFaults()
         self.drift = drift
-        self.at = 0.0
+        self.time = 0.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.order = itertools.count()
         self.processes: dict[str, Process] = {}
         self.starts: dict[str, int] = defaultdict(int)
-        self.cut: set[str] = set()  # members on the other side of a partition
-        self.log = 0
+        self.partition: set[str] = set()  # members on the other side of a partition
+        self.log_end = 0
         self.root = ""
         self.epoch = 0
-        self.done: list[tuple[float, msg.Watermark]] = []
-        self.most_done = 0
-        self.words: Counter[type] = Counter()  # number of sent messages by type
+        self.watermarks: list[tuple[float, msg.Watermark]] = []
+        self.highest_watermark = 0
+        self.message_counts: Counter[type] = Counter()  # number of sent messages by type
         # by process: the time and size of each datagram
         self.sent: dict[tuple[str, int], list[tuple[float, int]]] = defaultdict(list)
         self.members = (*settings.control, *(m for s in settings.sites for m in (*s.routers, *s.parts)))
@@ -113,8 +117,8 @@
 
     # Events
 
-    def later(self, after: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (self.at + after, next(self.order), what))
+    def schedule(self, after: float, what: Callable[[], None]) -> None:
+        heapq.heappush(self.events, (self.time + after, next(self.order), what))
 
     def start(self, name: str) -> None:
         """Start a member's process, which has no state of earlier ones."""
@@ -122,15 +126,15 @@
         rate = 1 + self.random.uniform(-self.drift, self.drift)
         settings = replace(self.settings, name=name)
         process = Process(
-            Node(settings, 100.0, self.random.getrandbits(32)), self.at, rate, self.starts[name]
+            Node(settings, 100.0, self.random.getrandbits(32)), self.time, rate, self.starts[name]
         )
         self.processes[name] = process
-        self.give(name, msg.TimerFired())
+        self.post(name, msg.TimerFired())
         if name in self.settings.control:
-            if self.log:
-                self.settle(name, 1, self.log)
+            if self.log_end:
+                self.commit(name, 1, self.log_end)
             if self.root:
-                self.give(name, msg.Leadership(self.epoch, self.root))
+                self.post(name, msg.Leadership(self.epoch, self.root))
 
     def stop(self, name: str) -> None:
         self.processes.pop(name, None)
@@ -141,63 +145,65 @@
         self.epoch += 1
         before, self.root = self.root, name
         if before in self.processes and before != name:
-            self.give(before, msg.Leadership(self.epoch, ""))
+            self.post(before, msg.Leadership(self.epoch, ""))
         for control in self.settings.control:
             if control in self.processes:
-                self.later(0.0 if control == name else self.random.random() * 0.3, self._tell_root(control))
+                self.schedule(
+                    0.0 if control == name else self.random.random() * 0.3, self._tell_root(control)
+                )
 
     def _tell_root(self, control: str) -> Callable[[], None]:
-        epoch, root = self.epoch, self.root
+        epoch, leader = self.epoch, self.root
 
         def tell() -> None:
             if control in self.processes and epoch == self.epoch:
-                self.give(control, msg.Leadership(epoch, root))
+                self.post(control, msg.Leadership(epoch, leader))
 
         return tell
 
-    def settle(self, control: str, first: int, last: int) -> None:
+    def commit(self, control: str, first: int, last: int) -> None:
         if control in self.processes:
             entries = tuple(entry_at(n) for n in range(first, last + 1))
-            self.give(control, msg.Committed(self.epoch, first, entries))
+            self.post(control, msg.Committed(self.epoch, first, entries))
 
     def write(self, count: int) -> None:
         """Commit entries and report them to all control nodes."""
-        first, self.log = self.log + 1, self.log + count
+        first, self.log_end = self.log_end + 1, self.log_end + count
         for control in self.settings.control:
             process = self.processes.get(control)
             if process is not None:
-                self.settle(control, first, self.log)
+                self.commit(control, first, self.log_end)
 
-    def give(self, name: str, event: msg.Event) -> None:
+    def post(self, name: str, event: msg.Event) -> None:
         process = self.processes[name]
-        actions = process.node.handle(process.now(self.at), event)
+        actions = process.node.handle(process.now(self.time), event)
         if sum(isinstance(a, msg.SetTimer) for a in actions) != 1 or not isinstance(
             actions[-1], msg.SetTimer
         ):
-            raise Broken("one Wake, at the end")
+            raise Broken("each list of actions must end with its only SetTimer")
         for action in actions:
-            self._act(name, process, action)
+            self._carry_out(name, process, action)
         self.check_bounds(name, process)
 
-    def _act(self, name: str, process: Process, action: msg.Action) -> None:
+    def _carry_out(self, name: str, process: Process, action: msg.Action) -> None:
         match action:
-            case msg.Send(to, words):
-                self._send(name, process, to, words)
+            case msg.Send(to, messages):
+                self._send(name, process, to, messages)
             case msg.Apply(first, entries):
                 self._apply(name, process, first, entries)
             case msg.Restore(number, change):
                 if change != entry_at(number):
-                    raise Broken(f"{name} restores another {number}")
+                    raise Broken(f"{name} restores a wrong change {number}")
                 process.restored += 1
-                self._hold(process, number, change)
+                self._keep_change(process, number, change)
             case msg.AssumePurged(first, last):
-                process.forgotten.append((first, last))
+                process.purged.append((first, last))
                 process.top = max(process.top, last)
-            case msg.LeaseChanged(may):
-                process.told = may
+            case msg.LeaseChanged(valid):
+                process.lease_valid = valid
             case msg.Watermark():
-                self.done.append((self.at, action))
-                self.most_done = max(self.most_done, action.number)
+                self.watermarks.append((self.time, action))
+                self.highest_watermark = max(self.highest_watermark, action.number)
                 self.check_done(action.number)
             case msg.SetTimer(at):
                 process.wakes += 1
@@ -206,75 +212,78 @@
 
     def _apply(self, name: str, process: Process, first: int, entries: tuple[Entry, ...]) -> None:
         if not process.follows(first):
-            raise Broken(f"{name} applies {first} out of its turn: {self.status(name)}")
+            raise Broken(f"{name} applies {first} out of order: {self.status(name)}")
         for number, entry in enumerate(entries, first):
             if number in process.applied:
                 raise Broken(f"{name} applies {number} twice")
             if entry != entry_at(number):
-                raise Broken(f"{name} applies another {number}")
+                raise Broken(f"{name} applies a wrong entry {number}")
             process.applied[number] = entry
             process.top = max(process.top, number)
             if isinstance(entry, Change):
-                self._hold(process, number, entry)
+                self._keep_change(process, number, entry)
 
     @staticmethod
-    def _hold(process: Process, number: int, change: Change) -> None:
+    def _keep_change(process: Process, number: int, change: Change) -> None:
         if process.table.get(change.subject, (0, change))[0] < number:
             process.table[change.subject] = number, change
 
     def _wake(self, name: str, process: Process, number: int, at: float) -> None:
         def wake() -> None:
             if self.processes.get(name) is process and process.wakes == number:
-                self.give(name, msg.TimerFired())
+                self.post(name, msg.TimerFired())
 
-        self.later(max(0.0, (at - process.now(self.at)) / process.rate) + 1e-6, wake)
+        self.schedule(max(0.0, (at - process.now(self.time)) / process.rate) + 1e-6, wake)
 
-    def _send(self, name: str, process: Process, to: str, words: tuple[msg.Message, ...]) -> None:
-        size = CODEC.size(words)
+    def _send(self, name: str, process: Process, to: str, messages: tuple[msg.Message, ...]) -> None:
+        size = CODEC.size(messages)
         if size > max_payload(name):
-            raise Broken(f"{name} says {size} bytes at once")
-        self.sent[name, process.started].append((process.now(self.at), SEAL + HEAD + len(name) + size))
-        words = CODEC.read(CODEC.parts(words))
-        self.words.update(type(word) for word in words)
-        if self.random.random() < self.trouble.loss or (name in self.cut) != (to in self.cut):
+            raise Broken(f"{name} sends {size} bytes in one datagram")
+        self.sent[name, process.ordinal].append((process.now(self.time), SEAL + HEAD + len(name) + size))
+        messages = CODEC.read(CODEC.parts(messages))
+        self.message_counts.update(type(word) for word in messages)
+        if self.random.random() < self.faults.loss or (name in self.partition) != (to in self.partition):
             return
         receiver = self.processes.get(to)
 
         def arrive() -> None:
             # The wire drops datagrams from and to processes that have ended.
-            taken = receiver is not None and self.processes.get(to) is receiver
-            if taken and self.processes.get(name, process) is process:
-                self.give(to, Received(name, words))
+            same_process = receiver is not None and self.processes.get(to) is receiver
+            if same_process and self.processes.get(name, process) is process:
+                self.post(to, Received(name, messages))
 
-        for _ in range(1 + (self.random.random() < self.trouble.copies)):
-            delay = self.trouble.delay * (0.2 + 0.8 * self.random.random())
-            if self.random.random() < self.trouble.slow:
+        for _ in range(1 + (self.random.random() < self.faults.duplicates)):
+            delay = self.faults.delay * (0.2 + 0.8 * self.random.random())
+            if self.random.random() < self.faults.slow:
                 delay += self.random.random()
-            if to in self.trouble.far and name not in self.trouble.far:
-                delay += self.trouble.more
-            self.later(delay, arrive)
+            if to in self.faults.distant and name not in self.faults.distant:
+                delay += self.faults.extra_delay
+            self.schedule(delay, arrive)
 
     # Properties
 
     def check_done(self, number: int) -> None:
         """Check that no member with a lease at this moment lacks an entry up to the watermark."""
         for name, process in self.processes.items():
-            if process.node.has_lease(process.now(self.at)) and process.node.applied_until < number:
-                raise Broken(f"{name} vouches with {process.node.applied_until}, {number} is said to be done")
+            if process.node.has_lease(process.now(self.time)) and process.node.applied_until < number:
+                raise Broken(
+                    f"{name} has a lease and {process.node.applied_until}, "
+                    f"but {number} is reported as applied everywhere"
+                )
 
     def check_bounds(self, name: str, process: Process) -> None:
         """Check that a process's memory is bounded. This is done after each event, as nothing else changes
         its state."""
         node = process.node
         if len(node.applied.ranges) > 8:
-            raise Broken(f"{name} has {len(node.applied.ranges)} lanes")
+            raise Broken(f"{name} has {len(node.applied.ranges)} ranges")
         if len(node.children.by_name) > node.tree.max_children(name):
             raise Broken(f"{name} has {len(node.children.by_name)} children")
         if (
             len(node.repairs.entry_requests) > node.repairs.max_requesters
             or len(node.suffix.blocks) > node.suffix.capacity / 256 + 3
         ):
-            raise Broken(f"{name} keeps too much")
+            raise Broken(f"{name} keeps more than its bounds")
 
     def check_bytes(self) -> None:
         """Check that no process exceeds its send budget in any second of its own clock; a member's next
@@ -292,49 +301,53 @@
 
     def run(self, seconds: float, write: int = 0, every: float = 0.1) -> None:
         """Let time pass, and write entries at regular intervals."""
-        end = self.at + seconds
+        end = self.time + seconds
         if write:
 
             def more() -> None:
                 self.write(write)
-                if self.at + every < end:
-                    self.later(every, more)
+                if self.time + every < end:
+                    self.schedule(every, more)
 
-            self.later(every, more)
+            self.schedule(every, more)
         while self.events and self.events[0][0] <= end:
-            self.at, _, what = heapq.heappop(self.events)
-            what()
-            self.check_done(self.most_done)
-        self.at = end
+            self.time, _, call = heapq.heappop(self.events)
+            call()
+            self.check_done(self.highest_watermark)
+        self.time = end
 
     def check_all_same(self) -> None:
         """Check that all members agree, after a sufficiently long time without faults."""
         expected: dict[bytes, tuple[int, Change]] = {}
-        for number in range(1, self.log + 1):
+        for number in range(1, self.log_end + 1):
             entry = entry_at(number)
             if isinstance(entry, Change):
                 expected[entry.subject] = number, entry
         for name, process in self.processes.items():
-            forgotten = {n for first, last in process.forgotten for n in range(first, last + 1)}
-            missing = set(range(1, self.log + 1)) - set(process.applied) - forgotten
-            if missing or process.node.applied_until != self.log:
+            purged = {n for first, last in process.purged for n in range(first, last + 1)}
+            missing = set(range(1, self.log_end + 1)) - set(process.applied) - purged
+            if missing or process.node.applied_until != self.log_end:
                 raise Broken(f"{name} lacks {sorted(missing)[:5]}: {self.status(name)}")
             if process.table != expected:
-                raise Broken(f"{name} has another table")
-            if not process.node.has_lease(process.now(self.at)) or not process.told:
-                raise Broken(f"{name} does not vouch: {self.status(name)}")
-        if self.done[-1][1].number != self.log or self.done[-1][1].members != len(self.processes):
-            raise Broken(f"done is {self.done[-1]}, of {self.log}: {self.status(self.root)}")
+                raise Broken(f"{name} has a different table")
+            if not process.node.has_lease(process.now(self.time)) or not process.lease_valid:
+                raise Broken(f"{name} has no lease: {self.status(name)}")
+        if self.watermarks[-1][1].number != self.log_end or self.watermarks[-1][1].members != len(
+            self.processes
+        ):
+            raise Broken(
+                f"the watermark is {self.watermarks[-1]}, of {self.log_end}: {self.status(self.root)}"
+            )
 
     def status(self, name: str) -> dict[str, Any]:
         process = self.processes[name]
-        return process.node.status(process.now(self.at))
+        return process.node.status(process.now(self.time))
 
 
 def tiers(settings: Settings = SETTINGS) -> dict[int, list[str]]:
     tree = Tree(settings)
-    found: dict[int, list[str]] = defaultdict(list)
+    members: dict[int, list[str]] = defaultdict(list)
     for site in settings.sites:
         for name in (*site.routers, *site.parts):
-            found[tree.tier(name)].append(name)
-    return found
+            members[tree.tier(name)].append(name)
+    return members
--- a/tests/test_spread_log.py
+++ b/tests/test_spread_log.py
@@ -14,17 +14,17 @@
 from myrtlecourse.spread import replica_events as events
 from myrtlecourse.spread.log_file import LogFile, encode_record
 from myrtlecourse.spread.replica_events import LogError, LogState, Record
-from tests.spread_replicas import entry
+from tests.spread_replicas import make_entry
 
 CHECKS = hypothesis_settings(max_examples=60, suppress_health_check=list(HealthCheck))
 RECORDS: tuple[Record, ...] = (
     *(
         events.Promise(3),
-        events.Write(1, 3, tuple(map(entry, range(1, 8)))),
+        events.Write(1, 3, tuple(map(make_entry, range(1, 8)))),
         events.Commit(5),
         events.Truncate(6),
     ),
-    *(events.Promise(9), events.Write(6, 9, (entry(20), entry(21)))),
+    *(events.Promise(9), events.Write(6, 9, (make_entry(20), make_entry(21)))),
 )
 DATA = b"".join(map(encode_record, RECORDS))
 FIRST = "0000000000000001.log"
@@ -115,23 +115,23 @@
 
     monkeypatch.setattr(os, "write", write)
     with pytest.raises(OSError, match="No space"):
-        file.append((events.Write(8, 3, tuple(map(entry, range(8, 20)))),))
+        file.append((events.Write(8, 3, tuple(map(make_entry, range(8, 20)))),))
     monkeypatch.undo()
-    file.append((events.Write(8, 3, (entry(99),)),))
+    file.append((events.Write(8, 3, (make_entry(99),)),))
     file.close()
-    assert read(tmp_path) == sums((*RECORDS[:2], events.Write(8, 3, (entry(99),))))
+    assert read(tmp_path) == sums((*RECORDS[:2], events.Write(8, 3, (make_entry(99),))))
 
 
 def test_a_snapshot_stands_for_older_segments(tmp_path: Path) -> None:
     file, every = LogFile(tmp_path), list[Record]()
     for first in range(1, 301, 100):
-        every.append(events.Write(first, 7, tuple(map(entry, range(first, first + 100)))))
+        every.append(events.Write(first, 7, tuple(map(make_entry, range(first, first + 100)))))
         file.append((every[-1],))
     every.append(events.Commit(250))
     every.append(sums(tuple(every)).snapshot_at(220))
     file.append(tuple(every[-2:]))
     every.append(sums(tuple(every)).snapshot_at(250))
-    every += [events.Write(301, 7, (entry(301),)), events.Commit(300), events.Promise(8)]
+    every += [events.Write(301, 7, (make_entry(301),)), events.Commit(300), events.Promise(8)]
     file.append(tuple(every[-4:]))
     every.append(sums(tuple(every)).snapshot_at(300))
     file.append((every[-1],))
--- a/tests/test_spread_node.py
+++ b/tests/test_spread_node.py
@@ -16,107 +16,107 @@
 from myrtlecourse.spread.node import Node
 from myrtlecourse.spread.parent import Parent
 from myrtlecourse.spread.send_window import SendWindow
-from tests.spread_world import CONTROLS, SETTINGS, SITES, Broken, Trouble, World, tiers
+from tests.spread_world import CONTROLS, SETTINGS, SITES, Broken, NetworkFaults, Simulation, tiers
 
 
 def test_without_faults_all_is_applied_everywhere_and_known_to_be() -> None:
-    world = World(1)
-    world.elect("c1")
-    world.run(5.0)
-    world.run(5.0, write=5)
-    written = world.at
-    world.run(2.0)
-    world.check_all_same()
-    world.check_bytes()
-    assert world.done[-1][0] <= written + 1.7
-    assert not any(p.forgotten for p in world.processes.values())
-
-
-def play(seed: int) -> World:
+    simulation = Simulation(1)
+    simulation.elect("c1")
+    simulation.run(5.0)
+    simulation.run(5.0, write=5)
+    written = simulation.time
+    simulation.run(2.0)
+    simulation.check_all_same()
+    simulation.check_bytes()
+    assert simulation.watermarks[-1][0] <= written + 1.7
+    assert not any(p.purged for p in simulation.processes.values())
+
+
+def run_with_faults(seed: int) -> Simulation:
     """Run a fleet with random faults, then without faults for long enough to recover."""
     chance = random.Random(seed)
-    trouble = Trouble(
+    faults = NetworkFaults(
         loss=chance.choice([0.0, 0.01, 0.05, 0.2]),
-        copies=chance.choice([0.0, 0.05]),
+        duplicates=chance.choice([0.0, 0.05]),
         delay=chance.choice([0.01, 0.05, 0.15]),
         slow=chance.choice([0.0, 0.01, 0.1]),
     )
-    world = World(seed, trouble=trouble)
-    world.elect(chance.choice(CONTROLS))
-    world.run(2.0)
+    simulation = Simulation(seed, faults=faults)
+    simulation.elect(chance.choice(CONTROLS))
+    simulation.run(2.0)
 
     def start(name: str) -> None:
-        if name not in world.processes:
-            world.start(name)
+        if name not in simulation.processes:
+            simulation.start(name)
 
     for _ in range(chance.randrange(1, 6)):
-        what = chance.randrange(4)
-        if what == 0:
-            name = chance.choice([m for m in world.members if m != world.root])
-            world.stop(name)
-            world.later(chance.choice([0.01, 0.5, 3.0]), partial(start, name))
-        elif what == 1:
-            world.cut = set(chance.sample(world.members, chance.randrange(1, 8)))
-            world.later(chance.choice([0.5, 3.0]), world.cut.clear)
-        elif what == 2:
-            world.elect(chance.choice([c for c in CONTROLS if c in world.processes]))
-        world.run(chance.choice([0.3, 1.0, 3.0]), write=chance.choice([0, 1, 5]))
-    world.trouble = Trouble()
-    world.run(4.0)
-    world.cut = set()
-    world.run(25.0)
-    world.write(3)
-    world.run(3.0)
-    world.check_all_same()
-    world.check_bytes()
-    return world
+        fault = chance.randrange(4)
+        if fault == 0:
+            name = chance.choice([m for m in simulation.members if m != simulation.root])
+            simulation.stop(name)
+            simulation.schedule(chance.choice([0.01, 0.5, 3.0]), partial(start, name))
+        elif fault == 1:
+            simulation.partition = set(chance.sample(simulation.members, chance.randrange(1, 8)))
+            simulation.schedule(chance.choice([0.5, 3.0]), simulation.partition.clear)
+        elif fault == 2:
+            simulation.elect(chance.choice([c for c in CONTROLS if c in simulation.processes]))
+        simulation.run(chance.choice([0.3, 1.0, 3.0]), write=chance.choice([0, 1, 5]))
+    simulation.faults = NetworkFaults()
+    simulation.run(4.0)
+    simulation.partition = set()
+    simulation.run(25.0)
+    simulation.write(3)
+    simulation.run(3.0)
+    simulation.check_all_same()
+    simulation.check_bytes()
+    return simulation
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_random_troubles_break_no_property_and_all_are_the_same_after(seed: int) -> None:
-    play(seed)
+    run_with_faults(seed)
 
 
-def play_far(seed: int) -> None:
+def run_with_delays(seed: int) -> None:
     """Delay datagrams to one site more and more, then cut it off."""
-    far = frozenset(SITES[1].routers + SITES[1].parts)
-    world = World(seed)
-    world.elect("c1")
-    for more in (0.0, 0.25, 0.5, 0.75, 1.0):
-        world.trouble = Trouble(far=far, more=more)
-        world.run(3.0, write=1)
-    world.cut = set(far)
-    world.run(4.0, write=1)
-    world.cut = set()
-    world.trouble = Trouble()
-    world.run(15.0)
-    world.write(3)
-    world.run(3.0)
-    world.check_all_same()
-    world.check_bytes()
+    distant = frozenset(SITES[1].routers + SITES[1].parts)
+    simulation = Simulation(seed)
+    simulation.elect("c1")
+    for extra_delay in (0.0, 0.25, 0.5, 0.75, 1.0):
+        simulation.faults = NetworkFaults(distant=distant, extra_delay=extra_delay)
+        simulation.run(3.0, write=1)
+    simulation.partition = set(distant)
+    simulation.run(4.0, write=1)
+    simulation.partition = set()
+    simulation.faults = NetworkFaults()
+    simulation.run(15.0)
+    simulation.write(3)
+    simulation.run(3.0)
+    simulation.check_all_same()
+    simulation.check_bytes()
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_a_lease_is_over_in_time_however_long_answers_were_under_way(seed: int) -> None:
-    play_far(seed)
+    run_with_delays(seed)
 
 
 def test_beyond_the_tail_a_member_forgets_and_takes_the_table() -> None:
-    world = World(2, settings=replace(SETTINGS, tail=100))
-    world.elect("c1")
-    world.run(3.0, write=2)
+    simulation = Simulation(2, settings=replace(SETTINGS, tail=100))
+    simulation.elect("c1")
+    simulation.run(3.0, write=2)
     (away, *_) = tiers()[3]
-    world.cut = {away}
-    world.run(14.0, write=5)
-    world.cut = set()
-    world.run(10.0, write=2)
-    world.run(5.0)
-    world.check_all_same()
-    world.check_bytes()
-    assert {name for name, p in world.processes.items() if p.forgotten} == {away}
-    assert world.processes[away].restored
+    simulation.partition = {away}
+    simulation.run(14.0, write=5)
+    simulation.partition = set()
+    simulation.run(10.0, write=2)
+    simulation.run(5.0)
+    simulation.check_all_same()
+    simulation.check_bytes()
+    assert {name for name, p in simulation.processes.items() if p.purged} == {away}
+    assert simulation.processes[away].restored
     assert all(
-        world.words[word]
+        simulation.message_counts[word]
         for word in (
             msg.RetransmitRequest,
             msg.EntriesDropped,
@@ -129,14 +129,14 @@
 
 def root_says_done_at_once(patch: pytest.MonkeyPatch) -> None:
     """A new root that does not wait for the previous root's leases to expire."""
-    patch.setattr(Node, "_announce_watermark", lambda self: tell(self, at_once=True))
+    patch.setattr(Node, "_announce_watermark", lambda self: announce(self, at_once=True))
 
 
-def tell(self: Node, at_once: bool) -> None:
-    done, _ = self.children.advance_watermark(self.now, self.applied_until)
-    if done > self.announced_watermark:
-        self.announced_watermark = done
-        self.actions.append(msg.Watermark(done, *self.children.member_counts(self.now)))
+def announce(self: Node, at_once: bool) -> None:
+    watermark, _ = self.children.advance_watermark(self.now, self.applied_until)
+    if watermark > self.announced_watermark:
+        self.announced_watermark = watermark
+        self.actions.append(msg.Watermark(watermark, *self.children.member_counts(self.now)))
 
 
 def done_ignores_the_children(patch: pytest.MonkeyPatch) -> None:
@@ -176,12 +176,12 @@
 
 def lease_runs_from_the_answer(patch: pytest.MonkeyPatch) -> None:
     """A node whose lease starts when the answer arrives instead of when the report was sent."""
-    beat = Parent.on_heartbeat
+    on_heartbeat = Parent.on_heartbeat
 
-    def late(self: Parent, now: float, sender: str, word: msg.Heartbeat, granted_until: float) -> str:
-        if word.echo in self.sent_reports:
-            self.sent_reports[word.echo] = now
-        return beat(self, now, sender, word, granted_until)
+    def late(self: Parent, now: float, sender: str, heartbeat: msg.Heartbeat, granted_until: float) -> str:
+        if heartbeat.echo in self.sent_reports:
+            self.sent_reports[heartbeat.echo] = now
+        return on_heartbeat(self, now, sender, heartbeat, granted_until)
 
     patch.setattr(Parent, "on_heartbeat", late)
 
@@ -198,11 +198,11 @@
 
 def fills_holes_in_any_order(patch: pytest.MonkeyPatch) -> None:
     """A node that applies entries within a gap out of order."""
-    room = AppliedRanges.acceptable
+    acceptable = AppliedRanges.acceptable
 
     def early(self: AppliedRanges, first: int, last: int) -> Range | None:
         if first > self.highest or self.range_end(first):
-            return room(self, first, last)
+            return acceptable(self, first, last)
         return first, min(last, next(start for start, _ in self.ranges if start > first) - 1)
 
     patch.setattr(AppliedRanges, "acceptable", early)
@@ -233,11 +233,11 @@
     wrong(monkeypatch)
     for seed in seeds:
         with pytest.raises(Broken, match=breach):
-            play(seed)
+            run_with_faults(seed)
 
 
 def test_a_lease_from_the_answer_on_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     lease_runs_from_the_answer(monkeypatch)
     for seed in range(2):
         with pytest.raises(Broken, match=AHEAD):
-            play_far(seed)
+            run_with_delays(seed)
--- a/tests/test_spread_operators.py
+++ b/tests/test_spread_operators.py
@@ -47,8 +47,8 @@
     """Return a valid table of a router."""
     site = {"name": "s", "region": "r", "routers": [peer("a", 11), peer("b", 12)], "parts": [peer("p", 13)]}
     control = [peer(name, number) for number, name in enumerate(CONTROL, 1)]
-    told = {"name": "a", "key_file": "key", "control": control, "site": [site]} | changes
-    return {name: value for name, value in told.items() if value is not None}
+    fields = {"name": "a", "key_file": "key", "control": control, "site": [site]} | changes
+    return {name: value for name, value in fields.items() if value is not None}
 
 
 def duties(**changes: Any) -> dict[str, Any]:
@@ -76,13 +76,13 @@
 
 
 def test_a_router_s_table_is_read_and_what_it_leaves_out_is_as_the_settings_have_it(tmp_path: Path) -> None:
-    told = read_operators(write(tmp_path, spread=table(rate=50.0, tail=1000))).spread
-    assert told is not None
-    settings = told.settings()
+    spread_table = read_operators(write(tmp_path, spread=table(rate=50.0, tail=1000))).spread
+    assert spread_table is not None
+    settings = spread_table.settings()
     assert (settings.name, settings.control, settings.rate, settings.tail) == ("a", CONTROL, 50.0, 1000)
     assert settings.sites == (msg.Site("s", "r", ("a", "b"), ("p",)),)
     assert settings == msg.Settings("a", CONTROL, settings.sites, rate=50.0, tail=1000)
-    assert {p.name: p.at for p in told.members()}["p"] == "127.0.0.1:13"
+    assert {p.name: p.at for p in spread_table.members()}["p"] == "127.0.0.1:13"
 
 
 def test_a_control_machine_s_duty_comes_after_the_address_and_has_no_orders(tmp_path: Path) -> None:
@@ -145,10 +145,10 @@
 def test_calls_for_entries_are_known() -> None:
     key = "00112233aabbCCDD"
     assert Exchange().receive(sent("GET", "/control/spread")) == Call(Kind.SPREAD)
-    told = Exchange().receive(sent("PUT", f"/control/spread/purge/{key}"))
-    assert told == Call(Kind.SPREAD_PURGE, key=bytes.fromhex(key))
-    told = Exchange().receive(sent("PUT", f"/control/spread/send/{key}/6f6b"))
-    assert told == Call(Kind.SPREAD_SEND, key=bytes.fromhex(key), value=b"ok")
+    call = Exchange().receive(sent("PUT", f"/control/spread/purge/{key}"))
+    assert call == Call(Kind.SPREAD_PURGE, key=bytes.fromhex(key))
+    call = Exchange().receive(sent("PUT", f"/control/spread/send/{key}/6f6b"))
+    assert call == Call(Kind.SPREAD_SEND, key=bytes.fromhex(key), value=b"ok")
     longest = Exchange().receive(sent("PUT", f"/control/spread/send/{key}/{'ff' * msg.MAX_VALUE_BYTES}"))
     assert isinstance(longest, Call) and len(longest.value) == msg.MAX_VALUE_BYTES
 
@@ -175,8 +175,8 @@
     ],
 )
 def test_calls_for_no_entry_are_refused(method: str, path: str, status: int) -> None:
-    told = read_call(method.encode(), f"/control/spread{path}".encode())
-    assert isinstance(told, Answer) and told.status == HTTPStatus(status)
+    answer = read_call(method.encode(), f"/control/spread{path}".encode())
+    assert isinstance(answer, Answer) and answer.status == HTTPStatus(status)
 
 
 @given(st.binary(max_size=80))
@@ -279,7 +279,7 @@
 # Commands
 
 
-class Answers(BaseHTTPRequestHandler):
+class PreparedAnswers(BaseHTTPRequestHandler):
     """A member's operators' address with prepared answers."""
 
     def _answer(self) -> None:
@@ -299,7 +299,7 @@
 @contextmanager
 def answering(*answers: tuple[int, str]) -> Iterator[Any]:
     """Run a server that gives these answers in sequence and repeats the last one."""
-    server: Any = ThreadingHTTPServer(("127.0.0.1", 0), Answers)
+    server: Any = ThreadingHTTPServer(("127.0.0.1", 0), PreparedAnswers)
     server.answers, server.asked = list(answers), []
     server.at = f"127.0.0.1:{server.server_address[1]}"
     thread = Thread(target=server.serve_forever)
@@ -312,7 +312,7 @@
         server.server_close()
 
 
-def told(done: list[int] | None) -> str:
+def status_json(done: list[int] | None) -> str:
     status = {"name": "c1", "holder": "c1", "writes": True, "vouches": True, "failed": "", "done": done}
     node = {"tier": 0, "children": [{"name": "a", "have": 3}], "counts": {"stale": 0}}
     return json.dumps(status | {"node": node, "head": None, "sent": 1, "dropped": {"replayed": 2}})
@@ -324,7 +324,10 @@
 
 def test_a_purge_goes_to_whoever_writes_the_log_and_is_waited_for() -> None:
     refusal = (503, "the log is not written here; its holder is c1")
-    with answering(refusal) as other, answering((200, "7"), (200, "8"), (200, told([8, 40, 2]))) as holder:
+    with (
+        answering(refusal) as other,
+        answering((200, "7"), (200, "8"), (200, status_json([8, 40, 2]))) as holder,
+    ):
         done = spread("purge", "x", "y", "--at", other.at, "--at", holder.at, "--wait", "9")
     assert (done.exit_code, done.output) == (0, "7 x\n8 y\ndone everywhere up to 8: 40 members, 2 away\n")
     hashed = [blake2b(name, digest_size=8).hexdigest() for name in (b"x", b"y")]
@@ -357,13 +360,13 @@
 
 
 def test_waiting_has_an_end() -> None:
-    with answering((200, "9"), (200, told([8, 40, 2]))) as holder:
+    with answering((200, "9"), (200, status_json([8, 40, 2]))) as holder:
         done = spread("purge", "x", "--at", holder.at, "--wait", "0.01")
     assert done.exit_code == 1 and "done everywhere up to 8 after 0.01 s" in done.stderr
 
 
 def test_status_is_a_table_or_json() -> None:
-    with answering((200, told([8, 40, 2]))) as at:
+    with answering((200, status_json([8, 40, 2]))) as at:
         plain, as_json = spread("status", "--at", at.at), spread("status", "--at", at.at, "--json")
     assert "8, by 40 members; 2 away" in plain.output and "2 replayed" in plain.output
     assert json.loads(as_json.output)[at.at]["done"] == [8, 40, 2]
@@ -374,13 +377,13 @@
 FIGURES: dict[str, Any] = {"lease": 1.0, "report": 0.05, "pause": 0.02}
 
 
-class Keepers:
+class Drivers:
     """All members of a small fleet in this process."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.peers = {n: free() for n in (*CONTROL, "a", "b", "p")}
-        self.each: dict[str, Driver] = {}
+        self.by_name: dict[str, Driver] = {}
 
     def make(self, name: str) -> Driver:
         sites = (msg.Site("s", "r", ("a", "b"), ("p",)),)
@@ -389,32 +392,34 @@
             log.mkdir(exist_ok=True)
         settings = msg.Settings(name, CONTROL, sites, **FIGURES)
         applied = self.folder / f"{name}.applied"
-        made = Driver(settings, self.peers, (b"k" * 16, ()), applied, 2**20, log if name in CONTROL else None)
-        self.each[name] = made
-        return made
+        driver = Driver(
+            settings, self.peers, (b"k" * 16, ()), applied, 2**20, log if name in CONTROL else None
+        )
+        self.by_name[name] = driver
+        return driver
 
     async def start(self, shared: bool = False) -> Driver:
         """Start all members and return the leader's driver."""
         for name in self.peers:
             await self.make(name).start(self.peers[name], shared)
-        writer = self.each["c1"]
+        writer = self.by_name["c1"]
         writer.held_token = lambda: 1
         writer.gain_leadership(1)
         return writer
 
-    def has(self, name: str, entry: msg.Entry) -> bool:
+    def has_applied(self, name: str, entry: msg.Entry) -> bool:
         return any(entry_line(entry) in line for line in lines(self.folder / f"{name}.applied"))
 
     async def close(self) -> None:
-        for keeper in self.each.values():
-            await keeper.close()
+        for driver in self.by_name.values():
+            await driver.close()
 
 
 def entry_line(entry: msg.Entry) -> str:
     return f"purge {entry.key.hex()}" if isinstance(entry, msg.Purge) else f"change {entry.subject.hex()}"
 
 
-async def lasts(writer: Driver, entry: msg.Entry) -> int:
+async def commit_when_ready(writer: Driver, entry: msg.Entry) -> int:
     """Propose until the entry is accepted: a new leader first completes its takeover."""
     while True:
         try:
@@ -425,66 +430,66 @@
 
 def test_an_entry_that_lasts_is_written_by_all_members_and_done_everywhere(tmp_path: Path) -> None:
     async def scenario() -> None:
-        keepers = Keepers(tmp_path)
-        writer = await keepers.start()
-        number = await lasts(writer, PURGE)
-        await until(lambda: all(keepers.has(name, PURGE) for name in keepers.peers))
+        drivers = Drivers(tmp_path)
+        writer = await drivers.start()
+        number = await commit_when_ready(writer, PURGE)
+        await until(lambda: all(drivers.has_applied(name, PURGE) for name in drivers.peers))
         await until(lambda: writer.watermark is not None and writer.watermark.number >= number)
-        told = writer.status()
-        assert told["writes"] and told["holder"] == "c1" and not told["failed"]
-        json.dumps(told), json.dumps(keepers.each["p"].status())
-        await until(lambda: all(k.status()["vouches"] for k in keepers.each.values()))
+        status = writer.status()
+        assert status["writes"] and status["holder"] == "c1" and not status["failed"]
+        json.dumps(status), json.dumps(drivers.by_name["p"].status())
+        await until(lambda: all(k.status()["vouches"] for k in drivers.by_name.values()))
         with pytest.raises(SpreadError, match="its holder is c1"):
-            keepers.each["c2"].propose(PURGE, lambda _: None)
+            drivers.by_name["c2"].propose(PURGE, lambda _: None)
         # The duty has ended, but the driver has not been notified yet.
         writer.held_token = lambda: None
         with pytest.raises(SpreadError, match="its holder is not known"):
             writer.propose(PURGE, lambda _: None)
         assert not writer.status()["writes"]
-        await keepers.close()
+        await drivers.close()
 
     run(scenario)
 
 
 def test_a_member_that_cannot_write_what_it_applies_falls_silent(tmp_path: Path) -> None:
     async def scenario() -> None:
-        keepers = Keepers(tmp_path)
-        writer = await keepers.start()
-        part = keepers.each["p"]
+        drivers = Drivers(tmp_path)
+        writer = await drivers.start()
+        part = drivers.by_name["p"]
         await until(lambda: part.status()["vouches"])
         assert part.applied_log is not None
         with open("/dev/full", "wb") as full:
             os.dup2(full.fileno(), part.applied_log.file)
-        await lasts(writer, PURGE)
+        await commit_when_ready(writer, PURGE)
         await until(lambda: bool(part.failure))
-        told = part.status()
-        assert "can't be written" in told["failed"] and not told["vouches"]
+        status = part.status()
+        assert "can't be written" in status["failed"] and not status["vouches"]
         assert part.transport is None
-        await keepers.close()
+        await drivers.close()
 
     run(scenario)
 
 
 def test_a_process_beside_waits_until_the_one_before_has_let_go(tmp_path: Path) -> None:
     async def scenario() -> None:
-        keepers = Keepers(tmp_path)
-        await keepers.start()
-        before = keepers.each["c2"]
-        after = keepers.make("c2")
-        await after.start(keepers.peers["c2"], shared=True)
+        drivers = Drivers(tmp_path)
+        await drivers.start()
+        before = drivers.by_name["c2"]
+        after = drivers.make("c2")
+        await after.start(drivers.peers["c2"], shared=True)
         assert after.node is None and after.log_file is None and after.applied_log is None
         await before.close()
         await until(lambda: after.replica is not None)
-        await keepers.close()
+        await drivers.close()
 
     run(scenario)
 
 
 def test_a_disk_that_fails_keeps_nothing_and_says_so(tmp_path: Path) -> None:
     async def scenario() -> None:
-        keepers = Keepers(tmp_path)
-        writer = await keepers.start()
-        await lasts(writer, PURGE)
+        drivers = Drivers(tmp_path)
+        writer = await drivers.start()
+        await commit_when_ready(writer, PURGE)
 
         def broken(records: Any) -> None:
             raise OSError("a broken disk")
@@ -493,6 +498,6 @@
         writer.log_file.append = broken  # type: ignore[method-assign]
         with pytest.raises((SpreadError, OutcomeUnknown), match="a broken disk"):
             await commit(writer, CHANGE)
-        await keepers.close()
+        await drivers.close()
 
     run(scenario)
--- a/tests/test_spread_worlds.py
+++ b/tests/test_spread_worlds.py
@@ -14,7 +14,7 @@
 from myrtlecourse.spread import messages as msg
 from myrtlecourse.spread.messages import Purge
 from myrtlecourse.spread.tree import Tree
-from tests.wrong_spread import HEADS, NODES
+from tests.wrong_spread import FAULTY_NODES, FAULTY_REPLICAS
 
 SITES = laid_out(regions=3, sites=5, routers=25, parts=10)
 FIGURES: dict[str, Any] = {"tail": 200, "control_tail": 400}
@@ -37,36 +37,36 @@
 
 def world(seed: int, **more: Any) -> World:
     """Return a running fleet of 38 members."""
-    there = World(SITES, 3, seed, 1_000, **(FIGURES | more))
-    there.start(1.0)
-    there.run(1.0)
-    assert there.settle(20.0) is not None
-    return there
+    simulation = World(SITES, 3, seed, 1_000, **(FIGURES | more))
+    simulation.start(1.0)
+    simulation.run(1.0)
+    assert simulation.settle(20.0) is not None
+    return simulation
 
 
-def play(there: World, seconds: float = SECONDS) -> list[str]:
+def run_with_faults(simulation: World, seconds: float = SECONDS) -> list[str]:
     """Inject faults under load, then check that all members recover and agree."""
-    there.load(LOAD, 1.0, seconds)
-    told = schedule(there, seconds)
-    well_again(there)
-    assert there.settle(60.0) is not None, told
-    there.check_same()
-    there.run(3.0)
-    assert there.judge.done == len(there.judge.log) - 1, told
-    return told
+    simulation.load(LOAD, 1.0, seconds)
+    faults = schedule(simulation, seconds)
+    well_again(simulation)
+    assert simulation.settle(60.0) is not None, faults
+    simulation.check_same()
+    simulation.run(3.0)
+    assert simulation.judge.done == len(simulation.judge.log) - 1, faults
+    return faults
 
 
 @pytest.mark.parametrize("seed", (1, 2, 5, 6, 13, 14))
 def test_rules_hold_under_troubles(seed: int) -> None:
-    play(world(seed))
+    run_with_faults(world(seed))
 
 
 def test_all_agree_on_the_tree_whatever_their_names() -> None:
     sites = laid_out(regions=3, sites=12, routers=300, parts=120)
-    there = World(sites, 3, 1, 10)
-    of_all = Tree(there.settings(there.control[0], there.each[0].place))
-    for member in there.each:
-        own = Tree(there.settings(member.name, member.place))
+    simulation = World(sites, 3, 1, 10)
+    of_all = Tree(simulation.settings(simulation.control[0], simulation.each[0].place))
+    for member in simulation.each:
+        own = Tree(simulation.settings(member.name, member.place))
         assert own.tier(member.name) == of_all.tier(member.name), member.name
         assert all(of_all.may_be_parent(parent, member.name) for parent in own.candidates(member.name)), (
             member.name
@@ -75,30 +75,32 @@
 
 def test_same_seed_plays_the_same() -> None:
     first, second = world(1), world(1)
-    assert play(first, 4.0) == play(second, 4.0)
+    assert run_with_faults(first, 4.0) == run_with_faults(second, 4.0)
     assert first.core.happened == second.core.happened and first.bytes == second.bytes
     np.testing.assert_array_equal(first.judge.at, second.judge.at)
 
 
 def test_each_member_keeps_a_narrow_budget() -> None:
-    there = world(3, budget=7_000.0, control_budget=36_000.0)
-    there.network.loss = 0.05
-    before = len(there.seconds)
-    there.load(100.0, 1.0, 5.0)
-    there.run(5.0)
-    most = np.diff([second[0] for second in there.seconds[before:]], axis=0).max(axis=0)
-    assert most[: len(there.control)].max() <= 36_000
-    assert most[len(there.control) :].max() <= 7_000
-    assert there.settle(10.0) is not None
-    there.check_same()
+    simulation = world(3, budget=7_000.0, control_budget=36_000.0)
+    simulation.network.loss = 0.05
+    before = len(simulation.seconds)
+    simulation.load(100.0, 1.0, 5.0)
+    simulation.run(5.0)
+    most = np.diff([second[0] for second in simulation.seconds[before:]], axis=0).max(axis=0)
+    assert most[: len(simulation.control)].max() <= 36_000
+    assert most[len(simulation.control) :].max() <= 7_000
+    assert simulation.settle(10.0) is not None
+    simulation.check_same()
 
 
 @pytest.mark.parametrize("name", WRONG)
 def test_wrong_forms_are_caught(name: str) -> None:
-    form: dict[str, Any] = {"make": NODES[name]} if name in NODES else {"make_head": HEADS[name]}
+    variant: dict[str, Any] = (
+        {"make": FAULTY_NODES[name]} if name in FAULTY_NODES else {"make_head": FAULTY_REPLICAS[name]}
+    )
     for seed in (WRONG[name], *range(1, 9)):
         try:
-            play(world(seed, **form))
+            run_with_faults(world(seed, **variant))
         except Broken:
             return
     pytest.fail("none of nine worlds catches it")
@@ -111,9 +113,9 @@
 
 def judge() -> Judge:
     """Return a judge of two members with five committed entries."""
-    found = Judge(2, 8)
-    found.settled(1, tuple(KEYS[:5]))
-    return found
+    result = Judge(2, 8)
+    result.settled(1, tuple(KEYS[:5]))
+    return result
 
 
 def test_judge_sees_an_entry_applied_twice() -> None:
--- a/tests/wrong_spread.py
+++ b/tests/wrong_spread.py
@@ -14,8 +14,8 @@
 from myrtlecourse.spread.replica import Replica
 from myrtlecourse.spread.replica_events import LogState
 
-Make = Callable[[msg.Settings, float, int], Node]
-MakeHead = Callable[[msg.Settings, LogState, float], Replica]
+MakeNode = Callable[[msg.Settings, float, int], Node]
+MakeReplica = Callable[[msg.Settings, LogState, float], Replica]
 
 
 class CountsNoChild(Children):
@@ -26,10 +26,10 @@
 class GrantsTheLate(Children):
     """Grants a lease to a child that lacks entries up to the watermark."""
 
-    def grant(self, now: float, child: Child, left: float, epoch: int) -> int:
+    def grant(self, now: float, child: Child, lease_left: float, epoch: int) -> int:
         watermark, self.watermark = self.watermark, 0
         try:
-            return super().grant(now, child, left, epoch)
+            return super().grant(now, child, lease_left, epoch)
         finally:
             self.watermark = watermark
 
@@ -44,13 +44,13 @@
 class CountsFromTheAnswer(Parent):
     """Starts a lease when the answer arrives instead of when the report was sent."""
 
-    def on_heartbeat(self, now: float, sender: str, beat: msg.Heartbeat, granted_until: float) -> str:
-        if beat.echo in self.sent_reports:
-            self.sent_reports[beat.echo] = now
-        return super().on_heartbeat(now, sender, beat, granted_until)
+    def on_heartbeat(self, now: float, sender: str, heartbeat: msg.Heartbeat, granted_until: float) -> str:
+        if heartbeat.echo in self.sent_reports:
+            self.sent_reports[heartbeat.echo] = now
+        return super().on_heartbeat(now, sender, heartbeat, granted_until)
 
 
-def with_children(kind: type[Children]) -> Make:
+def with_children(kind: type[Children]) -> MakeNode:
     """Return a node class that counts its children in another way."""
 
     class Wrong(Node):
@@ -95,7 +95,7 @@
         self._apply(first, entries)
 
 
-class Alone(msg.Settings):
+class QuorumOfOne(msg.Settings):
     """Treats one disk as a majority."""
 
     __slots__ = ()
@@ -105,16 +105,16 @@
         return 1
 
 
-def settles_alone(settings: msg.Settings, saved: LogState, now: float) -> Replica:
+def settles_alone(settings: msg.Settings, state: LogState, now: float) -> Replica:
     values: list[Any] = [getattr(settings, f.name) for f in fields(settings)]
-    return Replica(Alone(*values), saved, now)
+    return Replica(QuorumOfOne(*values), state, now)
 
 
-def forgets_its_disk(settings: msg.Settings, saved: LogState, now: float) -> Replica:
+def forgets_its_disk(settings: msg.Settings, state: LogState, now: float) -> Replica:
     return Replica(settings, LogState(), now)
 
 
-NODES: dict[str, Make] = {
+FAULTY_NODES: dict[str, MakeNode] = {
     "counts_no_child": with_children(CountsNoChild),
     "grants_the_late": with_children(GrantsTheLate),
     "forgets_the_silent": with_children(ForgetsTheSilent),
@@ -124,4 +124,7 @@
     "speaks_at_once": SpeaksAtOnce,
     "applies_again": AppliesAgain,
 }
-HEADS: dict[str, MakeHead] = {"settles_alone": settles_alone, "forgets_its_disk": forgets_its_disk}
+FAULTY_REPLICAS: dict[str, MakeReplica] = {
+    "settles_alone": settles_alone,
+    "forgets_its_disk": forgets_its_disk,
+}
