--- a/myrtlecourse/spread/driver.py
+++ b/myrtlecourse/spread/driver.py
@@ -87,7 +87,7 @@
             try:
                 return await self._open(bind)
             except OSError as e:
-                bounded.log(logging.INFO, "spread: waiting for the previous process: %s", e)
+                bounded.log(logging.INFO, "spread: not listening yet: %s", e)
                 await asyncio.sleep(LISTEN_RETRY)
             except events.LogError as e:
                 return self._stop_participating(str(e))
