--- a/myrtlecourse/spread/applied_file.py
+++ b/myrtlecourse/spread/applied_file.py
@@ -28,7 +28,7 @@
 
 
 class AppliedFile:
-    """The file. Each line begins with the monotonic time in seconds at which it was written."""
+    """One member's file. Each line begins with the monotonic time in seconds at which it was written."""
 
     def __init__(self, path: Path, max_bytes: int) -> None:
         """Append to the file if it exists; it is rotated at `max_bytes`. Raises OSError."""
--- a/tests/test_spread_processes.py
+++ b/tests/test_spread_processes.py
@@ -82,7 +82,9 @@
         )
         number = await deployment.send(20)
         # Completion continues without members that know that they are cut off.
-        await until(lambda: told(deployment) >= number, lambda: f"done {told(deployment)} of {number}")
+        await until(
+            lambda: watermark(deployment) >= number, lambda: f"done {watermark(deployment)} of {number}"
+        )
         assert all(deployment.members()[name][-1].covered < number for name in west)
         await asyncio.sleep(CUT)
         await deployment.send(20)
@@ -105,9 +107,9 @@
             dropped = (await deployment.status(name))["dropped"]
             assert dropped["forged or cut"] >= 1 and dropped["of a length that none has"] >= 1
 
-    def told(deployment: Fleet) -> int:
-        lives = [life for name in CONTROL for life in deployment.members()[name]]
-        return max(number for life in lives for _, number in life.watermarks)
+    def watermark(deployment: Fleet) -> int:
+        records = [record for name in CONTROL for record in deployment.members()[name]]
+        return max(number for record in records for _, number in record.watermarks)
 
     run_with_faults(tmp_path, faults)
 
