--- a/myrtlecourse/spread/commands.py
+++ b/myrtlecourse/spread/commands.py
@@ -71,7 +71,7 @@
 @AT
 @click.option("--json", "as_json", is_flag=True, help="print JSON, an object for each --at")
 def status(places: tuple[str, ...], as_json: bool) -> None:
-    """Show what each member knows: the leader of the log, how far it is, and which member holds completion back."""
+    """Show what each member knows: the log's leader, its progress, and which member holds completion back."""
     found = ask_each(places, "spread")
     if as_json:
         click.echo(json.dumps(found, indent=2))
