--- a/myrtlecourse/duties/messages.py
+++ b/myrtlecourse/duties/messages.py
@@ -75,7 +75,7 @@
         if self.name not in self.members:
             raise DutiesError(f"members: {self.name} is not among them")
         if len(set(self.members)) < len(self.members) or len(self.members) > MAX_MEMBERS:
-            raise DutiesError(f"members: each name once, at most {MAX_MEMBERS}")
+            raise DutiesError(f"members: each name once, {MAX_MEMBERS} at most")
         if len(self.voters) not in range(1, 8) or not set(self.voters) <= set(self.members):
             raise DutiesError("voters: 1 to 7 of the members")
         if not 0 < len(self.duties) <= MAX_DUTIES or len({d.number for d in self.duties}) < len(self.duties):
--- a/myrtlecourse/election/messages.py
+++ b/myrtlecourse/election/messages.py
@@ -51,7 +51,7 @@
         if self.name not in self.voters and not self.preferred:
             raise ElectionError(f"voters: {self.name} is not among them")
         if len(set(self.preferred)) < len(self.preferred) or len(self.preferred) > MAX_CANDIDATES:
-            raise ElectionError(f"preferred: each name once, at most {MAX_CANDIDATES}")
+            raise ElectionError(f"preferred: each name once, {MAX_CANDIDATES} at most")
         if len(set(self.voters)) < len(self.voters):
             raise ElectionError("voters: a name is listed twice")
         if len(self.voters) > MAX_VOTERS:
--- a/myrtlecourse/spread/codec.py
+++ b/myrtlecourse/spread/codec.py
@@ -1,7 +1,7 @@
-"""What members of a spread say as the parts of datagrams; no I/O.
+"""Encodes and decodes the messages between members as parts of datagrams; no I/O.
 
-A word is its kind's number and its fields. Runs of purges are one string of bytes, KEY a purge: a number and
-a head for each would double what a purge costs.
+A message is the number of its kind followed by its fields. Consecutive purges are one byte string of
+KEY_BYTES per purge, because a number and a header for each would double the size of a purge.
 """
 
 from __future__ import annotations
@@ -14,25 +14,34 @@
 
 from myrtlecourse.peers.seal import LONGEST, SEAL, Dropped
 from myrtlecourse.peers.wire import HEAD
-from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.messages import KEY, LARGEST, LONGEST_VALUE, MOST_RANGES, Change, Entry, Purge, Word
+from myrtlecourse.spread import messages as msg
+from myrtlecourse.spread.messages import (
+    DIGEST_RANGES,
+    KEY_BYTES,
+    MAX_NUMBER,
+    MAX_VALUE_BYTES,
+    Change,
+    Entry,
+    Message,
+    Purge,
+)
 
-LONGEST_LEASE = 1_000_000  # milliseconds that a parent may grant
-MOST_WANTED = 4_096  # entries that one `Want` may ask for
-SUM = 4  # bytes of a digest's sum
+MAX_LEASE_MS = 1_000_000  # milliseconds that a parent may grant
+MAX_REQUESTED_ENTRIES = 4_096  # entries that one `RetransmitRequest` may ask for
+CHECKSUM_BYTES = 4  # bytes of a digest's checksum
 
-Number = Annotated[int, Meta(ge=0, le=LARGEST)]
-First = Annotated[int, Meta(ge=1, le=LARGEST)]
-Members = Annotated[int, Meta(ge=0, le=said.MOST_MEMBERS + said.MOST_CONTROL)]
-Key = Annotated[bytes, Meta(min_length=KEY, max_length=KEY)]
-After = Annotated[bytes, Meta(max_length=KEY)]  # a subject, or none
-Value = Annotated[bytes, Meta(max_length=LONGEST_VALUE)]
-Keys = Annotated[bytes, Meta(min_length=KEY, max_length=LONGEST)]  # of a run of purges
+Number = Annotated[int, Meta(ge=0, le=MAX_NUMBER)]
+First = Annotated[int, Meta(ge=1, le=MAX_NUMBER)]
+Members = Annotated[int, Meta(ge=0, le=msg.MAX_MEMBERS + msg.MAX_CONTROL_NODES)]
+Key = Annotated[bytes, Meta(min_length=KEY_BYTES, max_length=KEY_BYTES)]
+SubjectOrNone = Annotated[bytes, Meta(max_length=KEY_BYTES)]  # a subject, or empty
+Value = Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)]
+Keys = Annotated[bytes, Meta(min_length=KEY_BYTES, max_length=LONGEST)]  # of consecutive purges
 
 
 class _Change(Struct, array_like=True, forbid_unknown_fields=True):
-    """In a datagram. A class, as msgspec 0.23 crashes the process over `bytes | tuple[bytes, bytes]` with
-    lengths checked."""
+    """A change in a datagram. It is a class because msgspec 0.23 crashes the process when it decodes a union
+    of bytes and a tuple of bytes with length constraints."""
 
     subject: Key
     value: Value
@@ -47,29 +56,29 @@
 Entries = Annotated[tuple[Keys | _Change, ...], Meta(max_length=LONGEST)]
 
 
-class Shape(Struct, array_like=True, forbid_unknown_fields=True):
-    """A word in a datagram: its fields, in their order in `messages`."""
+class WireMessage(Struct, array_like=True, forbid_unknown_fields=True):
+    """A message in a datagram: its fields in the order that they have in `messages`."""
 
-    word: ClassVar[Any]
+    message_type: ClassVar[Any]
 
 
-class _News(Shape, tag=0):
-    word = said.News
+class _EntryBatch(WireMessage, tag=0):
+    message_type = msg.EntryBatch
     epoch: Number
     first: First
     entries: Entries
 
 
-class _Beat(Shape, tag=1):
-    word = said.Beat
+class _Heartbeat(WireMessage, tag=1):
+    message_type = msg.Heartbeat
     epoch: Number
     last: Number
     echo: Number
-    good_for: Annotated[int, Meta(ge=0, le=LONGEST_LEASE)]
+    good_for: Annotated[int, Meta(ge=0, le=MAX_LEASE_MS)]
 
 
-class _Report(Shape, tag=2):
-    word = said.Report
+class _Report(WireMessage, tag=2):
+    message_type = msg.Report
     stamp: Number
     epoch: Number
     have: Number
@@ -79,51 +88,53 @@
     behind: Annotated[int, Meta(ge=0, lt=2**32)]
 
 
-class _Leave(Shape, tag=3):
-    word = said.Leave
+class _Leave(WireMessage, tag=3):
+    message_type = msg.Leave
 
 
-class _Full(Shape, tag=4):
-    word = said.Full
+class _NoCapacity(WireMessage, tag=4):
+    message_type = msg.NoCapacity
 
 
-class _Want(Shape, tag=5):
-    word = said.Want
+class _RetransmitRequest(WireMessage, tag=5):
+    message_type = msg.RetransmitRequest
     first: First
-    count: Annotated[int, Meta(ge=1, le=MOST_WANTED)]
+    count: Annotated[int, Meta(ge=1, le=MAX_REQUESTED_ENTRIES)]
 
 
-class _Beyond(Shape, tag=6):
-    word = said.Beyond
+class _EntriesDropped(WireMessage, tag=6):
+    message_type = msg.EntriesDropped
     oldest: First
 
 
-class _Digest(Shape, tag=7):
-    word = said.Digest
+class _TableDigest(WireMessage, tag=7):
+    message_type = msg.TableDigest
     upto: First
-    sums: Annotated[bytes, Meta(min_length=SUM * MOST_RANGES, max_length=SUM * MOST_RANGES)]
+    sums: Annotated[
+        bytes, Meta(min_length=CHECKSUM_BYTES * DIGEST_RANGES, max_length=CHECKSUM_BYTES * DIGEST_RANGES)
+    ]
 
 
-class _Rows(Shape, tag=8):
-    word = said.Rows
-    range: Annotated[int, Meta(ge=0, lt=MOST_RANGES)]
+class _TableRows(WireMessage, tag=8):
+    message_type = msg.TableRows
+    range: Annotated[int, Meta(ge=0, lt=DIGEST_RANGES)]
     rows: Annotated[tuple[_Row, ...], Meta(max_length=LONGEST)]
     more: bool
 
 
-class _Same(Shape, tag=9):
-    word = said.Same
+class _TableInSync(WireMessage, tag=9):
+    message_type = msg.TableInSync
     upto: First
 
 
-class _Survey(Shape, tag=10):
-    word = said.Survey
+class _Prepare(WireMessage, tag=10):
+    message_type = msg.Prepare
     epoch: Number
     after: Number
 
 
-class _Written(Shape, tag=11):
-    word = said.Written
+class _PrepareReply(WireMessage, tag=11):
+    message_type = msg.PrepareReply
     epoch: Number
     first: First
     under: Number
@@ -132,72 +143,72 @@
     settled: Number
 
 
-class _Keep(Shape, tag=12):
-    word = said.Keep
+class _Append(WireMessage, tag=12):
+    message_type = msg.Append
     epoch: Number
     first: First
     entries: Entries
     settled: Number
 
 
-class _Kept(Shape, tag=13):
-    word = said.Kept
+class _AppendReply(WireMessage, tag=13):
+    message_type = msg.AppendReply
     epoch: Number
     last: Number
 
 
-class _Outdated(Shape, tag=14):
-    word = said.Outdated
+class _StaleEpoch(WireMessage, tag=14):
+    message_type = msg.StaleEpoch
     epoch: Number
 
 
-class _Fetch(Shape, tag=15):
-    word = said.Fetch
+class _SnapshotRequest(WireMessage, tag=15):
+    message_type = msg.SnapshotRequest
     epoch: Number
-    after: After
+    after: SubjectOrNone
 
 
-class _Table(Shape, tag=16):
-    word = said.Table
+class _SnapshotRows(WireMessage, tag=16):
+    message_type = msg.SnapshotRows
     epoch: Number
     upto: Number
-    after: After
+    after: SubjectOrNone
     rows: Annotated[tuple[_Row, ...], Meta(max_length=LONGEST)]
     more: bool
 
 
-# their numbers are what datagrams carry: new ones come last
-Shapes = (
-    _News
-    | _Beat
+# The tags are part of the wire format: new messages are added at the end.
+WireMessages = (
+    _EntryBatch
+    | _Heartbeat
     | _Report
     | _Leave
-    | _Full
-    | _Want
-    | _Beyond
-    | _Digest
-    | _Rows
-    | _Same
-    | _Survey
-    | _Written
-    | _Keep
-    | _Kept
-    | _Outdated
-    | _Fetch
-    | _Table
+    | _NoCapacity
+    | _RetransmitRequest
+    | _EntriesDropped
+    | _TableDigest
+    | _TableRows
+    | _TableInSync
+    | _Prepare
+    | _PrepareReply
+    | _Append
+    | _AppendReply
+    | _StaleEpoch
+    | _SnapshotRequest
+    | _SnapshotRows
 )
-SHAPES: dict[type[Any], type[Shape]] = {s.word: s for s in Shapes.__args__}
-NUMBERS = {word: shape.__struct_config__.tag for word, shape in SHAPES.items()}
-FIELDS = {word: shape.__struct_fields__ for word, shape in SHAPES.items()}
+WIRE_TYPES: dict[type[Any], type[WireMessage]] = {s.message_type: s for s in WireMessages.__args__}
+TAGS = {message: shape.__struct_config__.tag for message, shape in WIRE_TYPES.items()}
+WIRE_FIELDS = {message: shape.__struct_fields__ for message, shape in WIRE_TYPES.items()}
 
 
-def room(name: str) -> int:
-    """Bytes that the parts of a datagram of this sender may take, as `Wire.room` has it."""
+def max_payload(name: str) -> int:
+    """Return how many bytes the parts of a datagram from this sender may take; equals `Wire.room`."""
     return LONGEST - SEAL - HEAD - len(name.encode())
 
 
-def packed(entries: tuple[Entry, ...]) -> list[Any]:
-    """Entries as parts: each run of purges as one string of bytes, each change as subject and value."""
+def encode_entries(entries: tuple[Entry, ...]) -> list[Any]:
+    """Encode entries as parts: consecutive purges as one byte string, each change as subject and value."""
     parts: list[Any] = []
     for kind, run in groupby(entries, type):
         if kind is Purge:
@@ -207,61 +218,69 @@
     return parts
 
 
-def unpacked(parts: tuple[bytes | _Change, ...]) -> tuple[Entry, ...]:
-    """The entries. Raises Dropped."""
+def decode_entries(parts: tuple[bytes | _Change, ...]) -> tuple[Entry, ...]:
+    """Decode entries. Raises Dropped when they are malformed."""
     entries: list[Entry] = []
     for part in parts:
         if isinstance(part, _Change):
             entries.append(Change(part.subject, part.value))
-        elif len(part) % KEY:
+        elif len(part) % KEY_BYTES:
             raise Dropped("malformed")
         else:
-            entries += [Purge(part[i : i + KEY]) for i in range(0, len(part), KEY)]
+            entries += [Purge(part[i : i + KEY_BYTES]) for i in range(0, len(part), KEY_BYTES)]
     return tuple(entries)
 
 
 class SpreadCodec:
-    """Of members and control machines."""
+    """Encodes and decodes the messages of tree nodes and control nodes."""
 
-    def parts(self, message: tuple[Word, ...]) -> list[Any]:
-        """What a datagram carries."""
-        return [self._part(word) for word in message]
+    def parts(self, messages: tuple[Message, ...]) -> list[Any]:
+        """Return the parts that a datagram carries."""
+        return [self._part(message) for message in messages]
 
-    def size(self, words: tuple[Word, ...]) -> int:
-        """Bytes that the words take in a datagram, against `room`."""
-        return len(msgspec.msgpack.encode(self.parts(words)))
+    def size(self, messages: tuple[Message, ...]) -> int:
+        """Return how many bytes the messages take in a datagram, to compare with `max_payload`."""
+        return len(msgspec.msgpack.encode(self.parts(messages)))
 
     @staticmethod
-    def _part(word: Word) -> list[Any]:
-        kind = type(word)
-        part = [NUMBERS[kind], *(getattr(word, f) for f in FIELDS[kind])]
-        if isinstance(word, said.News | said.Keep | said.Written):
-            part[FIELDS[kind].index("entries") + 1] = packed(word.entries)
-        elif isinstance(word, said.Digest):
-            part[2] = b"".join(s.to_bytes(SUM, "big") for s in word.sums)
-        elif isinstance(word, said.Rows | said.Table):
-            part[FIELDS[kind].index("rows") + 1] = [(number, c.subject, c.value) for number, c in word.rows]
+    def _part(message: Message) -> list[Any]:
+        kind = type(message)
+        part = [TAGS[kind], *(getattr(message, f) for f in WIRE_FIELDS[kind])]
+        if isinstance(message, msg.EntryBatch | msg.Append | msg.PrepareReply):
+            part[WIRE_FIELDS[kind].index("entries") + 1] = encode_entries(message.entries)
+        elif isinstance(message, msg.TableDigest):
+            part[2] = b"".join(s.to_bytes(CHECKSUM_BYTES, "big") for s in message.sums)
+        elif isinstance(message, msg.TableRows | msg.SnapshotRows):
+            part[WIRE_FIELDS[kind].index("rows") + 1] = [
+                (number, c.subject, c.value) for number, c in message.rows
+            ]
         return part
 
-    def read(self, parts: list[Any]) -> tuple[Word, ...]:
-        """The words, checked. Raises Dropped."""
+    def read(self, parts: list[Any]) -> tuple[Message, ...]:
+        """Decode and validate messages. Raises Dropped when they are malformed."""
         try:
-            shapes = msgspec.convert(parts, tuple[Shapes, ...], builtin_types=(bytes,))
+            decoded = msgspec.convert(parts, tuple[WireMessages, ...], builtin_types=(bytes,))
         except (msgspec.ValidationError, OverflowError):
             raise Dropped("malformed") from None
-        return tuple(self._word(shape) for shape in shapes)
+        return tuple(self._message(each) for each in decoded)
 
     @staticmethod
-    def _word(shape: Any) -> Word:
-        values = {f: getattr(shape, f) for f in shape.__struct_fields__}
+    def _message(decoded: Any) -> Message:
+        values = {f: getattr(decoded, f) for f in decoded.__struct_fields__}
         if "entries" in values:
-            values["entries"] = unpacked(values["entries"])
-        elif isinstance(shape, _Fetch | _Table) and len(shape.after) not in (0, KEY):
+            values["entries"] = decode_entries(values["entries"])
+        elif isinstance(decoded, _SnapshotRequest | _SnapshotRows) and len(decoded.after) not in (
+            0,
+            KEY_BYTES,
+        ):
             raise Dropped("malformed")
-        elif isinstance(shape, _Digest):
-            sums = shape.sums
-            values["sums"] = tuple(int.from_bytes(sums[i : i + SUM], "big") for i in range(0, len(sums), SUM))
-        elif isinstance(shape, _Rows | _Table):
-            values["rows"] = tuple((row.number, Change(row.subject, row.value)) for row in shape.rows)
-        word: Word = shape.word(**values)
-        return word
+        elif isinstance(decoded, _TableDigest):
+            sums = decoded.sums
+            values["sums"] = tuple(
+                int.from_bytes(sums[i : i + CHECKSUM_BYTES], "big")
+                for i in range(0, len(sums), CHECKSUM_BYTES)
+            )
+        elif isinstance(decoded, _TableRows | _SnapshotRows):
+            values["rows"] = tuple((row.number, Change(row.subject, row.value)) for row in decoded.rows)
+        message: Message = decoded.message_type(**values)
+        return message
