--- a/bench/large_fleet.py
+++ b/bench/large_fleet.py
@@ -98,13 +98,13 @@
 @contextmanager
 def module(large: bool) -> Iterator[None]:
     """The decision module as it is, or as if each fleet were a small one."""
-    few, cheap = tuning.FEW, tuning.CHEAP
+    few, cheap = tuning.FEW_ROUTERS, tuning.CHEAP_FAILURES
     if not large:
-        tuning.FEW, tuning.CHEAP = 10_000, (api.Status.FULL,)  # type: ignore[assignment]
+        tuning.FEW_ROUTERS, tuning.CHEAP_FAILURES = 10_000, (api.Status.FULL,)  # type: ignore[assignment]
     try:
         yield
     finally:
-        tuning.FEW, tuning.CHEAP = few, cheap
+        tuning.FEW_ROUTERS, tuning.CHEAP_FAILURES = few, cheap
 
 
 def play(routers: int, day: str, large: bool, seed: int) -> dict[str, float]:
--- a/myrtlecourse/beyond.py
+++ b/myrtlecourse/beyond.py
@@ -142,7 +142,9 @@
     def _serves(self, table: Address) -> bool:
         """An emptied or overloaded router gives the address up, and one that knows too little."""
         fresh = time.monotonic() - self.service.discovery.heard_at < table.list_age
-        return fresh and self.service.door.share >= table.least_share and self.service.host.may_serve()
+        return (
+            fresh and self.service.door.admitted_share >= table.least_share and self.service.host.may_serve()
+        )
 
     async def _keep_address(self, table: Address) -> None:
         """Take part in the election of who holds the service address."""
@@ -176,7 +178,7 @@
 
         def able() -> bool:
             """An emptied router holds nothing, and one whose core is full."""
-            return self.service.host.in_service and self.service.door.share >= LEAST_SHARE
+            return self.service.host.in_service and self.service.door.admitted_share >= LEAST_SHARE
 
         self.duties = keeper(table, told.of_duties(), able)
         if told.address is not None and not told.address.peers:
--- a/myrtlecourse/net/host.py
+++ b/myrtlecourse/net/host.py
@@ -233,13 +233,13 @@
 
     def watch(self, watch: api.ReachabilityObserver) -> None:
         """Let somebody hear what attempts prove, and which zones lists name."""
-        self.router.watch = watch
+        self.router.observer = watch
         self._tell_zones()
 
     def _tell_zones(self) -> None:
-        if self.router.watch is not None:
+        if self.router.observer is not None:
             zones = (m.entry.zone for m in self.members.values() if not self._is_origin(m))
-            self.router.watch.servers_listed(Counter(zones))
+            self.router.observer.servers_listed(Counter(zones))
 
     def _is_origin(self, member: Member) -> bool:
         return self.settings.cache_aside and member.entry.kind == self.settings.origin_kind
@@ -258,7 +258,7 @@
 
         What can't be made out here is left to the whole look at it.
         """
-        if self.router.door is None and self.router.wanted and self.last_answer == math.inf:
+        if self.router.admission is None and self.router.accepting and self.last_answer == math.inf:
             return None
         request_class = tenant = ""
         repeated = keyed = False
@@ -280,7 +280,9 @@
         now = self.clock.now()
         if math.inf > now + time_left > self.last_answer:
             return busy(0.0)
-        pause = self.router.turn_away(now, request_class, tenant, repeated, keyed, time_left, waited)
+        pause = self.router.admission_retry_delay(
+            now, request_class, tenant, repeated, keyed, time_left, waited
+        )
         return None if pause is None else busy(pause)
 
     def take(self, command: Command, reply: Reply, waited: float = 0.0) -> None:
--- a/myrtlecourse/net/listener.py
+++ b/myrtlecourse/net/listener.py
@@ -332,7 +332,7 @@
         began = loop.time()
         await asyncio.sleep(notice)
         while True:
-            if self.host.router.wanted and loop.time() - began >= BUSY_TIME:
+            if self.host.router.accepting and loop.time() - began >= BUSY_TIME:
                 self.host.post(api.Serving(False))
             self._close_unowed()
             self.changed.clear()
--- a/myrtlecourse/policy/members.py
+++ b/myrtlecourse/policy/members.py
@@ -9,11 +9,11 @@
 
 from myrtlecourse import interface as api
 from myrtlecourse.policy import tuning
-from myrtlecourse.policy.leaving import Leaving
 from myrtlecourse.policy.ring import Ring
 from myrtlecourse.policy.sizes import Sizes
 from myrtlecourse.policy.slow_start import SlowStart
 from myrtlecourse.policy.state import Server
+from myrtlecourse.policy.zone_exit import ZoneExitControl
 
 
 class Members:
@@ -23,155 +23,163 @@
         self.settings = settings
         self.random = random.Random(seed)
         self.now = now
-        self.out: list[api.Action] = []
-        self.leaving: Leaving | None = None  # zones that the fleet has left
+        self.actions: list[api.Action] = []
+        self.zone_exit: ZoneExitControl | None = None  # zones that the fleet has left
         self.servers: dict[str, Server] = {}
         self.banned: set[str] = set()  # by operators, listed or not
-        self.returned: dict[str, float] = {}  # when they gave one back, while it may still be cold
+        self.unbanned_at: dict[str, float] = {}  # when they gave one back, while it may still be cold
         self.caches: dict[str, Server] = {}  # that may be sent to
         self.origins: dict[str, Server] = {}  # the same
         self.failing: set[Server] = set()  # caches that have failed too often in a row
         self.ring = Ring()
         self.sizes = Sizes()
         self.slow_start = SlowStart(now)
-        self.kind_sizes: dict[str, float] = {}  # the largest weight seen of a kind, where weights are `live`
-        self.unplaced: dict[Server, None] = {}  # whose points are counted otherwise by now
-        self.weights: Mapping[str, float] = {}  # how gladly each zone's cache servers are asked
+        self.largest_by_kind: dict[
+            str, float
+        ] = {}  # the largest weight seen of a kind, where weights are `live`
+        self.stale_points: dict[Server, None] = {}  # whose points are counted otherwise by now
+        self.zone_weights: Mapping[str, float] = {}  # how gladly each zone's cache servers are asked
         self.list_failures = 0
 
-    def _take_list(self, event: api.ServerList) -> None:
+    def _apply_list(self, event: api.ServerList) -> None:
         """Take a list or its changes; of servers that are already known, what was learned stays.
 
         Costs what has changed, and for a whole list a look at each entry.
         """
         if event.kind is not api.ListKind.DELTA:
             for i in self.servers.keys() - {e.server for e in event.entries}:
-                self._drop(i)
+                self._remove_server(i)
         early = 0
         changed: list[Server] = []
         for entry in event.entries:
             known = self.servers.get(entry.server)
             if entry.state is api.State.GONE:
-                self._drop(entry.server)
+                self._remove_server(entry.server)
             elif known is None or _restarted(known.entry, entry):  # a new process: nothing learned holds
-                changed.append(self._admit(entry, self._forget_server(entry.server)))
+                changed.append(self._add_server(entry, self._forget_server(entry.server)))
                 early += entry.start_time > self.now
             elif known.entry != entry:
                 known.entry = entry
                 changed.append(known)
         if early:
-            self.out.append(api.Log(f"list: servers that start in the future, taken as started now: {early}"))
-        self._place(changed)
-        if self.leaving is not None:
-            self._mark_left()
-
-    def _mark(self, name: str) -> None:
+            self.actions.append(
+                api.Log(f"list: servers that start in the future, taken as started now: {early}")
+            )
+        self._place_servers(changed)
+        if self.zone_exit is not None:
+            self._apply_zone_exit()
+
+    def _update_ban(self, name: str) -> None:
         """Set whether a listed server is banned, and give its points to the others, or back to it."""
         if (server := self.servers.get(name)) is not None:
-            server.banned = server.cache and name in self.banned
-            self._place([server])
+            server.banned = server.is_cache and name in self.banned
+            self._place_servers([server])
 
-    def _mark_left(self) -> None:
+    def _apply_zone_exit(self) -> None:
         """Nothing new to servers of zones that are left; those of zones that are back begin anew."""
-        leaving = self.leaving
-        shares = leaving.order.return_shares if leaving is not None else {}
+        leaving = self.zone_exit
+        shares = leaving.current.return_shares if leaving is not None else {}
         caches = self.caches.values()
-        meant = {s for s in caches if leaving is not None and leaving.meant(s.entry)}
+        meant = {s for s in caches if leaving is not None and leaving.excludes(s.entry)}
         if len(meant) == len(caches):
             meant.clear()  # with nothing left to go to, staying is no worse
         if all(s in meant or s.entry.zone in shares for s in caches):
             shares = {}  # nor is going back at once
         for server in caches:
-            server.share = shares.get(server.entry.zone, 1.0)
+            server.ring_share = shares.get(server.entry.zone, 1.0)
             left = server in meant
-            if left and not server.left:
-                server.left, server.out_until = True, math.inf
-            elif server.left and not left:
-                server.left, server.failures, server.pause = False, 0, 0.0
+            if left and not server.zone_left:
+                server.zone_left, server.excluded_until = True, math.inf
+            elif server.zone_left and not left:
+                server.zone_left, server.consecutive_failures, server.exclusion_time = False, 0, 0.0
                 self.failing.discard(server)
-                server.out_until = self.now + self.random.random() * tuning.PAUSE  # not all routers at once
-                server.limit = min(server.limit, tuning.LIMIT_START)
+                server.excluded_until = (
+                    self.now + self.random.random() * tuning.EXCLUSION_TIME
+                )  # not all routers at once
+                server.limit = min(server.limit, tuning.INITIAL_LIMIT)
 
-    def _ask_origin_again(self) -> None:
+    def _resume_origin(self) -> None:
         """Guards an origin that is back in reach: all routers would ask it for all that they lack at once."""
         for origin in self.origins.values():
             origin.limit = 1.0
-            pause = self.random.random() * tuning.RETURN_SPREAD
-            origin.out_until = self.now + pause
-            self.out.append(api.SetTimer(pause + tuning.ROUNDING, "origin"))
+            pause = self.random.random() * tuning.ORIGIN_RETURN_SPREAD
+            origin.excluded_until = self.now + pause
+            self.actions.append(api.SetTimer(pause + tuning.TIMER_ROUNDING, "origin"))
 
     def _subscribe(self) -> None:
         if self.settings.subscribe:
-            self.out.append(api.Subscribe())
+            self.actions.append(api.Subscribe())
 
-    def _ask_list_later(self) -> None:
+    def _schedule_list_retry(self) -> None:
         """Subscribe again after a doubling, jittered pause, so that routers don't call in step."""
         self.list_failures += 1
         # guards drains: what a pushed list has counts as told at once, any other soon after it is in reach
-        longest = tuning.LIST_PAUSE
+        longest = tuning.MAX_LIST_RETRY_PAUSE
         if not self.settings.subscribe:
             longest = min(longest, self.settings.drain_grace / 8)
         pause = min(longest, self.settings.fall_window * 2.0 ** (self.list_failures - 2))
-        self.out.append(api.SetTimer(pause * self.random.uniform(0.5, 1.0), "list"))
-        self.out.append(api.Log(f"list out of reach, {self.list_failures} in a row"))
+        self.actions.append(api.SetTimer(pause * self.random.uniform(0.5, 1.0), "list"))
+        self.actions.append(api.Log(f"list out of reach, {self.list_failures} in a row"))
 
     def _is_origin(self, entry: api.ServerEntry) -> bool:
         return self.settings.cache_aside and entry.kind == self.settings.origin_kind
 
-    def _admit(self, entry: api.ServerEntry, former: Server | None = None) -> Server:
+    def _add_server(self, entry: api.ServerEntry, former: Server | None = None) -> Server:
         """Begin with a server of which nothing is known; a former process of it leaves it its points."""
         origin = self._is_origin(entry)
         # guards against a start that is said to lie ahead: it would count as cold for as long; and against a
         # list that does not know yet of the restart for which operators took it out
-        started = max(min(entry.start_time, self.now), self.returned.get(entry.server, 0.0))
+        started = max(min(entry.start_time, self.now), self.unbanned_at.get(entry.server, 0.0))
         banned = not origin and entry.server in self.banned
         server = self.servers[entry.server] = Server(entry, not origin, started, banned)
         if origin:
             # guards the origin after a mass restart: forty first guesses are many times what it bears
-            server.limit = max(1.0, tuning.LIMIT_START * min(1.0, tuning.FEW / self.settings.router_count))
+            server.limit = max(
+                1.0, tuning.INITIAL_LIMIT * min(1.0, tuning.FEW_ROUTERS / self.settings.router_count)
+            )
         elif started > 0:
-            self.slow_start.began(started, self._cold_time())
+            self.slow_start.server_started(started, self._cold_duration())
         if former is not None:
-            self.ring.succeed(former, server)
+            self.ring.transfer_points(former, server)
         return server
 
-    def _cold_time(self) -> float:
+    def _cold_duration(self) -> float:
         """Seconds after its start in which a cache server is cold.
 
         Guards the window in which the warm-up ends: what comes in its first part is counted with the rest.
         """
         return self.settings.ramp_time + self.settings.fall_window
 
-    def _drop(self, name: str) -> None:
+    def _remove_server(self, name: str) -> None:
         server = self._forget_server(name)
         if server is not None:
-            self.ring.place(server, 0)
+            self.ring.set_points(server, 0)
 
     def _forget_server(self, name: str) -> Server | None:
         """Strike a server out of all books but the ring's."""
         server = self.servers.pop(name, None)
         if server is not None:
-            self._retire(server)
+            self._exclude(server)
         return server
 
-    def _retire(self, server: Server) -> None:
+    def _exclude(self, server: Server) -> None:
         """A server is not to be sent to."""
         for books in (self.caches, self.origins):
             if books.get(server.entry.server) is server:
                 del books[server.entry.server]
         self.failing.discard(server)
-        self.unplaced.pop(server, None)
-        self.sizes.drop(server)
+        self.stale_points.pop(server, None)
+        self.sizes.remove(server)
 
-    def _build_ring(self) -> None:
+    def _rebuild_ring(self) -> None:
         """Look at all servers anew, as what they are or count is another thing."""
         for server in self.servers.values():
-            self._enter(server)
-        self.sizes.settle()
-        self.unplaced = dict.fromkeys(self.servers.values())
-        self._place_others()
+            self._classify(server)
+        self.sizes.refresh()
+        self.stale_points = dict.fromkeys(self.servers.values())
+        self._place_stale()
 
-    def _place(self, changed: Iterable[Server]) -> None:
+    def _place_servers(self, changed: Iterable[Server]) -> None:
         """Enter servers that have changed in the books, and give them their points.
 
         Where points are counted otherwise from now on, those of the others follow a few at a time.
@@ -179,41 +187,41 @@
         servers = list(changed)
         recount = False
         for server in servers:
-            recount = self._enter(server) or recount
+            recount = self._classify(server) or recount
         if recount:  # the others of a kind have grown with it
             for server in self.caches.values():
-                self._enter(server)
-        recount = self.sizes.settle() or recount
+                self._classify(server)
+        recount = self.sizes.refresh() or recount
         if recount:
-            self.unplaced = dict.fromkeys(self.caches.values())
+            self.stale_points = dict.fromkeys(self.caches.values())
         for server in servers:
-            self.unplaced.pop(server, None)
-        self.ring.place_all([(server, self.sizes.points(server)) for server in servers])
-        self._place_others()
+            self.stale_points.pop(server, None)
+        self.ring.set_all_points([(server, self.sizes.points(server)) for server in servers])
+        self._place_stale()
 
-    def _place_others(self) -> None:
+    def _place_stale(self) -> None:
         """Guards the event loop: to count the points of thousands anew at once would stop it."""
-        for server in list(islice(self.unplaced, tuning.PLACED_AT_ONCE)):
-            del self.unplaced[server]
-            self.ring.place(server, self.sizes.points(server))
-        if self.unplaced:
-            self.out.append(api.SetTimer(self.settings.tick, "ring"))
+        for server in list(islice(self.stale_points, tuning.PLACEMENT_BATCH)):
+            del self.stale_points[server]
+            self.ring.set_points(server, self.sizes.points(server))
+        if self.stale_points:
+            self.actions.append(api.SetTimer(self.settings.tick, "ring"))
 
-    def _enter(self, server: Server) -> bool:
+    def _classify(self, server: Server) -> bool:
         """Enter a server where it belongs by now; whether others of its kind count for more with it."""
         name = server.entry.server
         if not server.ready or self.servers.get(name) is not server:
-            self._retire(server)
-        elif not server.cache:
+            self._exclude(server)
+        elif not server.is_cache:
             self.origins[name] = server
         else:
             self.caches[name] = server
-            if server.failures >= tuning.FAILURES:
+            if server.consecutive_failures >= tuning.EXCLUSION_FAILURES:
                 self.failing.add(server)
-            return self._measure(server)
+            return self._update_size(server)
         return False
 
-    def _measure(self, server: Server) -> bool:
+    def _update_size(self, server: Server) -> bool:
         """A cache server's size: its weight or, where weights are `live`, the largest of its kind.
 
         Live weights fall with load and come late: on the ring they moved keys with every list.
@@ -221,18 +229,18 @@
         weight = size = server.entry.weight
         grown, reported = False, 0.0
         if self.settings.live_weights:
-            largest = self.kind_sizes.get(server.entry.kind, 0.0)
+            largest = self.largest_by_kind.get(server.entry.kind, 0.0)
             grown = weight > largest > 0
-            size = self.kind_sizes[server.entry.kind] = max(largest, weight)
+            size = self.largest_by_kind[server.entry.kind] = max(largest, weight)
             reported = size / weight - 1 if weight else 0.0
-        if self.weights:
-            size = (size or 1.0) * self.weights.get(server.entry.zone, 1.0)
-        self.sizes.put(server, size, reported)
+        if self.zone_weights:
+            size = (size or 1.0) * self.zone_weights.get(server.entry.zone, 1.0)
+        self.sizes.update(server, size, reported)
         return grown
 
-    def _origin(self) -> Server | None:
+    def _least_loaded_origin(self) -> Server | None:
         """The least loaded origin member that may be sent to."""
-        return min(self.origins.values(), key=lambda s: s.load, default=None)
+        return min(self.origins.values(), key=lambda s: s.in_flight, default=None)
 
 
 def _restarted(known: api.ServerEntry, entry: api.ServerEntry) -> bool:
--- a/myrtlecourse/policy/popularity.py
+++ b/myrtlecourse/policy/popularity.py
@@ -10,16 +10,16 @@
     """
 
     def __init__(self, now: float) -> None:
-        self.seen: dict[str, int] = {}
+        self.counts: dict[str, int] = {}
         self.total = 0.0
         self.halve_at = now
 
-    def share(self, now: float, key: str, ramp: float, caches: int) -> float:
+    def record(self, now: float, key: str, ramp: float, caches: int) -> float:
         """Count a request of a key; answers with the key's share of own requests."""
         if now > self.halve_at:
             self.halve_at = now + ramp
-            self.seen = {k: n // 2 for k, n in self.seen.items() if n > 1}
+            self.counts = {k: n // 2 for k, n in self.counts.items() if n > 1}
             self.total /= 2
         self.total += 1
-        times = self.seen[key] = self.seen.get(key, 0) + 1
+        times = self.counts[key] = self.counts.get(key, 0) + 1
         return (times - 1) / max(self.total, caches)  # a key met twice by chance is not hot
--- a/myrtlecourse/policy/ring.py
+++ b/myrtlecourse/policy/ring.py
@@ -18,13 +18,13 @@
 NODE_BITS = 7
 KEPT_BITS = 36  # of a position, behind those that name its bucket
 BUCKETS = 1 << BUCKET_BITS
-MOST_SERVERS = 1 << SERVER_BITS
-MOST_NODES = 1 << NODE_BITS  # of one server: `tuning.POINTS` at most
+MAX_SERVERS = 1 << SERVER_BITS
+MAX_NODES = 1 << NODE_BITS  # of one server: `tuning.POINTS` at most
 OWNER_BITS = SERVER_BITS + NODE_BITS
-CUT_BITS = 64 - BUCKET_BITS - KEPT_BITS  # at a position's end, which are not kept
-KEPT = (1 << KEPT_BITS) - 1
-MANY = 64  # servers placed at once, from which on buckets are sorted whole
-MOST_AT_ONCE = 1024  # servers whose points are gathered before that: each is an object meanwhile
+DROPPED_BITS = 64 - BUCKET_BITS - KEPT_BITS  # at a position's end, which are not kept
+KEPT_MASK = (1 << KEPT_BITS) - 1
+BULK_SERVERS = 64  # servers placed at once, from which on buckets are sorted whole
+BULK_BATCH = 1024  # servers whose points are gathered before that: each is an object meanwhile
 
 
 def ring_hash(text: str) -> tuple[int, ...]:
@@ -46,7 +46,10 @@
     digests = _digests(server, count)
     # in halves, which compiled code holds without an object, as it does all that is made of them
     halves: tuple[int, ...] = struct.unpack(f">{len(digests) // 4}I", digests)
-    return [halves[2 * node] << (32 - CUT_BITS) | halves[2 * node + 1] >> CUT_BITS for node in range(count)]
+    return [
+        halves[2 * node] << (32 - DROPPED_BITS) | halves[2 * node + 1] >> DROPPED_BITS
+        for node in range(count)
+    ]
 
 
 def bucket_of(position: int) -> int:
@@ -56,7 +59,7 @@
 
 def point_of(position: int, number: int, node: int) -> int:
     """A virtual node of the server that has a number, as its bucket holds it."""
-    return (position >> CUT_BITS & KEPT) << OWNER_BITS | number << NODE_BITS | node
+    return (position >> DROPPED_BITS & KEPT_MASK) << OWNER_BITS | number << NODE_BITS | node
 
 
 class Ring:
@@ -68,96 +71,96 @@
     def __init__(self) -> None:
         self.buckets = [array("Q") for _ in range(BUCKETS)]
         self.servers: list[Server | None] = []  # by number
-        self.free: list[int] = []  # numbers
-        self.size = 0  # points
+        self.free_numbers: list[int] = []  # numbers
+        self.point_count = 0  # points
 
-    def place(self, server: Server, count: int) -> None:
+    def set_points(self, server: Server, count: int) -> None:
         """Give a server so many points; those that it keeps stay where they are."""
         self._add(server, count)
-        if count < server.points:
-            nodes = kept_nodes(server.entry.server, server.points)
-            number = server.number << NODE_BITS
-            for node in range(count, server.points):
+        if count < server.ring_points:
+            nodes = kept_nodes(server.entry.server, server.ring_points)
+            number = server.ring_number << NODE_BITS
+            for node in range(count, server.ring_points):
                 bucket = self.buckets[nodes[node] >> KEPT_BITS]
-                point = (nodes[node] & KEPT) << OWNER_BITS | number | node
+                point = (nodes[node] & KEPT_MASK) << OWNER_BITS | number | node
                 del bucket[bisect_left(bucket, point)]
-            self._count(server, count)
+            self._set_count(server, count)
 
-    def place_all(self, counts: Iterable[tuple[Server, int]]) -> None:
+    def set_all_points(self, counts: Iterable[tuple[Server, int]]) -> None:
         """The same for many, cheaper in all: each bucket is sorted once."""
         pairs = list(counts)
-        if len(pairs) < MANY:
+        if len(pairs) < BULK_SERVERS:
             for server, count in pairs:
-                self.place(server, count)
+                self.set_points(server, count)
             return
         for server, count in pairs:
-            if count < server.points:
-                self.place(server, count)
-        for start in range(0, len(pairs), MOST_AT_ONCE):
-            self._add_all(pairs[start : start + MOST_AT_ONCE])
+            if count < server.ring_points:
+                self.set_points(server, count)
+        for start in range(0, len(pairs), BULK_BATCH):
+            self._add_in_bulk(pairs[start : start + BULK_BATCH])
 
-    def _add_all(self, pairs: list[tuple[Server, int]]) -> None:
+    def _add_in_bulk(self, pairs: list[tuple[Server, int]]) -> None:
         """Give servers the points that they lack, and sort each bucket once."""
         buckets: list[list[int]] = [[] for _ in range(BUCKETS)]
         for server, count in pairs:
-            lacking = self._lacking(server, count)
+            lacking = self._missing_points(server, count)
             for number, point in lacking:
                 buckets[number].append(point)
-            self._count(server, server.points + len(lacking))
+            self._set_count(server, server.ring_points + len(lacking))
         for bucket, points in enumerate(buckets):
             if points:
                 self.buckets[bucket] = array("Q", sorted([*self.buckets[bucket], *points]))
 
     def _add(self, server: Server, count: int) -> None:
         """Give a server the points that it lacks."""
-        lacking = self._lacking(server, count)
+        lacking = self._missing_points(server, count)
         for number, point in lacking:
             insort(self.buckets[number], point)
-        self._count(server, server.points + len(lacking))
+        self._set_count(server, server.ring_points + len(lacking))
 
-    def _lacking(self, server: Server, count: int) -> list[tuple[int, int]]:
+    def _missing_points(self, server: Server, count: int) -> list[tuple[int, int]]:
         """The points that a server lacks, each with the number of its bucket."""
-        if count <= server.points or not self._number(server):
+        if count <= server.ring_points or not self._assign_number(server):
             return []
         nodes = kept_nodes(server.entry.server, count)
-        number = server.number << NODE_BITS
+        number = server.ring_number << NODE_BITS
         return [
-            (nodes[node] >> KEPT_BITS, (nodes[node] & KEPT) << OWNER_BITS | number | node)
-            for node in range(server.points, count)
+            (nodes[node] >> KEPT_BITS, (nodes[node] & KEPT_MASK) << OWNER_BITS | number | node)
+            for node in range(server.ring_points, count)
         ]
 
-    def _number(self, server: Server) -> bool:
+    def _assign_number(self, server: Server) -> bool:
         """See to it that a server has a number; False when there is none left."""
-        if server.number >= 0:
+        if server.ring_number >= 0:
             return True
-        if self.free:
-            server.number = self.free.pop()
-            self.servers[server.number] = server
+        if self.free_numbers:
+            server.ring_number = self.free_numbers.pop()
+            self.servers[server.ring_number] = server
             return True
-        if len(self.servers) >= MOST_SERVERS:
+        if len(self.servers) >= MAX_SERVERS:
             return False
-        server.number = len(self.servers)
+        server.ring_number = len(self.servers)
         self.servers.append(server)
         return True
 
-    def _count(self, server: Server, count: int) -> None:
-        if count == server.points:
+    def _set_count(self, server: Server, count: int) -> None:
+        if count == server.ring_points:
             return
-        self.size += count - server.points
-        server.points = count
+        self.point_count += count - server.ring_points
+        server.ring_points = count
         if not count:
-            self.servers[server.number] = None
-            self.free.append(server.number)
-            server.number = -1
+            self.servers[server.ring_number] = None
+            self.free_numbers.append(server.ring_number)
+            server.ring_number = -1
 
-    def succeed(self, former: Server, server: Server) -> None:
+    def transfer_points(self, former: Server, server: Server) -> None:
         """A server takes over the points of a former process of its own name."""
-        server.points, former.points = former.points, 0
-        server.number, former.number = former.number, -1
-        if server.number >= 0:
-            self.servers[server.number] = server
+        server.ring_points, former.ring_points = former.ring_points, 0
+        server.ring_number, former.ring_number = former.ring_number, -1
+        if server.ring_number >= 0:
+            self.servers[server.ring_number] = server
 
-    def around(self, key: str, most: int) -> Iterator[tuple[Server, float]]:
+    def walk(self, key: str, most: int) -> Iterator[tuple[Server, float]]:
         """The servers clockwise from a key, point by point, each with the point's rank among its own.
 
         At most `most` points, and no more than one tour.
@@ -166,22 +169,22 @@
         number = bucket_of(position)
         bucket = self.buckets[number]
         at = bisect_left(bucket, point_of(position, 0, 0))
-        for _ in range(min(most, self.size)):
+        for _ in range(min(most, self.point_count)):
             while at >= len(bucket):
                 number = (number + 1) % BUCKETS
                 bucket = self.buckets[number]
                 at = 0
             point = bucket[at]
             at += 1
-            server = self.servers[point >> NODE_BITS & (MOST_SERVERS - 1)]
+            server = self.servers[point >> NODE_BITS & (MAX_SERVERS - 1)]
             if server is not None:
-                yield server, ((point & (MOST_NODES - 1)) + 0.5) / server.points
+                yield server, ((point & (MAX_NODES - 1)) + 0.5) / server.ring_points
 
     def points(self) -> Iterator[tuple[int, Server]]:
         """All positions in their order, as far as they are kept, and whose they are."""
         for number, bucket in enumerate(self.buckets):
             for point in bucket:
-                server = self.servers[point >> NODE_BITS & (MOST_SERVERS - 1)]
+                server = self.servers[point >> NODE_BITS & (MAX_SERVERS - 1)]
                 if server is not None:
-                    position = number << (64 - BUCKET_BITS) | point >> OWNER_BITS << CUT_BITS
+                    position = number << (64 - BUCKET_BITS) | point >> OWNER_BITS << DROPPED_BITS
                     yield position, server
--- a/myrtlecourse/policy/leaving.py
+++ b/myrtlecourse/policy/zone_exit.py
@@ -8,60 +8,64 @@
 from myrtlecourse.policy import tuning
 
 
-class Leaving:
+class ZoneExitControl:
     """While something is left."""
 
     def __init__(self, chance: random.Random) -> None:
-        self.order = api.ZoneExit()
+        self.current = api.ZoneExit()
         self.left_at: dict[str, float] = {}  # by zone
         self.random = chance
-        self.credit = tuning.SPILL_SAVED  # requests that may move at once
-        self.trial_at = 0.0
-        self.origin_trial_at = 0.0
+        self.move_credit = tuning.MOVE_CREDIT  # requests that may move at once
+        self.next_trial_at = 0.0
+        self.next_origin_trial_at = 0.0
 
-    def change(self, now: float, order: api.ZoneExit) -> None:
+    def apply(self, now: float, order: api.ZoneExit) -> None:
         """Take a new order; what was left before stays left since then."""
         self.left_at = {zone: self.left_at.get(zone, now) for zone in order.zones}
         # not at once: all routers hear of it at the same time
         first = now + order.trial_interval * self.random.random()
-        self.trial_at = min(self.trial_at, first) if self.order.zones else first
-        self.origin_trial_at = min(self.origin_trial_at, first) if self.order.origin_unreachable else first
-        self.order = order
+        self.next_trial_at = min(self.next_trial_at, first) if self.current.zones else first
+        self.next_origin_trial_at = (
+            min(self.next_origin_trial_at, first) if self.current.origin_unreachable else first
+        )
+        self.current = order
 
-    def meant(self, entry: api.ServerEntry) -> bool:
+    def excludes(self, entry: api.ServerEntry) -> bool:
         """Whether a cache server is left: not one that has started since, which a list has told, unless the
         fleet has a pace for it."""
         left_at = self.left_at.get(entry.zone)
-        return left_at is not None and (self.order.paced_return or entry.start_time <= left_at)
+        return left_at is not None and (self.current.paced_return or entry.start_time <= left_at)
 
-    def stays(self) -> None:
+    def record_unmoved(self) -> None:
         """A request goes to a survivor that it would have gone to anyway: others may follow in proportion."""
-        gain = self.order.spill_limit - 1.0
+        gain = self.current.spill_limit - 1.0
         # where few stay, many move between two of them
-        self.credit = min(max(tuning.SPILL_SAVED, tuning.SPILL_ROUNDS * gain), self.credit + gain)
+        self.move_credit = min(
+            max(tuning.MOVE_CREDIT, tuning.MOVE_CREDIT_FACTOR * gain), self.move_credit + gain
+        )
 
-    def moves(self, worth: float, most: float) -> bool:
+    def allow_move(self, worth: float, most: float) -> bool:
         """Whether a request that has lost its server may go to a survivor; `most` is the worth of the best.
 
         Guards survivors: each router moves no more than its own share of what they bear, so that nobody has
         to count for the fleet. What is worth less leaves a part of it to what is worth more.
         """
-        kept = 0.0 if worth >= most else tuning.SPILL_KEPT * tuning.SPILL_SAVED
-        if self.credit < 1.0 + kept:
+        kept = 0.0 if worth >= most else tuning.MOVE_RESERVE_SHARE * tuning.MOVE_CREDIT
+        if self.move_credit < 1.0 + kept:
             return False
-        self.credit -= 1.0
+        self.move_credit -= 1.0
         return True
 
-    def trial(self, now: float, zone: str) -> bool:
+    def allow_trial(self, now: float, zone: str) -> bool:
         """Whether a request may go to a zone that is left, to learn whether it is back."""
-        if now < self.trial_at or zone in self.order.forced_zones:
+        if now < self.next_trial_at or zone in self.current.forced_zones:
             return False
-        self.trial_at = now + self.order.trial_interval * self.random.uniform(0.5, 1.5)
+        self.next_trial_at = now + self.current.trial_interval * self.random.uniform(0.5, 1.5)
         return True
 
-    def origin_trial(self, now: float) -> bool:
+    def allow_origin_trial(self, now: float) -> bool:
         """The same of the origin."""
-        if now < self.origin_trial_at:
+        if now < self.next_origin_trial_at:
             return False
-        self.origin_trial_at = now + self.order.trial_interval * self.random.uniform(0.5, 1.5)
+        self.next_origin_trial_at = now + self.current.trial_interval * self.random.uniform(0.5, 1.5)
         return True
--- a/myrtlecourse/scale/hollow.py
+++ b/myrtlecourse/scale/hollow.py
@@ -30,7 +30,7 @@
 from myrtlecourse.net.pool import Pool
 from myrtlecourse.net.servers import CacheConnection
 from myrtlecourse.operators import read_operators
-from myrtlecourse.overload.core import CoreControl
+from myrtlecourse.overload.core import CoreAdmission
 from myrtlecourse.peers.speaker import Speaker
 from myrtlecourse.scale.child import told_to_end
 from myrtlecourse.scale.scenario import Place
@@ -98,7 +98,7 @@
         settings = config.settings
         dial, idle = settings.dial_timeout, settings.connection_idle
         pools = Pool(CacheConnection, 1, dial, idle), Pool(OriginConnection, 1, dial, idle)
-        self.host = Host(settings, config.seed, *pools, self._subscribe, CoreControl(settings))
+        self.host = Host(settings, config.seed, *pools, self._subscribe, CoreAdmission(settings))
         self.discovery = Discovery(
             config.discovery,
             config.known_index,
--- a/myrtlecourse/service.py
+++ b/myrtlecourse/service.py
@@ -30,7 +30,7 @@
 from myrtlecourse.ops.orders import Listed, Orders, OrdersError, changes
 from myrtlecourse.ops.server import OpsServer
 from myrtlecourse.ops.store import Store
-from myrtlecourse.overload.core import CoreControl
+from myrtlecourse.overload.core import CoreAdmission
 from myrtlecourse.reload_signal import early
 
 KILLED = 0.7  # seconds after SIGTERM and the longest deadline, from which on SIGKILL may come
@@ -78,7 +78,7 @@
         windows = self.windows
         self.servers = Pool(CacheConnection, room * 3 // 8, dial, idle, longest, descriptors, windows)
         self.origin = Pool(OriginConnection, room // 8, dial, idle, longest, descriptors, windows)
-        self.door = CoreControl(settings)
+        self.door = CoreAdmission(settings)
         self.host = Host(settings, config.seed, self.servers, self.origin, self._subscribe, self.door)
         index = config.known_index if inherited is None else None  # at an upgrade the whole list, at once
         patience = Patience.of(settings)
--- a/myrtlecourse/sim/routers.py
+++ b/myrtlecourse/sim/routers.py
@@ -135,7 +135,7 @@
         self.stalled = False
         self.deferred.clear()
         if self.meeting is not None:
-            self.agent = self.router.watch = self.meeting.join(self)
+            self.agent = self.router.observer = self.meeting.join(self)
         self.up = self.taking = True
         self.ending = False
         self.listed: dict[str, Entry] = {}
--- a/tests/test_daily_rules.py
+++ b/tests/test_daily_rules.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from myrtlecourse import interface as api
-from myrtlecourse.overload.core import CoreControl
+from myrtlecourse.overload.core import CoreAdmission
 from myrtlecourse.policy import Router, tuning
 from tests.driver import KEYED, ONCE, READ, Driver, entry, settings
 from tests.loopback import needs_sources
@@ -70,7 +70,7 @@
     d.online("a")
     # it is cold, and no other takes what it does not bear yet
     first = [d.request(f"f{n}", key=f"k{n}") for n in range(30)]
-    assert set(first) == {"a", None} and first.count("a") >= tuning.FREE_CALLS
+    assert set(first) == {"a", None} and first.count("a") >= tuning.FREE_COLD_SENDS
     assert all(d.ended[f"f{n}"] == "refused" for n, server in enumerate(first) if server is None)
     d.wait(d.conf.ramp_time + d.conf.fall_window)
     assert set(spread(d, 30)) == {"a"}
@@ -92,7 +92,7 @@
         spread(d, 5)
         d.now += 0.05
     server = d.router.servers["a"]
-    server.failures, server.out_until, server.limit = 9, d.now + 100.0, 1.0
+    server.consecutive_failures, server.excluded_until, server.limit = 9, d.now + 100.0, 1.0
     d.offline("a")
     d.now += 5.0
     d.online("a")
@@ -136,11 +136,11 @@
     d = Driver(settings())
     d.list(*fleet("a"))
     ask = (d.now, "read", "t", False, False, 2.0, 0.0)
-    assert d.router.turn_away(*ask) is None
+    assert d.router.admission_retry_delay(*ask) is None
     d.feed(api.Serving(False))
-    assert d.router.turn_away(*ask) == 0.0
+    assert d.router.admission_retry_delay(*ask) == 0.0
     d.feed(api.Serving(True))
-    assert d.router.turn_away(*ask) is None
+    assert d.router.admission_retry_delay(*ask) is None
 
 
 def test_an_open_request_keeps_its_class_old_effect() -> None:
@@ -182,9 +182,9 @@
     d = Driver(settings())
     d.list(*fleet("a", "b"))
     spread(d, 50)
-    before = [(s.limit, s.evidence.usual, s.points) for s in d.router.servers.values()]
+    before = [(s.limit, s.evidence.usual_latency, s.ring_points) for s in d.router.servers.values()]
     d.retune(settings(classes={"read": replace(READ, aim=0.5), "more": KEYED}))
-    assert [(s.limit, s.evidence.usual, s.points) for s in d.router.servers.values()] == before
+    assert [(s.limit, s.evidence.usual_latency, s.ring_points) for s in d.router.servers.values()] == before
     assert d.router.shortest_aim == 0.5
 
 
@@ -192,18 +192,18 @@
     d = Driver(settings(cache_aside=True, origin_kind="origin"))
     d.list(*fleet("a", "o"))
     d.retune(settings(cache_aside=False))
-    assert {s.cache for s in d.router.servers.values()} == {True}
+    assert {s.is_cache for s in d.router.servers.values()} == {True}
     assert set(spread(d, 100)) == {"a", "o"}
 
 
 def test_the_door_takes_new_classes_and_keeps_what_it_let_in() -> None:
-    door = CoreControl(settings())
-    door.share = 0.5
+    door = CoreAdmission(settings())
+    door.admitted_share = 0.5
     d = Driver(settings())
-    d.router.door = door
+    d.router.admission = door
     d.retune(settings(classes={"new": api.RequestClass("new", aim=0.2, value=7.0)}, max_retry_after=3.0))
-    assert door.aims == {"new": 0.2} and door.worths == {"new": 7.0}
-    assert (door.share, door.most_pause) == (0.5, 3.0)
+    assert door.aims == {"new": 0.2} and door.values == {"new": 7.0}
+    assert (door.admitted_share, door.max_retry_after) == (0.5, 3.0)
 
 
 class Service(Random):
@@ -247,7 +247,7 @@
     for n in range(data.draw(st.integers(5, 40))):
         d.step(data, n)
     d.wait(10.0)
-    assert not d.open and not d.router.held
+    assert not d.open and not d.router.pending_requests
 
 
 @CHECKS
@@ -270,9 +270,9 @@
 class Retroactive(Router):
     """Broken on purpose: new settings bind what is open."""
 
-    def _on_retuned(self, settings: api.Settings) -> None:
-        super()._on_retuned(settings)
-        for held in self.held.values():
+    def _on_settings_changed(self, settings: api.Settings) -> None:
+        super()._on_settings_changed(settings)
+        for held in self.pending_requests.values():
             held.settings = settings
             held.request_class = settings.classes.get(held.request_class.name, held.request_class)
 
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -24,7 +24,7 @@
     """A server that has answered at its usual pace until 100."""
     known = Evidence()
     for n in range(20):
-        known.sent(99.0 + n / 20)
+        known.record_send(99.0 + n / 20)
         assert known.judge(99.0 + n / 20 + usual, 99.0 + n / 20, OK, usual) is Verdict.ANSWERED
     return known
 
@@ -32,35 +32,35 @@
 @pytest.mark.parametrize("status", [TIMEOUT, CANCELLED])
 def test_what_others_have_overtaken_is_lost(status: api.Status) -> None:
     server = known()
-    server.sent(100.0)
-    server.sent(100.1)
-    assert not server.lost(100.4, 100.0)  # old enough, and nobody has overtaken it
+    server.record_send(100.0)
+    server.record_send(100.1)
+    assert not server.is_lost(100.4, 100.0)  # old enough, and nobody has overtaken it
     server.judge(100.15, 100.1, OK, 0.05)
-    assert server.lost(100.4, 100.0) and not server.lost(100.2, 100.0)
-    before = server.usual
+    assert server.is_lost(100.4, 100.0) and not server.is_lost(100.2, 100.0)
+    before = server.usual_latency
     assert server.judge(102.0, 100.0, status, 2.0) is Verdict.LOST
-    assert server.usual == before
+    assert server.usual_latency == before
 
 
 @pytest.mark.parametrize("status", [TIMEOUT, CANCELLED])
 def test_a_client_that_leaves_before_an_answer_was_due_says_nothing(status: api.Status) -> None:
     """Deadlines of a few ms made an origin that takes 50 look as fast as its clients are impatient."""
     server = known()
-    server.sent(100.0)
-    before = server.usual
-    assert server.judge(100.01, 100.0, status, 0.01) is Verdict.NOTHING
-    assert server.usual == before
+    server.record_send(100.0)
+    before = server.usual_latency
+    assert server.judge(100.01, 100.0, status, 0.01) is Verdict.INCONCLUSIVE
+    assert server.usual_latency == before
 
 
 def test_a_stall_that_ends_counts_once_however_much_it_held_up() -> None:
     """All that a stall had held up came late at once, and the origin looked too slow for seconds."""
     server = known()
     for n in range(30):
-        server.sent(100.0 + n / 1000)
+        server.record_send(100.0 + n / 1000)
     verdicts = [server.judge(101.0, 100.0 + n / 1000, OK, 1.0) for n in range(30)]
     assert verdicts == [Verdict.ANSWERED] + [Verdict.STALLED] * 29
-    assert server.usual <= 0.05 + evidence.SMOOTHING * (evidence.OUTLIER - 1) * 0.05 + 1e-9
-    server.sent(101.0)
+    assert server.usual_latency <= 0.05 + evidence.SMOOTHING * (evidence.MAX_SAMPLE_FACTOR - 1) * 0.05 + 1e-9
+    server.record_send(101.0)
     assert server.judge(101.05, 101.0, OK, 0.05) is Verdict.ANSWERED
 
 
@@ -68,17 +68,17 @@
     """The other way round: no pace of answers is taken for a stall for good."""
     server, now = known(), 100.0
     for _ in range(20):
-        server.sent(now)
+        server.record_send(now)
         server.judge(now + 1.0, now, OK, 1.0)
         now += 1.0
-    assert server.usual > 0.9
+    assert server.usual_latency > 0.9
 
 
 def test_early_in_the_day_nothing_is_lost() -> None:
     server = Evidence()
-    server.sent(0.0)
-    assert server.overdue_after() == 0.0 and not server.lost(50.0, 0.0)
-    assert server.judge(50.0, 0.0, TIMEOUT, 50.0) is Verdict.STALLED and server.usual == 0.0
+    server.record_send(0.0)
+    assert server.overdue_after() == 0.0 and not server.is_lost(50.0, 0.0)
+    assert server.judge(50.0, 0.0, TIMEOUT, 50.0) is Verdict.STALLED and server.usual_latency == 0.0
 
 
 @given(st.lists(st.floats(0.0005, 10.0), min_size=1, max_size=200), st.floats(0.001, 12.0))
@@ -88,15 +88,15 @@
     known = Latencies()
     for sample in samples:
         known.add(sample)
-    weights = [evidence.FADE**-n for n in range(len(samples))]
+    weights = [evidence.SAMPLE_DECAY**-n for n in range(len(samples))]
 
     def share(limit: float) -> float:
         return sum(w for s, w in zip(samples, weights, strict=True) if s <= limit) / sum(weights)
 
-    chance = known.chance(within)
-    below, above = within / evidence.RATIO - 1e-9, within * evidence.RATIO + 1e-9
-    assert share(below) - 1e-6 <= chance <= (share(above) if within > evidence.FIRST else 1.0) + 1e-6
-    assert known.chance(within) <= known.chance(within * 2) + 1e-9
+    chance = known.share_within(within)
+    below, above = within / evidence.BUCKET_RATIO - 1e-9, within * evidence.BUCKET_RATIO + 1e-9
+    assert share(below) - 1e-6 <= chance <= (share(above) if within > evidence.FIRST_BUCKET else 1.0) + 1e-6
+    assert known.share_within(within) <= known.share_within(within * 2) + 1e-9
 
 
 @given(st.lists(st.floats(0.0005, 10.0), min_size=1, max_size=100), st.floats(0.05, 0.95))
@@ -104,14 +104,14 @@
     known = Latencies()
     for sample in samples:
         known.add(sample)
-    assert known.chance(known.quantile(share)) >= share - 1e-6
+    assert known.share_within(known.quantile(share)) >= share - 1e-6
 
 
 def test_a_long_day_does_not_overflow_the_weights() -> None:
     known = Latencies()
     for n in range(200_000):
         known.add(0.01 if n < 199_900 else 0.1)
-    assert known.chance(0.02) < 0.2 and known.chance(0.2) == pytest.approx(1.0)
+    assert known.share_within(0.02) < 0.2 and known.share_within(0.2) == pytest.approx(1.0)
 
 
 class Fetches:
@@ -151,8 +151,8 @@
             for action in self.router.handle(now, event):
                 self.take(now, action)
             origin = self.router.servers["o"]
-            out = sum(a.placed for a in self.router.attempts.values() if a.server is origin)
-            assert origin.load == out, "places held are not the attempts that may still be answered"
+            out = sum(a.holds_slot for a in self.router.attempts.values() if a.server is origin)
+            assert origin.in_flight == out, "places held are not the attempts that may still be answered"
             limits.append(origin.limit)
         return limits
 
@@ -186,7 +186,7 @@
         day.at(n / 400, api.Request(f"r{n}", "read", 2.5, f"k{n}"))
     limits = day.run(4.0)
     day.run(20.0)
-    assert day.router.servers["o"].load == 0 and not day.open, "a place is held for good"
+    assert day.router.servers["o"].in_flight == 0 and not day.open, "a place is held for good"
     late = limits[len(limits) // 4 :]
     return sum(late) / len(late), day.served / total
 
@@ -205,7 +205,7 @@
     d = Driver(conf(**ASIDE))
     d.list(entry("a"), entry("o", kind="origin"))
     origin = d.router.servers["o"]
-    origin.evidence.usual = 0.02
+    origin.evidence.usual_latency = 0.02
     d.request("r1", key="k1")
     d.end("r1", api.Status.MISS)
     d.now += 0.01
@@ -213,11 +213,11 @@
     d.end("r2", api.Status.MISS)
     d.now += 0.02
     d.end("r2", OK, latency=0.02)
-    assert origin.load == 1
+    assert origin.in_flight == 1
     d.wait(0.2)
-    assert d.sends["r1"] == ["a", "o", "o"] and origin.load == 1
+    assert d.sends["r1"] == ["a", "o", "o"] and origin.in_flight == 1
     d.ok("r1")
-    assert origin.load == 0 and not d.router.held
+    assert origin.in_flight == 0 and not d.router.pending_requests
 
 
 def test_misses_of_one_key_share_one_fetch_and_ask_where_it_was_stored() -> None:
@@ -234,14 +234,14 @@
     assert d.sends["r1"] == ["a", "a", "o"]
     for n in range(1, 4):
         d.ok(f"r{n}")
-    assert not d.router.line.fetches and not d.router.held
+    assert not d.router.queue.fetches and not d.router.pending_requests
 
 
 @pytest.mark.parametrize("how", ["failed", "gone", "lost"])
 def test_those_who_wait_for_a_fetch_go_on_when_it_comes_to_nothing(how: str) -> None:
     d = Driver(conf(**ASIDE, max_attempts=2))
     d.list(entry("a"), entry("o", kind="origin"))
-    d.router.servers["o"].evidence.usual = 0.02
+    d.router.servers["o"].evidence.usual_latency = 0.02
     for n in range(3):
         d.request(f"r{n}", key="k")
         d.end(f"r{n}", api.Status.MISS)
@@ -258,7 +258,7 @@
         d.wait(0.2)
     assert d.sends["r1"] == ["a", "o"] and d.sends["r2"] == ["a"]
     d.wait(3.0)
-    assert not d.open and not d.router.line.fetches
+    assert not d.open and not d.router.queue.fetches
 
 
 def test_places_that_are_all_held_by_what_is_lost_come_free_by_a_trial() -> None:
@@ -272,8 +272,8 @@
     d.wait(0.3)
     assert [len(d.sends[f"r{n}"]) for n in range(6)] == [2, 2, 2, 2, 2, 1]
     d.end("r4", api.Status.OK, latency=0.02)
-    assert d.sends["r5"] == ["a", "o"] or d.router.servers["o"].load <= 4
+    assert d.sends["r5"] == ["a", "o"] or d.router.servers["o"].in_flight <= 4
     d.wait(0.2)
-    assert d.router.servers["o"].load <= 5 and len(d.sends["r5"]) >= 2
+    assert d.router.servers["o"].in_flight <= 5 and len(d.sends["r5"]) >= 2
     d.wait(3.0)
-    assert not d.open and d.router.servers["o"].load == 0
+    assert not d.open and d.router.servers["o"].in_flight == 0
--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -27,7 +27,7 @@
     read_expectations,
 )
 from myrtlecourse.policy import Router
-from myrtlecourse.policy.state import Held, Server
+from myrtlecourse.policy.state import PendingRequest, Server
 from myrtlecourse.settings import read_settings
 from tests.loopback import needs_sources
 
@@ -69,23 +69,23 @@
 
 
 class ColdIsWarm(Router):
-    def _warm_share(self, server: Server) -> float:
+    def _usable_share(self, server: Server) -> float:
         return 1.0
 
 
 class RepeatsAll(Router):
-    def _permits(self, held: Held, server: Server | None) -> bool:
+    def _class_permits(self, pending: PendingRequest, server: Server | None) -> bool:
         return True
 
 
 class NeverRepeats(Router):
-    def _permits(self, held: Held, server: Server | None) -> bool:
-        return not held.attempts
+    def _class_permits(self, pending: PendingRequest, server: Server | None) -> bool:
+        return not pending.attempts
 
 
 class IgnoresMisses(Router):
-    def _after_failure(self, held: Held, event: api.Outcome) -> None:
-        self._end(held)
+    def _after_failure(self, pending: PendingRequest, event: api.Outcome) -> None:
+        self._finish(pending)
 
 
 class ReadsAtTheOrigin(Router):
@@ -99,13 +99,13 @@
 
 
 class OneServer(Router):
-    def _choose(self, held: Held) -> Server | None:
+    def _choose_server(self, pending: PendingRequest) -> Server | None:
         return next(iter(self.caches.values()), None)
 
 
 class Refuses(Router):
     def _on_request(self, request: api.Request) -> None:
-        self.out.append(api.Refuse(request.request))
+        self.actions.append(api.Refuse(request.request))
 
 
 @needs_sources
--- a/tests/test_long_answers.py
+++ b/tests/test_long_answers.py
@@ -44,13 +44,13 @@
     d = one_cache()
     limit = d.router.servers["a"].limit
     flows(d, *(f"slow{n}" for n in range(3 * int(limit))))
-    assert d.router.servers["a"].load == 0 and d.router.servers["a"].limit == limit
+    assert d.router.servers["a"].in_flight == 0 and d.router.servers["a"].limit == limit
     assert d.request("usual") == "a"
     d.ok("usual")
     for name in list(d.sends):
         if name != "usual":
             d.ok(name)
-    assert d.router.servers["a"].load == 0
+    assert d.router.servers["a"].in_flight == 0
 
 
 def test_a_silent_server_gets_its_trial_although_an_answer_flows() -> None:
@@ -103,7 +103,7 @@
         d.finish("slow", "gone")
         d.feed(api.ClientGone("slow"))
     d.end("slow", status, latency=0.05)
-    assert server.out_until < d.now and server.failures == 0 and server.limit == 50.0
+    assert server.excluded_until < d.now and server.consecutive_failures == 0 and server.limit == 50.0
 
 
 @given(
@@ -127,8 +127,14 @@
     def learned(d: Driver) -> list[float]:
         server = d.router.servers["a"]
         known = server.evidence
-        pace = known.usual, server.slowness, d.router.wait, known.quiet_since, known.latest_sent
-        return [*known.latencies.counts, *pace, server.limit, server.load]
+        pace = (
+            known.usual_latency,
+            server.latency_ratio,
+            d.router.latency_per_load,
+            known.unanswered_since,
+            known.latest_answered_send,
+        )
+        return [*known.latencies.counts, *pace, server.limit, server.in_flight]
 
     before = learned(drawn_out)
     assert before == pytest.approx(learned(whole)) and before[-1] == 0
@@ -143,17 +149,19 @@
     d.request("r", time_left=FLOW)
     d.now += 0.5
     d.feed(api.Streaming("r", 0, read_delay=0.4))
-    assert d.router.servers["a"].slowness == pytest.approx(0.2 * 0.1 / (tuning.CACHE_TARGET * 1.0))
-    assert d.router.wait == pytest.approx(0.2 * 0.1)
+    assert d.router.servers["a"].latency_ratio == pytest.approx(0.2 * 0.1 / (tuning.CACHE_TARGET * 1.0))
+    assert d.router.latency_per_load == pytest.approx(0.2 * 0.1)
 
 
 def test_a_flow_that_breaks_off_counts_as_a_failure_of_its_server() -> None:
     d = one_cache()
     flows(d, "slow")
     d.end("slow", api.Status.RESET)
-    assert d.router.servers["a"].failures == 0  # alone it is let back in: half of the fleet would be out
+    assert (
+        d.router.servers["a"].consecutive_failures == 0
+    )  # alone it is let back in: half of the fleet would be out
     d.list(entry("a"), entry("b"), entry("c"), kind=api.ListKind.DELTA)
     name = next(n for n in map(str, range(50)) if d.request(n, key=n, time_left=FLOW) == "a")
     d.feed(api.Streaming(name, 0))
     d.end(name, api.Status.RESET)
-    assert d.router.servers["a"].failures == 1
+    assert d.router.servers["a"].consecutive_failures == 1
--- a/tests/test_net_errors.py
+++ b/tests/test_net_errors.py
@@ -174,7 +174,7 @@
     async def scenario() -> None:
         async with Router() as router:
             name = await with_failed_dial(router, code)
-            assert router.host.router.servers[name].failures == (0 if own else 1)
+            assert router.host.router.servers[name].consecutive_failures == (0 if own else 1)
 
     run(scenario)
     status = api.Status.NOT_SENT if own else api.Status.CONNECT_FAILED
--- a/tests/test_overload_core.py
+++ b/tests/test_overload_core.py
@@ -10,7 +10,7 @@
 
 from myrtlecourse import interface as api
 from myrtlecourse.overload import core
-from myrtlecourse.overload.core import CoreControl
+from myrtlecourse.overload.core import CoreAdmission
 
 AIMS = {"read": 1.2, "book": 0.8}
 WORTHS = {"read": 3.0, "book": 9.0}
@@ -22,14 +22,14 @@
 CLASSES = {name: api.RequestClass(name, AIMS[name], value=WORTHS[name]) for name in AIMS}
 
 
-def control() -> CoreControl:
-    return CoreControl(api.Settings(CLASSES, max_retry_after=MOST_PAUSE))
+def control() -> CoreAdmission:
+    return CoreAdmission(api.Settings(CLASSES, max_retry_after=MOST_PAUSE))
 
 
-def offer(door: CoreControl, mix: list[tuple[str, str]], seconds: float, waited: float) -> Counter[str]:
+def offer(door: CoreAdmission, mix: list[tuple[str, str]], seconds: float, waited: float) -> Counter[str]:
     """Offer a mix of (class, tenant) over and over, a command a millisecond; counts those let in."""
     let_in: Counter[str] = Counter()
-    start = max(door.window, 1.0)
+    start = max(door.window_end, 1.0)
     for i in range(int(seconds / STEP)):
         request_class, tenant = mix[i % len(mix)]
         if door.retry_delay(start + i * STEP, request_class, tenant, False, False, waited) is None:
@@ -44,16 +44,16 @@
 def test_a_full_core_lets_in_little_and_all_again_within_two_seconds() -> None:
     door = control()
     offer(door, [("read", "a")], 3.0, LONG)
-    assert door.share == core.LEAST
+    assert door.admitted_share == core.MIN_ADMITTED_SHARE
     offer(door, [("read", "a")], 2.0, 0.0)
-    assert door.share == 1.0
+    assert door.admitted_share == 1.0
 
 
 def test_a_quiet_time_opens_the_door_too() -> None:
     door = control()
     offer(door, [("read", "a")], 3.0, LONG)
-    assert door.retry_delay(door.window + 2.5, "read", "a", False, False, 0.0) is None
-    assert door.share == 1.0
+    assert door.retry_delay(door.window_end + 2.5, "read", "a", False, False, 0.0) is None
+    assert door.admitted_share == 1.0
 
 
 def test_one_long_turn_refuses_few() -> None:
@@ -69,8 +69,8 @@
     door = control()
     mix = [("book", "a")] + [("read", "a")] * 9
     offer(door, mix, 0.5, LONG)
-    door.share = 0.2
-    let_in = offer(door, mix, core.WINDOW * 0.9, 0.0) and offer(door, mix, 0.2, door.target)
+    door.admitted_share = 0.2
+    let_in = offer(door, mix, core.WINDOW * 0.9, 0.0) and offer(door, mix, 0.2, door.target_delay)
     assert let_in["book a"] > 0.9 * 20
     assert 0 < let_in["read a"] < 0.3 * 180
 
@@ -93,16 +93,16 @@
     door = control()
     mix = [("read", "flood")] * 9 + [("read", "small")]
     offer(door, mix, 1.0, LONG)
-    door.share = 0.3
-    door._deal()
-    shares = {lane.tenant: lane.share for lane in door.lanes.values()}
+    door.admitted_share = 0.3
+    door._divide()
+    shares = {lane.tenant: lane.admitted_share for lane in door.groups.values()}
     assert shares["small"] == pytest.approx(1.0)
     assert shares["flood"] == pytest.approx((0.3 - 0.1) / 0.9, rel=0.01)
 
 
-def told_to_come_back(door: CoreControl, request_class: str, keyed: bool) -> list[float]:
+def told_to_come_back(door: CoreAdmission, request_class: str, keyed: bool) -> list[float]:
     """When 400 commands at one moment of a full core may come back, in order, without those let in."""
-    pauses = [door.retry_delay(door.window, request_class, "a", False, keyed, LONG) for _ in range(400)]
+    pauses = [door.retry_delay(door.window_end, request_class, "a", False, keyed, LONG) for _ in range(400)]
     return sorted(p for p in pauses if p is not None)
 
 
@@ -124,7 +124,7 @@
     door = control()
     offer(door, [("book", "a")], 3.0, LONG)
     told = told_to_come_back(door, "book", True)
-    middle = core.COME_BACK * AIMS["book"] * (1 - core.LEAST)
+    middle = core.RETRY_AFTER_SHARE * AIMS["book"] * (1 - core.MIN_ADMITTED_SHARE)
     assert told[0] < 0.55 * middle and 1.45 * middle < told[-1] < AIMS["book"] / 2
     assert largest_gap(told) < 0.1 * middle
 
@@ -133,10 +133,10 @@
     door = control()
     for i in range(20_000):
         door.retry_delay(1.0 + i / 100_000, "read", f"t{i}", False, False, 0.0)
-    assert len(door.lanes) <= core.MOST_TENANTS + 1
+    assert len(door.groups) <= core.MAX_TENANTS + 1
     for i in range(100):
         door.retry_delay(2.0 + i * core.WINDOW, "read", "t", False, False, 0.0)
-    assert len(door.lanes) == 1
+    assert len(door.groups) == 1
 
 
 @given(
@@ -161,12 +161,12 @@
         now += gap
         pause = door.retry_delay(now, request_class, tenant, again, request_class == "book", waited)
         assert pause is None or 0.0 <= pause <= MOST_PAUSE
-        assert core.LEAST <= door.share <= 1.0
-        assert all(0.0 <= lane.share <= 1.0 + 1e-9 for lane in door.lanes.values())
+        assert core.MIN_ADMITTED_SHARE <= door.admitted_share <= 1.0
+        assert all(0.0 <= lane.admitted_share <= 1.0 + 1e-9 for lane in door.groups.values())
     for _ in range(50):
         now += core.WINDOW
         door.retry_delay(now, "read", "a", False, False, 0.0)
-    assert door.share == 1.0
+    assert door.admitted_share == 1.0
 
 
 @given(st.integers(1, 30), st.integers(1, 30), st.integers(1, 30))
@@ -177,7 +177,7 @@
     assert all(let_in[f"{c} {t}"] > 0 for c, t in set(mix))
 
 
-def served_in_time(door: CoreControl | None, times: float, refusal: float) -> float:
+def served_in_time(door: CoreAdmission | None, times: float, refusal: float) -> float:
     """One core by a fake clock: 1,000 requests a second fit, a refusal takes so many seconds.
 
     Each client asks again twice when it is not answered.
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -112,7 +112,7 @@
         shares.append(primaries(d, "r").count("cold") / 2000 * 10)
         # a window that begins as it is just not warm ends one window later
         warm = 1.0 if age == 11.0 else room * (0.3 + 0.7 * age / 10.0)
-        assert d.router._warm_share(d.router.servers["cold"]) == pytest.approx(warm)
+        assert d.router._usable_share(d.router.servers["cold"]) == pytest.approx(warm)
     assert shares == sorted(shares)
     assert shares == pytest.approx([0.3 * room, 0.65 * room, room, 1.0], abs=0.2)
 
@@ -199,12 +199,12 @@
     d = Driver(settings())
     d.list(*(entry(f"s{i}") for i in range(90)))
     for s in d.router.servers.values():
-        s.load, s.evidence.quiet_since = 1, d.now - 5.0
+        s.in_flight, s.evidence.unanswered_since = 1, d.now - 5.0
     looked: list[object] = []
     eligible = d.router._eligible
-    d.router._eligible = lambda held, server: looked.append(server) or eligible(held, server)  # type: ignore[method-assign,func-returns-value]
+    d.router._eligible = lambda pending, server: looked.append(server) or eligible(pending, server)  # type: ignore[method-assign,func-returns-value]
     assert d.request("r", key="k") is None and d.ended["r"] == "refused"
-    assert 0 < len(looked) <= tuning.WALK
+    assert 0 < len(looked) <= tuning.MAX_WALK
 
 
 def test_a_cold_server_gets_less_while_answers_fail() -> None:
@@ -213,9 +213,9 @@
     d.list(*(entry(n) for n in "abc"), entry("d", listed_start=d.now))
     assert primaries(d, "a").count("d") > 80
     cold = d.router.servers["d"]
-    assert d.router._warm_share(cold) == pytest.approx(0.3)
+    assert d.router._usable_share(cold) == pytest.approx(0.3)
     for n in range(20):
         if d.request(f"f{n}", key=f"k{n}") is not None:
             d.now += 0.2
             d.end(f"f{n}", api.Status.TIMEOUT)
-    assert d.router._warm_share(cold) < 0.3 / 4
+    assert d.router._usable_share(cold) < 0.3 / 4
--- a/tests/test_ring_scale.py
+++ b/tests/test_ring_scale.py
@@ -26,7 +26,7 @@
 
 def placed(counts: dict[str, int]) -> list[tuple[int, str]]:
     """Points in their order, by plain sorting, as far as the ring keeps their positions."""
-    cut = rings.CUT_BITS
+    cut = rings.DROPPED_BITS
     return sorted((p >> cut << cut, name) for name, n in counts.items() for p in nodes_of(name, n))
 
 
@@ -41,13 +41,13 @@
     for number, count in changes:
         counts[f"s{number}"] = count
         if not at_once:
-            ring.place(servers[number], count)
+            ring.set_points(servers[number], count)
     if at_once:
-        ring.place_all([(s, counts.get(s.entry.server, 0)) for s in servers.values()])
+        ring.set_all_points([(s, counts.get(s.entry.server, 0)) for s in servers.values()])
     assert [(p, s.entry.server) for p, s in ring.points()] == placed(counts)
-    assert ring.size == sum(counts.values())
+    assert ring.point_count == sum(counts.values())
     start = rings.ring_hash("key")[0]
-    tour = [server.entry.server for server, _ in ring.around("key", 10**6)]
+    tour = [server.entry.server for server, _ in ring.walk("key", 10**6)]
     expected = placed(counts)
     at = next((i for i, (p, _) in enumerate(expected) if p >= start), 0)
     assert tour == [name for _, name in expected[at:] + expected[:at]]
@@ -79,16 +79,16 @@
 def test_when_points_count_otherwise_a_few_servers_follow_at_a_time() -> None:
     d = Driver(conf())
     d.list(*(entry(f"s{n}") for n in range(300)))
-    before = d.router.ring.size
+    before = d.router.ring.point_count
     d.list(
         entry("large", weight=2.0), kind=api.ListKind.DELTA
     )  # all others count for half as many points now
-    placed_now = sum(s.points == tuning.POINTS // 2 for s in d.router.servers.values())
-    assert placed_now <= tuning.PLACED_AT_ONCE
-    assert before - d.router.ring.size < before / 2
+    placed_now = sum(s.ring_points == tuning.POINTS // 2 for s in d.router.servers.values())
+    assert placed_now <= tuning.PLACEMENT_BATCH
+    assert before - d.router.ring.point_count < before / 2
     d.wait(1.0)
-    assert {s.points for s in d.router.servers.values()} == {tuning.POINTS // 2, tuning.POINTS}
-    assert not d.router.unplaced
+    assert {s.ring_points for s in d.router.servers.values()} == {tuning.POINTS // 2, tuning.POINTS}
+    assert not d.router.stale_points
 
 
 class Plain:
@@ -110,12 +110,12 @@
     servers = [Server(api.ServerEntry(f"s{n}")) for n in range(10)]
     for number, size in changes:
         if size is None:
-            sizes.drop(servers[number])
+            sizes.remove(servers[number])
             plain.told.pop(servers[number], None)
         else:
-            sizes.put(servers[number], size, 0.0)
+            sizes.update(servers[number], size, 0.0)
             plain.told[servers[number]] = size
-        sizes.settle()
+        sizes.refresh()
         assert sizes.total == pytest.approx(plain.total())
         assert sizes.largest == plain.largest()
         assert all(s.size == (size or plain.largest()) for s, size in plain.told.items())
@@ -138,7 +138,7 @@
             d.now += 0.01
             d.end(f"r{n}", chance.choice([api.Status.OK, api.Status.RESET, api.Status.RESET]))
         d.wait(0.02)
-        looked = {s for s in d.router.caches.values() if s.failures >= tuning.FAILURES}
+        looked = {s for s in d.router.caches.values() if s.consecutive_failures >= tuning.EXCLUSION_FAILURES}
         assert d.router.failing == looked
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -261,7 +261,7 @@
         d.step(data, n)
     d.wait(10.0)
     assert not d.open, "rule 1: left without an answer"
-    assert not d.router.held, "something is still held"
+    assert not d.router.pending_requests, "something is still held"
 
 
 CHECKS = hypothesis_settings(
@@ -283,7 +283,7 @@
 class Resender(Router):
     """Broken on purpose: sends anything again."""
 
-    def _permits(self, held: Any, server: Any) -> bool:
+    def _class_permits(self, held: Any, server: Any) -> bool:
         return True
 
 
@@ -292,7 +292,7 @@
 
     def _enqueue(self, held: Any) -> None:
         super()._enqueue(held)
-        self.out = [a for a in self.out if not isinstance(a, api.SetTimer)]
+        self.actions = [a for a in self.actions if not isinstance(a, api.SetTimer)]
 
 
 @needs_sources
@@ -336,10 +336,10 @@
     """Small waiting rooms turned a third of attempts away; requests were refused beside servers with room."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
-    d.router.retries = 0.0
+    d.router.retry_budget = 0.0
     first = d.request("r", key="k")
     assert d.end("r", api.Status.FULL) not in (None, first)
-    d.router.retries = 0.0
+    d.router.retry_budget = 0.0
     assert d.end("r", api.Status.RESET) is None
 
 
@@ -348,7 +348,7 @@
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
     d.request("r", key="k")
-    d.router.retries, d.router.good = 0.0, 0.2
+    d.router.retry_budget, d.router.success_share = 0.0, 0.2
     assert d.end("r", api.Status.FULL) is None and d.ended["r"] == "refused"
 
 
@@ -397,7 +397,7 @@
     assert d.request("r1", key="k") == second
     crowd(d, second)
     assert d.request("r2", key="k") is None and d.ended["r2"] == "refused"
-    assert d.router.servers[third].load == 0
+    assert d.router.servers[third].in_flight == 0
 
 
 def test_silent_servers_are_passed_without_being_counted() -> None:
@@ -407,8 +407,8 @@
     first, second, third, _ = order_of(d, "k")
     crowd(d, first, second)
     for name in (first, second):
-        d.router.servers[name].load = 1
-        d.router.servers[name].evidence.quiet_since = d.now - 1.5
+        d.router.servers[name].in_flight = 1
+        d.router.servers[name].evidence.unanswered_since = d.now - 1.5
     assert d.request("r1", key="k") == third
 
 
@@ -416,7 +416,7 @@
 def test_a_silent_server_gets_one_trial_at_a_time_until_it_answers() -> None:
     d = Driver(settings())
     d.list(*fleet("a", "b"))
-    d.router._load_of = lambda key: 0.0  # type: ignore[method-assign]  # as hot a key would be spread
+    d.router._key_share = lambda key: 0.0  # type: ignore[method-assign]  # as hot a key would be spread
     first, second = order_of(d, "k")
     assert [d.request(f"r{n}", key="k") for n in "12"] == [first, first]
     d.now += 1.1
@@ -436,16 +436,16 @@
     for n in range(20):
         d.request(f"r{n}", key="k")
         d.end(f"r{n}", api.Status.OK, latency=0.9 if n == 10 else 0.05)
-    assert d.router.servers["a"].limit >= tuning.LIMIT_START
+    assert d.router.servers["a"].limit >= tuning.INITIAL_LIMIT
 
 
 LARGE: dict[str, Any] = {"router_count": 40}  # routers, of which each meets a server seldom
 
 
-@pytest.mark.parametrize(("siblings", "out"), [(40, True), (2, False)])
-def test_one_refused_connection_is_enough_where_a_server_is_met_seldom(siblings: int, out: bool) -> None:
+@pytest.mark.parametrize(("routers", "out"), [(40, True), (2, False)])
+def test_one_refused_connection_is_enough_where_a_server_is_met_seldom(routers: int, out: bool) -> None:
     """A zone of 31 servers died; each router ran into each of them three times, for many seconds."""
-    d = Driver(settings(router_count=siblings))
+    d = Driver(settings(router_count=routers))
     d.list(*fleet("a", "b", "c", "d"))
     first = d.request("r", key="k") or ""
     assert d.end("r", api.Status.CONNECT_FAILED) not in (None, first)
@@ -458,8 +458,8 @@
     """With half of the servers gone the budget was empty, and reads were refused that others would serve."""
     d = Driver(settings(**LARGE))
     d.list(*fleet("a", "b", "c", "d", "e", "f"))
-    d.router.retries = 0.0
-    d.router.good = 1.0
+    d.router.retry_budget = 0.0
+    d.router.success_share = 1.0
     d.request("r", key="k")
     assert d.end("r", api.Status.CONNECT_FAILED) is not None
 
@@ -475,16 +475,16 @@
             d.end(f"w{n}", api.Status.FULL)
             d.ok(f"w{n}")
     server = d.router.servers["a"]
-    assert not server.evidence.usual and not server.load
+    assert not server.evidence.usual_latency and not server.in_flight
     server.limit = 4.0
     d.now += 60.0  # a request a second, for four servers
     name = next(f"k{n}" for n in range(200) if order_of(d, f"k{n}")[0] == "a")
     assert d.request("r", key=name) == "a"
-    d.wait(evidence.OVERDUE * d.router.wait + 0.01)
+    d.wait(evidence.OVERDUE_FACTOR * d.router.latency_per_load + 0.01)
     assert len(d.sends["r"]) == 2 and d.sends["r"][1] != "a"
     d.end("r", api.Status.OK, 1)
     d.end("r", api.Status.CANCELLED, 0)
-    assert server.out_until > d.now, "what has not answered in that time is left out for a while"
+    assert server.excluded_until > d.now, "what has not answered in that time is left out for a while"
 
 
 @pytest.mark.parametrize(("routers", "most"), [(2, 8), (40, 40)])
@@ -497,7 +497,7 @@
         missed(d, *(f"r{n}" for n in range(5)), key="k0")
         for n in range(5):
             missed(d, f"s{n}", key=f"k{n + 1}")
-        out += d.router.servers["o"].load
+        out += d.router.servers["o"].in_flight
     assert out == most
 
 
@@ -507,10 +507,10 @@
     actions = d.list(entry("a", listed_start=d.now + 3600), entry("b"))
     assert api.Log("list: servers that start in the future, taken as started now: 1") in actions
     server = d.router.servers["a"]
-    assert d.router._warm_share(server) == pytest.approx(d.conf.cold_share)
+    assert d.router._usable_share(server) == pytest.approx(d.conf.cold_share)
     d.now += d.conf.ramp_time
     again = d.list(entry("a", listed_start=server.entry.listed_start), entry("b"))
-    assert d.router._warm_share(server) == 1.0
+    assert d.router._usable_share(server) == 1.0
     assert d.router.servers["a"] is server and not again, "the same process, and nothing new to tell"
 
 
@@ -524,17 +524,21 @@
     d.router.servers["o"].limit = 1.0
     first = d.request("r1", key="k1") or ""
     missed(d, "r0", key="k0")  # holds the one place
-    held = d.router.held["r1"]
+    held = d.router.pending_requests["r1"]
     d.router._send(held, d.router.servers["b" if first == "a" else "a"])
-    for action in d.router.out:
+    for action in d.router.actions:
         d.check(action)
     d.end("r1", api.Status.MISS, 0)
     missed(d, "r2", key="k1")
-    assert held.waiting and held.open_attempts() == 1 and d.router.line.fetches["k1"][1]
-    d.now = held.until
+    assert held.queued and held.open_attempts() == 1 and d.router.queue.fetches["k1"][1]
+    d.now = held.deadline
     d.feed(api.TimerFired("wait:r1"))
-    assert "k1" not in d.router.line.fetches or d.router.line.fetches["k1"][0] is not held
-    assert "r2" not in d.open or d.router.held["r2"].waiting or d.router.held["r2"].open_attempts()
+    assert "k1" not in d.router.queue.fetches or d.router.queue.fetches["k1"][0] is not held
+    assert (
+        "r2" not in d.open
+        or d.router.pending_requests["r2"].queued
+        or d.router.pending_requests["r2"].open_attempts()
+    )
     d.end("r1", api.Status.TIMEOUT, 1)
     assert d.ended["r1"] == "refused"
 
@@ -544,8 +548,8 @@
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].limit = 3.0
-    d.router.servers["o"].slowness = 0.9
-    d.router.servers["o"].evidence.usual = 0.45
+    d.router.servers["o"].latency_ratio = 0.9
+    d.router.servers["o"].evidence.usual_latency = 0.45
     for n in "1234":
         missed(d, f"r{n}", key=f"k{n}")
     assert d.sends["r3"] == ["a", "o"] and d.sends["r4"] == ["a"]
@@ -558,7 +562,7 @@
     """A third of fetches were given up midway by their clients, and so were not even stored."""
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "o"))
-    d.router.servers["o"].evidence.usual = 0.4
+    d.router.servers["o"].evidence.usual_latency = 0.4
     d.router.servers["o"].limit = 2.0
     missed(d, "r1", key="k1")
     d.request("r2", key="k2", time_left=0.7)
@@ -572,9 +576,9 @@
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "o"))
     d.request("r0", key="k0", write=True)
-    d.router.servers["o"].evidence.usual = 0.6
+    d.router.servers["o"].evidence.usual_latency = 0.6
     assert d.request("r1", key="k1", write=True) == "o"
-    d.router.servers["o"].evidence.usual = 1.1
+    d.router.servers["o"].evidence.usual_latency = 1.1
     assert d.request("r2", key="k2", write=True) is None and d.ended["r2"] == "refused"
 
 
@@ -608,9 +612,9 @@
     d.router.servers["a"].limit = 1.0
     d.request("r1")
     d.list(entry("a", listed_start=d.now), kind=api.ListKind.DELTA)
-    assert d.router.servers["a"].limit == tuning.LIMIT_START
+    assert d.router.servers["a"].limit == tuning.INITIAL_LIMIT
     d.ok("r1")
-    assert d.router.servers["a"].load == 0
+    assert d.router.servers["a"].in_flight == 0
 
 
 def test_a_long_run_holds_bounded_memory() -> None:
@@ -629,10 +633,10 @@
         d.wait(0.05)
     d.wait(5.0)
     r = d.router
-    assert not r.held and not r.attempts
-    assert len(r.servers) <= 5 and len(r.line.queue) < 100
-    assert len(list(r.ring.points())) == r.ring.size <= 5 * tuning.POINTS
-    assert len(r.ring.servers) <= 16 and len(r.sizes.told) <= 5 and not r.unplaced
+    assert not r.pending_requests and not r.attempts
+    assert len(r.servers) <= 5 and len(r.queue.heap) < 100
+    assert len(list(r.ring.points())) == r.ring.point_count <= 5 * tuning.POINTS
+    assert len(r.ring.servers) <= 16 and len(r.sizes.declared) <= 5 and not r.stale_points
 
 
 def test_the_queue_for_the_origin_stays_bounded() -> None:
@@ -644,7 +648,7 @@
         missed(d, f"r{n}", key=f"k{n}")
         d.router.servers["o"].limit = 1.0
         d.wait(0.05)
-    assert len(d.router.line.queue) <= 2 * len(d.router.held) + 1 < 200
+    assert len(d.router.queue.heap) <= 2 * len(d.router.pending_requests) + 1 < 200
 
 
 def test_idle_connections_are_closed_when_they_cost_more_than_new_ones() -> None:
@@ -668,9 +672,9 @@
     d.list(*fleet("a", "b"))
     d.request("r")
     d.end("r", api.Status.CONNECT_FAILED)
-    assert d.router.keep == tuning.KEEP / 2
+    assert d.router.idle_keep_factor == tuning.IDLE_KEEP_FACTOR / 2
     d.ok("r")
-    assert tuning.KEEP / 2 < d.router.keep < tuning.KEEP
+    assert tuning.IDLE_KEEP_FACTOR / 2 < d.router.idle_keep_factor < tuning.IDLE_KEEP_FACTOR
 
 
 @needs_sources
@@ -681,7 +685,7 @@
     d.list(*(entry(n, weight=2.0) for n in names))
     first = d.request("r", key="k", finish=True)
     d.list(*(entry(n, weight=0.5 if n == first else 1.0) for n in names))
-    d.router._load_of = lambda key: 0.0  # type: ignore[method-assign]  # or the key would be spread anyway
+    d.router._key_share = lambda key: 0.0  # type: ignore[method-assign]  # or the key would be spread anyway
     sent = [d.request(f"r{n}", key="k", finish=True) for n in range(200)]
     assert 70 < sent.count(first) < 140  # 3 held against a cap of 1.56: half stay
 
@@ -715,7 +719,7 @@
     d.list(*(entry(n) for n in names))
     for n in names:
         server = d.router.servers[n]
-        server.limit, server.load = 1000.0, int(1000 * load)
+        server.limit, server.in_flight = 1000.0, int(1000 * load)
         for sample in (0.5, 4.0, 4.0, 4.0):
             server.evidence.latencies.add(sample)
     return sum(d.request(f"r{n}", key=f"k{n}") is not None for n in range(200))
@@ -745,7 +749,7 @@
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].limit = 1.0
-    d.router.servers["o"].evidence.usual = 0.3
+    d.router.servers["o"].evidence.usual_latency = 0.3
     missed(d, "r1", key="k1")
     missed(d, "r2", key="k2")
     d.wait(0.35)
@@ -769,10 +773,10 @@
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].limit = 1.0
-    d.router.servers["o"].evidence.usual = 0.3
+    d.router.servers["o"].evidence.usual_latency = 0.3
     missed(d, "r1", key="k1")
     missed(d, "r2", key="k2")
-    d.router.servers["o"].evidence.usual = 0.1
+    d.router.servers["o"].evidence.usual_latency = 0.1
     d.wait(0.6)
     assert "r2" not in d.ended
     d.ok("r1")
@@ -785,7 +789,7 @@
     d = Driver(settings(**ASIDE, max_retry_after=longest))
     d.list(*fleet("a", "o"))
     d.request("w0", key="k0", write=True)
-    d.router.servers["o"].evidence.usual = latency
+    d.router.servers["o"].evidence.usual_latency = latency
     d.router.servers["o"].limit = 2.0
     d.request("w1", key="k1", write=True)
     assert api.Refuse("w1", told) in d.last
@@ -805,7 +809,7 @@
 def failing(d: Driver, server: str, times: int, status: api.Status = api.Status.CONNECT_FAILED) -> None:
     """Requests of a key of the server's, each attempt on it failing and the next, elsewhere, served."""
     for _ in range(times):
-        name = f"f{d.router.taken}"
+        name = f"f{d.router.request_count}"
         if d.request(name, key="k") == server:
             d.end(name, status)
         if name in d.open:
@@ -813,23 +817,23 @@
 
 
 @needs_sources
-@pytest.mark.parametrize("status", evidence.FAILURES)
+@pytest.mark.parametrize("status", evidence.FAILURE_STATUSES)
 def test_a_server_that_fails_in_a_row_is_left_out_for_a_while(status: api.Status) -> None:
     """Each of its keys' requests went there first and spent a retry, until none were left for anybody."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c"))
-    d.router._load_of = lambda key: 0.0  # type: ignore[method-assign]  # as hot a key would be spread
+    d.router._key_share = lambda key: 0.0  # type: ignore[method-assign]  # as hot a key would be spread
     first, second, _ = order_of(d, "k")
     d.router.servers[first].limit = 40.0
-    failing(d, first, tuning.FAILURES, status)
-    assert d.router.servers[first].limit <= tuning.LIMIT_START  # it may come back cold
+    failing(d, first, tuning.EXCLUSION_FAILURES, status)
+    assert d.router.servers[first].limit <= tuning.INITIAL_LIMIT  # it may come back cold
     assert d.request("r1", key="k", finish=True) == second
-    d.now += tuning.PAUSE
+    d.now += tuning.EXCLUSION_TIME
     assert [d.request(f"t{n}", key="k") for n in "12"] == [first, second]  # one to try it by
     d.end("t1", status)
-    d.now += tuning.PAUSE
+    d.now += tuning.EXCLUSION_TIME
     assert d.request("r2", key="k", finish=True) == second  # twice as long
-    d.now += tuning.PAUSE
+    d.now += tuning.EXCLUSION_TIME
     assert d.request("r3", key="k", finish=True) == first
     assert [d.request(f"r{n}", key="k") for n in "45"] == [first, first]
 
@@ -839,10 +843,10 @@
     """Spoilt answers come from any server alike: each taken out sends its keys where they are not held."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c"))
-    d.router._load_of = lambda key: 0.0  # type: ignore[method-assign]
+    d.router._key_share = lambda key: 0.0  # type: ignore[method-assign]
     first, *_ = order_of(d, "k")
     for n in range(8):
-        failing(d, first, tuning.FAILURES - 1, api.Status.ERROR)
+        failing(d, first, tuning.EXCLUSION_FAILURES - 1, api.Status.ERROR)
         assert d.request(f"r{n}", key="k", finish=True) == first
 
 
@@ -851,9 +855,9 @@
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
     for server in d.router.servers.values():
-        for _ in range(2 * tuning.FAILURES):
-            d.router._note_failure(server, True)
-    assert sum(s.out_until > d.now for s in d.router.servers.values()) == 2
+        for _ in range(2 * tuning.EXCLUSION_FAILURES):
+            d.router._record_failure(server, True)
+    assert sum(s.excluded_until > d.now for s in d.router.servers.values()) == 2
 
 
 def test_fast_failures_do_not_make_a_server_look_fast() -> None:
@@ -862,21 +866,21 @@
     for n in range(5):
         d.request(f"r{n}", key="k")
         d.end(f"r{n}", api.Status.OK, latency=0.4)
-    before = d.router.servers["a"].evidence.usual
+    before = d.router.servers["a"].evidence.usual_latency
     d.request("r9", key="k")
     d.end("r9", api.Status.ERROR, latency=0.001)
-    assert d.router.servers["a"].evidence.usual == before
+    assert d.router.servers["a"].evidence.usual_latency == before
 
 
 def test_one_lost_fetch_does_not_make_the_origin_look_too_slow() -> None:
     """After each fetch that timed out, misses were refused by the dozen until others had come back."""
     d = Driver(settings(**ASIDE))
     d.list(*fleet("a", "o"))
-    d.router.servers["o"].evidence.usual = 0.05
+    d.router.servers["o"].evidence.usual_latency = 0.05
     missed(d, "r1", key="k1")
     d.end("r1", api.Status.TIMEOUT, latency=2.0)
-    assert d.router.servers["o"].evidence.usual < 0.1
-    d.router.servers["o"].evidence.quiet_since = float("inf")
+    assert d.router.servers["o"].evidence.usual_latency < 0.1
+    d.router.servers["o"].evidence.unanswered_since = float("inf")
     missed(d, "r2", key="k2")
     assert d.sends["r2"][-1] == "o"
 
@@ -886,15 +890,15 @@
     d.list(*fleet("a"))
     d.request("r1", key="k")
     d.end("r1", api.Status.TIMEOUT, latency=2.0)
-    assert d.router.servers["a"].limit >= tuning.LIMIT_START
+    assert d.router.servers["a"].limit >= tuning.INITIAL_LIMIT
 
 
 def unanswered(d: Driver, name: str, **fields: Any) -> None:
     """A request at a fleet whose answers are usually soon there."""
     d.list(*fleet("a", "b", "o"))
     for server in d.router.servers.values():
-        server.evidence.usual = 0.01
-    d.router._load_of = lambda key: 0.0  # type: ignore[method-assign]
+        server.evidence.usual_latency = 0.01
+    d.router._key_share = lambda key: 0.0  # type: ignore[method-assign]
     d.request(name, **{"key": "k", **fields})
 
 
@@ -913,7 +917,7 @@
     d.end("r1", api.Status.MISS)  # and a miss goes on, though the first is still out
     assert d.sends["r1"][2] == "o"
     d.ok("r1")
-    assert d.state["r1", 0] is None and not d.router.held
+    assert d.state["r1", 0] is None and not d.router.pending_requests
 
 
 @needs_sources
@@ -925,7 +929,7 @@
     first = d.sends["r1"][0]
     d.request("r2", key="k", finish=True)
     if why == "no retries":
-        d.router.retries = 0.5
+        d.router.retry_budget = 0.5
     if why == "draining":
         d.list(entry(first, state=api.State.DRAINING), kind=api.ListKind.DELTA)
     d.wait(0.2)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -232,27 +232,27 @@
 def test_a_lone_router_sends_a_few_calls_whatever_a_cold_server_can_do() -> None:
     slow_start, server = SlowStart(0.0), Server(entry("a"))
     for at in (0.0, 0.1, 0.2):
-        assert slow_start.free(at, server, 1.0, siblings=1)
-        slow_start.sent(at, server)
-    assert not slow_start.free(0.9, server, 1.0, siblings=1)
-    assert slow_start.free(1.0, server, 1.0, siblings=1)
-    assert not slow_start.free(0.3, server, 1.0, siblings=2)
-    assert slow_start.free(1.25, server, 1.0, siblings=3)
-    assert not slow_start.free(9.0, server, 1.0, siblings=4)  # others may have sent theirs
+        assert slow_start.has_free_send(at, server, 1.0, router_count=1)
+        slow_start.record_send(at, server)
+    assert not slow_start.has_free_send(0.9, server, 1.0, router_count=1)
+    assert slow_start.has_free_send(1.0, server, 1.0, router_count=1)
+    assert not slow_start.has_free_send(0.3, server, 1.0, router_count=2)
+    assert slow_start.has_free_send(1.25, server, 1.0, router_count=3)
+    assert not slow_start.has_free_send(9.0, server, 1.0, router_count=4)  # others may have sent theirs
 
 
 def test_a_server_of_popular_keys_takes_a_smaller_part_of_what_comes() -> None:
     slow_start = SlowStart(0.0)
     slow_start.measure(0.0, 8.0, [(0.3, 1.0), (0.3, 1.0)])
-    assert 0.2 < slow_start.chance("a", 0.5, 2, 4.0) < 0.3
+    assert 0.2 < slow_start.accept_probability("a", 0.5, 2, 4.0) < 0.3
     for _ in range(1000):
         for server in "aaab":
-            slow_start.comes(0.0, server, 8.0, "ab")
-    popular, other = (slow_start.chance(server, 0.5, 2, 4.0) for server in "ab")
+            slow_start.count_first_choice(0.0, server, 8.0, "ab")
+    popular, other = (slow_start.accept_probability(server, 0.5, 2, 4.0) for server in "ab")
     assert popular < 0.9 * other
     for n in range(20):  # what is counted halves every ramp, and goes with its server
-        slow_start.comes(10.0 * (n + 1), "b", 8.0, "b")
-    assert set(slow_start.first) == {"b"} and slow_start.total == slow_start.first["b"] < 30
+        slow_start.count_first_choice(10.0 * (n + 1), "b", 8.0, "b")
+    assert set(slow_start.first_choices) == {"b"} and slow_start.total == slow_start.first_choices["b"] < 30
 
 
 def test_a_cold_server_is_not_left_out_either() -> None:
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -126,7 +126,7 @@
     play(host, 1.1, ask("1"))
     play(host, 1.2, done("1", 0, outcome, outcome == "delivered"))
     router = host.routers[3]
-    assert sum(s.load for s in router.servers.values()) == len(router.attempts) <= 1
+    assert sum(s.in_flight for s in router.servers.values()) == len(router.attempts) <= 1
 
 
 def test_every_list_kind_and_state_is_taken() -> None:
--- a/tests/test_zone_return.py
+++ b/tests/test_zone_return.py
@@ -22,7 +22,7 @@
 from myrtlecourse.peers.gossip import Gossip
 from myrtlecourse.peers.seal import ident
 from myrtlecourse.policy import tuning
-from myrtlecourse.policy.walk import Walk
+from myrtlecourse.policy.selection import ServerSelection
 from myrtlecourse.zones import pace
 from myrtlecourse.zones.core import REST
 from myrtlecourse.zones.pace import View
@@ -273,7 +273,7 @@
 def owners(d: Driver, keys: int, order: api.ZoneExit) -> list[str]:
     """Who gets each key."""
     d.feed(order)
-    d.now += 2 * tuning.PAUSE
+    d.now += 2 * tuning.EXCLUSION_TIME
     found = []
     for i in range(keys):
         name = f"{d.now}-{i}"
@@ -336,7 +336,9 @@
 @needs_sources
 def test_a_share_by_chance_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     chance = random.Random(1)
-    monkeypatch.setattr(Walk, "_warm_share", lambda self, s: 1.0 if chance.random() < s.share else 0.0)
+    monkeypatch.setattr(
+        ServerSelection, "_usable_share", lambda self, s: 1.0 if chance.random() < s.ring_share else 0.0
+    )
     with pytest.raises(AssertionError):
         test_keys_go_over_once_in_a_return_and_to_where_they_belong()
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -432,7 +432,7 @@
     for i in range(count):
         key = f"{seed}-{i}"
         server = d.request(f"q{i}", key=key)
-        held = d.router.held.get(f"q{i}")
+        held = d.router.pending_requests.get(f"q{i}")
         if server:
             assert held is not None
             moved, stays = moved + held.moved, stays + (not held.moved)
@@ -505,7 +505,7 @@
             raise AssertionError("the host tells this")
 
     d = driver()
-    d.router.watch = Watch()
+    d.router.observer = Watch()
     for i, status in enumerate(
         (api.Status.OK, api.Status.CONNECT_FAILED, api.Status.RESET, api.Status.ERROR)
     ):
@@ -634,7 +634,7 @@
 
     def shares() -> dict[str, float]:
         seen = Counter[str]()
-        d.now += 2 * tuning.PAUSE  # so that those that are back are asked again
+        d.now += 2 * tuning.EXCLUSION_TIME  # so that those that are back are asked again
         for i in range(600):
             name = f"{d.now}-{i}"
             d.request(name, key=f"k{i}")
--- a/tests/wrong_zones.py
+++ b/tests/wrong_zones.py
@@ -9,7 +9,7 @@
 
 from myrtlecourse import __main__
 from myrtlecourse.peers import gossip
-from myrtlecourse.policy.leaving import Leaving
+from myrtlecourse.policy.zone_exit import ZoneExitControl
 from myrtlecourse.zones import pace, verdict
 from myrtlecourse.zones.evidence import Tally
 from myrtlecourse.zones.verdict import WHOLE, Sum
@@ -40,7 +40,7 @@
 
 def moves_all() -> None:
     """Sends survivors whatever has lost its server."""
-    Leaving.moves = lambda self, worth, most: True  # type: ignore[method-assign]
+    ZoneExitControl.allow_move = lambda self, worth, most: True  # type: ignore[method-assign]
 
 
 def returns_at_once() -> None:
