--- a/myrtlecourse/interface.py
+++ b/myrtlecourse/interface.py
@@ -1,10 +1,11 @@
-"""Everything the decision module is told and everything it may answer.
+"""The types between the decision module and its host: settings, events in, actions out.
 
-A host turns its own messages into these events, hands them to `policy.Router.handle`, and carries out
-the actions it gets back, in order. Times are seconds on one clock that only advances.
+A host converts its own messages to these events, passes them to `policy.Router.handle`, and carries out the
+actions that it returns, in order. Times are seconds on one monotonic clock.
 
-Events and actions are not changed once made. Those of each request write out their constructor: a frozen
-dataclass sets each field by a detour, which compiled took 2.9 us for five fields in place of 0.2.
+Events and actions are immutable by convention. Those created for each request write out their constructor: a
+frozen dataclass sets each field through `object.__setattr__`, which in compiled code took 2.9 us for five
+fields instead of 0.2.
 """
 
 from __future__ import annotations
@@ -16,33 +17,33 @@
 
 
 class SettingsError(ValueError):
-    """Settings that cannot be used; the message names the field."""
+    """Raised for invalid settings; the message names the field."""
 
 
 class Effect(Enum):
-    """What repeating a request of a class may do."""
+    """Whether a request of a class may be executed more than once."""
 
-    SAFE = "safe"
-    KEYED = "keyed"  # servers of one group drop a repeat of its key for a while
-    UNSAFE = "unsafe"
+    SAFE = "safe"  # idempotent
+    KEYED = "keyed"  # servers of one group drop repeats of its idempotency key for a limited time
+    UNSAFE = "unsafe"  # must not be executed twice
 
 
 class DedupGroup(Enum):
-    """The servers that know each other's keyed requests."""
+    """The set of servers that drop repeats of each other's keyed requests."""
 
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
 
     def includes_both(self, one: ServerEntry, other: ServerEntry) -> bool:
-        """Whether two servers drop each other's repeats."""
+        """Return whether two servers drop repeats of each other's keyed requests."""
         if self is DedupGroup.ZONE:
             return one.zone == other.zone
         return self is DedupGroup.ALL or one.cell == other.cell
 
 
 class State(Enum):
-    """A listed server's state."""
+    """The state of a server in the list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -50,12 +51,12 @@
 
 
 class ListKind(Enum):
-    """How a list event relates to the list already held."""
+    """How a list event relates to the list that the router has."""
 
-    DELTA = "delta"
+    DELTA = "delta"  # changed entries only
     FULL = "full"
-    SAVED = "saved"
-    FAILED = "failed"
+    SAVED = "saved"  # a full list from storage, which may be out of date
+    FAILED = "failed"  # the list could not be fetched
 
 
 class Status(Enum):
@@ -63,88 +64,93 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    FULL = "full"  # the server refused it, as its queue is full
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
-    RESET = "reset"
+    RESET = "reset"  # the connection broke
     CANCELLED = "cancelled"
-    NOT_SENT = "moot"
-    MISS = "miss"
+    NOT_SENT = "moot"  # the host did not send it
+    MISS = "miss"  # the server does not have the key
 
 
 class Reachability(Enum):
-    """What the end of an attempt proves of the way to its server."""
+    """What the end of an attempt proves about the connection to its server."""
 
-    ANSWERED = "heard"  # something came back
-    REFUSED = "refused"  # no connection, or it broke
-    SILENT = "silent"  # nothing came, where an answer is long due
+    ANSWERED = "heard"
+    REFUSED = "refused"  # the connection failed or broke
+    SILENT = "silent"  # no answer, long after one was due
 
 
 class Reason(Enum):
-    """Why an attempt begins, or a request ends without an answer of a server's; for logs alone."""
+    """Why an attempt starts, or why a request ends without a server's answer. Only for logs."""
 
     FIRST = "first"
     RETRY = "retry"
-    HEDGE = "hedge"  # beside one that is more likely lost than late
-    STORED = "stored"  # by the fetch that it followed
-    ORIGIN = "origin"  # a place there is free
-    NO_SERVER = "no-server"  # that may take it
-    NO_TIME = "no-time"  # left for an attempt
-    CROWDED = "crowded"  # it would wait too long
-    NO_REPEAT = "no-repeat"  # is permitted
-    NO_PLACE = "no-place"  # at the origin in time
-    COLD = "cold"  # servers bear no more of it yet
-    ZONE_LEFT = "zone-left"  # whose requests the others don't bear
+    HEDGE = "hedge"  # another attempt is more likely lost than late
+    STORED = "stored"  # the fetch that the request waited for has stored its key
+    ORIGIN = "origin"  # the origin has capacity for another fetch
+    NO_SERVER = "no-server"  # no server may get the request
+    NO_TIME = "no-time"  # the deadline is too close for an attempt
+    CROWDED = "crowded"  # the request would wait too long at its server
+    NO_REPEAT = "no-repeat"  # the class does not permit another attempt
+    NO_PLACE = "no-place"  # the origin has no capacity in time
+    COLD = "cold"  # all servers are cold and can take no more requests yet
+    ZONE_LEFT = "zone-left"  # the fleet has left the server's zone, and the other servers can take no more
     UNKNOWN = ""
 
 
-NEVER_RAN = (Status.FULL, Status.CONNECT_FAILED, Status.NOT_SENT, Status.MISS)  # proven by the outcome itself
+NEVER_RAN = (
+    Status.FULL,
+    Status.CONNECT_FAILED,
+    Status.NOT_SENT,
+    Status.MISS,
+)  # the outcome proves that it did not run
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A class of requests and what its clients expect."""
+    """A class of requests and what its clients expect. Times are in seconds."""
 
     name: str
-    aim: float
+    aim: float  # target for the time from the request to its answer
     effect: Effect = Effect.SAFE
     group: DedupGroup = DedupGroup.ALL
-    repeat_window: float = 0.0
-    value: float = 1.0
+    repeat_window: float = 0.0  # for which servers drop repeats of a keyed request
+    value: float = 1.0  # priority under overload: requests of the least value are refused first
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a router is told once, at its start. Only fields that decisions or a host use are kept."""
+    """The settings of a router, reduced to what decisions or a host use. Times are in seconds."""
 
     classes: dict[str, RequestClass]
-    tick: float = 0.005
-    cache_aside: bool = False  # a miss is ours to fetch from the origin
-    origin_kind: str | None = None
-    live_weights: bool = False  # a weight falls with its server's load
-    subscribe: bool = False  # changes of the list come only after asking
-    hedging: bool = False
-    may_cancel: bool = False
-    max_attempts: int = 1
-    router_count: int = 1  # routers in all
+    tick: float = 0.005  # resolution of timers
+    cache_aside: bool = False  # routers, not cache servers, fetch misses from the origin
+    origin_kind: str | None = None  # the kind of the list's entries that are origins
+    live_weights: bool = False  # listed weights fall with the load of their server
+    subscribe: bool = False  # list changes are sent only on request
+    hedging: bool = False  # a request may have several attempts in flight at once
+    may_cancel: bool = False  # attempts may be cancelled
+    max_attempts: int = 1  # per request
+    router_count: int = 1  # routers of the fleet, this one included
     zone: str = ""  # of this router
-    peers: bool = False  # routers may talk to one another
-    connection_idle: float = 60.0  # after this a host closes an idle connection by itself
-    dial_timeout: float = 0.25  # a connection that is not up by then has failed
-    max_retry_after: float = 0.0  # longest time to come back that clients honour
-    connection_cost: float = 0.0  # of 100 open connections at every server
-    handshake_cost: float = 0.0  # of a new connection for every request
-    longest_deadline: float = 3.0  # of all classes: for which a client waits, in all its tries
-    drain_grace: float = 2.0  # after which nothing new may go to a server that is told to drain, or gone
-    cold_share: float = 0.3
-    ramp_time: float = 10.0
-    fall_multiple: float = 2.0
-    fall_window: float = 1.0
+    peers: bool = False  # routers may exchange messages with each other
+    connection_idle: float = 60.0  # after which a host closes an idle connection
+    dial_timeout: float = 0.25  # after which a connection attempt has failed
+    max_retry_after: float = 0.0  # longest retry delay that clients obey
+    connection_cost: float = 0.0  # of 100 open connections at each server
+    handshake_cost: float = 0.0  # of a new connection for each request
+    longest_deadline: float = 3.0  # longest time that clients of any class wait, retries included
+    drain_grace: float = 2.0  # after which a draining or removed server may get no new requests
+    cold_share: float = 0.3  # share of its normal traffic that a server can take right after its start
+    ramp_time: float = 10.0  # seconds of warm-up after a start, in which that share rises to 1
+    fall_multiple: float = 2.0  # a server collapses at this multiple of the traffic that it can serve
+    fall_window: float = 1.0  # seconds over which that traffic is counted
 
 
 @dataclass(slots=True, frozen=True)
 class ServerEntry:
-    """One line of the list of servers."""
+    """One entry of the list of servers."""
 
     server: str
     state: State = State.READY
@@ -152,24 +158,24 @@
     zone: str = ""
     cell: int = 0
     weight: float = 0.0
-    listed_start: float = 0.0  # time of the latest start, Unix time by its writer's clock; 0 is long ago
-    # the same on the host's clock, if that differs
+    listed_start: float = 0.0  # Unix time of its latest start by the clock of the list's writer; 0: long ago
+    # the same time on the host's clock, if that is another one
     local_start: float | None = field(default=None, compare=False)
 
     @property
     def ready(self) -> bool:
-        """Whether it may be sent anything new."""
+        """Whether the server may get new requests."""
         return self.state is State.READY
 
     @property
     def start_time(self) -> float:
-        """When it started last, on the host's clock; 0 is long ago."""
+        """The time of its latest start on the host's clock; 0: long ago."""
         return self.listed_start if self.local_start is None else self.local_start
 
 
 @dataclass(slots=True, frozen=True)
 class ServerList:
-    """News of the list of servers."""
+    """The list of servers, or changes to it."""
 
     kind: ListKind
     entries: tuple[ServerEntry, ...] = ()
@@ -177,51 +183,51 @@
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryChanged:
-    """The list is told by another discovery from now on; the watch on the one before has ended."""
+    """The list comes from another discovery service from now on; the former subscription has ended."""
 
 
 @dataclass(slots=True, frozen=True)
 class ServerBanned:
-    """Operators took a cache server out: nothing new goes to it, whatever the list says, until it is back."""
+    """Operators have banned a cache server: whatever the list says, it gets no requests until `BanLifted`."""
 
     server: str
 
 
 @dataclass(slots=True, frozen=True)
 class BanLifted:
-    """Operators gave a cache server back. It was restarted meanwhile: nothing learned of it holds."""
+    """Operators have lifted a ban. The server was restarted meanwhile: what was learned of it is void."""
 
     server: str
     returned_at: (
-        float  # when it was given back, on the host's clock (s); a process that learns of it later needs it
+        float  # when the ban was lifted, on the host's clock (s); routers that learn of it later need it
     )
 
 
 @dataclass(slots=True, frozen=True)
 class Serving:
-    """Whether new requests are wanted; while they are not, each is refused before anything is sent for it."""
+    """Whether the router accepts new requests; while it does not, each is refused before anything is sent."""
 
     accepting: bool
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """New settings for all that comes from now on; open requests end under those that they began with."""
+    """New settings for requests from now on; open requests keep those that they began with."""
 
     settings: Settings
 
 
 @dataclass(slots=True, unsafe_hash=True, init=False)
 class Request:
-    """A client's request; it is owed exactly one final answer within `time_left`."""
+    """A client's request. It gets exactly one final answer within `time_left` seconds."""
 
     request: str
     request_class: str
     time_left: float
     key: str | None
-    hint: float | None
+    hint: float | None  # the client's estimate of the work (s)
     write: bool
-    read_delay: float  # before it was taken, of the time its client waits
+    read_delay: float  # seconds from its arrival until the host read it
 
     def __init__(
         self,
@@ -244,16 +250,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Streaming:
-    """The answer of an attempt has begun to flow to the client."""
+    """The first bytes of an attempt's answer have been passed on to the client."""
 
     request: str
     attempt: int
-    read_delay: float = 0.0  # seconds that its first bytes lay unread, as the own process was busy
+    read_delay: float = 0.0  # seconds for which they lay unread, as the host's process was busy
 
 
 @dataclass(slots=True, unsafe_hash=True, init=False)
 class Outcome:
-    """The end of an attempt; `request_ended` when the request itself has ended."""
+    """The end of an attempt. `request_ended`: the request has ended, too."""
 
     request: str
     attempt: int
@@ -273,14 +279,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientGone:
-    """The client left; nothing is owed any more."""
+    """The client has disconnected; the request needs no answer any more."""
 
     request: str
 
 
 @dataclass(slots=True, unsafe_hash=True, init=False)
 class TimerFired:
-    """A timer set earlier is due."""
+    """A timer set with `SetTimer` has fired."""
 
     timer: str
 
@@ -289,7 +295,7 @@
 
 
 class AdmissionControl(Protocol):
-    """Says at a command's arrival, before anything is spent on it, whether the router can bear it."""
+    """Decides at a command's arrival whether the router has capacity for it, before any work is done."""
 
     def retry_delay(
         self,
@@ -307,11 +313,11 @@
         """
 
     def settings_changed(self, settings: Settings) -> None:
-        """New settings; what is known of the load stays."""
+        """Apply new settings; the load measured so far stays."""
 
 
 class ReachabilityObserver(Protocol):
-    """Hears what attempts prove of zones, by the decision module's one account."""
+    """Receives what the end of each attempt proves about the reachability of zones and the origin."""
 
     def attempt_ended(
         self,
@@ -329,7 +335,7 @@
         """
 
     def servers_listed(self, zones: Mapping[str, int]) -> None:
-        """How many cache servers the list names in each zone; told by the host."""
+        """Set the number of listed cache servers of each zone. The host calls it."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -356,12 +362,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ZonePreferences:
-    """How gladly each zone's cache servers are asked: the share of its size that counts for placing keys.
+    """The preference for each zone's cache servers: a factor on their size on the ring.
 
-    A zone that is not named counts whole.
+    The factor of a zone that is not named is 1.
     """
 
-    weights: Mapping[str, float]  # over 0
+    weights: Mapping[str, float]  # by zone, above 0
 
 
 Event = (
@@ -383,7 +389,7 @@
 
 @dataclass(slots=True, unsafe_hash=True, init=False)
 class Send:
-    """Start an attempt; a request's attempts are numbered from 0 in the order sent.
+    """Start an attempt. The attempts of a request are numbered from 0 in the order sent.
 
     `write_by`: the time by which the last byte has to be written, as servers drop repeats only for a limited
     time. A host that gets to it later does not send it and reports `Status.NOT_SENT`.
@@ -391,8 +397,8 @@
 
     request: str
     server: str
-    timeout: float | None  # None: until the client gives up
-    write_by: float | None  # None: whenever there is a connection
+    timeout: float | None  # seconds; None: until the client gives up
+    write_by: float | None  # None: no limit
     reason: Reason = field(compare=False)
 
     def __init__(
@@ -412,10 +418,10 @@
 
 @dataclass(slots=True, unsafe_hash=True, init=False)
 class Refuse:
-    """Final answer: not done, and trying again is harmless."""
+    """Final answer: the request has not been executed and may safely be retried."""
 
     request: str
-    retry_after: float  # how long the client should wait before that; 0 is no advice
+    retry_after: float  # seconds that the client should wait before a retry; 0: no advice
     reason: Reason = field(compare=False)
 
     def __init__(self, request: str, retry_after: float = 0.0, reason: Reason = Reason.UNKNOWN) -> None:
@@ -426,7 +432,7 @@
 
 @dataclass(slots=True, unsafe_hash=True, init=False)
 class Fail:
-    """Final answer that promises nothing."""
+    """Final answer: the request failed, and may or may not have been executed."""
 
     request: str
     reason: Reason = field(compare=False)
@@ -438,7 +444,7 @@
 
 @dataclass(slots=True, unsafe_hash=True, init=False)
 class Cancel:
-    """Stop waiting for an attempt; whether the server stops work is its own matter."""
+    """Stop waiting for an attempt. The server may or may not stop working on it."""
 
     request: str
     attempt: int
@@ -450,14 +456,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CloseIdle:
-    """Close idle connections to a server."""
+    """Close the idle connections to a server."""
 
     server: str
 
 
 @dataclass(slots=True, unsafe_hash=True, init=False)
 class SetTimer:
-    """Ask for a `TimerFired` after a delay."""
+    """Request a `TimerFired` after a delay (seconds)."""
 
     delay: float
     timer: str
@@ -469,12 +475,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Subscribe:
-    """Ask for the list and its changes from now on."""
+    """Request the list and, from now on, its changes."""
 
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """One line for staff."""
+    """A line for the operators' log."""
 
     text: str
 
--- a/myrtlecourse/overload/core.py
+++ b/myrtlecourse/overload/core.py
@@ -71,21 +71,27 @@
         self.max_retry_after = settings.max_retry_after
 
     def retry_delay(
-        self, now: float, request_class: str, tenant: str, again: bool, keyed: bool, waited: float
+        self,
+        now: float,
+        request_class: str,
+        tenant: str,
+        is_retry: bool,
+        has_idempotency_key: bool,
+        read_delay: float,
     ) -> float | None:
         """Take note of a command; None lets it in, a number of seconds is when its client may come back.
 
-        `again` marks what its client asks again. A keyed write may have run: it goes before all else, and is
+        `is_retry` marks what its client asks again. A keyed write may have run: it goes before all else, and is
         told to come back soon. Anything else goes behind what is new, as it is the likelier to be too late.
         """
         if now >= self.window_end:
             self._end_window(now)
         self.window_commands += 1
-        self.window_delay += waited
-        worth = self.values.get(request_class, 0.0)
-        if again:
-            worth *= KEYED_RETRY_FACTOR if keyed else RETRY_FACTOR
-        lane = self._group(tenant, worth)
+        self.window_delay += read_delay
+        value = self.values.get(request_class, 0.0)
+        if is_retry:
+            value *= KEYED_RETRY_FACTOR if has_idempotency_key else RETRY_FACTOR
+        lane = self._group(tenant, value)
         lane.recent_commands += 1
         if self.admitted_share >= 1.0:
             return None
@@ -94,7 +100,7 @@
             lane.credit -= 1.0
             return None
         self.jitter = (self.jitter + GOLDEN_RATIO) % 1.0
-        if self.admitted_share < SEVERE_OVERLOAD_SHARE and not keyed:
+        if self.admitted_share < SEVERE_OVERLOAD_SHARE and not has_idempotency_key:
             # guards the core: three refusals cost as much as an answer, and all that are told to come back
             # soon do so, until refusing is all that it does
             return self.max_retry_after * (1.0 + self.jitter) / 2
--- a/myrtlecourse/policy/__init__.py
+++ b/myrtlecourse/policy/__init__.py
@@ -1,6 +1,7 @@
-"""The decision module: which server, whether to retry, what to turn away; no I/O, no clock.
+"""The decision module: selects servers, retries attempts and sheds load. It does no I/O and reads no clock.
 
-`router.py` decides, by the numbers of `tuning.py`. The types it speaks in are in `myrtlecourse/interface.py`.
+`router.py` takes the decisions; its constants are in `tuning.py`. The types of its interface are in
+`myrtlecourse/interface.py`.
 """
 
 from myrtlecourse.policy.router import Router
--- a/myrtlecourse/policy/limits.py
+++ b/myrtlecourse/policy/limits.py
@@ -1,4 +1,7 @@
-"""What a router learns of a server's limit, and when it leaves a server out."""
+"""Adaptive limits of attempts in flight at each server, and the exclusion of failing servers.
+
+The limit follows additive increase, multiplicative decrease (AIMD) on the latency of answers.
+"""
 
 from __future__ import annotations
 
@@ -10,9 +13,9 @@
 
 
 def learn_limit(now: float, attempt: Attempt, verdict: Verdict, latency: float) -> None:
-    """Adapt what this router has out at a server: less when it is slow or full, else more.
+    """Adapt the limit of this router's attempts in flight: down if the server is slow or full, else up.
 
-    Nothing else moves it: neither what is lost nor a stall says what a server bears.
+    Lost and stalled attempts don't change it, as they prove nothing about the server's capacity.
     """
     server = attempt.server
     if verdict not in (Verdict.ANSWERED, Verdict.CROWDED):
@@ -24,9 +27,9 @@
         if now - server.limit_cut_at > attempt.target_latency:
             server.limit = max(1.0, server.limit * tuning.LIMIT_CUT)
             server.limit_cut_at = now
-        if verdict is Verdict.CROWDED:  # what is out there now is what it bears
+        if verdict is Verdict.CROWDED:  # the attempts in flight now are what it can take
             server.limit = max(1.0, min(server.limit, server.in_flight))
-    # bounds it from above, by twice what is out: room that nothing has tried proves nothing
+    # grows to at most twice the attempts in flight: unused headroom proves nothing
     elif server.in_flight + 1 >= server.limit / 2:
         server.limit += (
             1.0
@@ -35,17 +38,20 @@
         )
 
 
-def record_failure(now: float, server: Server, failed: bool, count: int, ramp: float, chance: Random) -> None:
-    """Guards retries: keys of a server that fails each attempt at once would spend them all.
+def record_failure(
+    now: float, server: Server, failed: bool, count: int, ramp_time: float, random: Random
+) -> None:
+    """Count consecutive failures and exclude a server that has too many.
 
-    `failed` is to be false where too many others are out.
+    Without it, the keys of a server that fails every attempt at once would use up the retry budget. `failed`
+    has to be false while too many other servers are excluded.
     """
     if not failed or not server.is_cache:
         server.consecutive_failures, server.exclusion_time = 0, 0.0
         return
     server.consecutive_failures += count
     if server.consecutive_failures >= tuning.EXCLUSION_FAILURES and now >= server.excluded_until:
-        server.exclusion_time = min(ramp, max(tuning.EXCLUSION_TIME, 2 * server.exclusion_time))
-        server.excluded_until = now + server.exclusion_time * chance.uniform(0.5, 1.0)
-        # it may come back cold, and the list tells it late
+        server.exclusion_time = min(ramp_time, max(tuning.EXCLUSION_TIME, 2 * server.exclusion_time))
+        server.excluded_until = now + server.exclusion_time * random.uniform(0.5, 1.0)
+        # it may return cold, and the list may show that late
         server.limit = min(server.limit, tuning.INITIAL_LIMIT)
--- a/myrtlecourse/policy/members.py
+++ b/myrtlecourse/policy/members.py
@@ -238,7 +238,7 @@
         self.sizes.update(server, size, reported)
         return grown
 
-    def _least_loaded_origin(self) -> Server | None:
+    def _best_origin(self) -> Server | None:
         """The least loaded origin member that may be sent to."""
         return min(self.origins.values(), key=lambda s: s.in_flight, default=None)
 
--- a/myrtlecourse/policy/popularity.py
+++ b/myrtlecourse/policy/popularity.py
@@ -1,12 +1,12 @@
-"""How often each key is asked for."""
+"""Request counts per key."""
 
 from __future__ import annotations
 
 
 class Popularity:
-    """Requests of each key, in a memory that halves every ramp.
+    """Counts requests per key; all counts are halved once per warm-up time.
 
-    Guards against hot keys: own loads are too few to show them.
+    Needed to detect hot keys: the load of one router alone is too low to show them at the servers.
     """
 
     def __init__(self, now: float) -> None:
@@ -14,12 +14,12 @@
         self.total = 0.0
         self.halve_at = now
 
-    def record(self, now: float, key: str, ramp: float, caches: int) -> float:
-        """Count a request of a key; answers with the key's share of own requests."""
+    def record(self, now: float, key: str, ramp_time: float, caches: int) -> float:
+        """Count a request of a key and return the key's share of this router's requests."""
         if now > self.halve_at:
-            self.halve_at = now + ramp
+            self.halve_at = now + ramp_time
             self.counts = {k: n // 2 for k, n in self.counts.items() if n > 1}
             self.total /= 2
         self.total += 1
-        times = self.counts[key] = self.counts.get(key, 0) + 1
-        return (times - 1) / max(self.total, caches)  # a key met twice by chance is not hot
+        count = self.counts[key] = self.counts.get(key, 0) + 1
+        return (count - 1) / max(self.total, caches)  # a key seen twice by chance is not hot
--- a/myrtlecourse/policy/request_queue.py
+++ b/myrtlecourse/policy/request_queue.py
@@ -1,4 +1,4 @@
-"""Who waits for a place at the origin, or for any server, and who follows whose fetch."""
+"""The queue of requests that wait for the origin or for any server, and the requests that share a fetch."""
 
 from __future__ import annotations
 
@@ -9,19 +9,18 @@
 
 
 class RequestQueue:
-    """Worth first, or writes wait behind misses; then keys asked for often, as their fetch saves the most
-    others; then age."""
+    """A priority queue: by value, so that writes don't wait behind misses; then by the popularity of the key,
+    as the fetch of a popular key serves the most other requests; then by age."""
 
     def __init__(self) -> None:
         self.heap: list[tuple[float, int, int, PendingRequest]] = []
-        self.fetches: dict[
-            str, tuple[PendingRequest, list[PendingRequest]]
-        ] = {}  # of each key: who fetches it, and who follows
+        # by key: the request that fetches it, and those that wait for that fetch
+        self.fetches: dict[str, tuple[PendingRequest, list[PendingRequest]]] = {}
         self.sequence = 0
         self.last_sweep_at = -math.inf
 
     def join_fetch(self, pending: PendingRequest) -> bool:
-        """Whether a miss joins another's fetch of its key; if not, it becomes the one that is followed."""
+        """Join another request's fetch of the same key. If there is none, the request starts one."""
         key = pending.request.key
         if not pending.to_origin or pending.request.write or key is None:
             return False
@@ -30,13 +29,13 @@
             followers.append(pending)
         return first is not pending
 
-    def push(self, pending: PendingRequest, often: int) -> None:
-        """Stand in the line; `often` tells how often its key is asked for."""
+    def push(self, pending: PendingRequest, popularity: int) -> None:
+        """Add a request; `popularity` is the request count of its key."""
         self.sequence += 1
-        heapq.heappush(self.heap, (-pending.request_class.value, -often, self.sequence, pending))
+        heapq.heappush(self.heap, (-pending.request_class.value, -popularity, self.sequence, pending))
 
     def pop(self) -> PendingRequest | None:
-        """The first that still waits."""
+        """Remove and return the first request that still waits."""
         while self.heap:
             pending = heapq.heappop(self.heap)[-1]
             if pending.queued:
@@ -44,25 +43,25 @@
         return None
 
     def remove_all(self) -> list[PendingRequest]:
-        """All that wait, in their order; the line is empty then."""
-        queue, self.heap = sorted(self.heap), []
-        return [q[-1] for q in queue if q[-1].queued]
+        """Empty the queue and return all requests that still wait, in their order."""
+        heap, self.heap = sorted(self.heap), []
+        return [q[-1] for q in heap if q[-1].queued]
 
     def end_fetch(self, first: PendingRequest) -> list[PendingRequest]:
-        """The fetch that others follow is over, or likely lost: those who followed it."""
+        """Forget a fetch that is over, or likely lost, and return the requests that waited for it."""
         key = first.request.key
         if key is None or self.fetches.get(key, (None,))[0] is not first:
             return []
         return self.fetches.pop(key)[1]
 
     def sweep_due(self, now: float, tick: float) -> bool:
-        """Whether to look the whole line through: not for each that comes, or it costs more than it saves."""
+        """Return whether to look through the whole queue, which would cost too much for each request."""
         if now < self.last_sweep_at + tick:
             return False
         self.last_sweep_at = now
         return True
 
     def compact(self) -> None:
-        """Guards against requests long ended piling up behind those of more worth."""
+        """Remove requests that have ended; they would pile up behind those of more value."""
         self.heap = [q for q in self.heap if q[-1].queued]
         heapq.heapify(self.heap)
--- a/myrtlecourse/policy/ring.py
+++ b/myrtlecourse/policy/ring.py
@@ -1,4 +1,8 @@
-"""The ring: positions of weighted virtual nodes, and the servers whose they are."""
+"""The hash ring: the positions of weighted virtual nodes (points) and the servers that own them.
+
+Consistent hashing with virtual nodes: a change of one server moves only the keys next to its own points.
+Points are kept in sorted buckets, so that a change touches a few small arrays.
+"""
 
 from __future__ import annotations
 
@@ -11,40 +15,40 @@
 
 from myrtlecourse.policy.state import Server
 
-# A point is one number of 60 bits, which compiled code holds without an object: the leading bits of its
-# position behind those that name its bucket, then whose it is
+# A point is a number of 60 bits, which compiled code stores without an object: the bits of its position that
+# follow the bucket number, then the number of its server, then the number of the node
 BUCKET_BITS = 13
 SERVER_BITS = 16
 NODE_BITS = 7
-KEPT_BITS = 36  # of a position, behind those that name its bucket
+KEPT_BITS = 36  # of a position, after the bits of its bucket number
 BUCKETS = 1 << BUCKET_BITS
 MAX_SERVERS = 1 << SERVER_BITS
-MAX_NODES = 1 << NODE_BITS  # of one server: `tuning.POINTS` at most
+MAX_NODES = 1 << NODE_BITS  # per server: at least `tuning.POINTS`
 OWNER_BITS = SERVER_BITS + NODE_BITS
-DROPPED_BITS = 64 - BUCKET_BITS - KEPT_BITS  # at a position's end, which are not kept
+DROPPED_BITS = 64 - BUCKET_BITS - KEPT_BITS  # the last bits of a position, which are not stored
 KEPT_MASK = (1 << KEPT_BITS) - 1
-BULK_SERVERS = 64  # servers placed at once, from which on buckets are sorted whole
-BULK_BATCH = 1024  # servers whose points are gathered before that: each is an object meanwhile
+BULK_SERVERS = 64  # servers changed at once, from which on whole buckets are sorted
+BULK_BATCH = 1024  # servers whose points are collected before sorting: each point is an object meanwhile
 
 
 def ring_hash(text: str) -> tuple[int, ...]:
-    """Positions on the ring: a key takes the first, a server all of them."""
+    """Return positions on the ring for a text; a key uses the first one."""
     return struct.unpack(">8Q", hashlib.blake2b(text.encode()).digest())
 
 
 def _digests(server: str, count: int) -> bytes:
-    """At least so many virtual nodes of a server, eight bytes each."""
+    """Return the positions of at least `count` virtual nodes of a server, eight bytes each."""
     name = f"{server}-vnode-".encode()
     return b"".join([hashlib.blake2b(name + b"%d" % j).digest() for j in range(math.ceil(count / 8))])
 
 
 def kept_nodes(server: str, count: int) -> list[int]:
-    """What is kept of each of the first virtual nodes of a server, its bucket's number included.
+    """Return the stored bits of the first virtual nodes of a server, bucket number included.
 
-    More weight adds to them and moves none.
+    A larger count adds nodes and moves none.
     """
     digests = _digests(server, count)
-    # in halves, which compiled code holds without an object, as it does all that is made of them
+    # unpacked as 32-bit halves: compiled code stores these, and the results, without objects
     halves: tuple[int, ...] = struct.unpack(f">{len(digests) // 4}I", digests)
     return [
         halves[2 * node] << (32 - DROPPED_BITS) | halves[2 * node + 1] >> DROPPED_BITS
@@ -53,29 +57,29 @@
 
 
 def bucket_of(position: int) -> int:
-    """The number of the bucket that holds a position."""
+    """Return the number of the bucket that holds a position."""
     return position >> (64 - BUCKET_BITS)
 
 
 def point_of(position: int, number: int, node: int) -> int:
-    """A virtual node of the server that has a number, as its bucket holds it."""
+    """Return the point of a server's virtual node as its bucket stores it."""
     return (position >> DROPPED_BITS & KEPT_MASK) << OWNER_BITS | number << NODE_BITS | node
 
 
 class Ring:
-    """Virtual nodes in the order of their positions, in buckets of which a change touches a few.
+    """Virtual nodes in the order of their positions, in buckets.
 
-    A server that comes, goes or changes its size costs what its own points cost, whatever others there are.
+    The cost of adding, removing or resizing a server depends on its own points only.
     """
 
     def __init__(self) -> None:
         self.buckets = [array("Q") for _ in range(BUCKETS)]
-        self.servers: list[Server | None] = []  # by number
-        self.free_numbers: list[int] = []  # numbers
-        self.point_count = 0  # points
+        self.servers: list[Server | None] = []  # by their number
+        self.free_numbers: list[int] = []
+        self.point_count = 0
 
     def set_points(self, server: Server, count: int) -> None:
-        """Give a server so many points; those that it keeps stay where they are."""
+        """Set the number of a server's points; those that it keeps don't move."""
         self._add(server, count)
         if count < server.ring_points:
             nodes = kept_nodes(server.entry.server, server.ring_points)
@@ -87,7 +91,7 @@
             self._set_count(server, count)
 
     def set_all_points(self, counts: Iterable[tuple[Server, int]]) -> None:
-        """The same for many, cheaper in all: each bucket is sorted once."""
+        """Set the points of many servers; cheaper than one by one, as each bucket is sorted once."""
         pairs = list(counts)
         if len(pairs) < BULK_SERVERS:
             for server, count in pairs:
@@ -100,26 +104,26 @@
             self._add_in_bulk(pairs[start : start + BULK_BATCH])
 
     def _add_in_bulk(self, pairs: list[tuple[Server, int]]) -> None:
-        """Give servers the points that they lack, and sort each bucket once."""
+        """Add the missing points of servers, sorting each bucket once."""
         buckets: list[list[int]] = [[] for _ in range(BUCKETS)]
         for server, count in pairs:
-            lacking = self._missing_points(server, count)
-            for number, point in lacking:
+            missing = self._missing_points(server, count)
+            for number, point in missing:
                 buckets[number].append(point)
-            self._set_count(server, server.ring_points + len(lacking))
+            self._set_count(server, server.ring_points + len(missing))
         for bucket, points in enumerate(buckets):
             if points:
                 self.buckets[bucket] = array("Q", sorted([*self.buckets[bucket], *points]))
 
     def _add(self, server: Server, count: int) -> None:
-        """Give a server the points that it lacks."""
-        lacking = self._missing_points(server, count)
-        for number, point in lacking:
+        """Add the missing points of a server."""
+        missing = self._missing_points(server, count)
+        for number, point in missing:
             insort(self.buckets[number], point)
-        self._set_count(server, server.ring_points + len(lacking))
+        self._set_count(server, server.ring_points + len(missing))
 
     def _missing_points(self, server: Server, count: int) -> list[tuple[int, int]]:
-        """The points that a server lacks, each with the number of its bucket."""
+        """Return the missing points of a server, each with the number of its bucket."""
         if count <= server.ring_points or not self._assign_number(server):
             return []
         nodes = kept_nodes(server.entry.server, count)
@@ -130,7 +134,7 @@
         ]
 
     def _assign_number(self, server: Server) -> bool:
-        """See to it that a server has a number; False when there is none left."""
+        """Give a server a number unless it has one. Returns False when none is left."""
         if server.ring_number >= 0:
             return True
         if self.free_numbers:
@@ -154,16 +158,17 @@
             server.ring_number = -1
 
     def transfer_points(self, former: Server, server: Server) -> None:
-        """A server takes over the points of a former process of its own name."""
+        """Move the points of a former process to the server of the same name that replaces it."""
         server.ring_points, former.ring_points = former.ring_points, 0
         server.ring_number, former.ring_number = former.ring_number, -1
         if server.ring_number >= 0:
             self.servers[server.ring_number] = server
 
     def walk(self, key: str, most: int) -> Iterator[tuple[Server, float]]:
-        """The servers clockwise from a key, point by point, each with the point's rank among its own.
+        """Yield the servers clockwise from a key, point by point, each with the point's relative rank.
 
-        At most `most` points, and no more than one tour.
+        The rank is the point's number among those of its server, scaled to between 0 and 1. The walk visits
+        at most `most` points and ends after one turn of the ring.
         """
         position = ring_hash(key)[0]
         number = bucket_of(position)
@@ -181,7 +186,7 @@
                 yield server, ((point & (MAX_NODES - 1)) + 0.5) / server.ring_points
 
     def points(self) -> Iterator[tuple[int, Server]]:
-        """All positions in their order, as far as they are kept, and whose they are."""
+        """Yield all positions in their order, without the bits that are not stored, and their servers."""
         for number, bucket in enumerate(self.buckets):
             for point in bucket:
                 server = self.servers[point >> NODE_BITS & (MAX_SERVERS - 1)]
--- a/myrtlecourse/policy/router.py
+++ b/myrtlecourse/policy/router.py
@@ -23,14 +23,14 @@
         settings: api.Settings,
         seed: int,
         now: float,
-        door: api.AdmissionControl | None = None,
-        watch: api.ReachabilityObserver | None = None,
+        admission: api.AdmissionControl | None = None,
+        observer: api.ReachabilityObserver | None = None,
     ) -> None:
         super().__init__(settings, seed, now)
-        self.admission = door
-        self.observer = watch
+        self.admission = admission
+        self.observer = observer
         self.accepting = True  # new requests
-        self.pending_requests: dict[str, PendingRequest] = {}
+        self.requests: dict[str, PendingRequest] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}
         self.queue = RequestQueue()  # for the origin, or any server
         self.retry_budget = tuning.MAX_SAVED_RETRIES
@@ -41,10 +41,10 @@
         now: float,
         request_class: str,
         tenant: str,
-        again: bool,
-        keyed: bool,
+        is_retry: bool,
+        has_idempotency_key: bool,
         time_left: float,
-        waited: float,
+        read_delay: float,
     ) -> float | None:
         """Whether to refuse a command unread: None, or when its client may come back.
 
@@ -54,7 +54,9 @@
             return 0.0
         if self.admission is None:
             return None
-        pause = self.admission.retry_delay(now, request_class, tenant, again, keyed, waited)
+        pause = self.admission.retry_delay(
+            now, request_class, tenant, is_retry, has_idempotency_key, read_delay
+        )
         # guards the core: nobody waits any more for what would be done now
         return pause if pause is not None or time_left > self.settings.tick else 0.0
 
@@ -83,8 +85,8 @@
         elif isinstance(event, api.ZonePreferences):
             self.zone_weights = event.weights
             self._rebuild_ring()
-        elif isinstance(event, api.ClientGone) and event.request in self.pending_requests:
-            self._remove(self.pending_requests[event.request])
+        elif isinstance(event, api.ClientGone) and event.request in self.requests:
+            self._remove(self.requests[event.request])
         elif isinstance(event, api.Streaming):
             self._on_streaming(event)
         return self.actions
@@ -99,7 +101,7 @@
         begun.release_slot()
         self._learn_from(begun, api.Status.OK, max(0.0, self.now - begun.sent_at - event.read_delay))
         begun.response_begun = True
-        if (pending := self.pending_requests.get(event.request)) is not None:
+        if (pending := self.requests.get(event.request)) is not None:
             pending.streaming, pending.queued = True, False
             for other, attempt in enumerate(pending.attempts):
                 if self.settings.may_cancel and attempt.is_open and attempt is not begun:
@@ -147,7 +149,7 @@
         if self.zone_exit is not None:
             self.zone_exit.apply(self.now, order)
         self._apply_zone_exit()
-        for pending in list(self.pending_requests.values()):
+        for pending in list(self.requests.values()):
             last = pending.attempts[-1] if pending.attempts else None
             if (
                 last is None
@@ -188,7 +190,7 @@
         aim = request_class.aim - request.read_delay
         until = self.now + min(request.time_left - self.settings.tick, aim)
         origin = self.settings.cache_aside and request.write
-        pending = self.pending_requests[request.request] = PendingRequest(
+        pending = self.requests[request.request] = PendingRequest(
             request, request_class, self.settings, until, origin
         )
         self.request_count += 1
@@ -198,7 +200,7 @@
     def _advance(self, pending: PendingRequest) -> None:
         """Send the next attempt, hold the request for one, or end it."""
         to_ring = self.ring.point_count and not pending.to_origin
-        server = self._choose_server(pending) if to_ring else self._least_loaded_origin()
+        server = self._choose_server(pending) if to_ring else self._best_origin()
         if self.now >= pending.deadline:
             self._finish(pending, api.Reason.NO_TIME)
         elif pending.attempts and (server is None or not self._class_permits(pending, server)):
@@ -269,7 +271,7 @@
         """Ask again. A server that has answered others since has the key; one that has not may be out."""
         server: Server | None = last.server
         if pending.to_origin:
-            server = None if last.holds_slot else self._least_loaded_origin()
+            server = None if last.holds_slot else self._best_origin()
         else:
             listed = self.servers.get(last.server.entry.server) is server and last.server.ready
             alive = listed and not last.holds_slot and self.now >= last.server.excluded_until
@@ -292,12 +294,12 @@
             self._serve_queue()
         elif what == "ring":
             self._place_stale()
-        pending = self.pending_requests.get(name)
+        pending = self.requests.get(name)
         if pending is not None and what == "overdue":
             self._on_overdue(pending)
         elif pending is not None and pending.queued:
             # half a tick of grace: rounding may wake us a hair before
-            if self.now >= self._latest_start(pending, self._least_loaded_origin()) - self.settings.tick / 2:
+            if self.now >= self._latest_start(pending, self._best_origin()) - self.settings.tick / 2:
                 self._finish(pending, api.Reason.NO_PLACE)
             else:
                 self._set_wait_timer(pending)
@@ -329,7 +331,7 @@
                 self._release_followers(pending, served=False)
             return
         name = pending.request.request
-        origin = self._least_loaded_origin() if pending.to_origin else None
+        origin = self._best_origin() if pending.to_origin else None
         # by then what stood in its way is over; guards against clients that ask again while it is not
         wait = (
             origin.evidence.usual_latency * (1 + len(self.queue.heap) / origin.limit)
@@ -347,7 +349,7 @@
 
     def _remove(self, pending: PendingRequest, served: bool = False) -> None:
         pending.queued = False
-        del self.pending_requests[pending.request.request]
+        del self.requests[pending.request.request]
         self._release_followers(pending, served)
         for number, attempt in enumerate(pending.attempts):
             if attempt.is_open and self.settings.may_cancel:
@@ -381,7 +383,7 @@
             self.success_share += SMOOTHING * (
                 (event.status in (api.Status.OK, api.Status.MISS)) - self.success_share
             )
-        if (pending := self.pending_requests.get(event.request)) is not None:
+        if (pending := self.requests.get(event.request)) is not None:
             if event.request_ended or event.status is api.Status.OK:
                 self._remove(pending, event.status is api.Status.OK and not attempt.server.is_cache)
             elif not pending.queued and (event.status is api.Status.MISS or not pending.open_attempts()):
@@ -475,14 +477,12 @@
 
     def _set_wait_timer(self, pending: PendingRequest) -> None:
         """A timer, so that a request that waits is answered in time whatever comes."""
-        pause = max(0.0, self._latest_start(pending, self._least_loaded_origin()) - self.now)
+        pause = max(0.0, self._latest_start(pending, self._best_origin()) - self.now)
         self.actions.append(api.SetTimer(pause, "wait:" + pending.request.request))
 
     def _serve_queue(self) -> None:
         line = self.queue
-        while (
-            line.heap and (origin := self._least_loaded_origin()) is not None and self._has_capacity(origin)
-        ):
+        while line.heap and (origin := self._best_origin()) is not None and self._has_capacity(origin):
             pending = line.pop()
             if pending is None:
                 break
@@ -498,7 +498,7 @@
         if not line.sweep_due(self.now, self.settings.tick):
             return
         # guards clients against waiting on for what can't be served any more: they may still ask again
-        origin = self._least_loaded_origin()
+        origin = self._best_origin()
         late = [q[-1] for q in line.heap if q[-1].queued and self.now >= self._latest_start(q[-1], origin)]
         for pending in late:
             if pending.queued:  # not ended meanwhile, with one whose fetch it followed
--- a/myrtlecourse/policy/sizes.py
+++ b/myrtlecourse/policy/sizes.py
@@ -1,4 +1,4 @@
-"""The sizes of the cache servers that may be sent to, their sum, and the unit that points are counted in."""
+"""The sizes of the cache servers that may get requests, their total, and the unit of ring points."""
 
 from __future__ import annotations
 
@@ -10,19 +10,21 @@
 
 
 class Sizes:
-    """Books that a server's change costs the same, however many servers there are."""
+    """Running totals over the servers. A change costs the same however many servers there are."""
 
     def __init__(self) -> None:
-        self.declared: dict[Server, float] = {}  # of each; 0 where its weight is missing
-        self.size_counts: dict[float, int] = {}  # servers of each such size
-        self.largest = 1.0  # and what a missing weight counts as
-        self.unit = 1.0  # of which a server gets all points; rarely changes with the fleet
+        self.declared: dict[Server, float] = {}  # size of each server; 0 if its weight is missing
+        self.size_counts: dict[float, int] = {}  # number of servers of each size
+        self.largest = 1.0  # also the size of servers without a weight
+        self.unit = (
+            1.0  # size at which a server gets all its points: a power of two, so that it rarely changes
+        )
         self.total = 0.0
-        self.reported_total = 0.0  # the sum of what is reported for each
-        self.largest_is_stale = False  # whether the largest may be another one by now
+        self.reported_total = 0.0  # sum of the reported loads
+        self.largest_is_stale = False  # the largest size may have changed
 
     def update(self, server: Server, size: float, reported: float) -> None:
-        """A server is there, or has another size; `reported` is what it holds for each unit of size."""
+        """Add a server or change its size; `reported` is its load per unit of size."""
         self._subtract(server)
         self.declared[server] = size
         self.size_counts[size] = self.size_counts.get(size, 0) + 1
@@ -35,26 +37,26 @@
         self.reported_total += reported
 
     def remove(self, server: Server) -> None:
-        """A server is not there, or no more."""
+        """Remove a server, if it is included."""
         self._subtract(server)
-        if not self.declared:  # no rounding errors are carried on
+        if not self.declared:  # discards accumulated rounding errors
             self.total = self.reported_total = 0.0
 
     def _subtract(self, server: Server) -> None:
-        told = self.declared.pop(server, None)
-        if told is None:
+        declared = self.declared.pop(server, None)
+        if declared is None:
             return
         self.total -= server.size
         self.reported_total -= server.reported_load
-        left = self.size_counts[told] - 1
+        left = self.size_counts[declared] - 1
         if left:
-            self.size_counts[told] = left
+            self.size_counts[declared] = left
         else:
-            del self.size_counts[told]
-            self.largest_is_stale = self.largest_is_stale or told == self.largest
+            del self.size_counts[declared]
+            self.largest_is_stale = self.largest_is_stale or declared == self.largest
 
     def refresh(self) -> bool:
-        """Find the largest anew, once all that changed is told; whether points are counted otherwise now."""
+        """Update the largest size after all changes. Returns whether the unit of points has changed."""
         if not self.largest_is_stale:
             return False
         self.largest_is_stale = False
@@ -73,9 +75,9 @@
             server.size = largest
 
     def points(self, server: Server) -> int:
-        """How many points a server has on the ring."""
+        """Return the number of points that a server should have on the ring."""
         return math.ceil(tuning.POINTS * server.size / self.unit) if server in self.declared else 0
 
     def mean_reported(self) -> float:
-        """Requests held for each unit of size, in the mean."""
+        """Return the mean of the reported loads."""
         return self.reported_total / max(1, len(self.declared))
--- a/myrtlecourse/policy/slow_start.py
+++ b/myrtlecourse/policy/slow_start.py
@@ -1,7 +1,8 @@
-"""What a fleet bears while servers of it start cold, as shares of what it bears when all are warm.
+"""Slow start: how much of its traffic a cold server gets, as shares of what it can take when warm.
 
-As long as others are warm they take what a cold server leaves. With all of them cold nobody does: then each
-takes a part of what comes for it, by how warm the fleet is, and the rest is refused.
+While other servers are warm, they take the requests that a cold server does not get. When all servers are
+cold there is no other server: then each accepts a share of its requests that follows the mean warmth of the
+fleet, and the rest is refused.
 """
 
 from __future__ import annotations
@@ -14,28 +15,28 @@
 
 
 class SlowStart:
-    """What one router counts for it."""
+    """The counts of one router."""
 
     def __init__(self, now: float) -> None:
-        self.first_choices: dict[str, int] = {}  # requests for whose key a server comes first, by server
+        self.first_choices: dict[str, int] = {}  # requests by the first server on the ring for their key
         self.total = 0
         self.halve_at = now
-        self.cold_until = -math.inf  # from then on no server is
+        self.cold_until = -math.inf  # when the last cold server will be warm
         self.next_measure_at = -math.inf
-        self.max_warmth = 1.0  # how warm the warmest server is
-        self.mean_warmth = 1.0  # how warm all servers together are
-        self.recent_sends: dict[Server, list[float]] = {}  # when the last ones went to each cold server
-        self.refused = False  # the request that was looked at last, by a cold server
+        self.max_warmth = 1.0  # warmth of the warmest server
+        self.mean_warmth = 1.0  # mean warmth of all servers, weighted by size
+        self.recent_sends: dict[Server, list[float]] = {}  # times of the latest requests to each cold server
+        self.refused = False  # whether a cold server has refused the request at hand
 
-    def server_started(self, started: float, lasts: float) -> None:
-        """A server has started, and is cold for so many seconds."""
-        self.cold_until = max(self.cold_until, started + lasts)
+    def server_started(self, started_at: float, duration: float) -> None:
+        """Note the start of a server that is cold for `duration` seconds."""
+        self.cold_until = max(self.cold_until, started_at + duration)
         self.next_measure_at = -math.inf
 
-    def count_first_choice(self, now: float, server: str, ramp: float, listed: Collection[str]) -> None:
-        """Count a request for whose key a server comes first, in a memory that halves every ramp."""
+    def count_first_choice(self, now: float, server: str, ramp_time: float, listed: Collection[str]) -> None:
+        """Count a request by the first server for its key; counts are halved once per warm-up time."""
         if now > self.halve_at:
-            self.halve_at = now + ramp
+            self.halve_at = now + ramp_time
             self.first_choices = {
                 name: n // 2 for name, n in self.first_choices.items() if n > 1 and name in listed
             }
@@ -43,41 +44,41 @@
         self.first_choices[server] = self.first_choices.get(server, 0) + 1
         self.total += 1
 
-    def measure(self, now: float, ramp: float, servers: Iterable[tuple[float, float]]) -> None:
-        """Take how warm each server is, and its size."""
-        self.next_measure_at = now + ramp / tuning.SLOW_START_STEPS
-        self.max_warmth = warm = size = 0.0
-        for each, its_size in servers:
-            self.max_warmth = max(self.max_warmth, each)
-            warm += each * its_size
-            size += its_size
-        self.mean_warmth = warm / size if size else 1.0
+    def measure(self, now: float, ramp_time: float, servers: Iterable[tuple[float, float]]) -> None:
+        """Compute the fleet's warmth from the warmth and size of each server."""
+        self.next_measure_at = now + ramp_time / tuning.SLOW_START_STEPS
+        self.max_warmth = weighted = size = 0.0
+        for warmth, server_size in servers:
+            self.max_warmth = max(self.max_warmth, warmth)
+            weighted += warmth * server_size
+            size += server_size
+        self.mean_warmth = weighted / size if size else 1.0
         self.max_warmth = self.max_warmth or 1.0
         self.recent_sends = {
-            server: calls for server, calls in self.recent_sends.items() if now < calls[-1] + ramp
+            server: times for server, times in self.recent_sends.items() if now < times[-1] + ramp_time
         }
 
-    def accept_probability(self, server: str, fair: float, servers: int, multiple: float) -> float:
-        """The chance with which a cold server takes what its points on the ring give it.
+    def accept_probability(self, server: str, fair_share: float, server_count: int, multiple: float) -> float:
+        """Return the probability with which a cold server accepts a request that the ring assigns to it.
 
-        `fair` is its share of the size of all; popular keys bring more than that to some. `multiple` is how
-        many times what it can do it bears, where its points count in full. What is refused comes again in
-        part, so that the chance falls faster than what the fleet bears. 1 at most.
+        `fair_share` is its share of the total size; popular keys bring some servers more than that. `multiple`
+        is the multiple of its capacity at which a server collapses, while all its points count. Clients send
+        a part of the refused requests again, so that the probability falls faster than the fleet's capacity.
         """
-        prior = tuning.FIRST_CHOICE_PRIOR * servers
-        comes = (self.first_choices.get(server, 0) + prior * fair) / (self.total + prior)
-        most = tuning.OVERLOAD_FACTOR * (max(tuning.KEY_SKEW, comes / fair) + tuning.BURST_SHARE)
-        bears = multiple * self.mean_warmth
-        once = (1 - tuning.REFUSED_RETRY_SHARE) * bears
-        return once / max(most - tuning.REFUSED_RETRY_SHARE * bears, once)
+        prior = tuning.FIRST_CHOICE_PRIOR * server_count
+        arriving = (self.first_choices.get(server, 0) + prior * fair_share) / (self.total + prior)
+        peak = tuning.OVERLOAD_FACTOR * (max(tuning.KEY_SKEW, arriving / fair_share) + tuning.BURST_SHARE)
+        capacity = multiple * self.mean_warmth
+        fresh = (1 - tuning.REFUSED_RETRY_SHARE) * capacity
+        return fresh / max(peak - tuning.REFUSED_RETRY_SHARE * capacity, fresh)
 
     def has_free_send(self, now: float, server: Server, window: float, router_count: int) -> bool:
-        """Whether a cold server bears one more call whatever it can do."""
-        calls = self.recent_sends.get(server)
+        """Return whether a cold server can take another request, however cold it is."""
+        times = self.recent_sends.get(server)
         own = tuning.FREE_COLD_SENDS // router_count
-        return own > 0 and (calls is None or len(calls) < own or calls[-own] <= now - window)
+        return own > 0 and (times is None or len(times) < own or times[-own] <= now - window)
 
     def record_send(self, now: float, server: Server) -> None:
-        """A cold server gets a call."""
+        """Record a request sent to a cold server."""
         last = self.recent_sends.get(server, [])[1 - tuning.FREE_COLD_SENDS :]
         self.recent_sends[server] = [*last, now]
--- a/myrtlecourse/policy/state.py
+++ b/myrtlecourse/policy/state.py
@@ -1,4 +1,4 @@
-"""What the module holds of a server, of an attempt and of a request."""
+"""The state of servers, attempts and open requests."""
 
 from __future__ import annotations
 
@@ -12,46 +12,46 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A listed server as this router sees it."""
+    """A listed server and what this router knows of it. Times are in seconds."""
 
     entry: api.ServerEntry
-    is_cache: bool = True  # or the origin
-    started_at: float = 0.0  # 0: long ago
-    banned: bool = False  # by operators, until they give it back
-    in_flight: int = 0  # own attempts whose answers may still come, or begin to
-    size: float = 1.0  # its weight, steady
-    reported_load: float = 0.0  # requests held for each unit of size, by all routers, seconds ago
-    ring_points: int = 0  # that it has on the ring
-    ring_number: int = -1  # there, while it has any
+    is_cache: bool = True  # else an origin
+    started_at: float = 0.0  # time of its latest start; 0: long ago
+    banned: bool = False  # by operators
+    in_flight: int = 0  # own attempts that hold a slot: their answers may still start
+    size: float = 1.0  # its weight, or where weights fall with load, the largest of its kind
+    reported_load: float = 0.0  # requests in flight per unit of size, of all routers, some seconds ago
+    ring_points: int = 0  # its virtual nodes on the ring
+    ring_number: int = -1  # its number on the ring, while it has points
     limit: float = tuning.INITIAL_LIMIT  # of own attempts in flight
     limit_cut_at: float = -math.inf
-    latency_ratio: float = 0.0  # smoothed share of the target that answers take, as one says little
-    last_used_at: float = 0.0  # last end of an attempt
-    consecutive_failures: int = 0  # in a row
-    exclusion_time: float = 0.0
-    excluded_until: float = -math.inf
-    zone_left: bool = False  # with its zone, by the fleet
-    ring_share: float = 1.0  # of its points that count, while its zone comes back
+    latency_ratio: float = 0.0  # smoothed latency of answers as a share of the target
+    last_used_at: float = 0.0  # end of the latest attempt
+    consecutive_failures: int = 0
+    exclusion_time: float = 0.0  # length of its latest exclusion
+    excluded_until: float = -math.inf  # before which it gets no new requests
+    zone_left: bool = False  # the fleet has left its zone
+    ring_share: float = 1.0  # share of its points that counts, while its zone returns
     evidence: Evidence = field(default_factory=Evidence)
 
     @property
     def ready(self) -> bool:
-        """Whether it may be sent anything new."""
+        """Whether the server may get new requests."""
         return self.entry.ready and not self.banned
 
 
 @dataclass(slots=True, eq=False, init=False)
 class Attempt:
-    """One send of a request."""
+    """One attempt of a request."""
 
     server: Server
-    target_latency: float  # slower than this means too many are out
+    target_latency: float  # above this on average, too many attempts are in flight (s)
     sent_at: float
     is_open: bool
-    may_have_run: bool  # until an outcome proves the contrary
-    holds_slot: bool  # until its answer comes or begins, or is more likely lost than late
-    response_begun: bool  # its answer, a long one
-    reported_overdue: bool  # which has been told to who watches
+    may_have_run: bool  # false once an outcome proves that the server did not execute it
+    holds_slot: bool  # until its answer starts, or is more likely lost than late
+    response_begun: bool  # a long answer has started
+    reported_overdue: bool  # to the reachability observer
 
     def __init__(self, server: Server, target_latency: float, sent_at: float) -> None:
         self.server = server
@@ -64,25 +64,25 @@
         self.reported_overdue = False
 
     def release_slot(self) -> None:
-        """Leave its place to others."""
+        """Release its slot for other attempts."""
         self.server.in_flight -= self.holds_slot
         self.holds_slot = False
 
 
 @dataclass(slots=True, eq=False, init=False)
 class PendingRequest:
-    """A request that is owed its final answer."""
+    """A request without its final answer so far."""
 
     request: api.Request
     request_class: api.RequestClass
-    settings: api.Settings  # that it began under, whatever holds by now
-    deadline: float  # no use in waiting for longer
+    settings: api.Settings  # those at its arrival
+    deadline: float  # after which an answer is useless
     to_origin: bool
     attempts: list[Attempt]
-    queued: bool  # for a place at the origin, or for any server at all
+    queued: bool  # until the origin has capacity, or any server is listed
     streaming: bool
-    missed_servers: list[Server]  # that lacked its key: a fetch stores it there
-    moved: bool  # away from a zone that is left
+    missed_servers: list[Server]  # servers without its key: a fetch stores it there
+    moved: bool  # to a server other than its own, as the fleet has left that one's zone
 
     def __init__(
         self,
--- a/myrtlecourse/policy/zone_exit.py
+++ b/myrtlecourse/policy/zone_exit.py
@@ -1,4 +1,4 @@
-"""What this router does about zones that the fleet has left: what may still go there, and what may move."""
+"""This router's part in a zone exit: which zones it avoids, and how many requests move to other zones."""
 
 from __future__ import annotations
 
@@ -9,62 +9,64 @@
 
 
 class ZoneExitControl:
-    """While something is left."""
+    """The state of a zone exit, while one is in effect."""
 
-    def __init__(self, chance: random.Random) -> None:
+    def __init__(self, generator: random.Random) -> None:
         self.current = api.ZoneExit()
         self.left_at: dict[str, float] = {}  # by zone
-        self.random = chance
+        self.random = generator
         self.move_credit = tuning.MOVE_CREDIT  # requests that may move at once
         self.next_trial_at = 0.0
         self.next_origin_trial_at = 0.0
 
-    def apply(self, now: float, order: api.ZoneExit) -> None:
-        """Take a new order; what was left before stays left since then."""
-        self.left_at = {zone: self.left_at.get(zone, now) for zone in order.zones}
-        # not at once: all routers hear of it at the same time
-        first = now + order.trial_interval * self.random.random()
+    def apply(self, now: float, exit_: api.ZoneExit) -> None:
+        """Apply a new state of the exit; zones that were left before keep their time."""
+        self.left_at = {zone: self.left_at.get(zone, now) for zone in exit_.zones}
+        # spread over one interval, as all routers learn of it at the same time
+        first = now + exit_.trial_interval * self.random.random()
         self.next_trial_at = min(self.next_trial_at, first) if self.current.zones else first
         self.next_origin_trial_at = (
             min(self.next_origin_trial_at, first) if self.current.origin_unreachable else first
         )
-        self.current = order
+        self.current = exit_
 
     def excludes(self, entry: api.ServerEntry) -> bool:
-        """Whether a cache server is left: not one that has started since, which a list has told, unless the
-        fleet has a pace for it."""
+        """Return whether a cache server gets no new requests.
+
+        A server that has started since its zone was left does get some, unless the fleet paces the return.
+        """
         left_at = self.left_at.get(entry.zone)
         return left_at is not None and (self.current.paced_return or entry.start_time <= left_at)
 
     def record_unmoved(self) -> None:
-        """A request goes to a survivor that it would have gone to anyway: others may follow in proportion."""
+        """Count a request that goes to its own server: others may move in proportion."""
         gain = self.current.spill_limit - 1.0
-        # where few stay, many move between two of them
+        # the bound allows several moves between two requests that stay, as is usual where few stay
         self.move_credit = min(
             max(tuning.MOVE_CREDIT, tuning.MOVE_CREDIT_FACTOR * gain), self.move_credit + gain
         )
 
-    def allow_move(self, worth: float, most: float) -> bool:
-        """Whether a request that has lost its server may go to a survivor; `most` is the worth of the best.
+    def allow_move(self, value: float, highest_value: float) -> bool:
+        """Return whether a request that has lost its server may move to another one, and count it.
 
-        Guards survivors: each router moves no more than its own share of what they bear, so that nobody has
-        to count for the fleet. What is worth less leaves a part of it to what is worth more.
+        Each router moves no more than its own share of what the remaining servers can take, so that the fleet
+        needs no common count. Requests below the highest value leave a part of the credit to those of it.
         """
-        kept = 0.0 if worth >= most else tuning.MOVE_RESERVE_SHARE * tuning.MOVE_CREDIT
-        if self.move_credit < 1.0 + kept:
+        reserve = 0.0 if value >= highest_value else tuning.MOVE_RESERVE_SHARE * tuning.MOVE_CREDIT
+        if self.move_credit < 1.0 + reserve:
             return False
         self.move_credit -= 1.0
         return True
 
     def allow_trial(self, now: float, zone: str) -> bool:
-        """Whether a request may go to a zone that is left, to learn whether it is back."""
+        """Return whether a request may test if a zone that was left is reachable again, and count it."""
         if now < self.next_trial_at or zone in self.current.forced_zones:
             return False
         self.next_trial_at = now + self.current.trial_interval * self.random.uniform(0.5, 1.5)
         return True
 
     def allow_origin_trial(self, now: float) -> bool:
-        """The same of the origin."""
+        """Return whether a request may test if the origin is reachable again, and count it."""
         if now < self.next_origin_trial_at:
             return False
         self.next_origin_trial_at = now + self.current.trial_interval * self.random.uniform(0.5, 1.5)
--- a/tests/test_daily_rules.py
+++ b/tests/test_daily_rules.py
@@ -247,7 +247,7 @@
     for n in range(data.draw(st.integers(5, 40))):
         d.step(data, n)
     d.wait(10.0)
-    assert not d.open and not d.router.pending_requests
+    assert not d.open and not d.router.requests
 
 
 @CHECKS
@@ -272,7 +272,7 @@
 
     def _on_settings_changed(self, settings: api.Settings) -> None:
         super()._on_settings_changed(settings)
-        for held in self.pending_requests.values():
+        for held in self.requests.values():
             held.settings = settings
             held.request_class = settings.classes.get(held.request_class.name, held.request_class)
 
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -217,7 +217,7 @@
     d.wait(0.2)
     assert d.sends["r1"] == ["a", "o", "o"] and origin.in_flight == 1
     d.ok("r1")
-    assert origin.in_flight == 0 and not d.router.pending_requests
+    assert origin.in_flight == 0 and not d.router.requests
 
 
 def test_misses_of_one_key_share_one_fetch_and_ask_where_it_was_stored() -> None:
@@ -234,7 +234,7 @@
     assert d.sends["r1"] == ["a", "a", "o"]
     for n in range(1, 4):
         d.ok(f"r{n}")
-    assert not d.router.queue.fetches and not d.router.pending_requests
+    assert not d.router.queue.fetches and not d.router.requests
 
 
 @pytest.mark.parametrize("how", ["failed", "gone", "lost"])
--- a/tests/test_net_hangup.py
+++ b/tests/test_net_hangup.py
@@ -54,7 +54,7 @@
             assert len(taken) == 3
             close(client)
             await until(lambda: not router.host.requests and not router.listener.connections)
-            assert not router.host.router.pending_requests
+            assert not router.host.router.requests
             assert router.host.used == taken
 
     run(scenario)
@@ -135,7 +135,7 @@
             end.shutdown(socket.SHUT_RDWR)
             assert not slot.there()  # in this very turn
             await until(lambda: not router.listener.connections)
-            assert not router.host.router.pending_requests
+            assert not router.host.router.requests
 
     run(scenario)
 
@@ -154,7 +154,7 @@
             cache = await router.cache() if len(router.servers.idle) == 0 else cache
             await cache.resp()
             cache.write(MISS)
-            held = router.host.router.pending_requests
+            held = router.host.router.requests
             await until(lambda: "r2" in held and held["r2"].queued)
             second.close()
             await until(lambda: "r2" not in router.host.requests)
--- a/tests/test_net_host.py
+++ b/tests/test_net_host.py
@@ -124,7 +124,7 @@
             client, cache = await router.begun()
             client.close()
             assert await cache.ended()
-            assert not router.host.router.pending_requests and not router.host.router.attempts
+            assert not router.host.router.requests and not router.host.router.attempts
 
     run(scenario)
 
@@ -383,7 +383,7 @@
                 patch.setattr(router.host, "take", None)
                 first.write(read("r2"))
                 assert await first.ended()
-            assert await cache.ended() and not router.host.router.pending_requests
+            assert await cache.ended() and not router.host.router.requests
             other.write(command("PING"))
             assert await other.resp() == b"PONG"
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -261,7 +261,7 @@
         d.step(data, n)
     d.wait(10.0)
     assert not d.open, "rule 1: left without an answer"
-    assert not d.router.pending_requests, "something is still held"
+    assert not d.router.requests, "something is still held"
 
 
 CHECKS = hypothesis_settings(
@@ -524,7 +524,7 @@
     d.router.servers["o"].limit = 1.0
     first = d.request("r1", key="k1") or ""
     missed(d, "r0", key="k0")  # holds the one place
-    held = d.router.pending_requests["r1"]
+    held = d.router.requests["r1"]
     d.router._send(held, d.router.servers["b" if first == "a" else "a"])
     for action in d.router.actions:
         d.check(action)
@@ -534,11 +534,7 @@
     d.now = held.deadline
     d.feed(api.TimerFired("wait:r1"))
     assert "k1" not in d.router.queue.fetches or d.router.queue.fetches["k1"][0] is not held
-    assert (
-        "r2" not in d.open
-        or d.router.pending_requests["r2"].queued
-        or d.router.pending_requests["r2"].open_attempts()
-    )
+    assert "r2" not in d.open or d.router.requests["r2"].queued or d.router.requests["r2"].open_attempts()
     d.end("r1", api.Status.TIMEOUT, 1)
     assert d.ended["r1"] == "refused"
 
@@ -633,7 +629,7 @@
         d.wait(0.05)
     d.wait(5.0)
     r = d.router
-    assert not r.pending_requests and not r.attempts
+    assert not r.requests and not r.attempts
     assert len(r.servers) <= 5 and len(r.queue.heap) < 100
     assert len(list(r.ring.points())) == r.ring.point_count <= 5 * tuning.POINTS
     assert len(r.ring.servers) <= 16 and len(r.sizes.declared) <= 5 and not r.stale_points
@@ -648,7 +644,7 @@
         missed(d, f"r{n}", key=f"k{n}")
         d.router.servers["o"].limit = 1.0
         d.wait(0.05)
-    assert len(d.router.queue.heap) <= 2 * len(d.router.pending_requests) + 1 < 200
+    assert len(d.router.queue.heap) <= 2 * len(d.router.requests) + 1 < 200
 
 
 def test_idle_connections_are_closed_when_they_cost_more_than_new_ones() -> None:
@@ -917,7 +913,7 @@
     d.end("r1", api.Status.MISS)  # and a miss goes on, though the first is still out
     assert d.sends["r1"][2] == "o"
     d.ok("r1")
-    assert d.state["r1", 0] is None and not d.router.pending_requests
+    assert d.state["r1", 0] is None and not d.router.requests
 
 
 @needs_sources
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -432,7 +432,7 @@
     for i in range(count):
         key = f"{seed}-{i}"
         server = d.request(f"q{i}", key=key)
-        held = d.router.pending_requests.get(f"q{i}")
+        held = d.router.requests.get(f"q{i}")
         if server:
             assert held is not None
             moved, stays = moved + held.moved, stays + (not held.moved)
