--- a/myrtlecourse/policy/members.py
+++ b/myrtlecourse/policy/members.py
@@ -1,4 +1,4 @@
-"""The servers of a router's list: who is known, who may be sent to, and their places on the ring."""
+"""The listed servers: which are known, which may get requests, and their points on the ring."""
 
 from __future__ import annotations
 
@@ -17,89 +17,88 @@
 
 
 class Members:
-    """What a router holds of them."""
+    """The membership state of a router."""
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.now = now
         self.actions: list[api.Action] = []
-        self.zone_exit: ZoneExitControl | None = None  # zones that the fleet has left
+        self.zone_exit: ZoneExitControl | None = None  # while the fleet has left zones
         self.servers: dict[str, Server] = {}
-        self.banned: set[str] = set()  # by operators, listed or not
-        self.unbanned_at: dict[str, float] = {}  # when they gave one back, while it may still be cold
-        self.caches: dict[str, Server] = {}  # that may be sent to
-        self.origins: dict[str, Server] = {}  # the same
-        self.failing: set[Server] = set()  # caches that have failed too often in a row
+        self.banned: set[str] = set()  # names of servers, listed or not
+        self.unbanned_at: dict[str, float] = {}  # when a ban was lifted, while the server may still be cold
+        self.caches: dict[str, Server] = {}  # those that may get requests
+        self.origins: dict[str, Server] = {}  # those that may get requests
+        self.failing: set[Server] = set()  # caches with too many consecutive failures
         self.ring = Ring()
         self.sizes = Sizes()
         self.slow_start = SlowStart(now)
-        self.largest_by_kind: dict[
-            str, float
-        ] = {}  # the largest weight seen of a kind, where weights are `live`
-        self.stale_points: dict[Server, None] = {}  # whose points are counted otherwise by now
-        self.zone_weights: Mapping[str, float] = {}  # how gladly each zone's cache servers are asked
+        self.largest_by_kind: dict[str, float] = {}  # largest weight seen per kind, where weights are live
+        self.stale_points: dict[Server, None] = {}  # whose number of points is out of date
+        self.zone_weights: Mapping[str, float] = {}  # the preference for each zone's cache servers
         self.list_failures = 0
 
     def _apply_list(self, event: api.ServerList) -> None:
-        """Take a list or its changes; of servers that are already known, what was learned stays.
+        """Apply a list or changes to it; what was learned of known servers stays.
 
-        Costs what has changed, and for a whole list a look at each entry.
+        The cost depends on what has changed, plus one pass over the entries of a full list.
         """
         if event.kind is not api.ListKind.DELTA:
-            for i in self.servers.keys() - {e.server for e in event.entries}:
-                self._remove_server(i)
-        early = 0
+            for name in self.servers.keys() - {e.server for e in event.entries}:
+                self._remove_server(name)
+        future_starts = 0
         changed: list[Server] = []
         for entry in event.entries:
             known = self.servers.get(entry.server)
             if entry.state is api.State.GONE:
                 self._remove_server(entry.server)
-            elif known is None or _restarted(known.entry, entry):  # a new process: nothing learned holds
+            elif known is None or _restarted(known.entry, entry):  # a new process: what was learned is void
                 changed.append(self._add_server(entry, self._forget_server(entry.server)))
-                early += entry.start_time > self.now
+                future_starts += entry.start_time > self.now
             elif known.entry != entry:
                 known.entry = entry
                 changed.append(known)
-        if early:
+        if future_starts:
             self.actions.append(
-                api.Log(f"list: servers that start in the future, taken as started now: {early}")
+                api.Log(
+                    f"list: servers with a start time in the future, treated as started now: {future_starts}"
+                )
             )
         self._place_servers(changed)
         if self.zone_exit is not None:
             self._apply_zone_exit()
 
     def _update_ban(self, name: str) -> None:
-        """Set whether a listed server is banned, and give its points to the others, or back to it."""
+        """Update whether a listed server is banned, and remove or restore its points."""
         if (server := self.servers.get(name)) is not None:
             server.banned = server.is_cache and name in self.banned
             self._place_servers([server])
 
     def _apply_zone_exit(self) -> None:
-        """Nothing new to servers of zones that are left; those of zones that are back begin anew."""
-        leaving = self.zone_exit
-        shares = leaving.current.return_shares if leaving is not None else {}
+        """Exclude the servers of zones that were left, and readmit those of zones that have returned."""
+        zone_exit = self.zone_exit
+        shares = zone_exit.current.return_shares if zone_exit is not None else {}
         caches = self.caches.values()
-        meant = {s for s in caches if leaving is not None and leaving.excludes(s.entry)}
-        if len(meant) == len(caches):
-            meant.clear()  # with nothing left to go to, staying is no worse
-        if all(s in meant or s.entry.zone in shares for s in caches):
-            shares = {}  # nor is going back at once
+        excluded = {s for s in caches if zone_exit is not None and zone_exit.excludes(s.entry)}
+        if len(excluded) == len(caches):
+            excluded.clear()  # with no server outside these zones, leaving them gains nothing
+        if all(s in excluded or s.entry.zone in shares for s in caches):
+            shares = {}  # nor does a gradual return
         for server in caches:
             server.ring_share = shares.get(server.entry.zone, 1.0)
-            left = server in meant
-            if left and not server.zone_left:
+            now_left = server in excluded
+            if now_left and not server.zone_left:
                 server.zone_left, server.excluded_until = True, math.inf
-            elif server.zone_left and not left:
+            elif server.zone_left and not now_left:
                 server.zone_left, server.consecutive_failures, server.exclusion_time = False, 0, 0.0
                 self.failing.discard(server)
-                server.excluded_until = (
-                    self.now + self.random.random() * tuning.EXCLUSION_TIME
-                )  # not all routers at once
+                # jittered, so that not all routers return at once
+                server.excluded_until = self.now + self.random.random() * tuning.EXCLUSION_TIME
                 server.limit = min(server.limit, tuning.INITIAL_LIMIT)
 
     def _resume_origin(self) -> None:
-        """Guards an origin that is back in reach: all routers would ask it for all that they lack at once."""
+        """Resume fetches slowly, as otherwise all routers would send all their misses to the origin at once."""
         for origin in self.origins.values():
             origin.limit = 1.0
             pause = self.random.random() * tuning.ORIGIN_RETURN_SPREAD
@@ -111,29 +110,31 @@
             self.actions.append(api.Subscribe())
 
     def _schedule_list_retry(self) -> None:
-        """Subscribe again after a doubling, jittered pause, so that routers don't call in step."""
+        """Retry the list after a doubling, jittered pause, so that routers don't call at the same time."""
         self.list_failures += 1
-        # guards drains: what a pushed list has counts as told at once, any other soon after it is in reach
+        # drains depend on the list: changes to a pushed list bind at once, others soon after the discovery is
+        # reachable again
         longest = tuning.MAX_LIST_RETRY_PAUSE
         if not self.settings.subscribe:
             longest = min(longest, self.settings.drain_grace / 8)
         pause = min(longest, self.settings.fall_window * 2.0 ** (self.list_failures - 2))
         self.actions.append(api.SetTimer(pause * self.random.uniform(0.5, 1.0), "list"))
-        self.actions.append(api.Log(f"list out of reach, {self.list_failures} in a row"))
+        self.actions.append(api.Log(f"list unavailable, consecutive failures: {self.list_failures}"))
 
     def _is_origin(self, entry: api.ServerEntry) -> bool:
         return self.settings.cache_aside and entry.kind == self.settings.origin_kind
 
     def _add_server(self, entry: api.ServerEntry, former: Server | None = None) -> Server:
-        """Begin with a server of which nothing is known; a former process of it leaves it its points."""
+        """Add a server of which nothing is known; it takes over the points of its former process."""
         origin = self._is_origin(entry)
-        # guards against a start that is said to lie ahead: it would count as cold for as long; and against a
-        # list that does not know yet of the restart for which operators took it out
+        # a start time in the future would count as cold until then and longer; and the list may not show yet
+        # the restart for which operators had banned the server
         started = max(min(entry.start_time, self.now), self.unbanned_at.get(entry.server, 0.0))
         banned = not origin and entry.server in self.banned
         server = self.servers[entry.server] = Server(entry, not origin, started, banned)
         if origin:
-            # guards the origin after a mass restart: forty first guesses are many times what it bears
+            # protects the origin after a mass restart: the initial limits of forty routers are many times its
+            # capacity
             server.limit = max(
                 1.0, tuning.INITIAL_LIMIT * min(1.0, tuning.FEW_ROUTERS / self.settings.router_count)
             )
@@ -144,9 +145,9 @@
         return server
 
     def _cold_duration(self) -> float:
-        """Seconds after its start in which a cache server is cold.
+        """Return the seconds after its start for which a cache server counts as cold.
 
-        Guards the window in which the warm-up ends: what comes in its first part is counted with the rest.
+        Includes the window in which the warm-up ends, as all requests of that window are counted together.
         """
         return self.settings.ramp_time + self.settings.fall_window
 
@@ -156,23 +157,23 @@
             self.ring.set_points(server, 0)
 
     def _forget_server(self, name: str) -> Server | None:
-        """Strike a server out of all books but the ring's."""
+        """Remove a server from everything but the ring."""
         server = self.servers.pop(name, None)
         if server is not None:
             self._exclude(server)
         return server
 
     def _exclude(self, server: Server) -> None:
-        """A server is not to be sent to."""
-        for books in (self.caches, self.origins):
-            if books.get(server.entry.server) is server:
-                del books[server.entry.server]
+        """Stop sending requests to a server."""
+        for group in (self.caches, self.origins):
+            if group.get(server.entry.server) is server:
+                del group[server.entry.server]
         self.failing.discard(server)
         self.stale_points.pop(server, None)
         self.sizes.remove(server)
 
     def _rebuild_ring(self) -> None:
-        """Look at all servers anew, as what they are or count is another thing."""
+        """Classify and place all servers again, after a change of settings or of zone preferences."""
         for server in self.servers.values():
             self._classify(server)
         self.sizes.refresh()
@@ -180,15 +181,15 @@
         self._place_stale()
 
     def _place_servers(self, changed: Iterable[Server]) -> None:
-        """Enter servers that have changed in the books, and give them their points.
+        """Classify changed servers and set their points.
 
-        Where points are counted otherwise from now on, those of the others follow a few at a time.
+        If the unit of points has changed, the other servers follow in small batches.
         """
         servers = list(changed)
         recount = False
         for server in servers:
             recount = self._classify(server) or recount
-        if recount:  # the others of a kind have grown with it
+        if recount:  # the sizes of others of its kind have grown, too
             for server in self.caches.values():
                 self._classify(server)
         recount = self.sizes.refresh() or recount
@@ -200,7 +201,7 @@
         self._place_stale()
 
     def _place_stale(self) -> None:
-        """Guards the event loop: to count the points of thousands anew at once would stop it."""
+        """Place a batch of servers with outdated points; thousands at once would block the event loop."""
         for server in list(islice(self.stale_points, tuning.PLACEMENT_BATCH)):
             del self.stale_points[server]
             self.ring.set_points(server, self.sizes.points(server))
@@ -208,7 +209,7 @@
             self.actions.append(api.SetTimer(self.settings.tick, "ring"))
 
     def _classify(self, server: Server) -> bool:
-        """Enter a server where it belongs by now; whether others of its kind count for more with it."""
+        """Assign a server to its group. Returns whether the sizes of others of its kind have grown, too."""
         name = server.entry.server
         if not server.ready or self.servers.get(name) is not server:
             self._exclude(server)
@@ -222,9 +223,9 @@
         return False
 
     def _update_size(self, server: Server) -> bool:
-        """A cache server's size: its weight or, where weights are `live`, the largest of its kind.
+        """Set a cache server's size: its weight or, where weights are live, the largest of its kind.
 
-        Live weights fall with load and come late: on the ring they moved keys with every list.
+        Live weights fall with load and arrive late: used on the ring, they would move keys with every list.
         """
         weight = size = server.entry.weight
         grown, reported = False, 0.0
@@ -239,14 +240,15 @@
         return grown
 
     def _best_origin(self) -> Server | None:
-        """The least loaded origin member that may be sent to."""
+        """Return the origin server with the fewest own attempts in flight."""
         return min(self.origins.values(), key=lambda s: s.in_flight, default=None)
 
 
 def _restarted(known: api.ServerEntry, entry: api.ServerEntry) -> bool:
-    """Whether an entry tells of a later process than the one known.
+    """Return whether an entry shows a later process than the known one.
 
-    Once the wall clock was stepped a later start may have an earlier time; else that is an old list.
+    After a step of the wall clock, a later start may have an earlier time. Otherwise an earlier time means
+    that the list is old.
     """
     return (
         entry.listed_start > known.listed_start
--- a/myrtlecourse/policy/slow_start.py
+++ b/myrtlecourse/policy/slow_start.py
@@ -61,9 +61,9 @@
     def accept_probability(self, server: str, fair_share: float, server_count: int, multiple: float) -> float:
         """Return the probability with which a cold server accepts a request that the ring assigns to it.
 
-        `fair_share` is its share of the total size; popular keys bring some servers more than that. `multiple`
+        `fair_share` is its share of the total size; popular keys bring some servers more. `multiple`
         is the multiple of its capacity at which a server collapses, while all its points count. Clients send
-        a part of the refused requests again, so that the probability falls faster than the fleet's capacity.
+        a part of the refused requests again, so the probability falls faster than the fleet's capacity.
         """
         prior = tuning.FIRST_CHOICE_PRIOR * server_count
         arriving = (self.first_choices.get(server, 0) + prior * fair_share) / (self.total + prior)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -162,7 +162,7 @@
     pauses = []
     for _ in range(6):
         timer, log = d.feed(api.ServerList(api.ListKind.FAILED))
-        assert isinstance(log, api.Log) and "out of reach" in log.text
+        assert isinstance(log, api.Log) and "list unavailable" in log.text
         assert isinstance(timer, api.SetTimer)
         pauses.append(timer.delay)
         d.timers.clear()
@@ -505,7 +505,7 @@
     """A clock an hour ahead would have kept its server at a cold one's share for an hour."""
     d = Driver(settings(fall_multiple=4.0))
     actions = d.list(entry("a", listed_start=d.now + 3600), entry("b"))
-    assert api.Log("list: servers that start in the future, taken as started now: 1") in actions
+    assert api.Log("list: servers with a start time in the future, treated as started now: 1") in actions
     server = d.router.servers["a"]
     assert d.router._usable_share(server) == pytest.approx(d.conf.cold_share)
     d.now += d.conf.ramp_time
--- a/tests/wrong_zones.py
+++ b/tests/wrong_zones.py
@@ -40,7 +40,7 @@
 
 def moves_all() -> None:
     """Sends survivors whatever has lost its server."""
-    ZoneExitControl.allow_move = lambda self, worth, most: True  # type: ignore[method-assign]
+    ZoneExitControl.allow_move = lambda self, value, highest_value: True  # type: ignore[method-assign]
 
 
 def returns_at_once() -> None:
