--- a/myrtlecourse/policy/members.py
+++ b/myrtlecourse/policy/members.py
@@ -98,7 +98,7 @@
                 server.limit = min(server.limit, tuning.INITIAL_LIMIT)
 
     def _resume_origin(self) -> None:
-        """Resume fetches slowly, as otherwise all routers would send all their misses to the origin at once."""
+        """Resume fetches slowly: otherwise all routers would send their misses to the origin at once."""
         for origin in self.origins.values():
             origin.limit = 1.0
             pause = self.random.random() * tuning.ORIGIN_RETURN_SPREAD
--- a/myrtlecourse/policy/router.py
+++ b/myrtlecourse/policy/router.py
@@ -1,6 +1,6 @@
-"""Every decision of a myrtlecourse router, as a state machine without I/O.
+"""The decisions of a router as a state machine without I/O: events in, actions out.
 
-The types, events and actions it speaks in are in `myrtlecourse/interface.py`.
+The types of events and actions are in `myrtlecourse/interface.py`.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
         super().__init__(settings, seed, now)
         self.admission = admission
         self.observer = observer
-        self.accepting = True  # new requests
+        self.accepting = True  # whether it accepts new requests
         self.requests: dict[str, PendingRequest] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}
-        self.queue = RequestQueue()  # for the origin, or any server
+        self.queue = RequestQueue()  # requests that wait for the origin, or for any server
         self.retry_budget = tuning.MAX_SAVED_RETRIES
-        self.idle_keep_factor = tuning.IDLE_KEEP_FACTOR
+        self.keep_factor = tuning.KEEP_FACTOR
 
     def admission_retry_delay(
         self,
@@ -42,26 +42,21 @@
         request_class: str,
         tenant: str,
         is_retry: bool,
-        has_idempotency_key: bool,
+        keyed: bool,
         time_left: float,
         read_delay: float,
     ) -> float | None:
-        """Whether to refuse a command unread: None, or when its client may come back.
-
-        Nothing of it has been sent, so that a refusal is harmless whatever its class.
-        """
+        """Return None to accept a command not sent yet, else the seconds until its client may retry."""
         if not self.accepting:
             return 0.0
         if self.admission is None:
             return None
-        pause = self.admission.retry_delay(
-            now, request_class, tenant, is_retry, has_idempotency_key, read_delay
-        )
-        # guards the core: nobody waits any more for what would be done now
+        pause = self.admission.retry_delay(now, request_class, tenant, is_retry, keyed, read_delay)
+        # spends no work on a request whose deadline has passed
         return pause if pause is not None or time_left > self.settings.tick else 0.0
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Take one event and answer with actions, to be carried out in order."""
+        """Process an event and return the actions to carry out, in order."""
         self.now, self.actions = now, []
         if isinstance(event, api.Outcome):
             self._on_outcome(event)
@@ -72,7 +67,7 @@
         elif isinstance(event, api.ServerList):
             self._on_list(event)
         elif isinstance(event, api.DiscoveryChanged):
-            self.list_failures = 0  # guards against waiting out the pause that another discovery earned
+            self.list_failures = 0  # the pause belongs to the former discovery
             self._subscribe()
         elif isinstance(event, (api.ServerBanned, api.BanLifted)):
             self._on_ban_change(event)
@@ -92,9 +87,7 @@
         return self.actions
 
     def _on_streaming(self, event: api.Streaming) -> None:
-        """What has begun to flow is the answer: nothing else of the request is wanted any more.
-
-        Guards a server that has done its part, and all that go there, against clients that take it slowly."""
+        """Release the slot early, as slow clients would hold it for long, and cancel the other attempts."""
         begun = self.attempts.get((event.request, event.attempt))
         if begun is None:
             return
@@ -104,12 +97,12 @@
         if (pending := self.requests.get(event.request)) is not None:
             pending.streaming, pending.queued = True, False
             for other, attempt in enumerate(pending.attempts):
-                if self.settings.may_cancel and attempt.is_open and attempt is not begun:
+                if self.settings.may_cancel and attempt.open and attempt is not begun:
                     self.actions.append(api.Cancel(event.request, other))
         self._serve_queue()
 
     def _on_ban_change(self, event: api.ServerBanned | api.BanLifted) -> None:
-        """Begin anew with a server that operators give back; once is enough, whatever was called before."""
+        """Apply a ban, or the end of one, after which nothing learned of the server holds."""
         if isinstance(event, api.ServerBanned):
             self.banned.add(event.server)
             self._update_ban(event.server)
@@ -123,12 +116,12 @@
             self._advance_queued()
 
     def _on_settings_changed(self, settings: api.Settings) -> None:
-        """What is learned of servers stays, unless what they are is now another thing."""
+        """Apply new settings; what was learned of servers stays, unless their role has changed."""
         self.settings = settings
         for server in self.caches.values():
             if server.started_at > 0:
                 self.slow_start.server_started(server.started_at, self._cold_duration())
-        self.shortest_aim = min(c.aim for c in settings.classes.values())
+        self.min_aim = min(c.aim for c in settings.classes.values())
         if self.admission is not None:
             self.admission.settings_changed(settings)
         for name, server in list(self.servers.items()):
@@ -137,29 +130,29 @@
                 self._add_server(server.entry)
         self._rebuild_ring()
 
-    def _on_zone_exit(self, order: api.ZoneExit) -> None:
-        """Leave zones, or the origin, as the fleet does, and come back to them."""
+    def _on_zone_exit(self, exit_: api.ZoneExit) -> None:
+        """Leave zones or the origin, or return to them, as the fleet does."""
         before = self.zone_exit
-        if not order.zones and not order.origin_unreachable and not order.return_shares:
+        if not exit_.zones and not exit_.origin_unreachable and not exit_.return_shares:
             self.zone_exit = None
         else:
             self.zone_exit = before or ZoneExitControl(self.random)
-        if before is not None and before.current.origin_unreachable and not order.origin_unreachable:
+        if before is not None and before.current.origin_unreachable and not exit_.origin_unreachable:
             self._resume_origin()
         if self.zone_exit is not None:
-            self.zone_exit.apply(self.now, order)
+            self.zone_exit.apply(self.now, exit_)
         self._apply_zone_exit()
         for pending in list(self.requests.values()):
             last = pending.attempts[-1] if pending.attempts else None
             if (
                 last is None
-                or not last.is_open
+                or not last.open
                 or pending.queued
                 or pending.streaming
                 or not last.server.zone_left
             ):
                 continue
-            if self.retry_budget >= 1:  # guards what is out there: none of it will be answered
+            if self.retry_budget >= 1:  # what is in flight there will not be answered
                 self._send_again(pending, last)
 
     def _on_list(self, event: api.ServerList) -> None:
@@ -172,14 +165,14 @@
             self.list_failures = 0
         else:
             self._subscribe()
-        # guards the event loop: what waits does so for an origin, or for any server at all
+        # queued requests wait for an origin or for any server; looking at them on each list costs too much
         if before != (self.ring.point_count > 0, list(self.origins.values())):
             self._advance_queued()
 
     def _advance_queued(self) -> None:
-        """Look anew at all that waits, as servers have come."""
+        """Process all queued requests again, as servers have been added."""
         for pending in self.queue.remove_all():
-            if pending.queued:  # not ended meanwhile, with one whose fetch it followed
+            if pending.queued:  # it may have ended together with a request whose fetch it followed
                 pending.queued = False
                 self._advance(pending)
 
@@ -188,17 +181,17 @@
         if request_class is None:
             request_class = api.RequestClass(request.request_class, 0.0, api.Effect.UNSAFE)
         aim = request_class.aim - request.read_delay
-        until = self.now + min(request.time_left - self.settings.tick, aim)
+        deadline = self.now + min(request.time_left - self.settings.tick, aim)
         origin = self.settings.cache_aside and request.write
         pending = self.requests[request.request] = PendingRequest(
-            request, request_class, self.settings, until, origin
+            request, request_class, self.settings, deadline, origin
         )
         self.request_count += 1
         self.retry_budget = min(tuning.MAX_SAVED_RETRIES, self.retry_budget + tuning.RETRY_SHARE)
         self._advance(pending)
 
     def _advance(self, pending: PendingRequest) -> None:
-        """Send the next attempt, hold the request for one, or end it."""
+        """Send the next attempt of a request, queue it, or end it."""
         to_ring = self.ring.point_count and not pending.to_origin
         server = self._choose_server(pending) if to_ring else self._best_origin()
         if self.now >= pending.deadline:
@@ -228,12 +221,12 @@
         if server.is_cache and self.now < self.slow_start.cold_until and self._warmth(server) < 1:
             self.slow_start.record_send(self.now, server)
         keyed = pending.request_class.effect is api.Effect.KEYED
-        within = self._repeat_deadline(pending) if keyed else None
-        self.actions.append(api.Send(name, server.entry.server, write_by=within, reason=reason))
+        write_by = self._repeat_deadline(pending) if keyed else None
+        self.actions.append(api.Send(name, server.entry.server, write_by=write_by, reason=reason))
         self._set_overdue_timer(pending, attempt)
 
     def _set_overdue_timer(self, pending: PendingRequest, attempt: Attempt) -> None:
-        """A timer for when an attempt without an answer will be more likely lost than late."""
+        """Set a timer for when an unanswered attempt will be more likely lost than late."""
         server = attempt.server
         overdue = self._overdue_after(server) if server.is_cache else self._trial_delay(server)
         if overdue and self.now < pending.deadline:
@@ -244,31 +237,27 @@
             )
 
     def _on_overdue(self, pending: PendingRequest) -> None:
-        """Takes back the places of what is lost, and sends again what may be, within the budget of retries.
-
-        Guards limits: each place pending by an answer that never comes is one fewer for those that do, until
-        the request's time is up.
-        """
+        """Release the slots of lost attempts, which would hold them until the deadline, and send another."""
         last = pending.attempts[-1]
         for attempt in pending.attempts:
-            if attempt.is_open and attempt.server.evidence.is_lost(self.now, attempt.sent_at):
+            if attempt.open and attempt.server.evidence.is_lost(self.now, attempt.sent_at):
                 attempt.release_slot()
                 if not attempt.server.is_cache:
                     self._release_followers(pending, served=False)
         self._serve_queue()
-        if not last.is_open or pending.queued or pending.streaming:
+        if not last.open or pending.queued or pending.streaming:
             return
         late = self.now - last.sent_at >= self._overdue_after(last.server) - tuning.TIMER_ROUNDING
-        if late and self.observer is not None and not last.reported_overdue and self._is_unanswered(last):
-            last.reported_overdue = True
+        if late and self.observer is not None and not last.overdue and self._is_unanswered(last):
+            last.overdue = True
             self.observer.attempt_ended(self.now, last.server.entry.zone, False, api.Reachability.SILENT)
         if late and self.retry_budget >= 1 and self._send_again(pending, last):
             return
         if last.holds_slot and (not late or pending.to_origin):
-            self._set_overdue_timer(pending, last)  # what is usual has become longer, or may yet be overtaken
+            self._set_overdue_timer(pending, last)  # the usual latency has grown, or it may be overtaken yet
 
     def _send_again(self, pending: PendingRequest, last: Attempt) -> bool:
-        """Ask again. A server that has answered others since has the key; one that has not may be out."""
+        """Send another attempt: to the same server if it has answered others since, as it has the key."""
         server: Server | None = last.server
         if pending.to_origin:
             server = None if last.holds_slot else self._best_origin()
@@ -277,8 +266,8 @@
             alive = listed and not last.holds_slot and self.now >= last.server.excluded_until
             if not alive or last.server.in_flight >= last.server.limit:
                 server = self._choose_server(pending)
-        room = server is not None and (server.is_cache or server.in_flight < server.limit)
-        if server is None or not room or not self._class_permits(pending, server):
+        has_capacity = server is not None and (server.is_cache or server.in_flight < server.limit)
+        if server is None or not has_capacity or not self._class_permits(pending, server):
             return False
         self.retry_budget -= 1
         self._send(pending, server, api.Reason.HEDGE)
@@ -298,23 +287,19 @@
         if pending is not None and what == "overdue":
             self._on_overdue(pending)
         elif pending is not None and pending.queued:
-            # half a tick of grace: rounding may wake us a hair before
+            # half a tick of tolerance, as timers may fire early by a rounding error
             if self.now >= self._latest_start(pending, self._best_origin()) - self.settings.tick / 2:
                 self._finish(pending, api.Reason.NO_PLACE)
             else:
                 self._set_wait_timer(pending)
 
     def _close_idle(self, server: Server | None) -> None:
-        """Guards against full tables: an idle connection goes once its price has passed a new one's."""
-        price = self.settings.connection_cost
-        if server is None or server.in_flight or not price:
+        """Close idle connections that have cost more than a new one: connection tables are limited."""
+        cost = self.settings.connection_cost
+        if server is None or server.in_flight or not cost:
             return
-        rate = (
-            self.request_count
-            / max(self.now - self.started_at, self.shortest_aim)
-            * self.settings.router_count
-        )
-        keep = self.idle_keep_factor * self.settings.handshake_cost / price * 100 * len(self.caches) / rate
+        rate = self.request_count / max(self.now - self.started_at, self.min_aim) * self.settings.router_count
+        keep = self.keep_factor * self.settings.handshake_cost / cost * 100 * len(self.caches) / rate
         left = server.last_used_at + keep - self.now
         if left < self.settings.tick:
             self.actions.append(api.CloseIdle(server.entry.server))
@@ -322,29 +307,28 @@
             self.actions.append(api.SetTimer(left, "idle:" + server.entry.server))
 
     def _finish(self, pending: PendingRequest, reason: api.Reason = api.Reason.UNKNOWN) -> None:
-        """The final answer: a refusal where the class permits one, else a failure."""
+        """Send the final answer: a refusal where the class permits one, else a failure."""
         if pending.streaming or pending.open_attempts():
-            # guards the deadline: it waits for no place any more, and the end of what is out must end it; the
-            # queue is looked through only when something else happens at the origin
+            # no longer queued: the end of its open attempts ends it, and the queue might be served too late
             pending.queued = False
-            if not any(a.is_open and not a.server.is_cache for a in pending.attempts):
+            if not any(a.open and not a.server.is_cache for a in pending.attempts):
                 self._release_followers(pending, served=False)
             return
         name = pending.request.request
         origin = self._best_origin() if pending.to_origin else None
-        # by then what stood in its way is over; guards against clients that ask again while it is not
+        # the time after which the reason for the refusal has likely passed: earlier retries would fail, too
         wait = (
             origin.evidence.usual_latency * (1 + len(self.queue.heap) / origin.limit)
             if origin
-            else self.latency_per_load
+            else self.unit_latency
         )
         if self.zone_exit is not None:
             wait = max(wait, tuning.ZONE_EXIT_RETRY_AFTER)
         if reason is api.Reason.COLD:
             wait = max(wait, self.slow_start.cold_until - self.now)
-        come_back = min(self.settings.max_retry_after, wait)
+        retry_after = min(self.settings.max_retry_after, wait)
         refused = self._class_permits(pending, None)
-        self.actions.append(api.Refuse(name, come_back, reason) if refused else api.Fail(name, reason))
+        self.actions.append(api.Refuse(name, retry_after, reason) if refused else api.Fail(name, reason))
         self._remove(pending)
 
     def _remove(self, pending: PendingRequest, served: bool = False) -> None:
@@ -352,14 +336,14 @@
         del self.requests[pending.request.request]
         self._release_followers(pending, served)
         for number, attempt in enumerate(pending.attempts):
-            if attempt.is_open and self.settings.may_cancel:
+            if attempt.open and self.settings.may_cancel:
                 self.actions.append(api.Cancel(pending.request.request, number))
 
     def _on_outcome(self, event: api.Outcome) -> None:
         attempt = self.attempts.pop((event.request, event.attempt), None)
         if attempt is None:
             return
-        attempt.is_open = False
+        attempt.open = False
         attempt.may_have_run = event.status not in api.NEVER_RAN
         attempt.release_slot()
         verdict = self._learn_from(attempt, event.status, event.latency)
@@ -367,21 +351,20 @@
         late = 0 < self._overdue_after(attempt.server) - tuning.TIMER_ROUNDING <= self.now - attempt.sent_at
         stalled = late and verdict is Verdict.STALLED and self._rarely_sends()
         if stalled or event.status not in UNANSWERED:
-            alone = stalled or event.status is api.Status.CONNECT_FAILED and self._rarely_sends()
+            at_once = stalled or event.status is api.Status.CONNECT_FAILED and self._rarely_sends()
             failed = stalled or verdict is Verdict.FAILED
-            self._record_failure(attempt.server, failed, tuning.EXCLUSION_FAILURES if alone else 1)
+            self._record_failure(attempt.server, failed, tuning.EXCLUSION_FAILURES if at_once else 1)
         attempt.server.last_used_at = self.now
         lost = event.status is api.Status.CONNECT_FAILED
-        self.idle_keep_factor = (
-            self.idle_keep_factor / 2
+        self.keep_factor = (
+            self.keep_factor / 2
             if lost
-            else self.idle_keep_factor
-            + tuning.IDLE_KEEP_RECOVERY * (tuning.IDLE_KEEP_FACTOR - self.idle_keep_factor)
+            else self.keep_factor + tuning.KEEP_RECOVERY * (tuning.KEEP_FACTOR - self.keep_factor)
         )
         self._close_idle(attempt.server)
         if attempt.server.is_cache and verdict not in (Verdict.INCONCLUSIVE, Verdict.LOST):
-            self.success_share += SMOOTHING * (
-                (event.status in (api.Status.OK, api.Status.MISS)) - self.success_share
+            self.success_rate += SMOOTHING * (
+                (event.status in (api.Status.OK, api.Status.MISS)) - self.success_rate
             )
         if (pending := self.requests.get(event.request)) is not None:
             if event.request_ended or event.status is api.Status.OK:
@@ -392,59 +375,51 @@
             self._serve_queue()
 
     def _learn_from(self, attempt: Attempt, status: api.Status, latency: float) -> Verdict:
-        """What an end says of a server, or a long answer's beginning; its end tells only if it broke off."""
+        """Learn from an attempt's end, or from the start of a long answer; its end only shows a failure."""
         server = attempt.server
         if attempt.response_begun:
             ended = Verdict.ANSWERED if status is api.Status.OK else Verdict.INCONCLUSIVE
             return Verdict.FAILED if status in FAILURE_STATUSES else ended
         verdict = server.evidence.judge(self.now, attempt.sent_at, status, latency)
         if server.is_cache and (verdict is Verdict.ANSWERED or verdict is Verdict.CROWDED):
-            self.latency_per_load += SMOOTHING * (
-                latency / (1 + server.reported_load) - self.latency_per_load
-            )
+            self.unit_latency += SMOOTHING * (latency / (1 + server.reported_load) - self.unit_latency)
         learn_limit(self.now, attempt, verdict, latency)
         return verdict
 
     def _notify_observer(self, attempt: Attempt, event: api.Outcome, verdict: Verdict) -> None:
-        """Once of each attempt; one that was overdue and is answered after all counts as that, too."""
+        """Report an attempt's end, once; one reported as overdue is reported again if it is answered."""
         proven, server = reachability_of(event.status, verdict), attempt.server
-        if (
-            self.observer is None
-            or proven is None
-            or (proven is api.Reachability.SILENT and attempt.reported_overdue)
-        ):
+        if self.observer is None or proven is None or (proven is api.Reachability.SILENT and attempt.overdue):
             return
-        pressed = (
+        overloaded = (
             verdict is Verdict.CROWDED
             or proven is api.Reachability.ANSWERED
             and event.latency > attempt.target_latency
         )
         missed = event.status is api.Status.MISS
-        self.observer.attempt_ended(self.now, server.entry.zone, not server.is_cache, proven, pressed, missed)
+        self.observer.attempt_ended(
+            self.now, server.entry.zone, not server.is_cache, proven, overloaded, missed
+        )
 
     def _after_failure(self, pending: PendingRequest, event: api.Outcome) -> None:
-        """The origin is next after a miss; after anything else a retry, while the budget lasts."""
+        """Fetch from the origin after a miss; otherwise retry while the budget lasts."""
         if event.status is api.Status.MISS and self.settings.cache_aside:
             pending.to_origin = True
             pending.missed_servers.append(pending.attempts[event.attempt].server)
         elif event.status is api.Status.ERROR and not self.settings.cache_aside:
-            pending.deadline = (
-                self.now
-            )  # guards against a failing origin: each server tried fetches the key again
+            # every server tried would fetch the key from a failing origin again
+            pending.deadline = self.now
         elif not pending.to_origin and (
-            event.status not in tuning.CHEAP_FAILURES or self.success_share < tuning.HEALTHY_SHARE
+            event.status not in tuning.CHEAP_FAILURES or self.success_rate < tuning.HEALTHY_SHARE
         ):
-            # guards against feeding an overload: full servers made every request into a dozen attempts
+            # retries must not feed an overload, in which every request would turn into a dozen attempts
             if self.retry_budget < 1:
                 pending.deadline = self.now
             self.retry_budget = max(0.0, self.retry_budget - 1)
         self._advance(pending)
 
     def _enqueue(self, pending: PendingRequest) -> None:
-        """Wait for a place at the origin, or any: worth first, or writes wait behind misses.
-
-        Then keys that are asked for often, whose fetch saves the most others; then age.
-        """
+        """Queue a request until the origin has capacity, or until any server is listed."""
         pending.queued = True
         self._set_wait_timer(pending)
         if self.queue.join_fetch(pending):
@@ -454,10 +429,10 @@
         self._serve_queue()
 
     def _release_followers(self, first: PendingRequest, served: bool) -> None:
-        """The fetch that others follow is over, or likely lost.
+        """Continue the requests that waited for a fetch of their key, which is over or likely lost.
 
-        Guards the origin against one fetch for each request that misses while the first is out. What it was
-        asked for is stored where the first missed; the others ask there, as no answer is made for two.
+        Waiting protects the origin from one fetch per miss. A fetch stores the key at the servers that missed
+        it first, where the followers read it: each answer serves only one request.
         """
         followers = self.queue.end_fetch(first)
         if not followers:
@@ -468,26 +443,27 @@
             if not pending.queued:
                 continue
             pending.queued = False
-            there = next((s for s in stored if s.in_flight < s.limit and self.now >= s.excluded_until), None)
-            spare = len(pending.attempts) + 2 <= pending.settings.max_attempts  # it may miss there once more
-            if served and there is not None and spare and self._class_permits(pending, there):
-                self._send(pending, there, api.Reason.STORED)
+            target = next((s for s in stored if s.in_flight < s.limit and self.now >= s.excluded_until), None)
+            # one more for the origin, if it misses again
+            has_attempts = len(pending.attempts) + 2 <= pending.settings.max_attempts
+            if served and target is not None and has_attempts and self._class_permits(pending, target):
+                self._send(pending, target, api.Reason.STORED)
             else:
                 self._advance(pending)
 
     def _set_wait_timer(self, pending: PendingRequest) -> None:
-        """A timer, so that a request that waits is answered in time whatever comes."""
+        """Set a timer that ends a queued request in time, whatever else happens."""
         pause = max(0.0, self._latest_start(pending, self._best_origin()) - self.now)
         self.actions.append(api.SetTimer(pause, "wait:" + pending.request.request))
 
     def _serve_queue(self) -> None:
-        line = self.queue
-        while line.heap and (origin := self._best_origin()) is not None and self._has_capacity(origin):
-            pending = line.pop()
+        queue = self.queue
+        while queue.heap and (origin := self._best_origin()) is not None and self._has_capacity(origin):
+            pending = queue.pop()
             if pending is None:
                 break
             pending.queued = False
-            # no fetch that can't be back in time, but for one to learn by
+            # no fetch that would be late, except one at a time to learn the latency
             in_time = self.now < (
                 self._latest_start(pending, origin) if origin.in_flight else pending.deadline
             )
@@ -495,12 +471,12 @@
                 self._send(pending, origin, api.Reason.ORIGIN)
             else:
                 self._finish(pending, api.Reason.NO_PLACE)
-        if not line.sweep_due(self.now, self.settings.tick):
+        if not queue.sweep_due(self.now, self.settings.tick):
             return
-        # guards clients against waiting on for what can't be served any more: they may still ask again
+        # refused early, clients still have time for a retry
         origin = self._best_origin()
-        late = [q[-1] for q in line.heap if q[-1].queued and self.now >= self._latest_start(q[-1], origin)]
+        late = [q[-1] for q in queue.heap if q[-1].queued and self.now >= self._latest_start(q[-1], origin)]
         for pending in late:
-            if pending.queued:  # not ended meanwhile, with one whose fetch it followed
+            if pending.queued:  # it may have ended together with a request whose fetch it followed
                 self._finish(pending, api.Reason.NO_PLACE)
-        line.compact()
+        queue.compact()
--- a/myrtlecourse/policy/state.py
+++ b/myrtlecourse/policy/state.py
@@ -47,21 +47,21 @@
     server: Server
     target_latency: float  # above this on average, too many attempts are in flight (s)
     sent_at: float
-    is_open: bool
+    open: bool
     may_have_run: bool  # false once an outcome proves that the server did not execute it
     holds_slot: bool  # until its answer starts, or is more likely lost than late
     response_begun: bool  # a long answer has started
-    reported_overdue: bool  # to the reachability observer
+    overdue: bool  # and reported as that to the reachability observer
 
     def __init__(self, server: Server, target_latency: float, sent_at: float) -> None:
         self.server = server
         self.target_latency = target_latency
         self.sent_at = sent_at
-        self.is_open = True
+        self.open = True
         self.may_have_run = True
         self.holds_slot = True
         self.response_begun = False
-        self.reported_overdue = False
+        self.overdue = False
 
     def release_slot(self) -> None:
         """Release its slot for other attempts."""
@@ -104,4 +104,4 @@
         self.moved = False
 
     def open_attempts(self) -> int:
-        return sum(a.is_open for a in self.attempts)
+        return sum(a.open for a in self.attempts)
--- a/myrtlecourse/policy/tuning.py
+++ b/myrtlecourse/policy/tuning.py
@@ -42,8 +42,8 @@
 RETRY_SHARE = 0.2  # retries earned per request: enough when a server is lost, too few to feed an overload
 MAX_SAVED_RETRIES = 10.0  # unspent retries, so that the requests of a lost server can all go at once
 MAX_SILENCE = 1.0  # shortest aims without any answer: longer than pauses, short enough to react in time
-IDLE_KEEP_FACTOR = 0.5  # of the idle time at which a connection costs as much as the handshake it saves
-IDLE_KEEP_RECOVERY = 0.01  # of the way back to that per answer; each connection failure halves the factor
+KEEP_FACTOR = 0.5  # of the idle time at which a connection costs as much as the handshake it saves
+KEEP_RECOVERY = 0.01  # of the way back to that per answer; each connection failure halves the factor
 # Exclusion of failing servers
 EXCLUSION_FAILURES = 3  # in a row: single bad answers come one by one, those of a dead process in a row
 EXCLUSION_TIME = 0.5  # seconds at first, doubled with each failed trial; jittered, so routers differ
--- a/tests/test_daily_rules.py
+++ b/tests/test_daily_rules.py
@@ -185,7 +185,7 @@
     before = [(s.limit, s.evidence.usual_latency, s.ring_points) for s in d.router.servers.values()]
     d.retune(settings(classes={"read": replace(READ, aim=0.5), "more": KEYED}))
     assert [(s.limit, s.evidence.usual_latency, s.ring_points) for s in d.router.servers.values()] == before
-    assert d.router.shortest_aim == 0.5
+    assert d.router.min_aim == 0.5
 
 
 def test_another_kind_for_the_origin_makes_servers_what_they_are() -> None:
--- a/tests/test_long_answers.py
+++ b/tests/test_long_answers.py
@@ -130,7 +130,7 @@
         pace = (
             known.usual_latency,
             server.latency_ratio,
-            d.router.latency_per_load,
+            d.router.unit_latency,
             known.unanswered_since,
             known.latest_answered_send,
         )
@@ -150,7 +150,7 @@
     d.now += 0.5
     d.feed(api.Streaming("r", 0, read_delay=0.4))
     assert d.router.servers["a"].latency_ratio == pytest.approx(0.2 * 0.1 / (tuning.CACHE_TARGET * 1.0))
-    assert d.router.latency_per_load == pytest.approx(0.2 * 0.1)
+    assert d.router.unit_latency == pytest.approx(0.2 * 0.1)
 
 
 def test_a_flow_that_breaks_off_counts_as_a_failure_of_its_server() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -348,7 +348,7 @@
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
     d.request("r", key="k")
-    d.router.retry_budget, d.router.success_share = 0.0, 0.2
+    d.router.retry_budget, d.router.success_rate = 0.0, 0.2
     assert d.end("r", api.Status.FULL) is None and d.ended["r"] == "refused"
 
 
@@ -459,7 +459,7 @@
     d = Driver(settings(**LARGE))
     d.list(*fleet("a", "b", "c", "d", "e", "f"))
     d.router.retry_budget = 0.0
-    d.router.success_share = 1.0
+    d.router.success_rate = 1.0
     d.request("r", key="k")
     assert d.end("r", api.Status.CONNECT_FAILED) is not None
 
@@ -480,7 +480,7 @@
     d.now += 60.0  # a request a second, for four servers
     name = next(f"k{n}" for n in range(200) if order_of(d, f"k{n}")[0] == "a")
     assert d.request("r", key=name) == "a"
-    d.wait(evidence.OVERDUE_FACTOR * d.router.latency_per_load + 0.01)
+    d.wait(evidence.OVERDUE_FACTOR * d.router.unit_latency + 0.01)
     assert len(d.sends["r"]) == 2 and d.sends["r"][1] != "a"
     d.end("r", api.Status.OK, 1)
     d.end("r", api.Status.CANCELLED, 0)
@@ -668,9 +668,9 @@
     d.list(*fleet("a", "b"))
     d.request("r")
     d.end("r", api.Status.CONNECT_FAILED)
-    assert d.router.idle_keep_factor == tuning.IDLE_KEEP_FACTOR / 2
+    assert d.router.keep_factor == tuning.KEEP_FACTOR / 2
     d.ok("r")
-    assert tuning.IDLE_KEEP_FACTOR / 2 < d.router.idle_keep_factor < tuning.IDLE_KEEP_FACTOR
+    assert tuning.KEEP_FACTOR / 2 < d.router.keep_factor < tuning.KEEP_FACTOR
 
 
 @needs_sources
