--- a/myrtlecourse/__init__.py
+++ b/myrtlecourse/__init__.py
@@ -1,4 +1,4 @@
-"""myrtlecourse: the decisions of a router in front of a fleet of cache servers."""
+"""myrtlecourse: a router in front of a fleet of cache servers."""
 
 from myrtlecourse import interface
 from myrtlecourse.policy import Router
--- a/myrtlecourse/checked.py
+++ b/myrtlecourse/checked.py
@@ -1,4 +1,4 @@
-"""Small files that must be whole or absent: replaced at once, and on the disk before the writer goes on."""
+"""Atomic, durable replacement of small files."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Write all of it: one call may write a part, as on a disk that is nearly full. Raises OSError."""
+    """Write all data; a single call may write only a part, as on a nearly full disk. Raises OSError."""
     rest = memoryview(data)
     while rest:
         rest = rest[os.write(descriptor, rest) :]
 
 
 def replace_file(path: Path, data: bytes) -> None:
-    """Write a file anew; whoever reads it finds the old or the new one, after a crash too. Raises OSError."""
+    """Replace a file atomically: readers find the old or the new one, also after a crash. Raises OSError."""
     new = path.with_suffix(".new")
     try:
         _write_to_disk(new, data)
         new.rename(path)
     except OSError:
         with suppress(OSError):
-            new.unlink()  # half written, perhaps
+            new.unlink()  # it may be incomplete
         raise
     sync_folder(path.parent)
 
@@ -37,7 +37,7 @@
 
 
 def sync_folder(path: Path) -> None:
-    """Put the names in a folder on the disk. Raises OSError."""
+    """Flush the entries of a folder to the disk. Raises OSError."""
     folder = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
     try:
         os.fsync(folder)
--- a/myrtlecourse/overload/__init__.py
+++ b/myrtlecourse/overload/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps the router's own core from being the collapse: what is let in when it is full."""
+"""Admission control: protects the router's own processor core from overload."""
--- a/myrtlecourse/settings.py
+++ b/myrtlecourse/settings.py
@@ -1,4 +1,4 @@
-"""Reads settings from the JSON form that the simulator and a deployment's configuration share."""
+"""Reads settings from JSON, as the simulator and the configuration of a deployment have them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def number(table: dict[str, Any], field: str, default: float, where: str, least: float = 0.0) -> float:
-    """Read a number of the settings, or its default when absent; name the field when it can't be used."""
+    """Return a number of the settings, or the default if it is absent. Raises SettingsError."""
     value = table.get(field)
     if value is None:
         return default
@@ -22,7 +22,7 @@
 
 
 def choice(table: dict[str, Any], field: str, default: str, known: dict[str, Any], where: str) -> Any:
-    """Read one of a few known words."""
+    """Return the value that `known` has for the field's word. Raises SettingsError for unknown words."""
     value = table.get(field)
     value = default if value is None else value
     if not isinstance(value, str) or value not in known:
@@ -31,7 +31,7 @@
 
 
 def section(conf: dict[str, Any], field: str) -> dict[str, Any]:
-    """Read a nested object, empty when absent."""
+    """Return a nested object, empty if absent. Raises SettingsError."""
     value = conf.get(field)
     if value is None:
         return {}
@@ -41,7 +41,7 @@
 
 
 def rows(conf: dict[str, Any], field: str) -> list[dict[str, Any]]:
-    """Read a list of named objects, empty when absent."""
+    """Return a list of objects that have names, empty if absent. Raises SettingsError."""
     value = conf.get(field)
     value = [] if value is None else value
     if not isinstance(value, list) or not all(isinstance(r, dict) for r in value):
@@ -53,7 +53,7 @@
 
 
 def read_class(row: dict[str, Any]) -> api.RequestClass:
-    """One class of the settings."""
+    """Return a request class from its settings. Raises SettingsError."""
     where = f"classes[{row['name']}]."
     groups = {g.value: g for g in api.DedupGroup}
     return api.RequestClass(
@@ -67,14 +67,14 @@
 
 
 def read_settings(conf: Any) -> api.Settings:
-    """The settings as the module's; unknown keys are ignored and absent ones take defaults."""
+    """Return the settings of a router. Unknown keys are ignored. Raises SettingsError."""
     if not isinstance(conf, dict):
         raise api.SettingsError("settings: conf must be an object")
     classes = {row["name"]: read_class(row) for row in rows(conf, "classes")}
     if not classes:
         raise api.SettingsError("settings: classes is empty")
     limits, rules, info = section(conf, "limits"), section(conf, "rules"), section(conf, "familyInfo")
-    prices = section(conf, "penalties")
+    costs = section(conf, "penalties")
     kinds = conf.get("skus") or []
     origin = int(number(info, "originKind", -1, "familyInfo.", -1))
     return api.Settings(
@@ -93,8 +93,8 @@
         connection_idle=number(limits, "connIdle", 60.0, "limits."),
         dial_timeout=number(limits, "dialTimeout", 0.25, "limits."),
         max_retry_after=number(limits, "maxRetryAfter", 0.0, "limits."),
-        connection_cost=number(prices, "connection", 0.0, "penalties."),
-        handshake_cost=number(prices, "handshake", 0.0, "penalties."),
+        connection_cost=number(costs, "connection", 0.0, "penalties."),
+        handshake_cost=number(costs, "handshake", 0.0, "penalties."),
         longest_deadline=max(number(row, "giveUp", 1.0, "classes.") for row in rows(conf, "classes")),
         drain_grace=number(rules, "stopSendingWithin", 2.0, "rules."),
         cold_share=number(rules, "coldFrom", 0.3, "rules."),
--- a/myrtlecourse/wirehost.py
+++ b/myrtlecourse/wirehost.py
@@ -1,4 +1,4 @@
-"""Hosts routers on the JSON wire: translates both ways and decides nothing."""
+"""Runs routers behind a protocol of JSON lines on standard input and output; only converts messages."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 
 class WireError(ValueError):
-    """A line that breaks the wire's promises."""
+    """Raised for a line that violates the protocol."""
 
 
 def read_entry(e: dict[str, Any]) -> api.ServerEntry:
-    """One line of a list."""
+    """Return the entry of a server from a line of the list."""
     return api.ServerEntry(
         server=e["server"],
         state=STATES[e["readiness"]],
@@ -50,12 +50,12 @@
 
 
 def read_list(e: dict[str, Any]) -> api.Event:
-    """News of the list."""
+    """Return the event of a list or its changes."""
     return api.ServerList(KINDS[e["scope"]], tuple(map(read_entry, e.get("lines") or ())))
 
 
 def read_request(e: dict[str, Any]) -> api.Event:
-    """A client's request; a budget of nothing is kept as 0."""
+    """Return a request event; a missing or negative time budget becomes 0."""
     return api.Request(
         e["ticket"],
         e["priority"],
@@ -67,7 +67,7 @@
 
 
 def read_outcome(e: dict[str, Any]) -> api.Event:
-    """The end of an attempt."""
+    """Return the event of an attempt's end."""
     return api.Outcome(
         e["ticket"], e["sendNo"], STATUSES[e["outcome"]], bool(e.get("final")), e.get("lag") or 0.0
     )
@@ -81,18 +81,18 @@
     "Aborted": lambda e: api.ClientGone(e["ticket"]),
     "Wake": lambda e: api.TimerFired(e["ctx"]),
 }
-UNUSED = {"Pong", "Heard"}  # answers to things no router here asks for
+UNUSED = {"Pong", "Heard"}  # answers to commands that these routers never send
 
 
 def write_send(a: api.Send) -> dict[str, Any]:
-    """A new attempt."""
+    """Return the command that starts an attempt."""
     if a.timeout is None:
         return {"op": "Send", "ticket": a.request, "server": a.server}
     return {"op": "Send", "ticket": a.request, "server": a.server, "timeout": a.timeout}
 
 
 def write_refuse(a: api.Refuse) -> dict[str, Any]:
-    """A refusal, with advice if there is any."""
+    """Return the command that refuses a request, with a retry delay if there is one."""
     advice = {"coolDown": a.retry_after} if a.retry_after else {}
     return {"op": "Reject", "ticket": a.request, **advice}
 
@@ -110,13 +110,13 @@
 
 
 class Host:
-    """One router for each instance number; nothing is shared between them."""
+    """Keeps a router for each instance number; routers share nothing."""
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
 
     def batch(self, line: bytes) -> bytes:
-        """Answer one line of the wire."""
+        """Return the answer to a line of input. Raises WireError."""
         try:
             message = orjson.loads(line)
             now, news = float(message["t"]), message["news"]
@@ -130,7 +130,7 @@
         return orjson.dumps({"cmds": commands}) + b"\n"
 
     def event(self, now: float, event: Any, commands: list[dict[str, Any]]) -> None:
-        """Hand one event to its router and append the actions in wire form."""
+        """Pass an event to its router and append the resulting commands. Raises WireError."""
         try:
             op, number_ = event["op"], event["routerId"]
             if op == "Born":
@@ -158,7 +158,7 @@
 
 
 def main() -> int:
-    """Answer line by line until the end of input."""
+    """Answer each line of standard input until its end. Returns the exit status."""
     host = Host()
     for line in sys.stdin.buffer:
         try:
