--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,4 +1,8 @@
-"""Drives one router by hand and keeps the four rules' books beside it."""
+"""Drives one router step by step and checks the four rules after each action.
+
+The messages of failed checks name the rule. Rule 1: each request gets one final answer in time. Rule 2:
+requests are repeated only as their class permits. Rule 3: drained and banned servers get no requests.
+"""
 
 from __future__ import annotations
 
@@ -27,14 +31,14 @@
 
 
 class Driver:
-    """A router with a clock, and what a client, the servers and the rules would see of it."""
+    """A router with a virtual clock, and what its clients, its servers and the rules see of it."""
 
     def __init__(self, conf: api.Settings, seed: int = 1, make: type[Router] = Router) -> None:
         self.conf = conf
         self.now = 100.0
         self.router = make(conf, seed, self.now)
         self.open: dict[str, api.Request] = {}
-        self.under: dict[str, api.Settings] = {}  # that each request began with
+        self.settings_at_start: dict[str, api.Settings] = {}  # by request
         self.banned: set[str] = set()
         self.due: dict[str, float] = {}
         self.ended: dict[str, str] = {}
@@ -52,14 +56,14 @@
             self.check(action)
         return self.last
 
-    # What each action means, and the rules it must keep
+    # Checks of actions
 
     def check(self, action: api.Action) -> None:
         if isinstance(action, api.SetTimer):
             assert 0 <= action.delay < 4260 and 1 <= len(action.timer) <= 64
             self.timers.append((self.now + action.delay, action.timer))
         elif isinstance(action, api.Cancel):
-            assert (action.request, action.attempt) in self.state, "cancels an attempt never made"
+            assert (action.request, action.attempt) in self.state, "cancels an attempt that was never made"
         elif isinstance(action, api.Send):
             self.check_send(action)
         elif isinstance(action, api.Refuse):
@@ -74,7 +78,7 @@
         target = self.listed.get(action.server)
         assert target is not None and target.state is api.State.READY, "rule 3: sends to a drained server"
         assert action.server not in self.banned, "rule 3: sends to a banned server"
-        conf = self.under[name]
+        conf = self.settings_at_start[name]
         kind = conf.classes[self.open[name].request_class]
         earlier = self.sends.setdefault(name, [])
         assert len(earlier) < conf.max_attempts, "more attempts than allowed"
@@ -104,7 +108,7 @@
 
     def check_refusal(self, name: str) -> None:
         assert name in self.open, "rule 1: a second answer"
-        kind = self.under[name].classes[self.open[name].request_class]
+        kind = self.settings_at_start[name].classes[self.open[name].request_class]
         ran = [i for i in range(len(self.sends.get(name, []))) if self.state[name, i] not in NEVER_RAN]
         if ran and kind.effect is not api.Effect.SAFE:
             harmless = kind.effect is api.Effect.KEYED and kind.group is api.DedupGroup.ALL
@@ -115,7 +119,7 @@
         del self.open[name]
         self.ended[name] = how
 
-    # Moves
+    # Events
 
     def list(self, *entries: api.ServerEntry, kind: api.ListKind = api.ListKind.FULL) -> list[api.Action]:
         if kind in (api.ListKind.FULL, api.ListKind.SAVED):
@@ -137,12 +141,12 @@
         self.feed(api.SettingsChanged(conf))
 
     def request(self, name: str, finish: bool = False, **fields: Any) -> str | None:
-        """A request arrives; answers with the server its first attempt went to, if any."""
+        """Send a request. Returns the server of its first attempt, if there is one."""
         fields.setdefault("request_class", "read")
         fields.setdefault("time_left", 2.0)
         event = api.Request(name, **fields)
         self.open[name] = event
-        self.under[name] = self.conf
+        self.settings_at_start[name] = self.conf
         self.due[name] = self.now + event.time_left
         self.feed(event)
         sent = self.sends.get(name, [None])[0]
@@ -153,7 +157,7 @@
     def end(
         self, name: str, status: api.Status, attempt: int | None = None, latency: float = 0.05
     ) -> str | None:
-        """An attempt ends; answers with the server that the next one went to, if one was sent."""
+        """End an attempt. Returns the server of the next attempt, if there is one."""
         count = len(self.sends[name])
         number = count - 1 if attempt is None else attempt
         assert self.state[name, number] is None
@@ -168,7 +172,7 @@
         self.end(name, api.Status.OK)
 
     def wait(self, seconds: float) -> None:
-        """Let time pass, with timers and time-outs in their order."""
+        """Advance the clock, with timers and time-outs in their order."""
         until = self.now + seconds
         while True:
             due = [(t, "", n, None) for t, n in self.timers]
@@ -176,13 +180,13 @@
             due.sort(key=lambda d: d[:3])
             if not due or due[0][0] > until:
                 break
-            at, name, token, attempt = due[0]
+            at, name, timer, attempt = due[0]
             self.now = max(self.now, at)
             if name:
                 self.end(name, api.Status.TIMEOUT, attempt, 1.0)
             else:
-                self.timers.remove((at, token))
-                self.feed(api.TimerFired(token))
+                self.timers.remove((at, timer))
+                self.feed(api.TimerFired(timer))
             self.check_overdue()
         self.now = until
         self.check_overdue()
--- a/tests/test_daily_rules.py
+++ b/tests/test_daily_rules.py
@@ -1,4 +1,4 @@
-"""What operators order, and settings that change: the rules under both, alone and in random orders."""
+"""The rules under bans, drains of the router and changes of settings, alone and in random order."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from myrtlecourse.policy import Router, tuning
 from tests.driver import KEYED, ONCE, READ, Driver, entry, settings
 from tests.loopback import needs_sources
-from tests.test_rules import ASIDE, CHECKS, Random, fleet, groups
+from tests.test_rules import CACHE_ASIDE, CHECKS, Random, fleet, groups
 
 
-def spread(d: Driver, count: int = 200) -> list[str | None]:
-    """Where requests for many keys go."""
+def servers_of_keys(d: Driver, count: int = 200) -> list[str | None]:
+    """Return the servers of requests for many keys."""
     start = len(d.sends)
     return [d.request(f"s{start + n}", key=f"k{n}", finish=True) for n in range(count)]
 
@@ -38,21 +38,21 @@
         lambda: d.list(*fleet("b")),
         lambda: d.list(*fleet("a", "b"), kind=api.ListKind.SAVED),
     ]
-    for tell in lists:
-        tell()
-        assert set(spread(d, 50)) == {"b"}
+    for change in lists:
+        change()
+        assert set(servers_of_keys(d, 50)) == {"b"}
         d.now += 0.5
     d.online("a")
-    assert set(spread(d)) == {"a", "b"}
+    assert set(servers_of_keys(d)) == {"a", "b"}
 
 
 def test_retries_copies_and_followers_keep_away_from_a_banned_server() -> None:
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "b", "o"))
     for n in range(20):
         d.request(f"r{n}", key="k")
     out = next(s[0] for s in d.sends.values())
-    d.offline(out)  # the driver fails on any send to it from here on
+    d.offline(out)  # from here on, the driver fails on any request to it
     for name in list(d.sends):
         d.end(name, api.Status.RESET if len(name) % 2 else api.Status.MISS)
     d.wait(3.0)
@@ -60,7 +60,7 @@
 
 
 def test_with_all_banned_reads_go_on_to_the_origin_and_come_back() -> None:
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "b", "o"))
     for name in "ab":
         d.offline(name)
@@ -68,16 +68,16 @@
     assert d.sends["r"] == ["o"]
     d.ok("r")
     d.online("a")
-    # it is cold, and no other takes what it does not bear yet
+    # it is cold, and no other server can take the rest
     first = [d.request(f"f{n}", key=f"k{n}") for n in range(30)]
     assert set(first) == {"a", None} and first.count("a") >= tuning.FREE_COLD_SENDS
     assert all(d.ended[f"f{n}"] == "refused" for n, server in enumerate(first) if server is None)
     d.wait(d.conf.ramp_time + d.conf.fall_window)
-    assert set(spread(d, 30)) == {"a"}
+    assert set(servers_of_keys(d, 30)) == {"a"}
 
 
 def test_the_origin_is_no_cache_server_to_be_banned() -> None:
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     d.router.handle(d.now, api.ServerBanned("o"))
     d.request("w", write=True, request_class="keyed")
@@ -85,20 +85,20 @@
 
 
 def test_a_server_given_back_is_cold_and_nothing_learned_of_it_holds() -> None:
-    """The list learns of its restart seconds later; with all its points at once it was pushed over."""
+    """The list shows its restart seconds later; with all its points at once the server collapsed."""
     d = Driver(settings(ramp_time=10.0, cold_share=0.3))
     d.list(*fleet("a", "b"))
     for _ in range(40):
-        spread(d, 5)
+        servers_of_keys(d, 5)
         d.now += 0.05
     server = d.router.servers["a"]
     server.consecutive_failures, server.excluded_until, server.limit = 9, d.now + 100.0, 1.0
     d.offline("a")
     d.now += 5.0
     d.online("a")
-    first = spread(d, 400).count("a")
+    first = servers_of_keys(d, 400).count("a")
     d.now += 10.0
-    assert 0 < first < 0.6 * spread(d, 400).count("a")
+    assert 0 < first < 0.6 * servers_of_keys(d, 400).count("a")
 
 
 def test_a_list_that_is_late_does_not_make_a_returned_server_warm() -> None:
@@ -108,17 +108,17 @@
     d.list(*fleet("b"))
     d.online("a")
     d.now += 1.0
-    d.list(*fleet("a", "b"))  # listed again, as started long ago
-    first = spread(d, 400).count("a")
+    d.list(*fleet("a", "b"))  # listed again, with an old start time
+    first = servers_of_keys(d, 400).count("a")
     d.now += 10.0
-    assert 0 < first < 0.7 * spread(d, 400).count("a")
+    assert 0 < first < 0.7 * servers_of_keys(d, 400).count("a")
 
 
 def test_a_process_that_learns_late_of_a_return_counts_from_the_call() -> None:
     d = Driver(settings(ramp_time=10.0, cold_share=0.3))
     d.feed(api.BanLifted("a", d.now - 20.0))
     d.list(*fleet("a", "b"))
-    assert spread(d, 400).count("a") > 400 * 0.35
+    assert servers_of_keys(d, 400).count("a") > 400 * 0.35
 
 
 def test_what_waits_goes_out_when_a_server_is_given_back() -> None:
@@ -144,7 +144,7 @@
 
 
 def test_an_open_request_keeps_its_class_old_effect() -> None:
-    """A read that became a write in the middle would not be tried again, and the other way round twice."""
+    """With the new effect an open read would not be retried, and an open write executed twice."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c"))
     d.request("read")
@@ -181,7 +181,7 @@
 def test_what_was_learned_survives_new_settings() -> None:
     d = Driver(settings())
     d.list(*fleet("a", "b"))
-    spread(d, 50)
+    servers_of_keys(d, 50)
     before = [(s.limit, s.evidence.usual_latency, s.ring_points) for s in d.router.servers.values()]
     d.retune(settings(classes={"read": replace(READ, aim=0.5), "more": KEYED}))
     assert [(s.limit, s.evidence.usual_latency, s.ring_points) for s in d.router.servers.values()] == before
@@ -193,21 +193,21 @@
     d.list(*fleet("a", "o"))
     d.retune(settings(cache_aside=False))
     assert {s.is_cache for s in d.router.servers.values()} == {True}
-    assert set(spread(d, 100)) == {"a", "o"}
+    assert set(servers_of_keys(d, 100)) == {"a", "o"}
 
 
 def test_the_door_takes_new_classes_and_keeps_what_it_let_in() -> None:
-    door = CoreAdmission(settings())
-    door.admitted_share = 0.5
+    admission = CoreAdmission(settings())
+    admission.admitted_share = 0.5
     d = Driver(settings())
-    d.router.admission = door
+    d.router.admission = admission
     d.retune(settings(classes={"new": api.RequestClass("new", aim=0.2, value=7.0)}, max_retry_after=3.0))
-    assert door.aims == {"new": 0.2} and door.values == {"new": 7.0}
-    assert (door.admitted_share, door.max_retry_after) == (0.5, 3.0)
+    assert admission.aims == {"new": 0.2} and admission.values == {"new": 7.0}
+    assert (admission.admitted_share, admission.max_retry_after) == (0.5, 3.0)
 
 
 class Service(Random):
-    """Random legal events, and in between whatever operators order."""
+    """Random legal events, with operators' orders in between."""
 
     def step(self, data: st.DataObject, n: int) -> None:
         move = data.draw(st.sampled_from(["usual"] * 5 + ["offline", "online", "retune", "serving"]))
@@ -240,7 +240,7 @@
         hedging=True,
         may_cancel=data.draw(st.booleans()),
         max_attempts=data.draw(st.sampled_from([1, 3, 6])),
-        **(ASIDE if data.draw(st.booleans()) else {}),
+        **(CACHE_ASIDE if data.draw(st.booleans()) else {}),
     )
     d = Service(conf, make=make)
     d.list(*fleet("a", "b", "c", "d", "o"), kind=api.ListKind.SAVED)
@@ -257,7 +257,7 @@
 
 
 class ForgetsBans(Router):
-    """Broken on purpose: a whole list ends every ban."""
+    """Broken on purpose: a full list ends every ban."""
 
     def _on_list(self, event: api.ServerList) -> None:
         if event.kind is api.ListKind.FULL:
@@ -268,13 +268,13 @@
 
 
 class Retroactive(Router):
-    """Broken on purpose: new settings bind what is open."""
+    """Broken on purpose: new settings apply to open requests."""
 
     def _on_settings_changed(self, settings: api.Settings) -> None:
         super()._on_settings_changed(settings)
-        for held in self.requests.values():
-            held.settings = settings
-            held.request_class = settings.classes.get(held.request_class.name, held.request_class)
+        for pending in self.requests.values():
+            pending.settings = settings
+            pending.request_class = settings.classes.get(pending.request_class.name, pending.request_class)
 
 
 @needs_sources
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""What outcomes prove: lost is not slow, a stall is neither, and only answers tell how long answers take."""
+"""What outcomes prove: losses and stalls are not slowness, and only answers show how long answers take."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from tests.driver import settings as conf
 
 OK, TIMEOUT, CANCELLED, FULL = api.Status.OK, api.Status.TIMEOUT, api.Status.CANCELLED, api.Status.FULL
-ASIDE = {"cache_aside": True, "origin_kind": "origin"}
+CACHE_ASIDE = {"cache_aside": True, "origin_kind": "origin"}
 
 
 def known(usual: float = 0.05) -> Evidence:
-    """A server that has answered at its usual pace until 100."""
+    """Return the evidence of a server that has answered with its usual latency until time 100."""
     known = Evidence()
     for n in range(20):
         known.record_send(99.0 + n / 20)
@@ -34,7 +34,7 @@
     server = known()
     server.record_send(100.0)
     server.record_send(100.1)
-    assert not server.is_lost(100.4, 100.0)  # old enough, and nobody has overtaken it
+    assert not server.is_lost(100.4, 100.0)  # old enough, but no later attempt has been answered
     server.judge(100.15, 100.1, OK, 0.05)
     assert server.is_lost(100.4, 100.0) and not server.is_lost(100.2, 100.0)
     before = server.usual_latency
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("status", [TIMEOUT, CANCELLED])
 def test_a_client_that_leaves_before_an_answer_was_due_says_nothing(status: api.Status) -> None:
-    """Deadlines of a few ms made an origin that takes 50 look as fast as its clients are impatient."""
+    """Deadlines of a few ms made an origin that takes 50 ms look as fast as these deadlines."""
     server = known()
     server.record_send(100.0)
     before = server.usual_latency
@@ -53,7 +53,7 @@
 
 
 def test_a_stall_that_ends_counts_once_however_much_it_held_up() -> None:
-    """All that a stall had held up came late at once, and the origin looked too slow for seconds."""
+    """All answers delayed by a stall arrived at once, and the origin looked too slow for seconds."""
     server = known()
     for n in range(30):
         server.record_send(100.0 + n / 1000)
@@ -65,7 +65,7 @@
 
 
 def test_a_server_that_has_become_slow_is_known_as_slow() -> None:
-    """The other way round: no pace of answers is taken for a stall for good."""
+    """The opposite case: constantly slow answers don't count as a stall for ever."""
     server, now = known(), 100.0
     for _ in range(20):
         server.record_send(now)
@@ -115,17 +115,17 @@
 
 
 class Fetches:
-    """Misses at a steady rate against an origin that answers in about 50 ms, but for what is lost."""
+    """Misses at a steady rate against an origin that answers in about 50 ms and loses some requests."""
 
     def __init__(self, lost: float, seed: int) -> None:
         self.lost = lost
-        self.chance = random.Random(seed)
+        self.random = random.Random(seed)
         classes = {"read": api.RequestClass("read", 1.2)}
-        self.router = Router(conf(**ASIDE, classes=classes), seed, 0.0)
+        self.router = Router(conf(**CACHE_ASIDE, classes=classes), seed, 0.0)
         self.events: list[tuple[float, int, api.Event]] = []
         self.count = 0
         self.sent: dict[tuple[str, int], tuple[float, str]] = {}
-        self.tries: dict[str, int] = {}
+        self.attempts: dict[str, int] = {}
         self.open: set[str] = set()
         self.served = 0
 
@@ -134,7 +134,7 @@
         heapq.heappush(self.events, (when, self.count, event))
 
     def run(self, until: float) -> list[float]:
-        """The origin's limit after each event."""
+        """Run until a time. Returns the origin's limit after each event."""
         limits = []
         while self.events and self.events[0][0] <= until:
             now, _, event = heapq.heappop(self.events)
@@ -149,14 +149,14 @@
                     self.served += 1
                 event = api.Outcome(*key, event.status, closed, now - sent_at)
             for action in self.router.handle(now, event):
-                self.take(now, action)
+                self.carry_out(now, action)
             origin = self.router.servers["o"]
             out = sum(a.holds_slot for a in self.router.attempts.values() if a.server is origin)
-            assert origin.in_flight == out, "places held are not the attempts that may still be answered"
+            assert origin.in_flight == out, "slots in use are not the attempts that may still be answered"
             limits.append(origin.limit)
         return limits
 
-    def take(self, now: float, action: api.Action) -> None:
+    def carry_out(self, now: float, action: api.Action) -> None:
         if isinstance(action, api.SetTimer):
             self.at(now + action.delay, api.TimerFired(action.timer))
         elif isinstance(action, (api.Refuse, api.Fail)):
@@ -165,17 +165,17 @@
             self.at(now, api.Outcome(action.request, action.attempt, CANCELLED))
         elif isinstance(action, api.Send):
             name = action.request
-            number = self.tries[name] = self.tries.get(name, -1) + 1
+            number = self.attempts[name] = self.attempts.get(name, -1) + 1
             self.sent[name, number] = (now, action.server)
             self.at(now + 2.5, api.Outcome(name, number, TIMEOUT))
             if action.server == "a":
                 self.at(now + 0.002, api.Outcome(name, number, api.Status.MISS))
-            elif self.chance.random() >= self.lost:
-                self.at(now + self.chance.uniform(0.03, 0.07), api.Outcome(name, number, OK))
+            elif self.random.random() >= self.lost:
+                self.at(now + self.random.uniform(0.03, 0.07), api.Outcome(name, number, OK))
 
 
 def play(lost: float, seed: int) -> tuple[float, float]:
-    """The limit that the origin earns in 4 s of 400 fetches a second, and the share that is served."""
+    """Return the origin's mean limit in 4 s of 400 fetches a second, and the share of requests served."""
     day = Fetches(lost, seed)
     list_ = api.ServerList(api.ListKind.FULL, (entry("a"), entry("o", kind="origin")))
     day.router.handle(0.0, list_)
@@ -186,7 +186,7 @@
         day.at(n / 400, api.Request(f"r{n}", "read", 2.5, f"k{n}"))
     limits = day.run(4.0)
     day.run(20.0)
-    assert day.router.servers["o"].in_flight == 0 and not day.open, "a place is held for good"
+    assert day.router.servers["o"].in_flight == 0 and not day.open, "a slot is never released"
     late = limits[len(limits) // 4 :]
     return sum(late) / len(late), day.served / total
 
@@ -194,7 +194,7 @@
 @settings(max_examples=8, deadline=None)
 @given(st.floats(0.0, 0.3), st.integers(0, 1000))
 def test_whatever_share_is_lost_the_limit_stays_within_a_third(lost: float, seed: int) -> None:
-    """Eight lost fetches a second held the origin's limit at a tenth of what it bears."""
+    """Eight lost fetches a second kept the origin's limit at a tenth of its capacity."""
     clean, _ = play(0.0, seed)
     limit, served = play(lost, seed)
     assert limit >= clean / 3
@@ -202,7 +202,7 @@
 
 
 def test_a_lost_fetch_gives_its_place_back_and_is_asked_for_again() -> None:
-    d = Driver(conf(**ASIDE))
+    d = Driver(conf(**CACHE_ASIDE))
     d.list(entry("a"), entry("o", kind="origin"))
     origin = d.router.servers["o"]
     origin.evidence.usual_latency = 0.02
@@ -221,8 +221,8 @@
 
 
 def test_misses_of_one_key_share_one_fetch_and_ask_where_it_was_stored() -> None:
-    """While misses exceeded what the origin takes, one key was fetched dozens of times at once."""
-    d = Driver(conf(**ASIDE))
+    """While misses exceeded the origin's capacity, one key was fetched dozens of times at once."""
+    d = Driver(conf(**CACHE_ASIDE))
     d.list(entry("a"), entry("o", kind="origin"))
     for n in range(4):
         d.request(f"r{n}", key="k")
@@ -239,7 +239,7 @@
 
 @pytest.mark.parametrize("how", ["failed", "gone", "lost"])
 def test_those_who_wait_for_a_fetch_go_on_when_it_comes_to_nothing(how: str) -> None:
-    d = Driver(conf(**ASIDE, max_attempts=2))
+    d = Driver(conf(**CACHE_ASIDE, max_attempts=2))
     d.list(entry("a"), entry("o", kind="origin"))
     d.router.servers["o"].evidence.usual_latency = 0.02
     for n in range(3):
@@ -262,8 +262,8 @@
 
 
 def test_places_that_are_all_held_by_what_is_lost_come_free_by_a_trial() -> None:
-    """Nothing could overtake four lost fetches at a limit of four, and all waited until their time was up."""
-    d = Driver(conf(**ASIDE))
+    """At a limit of four, nothing could overtake four lost fetches, and all waited until their deadline."""
+    d = Driver(conf(**CACHE_ASIDE))
     d.list(entry("a"), entry("o", kind="origin"))
     for n in range(6):
         d.request(f"r{n}", key=f"k{n}")
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -1,4 +1,4 @@
-"""House rules: the module's size and words, and the README's example."""
+"""Rules for the decision module's source: size, vocabulary and imports; and the README's example."""
 
 import re
 import tomllib
@@ -20,7 +20,7 @@
 
 
 def test_each_file_of_the_module_stays_small() -> None:
-    # the limit of 1,200 lines over all is withdrawn; a file that outgrows this one has two jobs
+    # a larger file has more than one responsibility
     for name in FILES:
         lines = (ROOT / name).read_text().splitlines()
         assert sum(bool(line.strip()) for line in lines) <= 450, name
@@ -54,7 +54,7 @@
     inner = {name for name in imported if name.startswith("myrtlecourse.policy")}
     assert set(imported) - inner <= allowed
     folder = {str(f.relative_to(ROOT)) for f in (ROOT / "myrtlecourse/policy").glob("*.py")}
-    assert folder <= set(FILES)  # the platform counts and shows what decides
+    assert folder <= set(FILES)  # the platform reports the size of the listed files
     assert "myrtlecourse/interface.py" in MODULE.split('"""')[1]
 
 
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -1,4 +1,4 @@
-"""Placement on the ring and the bounded walk, against values worked by hand from the design's formulas."""
+"""Placement on the ring and the bounded walk, against values computed independently."""
 
 import hashlib
 
@@ -30,7 +30,7 @@
 
 
 def primary_of(key: str, servers: dict[str, int]) -> str:
-    """The first point clockwise, by plain search."""
+    """Return the owner of the first point clockwise from a key, by a linear search."""
     ring = sorted((p, s) for s, n in servers.items() for p in nodes_of(s, n))
     return next((s for p, s in ring if p >= positions_of(key)[0]), ring[0][1])
 
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("size", [10, 90, 300])
 def test_shares_of_the_ring_follow_the_weights(size: int) -> None:
-    """A fixed total of 150 points left most of a large fleet with one or two, or none."""
+    """With a fixed total of 150 points, most servers of a large fleet had one or two points, or none."""
     d = Driver(settings())
     d.list(*(entry(f"s{i}", weight=1 + i % 2) for i in range(size)))
     points = list(d.router.ring.points())
@@ -74,7 +74,7 @@
     after = primaries(d, "b")
     moved = [k for k, s in enumerate(before) if s != after[k]]
     assert {before[k] for k in moved} == {f"s{size - 1}"} and len(moved) < 2 * 2000 / size
-    d.list(*reversed(everyone))  # nor does the order listed matter
+    d.list(*reversed(everyone))  # the order of the list does not matter either
     assert primaries(d, "c") == before
 
 
@@ -88,7 +88,7 @@
 
 
 def test_live_weights_move_no_keys() -> None:
-    """Weights that fall with load moved keys with every list, to servers that lacked them."""
+    """Weights that fall with load moved keys with every list, to servers without these keys."""
     d = Driver(settings(live_weights=True))
     d.list(entry("a", kind="x"), entry("b", kind="x"), entry("c", kind="y", weight=2.0))
     before = primaries(d, "a")
@@ -98,11 +98,11 @@
     assert primaries(d, "b") == before
 
 
-@pytest.mark.parametrize(("multiple", "room"), [(8.0, 1.0), (4.0, 1.0), (2.0, 0.5)])
-def test_a_cold_server_has_its_warm_up_share_of_keys_at_every_router(multiple: float, room: float) -> None:
-    """Budgets of each router, always letting one through, added up to an overload at hundreds of them.
+@pytest.mark.parametrize(("multiple", "factor"), [(8.0, 1.0), (4.0, 1.0), (2.0, 0.5)])
+def test_a_cold_server_has_its_warm_up_share_of_keys_at_every_router(multiple: float, factor: float) -> None:
+    """Separate budgets per router, of one request at least, added up to an overload with hundreds of routers.
 
-    Where it bears less than four times what it can do, it gets less in proportion until it is warm.
+    A server that collapses at less than four times its capacity gets proportionally less until it is warm.
     """
     shares = []
     for age in (0.0, 5.0, 10.0, 11.0):
@@ -110,11 +110,11 @@
         d.list(*(entry(f"s{i}") for i in range(9)), entry("cold", listed_start=d.now))
         d.now += age
         shares.append(primaries(d, "r").count("cold") / 2000 * 10)
-        # a window that begins as it is just not warm ends one window later
-        warm = 1.0 if age == 11.0 else room * (0.3 + 0.7 * age / 10.0)
+        # a window that starts just before the server is warm ends one window later
+        warm = 1.0 if age == 11.0 else factor * (0.3 + 0.7 * age / 10.0)
         assert d.router._usable_share(d.router.servers["cold"]) == pytest.approx(warm)
     assert shares == sorted(shares)
-    assert shares == pytest.approx([0.3 * room, 0.65 * room, room, 1.0], abs=0.2)
+    assert shares == pytest.approx([0.3 * factor, 0.65 * factor, factor, 1.0], abs=0.2)
 
 
 def test_weights_show_in_the_keys() -> None:
@@ -131,7 +131,7 @@
 
 
 def test_hot_key_spills_clockwise() -> None:
-    """One key, never answered: its requests spread over the servers instead of piling on the first."""
+    """Unanswered requests for one key spread over several servers instead of piling up at the first."""
     d = Driver(settings())
     d.list(*(entry(n) for n in "abcd"))
     sent = [walk(d, f"r{n}", "hot") for n in range(8)]
@@ -161,7 +161,7 @@
 
 
 def test_few_requests_do_not_split_a_key() -> None:
-    """Own counts near one tripped a plain cap by chance, and neighbours then both kept the key."""
+    """With loads near one, a plain cap was exceeded by chance, and two servers then stored the key."""
     d = Driver(settings())
     d.list(*(entry(f"s{n}") for n in range(90)))
     assert len({walk(d, f"r{n}", "k") for n in range(2)}) == 1
@@ -169,7 +169,7 @@
 
 @pytest.mark.parametrize("cold", [False, True])
 def test_a_hot_key_spreads_over_as_few_servers_as_carry_it(cold: bool) -> None:
-    """One key with a fifth of all requests, at a router that never has two in flight at a server."""
+    """One key with a fifth of all requests, at a router that never has two in flight at one server."""
     d = Driver(settings())
     d.list(*(entry(f"s{i}", weight=2.0 if i % 2 else 1.0) for i in range(30)))
     first = d.request("first", key="hot", finish=True)
@@ -183,7 +183,7 @@
 
 
 def test_a_cold_server_takes_no_spills() -> None:
-    """In a burst, what crowded neighbours could not take pushed over a server just started."""
+    """In a burst, requests that full neighbours could not take made a cold server collapse."""
     d = Driver(settings())
     d.list(*(entry(n) for n in "abc"), entry("d", listed_start=d.now))
     for n in range(300):
@@ -195,7 +195,7 @@
 
 @needs_sources
 def test_the_walk_is_bounded() -> None:
-    """With every server out of the question the walk went round the whole ring for each request."""
+    """With no eligible server, the walk visited the whole ring for each request."""
     d = Driver(settings())
     d.list(*(entry(f"s{i}") for i in range(90)))
     for s in d.router.servers.values():
@@ -208,7 +208,7 @@
 
 
 def test_a_cold_server_gets_less_while_answers_fail() -> None:
-    """In an overload clients retried all that failed, and the multiple pushed over servers just started."""
+    """In an overload clients retried all failures, and the multiplied traffic made cold servers collapse."""
     d = Driver(settings(cold_share=0.3, max_attempts=1, fall_multiple=4.0))
     d.list(*(entry(n) for n in "abc"), entry("d", listed_start=d.now))
     assert primaries(d, "a").count("d") > 80
--- a/tests/test_ring_scale.py
+++ b/tests/test_ring_scale.py
@@ -1,4 +1,4 @@
-"""What a change of the list costs the ring and its books: the change's own points, not the fleet's."""
+"""A list change costs only its own points on the ring and in the totals, not those of the fleet."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def placed(counts: dict[str, int]) -> list[tuple[int, str]]:
-    """Points in their order, by plain sorting, as far as the ring keeps their positions."""
+    """Return the points in order by plain sorting, without the bits that the ring does not store."""
     cut = rings.DROPPED_BITS
     return sorted((p >> cut << cut, name) for name, n in counts.items() for p in nodes_of(name, n))
 
@@ -55,7 +55,7 @@
 
 @needs_sources
 def test_a_change_in_a_large_fleet_places_its_own_points_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each change of one server rebuilt the ring of all, and stopped the event loop meanwhile (issue 48)."""
+    """Each change of one server rebuilt the whole ring and blocked the event loop (issue 48)."""
     hashed: Counter[str] = Counter()
     nodes = rings.kept_nodes
 
@@ -70,7 +70,8 @@
     d.list(entry("s7", state=api.State.GONE), entry("new"), kind=api.ListKind.DELTA)
     assert set(hashed) == {"s7", "new"}
     hashed.clear()
-    d.list(entry("s9", weight=1.0, listed_start=d.now), kind=api.ListKind.DELTA)  # restarted: its points stay
+    # restarted, with the same points
+    d.list(entry("s9", weight=1.0, listed_start=d.now), kind=api.ListKind.DELTA)
     assert not hashed
     d.list(entry("s7", weight=1.1), entry("new", state=api.State.DRAINING), kind=api.ListKind.DELTA)
     assert [(p, s.entry.server) for p, s in d.router.ring.points()] == whole
@@ -80,9 +81,7 @@
     d = Driver(conf())
     d.list(*(entry(f"s{n}") for n in range(300)))
     before = d.router.ring.point_count
-    d.list(
-        entry("large", weight=2.0), kind=api.ListKind.DELTA
-    )  # all others count for half as many points now
+    d.list(entry("large", weight=2.0), kind=api.ListKind.DELTA)  # all others get half as many points now
     placed_now = sum(s.ring_points == tuning.POINTS // 2 for s in d.router.servers.values())
     assert placed_now <= tuning.PLACEMENT_BATCH
     assert before - d.router.ring.point_count < before / 2
@@ -92,16 +91,16 @@
 
 
 class Plain:
-    """The same books, summed anew each time."""
+    """The same totals, computed from scratch each time."""
 
     def __init__(self) -> None:
-        self.told: dict[Server, float] = {}
+        self.sizes: dict[Server, float] = {}
 
     def largest(self) -> float:
-        return max(self.told.values(), default=0.0) or 1.0
+        return max(self.sizes.values(), default=0.0) or 1.0
 
     def total(self) -> float:
-        return sum(size or self.largest() for size in self.told.values())
+        return sum(size or self.largest() for size in self.sizes.values())
 
 
 @given(st.lists(st.tuples(st.integers(0, 9), st.sampled_from([None, 0.0, 0.5, 1.0, 2.0, 3.0])), max_size=60))
@@ -111,39 +110,41 @@
     for number, size in changes:
         if size is None:
             sizes.remove(servers[number])
-            plain.told.pop(servers[number], None)
+            plain.sizes.pop(servers[number], None)
         else:
             sizes.update(servers[number], size, 0.0)
-            plain.told[servers[number]] = size
+            plain.sizes[servers[number]] = size
         sizes.refresh()
         assert sizes.total == pytest.approx(plain.total())
         assert sizes.largest == plain.largest()
-        assert all(s.size == (size or plain.largest()) for s, size in plain.told.items())
+        assert all(s.size == (size or plain.largest()) for s, size in plain.sizes.items())
 
 
 def test_failing_servers_are_counted_as_a_look_at_all_would() -> None:
-    """The count of servers that fail was a look at the whole fleet at each outcome."""
-    chance = random.Random(7)
+    """Failing servers are tracked, as counting them over the whole fleet at each outcome was slow."""
+    generator = random.Random(7)
     d = Driver(conf(max_attempts=1))
     d.list(*(entry(f"s{n}") for n in range(12)))
     for n in range(1500):
         if n % 40 == 0:
-            name = f"s{chance.randrange(12)}"
-            state = chance.choice([api.State.READY, api.State.DRAINING, api.State.GONE])
+            name = f"s{generator.randrange(12)}"
+            state = generator.choice([api.State.READY, api.State.DRAINING, api.State.GONE])
             d.list(
-                entry(name, state=state, listed_start=chance.choice([0.0, d.now])), kind=api.ListKind.DELTA
+                entry(name, state=state, listed_start=generator.choice([0.0, d.now])), kind=api.ListKind.DELTA
             )
         sent = d.request(f"r{n}", key=f"k{n}")
         if sent is not None:
             d.now += 0.01
-            d.end(f"r{n}", chance.choice([api.Status.OK, api.Status.RESET, api.Status.RESET]))
+            d.end(f"r{n}", generator.choice([api.Status.OK, api.Status.RESET, api.Status.RESET]))
         d.wait(0.02)
-        looked = {s for s in d.router.caches.values() if s.consecutive_failures >= tuning.EXCLUSION_FAILURES}
-        assert d.router.failing == looked
+        expected = {
+            s for s in d.router.caches.values() if s.consecutive_failures >= tuning.EXCLUSION_FAILURES
+        }
+        assert d.router.failing == expected
 
 
 def test_of_a_server_named_twice_in_one_list_the_last_entry_holds() -> None:
-    """It was entered in the books again after it had been struck out, and got requests that nobody served."""
+    """A removed server was added again and got requests that nobody served."""
     d = Driver(conf())
     d.list(entry("a"))
     d.list(entry("b"), entry("b", state=api.State.GONE), kind=api.ListKind.DELTA)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, each alone, and all of them under random legal sequences of events."""
+"""The four rules, each alone and all together under random legal sequences of events."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 MAY_HAVE_RUN = [api.Status.ERROR, api.Status.RESET, api.Status.TIMEOUT, api.Status.CANCELLED]
 NEVER_RAN = [api.Status.FULL, api.Status.CONNECT_FAILED, api.Status.NOT_SENT]
-ASIDE: dict[str, Any] = {"cache_aside": True, "origin_kind": "origin"}
+CACHE_ASIDE: dict[str, Any] = {"cache_aside": True, "origin_kind": "origin"}
 
 
 def fleet(*names: str) -> list[api.ServerEntry]:
@@ -101,7 +101,7 @@
 
 
 def test_reads_that_wait_for_the_origin_are_answered_in_time() -> None:
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     for n in range(60):
         d.request(f"r{n}", key=f"k{n}")
@@ -147,11 +147,11 @@
 def test_equal_events_give_equal_actions() -> None:
     def run() -> list[list[api.Action]]:
         d = Driver(settings(subscribe=True), seed=7)
-        said = [d.list(*fleet("a", "b", "c"), kind=api.ListKind.SAVED), d.list(kind=api.ListKind.FAILED)]
+        actions = [d.list(*fleet("a", "b", "c"), kind=api.ListKind.SAVED), d.list(kind=api.ListKind.FAILED)]
         for n in range(30):
             d.request(f"r{n}", key=f"k{n}")
-            said.append(d.last)
-        return said
+            actions.append(d.last)
+        return actions
 
     assert run() == run()
 
@@ -171,7 +171,7 @@
 
 
 def test_warming_server_gets_its_share_and_not_more() -> None:
-    """A surge of a thousand requests in a second just after a start: not the full arcs."""
+    """In a surge just after its start, a server must not get the traffic of all its points."""
     d = Driver(settings(ramp_time=10.0, cold_share=0.3, fall_multiple=2.0, fall_window=1.0))
     d.list(entry("a"), entry("b"), entry("c"))
     for n in range(4000):
@@ -253,7 +253,7 @@
         may_cancel=data.draw(st.booleans()),
         max_attempts=data.draw(st.sampled_from([1, 3, 6])),
         subscribe=data.draw(st.booleans()),
-        **(ASIDE if data.draw(st.booleans()) else {}),
+        **(CACHE_ASIDE if data.draw(st.booleans()) else {}),
     )
     d = Random(conf, make=make)
     d.list(*fleet("a", "b", "c", "d", "o"), kind=api.ListKind.SAVED)
@@ -261,7 +261,7 @@
         d.step(data, n)
     d.wait(10.0)
     assert not d.open, "rule 1: left without an answer"
-    assert not d.router.requests, "something is still held"
+    assert not d.router.requests, "a request is still pending"
 
 
 CHECKS = hypothesis_settings(
@@ -281,17 +281,17 @@
 
 
 class Resender(Router):
-    """Broken on purpose: sends anything again."""
+    """Broken on purpose: repeats any request."""
 
-    def _class_permits(self, held: Any, server: Any) -> bool:
+    def _class_permits(self, pending: Any, server: Any) -> bool:
         return True
 
 
 class Forgetter(Router):
-    """Broken on purpose: sets no timer for what it holds."""
+    """Broken on purpose: sets no timer for queued requests."""
 
-    def _enqueue(self, held: Any) -> None:
-        super()._enqueue(held)
+    def _enqueue(self, pending: Any) -> None:
+        super()._enqueue(pending)
         self.actions = [a for a in self.actions if not isinstance(a, api.SetTimer)]
 
 
@@ -308,7 +308,7 @@
 
 
 def test_a_server_slow_under_our_load_gets_less_of_it() -> None:
-    """Servers driven past what they bear answered late or not at all, and nothing held us back."""
+    """Servers loaded above their capacity answered late or not at all, and the router sent them even more."""
     d = Driver(settings())
     d.list(entry("a"))
     for n in range(40):
@@ -321,7 +321,7 @@
 
 
 def test_retries_are_bounded_by_what_was_taken() -> None:
-    """Failing servers made every request into many attempts and fed the overload."""
+    """With failing servers every request turned into many attempts, which fed the overload."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
     for n in range(200):
@@ -333,7 +333,7 @@
 
 
 def test_refusals_as_full_spend_no_retries() -> None:
-    """Small waiting rooms turned a third of attempts away; requests were refused beside servers with room."""
+    """Servers with short queues refused a third of attempts; requests failed while others had capacity."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
     d.router.retry_budget = 0.0
@@ -344,7 +344,7 @@
 
 
 def test_refusals_as_full_spend_retries_when_all_is_full() -> None:
-    """In an overload nine attempts in ten were refused as full, and five went out for each request."""
+    """In an overload nine in ten attempts were refused as full, and each request made five of them."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
     d.request("r", key="k")
@@ -360,7 +360,7 @@
 
 @pytest.mark.parametrize("how", ["gone", "failed"])
 def test_a_lost_fetch_does_not_strand_those_waiting(how: str) -> None:
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].limit = 1.0
     for n in "123":
@@ -375,13 +375,13 @@
     assert not d.open
 
 
-def crowd(d: Driver, *names: str) -> None:
+def fill(d: Driver, *names: str) -> None:
     for name in names:
         d.router.servers[name].limit = 0.0
 
 
 def order_of(d: Driver, key: str) -> list[str]:
-    """The servers clockwise from a key, each once."""
+    """Return the servers clockwise from a key, each once."""
     points = list(d.router.ring.points())
     start = next((i for i, (p, _) in enumerate(points) if p >= ring.ring_hash(key)[0]), 0)
     around = points[start:] + points[:start]
@@ -389,23 +389,23 @@
 
 
 def test_a_key_goes_no_further_than_the_second_crowded_server() -> None:
-    """Crowded servers sent keys on to servers that lack them: hits became misses, and all were crowded."""
+    """Keys passed on by full servers reached servers without them: hits became misses, and all were full."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
     first, second, third, _ = order_of(d, "k")
-    crowd(d, first)
+    fill(d, first)
     assert d.request("r1", key="k") == second
-    crowd(d, second)
+    fill(d, second)
     assert d.request("r2", key="k") is None and d.ended["r2"] == "refused"
     assert d.router.servers[third].in_flight == 0
 
 
 def test_silent_servers_are_passed_without_being_counted() -> None:
-    """Servers behind a cut used up the two that a key may pass, and their keys were refused."""
+    """Unreachable servers counted as the two full ones that a key may pass, and its requests were refused."""
     d = Driver(settings(hedging=False))
     d.list(*fleet("a", "b", "c", "d"))
     first, second, third, _ = order_of(d, "k")
-    crowd(d, first, second)
+    fill(d, first, second)
     for name in (first, second):
         d.router.servers[name].in_flight = 1
         d.router.servers[name].evidence.unanswered_since = d.now - 1.5
@@ -416,7 +416,7 @@
 def test_a_silent_server_gets_one_trial_at_a_time_until_it_answers() -> None:
     d = Driver(settings())
     d.list(*fleet("a", "b"))
-    d.router._key_share = lambda key: 0.0  # type: ignore[method-assign]  # as hot a key would be spread
+    d.router._key_share = lambda key: 0.0  # type: ignore[method-assign]  # a hot key would be spread
     first, second = order_of(d, "k")
     assert [d.request(f"r{n}", key="k") for n in "12"] == [first, first]
     d.now += 1.1
@@ -430,7 +430,7 @@
 
 
 def test_one_slow_answer_does_not_cut_a_limit() -> None:
-    """A single heavy request cut the limit of a server that was well."""
+    """A single expensive request cut the limit of a healthy server."""
     d = Driver(settings())
     d.list(*fleet("a"))
     for n in range(20):
@@ -439,12 +439,12 @@
     assert d.router.servers["a"].limit >= tuning.INITIAL_LIMIT
 
 
-LARGE: dict[str, Any] = {"router_count": 40}  # routers, of which each meets a server seldom
+LARGE: dict[str, Any] = {"router_count": 40}  # routers, each of which rarely uses a given server
 
 
 @pytest.mark.parametrize(("routers", "out"), [(40, True), (2, False)])
 def test_one_refused_connection_is_enough_where_a_server_is_met_seldom(routers: int, out: bool) -> None:
-    """A zone of 31 servers died; each router ran into each of them three times, for many seconds."""
+    """When a zone of 31 servers died, each router tried each of them three times, for many seconds."""
     d = Driver(settings(router_count=routers))
     d.list(*fleet("a", "b", "c", "d"))
     first = d.request("r", key="k") or ""
@@ -455,7 +455,7 @@
 
 
 def test_a_refused_connection_spends_no_retry() -> None:
-    """With half of the servers gone the budget was empty, and reads were refused that others would serve."""
+    """With half of the servers gone the retry budget was empty, and reads failed that others could serve."""
     d = Driver(settings(**LARGE))
     d.list(*fleet("a", "b", "c", "d", "e", "f"))
     d.router.retry_budget = 0.0
@@ -477,22 +477,22 @@
     server = d.router.servers["a"]
     assert not server.evidence.usual_latency and not server.in_flight
     server.limit = 4.0
-    d.now += 60.0  # a request a second, for four servers
+    d.now += 60.0  # one request a second for four servers
     name = next(f"k{n}" for n in range(200) if order_of(d, f"k{n}")[0] == "a")
     assert d.request("r", key=name) == "a"
     d.wait(evidence.OVERDUE_FACTOR * d.router.unit_latency + 0.01)
     assert len(d.sends["r"]) == 2 and d.sends["r"][1] != "a"
     d.end("r", api.Status.OK, 1)
     d.end("r", api.Status.CANCELLED, 0)
-    assert server.excluded_until > d.now, "what has not answered in that time is left out for a while"
+    assert server.excluded_until > d.now, "a server without an answer in that time is excluded for a while"
 
 
 @pytest.mark.parametrize(("routers", "most"), [(2, 8), (40, 40)])
 def test_first_guesses_of_many_routers_together_don_t_bury_the_origin(routers: int, most: int) -> None:
-    """After a mass restart forty routers had four fetches out each, where the origin bears some thirty."""
+    """After a mass restart forty routers had four fetches each in flight; the origin could take thirty."""
     out = 0
     for seed in range(routers):
-        d = Driver(settings(**ASIDE, router_count=routers), seed)
+        d = Driver(settings(**CACHE_ASIDE, router_count=routers), seed)
         d.list(*fleet("a", "b", "c", "o"))
         missed(d, *(f"r{n}" for n in range(5)), key="k0")
         for n in range(5):
@@ -502,7 +502,7 @@
 
 
 def test_a_start_in_the_future_counts_as_one_now() -> None:
-    """A clock an hour ahead would have kept its server at a cold one's share for an hour."""
+    """A server whose clock is an hour ahead would count as cold for that hour."""
     d = Driver(settings(fall_multiple=4.0))
     actions = d.list(entry("a", listed_start=d.now + 3600), entry("b"))
     assert api.Log("list: servers with a start time in the future, treated as started now: 1") in actions
@@ -511,37 +511,37 @@
     d.now += d.conf.ramp_time
     again = d.list(entry("a", listed_start=server.entry.listed_start), entry("b"))
     assert d.router._usable_share(server) == 1.0
-    assert d.router.servers["a"] is server and not again, "the same process, and nothing new to tell"
+    assert d.router.servers["a"] is server and not again, "the same process, and no new log line"
 
 
 def test_a_wait_given_up_ends_with_the_last_copy_that_is_out() -> None:
-    """A read waited for the origin with a copy out until both were over: the next sweep refused it.
+    """A queued read with an open attempt is refused when both have ended, not at the next sweep of the queue.
 
-    What followed its fetch goes on at once.
+    Requests that waited for its fetch continue at once.
     """
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "b", "o"))
     d.router.servers["o"].limit = 1.0
     first = d.request("r1", key="k1") or ""
-    missed(d, "r0", key="k0")  # holds the one place
-    held = d.router.requests["r1"]
-    d.router._send(held, d.router.servers["b" if first == "a" else "a"])
+    missed(d, "r0", key="k0")  # takes the only slot
+    pending = d.router.requests["r1"]
+    d.router._send(pending, d.router.servers["b" if first == "a" else "a"])
     for action in d.router.actions:
         d.check(action)
     d.end("r1", api.Status.MISS, 0)
     missed(d, "r2", key="k1")
-    assert held.queued and held.open_attempts() == 1 and d.router.queue.fetches["k1"][1]
-    d.now = held.deadline
+    assert pending.queued and pending.open_attempts() == 1 and d.router.queue.fetches["k1"][1]
+    d.now = pending.deadline
     d.feed(api.TimerFired("wait:r1"))
-    assert "k1" not in d.router.queue.fetches or d.router.queue.fetches["k1"][0] is not held
+    assert "k1" not in d.router.queue.fetches or d.router.queue.fetches["k1"][0] is not pending
     assert "r2" not in d.open or d.router.requests["r2"].queued or d.router.requests["r2"].open_attempts()
     d.end("r1", api.Status.TIMEOUT, 1)
     assert d.ended["r1"] == "refused"
 
 
 def test_no_fetch_is_sent_that_cannot_be_back_in_time() -> None:
-    """With a slow origin, fetches were sent that came back after the aim, and kept others out."""
-    d = Driver(settings(**ASIDE))
+    """With a slow origin, fetches that ended after the aim took the slots of others."""
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].limit = 3.0
     d.router.servers["o"].latency_ratio = 0.9
@@ -555,8 +555,8 @@
 
 
 def test_a_fetch_needs_twice_the_usual_latency() -> None:
-    """A third of fetches were given up midway by their clients, and so were not even stored."""
-    d = Driver(settings(**ASIDE))
+    """Clients abandoned a third of the fetches midway, so that these were not even stored."""
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].evidence.usual_latency = 0.4
     d.router.servers["o"].limit = 2.0
@@ -568,8 +568,8 @@
 
 
 def test_a_write_needs_the_usual_latency_but_once() -> None:
-    """With an origin somewhat slow every booking was failed at once, though most would have been in time."""
-    d = Driver(settings(**ASIDE))
+    """With a slightly slow origin every booking failed at once, though most would have been in time."""
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     d.request("r0", key="k0", write=True)
     d.router.servers["o"].evidence.usual_latency = 0.6
@@ -579,8 +579,8 @@
 
 
 def test_worth_goes_first_at_the_origin() -> None:
-    """Bookings waited behind the misses of reads when the origin was slow."""
-    d = Driver(settings(**ASIDE))
+    """Bookings waited behind misses of reads when the origin was slow."""
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].limit = 1.0
     missed(d, "r1", key="k1")
@@ -591,7 +591,7 @@
 
 
 def test_a_full_server_shows_what_it_bears() -> None:
-    """Limits fell a quarter a round while small servers turned two attempts in three away."""
+    """Limits fell by only a quarter per round trip while small servers refused two attempts in three."""
     d = Driver(settings())
     d.list(*fleet("a"))
     d.router.servers["a"].limit = 9.0
@@ -602,7 +602,7 @@
 
 
 def test_a_restarted_server_is_learned_anew() -> None:
-    """What an earlier process bore, and its silence, say nothing of its successor."""
+    """The capacity of a former process, and its silence, say nothing about its successor."""
     d = Driver(settings())
     d.list(*fleet("a"))
     d.router.servers["a"].limit = 1.0
@@ -614,8 +614,8 @@
 
 
 def test_a_long_run_holds_bounded_memory() -> None:
-    """Many keys, servers and requests pass through; what is kept follows what is in hand."""
-    d = Driver(settings(**ASIDE))
+    """Memory depends on the current servers and requests, however many there were before."""
+    d = Driver(settings(**CACHE_ASIDE))
     for n in range(3000):
         if n % 20 == 0:
             d.list(*fleet(*(f"s{n // 20 + i}" for i in range(4)), *["o"] * (n % 40 > 0)))
@@ -636,8 +636,8 @@
 
 
 def test_the_queue_for_the_origin_stays_bounded() -> None:
-    """Reads long ended lay behind a steady flow of writes of more worth."""
-    d = Driver(settings(**ASIDE))
+    """Reads that had ended piled up in the queue behind a steady flow of writes of higher value."""
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].limit = 1.0
     for n in range(2000):
@@ -648,7 +648,7 @@
 
 
 def test_idle_connections_are_closed_when_they_cost_more_than_new_ones() -> None:
-    """Hundreds of routers kept one open at every server, and four attempts in five found the table full."""
+    """With hundreds of routers, idle connections filled the servers' tables, and most attempts failed."""
     d = Driver(settings(router_count=500, connection_cost=0.03, handshake_cost=0.03))
     d.list(*fleet("a", "b"))
     d.now += 10.0
@@ -675,19 +675,19 @@
 
 @needs_sources
 def test_a_server_reported_crowded_is_passed_by_a_share_of_requests() -> None:
-    """One key drew a crowd that no router alone could see; the list's live weights show it to all."""
+    """The load of a hot key is too low to show at one router; live weights in the list show it to all."""
     d = Driver(settings(live_weights=True))
     names = "abcdefgh"
     d.list(*(entry(n, weight=2.0) for n in names))
     first = d.request("r", key="k", finish=True)
     d.list(*(entry(n, weight=0.5 if n == first else 1.0) for n in names))
-    d.router._key_share = lambda key: 0.0  # type: ignore[method-assign]  # or the key would be spread anyway
+    d.router._key_share = lambda key: 0.0  # type: ignore[method-assign]  # a hot key would be spread anyway
     sent = [d.request(f"r{n}", key="k", finish=True) for n in range(200)]
-    assert 70 < sent.count(first) < 140  # 3 held against a cap of 1.56: half stay
+    assert 70 < sent.count(first) < 140  # a load of 3 against a cap of 1.56: half stay
 
 
 def test_an_error_of_a_fetch_is_not_tried_elsewhere() -> None:
-    """With a failing origin each error sent the key to another server, which fetched it again."""
+    """With a failing origin, a retry at another server would only fetch the key again."""
     d = Driver(settings())
     d.list(*fleet("a", "b"))
     d.request("r")
@@ -695,7 +695,7 @@
 
 
 def test_what_would_wait_too_long_is_refused_early() -> None:
-    """In an overload every server held thirty requests a core, and all that was served was late."""
+    """In an overload every server had thirty requests per core, and all answers were late."""
     d = Driver(settings(live_weights=True, max_attempts=1))
     names = "abcdefgh"
     d.list(*(entry(n, weight=6.0) for n in names))
@@ -705,12 +705,12 @@
     assert "refused" not in d.ended.values()
     d.list(*(entry(n, weight=0.2) for n in names))
     sent = [d.request(f"b{n}", key=f"k{n}", finish=f"b{n}" in d.sends) for n in range(400)]
-    # 29 held at 0.1 s each against a quarter of the second wanted: one in eleven or so is let in
+    # a load of 29 at 0.1 s each against a quarter of the aim of 1 s: about one in eleven is sent
     assert 10 < sum(s is not None for s in sent) < 80
 
 
 def late(d: Driver, load: float) -> int:
-    """How many of 200 requests are sent where one answer in four is in time and so much of a limit is out."""
+    """Return how many of 200 requests are sent to servers at `load` with one answer in four in time."""
     names = [f"s{n}" for n in range(30)]
     d.list(*(entry(n) for n in names))
     for n in names:
@@ -722,12 +722,12 @@
 
 
 def test_own_late_answers_make_for_early_refusals_where_no_load_is_told() -> None:
-    """Clients gave up on two attempts in three and retried, and nothing told the router but its own waits."""
+    """Clients gave up two attempts in three and retried; only the router's own latencies showed that."""
     assert 30 < late(Driver(settings(max_attempts=1)), 0.9) < 90
 
 
 def test_an_idle_place_is_worth_a_small_chance() -> None:
-    """Clients in a hurry were refused by servers with nothing to do, though one in four was in time."""
+    """Requests with short deadlines were refused at idle servers, though one in four would be in time."""
     assert late(Driver(settings(max_attempts=1)), 0.1) == 200
 
 
@@ -741,8 +741,8 @@
 
 
 def test_what_can_no_longer_be_fetched_in_time_is_refused_at_once() -> None:
-    """Requests waited for the origin until their aim though no fetch could have been back by then."""
-    d = Driver(settings(**ASIDE))
+    """Requests waited for the origin until their aim, though no fetch could be in time any more."""
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].limit = 1.0
     d.router.servers["o"].evidence.usual_latency = 0.3
@@ -755,7 +755,7 @@
 
 
 def test_a_slower_origin_ends_at_once_what_it_leaves_no_time_for() -> None:
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].limit = 2.0
     for n in "123":
@@ -766,7 +766,7 @@
 
 
 def test_a_wait_goes_on_when_the_origin_gets_faster() -> None:
-    d = Driver(settings(**ASIDE))
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].limit = 1.0
     d.router.servers["o"].evidence.usual_latency = 0.3
@@ -779,20 +779,22 @@
     assert d.sends["r2"] == ["a", "o"]
 
 
-@pytest.mark.parametrize(("latency", "longest", "told"), [(1.1, 2.0, 1.1), (1.1, 0.5, 0.5), (1.1, 0.0, 0.0)])
-def test_a_refusal_tells_when_to_come_back(latency: float, longest: float, told: float) -> None:
-    """Clients that ask again at once meet what they were just refused for."""
-    d = Driver(settings(**ASIDE, max_retry_after=longest))
+@pytest.mark.parametrize(
+    ("latency", "longest", "retry_after"), [(1.1, 2.0, 1.1), (1.1, 0.5, 0.5), (1.1, 0.0, 0.0)]
+)
+def test_a_refusal_tells_when_to_come_back(latency: float, longest: float, retry_after: float) -> None:
+    """Clients that retry at once would be refused for the same reason."""
+    d = Driver(settings(**CACHE_ASIDE, max_retry_after=longest))
     d.list(*fleet("a", "o"))
     d.request("w0", key="k0", write=True)
     d.router.servers["o"].evidence.usual_latency = latency
     d.router.servers["o"].limit = 2.0
     d.request("w1", key="k1", write=True)
-    assert api.Refuse("w1", told) in d.last
+    assert api.Refuse("w1", retry_after) in d.last
 
 
 def test_another_discovery_is_asked_at_once() -> None:
-    """The pause that failures of the last one earned would let the news of the new one count as told."""
+    """After the pause for failures of the former discovery, changes of the new one would bind unseen."""
     d = Driver(settings(subscribe=True))
     for _ in range(4):
         d.feed(api.ServerList(api.ListKind.FAILED))
@@ -803,7 +805,7 @@
 
 
 def failing(d: Driver, server: str, times: int, status: api.Status = api.Status.CONNECT_FAILED) -> None:
-    """Requests of a key of the server's, each attempt on it failing and the next, elsewhere, served."""
+    """Send requests for a key of a server; each attempt there fails, and the next one elsewhere succeeds."""
     for _ in range(times):
         name = f"f{d.router.request_count}"
         if d.request(name, key="k") == server:
@@ -815,17 +817,17 @@
 @needs_sources
 @pytest.mark.parametrize("status", evidence.FAILURE_STATUSES)
 def test_a_server_that_fails_in_a_row_is_left_out_for_a_while(status: api.Status) -> None:
-    """Each of its keys' requests went there first and spent a retry, until none were left for anybody."""
+    """All requests for its keys went there first and spent a retry, until the retry budget was empty."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c"))
-    d.router._key_share = lambda key: 0.0  # type: ignore[method-assign]  # as hot a key would be spread
+    d.router._key_share = lambda key: 0.0  # type: ignore[method-assign]  # a hot key would be spread
     first, second, _ = order_of(d, "k")
     d.router.servers[first].limit = 40.0
     failing(d, first, tuning.EXCLUSION_FAILURES, status)
-    assert d.router.servers[first].limit <= tuning.INITIAL_LIMIT  # it may come back cold
+    assert d.router.servers[first].limit <= tuning.INITIAL_LIMIT  # it may return cold
     assert d.request("r1", key="k", finish=True) == second
     d.now += tuning.EXCLUSION_TIME
-    assert [d.request(f"t{n}", key="k") for n in "12"] == [first, second]  # one to try it by
+    assert [d.request(f"t{n}", key="k") for n in "12"] == [first, second]  # one of them as a trial
     d.end("t1", status)
     d.now += tuning.EXCLUSION_TIME
     assert d.request("r2", key="k", finish=True) == second  # twice as long
@@ -836,7 +838,7 @@
 
 @needs_sources
 def test_failures_now_and_then_take_no_server_out() -> None:
-    """Spoilt answers come from any server alike: each taken out sends its keys where they are not held."""
+    """All servers give single bad answers; excluding one sends its keys to servers without them."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c"))
     d.router._key_share = lambda key: 0.0  # type: ignore[method-assign]
@@ -847,7 +849,7 @@
 
 
 def test_no_more_than_half_the_fleet_is_left_out() -> None:
-    """When all fail it is hardly the servers, and those left could not bear the load of the others."""
+    """If all fail, the servers are hardly the cause, and the rest could not take the load of the others."""
     d = Driver(settings())
     d.list(*fleet("a", "b", "c", "d"))
     for server in d.router.servers.values():
@@ -869,8 +871,8 @@
 
 
 def test_one_lost_fetch_does_not_make_the_origin_look_too_slow() -> None:
-    """After each fetch that timed out, misses were refused by the dozen until others had come back."""
-    d = Driver(settings(**ASIDE))
+    """After each fetch that timed out, dozens of misses were refused until others had been answered."""
+    d = Driver(settings(**CACHE_ASIDE))
     d.list(*fleet("a", "o"))
     d.router.servers["o"].evidence.usual_latency = 0.05
     missed(d, "r1", key="k1")
@@ -890,7 +892,7 @@
 
 
 def unanswered(d: Driver, name: str, **fields: Any) -> None:
-    """A request at a fleet whose answers are usually soon there."""
+    """Send a request to a fleet whose usual latency is short."""
     d.list(*fleet("a", "b", "o"))
     for server in d.router.servers.values():
         server.evidence.usual_latency = 0.01
@@ -901,8 +903,8 @@
 @needs_sources
 @pytest.mark.parametrize("alive", [True, False])
 def test_a_lost_answer_is_asked_for_again(alive: bool) -> None:
-    """Without a copy a read waits out its aim, though the server that holds its key would answer."""
-    d = Driver(settings(**ASIDE))
+    """Without a hedged copy a read waits for its aim, though the server that has its key would answer."""
+    d = Driver(settings(**CACHE_ASIDE))
     unanswered(d, "r1")
     first = d.sends["r1"][0]
     if alive:
@@ -910,7 +912,7 @@
         d.request("r2", key="k", finish=True)
     d.wait(0.1)
     assert len(d.sends["r1"]) == 2 and (d.sends["r1"][1] == first) is alive
-    d.end("r1", api.Status.MISS)  # and a miss goes on, though the first is still out
+    d.end("r1", api.Status.MISS)  # a miss goes on to the origin, though the first attempt is still open
     assert d.sends["r1"][2] == "o"
     d.ok("r1")
     assert d.state["r1", 0] is None and not d.router.requests
@@ -920,7 +922,7 @@
 @pytest.mark.parametrize("why", ["not safe", "no retries", "forbidden", "draining"])
 def test_no_copy_is_sent_where_none_may_be(why: str) -> None:
     changes = {"hedging": False} if why == "forbidden" else {}
-    d = Driver(settings(**{**ASIDE, **changes}))
+    d = Driver(settings(**{**CACHE_ASIDE, **changes}))
     unanswered(d, "r1", request_class="once" if why == "not safe" else "read")
     first = d.sends["r1"][0]
     d.request("r2", key="k", finish=True)
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The wire: every event and action both ways, and bad input."""
+"""The JSON protocol: every event and action, and invalid input."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 
 def test_settings_defaults() -> None:
     conf = read_settings({"classes": [{"name": "x"}]})
-    # what is not told is taken at its most careful: no repeats, no second copies, one attempt
+    # defaults are the safest values: no repeats, no hedging, one attempt
     assert conf.classes["x"].effect is api.Effect.UNSAFE
     assert (conf.hedging, conf.may_cancel, conf.max_attempts) == (False, False, 1)
 
--- a/tests/wrong_modules.py
+++ b/tests/wrong_modules.py
@@ -1,4 +1,4 @@
-"""Decision modules that are wrong in one way each, on purpose: the auditor and the search must notice."""
+"""Decision modules with one deliberate fault each, which the auditor and the search have to detect."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Repeats(Router):
-    """Sends everything twice."""
+    """Sends every attempt twice."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         actions = super().handle(now, event)
@@ -17,7 +17,7 @@
 
 
 class ForgetsDrains(Router):
-    """Never hears that a server drains."""
+    """Ignores draining servers in lists."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         if isinstance(event, api.ServerList):
@@ -26,7 +26,7 @@
 
 
 class FloodsTheNew(Router):
-    """Sends what it can to the server that started last, and again."""
+    """Sends five copies of each read to the server that started last."""
 
     newest = ""
 
@@ -41,21 +41,21 @@
 
 
 class LosesTimers(Router):
-    """Asks for no timer."""
+    """Sets no timers."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         return [a for a in super().handle(now, event) if not isinstance(a, api.SetTimer)]
 
 
 class NeverGivesUp(Router):
-    """Tells no client that its request has failed."""
+    """Sends no failures to clients."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         return [a for a in super().handle(now, event) if not isinstance(a, api.Fail)]
 
 
 class RefusesWhatRuns(Router):
-    """Turns away a write that it has just sent."""
+    """Refuses a write that it has just sent."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         actions = super().handle(now, event)
@@ -68,30 +68,30 @@
     """Repeats writes as if they were reads."""
 
     def __init__(
-        self, settings: api.Settings, seed: int, now: float, door: api.AdmissionControl | None = None
+        self, settings: api.Settings, seed: int, now: float, admission: api.AdmissionControl | None = None
     ) -> None:
         safe = {n: replace(c, effect=api.Effect.SAFE) for n, c in settings.classes.items()}
-        super().__init__(replace(settings, classes=safe), seed, now, door)
+        super().__init__(replace(settings, classes=safe), seed, now, admission)
 
 
 class ForgetsWindows(Router):
-    """Repeats a keyed write as long as its client waits."""
+    """Repeats a keyed write for as long as its client waits."""
 
     def __init__(
-        self, settings: api.Settings, seed: int, now: float, door: api.AdmissionControl | None = None
+        self, settings: api.Settings, seed: int, now: float, admission: api.AdmissionControl | None = None
     ) -> None:
         wide = {n: replace(c, repeat_window=1e6) for n, c in settings.classes.items()}
-        super().__init__(replace(settings, classes=wide), seed, now, door)
+        super().__init__(replace(settings, classes=wide), seed, now, admission)
 
 
 class ForgetsGroups(Router):
-    """Takes all servers for one group."""
+    """Treats all servers as one deduplication group."""
 
     def __init__(
-        self, settings: api.Settings, seed: int, now: float, door: api.AdmissionControl | None = None
+        self, settings: api.Settings, seed: int, now: float, admission: api.AdmissionControl | None = None
     ) -> None:
         joined = {n: replace(c, group=api.DedupGroup.ALL) for n, c in settings.classes.items()}
-        super().__init__(replace(settings, classes=joined), seed, now, door)
+        super().__init__(replace(settings, classes=joined), seed, now, admission)
 
 
 WRONG = (
