--- a/myrtlecourse/spread/node.py
+++ b/myrtlecourse/spread/node.py
@@ -1,7 +1,8 @@
-"""A member's part in the spread: takes entries from its parent, passes them on, says how far it is; no I/O.
+"""A member's node in the dissemination tree: receives entries from its parent, forwards them to its children
+and acknowledges them up the tree; no I/O.
 
-`docs/design/spread.md` has the rules. News goes to the children every `pause`, each report is answered within
-one; what is asked for goes out by what the budget leaves.
+`docs/design/spread.md` has the protocol's rules. New entries are forwarded to the children every `pause`
+seconds and each report is answered within one. Retransmissions share what these leave of the send budget.
 """
 
 from __future__ import annotations
@@ -12,208 +13,243 @@
 
 from myrtlecourse.peers.seal import SEAL
 from myrtlecourse.peers.wire import HEAD as FRAME
-from myrtlecourse.spread import messages as said
-from myrtlecourse.spread.allowance import Allowance
-from myrtlecourse.spread.asking import Asking
+from myrtlecourse.spread import messages as msg
+from myrtlecourse.spread.applied_ranges import AppliedRanges
+from myrtlecourse.spread.change_table import ChangeTable
 from myrtlecourse.spread.children import Child, Children
-from myrtlecourse.spread.codec import SpreadCodec, room
-from myrtlecourse.spread.lanes import Lanes
-from myrtlecourse.spread.messages import Action, Beat, Counts, Entry, Event, Heard, News, Settings, Word
+from myrtlecourse.spread.codec import SpreadCodec, max_payload
+from myrtlecourse.spread.log_suffix import LogSuffix
+from myrtlecourse.spread.messages import (
+    Action,
+    Counts,
+    Entry,
+    EntryBatch,
+    Event,
+    Heartbeat,
+    Message,
+    Received,
+    Settings,
+)
 from myrtlecourse.spread.parent import Parent
-from myrtlecourse.spread.serving import HEAD, LEAST_ROOM, Serving
-from myrtlecourse.spread.table import Table
-from myrtlecourse.spread.tail import Tail
-from myrtlecourse.spread.tree import BEAT, CONTROL, LONGEST_NAME, REPORT, Tree, child_cost
-
-NEAR = 256  # entries that a new child may be behind and be sent as news
-WAITS = 4  # pauses for which news waits for a hole of this node's to be filled
-KEEPS = 0.1  # of the budget that what is asked for has at least
+from myrtlecourse.spread.repair import BATCH_OVERHEAD, MIN_PAYLOAD, RepairQueue
+from myrtlecourse.spread.retransmission import RetransmitRequests
+from myrtlecourse.spread.send_window import SendWindow
+from myrtlecourse.spread.tree import CONTROL, HEARTBEAT_BYTES, MAX_NAME_BYTES, REPORT_BYTES, Tree, child_cost
+
+LIVE_CATCH_UP_LIMIT = 256  # entries that a new child may be behind and still receive through the live stream
+GAP_PATIENCE = 4  # pauses for which forwarding waits for a gap of this node to be filled
+MIN_REPAIR_SHARE = 0.1  # least share of the send budget that is reserved for retransmissions
 NEVER = math.inf
 CODEC = SpreadCodec()
 
 
 class Node:
-    """Any member."""
+    """The node of any member, on every tier."""
 
     def __init__(self, settings: Settings, now: float, seed: int) -> None:
-        """Begins with nothing. Raises SpreadError when datagrams of this name can't bear every entry."""
+        """Start without any entries. Raises SpreadError when the name is so long that some entries don't fit
+        a datagram."""
         self.settings = settings
         self.name = settings.name
         self.now = now
         self.tree = Tree(settings)
         self.tier = self.tree.tier(self.name)
         control = self.tier == CONTROL
-        bound = self.tree.children_bound(self.name)
-        self.room = room(self.name)
-        if bound and self.room < LEAST_ROOM:
-            raise said.SpreadError(f"name: {self.name} is too long by {LEAST_ROOM - self.room} bytes")
+        child_limit = self.tree.max_children(self.name)
+        self.max_payload = max_payload(self.name)
+        if child_limit and self.max_payload < MIN_PAYLOAD:
+            raise msg.SpreadError(f"name: {self.name} is too long by {MIN_PAYLOAD - self.max_payload} bytes")
         self.epoch = 0
         self.counts = Counts()
-        self.lanes = Lanes()
-        self.tail = Tail((settings.control_tail if control else settings.tail) if bound else 0)
-        self.table = Table()
+        self.applied = AppliedRanges()
+        self.suffix = LogSuffix((settings.control_tail if control else settings.tail) if child_limit else 0)
+        self.table = ChangeTable()
         self.parent = Parent(settings, self.tree.candidates(self.name), now, seed)
-        self.children = Children(settings, bound)
-        self.serving = Serving(bound, self.room, self.lanes, self.tail, self.table)
-        self.asking = Asking(2 * settings.pause)  # for entries
-        self.comparing = Asking(4 * settings.pause)  # the table
-        self.allowance = Allowance(settings.control_half if control else settings.budget)
+        self.children = Children(settings, child_limit)
+        self.repairs = RepairQueue(child_limit, self.max_payload, self.applied, self.suffix, self.table)
+        self.retransmits = RetransmitRequests(2 * settings.pause)  # requests for entries
+        self.table_sync = RetransmitRequests(4 * settings.pause)  # requests for rows of the change table
+        self.send_window = SendWindow(settings.half_control_budget if control else settings.budget)
         self.is_root = False
-        self.quiet_until = NEVER  # a root says nothing before: some may vouch by the root before
-        self.told = 0  # by `Done`
-        self.vouching = False
-        self.forgotten: tuple[int, int] | None = None  # first and last, until the table is known to be whole
+        # A new root reports no watermark before this time: until then members may hold leases of the previous
+        # root.
+        self.watermark_held_until = NEVER
+        self.announced_watermark = 0  # the last one reported with `Watermark`
+        self.lease_announced = False
+        # first and last number of the entries that are assumed purged, until the change table is complete
+        self.purged_range: tuple[int, int] | None = None
         self.digest_at = NEVER
-        self.hole_at = -NEVER  # when the newest hole was seen
+        self.gap_seen_at = -NEVER  # when the newest gap appeared
         self.report_at = now + self.parent.random.random() * settings.report
-        self.news_at, self.news_sent = NEVER, -NEVER
-        self.serve_at, self.served_at, self.share = NEVER, -NEVER, 0.0
-        self.out: list[Action] = []
+        self.forward_at, self.forwarded_at = NEVER, -NEVER
+        self.repair_at, self.repaired_at, self.repair_credit = NEVER, -NEVER, 0.0
+        self.actions: list[Action] = []
 
     @property
-    def have(self) -> int:
-        """All up to this number is applied, or its changes are known from a table."""
-        return min(self.lanes.have, self.forgotten[0] - 1) if self.forgotten else self.lanes.have
-
-    def vouches(self, now: float) -> bool:
-        """Whether this member may act as if up to date at this very moment."""
+    def applied_until(self) -> int:
+        """The number up to which all entries are applied, or their changes are known from a change table."""
+        return (
+            min(self.applied.contiguous_until, self.purged_range[0] - 1)
+            if self.purged_range
+            else self.applied.contiguous_until
+        )
+
+    def has_lease(self, now: float) -> bool:
+        """Return whether this member may act as up to date at this moment."""
         return self.is_root or now < self.parent.lease_until
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event and answer with actions, to be carried out in order."""
-        self.now, self.out = max(now, self.now), []
-        self._tell_vouches()
+        """Process one event and return actions, which have to be carried out in order."""
+        self.now, self.actions = max(now, self.now), []
+        self._announce_lease()
         match event:
-            case Heard(sender, words):
-                self._on_words(sender, words)
-            case said.Settled(epoch, first, entries):
-                self._on_settled(epoch, first, entries)
-            case said.Root(epoch, holder):
-                self._on_root(epoch, holder)
-            case said.Woke():
+            case Received(sender, messages):
+                self._on_messages(sender, messages)
+            case msg.Committed(epoch, first, entries):
+                self._on_committed(epoch, first, entries)
+            case msg.Leadership(epoch, leader):
+                self._on_leadership(epoch, leader)
+            case msg.TimerFired():
                 pass
-        self._pace()
-        self._tell_vouches()
-        self.out.append(said.Wake(self._next()))
-        return self.out
-
-    def _next(self) -> float:
-        answers = min((c.answer_at for c in self.children.all.values()), default=NEVER)
-        ends = self.parent.lease_until if self.vouching and not self.is_root else NEVER
-        times = (self.report_at, self.news_at, answers, self.serve_at, self.asking.at, self.digest_at, ends)
+        self._run_due()
+        self._announce_lease()
+        self.actions.append(msg.SetTimer(self._next_timer()))
+        return self.actions
+
+    def _next_timer(self) -> float:
+        reply_due = min((c.reply_due for c in self.children.by_name.values()), default=NEVER)
+        lease_end = self.parent.lease_until if self.lease_announced and not self.is_root else NEVER
+        times = (
+            self.report_at,
+            self.forward_at,
+            reply_due,
+            self.repair_at,
+            self.retransmits.retry_at,
+            self.digest_at,
+            lease_end,
+        )
         return max(min(times), self.now)
 
-    def _tell_vouches(self) -> None:
-        may = self.vouches(self.now)
-        if may != self.vouching:
-            self.vouching = may
-            self.out.append(said.Vouches(may))
+    def _announce_lease(self) -> None:
+        valid = self.has_lease(self.now)
+        if valid != self.lease_announced:
+            self.lease_announced = valid
+            self.actions.append(msg.LeaseChanged(valid))
 
-    def _pace(self) -> None:
-        """What is due."""
+    def _run_due(self) -> None:
+        """Carry out everything that is due."""
         if self.now >= self.report_at:
-            self._report()
-        self._ask()
-        news = self.now >= self.news_at
-        if news:
-            self.news_sent, self.news_at = self.now, NEVER
-        packed: dict[tuple[int, int], tuple[Entry, ...]] = {}
-        for child in list(self.children.all.values()):
-            if news or child.answer_at <= self.now:
-                self._pass_on(child, packed)
-        self._serve()
-
-    def _say(self, to: str, *words: Word) -> bool:
-        """Whether the budget had it."""
-        size = SEAL + FRAME + len(self.name.encode()) + CODEC.size(words)
-        if not self.allowance.take(self.now, size):
+            self._send_reports()
+        self._request_repairs()
+        forwarding = self.now >= self.forward_at
+        if forwarding:
+            self.forwarded_at, self.forward_at = self.now, NEVER
+        batches: dict[tuple[int, int], tuple[Entry, ...]] = {}
+        for child in list(self.children.by_name.values()):
+            if forwarding or child.reply_due <= self.now:
+                self._send_to_child(child, batches)
+        self._send_repairs()
+
+    def _send(self, to: str, *messages: Message) -> bool:
+        """Send messages if the send window allows it; return whether it did."""
+        size = SEAL + FRAME + len(self.name.encode()) + CODEC.size(messages)
+        if not self.send_window.try_spend(self.now, size):
             return False
         self.counts.bytes_out += size
-        self.out.append(said.Say(to, words))
+        self.actions.append(msg.Send(to, messages))
         return True
 
-    # Words
-
-    def _on_words(self, sender: str, words: tuple[Word, ...]) -> None:
-        if sender in (*self.parent.reports_to(), self._asked(self.asking), self._asked(self.comparing)):
-            for word in words:
-                self._on_above(sender, word)
-        elif self.tree.bears(self.name, sender) and (self.is_root or self.tree.tier(sender) != CONTROL):
-            self._on_below(sender, words)
+    # Messages
+
+    def _on_messages(self, sender: str, messages: tuple[Message, ...]) -> None:
+        if sender in (
+            *self.parent.report_targets(),
+            self._repair_source(self.retransmits),
+            self._repair_source(self.table_sync),
+        ):
+            for message in messages:
+                self._on_parent_message(sender, message)
+        elif self.tree.may_be_parent(self.name, sender) and (
+            self.is_root or self.tree.tier(sender) != CONTROL
+        ):
+            self._on_child_messages(sender, messages)
         else:
-            self.counts.refused += len(words)
+            self.counts.refused += len(messages)
 
-    def _on_above(self, sender: str, word: Word) -> None:
-        """A parent, the one on trial, or one that was asked."""
-        match word:
-            case News() | Beat() if word.epoch < self.epoch:
+    def _on_parent_message(self, sender: str, message: Message) -> None:
+        """Process a message from the parent, from the parent on trial, or from a node that was asked for
+        repairs."""
+        match message:
+            case EntryBatch() | Heartbeat() if message.epoch < self.epoch:
                 self.counts.stale += 1
-            case News() if self.tier != CONTROL:
-                self.epoch = word.epoch
-                self._on_entries(word.first, word.entries)
-            case Beat():
-                self.epoch = word.epoch
-                self._on_beat(sender, word)
-            case said.Full():
-                self.parent.full(self.now, sender)
-            case said.Beyond(oldest) if self.asking.asked:
-                self._on_beyond(oldest)
-            case said.Rows() if self.forgotten:
-                self._on_rows(word)
-            case said.Same(upto) if self.forgotten and upto == self.forgotten[1] + 1:
-                self.forgotten, self.digest_at = None, NEVER
+            case EntryBatch() if self.tier != CONTROL:
+                self.epoch = message.epoch
+                self._on_entries(message.first, message.entries)
+            case Heartbeat():
+                self.epoch = message.epoch
+                self._on_heartbeat(sender, message)
+            case msg.NoCapacity():
+                self.parent.on_no_capacity(self.now, sender)
+            case msg.EntriesDropped(oldest) if self.retransmits.requested:
+                self._on_entries_dropped(oldest)
+            case msg.TableRows() if self.purged_range:
+                self._on_table_rows(message)
+            case msg.TableInSync(upto) if self.purged_range and upto == self.purged_range[1] + 1:
+                self.purged_range, self.digest_at = None, NEVER
             case _:
                 self.counts.refused += 1
 
-    def _on_below(self, sender: str, words: tuple[Word, ...]) -> None:
-        """A child, or one that another does not answer. What it leaves by bears a report, or it is an old
-        one."""
+    def _on_child_messages(self, sender: str, messages: tuple[Message, ...]) -> None:
+        """Process a datagram from a child, or from a node whose parent does not answer. `Leave` is only valid
+        after a report in the same datagram, which shows that the datagram is not a delayed one."""
         reported = False
-        for word in words:
-            match word:
-                case said.Report():
-                    reported = self._on_report(sender, word)
-                case said.Leave() if reported:
-                    self.children.leave(sender)
-                    self.serving.forget(sender)
-                case said.Want() if self.serving.want(sender, word):
-                    self.serve_at = min(self.serve_at, self.now)
-                case said.Digest():
-                    self._on_digest(sender, word)
+        for message in messages:
+            match message:
+                case msg.Report():
+                    reported = self._on_report(sender, message)
+                case msg.Leave() if reported:
+                    self.children.remove(sender)
+                    self.repairs.drop(sender)
+                case msg.RetransmitRequest() if self.repairs.request_entries(sender, message):
+                    self.repair_at = min(self.repair_at, self.now)
+                case msg.TableDigest():
+                    self._on_digest(sender, message)
                 case _:
                     self.counts.refused += 1
 
-    def _on_report(self, sender: str, report: said.Report) -> bool:
+    def _on_report(self, sender: str, report: msg.Report) -> bool:
         if report.epoch < self.epoch:
             self.counts.stale += 1
-        behind = self.lanes.top - report.have
-        cursor = report.have + 1 if behind <= NEAR else self.lanes.top + 1
-        child = self.children.hear(self.now, sender, report, cursor)
+        lag = self.applied.highest - report.have
+        cursor = report.have + 1 if lag <= LIVE_CATCH_UP_LIMIT else self.applied.highest + 1
+        child = self.children.on_report(self.now, sender, report, cursor)
         if child is None:
-            if sender not in self.children.all:
-                self._say(sender, said.Full())
+            if sender not in self.children.by_name:
+                self._send(sender, msg.NoCapacity())
             return False
-        if self.tree.tier(sender) != CONTROL and child.cursor <= self.lanes.top:
-            self._news()
+        if self.tree.tier(sender) != CONTROL and child.cursor <= self.applied.highest:
+            self._schedule_forwarding()
         if self.is_root:
-            self._tell_done()
+            self._announce_watermark()
         return True
 
-    def _on_beat(self, sender: str, beat: Beat) -> None:
-        left = self.parent.beat(self.now, sender, beat, self.children.granted_until(self.now))
-        if left:
-            # guards `done` against waiting for a grant that is not used any more
+    def _on_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
+        former_parent = self.parent.on_heartbeat(
+            self.now, sender, heartbeat, self.children.last_lease_end(self.now)
+        )
+        if former_parent:
+            # The former parent must be told, or its watermark would wait for a lease that is no longer used.
             stamp = self.parent.next_stamp(self.now)
-            self.parent.sent.clear()
-            self._say(left, self._report_word(stamp), said.Leave())
-
-    def _on_digest(self, sender: str, digest: said.Digest) -> None:
-        complete = not self.forgotten and self.lanes.have >= digest.upto - 1
-        same = self.serving.digest(sender, digest, complete)
-        if same is not None:
-            self._say(sender, same)
+            self.parent.sent_reports.clear()
+            self._send(former_parent, self._build_report(stamp), msg.Leave())
+
+    def _on_digest(self, sender: str, digest: msg.TableDigest) -> None:
+        complete = not self.purged_range and self.applied.contiguous_until >= digest.upto - 1
+        reply = self.repairs.request_table(sender, digest, complete)
+        if reply is not None:
+            self._send(sender, reply)
         elif complete:
-            self.serve_at = min(self.serve_at, self.now)
+            self.repair_at = min(self.repair_at, self.now)
 
     # Entries
 
@@ -221,221 +257,238 @@
         last = first + len(entries) - 1
         number = first
         while number <= last:
-            new = self.lanes.room(number, last)
-            if new is None:
-                end = self.lanes.run(number)
+            accepted = self.applied.acceptable(number, last)
+            if accepted is None:
+                end = self.applied.range_end(number)
                 if not end:
-                    self.counts.refused += 1  # before its turn; it is asked for again
+                    self.counts.refused += 1  # out of order within a gap; requested again later
                     return
                 number = end + 1
                 continue
-            self._apply(new[0], entries[new[0] - first : new[1] - first + 1])
-            number = new[1] + 1
+            self._apply(accepted[0], entries[accepted[0] - first : accepted[1] - first + 1])
+            number = accepted[1] + 1
 
     def _apply(self, first: int, entries: tuple[Entry, ...]) -> None:
         last = first + len(entries) - 1
-        if first > self.lanes.top + 1:
-            self.hole_at = self.now
-        asked = self.asking.asked
-        if asked and asked[0] <= first <= asked[1]:
+        if first > self.applied.highest + 1:
+            self.gap_seen_at = self.now
+        requested = self.retransmits.requested
+        if requested and requested[0] <= first <= requested[1]:
             self.counts.repaired += len(entries)
-            self.asking.came(self.now)
-        self.lanes.add(first, last)
+            self.retransmits.on_answer(self.now)
+        self.applied.add(first, last)
         for number, entry in enumerate(entries, first):
-            if self.tail.most:
-                self.tail.add(number, entry)
-            if isinstance(entry, said.Change):
+            if self.suffix.capacity:
+                self.suffix.add(number, entry)
+            if isinstance(entry, msg.Change):
                 self.table.put(number, entry)
-        self.out.append(said.Apply(first, entries))
-        while (spilt := self.lanes.spill()) is not None:
-            self._forget(*spilt)
-        self._news()
-
-    def _news(self) -> None:
-        if self.children.all:
-            self.news_at = min(self.news_at, max(self.now, self.news_sent + self.settings.pause))
-
-    def _forget(self, first: int, last: int) -> None:
-        """What is not to be had any more; its changes are, from a table."""
-        self.out.append(said.Forget(first, last))
-        self.lanes.add(first, last)
+        self.actions.append(msg.Apply(first, entries))
+        while (excess := self.applied.excess_gap()) is not None:
+            self._assume_purged(*excess)
+        self._schedule_forwarding()
+
+    def _schedule_forwarding(self) -> None:
+        if self.children.by_name:
+            self.forward_at = min(self.forward_at, max(self.now, self.forwarded_at + self.settings.pause))
+
+    def _assume_purged(self, first: int, last: int) -> None:
+        """Mark entries as unavailable; their changes are fetched from a change table."""
+        self.actions.append(msg.AssumePurged(first, last))
+        self.applied.add(first, last)
         if not self.is_root:
-            before = self.forgotten or (first, last)
-            self.forgotten = min(first, before[0]), max(last, before[1])
+            earlier = self.purged_range or (first, last)
+            self.purged_range = min(first, earlier[0]), max(last, earlier[1])
             self.digest_at = self.now
 
-    def _on_beyond(self, oldest: int) -> None:
-        self.asking.came(self.now)
-        known = max(self.lanes.top, self.parent.last)
-        holes = self.lanes.holes()
-        if self.parent.last > self.lanes.top:
-            holes.append((self.lanes.top + 1, self.parent.last))
-        for first, last in holes:
-            if first < oldest <= known + 1:
-                self._forget(first, min(last, oldest - 1))
-
-    def _on_rows(self, rows: said.Rows) -> None:
+    def _on_entries_dropped(self, oldest: int) -> None:
+        self.retransmits.on_answer(self.now)
+        known_end = max(self.applied.highest, self.parent.log_end)
+        gaps = self.applied.gaps()
+        if self.parent.log_end > self.applied.highest:
+            gaps.append((self.applied.highest + 1, self.parent.log_end))
+        for first, last in gaps:
+            if first < oldest <= known_end + 1:
+                self._assume_purged(first, min(last, oldest - 1))
+
+    def _on_table_rows(self, rows: msg.TableRows) -> None:
         for number, change in rows.rows:
             if self.table.put(number, change):
-                self.out.append(said.Restore(number, change))
-        self.comparing.tries = 0
-        self.digest_at = self.now + self.comparing.retry if rows.more else self.now
+                self.actions.append(msg.Restore(number, change))
+        self.table_sync.tries = 0
+        self.digest_at = self.now + self.table_sync.retry_delay if rows.more else self.now
 
-    def _on_settled(self, epoch: int, first: int, entries: tuple[Entry, ...]) -> None:
+    def _on_committed(self, epoch: int, first: int, entries: tuple[Entry, ...]) -> None:
         if self.tier != CONTROL or epoch < self.epoch:
             self.counts.stale += 1
             return
         self.epoch = epoch
-        if first > self.lanes.top + 1:
-            self._forget(self.lanes.top + 1, first - 1)  # the log begins later
+        if first > self.applied.highest + 1:
+            self._assume_purged(self.applied.highest + 1, first - 1)  # the received log begins later
         if entries:
             self._on_entries(first, entries)
 
-    def _on_root(self, epoch: int, holder: str) -> None:
+    def _on_leadership(self, epoch: int, leader: str) -> None:
         if self.tier != CONTROL or epoch < self.epoch:
             self.counts.stale += 1
             return
-        was, self.is_root = self.is_root, holder == self.name
-        if self.is_root and (not was or epoch > self.epoch):
-            self.quiet_until = self.now + self.settings.lease * self.children.apart
-            self.forgotten, self.digest_at = None, NEVER
-            self.children.told_before = self.lanes.top
-        if was != self.is_root:
+        was_root, self.is_root = self.is_root, leader == self.name
+        if self.is_root and (not was_root or epoch > self.epoch):
+            self.watermark_held_until = self.now + self.settings.lease * self.children.clock_ratio
+            self.purged_range, self.digest_at = None, NEVER
+            self.children.inherited_watermark = self.applied.highest
+        if was_root != self.is_root:
             self.parent.lease_until = -NEVER
         self.epoch = epoch
-        self.parent.follow(self.now, (holder,) if holder not in ("", self.name) else ())
+        self.parent.set_candidates(self.now, (leader,) if leader not in ("", self.name) else ())
 
-    # What goes up
+    # Reports to the parent
 
-    def _report_word(self, stamp: int) -> said.Report:
-        done, behind = self.children.done(self.now, self.have)
-        below, away = self.children.counted(self.now)
-        return said.Report(stamp, self.epoch, self.have, done, below, away, behind)
+    def _build_report(self, stamp: int) -> msg.Report:
+        acknowledged, slowest = self.children.advance_watermark(self.now, self.applied_until)
+        members, away = self.children.member_counts(self.now)
+        return msg.Report(stamp, self.epoch, self.applied_until, acknowledged, members, away, slowest)
 
-    def _report(self) -> None:
+    def _send_reports(self) -> None:
         self.report_at = self.now + self.settings.report
-        self.children.tick(self.now)
+        self.children.expire(self.now)
         if self.is_root:
-            self._tell_done()
+            self._announce_watermark()
             return
-        self.parent.tick(self.now, self.have >= self.parent.last)
-        self.counts.moved = self.parent.moved
-        to = self.parent.reports_to()
-        if to:
-            word = self._report_word(self.parent.next_stamp(self.now))
-            for name in to:
-                self._say(name, word)
-
-    def _tell_done(self) -> None:
-        if self.now < self.quiet_until:
+        self.parent.tick(self.now, self.applied_until >= self.parent.log_end)
+        self.counts.moved = self.parent.moves
+        targets = self.parent.report_targets()
+        if targets:
+            report = self._build_report(self.parent.next_stamp(self.now))
+            for name in targets:
+                self._send(name, report)
+
+    def _announce_watermark(self) -> None:
+        if self.now < self.watermark_held_until:
             return
-        done, _ = self.children.done(self.now, self.have)
-        if done > self.told:
-            self.told = done
-            self.out.append(said.Done(done, *self.children.counted(self.now)))
+        watermark, _ = self.children.advance_watermark(self.now, self.applied_until)
+        if watermark > self.announced_watermark:
+            self.announced_watermark = watermark
+            self.actions.append(msg.Watermark(watermark, *self.children.member_counts(self.now)))
 
-    def _asked(self, asking: Asking) -> str:
-        return asking.whom(self.parent.at, self.parent.candidates)
+    def _repair_source(self, requests: RetransmitRequests) -> str:
+        return requests.target(self.parent.index, self.parent.candidates)
 
-    def _ask(self) -> None:
+    def _request_repairs(self) -> None:
         if self.tier != CONTROL:
-            want = self.asking.next(self.now, self.lanes, self.parent.last)
-            if want is not None:
-                self._say(self._asked(self.asking), want)
-        if self.forgotten and self.now >= self.digest_at:
-            upto = self.forgotten[1] + 1
-            self.digest_at = self.now + self.comparing.retry
-            self.comparing.vain()
-            if self._asked(self.comparing):
-                self._say(self._asked(self.comparing), said.Digest(upto, self.table.sums(upto)))
-
-    # What goes down
+            request = self.retransmits.next_request(self.now, self.applied, self.parent.log_end)
+            if request is not None:
+                self._send(self._repair_source(self.retransmits), request)
+        if self.purged_range and self.now >= self.digest_at:
+            upto = self.purged_range[1] + 1
+            self.digest_at = self.now + self.table_sync.retry_delay
+            self.table_sync.on_timeout()
+            if self._repair_source(self.table_sync):
+                self._send(
+                    self._repair_source(self.table_sync), msg.TableDigest(upto, self.table.checksums(upto))
+                )
+
+    # Forwarding to the children
 
     def _lease_left(self) -> float:
         return self.settings.lease if self.is_root else self.parent.lease_until - self.now
 
-    def _pass_on(self, child: Child, packed: dict[tuple[int, int], tuple[Entry, ...]]) -> None:
-        """News from where the child is, and the answer to its report."""
-        answers = child.answer_at < NEVER
+    def _send_to_child(self, child: Child, batches: dict[tuple[int, int], tuple[Entry, ...]]) -> None:
+        """Send a child the entries from its position on, and the answer to its report."""
+        with_reply = child.reply_due < NEVER
         control = self.tree.tier(child.name) == CONTROL
         while True:
             entries: tuple[Entry, ...] = ()
-            if not control and child.cursor <= self.lanes.top:
-                space = self.room - HEAD - BEAT * answers
-                entries = self._run(child, space, packed)
-            words: list[Word] = [News(self.epoch, child.cursor, entries)] if entries else []
-            if answers:
-                last = self.lanes.have if control else min(self.lanes.have, child.cursor + len(entries) - 1)
+            if not control and child.cursor <= self.applied.highest:
+                size = self.max_payload - BATCH_OVERHEAD - HEARTBEAT_BYTES * with_reply
+                entries = self._next_batch(child, size, batches)
+            messages: list[Message] = [EntryBatch(self.epoch, child.cursor, entries)] if entries else []
+            if with_reply:
+                last = (
+                    self.applied.contiguous_until
+                    if control
+                    else min(self.applied.contiguous_until, child.cursor + len(entries) - 1)
+                )
                 good_for = self.children.grant(self.now, child, self._lease_left(), self.epoch)
-                words.append(Beat(self.epoch, last, child.stamp, good_for))
-            if not words:
+                messages.append(Heartbeat(self.epoch, last, child.stamp, good_for))
+            if not messages:
                 break
-            if not self._say(child.name, *words):
-                child.answer_at = self.now + self.settings.pause if answers else NEVER
+            if not self._send(child.name, *messages):
+                child.reply_due = self.now + self.settings.pause if with_reply else NEVER
                 break
             child.cursor += len(entries)
-            child.answer_at, answers = NEVER, False
-        if not control and child.cursor <= self.lanes.top:
-            self.news_at = min(self.news_at, self.now + self.settings.pause)
+            child.reply_due, with_reply = NEVER, False
+        if not control and child.cursor <= self.applied.highest:
+            self.forward_at = min(self.forward_at, self.now + self.settings.pause)
 
-    def _run(
-        self, child: Child, space: int, packed: dict[tuple[int, int], tuple[Entry, ...]]
+    def _next_batch(
+        self, child: Child, size: int, batches: dict[tuple[int, int], tuple[Entry, ...]]
     ) -> tuple[Entry, ...]:
-        """The next entries for a child. A hole of this node's is waited for, as it will be filled soon."""
-        end = self.lanes.run(child.cursor)
+        """Return the next entries for a child. Forwarding waits at a gap of this node, because it is usually
+        filled soon."""
+        end = self.applied.range_end(child.cursor)
         if not end:
-            if self.now < self.hole_at + WAITS * self.settings.pause:
+            if self.now < self.gap_seen_at + GAP_PATIENCE * self.settings.pause:
                 return ()
-            child.cursor = next(first for first, _ in self.lanes.ranges if first > child.cursor)
-            end = self.lanes.run(child.cursor)
-        key = (child.cursor, space)
-        if key not in packed:
-            packed[key] = self.tail.run(child.cursor, end, space)
-            if not packed[key] and self.tail.get(child.cursor) is None:
-                child.cursor = min(self.tail.next(child.cursor), end + 1)  # kept no more: the child asks
-        return packed[key]
-
-    def _serve(self) -> None:
-        """What others have asked for, by what the budget leaves."""
-        if self.now < self.serve_at:
+            child.cursor = next(first for first, _ in self.applied.ranges if first > child.cursor)
+            end = self.applied.range_end(child.cursor)
+        key = (child.cursor, size)
+        if key not in batches:
+            batches[key] = self.suffix.batch(child.cursor, end, size)
+            if not batches[key] and self.suffix.get(child.cursor) is None:
+                # no longer kept here: the child will request it
+                child.cursor = min(self.suffix.next_kept(child.cursor), end + 1)
+        return batches[key]
+
+    def _send_repairs(self) -> None:
+        """Send requested retransmissions, as far as the send budget allows."""
+        if self.now < self.repair_at:
             return
         settings = self.settings
-        self.serve_at = NEVER
-        if self.now >= self.served_at + settings.pause:
-            news = len(self.children.all) * child_cost(settings, LONGEST_NAME) + REPORT / settings.report
-            left = max(KEEPS * self.allowance.budget, self.allowance.budget - news)
-            self.served_at, self.share = self.now, min(self.share, 0.0) + left * settings.pause
-        while self.share > 0:
-            found = self.serving.next(self.epoch)
-            if found is None:
+        self.repair_at = NEVER
+        if self.now >= self.repaired_at + settings.pause:
+            reserved = (
+                len(self.children.by_name) * child_cost(settings, MAX_NAME_BYTES)
+                + REPORT_BYTES / settings.report
+            )
+            unreserved = max(MIN_REPAIR_SHARE * self.send_window.budget, self.send_window.budget - reserved)
+            self.repaired_at, self.repair_credit = (
+                self.now,
+                min(self.repair_credit, 0.0) + unreserved * settings.pause,
+            )
+        while self.repair_credit > 0:
+            reply = self.repairs.next_reply(self.epoch)
+            if reply is None:
                 return
-            before = self.counts.bytes_out
-            if not self._say(found[0], found[1]):
+            sent_before = self.counts.bytes_out
+            if not self._send(reply[0], reply[1]):
                 break
-            self.share -= self.counts.bytes_out - before
-        self.serve_at = self.served_at + settings.pause
+            self.repair_credit -= self.counts.bytes_out - sent_before
+        self.repair_at = self.repaired_at + settings.pause
 
     def status(self, now: float) -> dict[str, Any]:
-        """What staff may want to know."""
+        """Return the node's state for operators; JSON-serialisable."""
         counts = asdict(self.counts)
-        done, behind = self.children.reported, self.children.lowest(now, self.have)[1]
+        watermark, slowest = (
+            self.children.watermark,
+            self.children.lowest_acknowledged(now, self.applied_until)[1],
+        )
         return {
             "tier": self.tier,
             "root": self.is_root,
             "parent": self.parent.name,
             "epoch": self.epoch,
-            "have": self.have,
-            "last": max(self.lanes.top, self.parent.last),
-            "done": done,
-            "behind": behind,
-            "lanes": list(self.lanes.ranges),
-            "forgotten": self.forgotten,
+            "have": self.applied_until,
+            "last": max(self.applied.highest, self.parent.log_end),
+            "done": watermark,
+            "behind": slowest,
+            "lanes": list(self.applied.ranges),
+            "forgotten": self.purged_range,
             "children": {
-                c.name: {"have": c.have, "done": c.done, "counts": c.counts_until > now}
-                for c in self.children.all.values()
+                c.name: {"have": c.applied_until, "done": c.acknowledged, "counts": c.counted_until > now}
+                for c in self.children.by_name.values()
             },
-            "away": {name: below for name, (below, _) in self.children.silent.items()},
-            "vouches": self.vouches(now),
+            "away": {name: members for name, (members, _) in self.children.silent.items()},
+            "vouches": self.has_lease(now),
             "lease_left": max(0.0, self.parent.lease_until - now) if not self.is_root else None,
             "counts": counts,
         }
