--- a/myrtlecourse/evidence.py
+++ b/myrtlecourse/evidence.py
@@ -14,12 +14,12 @@
 from myrtlecourse.interface import Reachability, Status
 
 FIRST_BUCKET = 0.001  # seconds: upper bound of the first latency bucket
-BUCKET_RATIO = 1.25  # between the bounds of successive buckets: quantiles are too high by at most this factor
-BUCKETS = 44  # the last one ends at 14.6 s and also counts everything longer
+BUCKET_RATIO = 1.25  # ratio of successive bounds: quantiles are too high by at most this factor
+BUCKETS = 44  # number of buckets; the last one ends at 14.6 s and also counts everything longer
 SAMPLE_DECAY = 0.98  # factor on a sample's weight with each further sample: about fifty samples count
 RESCALE_WEIGHT = 1e12  # weight at which all weights are scaled down, far below the range of a float
-OVERDUE_FACTOR = 6.0  # times the usual latency after which an answer is more likely lost than late
-MAX_SAMPLE_FACTOR = 4.0  # times the usual latency: upper bound of a sample's effect
+OVERDUE_FACTOR = 6.0  # multiple of the usual latency after which an answer is more likely lost than late
+MAX_SAMPLE_FACTOR = 4.0  # multiple of the usual latency: upper bound of a sample's effect
 SMOOTHING = 0.2  # weight of the latest sample in a mean: about five answers count
 MIN_USUAL_LATENCY = 0.002  # seconds: with less, a busy event loop would look like loss
 
--- a/myrtlecourse/interface.py
+++ b/myrtlecourse/interface.py
@@ -115,7 +115,7 @@
     aim: float  # target for the time from the request to its answer
     effect: Effect = Effect.SAFE
     group: DedupGroup = DedupGroup.ALL
-    repeat_window: float = 0.0  # for which servers drop repeats of a keyed request
+    repeat_window: float = 0.0  # time for which servers drop repeats of a keyed request
     value: float = 1.0  # priority under overload: requests of the least value are refused first
 
 
@@ -131,17 +131,17 @@
     subscribe: bool = False  # list changes are sent only on request
     hedging: bool = False  # a request may have several attempts in flight at once
     may_cancel: bool = False  # attempts may be cancelled
-    max_attempts: int = 1  # per request
+    max_attempts: int = 1  # maximum per request
     router_count: int = 1  # routers of the fleet, this one included
-    zone: str = ""  # of this router
+    zone: str = ""  # zone of this router
     peers: bool = False  # routers may exchange messages with each other
-    connection_idle: float = 60.0  # after which a host closes an idle connection
-    dial_timeout: float = 0.25  # after which a connection attempt has failed
+    connection_idle: float = 60.0  # idle time after which a host closes a connection
+    dial_timeout: float = 0.25  # time after which a connection attempt has failed
     max_retry_after: float = 0.0  # longest retry delay that clients obey
-    connection_cost: float = 0.0  # of 100 open connections at each server
-    handshake_cost: float = 0.0  # of a new connection for each request
+    connection_cost: float = 0.0  # cost of 100 open connections at each server
+    handshake_cost: float = 0.0  # cost of a new connection for each request
     longest_deadline: float = 3.0  # longest time that clients of any class wait, retries included
-    drain_grace: float = 2.0  # after which a draining or removed server may get no new requests
+    drain_grace: float = 2.0  # time after which a draining or removed server may get no new requests
     cold_share: float = 0.3  # share of its normal traffic that a server can take right after its start
     ramp_time: float = 10.0  # seconds of warm-up after a start, in which that share rises to 1
     fall_multiple: float = 2.0  # a server collapses at this multiple of the traffic that it can serve
@@ -198,9 +198,7 @@
     """Operators have lifted a ban. The server was restarted meanwhile: what was learned of it is void."""
 
     server: str
-    returned_at: (
-        float  # when the ban was lifted, on the host's clock (s); routers that learn of it later need it
-    )
+    returned_at: float  # time of the lifting on the host's clock (s); routers that learn of it later need it
 
 
 @dataclass(slots=True, frozen=True)
@@ -367,7 +365,7 @@
     The factor of a zone that is not named is 1.
     """
 
-    weights: Mapping[str, float]  # by zone, above 0
+    weights: Mapping[str, float]  # positive factors by zone
 
 
 Event = (
@@ -398,7 +396,7 @@
     request: str
     server: str
     timeout: float | None  # seconds; None: until the client gives up
-    write_by: float | None  # None: no limit
+    write_by: float | None  # seconds on the router's clock; None: no limit
     reason: Reason = field(compare=False)
 
     def __init__(
--- a/myrtlecourse/overload/core.py
+++ b/myrtlecourse/overload/core.py
@@ -14,18 +14,18 @@
 from myrtlecourse import interface as api
 
 WINDOW = 0.05  # seconds between corrections: some hundred commands on a full core
-TARGET_DELAY_SHARE = 0.1  # of the shortest aim, for the mean read delay: bursts are still served in time
-MIN_STEP = 0.85  # per window, so that a single long event loop iteration refuses few commands
-MAX_STEP = 1.1  # per window: from the minimum to all in 1.8 s
-MIN_ADMITTED_SHARE = 0.03  # always admitted, as otherwise nothing would show that the core is free again
-CLASS_FLOOR = 0.1  # of its fair part that each class gets, however low its value
+TARGET_DELAY_SHARE = 0.1  # target of the mean read delay as a share of the shortest aim: bursts end in time
+MIN_STEP = 0.85  # factor of a window: a single long event loop iteration refuses few commands
+MAX_STEP = 1.1  # factor of a window: from the minimum to all in 1.8 s
+MIN_ADMITTED_SHARE = 0.03  # lower bound: with nothing admitted, a free core would not show
+CLASS_FLOOR = 0.1  # share of its fair part that each class gets, however low its value
 COUNT_DECAY = 0.8  # factor on the counts from one window to the next
-KEYED_RETRY_FACTOR = 2.0  # on the value of a retry that carries an idempotency key
-RETRY_FACTOR = 0.5  # on the value of other retries
-RETRY_AFTER_SHARE = 0.3  # of the aim, as mean retry delay: a retry may still be in time
-SEVERE_OVERLOAD_SHARE = 0.9  # admitted: below it, retries in time would only displace new commands
+KEYED_RETRY_FACTOR = 2.0  # factor on the value of a retry that carries an idempotency key
+RETRY_FACTOR = 0.5  # factor on the value of other retries
+RETRY_AFTER_SHARE = 0.3  # mean retry delay as a share of the aim: a retry may still be in time
+SEVERE_OVERLOAD_SHARE = 0.9  # admitted share below which timely retries would only displace new commands
 GOLDEN_RATIO = 0.6180339887498949  # steps of it fill an interval evenly, so that retries are spread
-MAX_TENANTS = 256  # counted apart; others share one entry, so that names can't exhaust memory
+MAX_TENANTS = 256  # tenants counted separately; the others share an entry, which bounds memory
 OTHER_TENANTS = ""
 
 
@@ -37,7 +37,7 @@
     value: float
     recent_commands: float = 0.0  # decayed count
     admitted_share: float = 1.0
-    credit: float = 0.5  # carried over, so that the share holds exactly without randomness
+    credit: float = 0.5  # fraction carried over, so that the share holds exactly without randomness
 
 
 class CoreAdmission:
--- a/myrtlecourse/policy/members.py
+++ b/myrtlecourse/policy/members.py
@@ -24,19 +24,19 @@
         self.random = random.Random(seed)
         self.now = now
         self.actions: list[api.Action] = []
-        self.zone_exit: ZoneExitControl | None = None  # while the fleet has left zones
+        self.zone_exit: ZoneExitControl | None = None  # set while the fleet has left zones
         self.servers: dict[str, Server] = {}
         self.banned: set[str] = set()  # names of servers, listed or not
-        self.unbanned_at: dict[str, float] = {}  # when a ban was lifted, while the server may still be cold
-        self.caches: dict[str, Server] = {}  # those that may get requests
-        self.origins: dict[str, Server] = {}  # those that may get requests
+        self.unbanned_at: dict[str, float] = {}  # times at which bans ended, while servers may be cold
+        self.caches: dict[str, Server] = {}  # cache servers that may get requests
+        self.origins: dict[str, Server] = {}  # origin servers that may get requests
         self.failing: set[Server] = set()  # caches with too many consecutive failures
         self.ring = Ring()
         self.sizes = Sizes()
         self.slow_start = SlowStart(now)
         self.largest_by_kind: dict[str, float] = {}  # largest weight seen per kind, where weights are live
-        self.stale_points: dict[Server, None] = {}  # whose number of points is out of date
-        self.zone_weights: Mapping[str, float] = {}  # the preference for each zone's cache servers
+        self.stale_points: dict[Server, None] = {}  # servers whose number of points is out of date
+        self.zone_weights: Mapping[str, float] = {}  # preference for each zone's cache servers
         self.list_failures = 0
 
     def _apply_list(self, event: api.ServerList) -> None:
@@ -84,7 +84,7 @@
         if len(excluded) == len(caches):
             excluded.clear()  # with no server outside these zones, leaving them gains nothing
         if all(s in excluded or s.entry.zone in shares for s in caches):
-            shares = {}  # nor does a gradual return
+            shares = {}  # a gradual return gains nothing either
         for server in caches:
             server.ring_share = shares.get(server.entry.zone, 1.0)
             now_left = server in excluded
--- a/myrtlecourse/policy/ring.py
+++ b/myrtlecourse/policy/ring.py
@@ -20,15 +20,15 @@
 BUCKET_BITS = 13
 SERVER_BITS = 16
 NODE_BITS = 7
-KEPT_BITS = 36  # of a position, after the bits of its bucket number
+KEPT_BITS = 36  # bits of a position that are stored, after those of its bucket number
 BUCKETS = 1 << BUCKET_BITS
 MAX_SERVERS = 1 << SERVER_BITS
-MAX_NODES = 1 << NODE_BITS  # per server: at least `tuning.POINTS`
+MAX_NODES = 1 << NODE_BITS  # virtual nodes per server, at least `tuning.POINTS`
 OWNER_BITS = SERVER_BITS + NODE_BITS
 DROPPED_BITS = 64 - BUCKET_BITS - KEPT_BITS  # the last bits of a position, which are not stored
 KEPT_MASK = (1 << KEPT_BITS) - 1
-BULK_SERVERS = 64  # servers changed at once, from which on whole buckets are sorted
-BULK_BATCH = 1024  # servers whose points are collected before sorting: each point is an object meanwhile
+BULK_SERVERS = 64  # number of servers changed at once from which on whole buckets are sorted
+BULK_BATCH = 1024  # servers per sort: until then, each of their points is an object
 
 
 def ring_hash(text: str) -> tuple[int, ...]:
@@ -74,7 +74,7 @@
 
     def __init__(self) -> None:
         self.buckets = [array("Q") for _ in range(BUCKETS)]
-        self.servers: list[Server | None] = []  # by their number
+        self.servers: list[Server | None] = []  # indexed by number; None for free numbers
         self.free_numbers: list[int] = []
         self.point_count = 0
 
--- a/myrtlecourse/policy/selection.py
+++ b/myrtlecourse/policy/selection.py
@@ -24,7 +24,7 @@
         self.min_aim = min(c.aim for c in settings.classes.values())
         self.popularity = Popularity(now)
         self.started_at = now
-        self.request_count = 0  # since the start
+        self.request_count = 0  # requests since the start
         # smoothed latency of caches per request in flight and unit of size, the request itself included
         self.unit_latency = 0.0
         self.success_rate = 1.0  # smoothed share of attempts at caches that succeeded
@@ -73,7 +73,7 @@
                 full += 1
                 if full >= tuning.MAX_FULL_SERVERS:
                     break
-        return first  # all are over the cap: the first is no worse and the likeliest to have the key
+        return first  # if all are over the cap, the first is as good as any and likeliest to have the key
 
     def _may_try_left_zone(self, pending: PendingRequest, server: Server) -> bool:
         """Return whether a read may test a zone that was left; if it fails, it is repeated elsewhere."""
--- a/myrtlecourse/policy/state.py
+++ b/myrtlecourse/policy/state.py
@@ -15,22 +15,22 @@
     """A listed server and what this router knows of it. Times are in seconds."""
 
     entry: api.ServerEntry
-    is_cache: bool = True  # else an origin
+    is_cache: bool = True  # False for an origin server
     started_at: float = 0.0  # time of its latest start; 0: long ago
-    banned: bool = False  # by operators
-    in_flight: int = 0  # own attempts that hold a slot: their answers may still start
+    banned: bool = False  # whether operators have banned it
+    in_flight: int = 0  # number of own attempts that hold a slot, as their answers may still start
     size: float = 1.0  # its weight, or where weights fall with load, the largest of its kind
     reported_load: float = 0.0  # requests in flight per unit of size, of all routers, some seconds ago
     ring_points: int = 0  # its virtual nodes on the ring
     ring_number: int = -1  # its number on the ring, while it has points
-    limit: float = tuning.INITIAL_LIMIT  # of own attempts in flight
+    limit: float = tuning.INITIAL_LIMIT  # upper bound of own attempts in flight
     limit_cut_at: float = -math.inf
     latency_ratio: float = 0.0  # smoothed latency of answers as a share of the target
     last_used_at: float = 0.0  # end of the latest attempt
     consecutive_failures: int = 0
     exclusion_time: float = 0.0  # length of its latest exclusion
-    excluded_until: float = -math.inf  # before which it gets no new requests
-    zone_left: bool = False  # the fleet has left its zone
+    excluded_until: float = -math.inf  # time before which it gets no new requests
+    zone_left: bool = False  # whether the fleet has left its zone
     ring_share: float = 1.0  # share of its points that counts, while its zone returns
     evidence: Evidence = field(default_factory=Evidence)
 
@@ -45,13 +45,13 @@
     """One attempt of a request."""
 
     server: Server
-    target_latency: float  # above this on average, too many attempts are in flight (s)
+    target_latency: float  # if answers take longer on average, too many attempts are in flight
     sent_at: float
     open: bool
-    may_have_run: bool  # false once an outcome proves that the server did not execute it
-    holds_slot: bool  # until its answer starts, or is more likely lost than late
-    response_begun: bool  # a long answer has started
-    overdue: bool  # and reported as that to the reachability observer
+    may_have_run: bool  # False once an outcome proves that the server did not execute it
+    holds_slot: bool  # whether its answer may still start and is not more likely lost than late
+    response_begun: bool  # whether a long answer has started
+    overdue: bool  # whether it was reported as overdue to the reachability observer
 
     def __init__(self, server: Server, target_latency: float, sent_at: float) -> None:
         self.server = server
@@ -75,14 +75,14 @@
 
     request: api.Request
     request_class: api.RequestClass
-    settings: api.Settings  # those at its arrival
-    deadline: float  # after which an answer is useless
+    settings: api.Settings  # the settings at its arrival
+    deadline: float  # time after which an answer is useless
     to_origin: bool
     attempts: list[Attempt]
-    queued: bool  # until the origin has capacity, or any server is listed
+    queued: bool  # whether it waits for capacity of the origin, or for any server
     streaming: bool
     missed_servers: list[Server]  # servers without its key: a fetch stores it there
-    moved: bool  # to a server other than its own, as the fleet has left that one's zone
+    moved: bool  # whether it goes to another server than its own, as the fleet has left that one's zone
 
     def __init__(
         self,
--- a/myrtlecourse/policy/zone_exit.py
+++ b/myrtlecourse/policy/zone_exit.py
@@ -13,7 +13,7 @@
 
     def __init__(self, generator: random.Random) -> None:
         self.current = api.ZoneExit()
-        self.left_at: dict[str, float] = {}  # by zone
+        self.left_at: dict[str, float] = {}  # time of the exit by zone
         self.random = generator
         self.move_credit = tuning.MOVE_CREDIT  # requests that may move at once
         self.next_trial_at = 0.0
