--- a/myrtlecourse/policy/router.py
+++ b/myrtlecourse/policy/router.py
@@ -88,21 +88,21 @@
 
     def _on_streaming(self, event: api.Streaming) -> None:
         """Release the slot early, as slow clients would hold it for long, and cancel the other attempts."""
-        begun = self.attempts.get((event.request, event.attempt))
-        if begun is None:
+        answered = self.attempts.get((event.request, event.attempt))
+        if answered is None:
             return
-        begun.release_slot()
-        self._learn_from(begun, api.Status.OK, max(0.0, self.now - begun.sent_at - event.read_delay))
-        begun.response_begun = True
+        answered.release_slot()
+        self._learn_from(answered, api.Status.OK, max(0.0, self.now - answered.sent_at - event.read_delay))
+        answered.response_begun = True
         if (pending := self.requests.get(event.request)) is not None:
             pending.streaming, pending.queued = True, False
             for other, attempt in enumerate(pending.attempts):
-                if self.settings.may_cancel and attempt.open and attempt is not begun:
+                if self.settings.may_cancel and attempt.open and attempt is not answered:
                     self.actions.append(api.Cancel(event.request, other))
         self._serve_queue()
 
     def _on_ban_change(self, event: api.ServerBanned | api.BanLifted) -> None:
-        """Apply a ban, or the end of one, after which nothing learned of the server holds."""
+        """Apply a ban or lift it; one lift ends all bans and voids what was learned of the server."""
         if isinstance(event, api.ServerBanned):
             self.banned.add(event.server)
             self._update_ban(event.server)
