--- a/myrtlecourse/policy/state.py
+++ b/myrtlecourse/policy/state.py
@@ -1,4 +1,4 @@
-"""What the module holds of a server, of an attempt and of a request."""
+"""The state of servers, attempts and open requests."""
 
 from __future__ import annotations
 
@@ -12,95 +12,95 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A listed server as this router sees it."""
+    """A listed server and what this router knows of it. Times are in seconds."""
 
     entry: api.ServerEntry
-    cache: bool = True  # or the origin
-    started: float = 0.0  # 0: long ago
-    banned: bool = False  # by operators, until they give it back
-    load: int = 0  # own attempts whose answers may still come, or begin to
-    size: float = 1.0  # its weight, steady
-    reported: float = 0.0  # requests held for each unit of size, by all routers, seconds ago
-    points: int = 0  # that it has on the ring
-    number: int = -1  # there, while it has any
-    limit: float = tuning.LIMIT_START  # of own attempts in flight
-    cut_at: float = -math.inf
-    slowness: float = 0.0  # smoothed share of the target that answers take, as one says little
-    used_at: float = 0.0  # last end of an attempt
-    failures: int = 0  # in a row
-    pause: float = 0.0
-    out_until: float = -math.inf
-    left: bool = False  # with its zone, by the fleet
-    share: float = 1.0  # of its points that count, while its zone comes back
+    is_cache: bool = True  # False for an origin server
+    started_at: float = 0.0  # time of its latest start; 0: long ago
+    banned: bool = False  # whether operators have banned it
+    in_flight: int = 0  # number of own attempts that hold a slot, as their answers may still start
+    size: float = 1.0  # its weight, or where weights fall with load, the largest of its kind
+    reported_load: float = 0.0  # requests in flight per unit of size, of all routers, some seconds ago
+    ring_points: int = 0  # its virtual nodes on the ring
+    ring_number: int = -1  # its number on the ring, while it has points
+    limit: float = tuning.INITIAL_LIMIT  # upper bound of own attempts in flight
+    limit_cut_at: float = -math.inf
+    latency_ratio: float = 0.0  # smoothed latency of answers as a share of the target
+    last_used_at: float = 0.0  # end of the latest attempt
+    consecutive_failures: int = 0
+    exclusion_time: float = 0.0  # length of its latest exclusion
+    excluded_until: float = -math.inf  # time before which it gets no new requests
+    zone_left: bool = False  # whether the fleet has left its zone
+    ring_share: float = 1.0  # share of its points that counts, while its zone returns
     evidence: Evidence = field(default_factory=Evidence)
 
     @property
     def ready(self) -> bool:
-        """Whether it may be sent anything new."""
+        """Whether the server may get new requests."""
         return self.entry.ready and not self.banned
 
 
 @dataclass(slots=True, eq=False, init=False)
 class Attempt:
-    """One send of a request."""
+    """One attempt of a request."""
 
     server: Server
-    target: float  # slower than this means too many are out
+    target_latency: float  # if answers take longer on average, too many attempts are in flight
     sent_at: float
     open: bool
-    may_have_run: bool  # until an outcome proves the contrary
-    placed: bool  # until its answer comes or begins, or is more likely lost than late
-    begun: bool  # its answer, a long one
-    overdue: bool  # which has been told to who watches
+    may_have_run: bool  # False once an outcome proves that the server did not execute it
+    holds_slot: bool  # whether its answer may still start and is not more likely lost than late
+    response_begun: bool  # whether a long answer has started
+    overdue: bool  # whether it was reported as overdue to the reachability observer
 
-    def __init__(self, server: Server, target: float, sent_at: float) -> None:
+    def __init__(self, server: Server, target_latency: float, sent_at: float) -> None:
         self.server = server
-        self.target = target
+        self.target_latency = target_latency
         self.sent_at = sent_at
         self.open = True
         self.may_have_run = True
-        self.placed = True
-        self.begun = False
+        self.holds_slot = True
+        self.response_begun = False
         self.overdue = False
 
-    def free(self) -> None:
-        """Leave its place to others."""
-        self.server.load -= self.placed
-        self.placed = False
+    def release_slot(self) -> None:
+        """Release its slot for other attempts."""
+        self.server.in_flight -= self.holds_slot
+        self.holds_slot = False
 
 
 @dataclass(slots=True, eq=False, init=False)
-class Held:
-    """A request that is owed its final answer."""
+class PendingRequest:
+    """A request without its final answer so far."""
 
     request: api.Request
     request_class: api.RequestClass
-    settings: api.Settings  # that it began under, whatever holds by now
-    until: float  # no use in waiting for longer
+    settings: api.Settings  # the settings at its arrival
+    deadline: float  # time after which an answer is useless
     to_origin: bool
     attempts: list[Attempt]
-    waiting: bool  # for a place at the origin, or for any server at all
+    queued: bool  # whether it waits for capacity of the origin, or for any server
     streaming: bool
-    missed: list[Server]  # that lacked its key: a fetch stores it there
-    moved: bool  # away from a zone that is left
+    missed_servers: list[Server]  # servers without its key: a fetch stores it there
+    moved: bool  # whether it goes to another server than its own, as the fleet has left that one's zone
 
     def __init__(
         self,
         request: api.Request,
         request_class: api.RequestClass,
         settings: api.Settings,
-        until: float,
+        deadline: float,
         to_origin: bool,
     ) -> None:
         self.request = request
         self.request_class = request_class
         self.settings = settings
-        self.until = until
+        self.deadline = deadline
         self.to_origin = to_origin
         self.attempts = []
-        self.waiting = False
+        self.queued = False
         self.streaming = False
-        self.missed = []
+        self.missed_servers = []
         self.moved = False
 
     def open_attempts(self) -> int:
