--- a/bench/address_move.py
+++ b/bench/address_move.py
@@ -193,7 +193,7 @@
     fleet.close()
     if picture is not None and drawn is not None:
         draw(picture, told, *drawn)
-    return figures(told, moves, outages, bound.election().longest_vacancy)
+    return figures(told, moves, outages, bound.election_settings().longest_vacancy)
 
 
 def figures(
--- a/deploy/build.py
+++ b/deploy/build.py
@@ -22,7 +22,7 @@
 PLAIN = (
     "__main__.py",
     "config.py",
-    "beyond.py",
+    "subsystems.py",
     "service.py",
     "reload_signal.py",
     "wirehost.py",
@@ -44,7 +44,7 @@
     "duties/steps.py",
     "duties/command_work.py",
     "address/duty.py",
-    "address/keeper.py",
+    "address/driver.py",
     "address/link.py",
     "address/setup.py",
     "address/votes.py",
--- a/myrtlecourse/address/commands.py
+++ b/myrtlecourse/address/commands.py
@@ -12,13 +12,13 @@
 from rich.console import Console
 from rich.table import Table
 
-UNREACHED = 2  # exit code when there was no answer
-NO = 1  # when the answer was no
+EXIT_UNREACHABLE = 2  # exit code when there was no answer
+EXIT_REFUSED = 1  # when the answer was no
 TIMEOUT = 2.0  # seconds
-LONGEST_ANSWER = 1024 * 1024  # bytes; a thousand routers are told in less
+MAX_RESPONSE = 1024 * 1024  # bytes; a thousand routers are told in less
 
 
-def call(at: str, method: str, path: str) -> tuple[int, str]:
+def call_router(at: str, method: str, path: str) -> tuple[int, str]:
     """One operators' call. Ends with exit code 2 when nobody answers."""
     host, _, port = at.rpartition(":")
     if not host or not port.isdigit():
@@ -27,22 +27,22 @@
     try:
         connection.request(method, f"/control/{path}")
         response = connection.getresponse()
-        return response.status, response.read(LONGEST_ANSWER).decode(errors="replace").strip()
+        return response.status, response.read(MAX_RESPONSE).decode(errors="replace").strip()
     except (OSError, http.client.HTTPException) as e:
         click.echo(f"myrtlecourse: {at}: {e}", err=True)
-        sys.exit(UNREACHED)
+        sys.exit(EXIT_UNREACHABLE)
     finally:
         connection.close()
 
 
-def ask_each(places: tuple[str, ...], what: str) -> dict[str, Any]:
+def query_each(places: tuple[str, ...], what: str) -> dict[str, Any]:
     """What each router tells of something. Ends with exit code 1 when one says no, 2 when one is silent."""
     found: dict[str, Any] = {}
     for at in places:
-        code, text = call(at, "GET", what)
+        code, text = call_router(at, "GET", what)
         if code != 200:
             click.echo(f"myrtlecourse: {at}: {text}", err=True)
-            sys.exit(NO)
+            sys.exit(EXIT_REFUSED)
         found[at] = json.loads(text)
     return found
 
@@ -60,15 +60,15 @@
     """
 
 
-AT = click.option("--at", "places", multiple=True, required=True, help="host:port, also several times")
+AT_OPTION = click.option("--at", "places", multiple=True, required=True, help="host:port, also several times")
 
 
 @address.command()
-@AT
+@AT_OPTION
 @click.option("--json", "as_json", is_flag=True, help="print JSON, an object for each --at")
 def status(places: tuple[str, ...], as_json: bool) -> None:
     """What each router knows of the address."""
-    found = ask_each(places, "address")
+    found = query_each(places, "address")
     if as_json:
         click.echo(json.dumps(found, indent=2))
         return
@@ -100,6 +100,6 @@
 @click.option("--at", "at", required=True, help="host:port of the router that holds the address")
 def move(to: str, at: str) -> None:
     """Hand the address over, to a router by name or to whoever stands first."""
-    code, text = call(at, "PUT", "address/move" + (f"/{quote(to, safe='')}" if to else ""))
+    code, text = call_router(at, "PUT", "address/move" + (f"/{quote(to, safe='')}" if to else ""))
     click.echo(text)
-    sys.exit(0 if code == 200 else NO)
+    sys.exit(0 if code == 200 else EXIT_REFUSED)
--- a/myrtlecourse/address/keeper.py
+++ b/myrtlecourse/address/driver.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from myrtlecourse.address.codec import ElectionCodec
-from myrtlecourse.address.link import Link, Words
+from myrtlecourse.address.link import Link, LinkUpdater
 from myrtlecourse.address.votes import write_votes
 from myrtlecourse.election import messages as said
 from myrtlecourse.election.core import Election, Role
@@ -20,13 +20,13 @@
 from myrtlecourse.peers.end import End, Endpoint
 from myrtlecourse.peers.wire import Wire
 
-EMPTY_TIME = 1.0  # seconds for what was taken to end, of the lease that still stands
+DRAIN_TIMEOUT = 1.0  # seconds for what was taken to end, of the lease that still stands
 LOOK = 0.1  # seconds between looks at whether this instance can serve
 log = logging.getLogger(__name__)
 bounded = BoundedLog(log)
 
 
-class Keeper(End[said.Message]):
+class AddressDriver(End[said.Message]):
     """One instance."""
 
     def __init__(
@@ -57,7 +57,7 @@
         self.held = held
         self.emptied = emptied
         self.leaving: asyncio.Task[None] | None = None
-        self.words = Words(link)
+        self.link_updater = LinkUpdater(link)
         self.election = Election(settings, saved, time.monotonic(), chance.getrandbits(32))
         self.looking: asyncio.Task[None] | None = None
         self.looked_at = time.monotonic()
@@ -101,7 +101,7 @@
             case said.Announce(term):
                 self._note(f"holds the address in term {term}")
                 self.held(True)
-                self.words.say(term)
+                self.link_updater.request(term)
             case said.Withdraw(why):
                 self._note(f"holds the address no more: {why}")
                 self.held(False)
@@ -126,9 +126,9 @@
         The link moves open connections with the address: they would be cut by whoever announces it next.
         """
         with suppress(TimeoutError):
-            async with asyncio.timeout(EMPTY_TIME):
+            async with asyncio.timeout(DRAIN_TIMEOUT):
                 await self.emptied()
-        self.words.say(None)
+        self.link_updater.request(None)
         self.post(said.Withdrawn())
 
     def _note(self, text: str) -> None:
@@ -172,7 +172,7 @@
             "voters": list(self.settings.voters),
             "sent": self.sent,
             "dropped": dict(self.wire.dropped),
-            "link_failures": self.words.failures,
+            "link_failures": self.link_updater.failures,
             "moves": self.moves,
         }
 
@@ -185,5 +185,5 @@
         if self.leaving is not None:
             await self.leaving  # the release goes out, and the address is withdrawn
             await asyncio.sleep(0)
-        self.words.close()
+        self.link_updater.close()
         self.leave()
--- a/myrtlecourse/address/duty.py
+++ b/myrtlecourse/address/duty.py
@@ -8,8 +8,8 @@
 from contextlib import suppress
 from typing import Any
 
-from myrtlecourse.address.keeper import EMPTY_TIME
-from myrtlecourse.address.link import Link, Words
+from myrtlecourse.address.driver import DRAIN_TIMEOUT
+from myrtlecourse.address.link import Link, LinkUpdater
 from myrtlecourse.duties import messages as said
 from myrtlecourse.duties.driver import DutyDriver
 from myrtlecourse.duties.messages import ADDRESS
@@ -29,7 +29,7 @@
         """`held` hears when the address comes and goes; when it goes, nothing may be accepted any more once
         `held` has returned. `emptied` waits until what was taken has ended."""
         self.keeper = keeper
-        self.words = Words(link)
+        self.link_updater = LinkUpdater(link)
         self.held = held
         self.emptied = emptied
         self.leaving: asyncio.Task[None] | None = None
@@ -40,7 +40,7 @@
 
     def on_acquired(self, token: int, value: said.Value) -> None:
         self.held(True)
-        self.words.say(token)
+        self.link_updater.request(token)
 
     def on_lost(self) -> None:
         self.held(False)
@@ -49,9 +49,9 @@
     async def _leave(self) -> None:
         """Let what was taken end while its clients can still be reached, and then let go."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(EMPTY_TIME):
+            async with asyncio.timeout(DRAIN_TIMEOUT):
                 await self.emptied()
-        self.words.say(None)
+        self.link_updater.request(None)
         self.keeper.post(said.WorkStopped(ADDRESS))
 
     def on_committed(self, token: int, number: int) -> None:
@@ -63,7 +63,7 @@
     async def close(self) -> None:
         if self.leaving is not None:
             await self.leaving
-        self.words.close()
+        self.link_updater.close()
 
     def status(self) -> dict[str, Any]:
         """What staff may want to know; JSON-able."""
@@ -79,6 +79,6 @@
             "voters": list(keeper.settings.voters),
             "sent": keeper.sent,
             "dropped": dict(keeper.wire.dropped),
-            "link_failures": self.words.failures,
+            "link_failures": self.link_updater.failures,
             "moves": [m for m in keeper.moves if f" {ADDRESS}:" in m],
         }
--- a/myrtlecourse/address/link.py
+++ b/myrtlecourse/address/link.py
@@ -87,7 +87,7 @@
             raise LinkError(f"switch: {answer!r}")
 
 
-class Words:
+class LinkUpdater:
     """Tells a link what holds now, one after the other, and again until it has heard.
 
     Only the last word counts: what was overtaken before it was told is not told any more.
@@ -103,7 +103,7 @@
         self.failures = 0
         self.task: asyncio.Task[None] | None = None
 
-    def say(self, term: int | None) -> None:
+    def request(self, term: int | None) -> None:
         """Announce in a term, or withdraw."""
         self.wanted = term
         self.changed.set()
--- a/myrtlecourse/address/setup.py
+++ b/myrtlecourse/address/setup.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from myrtlecourse.address.keeper import Keeper
+from myrtlecourse.address.driver import AddressDriver
 from myrtlecourse.address.link import CommandLink, Link, SwitchLink
 from myrtlecourse.address.votes import VotesError, read_votes
 from myrtlecourse.config import ConfigError
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from myrtlecourse.operators import Address
 
-LONGEST_KEY = 1024  # bytes
+MAX_KEY_SIZE = 1024  # bytes
 log = logging.getLogger(__name__)
 
 
@@ -27,30 +27,30 @@
         key = path.read_bytes().strip()
     except OSError as e:
         raise ConfigError(f"{field}: {path}: {e.strerror}") from e
-    if len(key) > LONGEST_KEY:
-        raise ConfigError(f"{field}: {path}: has over {LONGEST_KEY} bytes")
+    if len(key) > MAX_KEY_SIZE:
+        raise ConfigError(f"{field}: {path}: has over {MAX_KEY_SIZE} bytes")
     return key
 
 
-def keys(table: Address) -> tuple[bytes, tuple[bytes, ...]]:
+def read_keys(table: Address) -> tuple[bytes, tuple[bytes, ...]]:
     """The key to seal with, and those that are taken as well. Raises ConfigError."""
     also = (read_key(Path(file), "address.also_key_files") for file in table.also_key_files)
     return read_key(Path(table.key_file or "")), tuple(also)
 
 
-def link(table: Address, name: str) -> Link:
+def make_link(table: Address, name: str) -> Link:
     """Where the address is announced, and as whose."""
     if table.switch is not None:
         return SwitchLink(address_of(table.switch), name, table.link_timeout)
     return CommandLink(table.command, table.link_timeout)
 
 
-def keeper(
+def make_driver(
     table: Address,
     able: Callable[[], bool],
     held: Callable[[bool], None],
     emptied: Callable[[], Awaitable[None]],
-) -> Keeper:
+) -> AddressDriver:
     """The keeper of an instance.
 
     Raises:
@@ -67,13 +67,13 @@
                 f"address.votes_file: {e}; remove it to begin anew, a lease after the last start"
             ) from e
     peers = {p.name: address_of(p.at) for p in table.peers}
-    key, also = keys(table)
+    key, also = read_keys(table)
     try:
-        return Keeper(
-            table.election(),
+        return AddressDriver(
+            table.election_settings(),
             peers,
             key,
-            link(table, table.name or ""),
+            make_link(table, table.name or ""),
             votes,
             saved,
             able,
--- a/myrtlecourse/config.py
+++ b/myrtlecourse/config.py
@@ -40,7 +40,7 @@
     settings: api.Settings
     peer_listen: tuple[str, int] | None  # where other routers are heard, if they are
     peers: tuple[tuple[str, int], ...]  # all routers, by their numbers in the settings
-    me: int  # this router's number
+    router_number: int  # this router's number
     table: dict[str, Any]  # as it came
 
 
@@ -100,7 +100,7 @@
         settings=settings,
         peer_listen=peer_listen,
         peers=peers,
-        me=me if isinstance(me, int) else 0,
+        router_number=me if isinstance(me, int) else 0,
         table=table,
     )
 
--- a/myrtlecourse/duties/commands.py
+++ b/myrtlecourse/duties/commands.py
@@ -11,7 +11,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from myrtlecourse.address.commands import AT, NO, ask_each, call
+from myrtlecourse.address.commands import AT_OPTION, EXIT_REFUSED, call_router, query_each
 
 
 @click.group()
@@ -47,11 +47,11 @@
 
 
 @duty.command()
-@AT
+@AT_OPTION
 @click.option("--json", "as_json", is_flag=True, help="print JSON, an object for each --at")
 def status(places: tuple[str, ...], as_json: bool) -> None:
     """Shows what each router knows of the duties."""
-    statuses = ask_each(places, "duties")
+    statuses = query_each(places, "duties")
     if as_json:
         click.echo(json.dumps(statuses, indent=2))
         return
@@ -66,6 +66,6 @@
 def move(name: str, to: str, at: str) -> None:
     """Hands a duty over, to a router by name or to the next candidate that answers."""
     path = f"duties/{quote(name, safe='')}/move" + (f"/{quote(to, safe='')}" if to else "")
-    code, text = call(at, "PUT", path)
+    code, text = call_router(at, "PUT", path)
     click.echo(text)
-    sys.exit(0 if code == 200 else NO)
+    sys.exit(0 if code == 200 else EXIT_REFUSED)
--- a/myrtlecourse/operators.py
+++ b/myrtlecourse/operators.py
@@ -72,11 +72,11 @@
         if len({p.at for p in self.peers}) < len(self.peers):
             raise ValueError("peers: two of them share an address")
         try:
-            self.election()
+            self.election_settings()
         except ElectionError as e:
             raise ValueError(str(e).replace("voters:", "peers:")) from None
 
-    def election(self) -> Settings:
+    def election_settings(self) -> Settings:
         """The settings of its election. Raises ElectionError."""
         voters = tuple(p.name for p in self.peers)
         return Settings(
@@ -272,7 +272,7 @@
         if self.spread is not None and self.spread.duty is not None:
             self._check_spread(self.spread, self.spread.duty)
         if self.duties is not None:
-            self.of_duties()
+            self.duty_settings()
 
     def _check_spread(self, table: Spread, duty: str) -> None:
         """Guards the log: its writer is told to the others by name, and each that votes must know of it."""
@@ -288,7 +288,7 @@
         if not set(self.duties.voters) <= control:
             raise ValueError("spread.control: not all of `duties.voters` are among them")
 
-    def of_duties(self) -> said.Settings:
+    def duty_settings(self) -> said.Settings:
         """The settings of all duties. The address comes first where it has no election of its own, then the
         writing of the spread's log. Raises DutiesError."""
         first: tuple[said.Duty, ...] = ()
--- a/myrtlecourse/ops/calls.py
+++ b/myrtlecourse/ops/calls.py
@@ -18,10 +18,10 @@
 DUTIES = "/control/duties/"
 MOVE_TO = "/control/address/move/"
 SPREAD = "/control/spread/"
-KEY = 16  # hex digits of a purge's key and of a change's subject
-MAX_VALUE = 240  # hex digits of a change's value
-USUAL_ORDER = 600.0  # seconds that an order on a zone holds
-LONGEST_ORDER = 65_000.0
+KEY_DIGITS = 16  # hex digits of a purge's key and of a change's subject
+MAX_VALUE_DIGITS = 240  # hex digits of a change's value
+DEFAULT_ORDER_TIME = 600.0  # seconds that an order on a zone holds
+MAX_ORDER_TIME = 65_000.0
 
 
 HEX = re.compile(r"[0-9a-fA-F]*")
@@ -50,7 +50,7 @@
 
 SPREAD_CALLS = (Kind.SPREAD, Kind.SPREAD_PURGE, Kind.SPREAD_SEND)
 ZONE_CALLS = (Kind.ZONE_OUT, Kind.ZONE_IN, Kind.ZONE_HOLD)
-ASKS = (Kind.READY, Kind.ADDRESS, Kind.FLEET, Kind.DUTIES, Kind.SPREAD)  # these change nothing
+READ_CALLS = (Kind.READY, Kind.ADDRESS, Kind.FLEET, Kind.DUTIES, Kind.SPREAD)  # these change nothing
 PATHS = {
     "/control/ready": Kind.READY,
     "/control/out-of-service": Kind.OUT_OF_SERVICE,
@@ -69,14 +69,14 @@
 
     kind: Kind
     server: str = ""  # of a ban; or the router to which the address is to move; or a zone
-    seconds: float = USUAL_ORDER  # for which an order on a zone holds
+    seconds: float = DEFAULT_ORDER_TIME  # for which an order on a zone holds
     duty: str = ""  # that is to move
     key: bytes = b""  # of a purge, or a change's subject
     value: bytes = b""  # of a change
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class Response:
     """What an operator is told."""
 
     status: HTTPStatus
@@ -84,7 +84,7 @@
     allow: str = ""
 
 
-def read_call(method: bytes, target: bytes) -> Call | Answer:
+def parse_call(method: bytes, target: bytes) -> Call | Response:
     """What the first line of a request asks for, or the answer to one that asks for nothing known."""
     plain, _, query = target.partition(b"?")
     path = plain.decode("ascii", "replace")
@@ -92,10 +92,10 @@
     if kind is None and path.startswith(MOVE_TO):
         kind, server = Kind.MOVE, path.removeprefix(MOVE_TO)[:MAX_NAME]
     if path.startswith(DUTIES):
-        return read_move(method, path.removeprefix(DUTIES))
+        return parse_duty_move(method, path.removeprefix(DUTIES))
     if path.startswith(SPREAD):
-        return read_entry(method, path.removeprefix(SPREAD))
-    seconds = USUAL_ORDER
+        return parse_spread_entry(method, path.removeprefix(SPREAD))
+    seconds = DEFAULT_ORDER_TIME
     for start, kinds in ((SERVERS, (Kind.OFFLINE, Kind.ONLINE)), (ZONES, ZONE_CALLS)):
         if kind is not None or not path.startswith(start):
             continue
@@ -105,50 +105,52 @@
             raw = unquote_to_bytes(escaped)
             server = raw.decode()
         except UnicodeDecodeError:
-            return Answer(HTTPStatus.BAD_REQUEST, "the id is not UTF-8")
+            return Response(HTTPStatus.BAD_REQUEST, "the id is not UTF-8")
         if kind is not None and not 0 < len(raw) <= MAX_NAME:
-            return Answer(HTTPStatus.BAD_REQUEST, f"the id must have 1 to {MAX_NAME} bytes")
+            return Response(HTTPStatus.BAD_REQUEST, f"the id must have 1 to {MAX_NAME} bytes")
     if kind in ZONE_CALLS and query:
         name, _, value = query.decode("ascii", "replace").partition("=")
-        if name != "seconds" or not value.isdigit() or not 1 <= int(value[:9]) <= LONGEST_ORDER:
-            return Answer(HTTPStatus.BAD_REQUEST, f"seconds must be 1 to {LONGEST_ORDER:.0f}")
+        if name != "seconds" or not value.isdigit() or not 1 <= int(value[:9]) <= MAX_ORDER_TIME:
+            return Response(HTTPStatus.BAD_REQUEST, f"seconds must be 1 to {MAX_ORDER_TIME:.0f}")
         seconds = float(value)
     if kind is None:
-        return Answer(HTTPStatus.NOT_FOUND, "no such call")
-    allowed = "GET" if kind in ASKS else "PUT"
+        return Response(HTTPStatus.NOT_FOUND, "no such call")
+    allowed = "GET" if kind in READ_CALLS else "PUT"
     if method != allowed.encode():
-        return Answer(HTTPStatus.METHOD_NOT_ALLOWED, f"this call is a {allowed}", allowed)
+        return Response(HTTPStatus.METHOD_NOT_ALLOWED, f"this call is a {allowed}", allowed)
     return Call(kind, server, seconds)
 
 
-def read_move(method: bytes, rest: str) -> Call | Answer:
+def parse_duty_move(method: bytes, rest: str) -> Call | Response:
     """A duty's move: `NAME/move` or `NAME/move/TO`."""
     escaped, _, verb = rest.partition("/")
     verb, _, to = verb.partition("/")
     try:
         duty, to = unquote_to_bytes(escaped).decode(), unquote_to_bytes(to).decode()
     except UnicodeDecodeError:
-        return Answer(HTTPStatus.BAD_REQUEST, "the name is not UTF-8")
+        return Response(HTTPStatus.BAD_REQUEST, "the name is not UTF-8")
     if verb != "move" or not 0 < len(duty) <= MAX_NAME or len(to) > MAX_NAME:
-        return Answer(HTTPStatus.NOT_FOUND, "no such call")
+        return Response(HTTPStatus.NOT_FOUND, "no such call")
     if method != b"PUT":
-        return Answer(HTTPStatus.METHOD_NOT_ALLOWED, "this call is a PUT", "PUT")
+        return Response(HTTPStatus.METHOD_NOT_ALLOWED, "this call is a PUT", "PUT")
     return Call(Kind.DUTY_MOVE, to, duty=duty)
 
 
-def read_entry(method: bytes, rest: str) -> Call | Answer:
-    """An entry of the spread: `purge/KEY` or `send/SUBJECT/VALUE`, all in hex digits."""
+def parse_spread_entry(method: bytes, rest: str) -> Call | Response:
+    """An entry of the spread: `purge/KEY_DIGITS` or `send/SUBJECT/VALUE`, all in hex digits."""
     verb, _, told = rest.partition("/")
     key, _, value = told.partition("/")
     kind = {k.value: k for k in SPREAD_CALLS[1:]}.get(verb)
     if kind is None or kind is Kind.SPREAD_PURGE and "/" in told:
-        return Answer(HTTPStatus.NOT_FOUND, "no such call")
+        return Response(HTTPStatus.NOT_FOUND, "no such call")
     if method != b"PUT":
-        return Answer(HTTPStatus.METHOD_NOT_ALLOWED, "this call is a PUT", "PUT")
-    if not HEX.fullmatch(key) or len(key) != KEY:
-        return Answer(HTTPStatus.BAD_REQUEST, f"a key or subject is {KEY} hex digits")
-    if not HEX.fullmatch(value) or len(value) % 2 or len(value) > MAX_VALUE:
-        return Answer(HTTPStatus.BAD_REQUEST, f"a value is {MAX_VALUE} hex digits at most, two a byte")
+        return Response(HTTPStatus.METHOD_NOT_ALLOWED, "this call is a PUT", "PUT")
+    if not HEX.fullmatch(key) or len(key) != KEY_DIGITS:
+        return Response(HTTPStatus.BAD_REQUEST, f"a key or subject is {KEY_DIGITS} hex digits")
+    if not HEX.fullmatch(value) or len(value) % 2 or len(value) > MAX_VALUE_DIGITS:
+        return Response(
+            HTTPStatus.BAD_REQUEST, f"a value is {MAX_VALUE_DIGITS} hex digits at most, two a byte"
+        )
     return Call(kind, key=bytes.fromhex(key), value=bytes.fromhex(value))
 
 
@@ -157,46 +159,48 @@
 
     def __init__(self) -> None:
         self.connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD)
-        self.call: Call | Answer | None = None
+        self.call: Call | Response | None = None
         self.size = 0  # bytes that have come
         self.body = 0
 
-    def receive(self, data: bytes) -> Call | Answer | None:
+    def receive(self, data: bytes) -> Call | Response | None:
         """Take bytes, none at the connection's end; answers with the call once it is whole."""
         self.size += len(data)
         if self.size > MAX_HEAD + MAX_BODY:
-            return Answer(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "a call is a few lines")
+            return Response(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "a call is a few lines")
         try:
             self.connection.receive_data(data)
             while True:
                 event = self.connection.next_event()
                 if isinstance(event, h11.Request):
-                    self.call = read_call(bytes(event.method), bytes(event.target))
+                    self.call = parse_call(bytes(event.method), bytes(event.target))
                     if self.connection.they_are_waiting_for_100_continue:
                         return self.call  # its body would say nothing; the final answer spares it
                 elif isinstance(event, h11.Data):
                     self.body += len(event.data)
                     if self.body > MAX_BODY:
-                        return Answer(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "a call has no body")
+                        return Response(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "a call has no body")
                 elif isinstance(event, h11.EndOfMessage):
                     return self.call
                 else:
                     return None
         except h11.RemoteProtocolError as e:
-            return Answer(HTTPStatus.BAD_REQUEST, str(e)[:200])
+            return Response(HTTPStatus.BAD_REQUEST, str(e)[:200])
 
-    def answer(self, answer: Answer) -> bytes:
+    def encode(self, response: Response) -> bytes:
         """The bytes of the one answer."""
-        body = (answer.text + "\n").encode()
+        body = (response.text + "\n").encode()
         headers = [
             ("Content-Type", "text/plain"),
             ("Content-Length", str(len(body))),
             ("Connection", "close"),
         ]
-        if answer.allow:
-            headers.append(("Allow", answer.allow))
+        if response.allow:
+            headers.append(("Allow", response.allow))
         if self.connection.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return b""
-        head = h11.Response(status_code=answer.status, headers=headers, reason=answer.status.phrase.encode())
+        head = h11.Response(
+            status_code=response.status, headers=headers, reason=response.status.phrase.encode()
+        )
         parts = [self.connection.send(e) for e in (head, h11.Data(data=body), h11.EndOfMessage())]
         return b"".join(p or b"" for p in parts)
--- a/myrtlecourse/ops/lives.py
+++ b/myrtlecourse/ops/descriptor_claims.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-ENDING = ".alive"
-SPARE = 8  # descriptors that an older process may still open beyond what it holds
-LEAST = 64  # that the newest may hold whatever the others claim
+FILE_SUFFIX = ".alive"
+SPARE_DESCRIPTORS = 8  # descriptors that an older process may still open beyond what it holds
+MIN_DESCRIPTORS = 64  # that the newest may hold whatever the others claim
 log = logging.getLogger(__name__)
 
 
@@ -23,11 +23,11 @@
 class Claim:
     """What another process that lives may hold."""
 
-    born: int  # nanoseconds on the machine's monotonic clock, which no step of the wall clock moves
+    started_ns: int  # nanoseconds on the machine's monotonic clock, which no step of the wall clock moves
     descriptors: int
 
 
-def share(total: int, used: int, ending: bool, own_birth: int, others: list[Claim]) -> int:
+def descriptor_share(total: int, used: int, ending: bool, own_start: int, others: list[Claim]) -> int:
     """Descriptors that this process may hold, of `total` for all, of which it holds `used`.
 
     An older process keeps what it has, and half at least while it serves; the newest gets the rest. Claims
@@ -35,19 +35,19 @@
     """
     if not others:
         return total
-    if any(each.born > own_birth for each in others):
-        return min(total, used + SPARE if ending else max(used + SPARE, total // 2))
-    return max(LEAST, total - sum(each.descriptors for each in others))
+    if any(each.started_ns > own_start for each in others):
+        return min(total, used + SPARE_DESCRIPTORS if ending else max(used + SPARE_DESCRIPTORS, total // 2))
+    return max(MIN_DESCRIPTORS, total - sum(each.descriptors for each in others))
 
 
-class Lives:
+class DescriptorClaims:
     """This process among those of its router."""
 
     def __init__(self, folder: Path) -> None:
         """Raises OSError when the folder can't be written."""
-        self.born = time.monotonic_ns()
+        self.started_ns = time.monotonic_ns()
         self.folder = folder
-        self.path = folder / f"myrtlecourse-{self.born}-{os.getpid()}{ENDING}"
+        self.path = folder / f"myrtlecourse-{self.started_ns}-{os.getpid()}{FILE_SUFFIX}"
         self.file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
         fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
 
@@ -58,7 +58,7 @@
     def others(self) -> list[Claim]:
         """Those that live; files of those that don't are cleared away."""
         found = []
-        for path in self.folder.glob(f"myrtlecourse-*{ENDING}"):
+        for path in self.folder.glob(f"myrtlecourse-*{FILE_SUFFIX}"):
             if path != self.path and (claim := self._look(path)) is not None:
                 found.append(claim)
         return found
@@ -80,7 +80,7 @@
         finally:
             os.close(other)
 
-    def end(self) -> None:
+    def release(self) -> None:
         """This process is over."""
         self.path.unlink(missing_ok=True)
         os.close(self.file)
--- a/myrtlecourse/ops/orders.py
+++ b/myrtlecourse/ops/orders.py
@@ -12,9 +12,9 @@
 
 from myrtlecourse import interface as api
 
-MOST_BANS = 1024
-KEPT = 600.0  # seconds for which it is known when a server was given back: longer than any warms up
-MOST_LISTED = 4096  # ids remembered; beyond that those listed longest ago are forgotten
+MAX_BANS = 1024
+RETURN_MEMORY = 600.0  # seconds for which it is known when a server was given back: longer than any warms up
+MAX_LISTED = 4096  # ids remembered; beyond that those listed longest ago are forgotten
 
 
 class OrdersError(ValueError):
@@ -30,7 +30,7 @@
     returned: Mapping[str, float] = field(default_factory=dict)  # when each was given back
     out_of_service: bool = False
 
-    def offline(self, server: str, now: float) -> Orders:
+    def with_ban(self, server: str, now: float) -> Orders:
         """A cache server is out until `online`. May be repeated.
 
         Raises:
@@ -38,19 +38,19 @@
         """
         if server in self.bans:
             return self
-        if len(self.bans) >= MOST_BANS:
-            raise OrdersError(f"{MOST_BANS} cache servers are out already")
+        if len(self.bans) >= MAX_BANS:
+            raise OrdersError(f"{MAX_BANS} cache servers are out already")
         return replace(self, revision=self.revision + 1, bans={**self.bans, server: now})
 
-    def online(self, server: str, now: float) -> Orders:
+    def without_ban(self, server: str, now: float) -> Orders:
         """One call ends the ban, however often it was asked for; without a ban it changes nothing."""
         if server not in self.bans:
             return self
         bans = {name: at for name, at in self.bans.items() if name != server}
-        returned = {name: at for name, at in self.returned.items() if now < at + KEPT}
+        returned = {name: at for name, at in self.returned.items() if now < at + RETURN_MEMORY}
         return replace(self, revision=self.revision + 1, bans=bans, returned={**returned, server: now})
 
-    def service(self, out: bool) -> Orders:
+    def with_service(self, out: bool) -> Orders:
         """The router is emptied, or takes clients again."""
         return (
             self
@@ -59,7 +59,7 @@
         )
 
 
-def changes(before: Orders, after: Orders) -> Iterator[api.ServerBanned | api.BanLifted]:
+def events_between(before: Orders, after: Orders) -> Iterator[api.ServerBanned | api.BanLifted]:
     """What the decision module has to hear when one set of orders follows another."""
     for server in sorted(after.bans.keys() - before.bans.keys()):
         yield api.ServerBanned(server)
@@ -105,21 +105,21 @@
     return Orders(revision, times(table, "bans"), times(table, "returned"), out)
 
 
-class Listed:
+class ListedServers:
     """The ids that lists have named: one that never was is no cache server of this fleet."""
 
     def __init__(self) -> None:
         self.names: dict[str, bool] = {}  # whether it is a cache server, latest named last
 
-    def note(self, named: Iterable[tuple[str, bool]]) -> None:
+    def record(self, named: Iterable[tuple[str, bool]]) -> None:
         """A list has named these. Bounded: a fleet that is replaced for weeks names ever new ones."""
         for name, cache in named:
             self.names.pop(name, None)
             self.names[name] = cache
-        while len(self.names) > MOST_LISTED:
+        while len(self.names) > MAX_LISTED:
             del self.names[next(iter(self.names))]
 
-    def why_not(self, name: str) -> str:
+    def refusal_reason(self, name: str) -> str:
         """Why a call for this id can't be carried out; empty when it can."""
         if name not in self.names:
             return "no list has named this id"
--- a/myrtlecourse/ops/server.py
+++ b/myrtlecourse/ops/server.py
@@ -15,7 +15,7 @@
 
 from myrtlecourse.net.logs import BoundedLog
 from myrtlecourse.net.transport import Transport
-from myrtlecourse.ops.calls import Answer, Call, Exchange
+from myrtlecourse.ops.calls import Call, Exchange, Response
 
 MOST_CALLERS = 12  # connections held; one more costs the one that has said nothing whole for longest
 HEAD_TIME = 2.0  # seconds for a whole call to come
@@ -27,7 +27,7 @@
 class OpsServer:
     """Listens for operators."""
 
-    def __init__(self, carry_out: Callable[[Call], Awaitable[Answer]]) -> None:
+    def __init__(self, carry_out: Callable[[Call], Awaitable[Response]]) -> None:
         self.carry_out = carry_out
         self.callers: dict[Caller, None] = {}  # in the order in which they came
         self.tasks: set[asyncio.Task[None]] = set()
@@ -68,7 +68,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(Transport, transport)
         self.server.welcome(self)
-        late = Answer(HTTPStatus.REQUEST_TIMEOUT, "no whole call came")
+        late = Response(HTTPStatus.REQUEST_TIMEOUT, "no whole call came")
         self.timer = asyncio.get_running_loop().call_later(HEAD_TIME, self._settle, late)
 
     def data_received(self, data: bytes) -> None:
@@ -89,7 +89,7 @@
         except Exception:
             # guards the operator: whatever went wrong is a no, and not a second of silence
             log.exception("call %s %s", call.kind.value, call.server)
-            answer = Answer(HTTPStatus.INTERNAL_SERVER_ERROR, "this went wrong; the log has more")
+            answer = Response(HTTPStatus.INTERNAL_SERVER_ERROR, "this went wrong; the log has more")
         # asked often by the platform; what changes something is for staff to find again
         level = logging.INFO if answer.status is not HTTPStatus.OK or call.server else logging.DEBUG
         bounded.log(
@@ -101,14 +101,14 @@
         """A caller may half-close once its call is whole: it is still owed the answer."""
         return self.asked and not self.settled
 
-    def _settle(self, answer: Answer) -> None:
+    def _settle(self, answer: Response) -> None:
         if self.settled:
             return
         self.asked = self.settled = True
         self.timer.cancel()
         if self.transport.is_closing():
             return
-        self.transport.write(self.exchange.answer(answer))
+        self.transport.write(self.exchange.encode(answer))
         # guards the answer: a close over what came behind the call resets the connection, and takes it along
         self.transport.write_eof()
         self.timer = asyncio.get_running_loop().call_later(LINGER, self.transport.abort)
--- a/myrtlecourse/ops/store.py
+++ b/myrtlecourse/ops/store.py
@@ -26,7 +26,7 @@
 log = logging.getLogger(__name__)
 
 
-class Store:
+class OrderStore:
     """Orders in a folder, or in memory alone when there is none."""
 
     def __init__(self, folder: Path | None) -> None:
--- a/myrtlecourse/service.py
+++ b/myrtlecourse/service.py
@@ -13,7 +13,6 @@
 from pathlib import Path
 
 from myrtlecourse import interface as api
-from myrtlecourse.beyond import ABSENT, Beyond
 from myrtlecourse.config import Config, ConfigError, read_file, read_reload
 from myrtlecourse.net.descriptors import Descriptors
 from myrtlecourse.net.discovery import Discovery, Patience
@@ -25,13 +24,14 @@
 from myrtlecourse.net.pool import Pool
 from myrtlecourse.net.servers import CacheConnection
 from myrtlecourse.net.window import PART, Room, Windows
-from myrtlecourse.ops.calls import Answer, Call, Kind
-from myrtlecourse.ops.lives import Claim, Lives, share
-from myrtlecourse.ops.orders import Listed, Orders, OrdersError, changes
+from myrtlecourse.ops.calls import Call, Kind, Response
+from myrtlecourse.ops.descriptor_claims import Claim, DescriptorClaims, descriptor_share
+from myrtlecourse.ops.orders import ListedServers, Orders, OrdersError, events_between
 from myrtlecourse.ops.server import OpsServer
-from myrtlecourse.ops.store import Store
+from myrtlecourse.ops.store import OrderStore
 from myrtlecourse.overload.core import CoreAdmission
 from myrtlecourse.reload_signal import early
+from myrtlecourse.subsystems import DISABLED_MESSAGES, Subsystems
 
 KILLED = 0.7  # seconds after SIGTERM and the longest deadline, from which on SIGKILL may come
 LONGEST_END = 3.0  # seconds, of that deadline
@@ -84,32 +84,32 @@
         patience = Patience.of(settings)
         self.discovery = Discovery(config.discovery, index, self._list_told, self.host.list_failed, patience)
         self.listener = Listener(self.host, room // 2, descriptors, windows, self.room)
-        self.listed = Listed()
-        self.store = Store(folder)
-        self.lives = None
+        self.listed = ListedServers()
+        self.store = OrderStore(folder)
+        self.claims = None
         if folder is not None and inherited is not None:
             try:
-                self.lives = Lives(folder)
+                self.claims = DescriptorClaims(folder)
             except OSError as e:
                 # guards the start: without the folder only what two processes share is lost
                 logging.error("nothing is shared with another process: %s", e)
         self.ending = False
         self.others: list[Claim] = []  # other processes of this router that live, as last seen
-        self._share()
+        self._share_limits()
         self.orders = Orders()  # as the decisions have them
         self.ops = OpsServer(self.carry_out)
         self.reload_wanted = asyncio.Event()
         self.fresh = asyncio.Event()  # a list has come from discovery
         operators = os.environ.get("MYRTLECOURSE_FILE", "")
         self.operators = Path(operators) if operators else None  # their file
-        self.beyond: Beyond | None = None  # what that file has on
+        self.subsystems: Subsystems | None = None  # what that file has on
 
     def _subscribe(self) -> None:
         self.discovery.subscribe()
 
     def _list_told(self, kind: api.ListKind, members: list[Member]) -> None:
         origin = self.host.settings.origin_kind if self.host.settings.cache_aside else None
-        self.listed.note((m.entry.server, m.entry.kind != origin) for m in members)
+        self.listed.record((m.entry.server, m.entry.kind != origin) for m in members)
         self.host.list_told(kind, members)
         if kind is not api.ListKind.SAVED:
             self.fresh.set()
@@ -128,13 +128,13 @@
         self._list_told(api.ListKind.SAVED, self.config.known)
         if not self.config.settings.subscribe:
             self.discovery.subscribe()  # the module does not ask for what is pushed; it comes as asked for
-        reloads = asyncio.create_task(self._reload_when_told())
-        watch = asyncio.create_task(self._watch_others()) if self.lives is not None else None
+        reloads = asyncio.create_task(self._reload_on_request())
+        watch = asyncio.create_task(self._watch_others()) if self.claims is not None else None
         if self.inherited is not None:
             await self._wait_for_list()
         if self.operators is not None:
-            self.beyond = Beyond(self, self.operators)
-            await self.beyond.start()
+            self.subsystems = Subsystems(self, self.operators)
+            await self.subsystems.start()
         # what is there by now stays: a look for garbage through a large list would stop the event loop
         gc.freeze()
         try:
@@ -148,7 +148,7 @@
             except OSError as e:
                 raise ConfigError(f"ops: {e}") from e
         await terminated.wait()
-        await self._end()
+        await self._shut_down()
         reloads.cancel()
         if watch is not None:
             watch.cancel()
@@ -156,15 +156,15 @@
         self.discovery.close()
         self.servers.close()
         self.origin.close()
-        if self.lives is not None:
+        if self.claims is not None:
             try:
-                self.lives.end()
+                self.claims.release()
             except OSError as e:
                 logging.error("its claim on descriptors was not taken back: %s", e)
         logging.info("ended; the longest turn of the event loop took %.1f ms", 1000 * self.host.turns.longest)
         ignore_signals(loop)
 
-    async def _end(self) -> None:
+    async def _shut_down(self) -> None:
         """End what was taken, and give up what is held for the fleet, both by when SIGKILL may come."""
         loop = asyncio.get_running_loop()
         inherited = self.inherited is not None
@@ -174,8 +174,8 @@
         over = loop.time() + longest
         # guards what is taken from here on: giving up a duty may take longer than a request has
         self.host.end_by(longest)
-        beyond = self.beyond
-        closing = asyncio.create_task(beyond.close()) if beyond is not None else None
+        subsystems = self.subsystems
+        closing = asyncio.create_task(subsystems.close()) if subsystems is not None else None
         if closing is not None and not inherited:
             # until the service address is elsewhere clients still come here
             await asyncio.wait([closing], timeout=longest - NOTICE)
@@ -196,39 +196,43 @@
 
     # Orders
 
-    async def carry_out(self, call: Call) -> Answer:
+    async def carry_out(self, call: Call) -> Response:
         """Do what an operator calls for, or say why not."""
         now = time.time()
         if call.kind is Kind.READY:
             if self.host.ready():
-                return Answer(HTTPStatus.OK, "ready")
+                return Response(HTTPStatus.OK, "ready")
             if self.host.may_serve():
-                return Answer(HTTPStatus.SERVICE_UNAVAILABLE, "the service address is elsewhere")
+                return Response(HTTPStatus.SERVICE_UNAVAILABLE, "the service address is elsewhere")
             why = "no cache server is known" if self.host.in_service else "out of service"
-            return Answer(HTTPStatus.SERVICE_UNAVAILABLE, why)
-        if call.kind in ABSENT:
-            beyond = self.beyond
-            return beyond.carry_out(call) if beyond else Answer(HTTPStatus.NOT_FOUND, ABSENT[call.kind])
+            return Response(HTTPStatus.SERVICE_UNAVAILABLE, why)
+        if call.kind in DISABLED_MESSAGES:
+            subsystems = self.subsystems
+            return (
+                subsystems.carry_out(call)
+                if subsystems
+                else Response(HTTPStatus.NOT_FOUND, DISABLED_MESSAGES[call.kind])
+            )
         try:
             if call.kind is Kind.OUT_OF_SERVICE or call.kind is Kind.IN_SERVICE:
-                await self.store.change(lambda o: o.service(call.kind is Kind.OUT_OF_SERVICE))
+                await self.store.change(lambda o: o.with_service(call.kind is Kind.OUT_OF_SERVICE))
             else:
                 known = call.server in self.store.orders.bans
-                if not known and (why := self.listed.why_not(call.server)):
-                    return Answer(HTTPStatus.NOT_FOUND, why)
+                if not known and (why := self.listed.refusal_reason(call.server)):
+                    return Response(HTTPStatus.NOT_FOUND, why)
                 if call.kind is Kind.OFFLINE:
-                    await self.store.change(lambda o: o.offline(call.server, now))
+                    await self.store.change(lambda o: o.with_ban(call.server, now))
                 else:
-                    await self.store.change(lambda o: o.online(call.server, now))
+                    await self.store.change(lambda o: o.without_ban(call.server, now))
         except OrdersError as e:
-            return Answer(HTTPStatus.CONFLICT, str(e))
+            return Response(HTTPStatus.CONFLICT, str(e))
         self._obey()
-        return Answer(HTTPStatus.OK, call.kind.value)
+        return Response(HTTPStatus.OK, call.kind.value)
 
     def _obey(self) -> None:
         """Tell the decisions and the listener what the orders have become."""
         before, self.orders = self.orders, self.store.orders
-        for event in changes(before, self.orders):
+        for event in events_between(before, self.orders):
             if isinstance(event, api.ServerBanned):
                 self.host.offline(event.server)
             else:
@@ -249,22 +253,22 @@
             await asyncio.sleep(LOOK)
             if self.store.refresh():
                 self._obey()
-            self._share()
+            self._share_limits()
 
     def _others(self) -> list[Claim]:
         """Other processes of this router that live, as far as can be told.
 
         Guards the router: a folder out of order ends neither its start nor the look at what was ordered.
         """
-        if self.lives is None:
+        if self.claims is None:
             return []
         try:
-            self.others = self.lives.others()
+            self.others = self.claims.others()
         except OSError as e:
             bounded.log(logging.ERROR, "looking for another process: %s", e)
         return self.others
 
-    def _share(self) -> None:
+    def _share_limits(self) -> None:
         """Deal the router's limits to this process and another of it that lives."""
         others = self._others()
         total = self.config.sockets - RESERVE - SECOND_RESERVE * len(others)
@@ -273,10 +277,12 @@
             for pool in (self.servers, self.origin):
                 pool.close_all_idle()
         descriptors = self.descriptors
-        if self.lives is not None:
-            descriptors.total = share(total, descriptors.used(), self.ending, self.lives.born, others)
+        if self.claims is not None:
+            descriptors.total = descriptor_share(
+                total, descriptors.used(), self.ending, self.claims.started_ns, others
+            )
             try:
-                self.lives.claim(descriptors.total)
+                self.claims.claim(descriptors.total)
             except OSError as e:
                 bounded.log(logging.ERROR, "telling another process of its descriptors: %s", e)
         self.windows.budget = self.room.budget = int(self.config.memory * PART / (1 + len(others)))
@@ -287,7 +293,7 @@
         """Take a new configuration, once the one in hand is done with."""
         self.reload_wanted.set()
 
-    async def _reload_when_told(self) -> None:
+    async def _reload_on_request(self) -> None:
         while True:
             await self.reload_wanted.wait()
             self.reload_wanted.clear()
@@ -317,8 +323,8 @@
             self.host.list_moved()
             if not config.settings.subscribe:
                 self.discovery.subscribe()
-        if self.beyond is not None:
-            self.beyond.reload()
+        if self.subsystems is not None:
+            self.subsystems.reload()
 
     def _retune(self, settings: api.Settings) -> None:
         """Swap the settings. Classes that are dropped are taken for a little longer, as commands of them may
--- a/myrtlecourse/spread/commands.py
+++ b/myrtlecourse/spread/commands.py
@@ -14,7 +14,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from myrtlecourse.address.commands import AT, NO, ask_each, call
+from myrtlecourse.address.commands import AT_OPTION, EXIT_REFUSED, call_router, query_each
 from myrtlecourse.spread.messages import KEY_BYTES, MAX_VALUE_BYTES
 
 POLL_INTERVAL = 0.1  # seconds between queries whether an entry is applied everywhere
@@ -68,11 +68,11 @@
 
 
 @spread.command()
-@AT
+@AT_OPTION
 @click.option("--json", "as_json", is_flag=True, help="print JSON, an object for each --at")
 def status(places: tuple[str, ...], as_json: bool) -> None:
     """Show what each member knows: the log's leader, its progress, and which member holds completion back."""
-    found = ask_each(places, "spread")
+    found = query_each(places, "spread")
     if as_json:
         click.echo(json.dumps(found, indent=2))
         return
@@ -86,37 +86,37 @@
     text = ""
     for at in places:
         try:
-            code, text = call(at, "PUT", f"spread/{path}")
+            code, text = call_router(at, "PUT", f"spread/{path}")
         except SystemExit:
             if at == places[-1]:
                 raise
-            continue  # `call` has reported it as unreachable; another node may lead by now
+            continue  # `call_router` has reported it as unreachable; another node may lead by now
         if code == HTTPStatus.OK:
             return at, int(text)
         if code != HTTPStatus.SERVICE_UNAVAILABLE:
             break  # it may have been accepted, and another node would accept it a second time
     click.echo(f"myrtlecourse: {text}", err=True)
-    sys.exit(NO)
+    sys.exit(EXIT_REFUSED)
 
 
 def wait_until_done(at: str, number: int, seconds: float) -> None:
     """Wait until an entry is applied everywhere. Exits with code 1 when it is not in time."""
     deadline = time.monotonic() + seconds
     while True:
-        done = ask_each((at,), "spread")[at]["done"]
+        done = query_each((at,), "spread")[at]["done"]
         if done is not None and done[0] >= number:
             click.echo(f"done everywhere up to {done[0]}: {done[1]} members, {done[2]} away")
             return
         if time.monotonic() > deadline:
             reached = f"up to {done[0]}" if done is not None else "for none that is known here"
             click.echo(f"myrtlecourse: done everywhere {reached} after {seconds:g} s", err=True)
-            sys.exit(NO)
+            sys.exit(EXIT_REFUSED)
         time.sleep(POLL_INTERVAL)
 
 
 @spread.command()
 @click.argument("names", nargs=-1, required=True, metavar="KEY...")
-@AT
+@AT_OPTION
 @WAIT
 def purge(names: tuple[str, ...], places: tuple[str, ...], wait: float) -> None:
     """Make all members discard what they cache under these keys; prints the log number of each."""
@@ -132,7 +132,7 @@
 @spread.command()
 @click.argument("subject")
 @click.argument("value")
-@AT
+@AT_OPTION
 @WAIT
 def send(subject: str, value: str, places: tuple[str, ...], wait: float) -> None:
     """Set a subject's value for all members; prints the change's log number."""
--- a/myrtlecourse/beyond.py
+++ b/myrtlecourse/subsystems.py
@@ -16,11 +16,11 @@
 
 from myrtlecourse.config import ConfigError
 from myrtlecourse.net.pool import address_of
-from myrtlecourse.ops.calls import SPREAD_CALLS, ZONE_CALLS, Answer, Call, Kind
+from myrtlecourse.ops.calls import SPREAD_CALLS, ZONE_CALLS, Call, Kind, Response
 
 if TYPE_CHECKING:
+    from myrtlecourse.address.driver import AddressDriver
     from myrtlecourse.address.duty import AddressWork
-    from myrtlecourse.address.keeper import Keeper
     from myrtlecourse.duties.driver import DutyDriver
     from myrtlecourse.operators import Address, Duties, Fleet, OperatorsFile, Spread
     from myrtlecourse.peers.speaker import Speaker
@@ -29,7 +29,7 @@
 
 LEAST_SHARE = 0.1  # of commands let in by a full core, below which a router holds no duty
 # what operators' calls are answered where their part is off
-ABSENT = {
+DISABLED_MESSAGES = {
     **dict.fromkeys((Kind.ADDRESS, Kind.MOVE), "this router's address does not move"),
     **dict.fromkeys((Kind.FLEET, *ZONE_CALLS), "this router talks to no others"),
     **dict.fromkeys((Kind.DUTIES, Kind.DUTY_MOVE), "this router has no part in duties"),
@@ -37,14 +37,16 @@
 }
 
 
-class Beyond:
+class Subsystems:
     """Its parts in one router."""
 
     def __init__(self, service: Service, path: Path) -> None:
         """`service` has the host, the listener and discovery that they act on."""
         self.service = service
         self.path = path
-        self.keeper: Keeper | None = None  # of the service address, where it has an election of its own
+        self.keeper: AddressDriver | None = (
+            None  # of the service address, where it has an election of its own
+        )
         self.speaker: Speaker | None = None  # to other routers, where they talk
         self.address_work: AddressWork | None = None  # where the address is one of the duties
         self.duties: DutyDriver | None = None  # that one router holds at a time
@@ -62,7 +64,7 @@
         if told.duties is not None:
             await self._keep_duties(told, told.duties)
 
-    def carry_out(self, call: Call) -> Answer:
+    def carry_out(self, call: Call) -> Response:
         """Do what an operator calls for, or say why not."""
         if call.kind is Kind.ADDRESS or call.kind is Kind.MOVE:
             return self._of_address(call)
@@ -93,20 +95,20 @@
             ) from e
         return read_operators(self.path)
 
-    def _of_address(self, call: Call) -> Answer:
+    def _of_address(self, call: Call) -> Response:
         if self.address_work is not None and self.duties is not None:
             if call.kind is Kind.ADDRESS:
-                return Answer(HTTPStatus.OK, orjson.dumps(self.address_work.status()).decode())
+                return Response(HTTPStatus.OK, orjson.dumps(self.address_work.status()).decode())
             if why := self.duties.move("address", call.server):
-                return Answer(HTTPStatus.CONFLICT, why)
-            return Answer(HTTPStatus.OK, "moving")
+                return Response(HTTPStatus.CONFLICT, why)
+            return Response(HTTPStatus.OK, "moving")
         if self.keeper is None:
-            return Answer(HTTPStatus.NOT_FOUND, ABSENT[call.kind])
+            return Response(HTTPStatus.NOT_FOUND, DISABLED_MESSAGES[call.kind])
         if call.kind is Kind.ADDRESS:
-            return Answer(HTTPStatus.OK, orjson.dumps(self.keeper.status()).decode())
+            return Response(HTTPStatus.OK, orjson.dumps(self.keeper.status()).decode())
         if why := self.keeper.move(call.server):
-            return Answer(HTTPStatus.CONFLICT, why)
-        return Answer(HTTPStatus.OK, "moving")
+            return Response(HTTPStatus.CONFLICT, why)
+        return Response(HTTPStatus.OK, "moving")
 
     async def _join_fleet(self, table: Fleet) -> None:
         """Leave zones with the other routers, where they may talk."""
@@ -124,20 +126,20 @@
         except OSError as e:
             raise ConfigError(f"{self.path}: fleet: {e}") from e
 
-    def _of_fleet(self, call: Call) -> Answer:
+    def _of_fleet(self, call: Call) -> Response:
         if self.speaker is None:
-            return Answer(HTTPStatus.NOT_FOUND, ABSENT[call.kind])
+            return Response(HTTPStatus.NOT_FOUND, DISABLED_MESSAGES[call.kind])
         from myrtlecourse.zones.verdict import Order  # noqa: PLC0415  (an extra)
 
         agent, now = self.speaker.agent, self.service.host.clock.now()
         if call.kind is Kind.FLEET:
-            return Answer(HTTPStatus.OK, orjson.dumps(agent.status(now)).decode())
+            return Response(HTTPStatus.OK, orjson.dumps(agent.status(now)).decode())
         try:
             order = Order[call.kind.name.replace("ZONE_", "ORDERED_")]
             agent.order(now, call.server, order, call.seconds)
         except ValueError as e:
-            return Answer(HTTPStatus.NOT_FOUND, str(e))
-        return Answer(HTTPStatus.OK, f"{call.server} is ordered {call.kind.value} for {call.seconds:g} s")
+            return Response(HTTPStatus.NOT_FOUND, str(e))
+        return Response(HTTPStatus.OK, f"{call.server} is ordered {call.kind.value} for {call.seconds:g} s")
 
     def _serves(self, table: Address) -> bool:
         """An emptied or overloaded router gives the address up, and one that knows too little."""
@@ -148,9 +150,11 @@
 
     async def _keep_address(self, table: Address) -> None:
         """Take part in the election of who holds the service address."""
-        from myrtlecourse.address.setup import keeper  # noqa: PLC0415  (an extra)
+        from myrtlecourse.address.setup import make_driver  # noqa: PLC0415  (an extra)
 
-        self.keeper = keeper(table, lambda: self._serves(table), self._held, self.service.listener.emptied)
+        self.keeper = make_driver(
+            table, lambda: self._serves(table), self._held, self.service.listener.emptied
+        )
         self.service.listener.holds = self.keeper.holds
         self._held(False)
         own = next(p.at for p in table.peers if p.name == table.name)
@@ -162,10 +166,10 @@
     def _address_as_duty(self, table: Address, keeper: DutyDriver) -> None:
         """Hold the service address as the first of the duties."""
         from myrtlecourse.address.duty import AddressWork  # noqa: PLC0415  (an extra)
-        from myrtlecourse.address.setup import link  # noqa: PLC0415
+        from myrtlecourse.address.setup import make_link  # noqa: PLC0415
         from myrtlecourse.duties.messages import ADDRESS  # noqa: PLC0415
 
-        made = link(table, keeper.settings.name)
+        made = make_link(table, keeper.settings.name)
         self.address_work = AddressWork(keeper, made, self._held, self.service.listener.emptied)
         keeper.works[ADDRESS] = self.address_work
         keeper.abilities[ADDRESS] = lambda: self._serves(table)
@@ -180,7 +184,7 @@
             """An emptied router holds nothing, and one whose core is full."""
             return self.service.host.in_service and self.service.door.admitted_share >= LEAST_SHARE
 
-        self.duties = make_driver(table, told.of_duties(), able)
+        self.duties = make_driver(table, told.duty_settings(), able)
         if told.address is not None and not told.address.peers:
             self._address_as_duty(told.address, self.duties)
         if self.spread is not None and told.spread is not None and told.spread.duty is not None:
@@ -195,14 +199,14 @@
         except OSError as e:
             raise ConfigError(f"{self.path}: duties: {e}") from e
 
-    def _of_duties(self, call: Call) -> Answer:
+    def _of_duties(self, call: Call) -> Response:
         if self.duties is None:
-            return Answer(HTTPStatus.NOT_FOUND, ABSENT[call.kind])
+            return Response(HTTPStatus.NOT_FOUND, DISABLED_MESSAGES[call.kind])
         if call.kind is Kind.DUTIES:
-            return Answer(HTTPStatus.OK, orjson.dumps(self.duties.status()).decode())
+            return Response(HTTPStatus.OK, orjson.dumps(self.duties.status()).decode())
         if why := self.duties.move(call.duty, call.server):
-            return Answer(HTTPStatus.CONFLICT, why)
-        return Answer(HTTPStatus.OK, "moving")
+            return Response(HTTPStatus.CONFLICT, why)
+        return Response(HTTPStatus.OK, "moving")
 
     async def _keep_spread(self, table: Spread) -> None:
         """Take part in the spread of changes and purges."""
@@ -216,13 +220,13 @@
             raise ConfigError(f"{self.path}: spread: {e}") from e
         self.service.ops.carry_out = self._carry_out_entry
 
-    def _of_spread(self, call: Call) -> Answer:
+    def _of_spread(self, call: Call) -> Response:
         if self.spread is None:
-            return Answer(HTTPStatus.NOT_FOUND, ABSENT[call.kind])
-        return Answer(HTTPStatus.OK, orjson.dumps(self.spread.status()).decode())
+            return Response(HTTPStatus.NOT_FOUND, DISABLED_MESSAGES[call.kind])
+        return Response(HTTPStatus.OK, orjson.dumps(self.spread.status()).decode())
 
-    async def _carry_out_entry(self, call: Call) -> Answer:
-        """Answer a call for a purge or change once it lasts; all others are the service's."""
+    async def _carry_out_entry(self, call: Call) -> Response:
+        """Response a call for a purge or change once it lasts; all others are the service's."""
         if self.spread is None or call.kind not in (Kind.SPREAD_PURGE, Kind.SPREAD_SEND):
             return await self.service.carry_out(call)
         from myrtlecourse.spread.log_duty import OutcomeUnknown, commit  # noqa: PLC0415
@@ -232,10 +236,10 @@
         try:
             number = await commit(self.spread, Purge(call.key) if purge else Change(call.key, call.value))
         except SpreadError as e:
-            return Answer(HTTPStatus.SERVICE_UNAVAILABLE, str(e))
+            return Response(HTTPStatus.SERVICE_UNAVAILABLE, str(e))
         except OutcomeUnknown as e:
-            return Answer(HTTPStatus.GATEWAY_TIMEOUT, str(e))
-        return Answer(HTTPStatus.OK, str(number))
+            return Response(HTTPStatus.GATEWAY_TIMEOUT, str(e))
+        return Response(HTTPStatus.OK, str(number))
 
     def _held(self, here: bool) -> None:
         """The service address has come, or is gone: then nothing is accepted, and what was taken ends."""
@@ -269,19 +273,19 @@
             logging.error("operators' file not taken, the old `%s` stays: %s", table, e)
 
     @staticmethod
-    def _reload_address(keeper: Keeper, table: Address | None) -> None:
+    def _reload_address(keeper: AddressDriver, table: Address | None) -> None:
         """Voters that have come or gone, times, keys and the link. Raises ValueError."""
-        from myrtlecourse.address.setup import keys, link  # noqa: PLC0415  (an extra)
+        from myrtlecourse.address.setup import make_link, read_keys  # noqa: PLC0415  (an extra)
 
         if table is None or not table.peers:
             raise ConfigError("the table `address` was there at the start and is missing")
-        taken = keys(table)
-        settings = table.election()
+        taken = read_keys(table)
+        settings = table.election_settings()
         if settings != keeper.settings:
             keeper.change(settings, {p.name: address_of(p.at) for p in table.peers})
             logging.info("voters for the service address: %s", ", ".join(settings.voters))
         keeper.wire.seal.change(*taken)
-        keeper.words.link = link(table, table.name or "")
+        keeper.link_updater.link = make_link(table, table.name or "")
         logging.info("the address's keys and link are those of the file")
 
     @staticmethod
@@ -291,7 +295,7 @@
 
         if (table := told.duties) is None:
             raise ConfigError("the table `duties` was there at the start and is missing")
-        keeper.change(told.of_duties(), peers(table), keys(table))
+        keeper.change(told.duty_settings(), peers(table), keys(table))
         logging.info("duties: %d routers, voters %s", len(table.peers), ", ".join(table.voters))
 
     @staticmethod
--- a/myrtlecourse/zones/commands.py
+++ b/myrtlecourse/zones/commands.py
@@ -9,7 +9,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from myrtlecourse.address.commands import ask_each
+from myrtlecourse.address.commands import query_each
 
 
 def zones_table(at: str, told: dict[str, Any]) -> Table:
@@ -64,7 +64,7 @@
     HOST:PORT is a router's operators' address (`ops`). Exit code 0, 1 when a router says no, 2 when one does
     not answer.
     """
-    found = ask_each(places, "fleet")
+    found = query_each(places, "fleet")
     if as_json:
         click.echo(json.dumps(found, indent=2))
         return
--- a/myrtlecourse/zones/setup.py
+++ b/myrtlecourse/zones/setup.py
@@ -39,7 +39,7 @@
     elif config.settings.peers and config.peer_listen is not None and config.peers:
         # by their numbers in the settings: the platform names them no other way
         peers = {str(i): at for i, at in enumerate(config.peers)}
-        name, zone, bind = str(config.me), config.settings.zone, config.peer_listen
+        name, zone, bind = str(config.router_number), config.settings.zone, config.peer_listen
     else:
         return None
     taken = Part(
--- a/tests/soak_wrong.py
+++ b/tests/soak_wrong.py
@@ -17,7 +17,7 @@
     async def end(self: Service) -> None:
         os._exit(0)
 
-    Service._end = end  # type: ignore[method-assign]
+    Service._shut_down = end  # type: ignore[method-assign]
 
 
 def misses_deadlines() -> None:
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -19,8 +19,8 @@
 
 from myrtlecourse.address import setup
 from myrtlecourse.address.codec import ElectionCodec
-from myrtlecourse.address.keeper import Keeper
-from myrtlecourse.address.link import CommandLink, LinkError, Words
+from myrtlecourse.address.driver import AddressDriver
+from myrtlecourse.address.link import CommandLink, LinkError, LinkUpdater
 from myrtlecourse.address.votes import VotesError, read_votes, write_votes
 from myrtlecourse.config import ConfigError
 from myrtlecourse.election import messages as said
@@ -204,16 +204,16 @@
 
     async def scenario() -> None:
         link = Flaky()
-        words = Words(link)
-        words.say(1)
-        words.say(2)
+        updater = LinkUpdater(link)
+        updater.request(1)
+        updater.request(2)
         await link.told.wait()
         assert link.heard == [2]
         link.told.clear()
-        words.say(None)
+        updater.request(None)
         await link.told.wait()
         assert link.heard == [2, None]
-        words.close()
+        updater.close()
 
     run(scenario)
 
@@ -252,7 +252,7 @@
     path = tmp_path / "router.toml"
     path.write_text(GOOD)
     table = read_operators(path).address
-    assert table is not None and table.election().majority == 2
+    assert table is not None and table.election_settings().majority == 2
     path.write_text(GOOD.replace(old, new))
     with pytest.raises(ConfigError, match=said_) as told:
         read_operators(path)
@@ -274,7 +274,7 @@
         return
 
     with pytest.raises(ConfigError, match=r"address\.(key|votes)_file"):
-        setup.keeper(table, lambda: True, lambda here: None, emptied)
+        setup.make_driver(table, lambda: True, lambda here: None, emptied)
 
 
 def test_not_a_word_goes_out_before_the_vote_is_on_the_disk(tmp_path: Path) -> None:
@@ -294,7 +294,7 @@
         folder = tmp_path / "votes"
         settings = said.Settings("a", THREE)
         peers = dict.fromkeys(THREE, ("127.0.0.1", 1))
-        keeper = Keeper(
+        driver = AddressDriver(
             settings,
             peers,
             KEY,
@@ -305,17 +305,17 @@
             lambda _: None,
             emptied,
         )
-        keeper.election.startup_wait_until = 0.0
-        keeper.loop = asyncio.get_running_loop()
+        driver.election.startup_wait_until = 0.0
+        driver.loop = asyncio.get_running_loop()
         out: list[tuple[str, bytes]] = []
-        keeper.send = lambda to, data: out.append((to, data))  # type: ignore[method-assign]
+        driver.send = lambda to, data: out.append((to, data))  # type: ignore[method-assign]
         for number in (1, 2):  # there is no such folder
-            keeper.post(said.MessageReceived("b", said.Ask(1, number, False)))
+            driver.post(said.MessageReceived("b", said.Ask(1, number, False)))
             assert not out
         folder.mkdir()
-        keeper.post(said.MessageReceived("b", said.Ask(1, 3, False)))
+        driver.post(said.MessageReceived("b", said.Ask(1, 3, False)))
         assert [to for to, _ in out] == ["b"] and read_votes(folder / "file") == said.Saved(1, "b")
-        await keeper.close()
+        await driver.close()
 
     run(scenario)
 
--- a/tests/test_duty_parts.py
+++ b/tests/test_duty_parts.py
@@ -247,7 +247,7 @@
     path = tmp_path / "router.toml"
     path.write_text(GOOD)
     operators = read_operators(path)
-    assert [d.name for d in operators.of_duties().duties] == ["address", "purge"]
+    assert [d.name for d in operators.duty_settings().duties] == ["address", "purge"]
     assert GOOD.count(old) >= 1
     path.write_text(GOOD.replace(old, new))
     with pytest.raises(ConfigError, match=message):
--- a/tests/test_folder_faults.py
+++ b/tests/test_folder_faults.py
@@ -17,9 +17,9 @@
 from myrtlecourse.config import read_config
 from myrtlecourse.duties.memory import read_memories, write_memories
 from myrtlecourse.duties.messages import Memory
-from myrtlecourse.ops.lives import SPARE, Lives, share
+from myrtlecourse.ops.descriptor_claims import SPARE_DESCRIPTORS, DescriptorClaims, descriptor_share
 from myrtlecourse.ops.orders import OrdersError
-from myrtlecourse.ops.store import Store
+from myrtlecourse.ops.store import OrderStore
 from myrtlecourse.service import Service
 from tests.loopback import run
 from tests.test_main import GOOD
@@ -28,8 +28,8 @@
 BROKEN = OSError(errno.EIO, os.strerror(errno.EIO))
 
 
-def ban(store: Store, name: str) -> None:
-    asyncio.run(store.change(lambda orders: orders.offline(name, 1.0)))
+def ban(store: OrderStore, name: str) -> None:
+    asyncio.run(store.change(lambda orders: orders.with_ban(name, 1.0)))
 
 
 def write_half(path: Path, text: bytes) -> int:
@@ -50,7 +50,7 @@
 def test_an_order_that_can_t_be_kept_is_refused_and_nothing_is_half_done(
     what: str, error: OSError, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    store = Store(tmp_path)
+    store = OrderStore(tmp_path)
     ban(store, "a")
     kept = store.orders
     with monkeypatch.context() as patch:
@@ -59,7 +59,7 @@
             ban(store, "b")
     assert store.orders == kept
     assert {p.name for p in tmp_path.iterdir()} == {"myrtlecourse-orders.json", "myrtlecourse-orders.lock"}
-    other = Store(tmp_path)
+    other = OrderStore(tmp_path)
     assert other.refresh() and other.orders == kept  # what was kept before is whole
     ban(store, "b")  # and the folder is used again once it can be
     assert other.refresh() and set(other.orders.bans) == {"a", "b"}
@@ -67,9 +67,9 @@
 
 def test_orders_are_kept_where_locks_can_t_be_had(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(fcntl, "flock", fail(OSError(errno.ENOLCK, "no locks available")))
-    store = Store(tmp_path)
+    store = OrderStore(tmp_path)
     ban(store, "a")
-    assert Store(tmp_path).refresh()
+    assert OrderStore(tmp_path).refresh()
 
 
 @pytest.mark.parametrize("method", ["others", "claim"])
@@ -80,12 +80,12 @@
 
     async def scenario() -> None:
         with monkeypatch.context() as patch:
-            patch.setattr(Lives, method, fail(BROKEN))
+            patch.setattr(DescriptorClaims, method, fail(BROKEN))
             service = Service(read_config(orjson.dumps(GOOD)), "", 99, tmp_path)
-        assert service.lives is not None
+        assert service.claims is not None
         assert service.descriptors.total == service.config.sockets - 32
         assert service.windows.budget > 0
-        service.lives.end()
+        service.claims.release()
 
     run(scenario)
 
@@ -94,17 +94,17 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        older = Lives(tmp_path)
+        older = DescriptorClaims(tmp_path)
         older.claim(100)
         service = Service(read_config(orjson.dumps(GOOD)), "", 99, tmp_path)
         before = service.descriptors.total
         assert before < service.config.sockets - 100
-        monkeypatch.setattr(Lives, "others", fail(BROKEN))
-        service._share()
+        monkeypatch.setattr(DescriptorClaims, "others", fail(BROKEN))
+        service._share_limits()
         assert service.descriptors.total == before
-        assert service.lives is not None
-        service.lives.end()
-        older.end()
+        assert service.claims is not None
+        service.claims.release()
+        older.release()
 
     run(scenario)
 
@@ -150,16 +150,16 @@
     """The older one of an upgrade took itself for the newer, and gave nothing up as it ended."""
 
     async def scenario() -> None:
-        older = Lives(tmp_path)
+        older = DescriptorClaims(tmp_path)
         hour_ago = time.time_ns() - 3600 * 10**9
         monkeypatch.setattr(time, "time_ns", lambda: hour_ago)
-        newer = Lives(tmp_path)
+        newer = DescriptorClaims(tmp_path)
         older.claim(500)
         newer.claim(500)
         (of_newer,), (of_older,) = older.others(), newer.others()
-        assert share(1000, 40, True, older.born, [of_newer]) == 40 + SPARE
-        assert share(1000, 40, False, newer.born, [of_older]) == 500
-        newer.end()
-        older.end()
+        assert descriptor_share(1000, 40, True, older.started_ns, [of_newer]) == 40 + SPARE_DESCRIPTORS
+        assert descriptor_share(1000, 40, False, newer.started_ns, [of_older]) == 500
+        newer.release()
+        older.release()
 
     run(scenario)
--- a/tests/test_ops_calls.py
+++ b/tests/test_ops_calls.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from myrtlecourse.ops.calls import MAX_BODY, MAX_HEAD, MAX_NAME, Answer, Call, Exchange, Kind
+from myrtlecourse.ops.calls import MAX_BODY, MAX_HEAD, MAX_NAME, Call, Exchange, Kind, Response
 
 
 def sent(method: str, path: str, *headers: str) -> bytes:
@@ -66,29 +66,29 @@
 )
 def test_what_is_no_call_is_answered_no(data: bytes, status: int) -> None:
     exchange = Exchange()
-    answer = exchange.receive(data)
-    assert isinstance(answer, Answer) and answer.status == status
-    assert exchange.answer(answer).startswith(b"HTTP/1.1 %d " % status)
+    response = exchange.receive(data)
+    assert isinstance(response, Response) and response.status == status
+    assert exchange.encode(response).startswith(b"HTTP/1.1 %d " % status)
 
 
 def test_a_caller_that_waits_for_a_word_before_its_body_gets_the_answer() -> None:
     exchange = Exchange()
     call = exchange.receive(sent("PUT", "/control/in-service", "Content-Length: 2", "Expect: 100-continue"))
     assert call == Call(Kind.IN_SERVICE)
-    assert exchange.answer(Answer(HTTPStatus.OK, "done")).startswith(b"HTTP/1.1 200 OK\r\n")
+    assert exchange.encode(Response(HTTPStatus.OK, "done")).startswith(b"HTTP/1.1 200 OK\r\n")
 
 
 def test_a_wrong_method_is_told_the_right_one() -> None:
     exchange = Exchange()
-    answer = exchange.receive(sent("GET", "/control/in-service"))
-    assert isinstance(answer, Answer) and b"Allow: PUT" in exchange.answer(answer)
+    response = exchange.receive(sent("GET", "/control/in-service"))
+    assert isinstance(response, Response) and b"Allow: PUT" in exchange.encode(response)
 
 
 @given(st.lists(st.binary(min_size=1, max_size=200), max_size=5))
 def test_no_bytes_raise(pieces: list[bytes]) -> None:
     exchange = Exchange()
     for piece in pieces:
-        if (answer := exchange.receive(piece)) is not None:
-            if isinstance(answer, Answer):
-                exchange.answer(answer)
+        if (response := exchange.receive(piece)) is not None:
+            if isinstance(response, Response):
+                exchange.encode(response)
             break
--- a/tests/test_ops_orders.py
+++ b/tests/test_ops_orders.py
@@ -14,34 +14,44 @@
 
 from myrtlecourse import interface as api
 from myrtlecourse.ops import orders as module
-from myrtlecourse.ops.lives import LEAST, Claim, Lives, share
-from myrtlecourse.ops.orders import KEPT, Listed, Orders, OrdersError, changes, from_table, to_table
-from myrtlecourse.ops.store import Store
+from myrtlecourse.ops.descriptor_claims import MIN_DESCRIPTORS, Claim, DescriptorClaims, descriptor_share
+from myrtlecourse.ops.orders import (
+    RETURN_MEMORY,
+    ListedServers,
+    Orders,
+    OrdersError,
+    events_between,
+    from_table,
+    to_table,
+)
+from myrtlecourse.ops.store import OrderStore
 
 
 def test_calls_out_may_be_repeated_and_one_back_ends_the_ban() -> None:
-    once = Orders().offline("a", 1.0)
-    assert once.offline("a", 2.0) is once
-    back = once.online("a", 3.0)
+    once = Orders().with_ban("a", 1.0)
+    assert once.with_ban("a", 2.0) is once
+    back = once.without_ban("a", 3.0)
     assert not back.bans and back.returned == {"a": 3.0} and back.revision == 2
-    assert back.online("a", 4.0) is back
+    assert back.without_ban("a", 4.0) is back
 
 
 def test_too_many_bans_are_a_no(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MOST_BANS", 2)
-    full = Orders().offline("a", 1.0).offline("b", 1.0)
-    assert full.offline("a", 2.0) is full
+    monkeypatch.setattr(module, "MAX_BANS", 2)
+    full = Orders().with_ban("a", 1.0).with_ban("b", 1.0)
+    assert full.with_ban("a", 2.0) is full
     with pytest.raises(OrdersError, match="2 cache servers"):
-        full.offline("c", 2.0)
+        full.with_ban("c", 2.0)
 
 
 def test_service_is_left_and_resumed_once() -> None:
-    out = Orders().service(True)
-    assert out.out_of_service and out.service(True) is out
-    assert not out.service(False).out_of_service
+    out = Orders().with_service(True)
+    assert out.out_of_service and out.with_service(True) is out
+    assert not out.with_service(False).out_of_service
 
 
-CALLS = st.lists(st.tuples(st.sampled_from("abc"), st.booleans(), st.floats(0, 2 * KEPT)), max_size=12)
+CALLS = st.lists(
+    st.tuples(st.sampled_from("abc"), st.booleans(), st.floats(0, 2 * RETURN_MEMORY)), max_size=12
+)
 
 
 @given(CALLS, st.integers(0, 12))
@@ -49,50 +59,50 @@
     """A process that missed some revisions hears of each ban and each end of one, and of no other."""
     orders = early = Orders()
     for i, (server, out, now) in enumerate(sorted(calls, key=lambda c: c[2])):
-        orders = orders.offline(server, now) if out else orders.online(server, now)
+        orders = orders.with_ban(server, now) if out else orders.without_ban(server, now)
         if i < seen:
             early = orders
     held = set(early.bans)
-    for event in changes(early, orders):
+    for event in events_between(early, orders):
         if isinstance(event, api.ServerBanned):
             held.add(event.server)
         else:
             assert event.server not in orders.bans
             held.discard(event.server)
     assert held == set(orders.bans)
-    assert not list(changes(orders, orders))
+    assert not list(events_between(orders, orders))
 
 
 @given(CALLS, st.booleans())
 def test_orders_survive_their_form_in_the_file(calls: list[tuple[str, bool, float]], out: bool) -> None:
-    orders = Orders().service(out)
+    orders = Orders().with_service(out)
     for server, off, now in calls:
-        orders = orders.offline(server, now) if off else orders.online(server, now)
+        orders = orders.with_ban(server, now) if off else orders.without_ban(server, now)
     assert from_table(orjson.loads(orjson.dumps(to_table(orders)))) == orders
 
 
 def test_ids_that_were_listed_are_remembered_and_others_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MOST_LISTED", 2)
-    listed = Listed()
-    listed.note([("a", True), ("o", False)])
-    assert listed.why_not("a") == "" and "origin" in listed.why_not("o")
-    assert listed.why_not("x") == "no list has named this id"
-    listed.note([("a", True), ("b", True)])
-    assert listed.why_not("a") == "" and listed.why_not("o")  # o is forgotten, as it was named longest ago
+    monkeypatch.setattr(module, "MAX_LISTED", 2)
+    listed = ListedServers()
+    listed.record([("a", True), ("o", False)])
+    assert listed.refusal_reason("a") == "" and "origin" in listed.refusal_reason("o")
+    assert listed.refusal_reason("x") == "no list has named this id"
+    listed.record([("a", True), ("b", True)])
+    assert listed.refusal_reason("a") == "" and listed.refusal_reason("o")  # o was named longest ago
 
 
-def change(store: Store, server: str) -> None:
-    asyncio.run(store.change(lambda o: o.offline(server, 5.0)))
+def change(store: OrderStore, server: str) -> None:
+    asyncio.run(store.change(lambda o: o.with_ban(server, 5.0)))
 
 
 def test_what_one_process_is_told_binds_the_other(tmp_path: Path) -> None:
-    one, other = Store(tmp_path), Store(tmp_path)
+    one, other = OrderStore(tmp_path), OrderStore(tmp_path)
     change(one, "a")
     change(other, "b")  # which has not looked since
     assert set(other.orders.bans) == {"a", "b"}
     assert one.refresh() and set(one.orders.bans) == {"a", "b"}
     assert not one.refresh()
-    late = Store(tmp_path)
+    late = OrderStore(tmp_path)
     assert late.refresh() and late.orders == one.orders
 
 
@@ -115,11 +125,11 @@
     text: bytes, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     (tmp_path / "myrtlecourse-orders.json").write_bytes(text)
-    store = Store(tmp_path)
+    store = OrderStore(tmp_path)
     assert not store.refresh() and store.orders == Orders()
     assert "can't be used" in caplog.text
     change(store, "a")  # and it is replaced by the next order
-    assert Store(tmp_path).refresh()
+    assert OrderStore(tmp_path).refresh()
 
 
 @pytest.mark.parametrize(
@@ -144,39 +154,39 @@
 ) -> None:
     lock = os.open(tmp_path / "myrtlecourse-orders.lock", os.O_RDWR | os.O_CREAT)
     fcntl.flock(lock, fcntl.LOCK_EX)
-    store = Store(tmp_path)
+    store = OrderStore(tmp_path)
     change(store, "a")
     assert "a" in store.orders.bans and "without the lock" in caplog.text
     os.close(lock)
 
 
 def test_an_order_that_can_t_be_kept_is_a_no(tmp_path: Path) -> None:
-    store = Store(tmp_path / "gone")
+    store = OrderStore(tmp_path / "gone")
     with pytest.raises(OrdersError, match="can't be kept"):
         change(store, "a")
     assert not store.orders.bans
 
 
 def test_without_a_folder_orders_are_held_in_memory() -> None:
-    store = Store(None)
+    store = OrderStore(None)
     change(store, "a")
     assert "a" in store.orders.bans and not store.refresh()
 
 
 def test_a_process_that_lives_is_seen_and_one_that_died_is_cleared_away(tmp_path: Path) -> None:
-    one, other = Lives(tmp_path), Lives(tmp_path)
+    one, other = DescriptorClaims(tmp_path), DescriptorClaims(tmp_path)
     one.claim(200)
-    assert other.others() == [Claim(one.born, 200)]
+    assert other.others() == [Claim(one.started_ns, 200)]
     os.close(one.file)  # as its death would
     assert other.others() == [] and not one.path.exists()
-    other.end()
+    other.release()
     assert not list(tmp_path.iterdir())
 
 
 @given(st.integers(200, 2000), st.integers(0, 800), st.integers(0, 800), st.booleans())
 def test_both_together_stay_within_the_total(total: int, old_has: int, new_has: int, ending: bool) -> None:
-    old = share(total, min(old_has, total), ending, 1, [Claim(2, 0)])
-    new = share(total, new_has, False, 2, [Claim(1, old)])
-    assert old <= total and new >= LEAST
-    assert old + new <= max(total, old + LEAST)
-    assert share(total, new_has, False, 2, []) == total
+    old = descriptor_share(total, min(old_has, total), ending, 1, [Claim(2, 0)])
+    new = descriptor_share(total, new_has, False, 2, [Claim(1, old)])
+    assert old <= total and new >= MIN_DESCRIPTORS
+    assert old + new <= max(total, old + MIN_DESCRIPTORS)
+    assert descriptor_share(total, new_has, False, 2, []) == total
--- a/tests/test_ops_server.py
+++ b/tests/test_ops_server.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from myrtlecourse.ops.calls import Answer, Call
+from myrtlecourse.ops.calls import Call, Response
 from myrtlecourse.ops.server import OpsServer
 from tests.loopback import run
 
@@ -23,14 +23,14 @@
         with socket.socket() as caller:
             caller.setblocking(False)
 
-            async def carry_out(call: Call) -> Answer:
+            async def carry_out(call: Call) -> Response:
                 if crossing == "a half-close":
                     caller.shutdown(socket.SHUT_WR)
                     for _ in range(TURNS):
                         await asyncio.sleep(0)
                 else:
                     caller.send(b"x" * 1000)
-                return Answer(HTTPStatus.OK, "ready")
+                return Response(HTTPStatus.OK, "ready")
 
             server = OpsServer(carry_out)
             loop = asyncio.get_running_loop()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -587,7 +587,7 @@
             raise RuntimeError("at fault")
 
         service._reload = reload  # type: ignore[method-assign]
-        task = asyncio.create_task(service._reload_when_told())
+        task = asyncio.create_task(service._reload_on_request())
         for _ in range(2):
             service.reload()
             assert await tried.get() == 1
--- a/tests/test_spread_operators.py
+++ b/tests/test_spread_operators.py
@@ -27,7 +27,7 @@
 from myrtlecourse.config import ConfigError
 from myrtlecourse.fleet.reserved_ports import free
 from myrtlecourse.operators import read_operators
-from myrtlecourse.ops.calls import KEY, MAX_VALUE, Answer, Call, Exchange, Kind, read_call
+from myrtlecourse.ops.calls import KEY_DIGITS, MAX_VALUE_DIGITS, Call, Exchange, Kind, Response, parse_call
 from myrtlecourse.spread import messages as msg
 from myrtlecourse.spread.applied_file import ROTATED_SUFFIX, AppliedFile
 from myrtlecourse.spread.driver import Driver
@@ -88,7 +88,7 @@
 def test_a_control_machine_s_duty_comes_after_the_address_and_has_no_orders(tmp_path: Path) -> None:
     address = {"switch": "127.0.0.1:1"}
     file = read_operators(write(tmp_path, address=address, spread=table(**WRITER), duties=duties()))
-    assert [(d.name, d.preferred, d.orders) for d in file.of_duties().duties] == [
+    assert [(d.name, d.preferred, d.orders) for d in file.duty_settings().duties] == [
         ("address", (), False),
         ("log", CONTROL, False),
     ]
@@ -154,7 +154,7 @@
 
 
 def test_calls_bear_what_the_log_takes() -> None:
-    assert KEY == 2 * msg.KEY_BYTES and MAX_VALUE == 2 * msg.MAX_VALUE_BYTES
+    assert KEY_DIGITS == 2 * msg.KEY_BYTES and MAX_VALUE_DIGITS == 2 * msg.MAX_VALUE_BYTES
 
 
 @pytest.mark.parametrize(
@@ -169,20 +169,20 @@
         ("PUT", f"/purge/{'0' * 16}/00", 404),
         ("PUT", f"/purge/{'0' * 16}/", 404),
         ("PUT", f"/send/{'0' * 16}/0", 400),
-        ("PUT", f"/send/{'0' * 16}/{'0' * (MAX_VALUE + 2)}", 400),
+        ("PUT", f"/send/{'0' * 16}/{'0' * (MAX_VALUE_DIGITS + 2)}", 400),
         ("PUT", f"/send/{'0' * 16}/zz", 400),
         ("PUT", f"/forget/{'0' * 16}", 404),
     ],
 )
 def test_calls_for_no_entry_are_refused(method: str, path: str, status: int) -> None:
-    answer = read_call(method.encode(), f"/control/spread{path}".encode())
-    assert isinstance(answer, Answer) and answer.status == HTTPStatus(status)
+    answer = parse_call(method.encode(), f"/control/spread{path}".encode())
+    assert isinstance(answer, Response) and answer.status == HTTPStatus(status)
 
 
 @given(st.binary(max_size=80))
 def test_no_path_breaks_the_reading_of_an_entry(rest: bytes) -> None:
-    told = read_call(b"PUT", b"/control/spread/" + rest)
-    assert isinstance(told, Call | Answer)
+    told = parse_call(b"PUT", b"/control/spread/" + rest)
+    assert isinstance(told, Call | Response)
     if isinstance(told, Call):
         assert len(told.key) == msg.KEY_BYTES and len(told.value) <= msg.MAX_VALUE_BYTES
 
