--- a/myrtlecourse/__main__.py
+++ b/myrtlecourse/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one real router: its configuration, its log and its event loop."""
+"""Starts a router's process: reads its configuration, and sets up its log and event loop."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 from myrtlecourse import policy
 from myrtlecourse.config import Config, ConfigError, read_config, read_file
-from myrtlecourse.reload_signal import early
+from myrtlecourse.reload_signal import early_reload
 from myrtlecourse.service import Service, inherited_socket, shared_folder
 
 try:
     from uvloop import new_event_loop
-except ImportError:  # the plain router needs no more than Python's own loop
+except ImportError:  # uvloop is optional; Python's own event loop does
     from asyncio import new_event_loop  # type: ignore[assignment]
 
 
 async def serve(config: Config, path: str, inherited: int | None) -> None:
-    """Serve until SIGTERM."""
-    # only who can be called, or followed, has something to keep
+    """Serves until SIGTERM."""
+    # without an operators' address there are no orders to store
     folder = shared_folder() if config.ops is not None else None
     await Service(config, path, inherited, folder).run()
 
 
 def main() -> int:
-    """Run one router."""
-    # what is made for a request goes with its last reference; to look for rings in it took a tenth of a core
+    """Runs one router and returns its exit code."""
+    # objects of a request are freed by reference counting; the search for cycles used a tenth of a core
     gc.set_threshold(10_000, 10, 10)
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     path = os.environ.get("RELAY_CONFIG", "")
-    early.listen()
+    early_reload.listen()
     try:
         config = read_config(read_file(path))
         inherited = inherited_socket()
@@ -48,9 +48,9 @@
 
 
 def command() -> int:
-    """The router or, with arguments, one of the tools."""
+    """Runs the router or, with arguments, one of the tools."""
     if len(sys.argv) > 1:
-        from myrtlecourse import cli  # noqa: PLC0415  (the router has none of the tools' libraries)
+        from myrtlecourse import cli  # noqa: PLC0415  (the tools' libraries are not installed with a router)
 
         cli.main(prog_name="myrtlecourse")
     return main()
--- a/myrtlecourse/cli.py
+++ b/myrtlecourse/cli.py
@@ -1,21 +1,22 @@
-"""The command line: `myrtlecourse` alone is the router, with a command one of its tools.
+"""The command line: `myrtlecourse` without a command runs the router, with one it runs a tool.
 
-A tool's module is imported when it is asked for. All together take most of a second of a core, which staff
-would wait for who ask a router something on a busy machine.
+A tool's module is imported only when the tool is run. To import all of them takes most of a second of a core,
+for which an operator who queries a router on a busy machine would have to wait.
 """
 
 from __future__ import annotations
 
 from importlib import import_module
 
-MISSING = "myrtlecourse: the tools need {}, which is missing: install myrtlecourse[tools]"
+MISSING_LIBRARY = "myrtlecourse: the tools need {}, which is missing: install myrtlecourse[tools]"
 
 try:
     import click
-except ImportError as e:  # the plain router installs none of the tools' libraries
-    raise SystemExit(MISSING.format(e.name)) from e
+except ImportError as e:  # the tools' libraries are not installed with a router
+    raise SystemExit(MISSING_LIBRARY.format(e.name)) from e
 
-MODULES = {  # of each command, whose function has its name
+# the module of each command; its function is named like the command
+MODULES = {
     "address": "myrtlecourse.address.commands",
     "audit": "myrtlecourse.fleet.commands",
     "duty": "myrtlecourse.duties.commands",
@@ -34,20 +35,20 @@
 
 
 class Tools(click.Group):
-    """The tools, each imported when it is asked for."""
+    """The group of all tools, each imported when it is run."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The names of all."""
+        """Returns the names of all tools."""
         return sorted(MODULES)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """One tool, or None. Raises SystemExit if it needs a library that isn't installed."""
+        """Returns a tool, or None if it is unknown. Raises SystemExit if a library is missing."""
         if cmd_name not in MODULES:
             return None
         try:
             module = import_module(MODULES[cmd_name])
         except ImportError as e:
-            raise SystemExit(MISSING.format(e.name)) from e
+            raise SystemExit(MISSING_LIBRARY.format(e.name)) from e
         command = getattr(module, cmd_name.replace("-", "_"))
         assert isinstance(command, click.Command)
         return command
@@ -57,5 +58,5 @@
 def main() -> None:
     """A router for a fleet of cache servers, and its tools.
 
-    Without a command it is the router, configured by the file that RELAY_CONFIG names.
+    Without a command it runs the router, configured by the file that RELAY_CONFIG names.
     """
--- a/myrtlecourse/config.py
+++ b/myrtlecourse/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a router, checked: at the start and at each reload."""
+"""Reads and checks the configuration that the platform gives a router, at the start and at each reload."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from myrtlecourse.net.pool import MAX_PASSED, address_of
 from myrtlecourse.settings import number, read_settings, rows, section
 
-DEFAULT_MEMORY = 80  # MB, where the configuration does not tell
-POSITIVE = ("giveUp", "aim")  # fields of a class without which no request of it could be served
+DEFAULT_MEMORY = 80  # MB, if the configuration gives no limit
+POSITIVE_FIELDS = ("giveUp", "aim")  # times of a class; with 0 none of its requests could be served
 
 
 class ConfigError(ValueError):
@@ -26,26 +26,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """What the platform tells a router."""
+    """The configuration of a router."""
 
     listen: tuple[str, int]
     discovery: str
-    ops: tuple[str, int] | None  # where operators call
+    ops: tuple[str, int] | None  # the operators' address
     seed: int
     sockets: int
-    memory: int  # bytes that the process may take
-    longest_answer: int  # bytes of a value
-    known_index: int
-    known: list[Member]
+    memory: int  # bytes that the process may use
+    longest_answer: int  # bytes of the largest value that is passed on
+    known_index: int  # index of the list of servers below
+    known: list[Member]  # the list of servers; empty if it was not read
     settings: api.Settings
-    peer_listen: tuple[str, int] | None  # where other routers are heard, if they are
-    peers: tuple[tuple[str, int], ...]  # all routers, by their numbers in the settings
-    router_number: int  # this router's number
-    table: dict[str, Any]  # as it came
+    peer_listen: tuple[str, int] | None  # where datagrams of other routers arrive
+    peers: tuple[tuple[str, int], ...]  # of all routers, ordered by their numbers
+    router_number: int  # this router's index among `peers`
+    table: dict[str, Any]  # the configuration as decoded from JSON
 
 
 def read_address(table: dict[str, Any], field: str) -> str:
-    """A field of the form host:port."""
+    """Returns a field of the form host:port. Raises ConfigError."""
     value = table.get(field)
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not host or not port.isdigit() or int(port) > 65535:
@@ -53,11 +53,11 @@
     return str(value)
 
 
-def read_config(text: bytes, listed: bool = True) -> Config:
-    """Check a configuration; its list's entries only if they are wanted (`listed`), else it has none.
+def read_config(text: bytes, with_list: bool = True) -> Config:
+    """Returns a checked configuration; without `with_list` the entries of its list are left out, unchecked.
 
     Raises:
-        ConfigError: it can't be used; the message names the field.
+        ConfigError: the configuration can't be used; the message names the field.
     """
     try:
         table = orjson.loads(text)
@@ -69,14 +69,14 @@
     try:
         seed_number = int(str(seed), 16)
     except ValueError:
-        raise ConfigError(f"seed must be hex digits, not {seed!r}") from None
+        raise ConfigError(f"seed must be hexadecimal digits, not {seed!r}") from None
     try:
         settings = read_settings(table.get("settings"))
         limits = section(table, "limits")
         sockets = int(number(limits, "sockets", 1024, "limits.", 64))
         longest = int(number(limits, "longest_answer", MAX_PASSED, "limits.", MAX_GATHERED))
         memory = int(number(limits, "memory_mb", DEFAULT_MEMORY, "limits.", 1) * 1024 * 1024)
-        if listed:
+        if with_list:
             index, _, known = read_list(table.get("known"), "known")
         else:
             index, known = read_head(table.get("known"), "known").index, []
@@ -86,7 +86,7 @@
     discovery = read_address(table, "discovery")
     ops = None if table.get("ops") is None else address_of(read_address(table, "ops"))
     peer_listen, peers = read_peers(table)
-    me = section(table, "settings").get("me")
+    router_number = section(table, "settings").get("me")
     return Config(
         listen=listen,
         discovery=discovery,
@@ -100,49 +100,52 @@
         settings=settings,
         peer_listen=peer_listen,
         peers=peers,
-        router_number=me if isinstance(me, int) else 0,
+        router_number=router_number if isinstance(router_number, int) else 0,
         table=table,
     )
 
 
 def read_peers(table: dict[str, Any]) -> tuple[tuple[str, int] | None, tuple[tuple[str, int], ...]]:
-    """Where other routers are heard, and where all of them are; nothing where the platform tells nothing."""
+    """Returns the address for datagrams of other routers and the addresses of all routers.
+
+    Returns None and no addresses if the configuration has none. Raises ConfigError.
+    """
     if table.get("peer_listen") is None:
         return None, ()
-    each = table.get("peers")
-    if not isinstance(each, list):
+    entries = table.get("peers")
+    if not isinstance(entries, list):
         raise ConfigError("peers must be a list")
-    named = {f"peers[{i}]": at for i, at in enumerate(each)}
-    addresses = tuple(address_of(read_address(named, field)) for field in named)
+    fields = {f"peers[{i}]": at for i, at in enumerate(entries)}
+    addresses = tuple(address_of(read_address(fields, field)) for field in fields)
     return address_of(read_address(table, "peer_listen")), addresses
 
 
 async def read_reload(text: bytes, running: Config) -> Config:
-    """Check a configuration that is to replace the one in force, in several turns of the event loop.
+    """Returns a checked configuration to replace the one in force; yields to the event loop in between.
 
-    Stricter than at the start, where an absent key takes its default: a file cut off or half edited would
-    quietly take a default for what operators had set.
+    Stricter than at the start, where an absent key gets its default: with a truncated or half edited file,
+    defaults would silently replace what operators had set.
 
     Raises:
-        ConfigError: it can't be used, and nothing of it is to be taken.
+        ConfigError: the configuration can't be used, and nothing of it may be applied.
     """
-    config = read_config(text, listed=False)
+    config = read_config(text, with_list=False)
     try:
         await read_in_turns(config.table["known"], "known")
     except ListError as e:
         raise ConfigError(str(e)) from e
-    if (lost := next(missing(running.table, config.table, ""), None)) is not None:
+    if (lost := next(lost_fields(running.table, config.table, ""), None)) is not None:
         raise ConfigError(f"{lost} was set at the start and is missing")
     settings = section(config.table, "settings")
     for row in rows(settings, "classes"):
-        for name in POSITIVE:
+        for name in POSITIVE_FIELDS:
             if name in row and not (_is_number(row[name]) and row[name] > 0):
                 raise ConfigError(
-                    f"settings: classes[{row['name']}].{name} must be over 0, not {row[name]!r}"
+                    f"settings: classes[{row['name']}].{name} must be greater than 0, not {row[name]!r}"
                 )
-    tries = section(settings, "limits").get("mostTries", 1)
-    if not _is_number(tries) or tries < 1:
-        raise ConfigError(f"settings: limits.mostTries must be over 0, not {tries!r}")
+    max_attempts = section(settings, "limits").get("mostTries", 1)
+    if not _is_number(max_attempts) or max_attempts < 1:
+        raise ConfigError(f"settings: limits.mostTries must be at least 1, not {max_attempts!r}")
     return config
 
 
@@ -150,22 +153,22 @@
     return isinstance(value, (int, float)) and not isinstance(value, bool)
 
 
-def missing(before: dict[str, Any], after: dict[str, Any], where: str) -> Iterator[str]:
-    """The names of what stood in a configuration and stands no more, or empty, or as another kind of thing.
+def lost_fields(before: dict[str, Any], after: dict[str, Any], prefix: str) -> Iterator[str]:
+    """Yields the names of fields that a new configuration lacks, leaves empty or has with another type.
 
-    The rows of a list may be others; each must have the fields that all had.
+    The rows of a list may change, but each new row must have the fields that all old rows had.
     """
     for name, old in before.items():
         new: Any = after.get(name)
-        place = f"{where}{name}"
+        path = f"{prefix}{name}"
         if old is None:
             continue
         if not (_is_number(new) if _is_number(old) else isinstance(new, type(old))):
-            yield place
+            yield path
         elif isinstance(old, dict):
-            yield from missing(old, new, place + ".")
+            yield from lost_fields(old, new, path + ".")
         elif isinstance(old, list) and old and not new:
-            yield place
+            yield path
         elif (
             isinstance(old, list)
             and old
@@ -175,13 +178,13 @@
             common = {key: old[0][key] for key in old[0] if all(row.get(key) is not None for row in old)}
             for i, row in enumerate(new):
                 if not isinstance(row, dict):
-                    yield f"{place}[{i}]"
+                    yield f"{path}[{i}]"
                 else:
-                    yield from missing(common, row, f"{place}[{row.get('name', i)}].")
+                    yield from lost_fields(common, row, f"{path}[{row.get('name', i)}].")
 
 
 def read_file(path: str) -> bytes:
-    """The configuration's text."""
+    """Returns the text of the configuration file. Raises ConfigError."""
     try:
         return Path(path).read_bytes()
     except OSError as e:
--- a/myrtlecourse/operators.py
+++ b/myrtlecourse/operators.py
@@ -1,7 +1,7 @@
-"""The operators' file: what goes beyond the platform, in TOML, read by one strict schema.
+"""The operators' file: enables and configures the optional subsystems, in TOML with a strict schema.
 
-It is named by `$MYRTLECOURSE_FILE`. A field that is unknown, of the wrong type or out of its bounds is an
-error that names it; without the file, or a table of it, what it is about is absent.
+`$MYRTLECOURSE_FILE` holds its path. A field that is unknown, of the wrong type or out of its bounds is an
+error that names the field. A subsystem whose table is absent is not enabled.
 """
 
 from __future__ import annotations
@@ -15,60 +15,66 @@
 from msgspec import Meta, Struct
 
 from myrtlecourse.config import ConfigError
-from myrtlecourse.duties import messages as said
+from myrtlecourse.duties import messages as duty_messages
 from myrtlecourse.election.messages import ElectionError, Settings
 from myrtlecourse.spread import messages as spread
 
 Seconds = Annotated[float, Meta(gt=0.0, le=3600.0)]
 Endpoint = Annotated[str, Meta(pattern=r"^[^:\s]+:[0-9]{1,5}$")]
-Weight = Annotated[float, Meta(ge=0.02, le=1.0)]  # less would leave a tier of which nobody knows anything
+# with a smaller weight, a tier would get too few requests for its state to be known
+Weight = Annotated[float, Meta(ge=0.02, le=1.0)]
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[!-~]+$")]
-FIGURES = [f.name for f in fields(spread.Settings) if f.name not in ("name", "control", "sites")]
+# fields of the table `spread` that are passed on to its settings under the same names
+SPREAD_FIELDS = [f.name for f in fields(spread.Settings) if f.name not in ("name", "control", "sites")]
 
 
 class Peer(Struct, forbid_unknown_fields=True, frozen=True):
-    """A voter, and where it hears the others."""
+    """A router or other member, and its address for datagrams of the others."""
 
     name: Name
     at: Endpoint
 
 
 class Address(Struct, forbid_unknown_fields=True, frozen=True):
-    """This instance's part of the service address."""
+    """This router's part in the election of the holder of the service address."""
 
-    # with an election of its own; without them it is a duty of `[duties]`, the first
+    # with `peers` the address has an election of its own; otherwise it is the first duty of `[duties]`
     name: Name | None = None
-    peers: Annotated[tuple[Peer, ...], Meta(max_length=15)] = ()  # itself too; most preferred first
+    peers: Annotated[tuple[Peer, ...], Meta(max_length=15)] = ()  # with this router; most preferred first
     key_file: str | None = None
-    preferred: Annotated[tuple[Name, ...], Meta(max_length=255)] = ()  # who may hold it, as a duty; none: all
-    # taken as well, and never sealed with: so that a new key can go from voter to voter
+    # the candidates if the address is a duty, the most preferred first; empty: all
+    preferred: Annotated[tuple[Name, ...], Meta(max_length=255)] = ()
+    # further keys that are accepted but never used to seal, for the change to a new key voter by voter
     also_key_files: Annotated[tuple[str, ...], Meta(max_length=2)] = ()
-    votes_file: str | None = None  # none: an instance waits out a lease after each start, and forgets
+    # without it votes are lost at a restart, and an instance grants none until a lease's time after its start
+    votes_file: str | None = None
     heartbeat: Seconds = 0.5
     lease: Seconds = 2.0
     drift: Annotated[float, Meta(ge=0.0, le=0.1)] = 0.02
     settle: Annotated[float, Meta(ge=0.0, le=3600.0)] = 2.0
     unwell: Annotated[float, Meta(ge=0.0, le=3600.0)] = 1.0
     even_voters: bool = False
-    list_age: Seconds = 60.0  # since discovery last answered, after which this router is no holder
-    least_share: Annotated[float, Meta(ge=0.0, le=1.0)] = (
-        0.1  # of commands let in by a full core, below which
-    )
-    switch: Endpoint | None = None  # a switch that takes lines, or
-    command: Annotated[tuple[str, ...], Meta(max_length=64)] = ()  # what announces and withdraws
+    list_age: Seconds = 60.0  # largest age of the list of servers at a holder
+    # a router whose admission control admits a smaller share of the commands can't hold the address
+    least_share: Annotated[float, Meta(ge=0.0, le=1.0)] = 0.1
+    # the address is announced and withdrawn by a switch with a line-based protocol or by a command
+    switch: Endpoint | None = None
+    command: Annotated[tuple[str, ...], Meta(max_length=64)] = ()
     link_timeout: Seconds = 2.0
 
     def __post_init__(self) -> None:
         if bool(self.command) == (self.switch is not None):
-            raise ValueError("wants `command` or `switch`, one of them")
+            raise ValueError("needs either `command` or `switch`")
         if not self.peers:
             if self.name is not None or self.key_file is not None or self.votes_file is not None:
-                raise ValueError("name, key_file and votes_file go with `peers`")
+                raise ValueError("name, key_file and votes_file need `peers`")
             return
         if self.name is None or self.key_file is None or self.preferred:
-            raise ValueError("wants `name` and `key_file` with `peers`, and their order is the preference")
+            raise ValueError(
+                "`peers` needs `name` and `key_file`, and excludes `preferred`: their order counts"
+            )
         if any(not 0 < int(p.at.rpartition(":")[2]) < 65536 for p in self.peers):
-            raise ValueError("peers: a port lies between 1 and 65535")
+            raise ValueError("peers: a port must be between 1 and 65535")
         if len({p.at for p in self.peers}) < len(self.peers):
             raise ValueError("peers: two of them share an address")
         try:
@@ -77,7 +83,7 @@
             raise ValueError(str(e).replace("voters:", "peers:")) from None
 
     def election_settings(self) -> Settings:
-        """The settings of its election. Raises ElectionError."""
+        """Returns the settings of the address's own election. Raises ElectionError."""
         voters = tuple(p.name for p in self.peers)
         return Settings(
             self.name or "",
@@ -92,77 +98,79 @@
 
 
 class Fleet(Struct, forbid_unknown_fields=True, frozen=True):
-    """This router's part in leaving zones with the others.
+    """This router's part in leaving and rejoining zones as a fleet.
 
-    Where the platform tells routers of one another, `key_file` is all that is needed; elsewhere `name`,
-    `zone` and `peers` are given here, the same peers at every router.
+    If the platform's configuration lists the routers, only `key_file` is needed; otherwise `name`, `zone` and
+    `peers` must be given, with the same peers at each router.
     """
 
     key_file: str
     name: Name | None = None
     zone: Name | None = None
-    peers: Annotated[tuple[Peer, ...], Meta(max_length=1000)] = ()  # itself too
-    listen: Endpoint | None = None  # where not at its own address among the peers
-    spill: Annotated[float, Meta(ge=1.0, le=100.0)] = (
-        3.0  # times what survivors of a zone got, that they get at most
-    )
-    leave_origin: bool = False  # where clients that are refused come to routers of other zones
-    paced: bool = True  # zones that are back are returned to by steps, as the fleet
-    # fetches a second that the origin bears of all routers together; 0: nobody knows
+    peers: Annotated[tuple[Peer, ...], Meta(max_length=1000)] = ()  # includes this router
+    listen: Endpoint | None = None  # None: its own address among the peers
+    # the load of the remaining zones after a zone was left, at most this multiple of the load before
+    spill: Annotated[float, Meta(ge=1.0, le=100.0)] = 3.0
+    # whether the origin may be left like a zone; only where refused clients turn to routers of other zones
+    leave_origin: bool = False
+    paced: bool = True  # whether the fleet sends a zone that has recovered its requests back in steps
+    # fetches per second that the origin can serve for all routers together; 0: unknown
     origin_rate: Annotated[float, Meta(ge=0.0, le=1e6)] = 0.0
-    # zones, by the region's name; how gladly servers of the own region and of all others are asked beside
-    # those of the own zone, which count 1
+    # zones by region, and the preference for servers of the own region and of other regions, relative to that
+    # for servers of the own zone, which is 1
     regions: Annotated[dict[Name, Annotated[tuple[Name, ...], Meta(max_length=64)]], Meta(max_length=64)] = {}
     own_region: Weight = 1.0
     elsewhere: Weight = 1.0
-    # taken as well, and never sealed with: so that a new key can go from router to router
+    # further keys that are accepted but never used to seal, for the change to a new key router by router
     also_key_files: Annotated[tuple[str, ...], Meta(max_length=2)] = ()
-    interval: Annotated[float, Meta(ge=0.1, le=60.0)] = 1.0  # seconds between words when all is calm
+    # seconds between messages while all zones are well
+    interval: Annotated[float, Meta(ge=0.1, le=60.0)] = 1.0
     bytes_a_second: Annotated[float, Meta(ge=256.0, le=1e9)] = 16_384.0
 
     def __post_init__(self) -> None:
-        zones = [zone for each in self.regions.values() for zone in each]
+        zones = [zone for region in self.regions.values() for zone in region]
         if len(set(zones)) < len(zones):
-            raise ValueError("regions: a zone stands twice")
+            raise ValueError("regions: a zone is listed twice")
         if not self.peers:
             if self.name is not None or self.zone is not None or self.listen is not None:
-                raise ValueError("name, zone and listen go with `peers`")
+                raise ValueError("name, zone and listen need `peers`")
             return
         if self.name is None or self.zone is None:
-            raise ValueError("wants `name` and `zone` with `peers`")
+            raise ValueError("`peers` needs `name` and `zone`")
         names = [p.name for p in self.peers]
         if self.name not in names:
             raise ValueError(f"peers: {self.name} is not among them")
         if len(set(names)) < len(names) or len({p.at for p in self.peers}) < len(names):
-            raise ValueError("peers: a name or an address stands twice")
+            raise ValueError("peers: a name or an address is listed twice")
         if any(not 0 < int(p.at.rpartition(":")[2]) < 65536 for p in self.peers):
-            raise ValueError("peers: a port lies between 1 and 65535")
+            raise ValueError("peers: a port must be between 1 and 65535")
 
 
 class Duty(Struct, forbid_unknown_fields=True, frozen=True):
-    """One duty: with `every` in numbered steps, `COMMAND step NUMBER TOKEN`; else it is held, and `COMMAND
-    take TOKEN` and `leave TOKEN` tell so."""
+    """One duty. With `every`, its holder runs `COMMAND step NUMBER TOKEN` for each numbered step; without it,
+    `COMMAND take TOKEN` when it acquires the duty and `COMMAND leave TOKEN` when it has lost it."""
 
     name: Name
-    # without one nobody would say that what is done for it has ended, and it could not be handed on
+    # required, as a duty can be handed over only once its command has confirmed that the work has ended
     command: Annotated[tuple[str, ...], Meta(min_length=1, max_length=64)]
-    preferred: Annotated[tuple[Name, ...], Meta(max_length=255)] = ()  # who may hold it; none: all, spread
-    good_for: Seconds = 2.0  # for which an order is obeyed
-    every: Seconds | None = None
-    timeout: Seconds = 10.0  # of the command
+    # the candidates, the most preferred first; empty: all, in an order that depends on the duty's name
+    preferred: Annotated[tuple[Name, ...], Meta(max_length=255)] = ()
+    good_for: Seconds = 2.0  # seconds for which an order is obeyed
+    every: Seconds | None = None  # seconds between steps
+    timeout: Seconds = 10.0  # seconds for which the command may run
 
 
 class Duties(Struct, forbid_unknown_fields=True, frozen=True):
-    """This router's part in duties that one router holds at a time."""
+    """This router's part in the duties, each of which one router holds at a time."""
 
     key_file: str
     name: Name
-    peers: Annotated[tuple[Peer, ...], Meta(min_length=1, max_length=255)]  # itself too
+    peers: Annotated[tuple[Peer, ...], Meta(min_length=1, max_length=255)]  # includes this router
     voters: Annotated[tuple[Name, ...], Meta(min_length=1, max_length=7)]
     duty: Annotated[tuple[Duty, ...], Meta(max_length=15)] = ()
-    listen: Endpoint | None = None  # where not at its own address among the peers
+    listen: Endpoint | None = None  # None: its own address among the peers
     also_key_files: Annotated[tuple[str, ...], Meta(max_length=2)] = ()
-    memory_file: str | None = None  # none: a process that starts anew remembers nothing
+    memory_file: str | None = None  # None: promises are lost at a restart
     heartbeat: Seconds = 0.5
     lease: Seconds = 2.0
     drift: Annotated[float, Meta(ge=0.0, le=0.1)] = 0.02
@@ -175,45 +183,49 @@
         if len({p.at for p in self.peers}) < len(self.peers):
             raise ValueError("peers: two of them share an address")
         if any(not 0 < int(p.at.rpartition(":")[2]) < 65536 for p in self.peers):
-            raise ValueError("peers: a port lies between 1 and 65535")
-
-    def settings(self, first: tuple[said.Duty, ...]) -> said.Settings:
-        """The settings of its duties, with others that come first. Raises DutiesError."""
-        each = first + tuple(
-            said.Duty(d.name, d.preferred, d.good_for, (0, 0, 0) if d.every else (), d.every is not None)
+            raise ValueError("peers: a port must be between 1 and 65535")
+
+    def settings(self, first: tuple[duty_messages.Duty, ...]) -> duty_messages.Settings:
+        """Returns the settings of the duties `first` and those of this table. Raises DutiesError."""
+        duties = first + tuple(
+            duty_messages.Duty(
+                d.name, d.preferred, d.good_for, (0, 0, 0) if d.every else (), d.every is not None
+            )
             for d in self.duty
         )
         members = tuple(p.name for p in self.peers)
-        return said.Settings(
-            *(self.name, members, self.voters, each, self.heartbeat, self.lease, self.drift),
+        return duty_messages.Settings(
+            *(self.name, members, self.voters, duties, self.heartbeat, self.lease, self.drift),
             *(self.settle, self.unwell, self.unheard, self.brake),
         )
 
 
 class SpreadSite(Struct, forbid_unknown_fields=True, frozen=True):
-    """A site's members of the spread, and where each hears the others."""
+    """The members of the spread at one site."""
 
     name: Name
     region: Name
-    routers: Annotated[tuple[Peer, ...], Meta(min_length=1, max_length=1000)]  # may pass entries on
-    parts: Annotated[tuple[Peer, ...], Meta(max_length=1000)] = ()  # cache servers' parts, which don't
+    routers: Annotated[tuple[Peer, ...], Meta(min_length=1, max_length=1000)]  # may forward entries
+    # the members on cache servers, which forward nothing
+    parts: Annotated[tuple[Peer, ...], Meta(max_length=1000)] = ()
 
 
 class Spread(Struct, forbid_unknown_fields=True, frozen=True):
-    """This process's part in what carries changes and purges to every member of a fleet."""
+    """This process's part in the distribution of changes and purges to all members of a fleet."""
 
     key_file: str
     name: Name
     control: Annotated[tuple[Peer, ...], Meta(min_length=1, max_length=spread.MAX_CONTROL_NODES)]
-    # of the own region; at a control machine all
+    # sites of the own region; of all regions at a control node
     site: Annotated[tuple[SpreadSite, ...], Meta(max_length=5000)] = ()
-    listen: Endpoint | None = None  # where not at its own address above
+    listen: Endpoint | None = None  # None: its own address above
     also_key_files: Annotated[tuple[str, ...], Meta(max_length=2)] = ()
-    duty: Name | None = None  # whose holder writes the log; with `folder`, at control machines alone
-    folder: str | None = None  # of the log
-    applied_file: str | None = None  # what is applied here, a line an entry, for other programs to follow
-    applied_bytes: Annotated[int, Meta(ge=4096, le=2**40)] = 64 * 2**20  # after which it is begun anew
-    # as `spread.Settings` has and bounds them; none: as given there
+    duty: Name | None = None  # its holder writes the log; required at control nodes, like `folder`
+    folder: str | None = None  # the folder of the log
+    applied_file: str | None = None  # receives a line for each applied entry, for other programs
+    # size of that file at which a new one is started
+    applied_bytes: Annotated[int, Meta(ge=4096, le=2**40)] = 64 * 2**20
+    # see `spread.Settings`, which has their defaults and bounds
     budget: float | None = None
     control_budget: float | None = None
     rate: float | None = None
@@ -225,26 +237,28 @@
     control_tail: int | None = None
 
     def __post_init__(self) -> None:
-        controls = any(p.name == self.name for p in self.control)
+        is_control_node = any(p.name == self.name for p in self.control)
         for field in ("duty", "folder"):
-            if (getattr(self, field) is not None) is not controls:
-                raise ValueError(f"{field}: {'wanted at a' if controls else 'only for a'} control machine")
-        places = [p.at for p in self.members()]
-        if len(set(places)) < len(places):
+            if (getattr(self, field) is not None) is not is_control_node:
+                raise ValueError(
+                    f"{field}: {'required at a' if is_control_node else 'only for a'} control node"
+                )
+        addresses = [p.at for p in self.members()]
+        if len(set(addresses)) < len(addresses):
             raise ValueError("control, site: two members share an address")
-        if any(not 0 < int(at.rpartition(":")[2]) < 65536 for at in places):
-            raise ValueError("control, site: a port lies between 1 and 65535")
+        if any(not 0 < int(at.rpartition(":")[2]) < 65536 for at in addresses):
+            raise ValueError("control, site: a port must be between 1 and 65535")
         self.settings()
 
     def members(self) -> Iterator[Peer]:
-        """All of them."""
+        """Yields all members."""
         yield from self.control
         for site in self.site:
             yield from site.routers
             yield from site.parts
 
     def settings(self) -> spread.Settings:
-        """The settings of its node, and of its head. Raises SpreadError."""
+        """Returns the settings of the spread. Raises SpreadError."""
         return spread.Settings(
             self.name,
             tuple(p.name for p in self.control),
@@ -254,12 +268,12 @@
                 )
                 for s in self.site
             ),
-            **{name: told for name in FIGURES if (told := getattr(self, name)) is not None},
+            **{name: value for name in SPREAD_FIELDS if (value := getattr(self, name)) is not None},
         )
 
 
 class OperatorsFile(Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole of it."""
+    """All tables of the operators' file."""
 
     address: Address | None = None
     fleet: Fleet | None = None
@@ -268,44 +282,52 @@
 
     def __post_init__(self) -> None:
         if self.address is not None and not self.address.peers and self.duties is None:
-            raise ValueError("address: wants `peers`, or `[duties]` to be one of")
+            raise ValueError("address: needs `peers`, or the table `duties`")
         if self.spread is not None and self.spread.duty is not None:
             self._check_spread(self.spread, self.spread.duty)
         if self.duties is not None:
             self.duty_settings()
 
     def _check_spread(self, table: Spread, duty: str) -> None:
-        """Guards the log: its writer is told to the others by name, and each that votes must know of it."""
+        """Checks the duty to write the log.
+
+        Other members know the writer by its name in the spread, so both names must be equal. Only control
+        nodes may vote, as others don't know this duty. Raises ValueError.
+        """
         if self.duties is None:
-            raise ValueError("spread.duty: wants `[duties]` to be one of")
-        if duty == said.ADDRESS or duty in {d.name for d in self.duties.duty}:
-            raise ValueError(f"spread.duty: {duty} is another duty's name")
+            raise ValueError("spread.duty: needs the table `duties`")
+        if duty == duty_messages.ADDRESS or duty in {d.name for d in self.duties.duty}:
+            raise ValueError(f"spread.duty: {duty} is the name of another duty")
         if self.duties.name != table.name:
-            raise ValueError(f"spread.name: {self.duties.name} in `[duties]`, {table.name} here")
+            raise ValueError(f"spread.name: {self.duties.name} in `[duties]`, {table.name} in `[spread]`")
         control = {p.name for p in table.control}
         if not control <= {p.name for p in self.duties.peers}:
-            raise ValueError("spread.control: not all are among `duties.peers`")
+            raise ValueError("spread.control: not all are in `duties.peers`")
         if not set(self.duties.voters) <= control:
-            raise ValueError("spread.control: not all of `duties.voters` are among them")
+            raise ValueError("spread.control: not all of `duties.voters` are listed")
 
-    def duty_settings(self) -> said.Settings:
-        """The settings of all duties. The address comes first where it has no election of its own, then the
-        writing of the spread's log. Raises DutiesError."""
-        first: tuple[said.Duty, ...] = ()
+    def duty_settings(self) -> duty_messages.Settings:
+        """Returns the settings of all duties: the address comes first, unless it has an election of its own,
+        then the writer of the spread's log, then those of the table. Raises DutiesError."""
+        first: tuple[duty_messages.Duty, ...] = ()
         if self.address is not None and not self.address.peers:
-            first = (said.Duty(said.ADDRESS, self.address.preferred, orders=False, good_for=3600.0),)
+            first = (
+                duty_messages.Duty(
+                    duty_messages.ADDRESS, self.address.preferred, orders=False, good_for=3600.0
+                ),
+            )
         if self.spread is not None and self.spread.duty is not None:
             control = tuple(p.name for p in self.spread.control)
-            first += (said.Duty(self.spread.duty, control, orders=False, good_for=3600.0),)
+            first += (duty_messages.Duty(self.spread.duty, control, orders=False, good_for=3600.0),)
         assert self.duties is not None
         return self.duties.settings(first)
 
 
 def read_operators(path: Path) -> OperatorsFile:
-    """Read an operators' file.
+    """Returns a checked operators' file.
 
     Raises:
-        ConfigError: it can't be used; the message names the file and the place.
+        ConfigError: the file can't be used; the message names the file and the field.
     """
     try:
         return msgspec.toml.decode(path.read_bytes(), type=OperatorsFile)
--- a/myrtlecourse/ops/server.py
+++ b/myrtlecourse/ops/server.py
@@ -27,8 +27,8 @@
 class OpsServer:
     """Listens for operators."""
 
-    def __init__(self, carry_out: Callable[[Call], Awaitable[Response]]) -> None:
-        self.carry_out = carry_out
+    def __init__(self, handle_call: Callable[[Call], Awaitable[Response]]) -> None:
+        self.handle_call = handle_call
         self.callers: dict[Caller, None] = {}  # in the order in which they came
         self.tasks: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
@@ -77,15 +77,15 @@
         call = self.exchange.receive(data)
         if isinstance(call, Call):
             self.asked = True
-            task = asyncio.get_running_loop().create_task(self._carry_out(call))
+            task = asyncio.get_running_loop().create_task(self._handle_call(call))
             self.server.tasks.add(task)
             task.add_done_callback(self.server.tasks.discard)
         elif call is not None:
             self._settle(call)
 
-    async def _carry_out(self, call: Call) -> None:
+    async def _handle_call(self, call: Call) -> None:
         try:
-            answer = await self.server.carry_out(call)
+            answer = await self.server.handle_call(call)
         except Exception:
             # guards the operator: whatever went wrong is a no, and not a second of silence
             log.exception("call %s %s", call.kind.value, call.server)
--- a/myrtlecourse/reload_signal.py
+++ b/myrtlecourse/reload_signal.py
@@ -1,7 +1,7 @@
-"""SIGHUP from the first moment of a process: one that comes before the event loop runs is remembered.
+"""Records a SIGHUP that arrives before the event loop runs, so that the reload is not lost.
 
-Its default action ends the process, so that a new configuration in the midst of a start would be a crash.
-Before this module listens, the signal is ignored (`run` in the deploy file), and the configuration not read.
+The signal's default action would end the process during its start. Before this module installs its handler
+the signal is ignored (`run` in the deploy file), which loses nothing, as the configuration has not been read.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 
 
 class ReloadSignal:
-    """Whether a configuration was told of before anybody could read it again."""
+    """Whether a reload was requested before the event loop could handle the signal."""
 
     def __init__(self) -> None:
         self.pending = False
 
     def listen(self) -> None:
-        """Remember the signal from now on, until an event loop takes it over."""
-        signal.signal(signal.SIGHUP, self._note)
+        """Records the signal from now on, until an event loop installs its own handler."""
+        signal.signal(signal.SIGHUP, self._record)
 
-    def _note(self, *_: object) -> None:
+    def _record(self, *_: object) -> None:
         self.pending = True
 
 
-early = ReloadSignal()  # of this process
+early_reload = ReloadSignal()  # the instance of this process
--- a/myrtlecourse/service.py
+++ b/myrtlecourse/service.py
@@ -1,4 +1,8 @@
-"""One router's life: its parts put together, operators' calls, reloads, and its end."""
+"""The router's process: builds its parts, handles operators' calls, reloads and upgrades, and shuts down.
+
+During an upgrade two processes of one router run side by side. They obey the same orders of operators and
+share one router's limits of descriptors and memory.
+"""
 
 from __future__ import annotations
 
@@ -30,23 +34,24 @@
 from myrtlecourse.ops.server import OpsServer
 from myrtlecourse.ops.store import OrderStore
 from myrtlecourse.overload.core import CoreAdmission
-from myrtlecourse.reload_signal import early
+from myrtlecourse.reload_signal import early_reload
 from myrtlecourse.subsystems import DISABLED_MESSAGES, Subsystems
 
-KILLED = 0.7  # seconds after SIGTERM and the longest deadline, from which on SIGKILL may come
-LONGEST_END = 3.0  # seconds, of that deadline
-END_MARGIN = 0.1  # seconds before that, by which all has ended
-RESERVE = 32  # descriptors for the loop, the log, the listener, discovery and operators
-SECOND_RESERVE = 16  # the same of another process while two live, which has no more than it needs
-FORMER = 2.0  # seconds for which a dropped class is still taken: commands under way when it was dropped
-LOOK = 0.1  # seconds between looks for what another process of an upgrade was told
-FIRST_LIST = 1.0  # seconds to wait for a fresh list at an upgrade, before the one held has to do
+KILL_GRACE = 0.7  # SIGKILL may follow SIGTERM after the longest deadline and these seconds
+MAX_SHUTDOWN_DEADLINE = 3.0  # seconds; largest part of the longest deadline that counts for this
+SHUTDOWN_MARGIN = 0.1  # seconds by which the shutdown ends before the SIGKILL
+RESERVED_DESCRIPTORS = 32  # for the event loop, the log, the listener, discovery and operators
+RESERVED_FOR_OTHER_PROCESS = 16  # the same for a second process during an upgrade, which needs fewer
+# seconds for which a removed class is still accepted: commands may have been on their way when it was removed
+REMOVED_CLASS_TIME = 2.0
+POLL_INTERVAL = 0.1  # seconds between polls of the orders and claims of other processes of this router
+FIRST_LIST_TIMEOUT = 1.0  # seconds to wait for a fresh list at an upgrade, before the saved one is used
 END_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 bounded = BoundedLog(logging.getLogger(__name__))
 
 
 def ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
-    """Ignore further signals while the process exits.
+    """Ignores further signals while the process exits.
 
     Guards the exit code: an event loop that closes restores the default actions, which end the process.
     """
@@ -59,83 +64,85 @@
 
 
 class Service:
-    """One router."""
+    """The process of one router."""
 
     def __init__(self, config: Config, path: str, inherited: int | None, folder: Path | None) -> None:
-        """Takes what the platform told; `inherited` is a listening socket's descriptor.
+        """`path` is that of the configuration, and `inherited` the descriptor of a listening socket.
 
-        What operators order is kept in `folder` for the process that follows an upgrade.
+        Operators' orders are stored in `folder`, for other processes of this router during an upgrade.
         """
         self.config = config
-        self.path = path
+        self.config_path = path
         self.inherited = inherited
         settings = config.settings
-        room = config.sockets - RESERVE
+        available = config.sockets - RESERVED_DESCRIPTORS
         dial, idle = settings.dial_timeout, settings.connection_idle
-        self.descriptors = descriptors = Descriptors(room)
+        self.descriptors = descriptors = Descriptors(available)
         longest = config.longest_answer
         self.windows, self.room = Windows(), Room()
         windows = self.windows
-        self.servers = Pool(CacheConnection, room * 3 // 8, dial, idle, longest, descriptors, windows)
-        self.origin = Pool(OriginConnection, room // 8, dial, idle, longest, descriptors, windows)
-        self.door = CoreAdmission(settings)
-        self.host = Host(settings, config.seed, self.servers, self.origin, self._subscribe, self.door)
-        index = config.known_index if inherited is None else None  # at an upgrade the whole list, at once
+        self.servers = Pool(CacheConnection, available * 3 // 8, dial, idle, longest, descriptors, windows)
+        self.origin = Pool(OriginConnection, available // 8, dial, idle, longest, descriptors, windows)
+        self.admission = CoreAdmission(settings)
+        self.host = Host(settings, config.seed, self.servers, self.origin, self._subscribe, self.admission)
+        # at an upgrade the first request is for the full list, which is answered at once
+        index = config.known_index if inherited is None else None
         patience = Patience.of(settings)
-        self.discovery = Discovery(config.discovery, index, self._list_told, self.host.list_failed, patience)
-        self.listener = Listener(self.host, room // 2, descriptors, windows, self.room)
-        self.listed = ListedServers()
+        self.discovery = Discovery(config.discovery, index, self._on_list, self.host.list_failed, patience)
+        self.listener = Listener(self.host, available // 2, descriptors, windows, self.room)
+        self.listed_servers = ListedServers()
         self.store = OrderStore(folder)
         self.claims = None
         if folder is not None and inherited is not None:
             try:
                 self.claims = DescriptorClaims(folder)
             except OSError as e:
-                # guards the start: without the folder only what two processes share is lost
+                # guards the start: without the folder, only the sharing with another process is lost
                 logging.error("nothing is shared with another process: %s", e)
-        self.ending = False
-        self.others: list[Claim] = []  # other processes of this router that live, as last seen
+        self.shutting_down = False
+        self.other_claims: list[Claim] = []  # of other running processes of this router, as last read
         self._share_limits()
-        self.orders = Orders()  # as the decisions have them
-        self.ops = OpsServer(self.carry_out)
-        self.reload_wanted = asyncio.Event()
-        self.fresh = asyncio.Event()  # a list has come from discovery
-        operators = os.environ.get("MYRTLECOURSE_FILE", "")
-        self.operators = Path(operators) if operators else None  # their file
-        self.subsystems: Subsystems | None = None  # what that file has on
+        self.orders = Orders()  # the orders that are in force at the host
+        self.ops = OpsServer(self.handle_call)
+        self.reload_requested = asyncio.Event()
+        self.list_received = asyncio.Event()  # set once discovery has sent a list
+        operators_file = os.environ.get("MYRTLECOURSE_FILE", "")
+        self.operators_path = Path(operators_file) if operators_file else None
+        self.subsystems: Subsystems | None = None  # those that the operators' file enables
 
     def _subscribe(self) -> None:
         self.discovery.subscribe()
 
-    def _list_told(self, kind: api.ListKind, members: list[Member]) -> None:
+    def _on_list(self, kind: api.ListKind, members: list[Member]) -> None:
         origin = self.host.settings.origin_kind if self.host.settings.cache_aside else None
-        self.listed.record((m.entry.server, m.entry.kind != origin) for m in members)
+        self.listed_servers.record((m.entry.server, m.entry.kind != origin) for m in members)
         self.host.list_told(kind, members)
         if kind is not api.ListKind.SAVED:
-            self.fresh.set()
+            self.list_received.set()
 
     async def run(self) -> None:
-        """Serve until SIGTERM, and then what was taken."""
+        """Serves until SIGTERM, then finishes the accepted requests and shuts down. Raises ConfigError."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        if early.pending:
+        if early_reload.pending:
             self.reload()
         terminated = asyncio.Event()
         for each in END_SIGNALS:
             loop.add_signal_handler(each, terminated.set)
         self.store.refresh()
-        self._obey()
-        self._list_told(api.ListKind.SAVED, self.config.known)
+        self._apply_orders()
+        self._on_list(api.ListKind.SAVED, self.config.known)
         if not self.config.settings.subscribe:
-            self.discovery.subscribe()  # the module does not ask for what is pushed; it comes as asked for
+            # the decision module does not ask for a list that is pushed; a pushed one is fetched as well
+            self.discovery.subscribe()
         reloads = asyncio.create_task(self._reload_on_request())
-        watch = asyncio.create_task(self._watch_others()) if self.claims is not None else None
+        poll = asyncio.create_task(self._poll_other_processes()) if self.claims is not None else None
         if self.inherited is not None:
             await self._wait_for_list()
-        if self.operators is not None:
-            self.subsystems = Subsystems(self, self.operators)
+        if self.operators_path is not None:
+            self.subsystems = Subsystems(self, self.operators_path)
             await self.subsystems.start()
-        # what is there by now stays: a look for garbage through a large list would stop the event loop
+        # objects that exist by now stay: a garbage collection of a large list would block the event loop
         gc.freeze()
         try:
             self.listener.start(self.config.listen, self.inherited)
@@ -150,8 +157,8 @@
         await terminated.wait()
         await self._shut_down()
         reloads.cancel()
-        if watch is not None:
-            watch.cancel()
+        if poll is not None:
+            poll.cancel()
         self.ops.close()
         self.discovery.close()
         self.servers.close()
@@ -160,56 +167,66 @@
             try:
                 self.claims.release()
             except OSError as e:
-                logging.error("its claim on descriptors was not taken back: %s", e)
-        logging.info("ended; the longest turn of the event loop took %.1f ms", 1000 * self.host.turns.longest)
+                logging.error("the claim on descriptors could not be released: %s", e)
+        logging.info(
+            "ended; the longest iteration of the event loop took %.1f ms", 1000 * self.host.turns.longest
+        )
         ignore_signals(loop)
 
     async def _shut_down(self) -> None:
-        """End what was taken, and give up what is held for the fleet, both by when SIGKILL may come."""
+        """Finishes the accepted requests and closes the subsystems, both before SIGKILL may come."""
         loop = asyncio.get_running_loop()
         inherited = self.inherited is not None
-        logging.info("ending: no new connections %s", "from now on" if inherited else f"in {NOTICE:g} s")
-        self.ending = True
-        longest = min(LONGEST_END, self.host.settings.longest_deadline) + KILLED - END_MARGIN
-        over = loop.time() + longest
-        # guards what is taken from here on: giving up a duty may take longer than a request has
+        logging.info(
+            "shutting down: no new connections %s", "from now on" if inherited else f"in {NOTICE:g} s"
+        )
+        self.shutting_down = True
+        longest = (
+            min(MAX_SHUTDOWN_DEADLINE, self.host.settings.longest_deadline) + KILL_GRACE - SHUTDOWN_MARGIN
+        )
+        ends_at = loop.time() + longest
+        # guards requests that are accepted from here on: to hand over a duty may take longer than their
+        # deadlines
         self.host.end_by(longest)
         subsystems = self.subsystems
         closing = asyncio.create_task(subsystems.close()) if subsystems is not None else None
         if closing is not None and not inherited:
-            # until the service address is elsewhere clients still come here
+            # clients still connect here until another router has the service address
             await asyncio.wait([closing], timeout=longest - NOTICE)
-        await self.listener.stop(NOTICE, over - loop.time())
+        await self.listener.stop(NOTICE, ends_at - loop.time())
         if closing is not None:
-            await asyncio.wait([closing], timeout=max(0.0, over - loop.time()))
+            await asyncio.wait([closing], timeout=max(0.0, ends_at - loop.time()))
             if not closing.done():
-                logging.warning("what is held for the fleet was not given up in time")
+                logging.warning("duties or the service address were not handed over in time")
                 closing.cancel()
 
     async def _wait_for_list(self) -> None:
-        """Guards the first requests after an upgrade: the list in the configuration may be old."""
+        """Waits for a list from discovery: at an upgrade the list in the configuration may be old."""
         try:
-            async with asyncio.timeout(FIRST_LIST):
-                await self.fresh.wait()
+            async with asyncio.timeout(FIRST_LIST_TIMEOUT):
+                await self.list_received.wait()
         except TimeoutError:
-            logging.warning("no list from discovery in %g s, going on with the one held", FIRST_LIST)
+            logging.warning(
+                "no list from discovery in %g s; starting with the one in the configuration",
+                FIRST_LIST_TIMEOUT,
+            )
 
-    # Orders
+    # Operators' orders
 
-    async def carry_out(self, call: Call) -> Response:
-        """Do what an operator calls for, or say why not."""
+    async def handle_call(self, call: Call) -> Response:
+        """Carries out an operator's call, or returns why it is refused."""
         now = time.time()
         if call.kind is Kind.READY:
             if self.host.ready():
                 return Response(HTTPStatus.OK, "ready")
             if self.host.may_serve():
                 return Response(HTTPStatus.SERVICE_UNAVAILABLE, "the service address is elsewhere")
-            why = "no cache server is known" if self.host.in_service else "out of service"
-            return Response(HTTPStatus.SERVICE_UNAVAILABLE, why)
+            reason = "no cache server is known" if self.host.in_service else "out of service"
+            return Response(HTTPStatus.SERVICE_UNAVAILABLE, reason)
         if call.kind in DISABLED_MESSAGES:
             subsystems = self.subsystems
             return (
-                subsystems.carry_out(call)
+                subsystems.handle_call(call)
                 if subsystems
                 else Response(HTTPStatus.NOT_FOUND, DISABLED_MESSAGES[call.kind])
             )
@@ -217,20 +234,20 @@
             if call.kind is Kind.OUT_OF_SERVICE or call.kind is Kind.IN_SERVICE:
                 await self.store.change(lambda o: o.with_service(call.kind is Kind.OUT_OF_SERVICE))
             else:
-                known = call.server in self.store.orders.bans
-                if not known and (why := self.listed.refusal_reason(call.server)):
-                    return Response(HTTPStatus.NOT_FOUND, why)
+                banned = call.server in self.store.orders.bans
+                if not banned and (reason := self.listed_servers.refusal_reason(call.server)):
+                    return Response(HTTPStatus.NOT_FOUND, reason)
                 if call.kind is Kind.OFFLINE:
                     await self.store.change(lambda o: o.with_ban(call.server, now))
                 else:
                     await self.store.change(lambda o: o.without_ban(call.server, now))
         except OrdersError as e:
             return Response(HTTPStatus.CONFLICT, str(e))
-        self._obey()
+        self._apply_orders()
         return Response(HTTPStatus.OK, call.kind.value)
 
-    def _obey(self) -> None:
-        """Tell the decisions and the listener what the orders have become."""
+    def _apply_orders(self) -> None:
+        """Applies changes of the orders to the host and the listener."""
         before, self.orders = self.orders, self.store.orders
         for event in events_between(before, self.orders):
             if isinstance(event, api.ServerBanned):
@@ -240,83 +257,85 @@
         if before.out_of_service is not self.orders.out_of_service:
             self.host.in_service = not self.orders.out_of_service
             if self.orders.out_of_service:
-                logging.info("out of service: clients go as they fall idle")
+                logging.info("out of service: connections of clients are closed as they become idle")
                 self.listener.empty()
             else:
                 logging.info("in service")
                 if self.host.addressed:
                     self.listener.refill()
 
-    async def _watch_others(self) -> None:
-        """What is told to one process of an upgrade binds both, and they share one router's limits."""
+    async def _poll_other_processes(self) -> None:
+        """Applies orders that were given to another process of an upgrade, and shares the limits with it."""
         while True:
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL)
             if self.store.refresh():
-                self._obey()
+                self._apply_orders()
             self._share_limits()
 
-    def _others(self) -> list[Claim]:
-        """Other processes of this router that live, as far as can be told.
+    def _read_other_claims(self) -> list[Claim]:
+        """Returns the claims of other running processes of this router.
 
-        Guards the router: a folder out of order ends neither its start nor the look at what was ordered.
+        While the folder can't be read, those read last count: a faulty folder ends neither the start nor the
+        polling of orders.
         """
         if self.claims is None:
             return []
         try:
-            self.others = self.claims.others()
+            self.other_claims = self.claims.others()
         except OSError as e:
-            bounded.log(logging.ERROR, "looking for another process: %s", e)
-        return self.others
+            bounded.log(logging.ERROR, "claims of other processes can't be read: %s", e)
+        return self.other_claims
 
     def _share_limits(self) -> None:
-        """Deal the router's limits to this process and another of it that lives."""
-        others = self._others()
-        total = self.config.sockets - RESERVE - SECOND_RESERVE * len(others)
-        if self.ending and others:
-            # guards the process that follows: what is kept for requests that won't come is what it lacks
+        """Divides the router's limits between this process and others of the same router."""
+        others = self._read_other_claims()
+        total = self.config.sockets - RESERVED_DESCRIPTORS - RESERVED_FOR_OTHER_PROCESS * len(others)
+        if self.shutting_down and others:
+            # guards the new process, which lacks the descriptors of connections kept here for requests that
+            # won't come
             for pool in (self.servers, self.origin):
                 pool.close_all_idle()
         descriptors = self.descriptors
         if self.claims is not None:
             descriptors.total = descriptor_share(
-                total, descriptors.used(), self.ending, self.claims.started_ns, others
+                total, descriptors.used(), self.shutting_down, self.claims.started_ns, others
             )
             try:
                 self.claims.claim(descriptors.total)
             except OSError as e:
-                bounded.log(logging.ERROR, "telling another process of its descriptors: %s", e)
+                bounded.log(logging.ERROR, "the claim on descriptors can't be written: %s", e)
         self.windows.budget = self.room.budget = int(self.config.memory * PART / (1 + len(others)))
 
     # Reloads
 
     def reload(self) -> None:
-        """Take a new configuration, once the one in hand is done with."""
-        self.reload_wanted.set()
+        """Requests a reload of the configuration, which starts once a reload in progress has ended."""
+        self.reload_requested.set()
 
     async def _reload_on_request(self) -> None:
         while True:
-            await self.reload_wanted.wait()
-            self.reload_wanted.clear()
+            await self.reload_requested.wait()
+            self.reload_requested.clear()
             try:
                 await self._reload()
             except Exception:
-                # guards later reloads: a fault in this one must not leave the router deaf to them
+                # guards later reloads, which must work after a fault in this one
                 logging.exception("reload")
 
     async def _reload(self) -> None:
-        """Take a new configuration whole, or nothing of it: discovery's address and the settings."""
+        """Applies a new configuration's settings and discovery address, or nothing if it is invalid."""
         try:
-            config = await read_reload(read_file(self.path), self.config)
+            config = await read_reload(read_file(self.config_path), self.config)
         except ConfigError as e:
-            # guards the running router: a file half written or wrong must not cost what it serves
-            logging.error("configuration not taken, the old one stays: %s", e)
+            # guards the running router, which must not stop serving for an incomplete or wrong file
+            logging.error("configuration not taken, the old one stays in force: %s", e)
             return
         before, self.config = (
             self.config,
             replace(self.config, discovery=config.discovery, settings=config.settings),
         )
         if config.settings != before.settings:
-            self._retune(config.settings)
+            self._apply_settings(config.settings)
         if config.discovery != before.discovery:
             logging.info("discovery is now %s", config.discovery)
             self.discovery.move(config.discovery)
@@ -326,34 +345,38 @@
         if self.subsystems is not None:
             self.subsystems.reload()
 
-    def _retune(self, settings: api.Settings) -> None:
-        """Swap the settings. Classes that are dropped are taken for a little longer, as commands of them may
-        lie in sockets; their rules stay what they were."""
-        before = self.host.settings.classes  # with those of a reload just before that are still taken
+    def _apply_settings(self, settings: api.Settings) -> None:
+        """Replaces the settings. Removed classes are accepted for a little longer with their old rules, as
+        commands of them may still be in sockets."""
+        before = self.host.settings.classes  # includes classes removed by a recent reload
         dropped = {name: c for name, c in before.items() if name not in settings.classes}
         added = [name for name in settings.classes if name not in before]
         logging.info("new settings: classes added %s, dropped %s", added or "none", [*dropped] or "none")
         self.host.retune(replace(settings, classes={**dropped, **settings.classes}))
         self.discovery.patience = Patience.of(settings)
         if dropped:
-            asyncio.get_running_loop().call_later(FORMER, self._drop_former, settings)
+            asyncio.get_running_loop().call_later(REMOVED_CLASS_TIME, self._drop_removed_classes, settings)
 
-    def _drop_former(self, settings: api.Settings) -> None:
-        if self.config.settings == settings:  # else a later reload has its own
+    def _drop_removed_classes(self, settings: api.Settings) -> None:
+        if self.config.settings == settings:  # otherwise a later reload has started a timer of its own
             self.host.retune(settings)
 
 
 def inherited_socket() -> int | None:
-    """The descriptor of a listening socket that the platform holds, if there is one."""
+    """Returns the descriptor of a listening socket passed by the platform, if there is one.
+
+    Raises:
+        ConfigError: RELAY_LISTEN_FD is not a number.
+    """
     text = os.environ.get("RELAY_LISTEN_FD", "")
     if not text:
         return None
     if not text.isdigit():
-        raise ConfigError(f"RELAY_LISTEN_FD must be a descriptor's number, not {text!r}")
+        raise ConfigError(f"RELAY_LISTEN_FD must be the number of a descriptor, not {text!r}")
     return int(text)
 
 
 def shared_folder() -> Path | None:
-    """Where processes of an upgrade meet."""
+    """Returns the folder that the processes of one router share, if there is one."""
     text = os.environ.get("TMPDIR", "")
     return Path(text) if text else None
--- a/myrtlecourse/subsystems.py
+++ b/myrtlecourse/subsystems.py
@@ -1,6 +1,8 @@
-"""What the operators' file has on beyond the platform: an address, duties, zones left as a fleet, a spread.
+"""The optional subsystems of a router, which the operators' file enables.
 
-Nothing of it is imported before the file asks for it.
+They are: a service address that moves between routers, duties that one router of the fleet holds at a time,
+leaving and rejoining zones as a fleet, and the distribution of changes and purges. The modules of a subsystem
+are imported only when the file enables it, as their libraries may not be installed.
 """
 
 from __future__ import annotations
@@ -25,100 +27,103 @@
     from myrtlecourse.operators import Address, Duties, Fleet, OperatorsFile, Spread
     from myrtlecourse.peers.speaker import Speaker
     from myrtlecourse.service import Service
-    from myrtlecourse.spread.driver import Driver as SpreadKeeper
+    from myrtlecourse.spread.driver import Driver as SpreadDriver
 
-LEAST_SHARE = 0.1  # of commands let in by a full core, below which a router holds no duty
-# what operators' calls are answered where their part is off
+# a router whose admission control admits a smaller share of the commands holds no duty
+MIN_ADMITTED_SHARE = 0.1
+# responses to operators' calls whose subsystem is not enabled
 DISABLED_MESSAGES = {
-    **dict.fromkeys((Kind.ADDRESS, Kind.MOVE), "this router's address does not move"),
-    **dict.fromkeys((Kind.FLEET, *ZONE_CALLS), "this router talks to no others"),
-    **dict.fromkeys((Kind.DUTIES, Kind.DUTY_MOVE), "this router has no part in duties"),
-    **dict.fromkeys(SPREAD_CALLS, "this router has no part in a spread"),
+    **dict.fromkeys((Kind.ADDRESS, Kind.MOVE), "this router has no service address that moves"),
+    **dict.fromkeys((Kind.FLEET, *ZONE_CALLS), "this router does not communicate with other routers"),
+    **dict.fromkeys((Kind.DUTIES, Kind.DUTY_MOVE), "this router takes part in no duties"),
+    **dict.fromkeys(SPREAD_CALLS, "this router takes part in no spread"),
 }
 
 
 class Subsystems:
-    """Its parts in one router."""
+    """The optional subsystems of one router."""
 
     def __init__(self, service: Service, path: Path) -> None:
-        """`service` has the host, the listener and discovery that they act on."""
+        """`service` has the host, the listener and discovery, which the subsystems use; `path` is that of
+        the operators' file."""
         self.service = service
         self.path = path
-        self.keeper: AddressDriver | None = (
-            None  # of the service address, where it has an election of its own
-        )
-        self.speaker: Speaker | None = None  # to other routers, where they talk
-        self.address_work: AddressWork | None = None  # where the address is one of the duties
-        self.duties: DutyDriver | None = None  # that one router holds at a time
-        self.spread: SpreadKeeper | None = None  # of changes and purges
+        self.address_driver: AddressDriver | None = None  # if the service address has an election of its own
+        self.speaker: Speaker | None = None  # communication with other routers about zones
+        self.address_work: AddressWork | None = None  # if the service address is one of the duties
+        self.duty_driver: DutyDriver | None = None
+        self.spread_driver: SpreadDriver | None = None  # distribution of changes and purges
 
     async def start(self) -> None:
-        """Begin with what the file has on. Raises ConfigError."""
-        told = self._read()
-        if told.fleet is not None:
-            await self._join_fleet(told.fleet)
-        if told.address is not None and told.address.peers:
-            await self._keep_address(told.address)
-        if told.spread is not None:
-            await self._keep_spread(told.spread)  # before the duty of writing its log can come here
-        if told.duties is not None:
-            await self._keep_duties(told, told.duties)
-
-    def carry_out(self, call: Call) -> Response:
-        """Do what an operator calls for, or say why not."""
+        """Starts the subsystems that the operators' file enables. Raises ConfigError."""
+        file = self._read()
+        if file.fleet is not None:
+            await self._join_fleet(file.fleet)
+        if file.address is not None and file.address.peers:
+            await self._start_address(file.address)
+        if file.spread is not None:
+            await self._start_spread(file.spread)  # before this router can acquire the duty to write its log
+        if file.duties is not None:
+            await self._start_duties(file, file.duties)
+
+    def handle_call(self, call: Call) -> Response:
+        """Carries out an operator's call, or returns why it is refused."""
         if call.kind is Kind.ADDRESS or call.kind is Kind.MOVE:
-            return self._of_address(call)
+            return self._handle_address_call(call)
         if call.kind is Kind.FLEET or call.kind in ZONE_CALLS:
-            return self._of_fleet(call)
+            return self._handle_fleet_call(call)
         if call.kind in SPREAD_CALLS:
-            return self._of_spread(call)
-        return self._of_duties(call)
+            return self._handle_spread_call(call)
+        return self._handle_duty_call(call)
 
     async def close(self) -> None:
-        """Give up what is held, in order, and say no more."""
+        """Hands over or releases all that this router holds, and stops communicating."""
         if self.speaker is not None:
             self.speaker.close()
-        if self.keeper is not None:
-            await self.keeper.close()
-        if self.duties is not None:
-            await self.duties.close()
-        if self.spread is not None:
-            await self.spread.close()
+        if self.address_driver is not None:
+            await self.address_driver.close()
+        if self.duty_driver is not None:
+            await self.duty_driver.close()
+        if self.spread_driver is not None:
+            await self.spread_driver.close()
 
     def _read(self) -> OperatorsFile:
-        """The operators' file. Raises ConfigError, also where what it needs is not installed."""
+        """Returns the operators' file. Raises ConfigError, also if a library that it needs is missing."""
         try:
-            from myrtlecourse.operators import read_operators  # noqa: PLC0415  (an extra; the plain router has none)
+            # an optional dependency, which a router without an operators' file does not have
+            from myrtlecourse.operators import read_operators  # noqa: PLC0415
         except ImportError as e:
             raise ConfigError(
                 f"{self.path} needs {e.name}, which is missing: install myrtlecourse[fleet]"
             ) from e
         return read_operators(self.path)
 
-    def _of_address(self, call: Call) -> Response:
-        if self.address_work is not None and self.duties is not None:
+    def _handle_address_call(self, call: Call) -> Response:
+        if self.address_work is not None and self.duty_driver is not None:
             if call.kind is Kind.ADDRESS:
                 return Response(HTTPStatus.OK, orjson.dumps(self.address_work.status()).decode())
-            if why := self.duties.move("address", call.server):
-                return Response(HTTPStatus.CONFLICT, why)
+            if reason := self.duty_driver.move("address", call.server):
+                return Response(HTTPStatus.CONFLICT, reason)
             return Response(HTTPStatus.OK, "moving")
-        if self.keeper is None:
+        if self.address_driver is None:
             return Response(HTTPStatus.NOT_FOUND, DISABLED_MESSAGES[call.kind])
         if call.kind is Kind.ADDRESS:
-            return Response(HTTPStatus.OK, orjson.dumps(self.keeper.status()).decode())
-        if why := self.keeper.move(call.server):
-            return Response(HTTPStatus.CONFLICT, why)
+            return Response(HTTPStatus.OK, orjson.dumps(self.address_driver.status()).decode())
+        if reason := self.address_driver.move(call.server):
+            return Response(HTTPStatus.CONFLICT, reason)
         return Response(HTTPStatus.OK, "moving")
 
     async def _join_fleet(self, table: Fleet) -> None:
-        """Leave zones with the other routers, where they may talk."""
-        from myrtlecourse.zones.setup import speaker  # noqa: PLC0415  (an extra)
+        """Starts to leave and rejoin zones together with the other routers, if they may communicate."""
+        from myrtlecourse.zones.setup import speaker  # noqa: PLC0415  (an optional dependency)
 
         self.speaker = speaker(
             table, self.service.config, self.service.host.clock.now, self.service.host.post
         )
         if self.speaker is None:
-            logging.warning("fleet: the settings allow no talk between routers, and the file names no peers")
+            logging.warning(
+                "fleet: the settings don't allow routers to communicate, and the file names no peers"
+            )
             return
         self.service.host.watch(self.speaker.agent)
         try:
@@ -126,10 +131,10 @@
         except OSError as e:
             raise ConfigError(f"{self.path}: fleet: {e}") from e
 
-    def _of_fleet(self, call: Call) -> Response:
+    def _handle_fleet_call(self, call: Call) -> Response:
         if self.speaker is None:
             return Response(HTTPStatus.NOT_FOUND, DISABLED_MESSAGES[call.kind])
-        from myrtlecourse.zones.verdict import Order  # noqa: PLC0415  (an extra)
+        from myrtlecourse.zones.verdict import Order  # noqa: PLC0415  (an optional dependency)
 
         agent, now = self.speaker.agent, self.service.host.clock.now()
         if call.kind is Kind.FLEET:
@@ -141,108 +146,119 @@
             return Response(HTTPStatus.NOT_FOUND, str(e))
         return Response(HTTPStatus.OK, f"{call.server} is ordered {call.kind.value} for {call.seconds:g} s")
 
-    def _serves(self, table: Address) -> bool:
-        """An emptied or overloaded router gives the address up, and one that knows too little."""
-        fresh = time.monotonic() - self.service.discovery.heard_at < table.list_age
+    def _can_serve(self, table: Address) -> bool:
+        """Returns whether this router may hold the service address: it is neither drained nor overloaded, and
+        its list of servers is recent."""
+        list_is_recent = time.monotonic() - self.service.discovery.heard_at < table.list_age
         return (
-            fresh and self.service.door.admitted_share >= table.least_share and self.service.host.may_serve()
+            list_is_recent
+            and self.service.admission.admitted_share >= table.least_share
+            and self.service.host.may_serve()
         )
 
-    async def _keep_address(self, table: Address) -> None:
-        """Take part in the election of who holds the service address."""
-        from myrtlecourse.address.setup import make_driver  # noqa: PLC0415  (an extra)
+    async def _start_address(self, table: Address) -> None:
+        """Joins the election of the router that holds the service address."""
+        from myrtlecourse.address.setup import make_driver  # noqa: PLC0415  (an optional dependency)
 
-        self.keeper = make_driver(
-            table, lambda: self._serves(table), self._held, self.service.listener.emptied
+        self.address_driver = make_driver(
+            table, lambda: self._can_serve(table), self._on_address_change, self.service.listener.emptied
         )
-        self.service.listener.holds = self.keeper.holds
-        self._held(False)
+        self.service.listener.holds = self.address_driver.holds
+        self._on_address_change(False)
         own = next(p.at for p in table.peers if p.name == table.name)
         try:
-            logging.info("voters are heard on %s:%d", *await self.keeper.start(address_of(own)))
+            logging.info(
+                "election of the service address: UDP socket on %s:%d",
+                *await self.address_driver.start(address_of(own)),
+            )
         except OSError as e:
             raise ConfigError(f"{self.path}: address.peers: {own}: {e}") from e
 
-    def _address_as_duty(self, table: Address, keeper: DutyDriver) -> None:
-        """Hold the service address as the first of the duties."""
-        from myrtlecourse.address.duty import AddressWork  # noqa: PLC0415  (an extra)
+    def _add_address_duty(self, table: Address, driver: DutyDriver) -> None:
+        """Makes the service address the first of the duties."""
+        from myrtlecourse.address.duty import AddressWork  # noqa: PLC0415  (an optional dependency)
         from myrtlecourse.address.setup import make_link  # noqa: PLC0415
         from myrtlecourse.duties.messages import ADDRESS  # noqa: PLC0415
 
-        made = make_link(table, keeper.settings.name)
-        self.address_work = AddressWork(keeper, made, self._held, self.service.listener.emptied)
-        keeper.works[ADDRESS] = self.address_work
-        keeper.abilities[ADDRESS] = lambda: self._serves(table)
+        link = make_link(table, driver.settings.name)
+        self.address_work = AddressWork(driver, link, self._on_address_change, self.service.listener.emptied)
+        driver.works[ADDRESS] = self.address_work
+        driver.abilities[ADDRESS] = lambda: self._can_serve(table)
         self.service.listener.holds = self.address_work.holds
-        self._held(False)
+        self._on_address_change(False)
 
-    async def _keep_duties(self, told: OperatorsFile, table: Duties) -> None:
-        """Take part in the duties of the fleet."""
-        from myrtlecourse.duties.setup import make_driver, peers  # noqa: PLC0415  (an extra)
+    async def _start_duties(self, file: OperatorsFile, table: Duties) -> None:
+        """Takes part in the duties of the fleet."""
+        from myrtlecourse.duties.setup import make_driver, peers  # noqa: PLC0415  (an optional dependency)
 
         def able() -> bool:
-            """An emptied router holds nothing, and one whose core is full."""
-            return self.service.host.in_service and self.service.door.admitted_share >= LEAST_SHARE
-
-        self.duties = make_driver(table, told.duty_settings(), able)
-        if told.address is not None and not told.address.peers:
-            self._address_as_duty(told.address, self.duties)
-        if self.spread is not None and told.spread is not None and told.spread.duty is not None:
-            from myrtlecourse.spread.log_duty import LogDuty  # noqa: PLC0415  (an extra)
-
-            work = LogDuty(told.spread.duty, self.duties, self.spread)
-            self.duties.works[told.spread.duty] = work
-            self.duties.abilities[told.spread.duty] = work.able
+            """Returns whether this router may hold duties: it is neither drained nor overloaded."""
+            return (
+                self.service.host.in_service and self.service.admission.admitted_share >= MIN_ADMITTED_SHARE
+            )
+
+        self.duty_driver = make_driver(table, file.duty_settings(), able)
+        if file.address is not None and not file.address.peers:
+            self._add_address_duty(file.address, self.duty_driver)
+        if self.spread_driver is not None and file.spread is not None and file.spread.duty is not None:
+            from myrtlecourse.spread.log_duty import LogDuty  # noqa: PLC0415  (an optional dependency)
+
+            work = LogDuty(file.spread.duty, self.duty_driver, self.spread_driver)
+            self.duty_driver.works[file.spread.duty] = work
+            self.duty_driver.abilities[file.spread.duty] = work.able
         own = address_of(table.listen) if table.listen is not None else peers(table)[table.name]
         try:
-            await self.duties.start(own, shared=self.service.inherited is not None)
+            await self.duty_driver.start(own, shared=self.service.inherited is not None)
         except OSError as e:
             raise ConfigError(f"{self.path}: duties: {e}") from e
 
-    def _of_duties(self, call: Call) -> Response:
-        if self.duties is None:
+    def _handle_duty_call(self, call: Call) -> Response:
+        if self.duty_driver is None:
             return Response(HTTPStatus.NOT_FOUND, DISABLED_MESSAGES[call.kind])
         if call.kind is Kind.DUTIES:
-            return Response(HTTPStatus.OK, orjson.dumps(self.duties.status()).decode())
-        if why := self.duties.move(call.duty, call.server):
-            return Response(HTTPStatus.CONFLICT, why)
+            return Response(HTTPStatus.OK, orjson.dumps(self.duty_driver.status()).decode())
+        if reason := self.duty_driver.move(call.duty, call.server):
+            return Response(HTTPStatus.CONFLICT, reason)
         return Response(HTTPStatus.OK, "moving")
 
-    async def _keep_spread(self, table: Spread) -> None:
-        """Take part in the spread of changes and purges."""
-        from myrtlecourse.spread.replica_events import LogError  # noqa: PLC0415  (an extra)
+    async def _start_spread(self, table: Spread) -> None:
+        """Takes part in the distribution of changes and purges."""
+        from myrtlecourse.spread.replica_events import LogError  # noqa: PLC0415  (an optional dependency)
         from myrtlecourse.spread.setup import listen_address, make_driver  # noqa: PLC0415
 
-        self.spread = make_driver(table)
+        self.spread_driver = make_driver(table)
         try:
-            await self.spread.start(listen_address(table), shared=self.service.inherited is not None)
+            await self.spread_driver.start(listen_address(table), shared=self.service.inherited is not None)
         except (OSError, LogError) as e:
             raise ConfigError(f"{self.path}: spread: {e}") from e
-        self.service.ops.carry_out = self._carry_out_entry
+        self.service.ops.handle_call = self._handle_entry_call
 
-    def _of_spread(self, call: Call) -> Response:
-        if self.spread is None:
+    def _handle_spread_call(self, call: Call) -> Response:
+        if self.spread_driver is None:
             return Response(HTTPStatus.NOT_FOUND, DISABLED_MESSAGES[call.kind])
-        return Response(HTTPStatus.OK, orjson.dumps(self.spread.status()).decode())
+        return Response(HTTPStatus.OK, orjson.dumps(self.spread_driver.status()).decode())
 
-    async def _carry_out_entry(self, call: Call) -> Response:
-        """Response a call for a purge or change once it lasts; all others are the service's."""
-        if self.spread is None or call.kind not in (Kind.SPREAD_PURGE, Kind.SPREAD_SEND):
-            return await self.service.carry_out(call)
+    async def _handle_entry_call(self, call: Call) -> Response:
+        """Commits a purge or change and responds once it is durable; passes other calls to the service."""
+        if self.spread_driver is None or call.kind not in (Kind.SPREAD_PURGE, Kind.SPREAD_SEND):
+            return await self.service.handle_call(call)
         from myrtlecourse.spread.log_duty import OutcomeUnknown, commit  # noqa: PLC0415
-        from myrtlecourse.spread.messages import Change, Purge, SpreadError  # noqa: PLC0415  (an extra)
+        from myrtlecourse.spread.messages import Change, Purge, SpreadError  # noqa: PLC0415  (an optional dependency)
 
         purge = call.kind is Kind.SPREAD_PURGE
         try:
-            number = await commit(self.spread, Purge(call.key) if purge else Change(call.key, call.value))
+            number = await commit(
+                self.spread_driver, Purge(call.key) if purge else Change(call.key, call.value)
+            )
         except SpreadError as e:
             return Response(HTTPStatus.SERVICE_UNAVAILABLE, str(e))
         except OutcomeUnknown as e:
             return Response(HTTPStatus.GATEWAY_TIMEOUT, str(e))
         return Response(HTTPStatus.OK, str(number))
 
-    def _held(self, here: bool) -> None:
-        """The service address has come, or is gone: then nothing is accepted, and what was taken ends."""
+    def _on_address_change(self, here: bool) -> None:
+        """Starts to serve clients when this router has acquired the service address; when it has lost it,
+        accepts nothing new and drains at once."""
         self.service.host.addressed = here
         if not here:
             self.service.listener.empty(0.0)
@@ -250,75 +266,83 @@
             self.service.listener.refill()
 
     def reload(self) -> None:
-        """Take what has changed in the operators' file: each table whole, or nothing of it."""
+        """Applies changes of the operators' file: each table completely or not at all."""
         try:
-            told = self._read()
+            file = self._read()
         except ConfigError as e:
-            logging.error("operators' file not taken, the old one stays: %s", e)
+            logging.error("operators' file not taken, the old one stays in force: %s", e)
             return
-        if (keeper := self.keeper) is not None:
-            self._try("address", lambda: self._reload_address(keeper, told.address))
+        if (address_driver := self.address_driver) is not None:
+            self._reload_table("address", lambda: self._reload_address(address_driver, file.address))
         if (speaker := self.speaker) is not None:
-            self._try("fleet", lambda: self._reload_fleet(speaker, told.fleet))
-        if (duties := self.duties) is not None:
-            self._try("duties", lambda: self._reload_duties(duties, told))
-        if (spread := self.spread) is not None:
-            self._try("spread", lambda: self._reload_spread(spread, told.spread))
+            self._reload_table("fleet", lambda: self._reload_fleet(speaker, file.fleet))
+        if (duty_driver := self.duty_driver) is not None:
+            self._reload_table("duties", lambda: self._reload_duties(duty_driver, file))
+        if (spread_driver := self.spread_driver) is not None:
+            self._reload_table("spread", lambda: self._reload_spread(spread_driver, file.spread))
 
     @staticmethod
-    def _try(table: str, reload: Callable[[], None]) -> None:
+    def _reload_table(table: str, reload: Callable[[], None]) -> None:
         try:
             reload()
         except ValueError as e:
-            logging.error("operators' file not taken, the old `%s` stays: %s", table, e)
+            logging.error("operators' file not taken, the old `%s` stays in force: %s", table, e)
 
     @staticmethod
-    def _reload_address(keeper: AddressDriver, table: Address | None) -> None:
-        """Voters that have come or gone, times, keys and the link. Raises ValueError."""
-        from myrtlecourse.address.setup import make_link, read_keys  # noqa: PLC0415  (an extra)
+    def _reload_address(driver: AddressDriver, table: Address | None) -> None:
+        """Applies changed voters, times, keys and the link. Raises ValueError."""
+        from myrtlecourse.address.setup import make_link, read_keys  # noqa: PLC0415  (an optional dependency)
 
         if table is None or not table.peers:
             raise ConfigError("the table `address` was there at the start and is missing")
-        taken = read_keys(table)
+        keys = read_keys(table)
         settings = table.election_settings()
-        if settings != keeper.settings:
-            keeper.change(settings, {p.name: address_of(p.at) for p in table.peers})
+        if settings != driver.settings:
+            driver.change(settings, {p.name: address_of(p.at) for p in table.peers})
             logging.info("voters for the service address: %s", ", ".join(settings.voters))
-        keeper.wire.seal.change(*taken)
-        keeper.link_updater.link = make_link(table, table.name or "")
-        logging.info("the address's keys and link are those of the file")
+        driver.wire.seal.change(*keys)
+        driver.link_updater.link = make_link(table, table.name or "")
+        logging.info("service address: keys and link reloaded")
 
     @staticmethod
-    def _reload_duties(keeper: DutyDriver, told: OperatorsFile) -> None:
-        """Members, voters, times and keys; the duties themselves need a restart. Raises ValueError."""
-        from myrtlecourse.duties.setup import keys, peers  # noqa: PLC0415  (an extra)
+    def _reload_duties(driver: DutyDriver, file: OperatorsFile) -> None:
+        """Applies changed members, voters, times and keys; a change of the duties themselves needs a restart.
+
+        Raises:
+            ValueError: the change can't be applied.
+        """
+        from myrtlecourse.duties.setup import keys, peers  # noqa: PLC0415  (an optional dependency)
 
-        if (table := told.duties) is None:
+        if (table := file.duties) is None:
             raise ConfigError("the table `duties` was there at the start and is missing")
-        keeper.change(told.duty_settings(), peers(table), keys(table))
+        driver.change(file.duty_settings(), peers(table), keys(table))
         logging.info("duties: %d routers, voters %s", len(table.peers), ", ".join(table.voters))
 
     @staticmethod
-    def _reload_spread(keeper: SpreadKeeper, table: Spread | None) -> None:
-        """Keys, and where others are heard; members and figures need a restart. Raises ValueError."""
-        from myrtlecourse.spread.setup import peer_addresses, read_keys  # noqa: PLC0415  (an extra)
+    def _reload_spread(driver: SpreadDriver, table: Spread | None) -> None:
+        """Applies changed keys and addresses of members; a change of members or parameters needs a restart.
+
+        Raises:
+            ValueError: the change can't be applied.
+        """
+        from myrtlecourse.spread.setup import peer_addresses, read_keys  # noqa: PLC0415
 
         if table is None:
             raise ConfigError("the table `spread` was there at the start and is missing")
-        if table.settings() != keeper.settings:
-            raise ConfigError("spread: members and figures can't be others while a process runs")
-        taken = read_keys(table)
-        keeper.wire.seal.change(*taken)
-        keeper.peers = peer_addresses(table)
+        if table.settings() != driver.settings:
+            raise ConfigError("spread: members and parameters can't change while the process runs")
+        keys = read_keys(table)
+        driver.wire.seal.change(*keys)
+        driver.peers = peer_addresses(table)
 
     def _reload_fleet(self, speaker: Speaker, table: Fleet | None) -> None:
-        """Everything but this router's name and zone, and where it is heard. Raises ValueError."""
-        from myrtlecourse.zones.setup import part  # noqa: PLC0415  (an extra)
+        """Applies all changes but those of this router's name, zone and address. Raises ValueError."""
+        from myrtlecourse.zones.setup import part  # noqa: PLC0415  (an optional dependency)
 
-        told = part(table, self.service.config) if table is not None else None
-        if told is None:
+        configured = part(table, self.service.config) if table is not None else None
+        if configured is None:
             raise ConfigError("the table `fleet` was there at the start and is missing")
-        taken, peers, _ = told
-        if taken != speaker.agent.part or peers != speaker.peers:
-            speaker.change(taken, peers)
+        new_part, peers, _ = configured
+        if new_part != speaker.agent.part or peers != speaker.peers:
+            speaker.change(new_part, peers)
             logging.info("new settings of the fleet: %d routers", len(peers))
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -233,8 +233,8 @@
     [
         ('name = "a"\npeers', 'name = "x"\npeers', "x is not among them"),
         ("switch =", "swich =", "swich"),
-        ("switch =", 'command = ["x"]\nswitch =', "one of them"),
-        ('switch = "127.0.0.1:7000"', "", "one of them"),
+        ("switch =", 'command = ["x"]\nswitch =', "needs either"),
+        ('switch = "127.0.0.1:7000"', "", "needs either"),
         (',\n    {name = "c", at = "127.0.0.1:7003"}', "", "even_voters"),
         ("127.0.0.1:7003", "127.0.0.1:7002", "share an address"),
         ("127.0.0.1:7003", "127.0.0.1:70030", "port"),
@@ -582,7 +582,7 @@
                     there.write(name, THREE, more, key, at)
                     there.routers[name].process.send_signal(signal.SIGHUP)
                     told = there.routers[name]
-                    while "".join(told.lines).count("the address's keys and link") <= number:
+                    while "".join(told.lines).count("service address: keys and link reloaded") <= number:
                         await asyncio.sleep(0.001)
                 await asyncio.sleep(0.3)
                 assert (await status(there.routers[first]))["holds"]
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -8,7 +8,7 @@
 import pytest
 from click.testing import CliRunner
 
-from myrtlecourse.cli import MISSING, MODULES, main
+from myrtlecourse.cli import MISSING_LIBRARY, MODULES, main
 
 # what staff ask of a router, and what tools import that need a second of a core
 ASK = "import sys; sys.argv[1:] = ['address', 'status', '--at=127.0.0.1:1']; "
@@ -42,4 +42,4 @@
     monkeypatch.delitem(sys.modules, "myrtlecourse.address.commands", raising=False)
     told = CliRunner().invoke(main, ["address", "--help"])
     assert isinstance(told.exception, SystemExit)
-    assert told.exception.code == MISSING.format("rich.console")
+    assert told.exception.code == MISSING_LIBRARY.format("rich.console")
--- a/tests/test_spread_processes.py
+++ b/tests/test_spread_processes.py
@@ -150,6 +150,6 @@
         file = tmp_path / f"{EAST[0]}.toml"
         file.write_text(file.read_text().replace("lease = 2.0", "lease = 2.1"))
         router.process.send_signal(signal.SIGHUP)
-        await router.logged("members and figures can't be others while a process runs")
+        await router.logged("members and parameters can't change while the process runs")
 
     run_with_faults(tmp_path, faults)
