--- a/myrtlecourse/ops/__init__.py
+++ b/myrtlecourse/ops/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' address: their calls, what they ordered, and how the processes of an upgrade share it."""
+"""The operators' address: their calls, the stored orders, and what processes share during an upgrade."""
--- a/myrtlecourse/ops/calls.py
+++ b/myrtlecourse/ops/calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls as bytes in and out: HTTP/1.1 (RFC 9112), one call to a connection; no I/O."""
+"""Parses operators' calls and encodes the responses: HTTP/1.1 (RFC 9112), one call per connection; no I/O."""
 
 from __future__ import annotations
 
@@ -10,25 +10,23 @@
 
 import h11
 
-MAX_HEAD = 8 * 1024
-MAX_BODY = 4 * 1024  # no call needs one
-MAX_NAME = 256  # bytes of a cache server's id
+MAX_HEAD = 8 * 1024  # bytes
+MAX_BODY = 4 * 1024  # bytes; no call needs a body
+MAX_NAME = 256  # bytes of a name, such as a cache server's id
 SERVERS = "/control/cache-servers/"
 ZONES = "/control/zones/"
 DUTIES = "/control/duties/"
 MOVE_TO = "/control/address/move/"
 SPREAD = "/control/spread/"
-KEY_DIGITS = 16  # hex digits of a purge's key and of a change's subject
-MAX_VALUE_DIGITS = 240  # hex digits of a change's value
-DEFAULT_ORDER_TIME = 600.0  # seconds that an order on a zone holds
+KEY_DIGITS = 16  # hexadecimal digits of a purge's key and of a change's subject
+MAX_VALUE_DIGITS = 240  # hexadecimal digits of a change's value
+DEFAULT_ORDER_TIME = 600.0  # seconds for which an order on a zone is in force
 MAX_ORDER_TIME = 65_000.0
-
-
 HEX = re.compile(r"[0-9a-fA-F]*")
 
 
 class Kind(Enum):
-    """What a call asks for."""
+    """The kinds of calls."""
 
     READY = "ready"
     OFFLINE = "offline"
@@ -50,7 +48,7 @@
 
 SPREAD_CALLS = (Kind.SPREAD, Kind.SPREAD_PURGE, Kind.SPREAD_SEND)
 ZONE_CALLS = (Kind.ZONE_OUT, Kind.ZONE_IN, Kind.ZONE_HOLD)
-READ_CALLS = (Kind.READY, Kind.ADDRESS, Kind.FLEET, Kind.DUTIES, Kind.SPREAD)  # these change nothing
+READ_CALLS = (Kind.READY, Kind.ADDRESS, Kind.FLEET, Kind.DUTIES, Kind.SPREAD)  # calls that change nothing
 PATHS = {
     "/control/ready": Kind.READY,
     "/control/out-of-service": Kind.OUT_OF_SERVICE,
@@ -65,64 +63,64 @@
 
 @dataclass(slots=True, frozen=True)
 class Call:
-    """A call that can be carried out."""
+    """A valid call."""
 
     kind: Kind
-    server: str = ""  # of a ban; or the router to which the address is to move; or a zone
-    seconds: float = DEFAULT_ORDER_TIME  # for which an order on a zone holds
-    duty: str = ""  # that is to move
-    key: bytes = b""  # of a purge, or a change's subject
-    value: bytes = b""  # of a change
+    server: str = ""  # a banned server, the router to which an address or duty is to move, or a zone
+    seconds: float = DEFAULT_ORDER_TIME  # for which an order on a zone is in force
+    duty: str = ""  # the duty to move
+    key: bytes = b""  # the key of a purge, or the subject of a change
+    value: bytes = b""  # the value of a change
 
 
 @dataclass(slots=True, frozen=True)
 class Response:
-    """What an operator is told."""
+    """A response to an operator."""
 
     status: HTTPStatus
     text: str
-    allow: str = ""
+    allow: str = ""  # the allowed method, after a wrong one
 
 
 def parse_call(method: bytes, target: bytes) -> Call | Response:
-    """What the first line of a request asks for, or the answer to one that asks for nothing known."""
-    plain, _, query = target.partition(b"?")
-    path = plain.decode("ascii", "replace")
-    kind, server = PATHS.get(path), ""
+    """Returns the call of a request line, or the response to an invalid one."""
+    raw_path, _, query = target.partition(b"?")
+    path = raw_path.decode("ascii", "replace")
+    kind, name = PATHS.get(path), ""
     if kind is None and path.startswith(MOVE_TO):
-        kind, server = Kind.MOVE, path.removeprefix(MOVE_TO)[:MAX_NAME]
+        kind, name = Kind.MOVE, path.removeprefix(MOVE_TO)[:MAX_NAME]
     if path.startswith(DUTIES):
         return parse_duty_move(method, path.removeprefix(DUTIES))
     if path.startswith(SPREAD):
         return parse_spread_entry(method, path.removeprefix(SPREAD))
     seconds = DEFAULT_ORDER_TIME
-    for start, kinds in ((SERVERS, (Kind.OFFLINE, Kind.ONLINE)), (ZONES, ZONE_CALLS)):
-        if kind is not None or not path.startswith(start):
+    for prefix, kinds in ((SERVERS, (Kind.OFFLINE, Kind.ONLINE)), (ZONES, ZONE_CALLS)):
+        if kind is not None or not path.startswith(prefix):
             continue
-        escaped, _, verb = path.removeprefix(start).partition("/")
+        escaped, _, verb = path.removeprefix(prefix).partition("/")
         kind = {k.value: k for k in kinds}.get(verb)
         try:
             raw = unquote_to_bytes(escaped)
-            server = raw.decode()
+            name = raw.decode()
         except UnicodeDecodeError:
             return Response(HTTPStatus.BAD_REQUEST, "the id is not UTF-8")
         if kind is not None and not 0 < len(raw) <= MAX_NAME:
             return Response(HTTPStatus.BAD_REQUEST, f"the id must have 1 to {MAX_NAME} bytes")
     if kind in ZONE_CALLS and query:
-        name, _, value = query.decode("ascii", "replace").partition("=")
-        if name != "seconds" or not value.isdigit() or not 1 <= int(value[:9]) <= MAX_ORDER_TIME:
+        parameter, _, value = query.decode("ascii", "replace").partition("=")
+        if parameter != "seconds" or not value.isdigit() or not 1 <= int(value[:9]) <= MAX_ORDER_TIME:
             return Response(HTTPStatus.BAD_REQUEST, f"seconds must be 1 to {MAX_ORDER_TIME:.0f}")
         seconds = float(value)
     if kind is None:
         return Response(HTTPStatus.NOT_FOUND, "no such call")
     allowed = "GET" if kind in READ_CALLS else "PUT"
     if method != allowed.encode():
-        return Response(HTTPStatus.METHOD_NOT_ALLOWED, f"this call is a {allowed}", allowed)
-    return Call(kind, server, seconds)
+        return Response(HTTPStatus.METHOD_NOT_ALLOWED, f"this call needs the method {allowed}", allowed)
+    return Call(kind, name, seconds)
 
 
 def parse_duty_move(method: bytes, rest: str) -> Call | Response:
-    """A duty's move: `NAME/move` or `NAME/move/TO`."""
+    """Parses the end of the path of a call that moves a duty: `NAME/move` or `NAME/move/TO`."""
     escaped, _, verb = rest.partition("/")
     verb, _, to = verb.partition("/")
     try:
@@ -132,42 +130,47 @@
     if verb != "move" or not 0 < len(duty) <= MAX_NAME or len(to) > MAX_NAME:
         return Response(HTTPStatus.NOT_FOUND, "no such call")
     if method != b"PUT":
-        return Response(HTTPStatus.METHOD_NOT_ALLOWED, "this call is a PUT", "PUT")
+        return Response(HTTPStatus.METHOD_NOT_ALLOWED, "this call needs the method PUT", "PUT")
     return Call(Kind.DUTY_MOVE, to, duty=duty)
 
 
 def parse_spread_entry(method: bytes, rest: str) -> Call | Response:
-    """An entry of the spread: `purge/KEY_DIGITS` or `send/SUBJECT/VALUE`, all in hex digits."""
-    verb, _, told = rest.partition("/")
-    key, _, value = told.partition("/")
+    """Parses the end of the path of a call for a purge or change: `purge/KEY` or `send/SUBJECT/VALUE`, with
+    key, subject and value in hexadecimal digits."""
+    verb, _, arguments = rest.partition("/")
+    key, _, value = arguments.partition("/")
     kind = {k.value: k for k in SPREAD_CALLS[1:]}.get(verb)
-    if kind is None or kind is Kind.SPREAD_PURGE and "/" in told:
+    if kind is None or kind is Kind.SPREAD_PURGE and "/" in arguments:
         return Response(HTTPStatus.NOT_FOUND, "no such call")
     if method != b"PUT":
-        return Response(HTTPStatus.METHOD_NOT_ALLOWED, "this call is a PUT", "PUT")
+        return Response(HTTPStatus.METHOD_NOT_ALLOWED, "this call needs the method PUT", "PUT")
     if not HEX.fullmatch(key) or len(key) != KEY_DIGITS:
-        return Response(HTTPStatus.BAD_REQUEST, f"a key or subject is {KEY_DIGITS} hex digits")
+        return Response(HTTPStatus.BAD_REQUEST, f"a key or subject must be {KEY_DIGITS} hexadecimal digits")
     if not HEX.fullmatch(value) or len(value) % 2 or len(value) > MAX_VALUE_DIGITS:
         return Response(
-            HTTPStatus.BAD_REQUEST, f"a value is {MAX_VALUE_DIGITS} hex digits at most, two a byte"
+            HTTPStatus.BAD_REQUEST,
+            f"a value must be at most {MAX_VALUE_DIGITS} hexadecimal digits, two per byte",
         )
     return Call(kind, key=bytes.fromhex(key), value=bytes.fromhex(value))
 
 
 class Exchange:
-    """One call on its connection."""
+    """One call and its response on a connection."""
 
     def __init__(self) -> None:
         self.connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD)
         self.call: Call | Response | None = None
-        self.size = 0  # bytes that have come
-        self.body = 0
+        self.size = 0  # bytes received
+        self.body_size = 0
 
     def receive(self, data: bytes) -> Call | Response | None:
-        """Take bytes, none at the connection's end; answers with the call once it is whole."""
+        """Receives bytes, or none at the end of the stream.
+
+        Returns the call once it is complete, or the response to an invalid one; None until then.
+        """
         self.size += len(data)
         if self.size > MAX_HEAD + MAX_BODY:
-            return Response(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "a call is a few lines")
+            return Response(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the request is too large")
         try:
             self.connection.receive_data(data)
             while True:
@@ -175,11 +178,11 @@
                 if isinstance(event, h11.Request):
                     self.call = parse_call(bytes(event.method), bytes(event.target))
                     if self.connection.they_are_waiting_for_100_continue:
-                        return self.call  # its body would say nothing; the final answer spares it
+                        return self.call  # the body would be ignored; the response makes it unnecessary
                 elif isinstance(event, h11.Data):
-                    self.body += len(event.data)
-                    if self.body > MAX_BODY:
-                        return Response(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "a call has no body")
+                    self.body_size += len(event.data)
+                    if self.body_size > MAX_BODY:
+                        return Response(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
                 elif isinstance(event, h11.EndOfMessage):
                     return self.call
                 else:
@@ -188,7 +191,7 @@
             return Response(HTTPStatus.BAD_REQUEST, str(e)[:200])
 
     def encode(self, response: Response) -> bytes:
-        """The bytes of the one answer."""
+        """Returns the bytes of the response; none if a response was already sent."""
         body = (response.text + "\n").encode()
         headers = [
             ("Content-Type", "text/plain"),
--- a/myrtlecourse/ops/descriptor_claims.py
+++ b/myrtlecourse/ops/descriptor_claims.py
@@ -1,7 +1,8 @@
-"""Which processes of one router live, and how they share its descriptors while there are two.
+"""Divides a router's descriptors among its processes, of which there are two during an upgrade.
 
-Each holds a lock on a file of its own for as long as it lives, so that its death needs no word; in the file
-stands how many descriptors it may hold. The newest takes what the older ones leave.
+Each process has a file with the number of descriptors that it claims, and holds a lock on it while it runs.
+The kernel releases the lock even if the process is killed, which ends its claim. The newest process gets what
+the older ones leave.
 """
 
 from __future__ import annotations
@@ -14,24 +15,24 @@
 from pathlib import Path
 
 FILE_SUFFIX = ".alive"
-SPARE_DESCRIPTORS = 8  # descriptors that an older process may still open beyond what it holds
-MIN_DESCRIPTORS = 64  # that the newest may hold whatever the others claim
+SPARE_DESCRIPTORS = 8  # descriptors that an older process may still open in addition to those it holds
+MIN_DESCRIPTORS = 64  # descriptors of the newest process, whatever the others claim
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True, frozen=True)
 class Claim:
-    """What another process that lives may hold."""
+    """The claim of another running process."""
 
-    started_ns: int  # nanoseconds on the machine's monotonic clock, which no step of the wall clock moves
+    started_ns: int  # monotonic clock in nanoseconds, so that no step of the wall clock changes the order
     descriptors: int
 
 
 def descriptor_share(total: int, used: int, ending: bool, own_start: int, others: list[Claim]) -> int:
-    """Descriptors that this process may hold, of `total` for all, of which it holds `used`.
+    """Returns how many of `total` descriptors this process may hold, which holds `used` of them now.
 
-    An older process keeps what it has, and half at least while it serves; the newest gets the rest. Claims
-    of older ones fall as they end, so that both together stay within the total.
+    An older process keeps those that it uses, and at least half of all until it ends; the newest process gets
+    the rest. The claim of an older process falls as it ends, so that all together stay within the total.
     """
     if not others:
         return total
@@ -41,10 +42,10 @@
 
 
 class DescriptorClaims:
-    """This process among those of its router."""
+    """The claim of this process, and access to those of the router's other processes."""
 
     def __init__(self, folder: Path) -> None:
-        """Raises OSError when the folder can't be written."""
+        """Creates and locks the file of this process. Raises OSError."""
         self.started_ns = time.monotonic_ns()
         self.folder = folder
         self.path = folder / f"myrtlecourse-{self.started_ns}-{os.getpid()}{FILE_SUFFIX}"
@@ -52,35 +53,38 @@
         fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
 
     def claim(self, descriptors: int) -> None:
-        """Tell the others what this process may hold."""
-        os.pwrite(self.file, b"%8d" % descriptors, 0)  # of one length, so that it is never read half old
+        """Writes the claim of this process. Raises OSError."""
+        os.pwrite(self.file, b"%8d" % descriptors, 0)  # fixed length: readers get no mixture of two numbers
 
     def others(self) -> list[Claim]:
-        """Those that live; files of those that don't are cleared away."""
-        found = []
+        """Returns the claims of other running processes, and deletes the files of those that ended.
+
+        Raises OSError.
+        """
+        claims = []
         for path in self.folder.glob(f"myrtlecourse-*{FILE_SUFFIX}"):
-            if path != self.path and (claim := self._look(path)) is not None:
-                found.append(claim)
-        return found
+            if path != self.path and (claim := self._read(path)) is not None:
+                claims.append(claim)
+        return claims
 
     @staticmethod
-    def _look(path: Path) -> Claim | None:
+    def _read(path: Path) -> Claim | None:
         try:
-            other = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
+            file = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
         except OSError:
-            return None  # it has just ended
+            return None  # the process has just ended
         try:
-            fcntl.flock(other, fcntl.LOCK_SH | fcntl.LOCK_NB)
+            fcntl.flock(file, fcntl.LOCK_SH | fcntl.LOCK_NB)
         except BlockingIOError:
-            born, text = path.name.split("-")[1], os.pread(other, 8, 0).strip()
-            return Claim(int(born) if born.isdigit() else 0, int(text) if text.isdigit() else 0)
+            started, text = path.name.split("-")[1], os.pread(file, 8, 0).strip()
+            return Claim(int(started) if started.isdigit() else 0, int(text) if text.isdigit() else 0)
         else:
             path.unlink(missing_ok=True)
             return None
         finally:
-            os.close(other)
+            os.close(file)
 
     def release(self) -> None:
-        """This process is over."""
+        """Deletes the file as the process ends. Raises OSError."""
         self.path.unlink(missing_ok=True)
         os.close(self.file)
--- a/myrtlecourse/ops/orders.py
+++ b/myrtlecourse/ops/orders.py
@@ -1,7 +1,7 @@
-"""What operators ordered, and what follows from it for the decisions; no I/O, no clock.
+"""The orders of operators, and the events for the decision module that follow from changes; no I/O, no clock.
 
-Orders are values: each call makes new ones, and the processes of an upgrade hold the same. What changes
-between two of them is told to the decision module as events.
+`Orders` are immutable: each call that changes them creates the next revision, and all processes of an upgrade
+adopt the latest.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from myrtlecourse import interface as api
 
 MAX_BANS = 1024
-RETURN_MEMORY = 600.0  # seconds for which it is known when a server was given back: longer than any warms up
-MAX_LISTED = 4096  # ids remembered; beyond that those listed longest ago are forgotten
+RETURN_MEMORY = 600.0  # seconds for which the end of a ban is remembered: longer than any server's warm-up
+MAX_LISTED = 4096  # ids remembered; those listed longest ago are forgotten first
 
 
 class OrdersError(ValueError):
@@ -23,27 +23,28 @@
 
 @dataclass(slots=True, frozen=True)
 class Orders:
-    """All that operators have ordered, as of one revision."""
+    """One revision of the orders of operators."""
 
     revision: int = 0
-    bans: Mapping[str, float] = field(default_factory=dict)  # of cache servers, since when (Unix time, s)
-    returned: Mapping[str, float] = field(default_factory=dict)  # when each was given back
+    bans: Mapping[str, float] = field(default_factory=dict)  # cache server -> start of its ban (Unix time, s)
+    returned: Mapping[str, float] = field(default_factory=dict)  # cache server -> end of its last ban
     out_of_service: bool = False
 
     def with_ban(self, server: str, now: float) -> Orders:
-        """A cache server is out until `online`. May be repeated.
+        """Returns these orders with a ban of a cache server; unchanged if it is banned already.
 
         Raises:
-            OrdersError: too many are out already.
+            OrdersError: too many servers are banned already.
         """
         if server in self.bans:
             return self
         if len(self.bans) >= MAX_BANS:
-            raise OrdersError(f"{MAX_BANS} cache servers are out already")
+            raise OrdersError(f"{MAX_BANS} cache servers are banned already")
         return replace(self, revision=self.revision + 1, bans={**self.bans, server: now})
 
     def without_ban(self, server: str, now: float) -> Orders:
-        """One call ends the ban, however often it was asked for; without a ban it changes nothing."""
+        """Returns these orders without the ban of a cache server, however often it was ordered; unchanged if
+        it is not banned."""
         if server not in self.bans:
             return self
         bans = {name: at for name, at in self.bans.items() if name != server}
@@ -51,7 +52,7 @@
         return replace(self, revision=self.revision + 1, bans=bans, returned={**returned, server: now})
 
     def with_service(self, out: bool) -> Orders:
-        """The router is emptied, or takes clients again."""
+        """Returns these orders with the router out of service, or in service."""
         return (
             self
             if out is self.out_of_service
@@ -60,19 +61,19 @@
 
 
 def events_between(before: Orders, after: Orders) -> Iterator[api.ServerBanned | api.BanLifted]:
-    """What the decision module has to hear when one set of orders follows another."""
+    """Yields the events for the decision module when `after` replaces `before`."""
     for server in sorted(after.bans.keys() - before.bans.keys()):
         yield api.ServerBanned(server)
     for server in sorted(after.returned.keys() - after.bans.keys()):
         if after.returned[server] != before.returned.get(server):
             yield api.BanLifted(server, after.returned[server])
-    # guards against a ban that only one process would go on keeping, when the call back was long forgotten
+    # the ends of these bans are no longer remembered; without an event this process would keep them forever
     for server in sorted(before.bans.keys() - after.bans.keys() - after.returned.keys()):
         yield api.BanLifted(server, 0.0)
 
 
 def to_table(orders: Orders) -> dict[str, Any]:
-    """Orders as JSON has them."""
+    """Returns orders in their JSON form."""
     return {
         "revision": orders.revision,
         "bans": dict(orders.bans),
@@ -81,46 +82,49 @@
     }
 
 
-def times(table: dict[str, Any], name: str) -> dict[str, float]:
-    """A field that holds a time for each cache server."""
+def read_times(table: dict[str, Any], name: str) -> dict[str, float]:
+    """Returns a field that holds a time for each cache server. Raises OrdersError."""
     value = table.get(name)
     if not isinstance(value, dict) or not all(
         isinstance(at, (int, float)) and not isinstance(at, bool) for at in value.values()
     ):
-        raise OrdersError(f"{name} must hold a time for each id")
+        raise OrdersError(f"{name} must contain a time for each id")
     return {str(server): float(at) for server, at in value.items()}
 
 
 def from_table(table: Any) -> Orders:
-    """Read orders.
+    """Returns orders read from their JSON form.
 
     Raises:
-        OrdersError: something is missing or of another kind.
+        OrdersError: a field is missing or malformed.
     """
     if not isinstance(table, dict):
         raise OrdersError("orders are not an object")
     revision, out = table.get("revision"), table.get("out_of_service")
     if not isinstance(revision, int) or isinstance(revision, bool) or not isinstance(out, bool):
         raise OrdersError("revision or out_of_service is missing or malformed")
-    return Orders(revision, times(table, "bans"), times(table, "returned"), out)
+    return Orders(revision, read_times(table, "bans"), read_times(table, "returned"), out)
 
 
 class ListedServers:
-    """The ids that lists have named: one that never was is no cache server of this fleet."""
+    """The ids that discovery has listed, to refuse calls for servers that the fleet does not have."""
 
     def __init__(self) -> None:
-        self.names: dict[str, bool] = {}  # whether it is a cache server, latest named last
+        self.is_cache: dict[str, bool] = {}  # id -> whether it is a cache server; latest listed last
 
-    def record(self, named: Iterable[tuple[str, bool]]) -> None:
-        """A list has named these. Bounded: a fleet that is replaced for weeks names ever new ones."""
-        for name, cache in named:
-            self.names.pop(name, None)
-            self.names[name] = cache
-        while len(self.names) > MAX_LISTED:
-            del self.names[next(iter(self.names))]
+    def record(self, listed: Iterable[tuple[str, bool]]) -> None:
+        """Records listed ids with whether each is a cache server.
+
+        The number is bounded, as a fleet whose servers are replaced lists new ids all the time.
+        """
+        for name, is_cache in listed:
+            self.is_cache.pop(name, None)
+            self.is_cache[name] = is_cache
+        while len(self.is_cache) > MAX_LISTED:
+            del self.is_cache[next(iter(self.is_cache))]
 
     def refusal_reason(self, name: str) -> str:
-        """Why a call for this id can't be carried out; empty when it can."""
-        if name not in self.names:
-            return "no list has named this id"
-        return "" if self.names[name] else "this is the origin, and no cache server"
+        """Returns why a call for this id is refused, or an empty text if it is not."""
+        if name not in self.is_cache:
+            return "this id was never listed by discovery"
+        return "" if self.is_cache[name] else "this is the origin, not a cache server"
--- a/myrtlecourse/ops/server.py
+++ b/myrtlecourse/ops/server.py
@@ -1,7 +1,7 @@
-"""The operators' address: a small HTTP server beside the clients' listener.
+"""The operators' address: a small HTTP server on the event loop that also serves clients.
 
-It runs on the same event loop: its room is its own, so that neither full tables of clients nor callers that
-say nothing keep an operator waiting, and a turn of the loop is far shorter than the second that is owed.
+An operator must get a response within a second: the server has descriptors of its own, so that neither many
+clients nor idle callers delay a call, and the event loop's lag is far shorter than that.
 """
 
 from __future__ import annotations
@@ -17,39 +17,40 @@
 from myrtlecourse.net.transport import Transport
 from myrtlecourse.ops.calls import Call, Exchange, Response
 
-MOST_CALLERS = 12  # connections held; one more costs the one that has said nothing whole for longest
-HEAD_TIME = 2.0  # seconds for a whole call to come
-LINGER = 1.0  # seconds for a caller to take its answer, and to close
+MAX_CALLERS = 12  # open connections; beyond that an answered one is closed, or one without a complete call
+CALL_TIMEOUT = 2.0  # seconds from the start of a connection in which the call must arrive completely
+LINGER_TIMEOUT = 1.0  # seconds for a caller to read the response and close the connection
 log = logging.getLogger(__name__)
 bounded = BoundedLog(log)
 
 
 class OpsServer:
-    """Listens for operators."""
+    """Accepts connections of operators."""
 
     def __init__(self, handle_call: Callable[[Call], Awaitable[Response]]) -> None:
         self.handle_call = handle_call
-        self.callers: dict[Caller, None] = {}  # in the order in which they came
+        self.callers: dict[Caller, None] = {}  # open connections, the oldest first
         self.tasks: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
 
     async def start(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Listen; answers with the address, which may have been left to the system."""
+        """Starts to listen. Returns the address; the system chooses a port for 0. Raises OSError."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: Caller(self), *address, backlog=128)
         host, port = self.server.sockets[0].getsockname()[:2]
         return host, port
 
-    def welcome(self, caller: Caller) -> None:
-        """Guards the descriptors against callers that only hold their connection."""
+    def add_caller(self, caller: Caller) -> None:
+        """Adds a connection and closes one if there are too many, as idle callers could use up the
+        descriptors."""
         self.callers[caller] = None
-        if len(self.callers) > MOST_CALLERS:
-            answered = (c for c in self.callers if c.settled)
-            waiting = (c for c in self.callers if not c.asked)
-            next(chain(answered, waiting), caller).transport.abort()
+        if len(self.callers) > MAX_CALLERS:
+            answered = (c for c in self.callers if c.answered)
+            without_call = (c for c in self.callers if not c.call_complete)
+            next(chain(answered, without_call), caller).transport.abort()
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stops to listen and closes all connections."""
         if self.server is not None:
             self.server.close()
         for caller in list(self.callers):
@@ -57,61 +58,66 @@
 
 
 class Caller(asyncio.Protocol):
-    """One operator's connection, for one call."""
+    """A connection of an operator, for one call."""
 
     def __init__(self, server: OpsServer) -> None:
         self.server = server
         self.exchange = Exchange()
-        self.asked = False  # whether the call is whole
-        self.settled = False  # whether it has its answer
+        self.call_complete = False  # whether the call has arrived completely
+        self.answered = False  # whether the response was sent
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(Transport, transport)
-        self.server.welcome(self)
-        late = Response(HTTPStatus.REQUEST_TIMEOUT, "no whole call came")
-        self.timer = asyncio.get_running_loop().call_later(HEAD_TIME, self._settle, late)
+        self.server.add_caller(self)
+        timeout = Response(HTTPStatus.REQUEST_TIMEOUT, "no complete call arrived in time")
+        self.timer = asyncio.get_running_loop().call_later(CALL_TIMEOUT, self._respond, timeout)
 
     def data_received(self, data: bytes) -> None:
-        if self.asked:
+        if self.call_complete:
             return
         call = self.exchange.receive(data)
         if isinstance(call, Call):
-            self.asked = True
+            self.call_complete = True
             task = asyncio.get_running_loop().create_task(self._handle_call(call))
             self.server.tasks.add(task)
             task.add_done_callback(self.server.tasks.discard)
         elif call is not None:
-            self._settle(call)
+            self._respond(call)
 
     async def _handle_call(self, call: Call) -> None:
         try:
-            answer = await self.server.handle_call(call)
+            response = await self.server.handle_call(call)
         except Exception:
-            # guards the operator: whatever went wrong is a no, and not a second of silence
+            # an operator must get a response whatever went wrong, instead of a timeout
             log.exception("call %s %s", call.kind.value, call.server)
-            answer = Response(HTTPStatus.INTERNAL_SERVER_ERROR, "this went wrong; the log has more")
-        # asked often by the platform; what changes something is for staff to find again
-        level = logging.INFO if answer.status is not HTTPStatus.OK or call.server else logging.DEBUG
+            response = Response(HTTPStatus.INTERNAL_SERVER_ERROR, "internal error; see the log")
+        # the platform queries often; only failures and calls that name a server are useful to operators later
+        level = logging.INFO if response.status is not HTTPStatus.OK or call.server else logging.DEBUG
         bounded.log(
-            level, "operators' call %s %.80r: %d %s", call.kind.value, call.server, answer.status, answer.text
+            level,
+            "operators' call %s %.80r: %d %s",
+            call.kind.value,
+            call.server,
+            response.status,
+            response.text,
         )
-        self._settle(answer)
+        self._respond(response)
 
     def eof_received(self) -> bool:
-        """A caller may half-close once its call is whole: it is still owed the answer."""
-        return self.asked and not self.settled
+        """Keeps the connection open for the response if the caller half-closes it after its call."""
+        return self.call_complete and not self.answered
 
-    def _settle(self, answer: Response) -> None:
-        if self.settled:
+    def _respond(self, response: Response) -> None:
+        if self.answered:
             return
-        self.asked = self.settled = True
+        self.call_complete = self.answered = True
         self.timer.cancel()
         if self.transport.is_closing():
             return
-        self.transport.write(self.exchange.encode(answer))
-        # guards the answer: a close over what came behind the call resets the connection, and takes it along
+        self.transport.write(self.exchange.encode(response))
+        # guards the response: to close a connection with unread bytes resets it, and the response may be lost
         self.transport.write_eof()
-        self.timer = asyncio.get_running_loop().call_later(LINGER, self.transport.abort)
+        self.timer = asyncio.get_running_loop().call_later(LINGER_TIMEOUT, self.transport.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.timer.cancel()
--- a/myrtlecourse/ops/store.py
+++ b/myrtlecourse/ops/store.py
@@ -1,7 +1,7 @@
-"""Where the processes of an upgrade keep orders: one checked file, replaced as a whole under a lock.
+"""Stores operators' orders in a file that all processes of an upgrade share, replaced atomically.
 
-A torn, foreign or newer file is a logged line and a start without orders. `docs/design/service.md` weighs
-this against a socket between the two.
+A file that is incomplete, of another program or of a newer version is reported in the log and ignored.
+`docs/design/service.md` compares this with a socket between the processes.
 """
 
 from __future__ import annotations
@@ -20,37 +20,38 @@
 from myrtlecourse.ops.orders import Orders, OrdersError, from_table, to_table
 
 VERSION = 1
-MAX_FILE = 1024 * 1024
-LOCK_TRIES = 25  # at most so often, each after LOCK_PAUSE: a stopped process must not hold up a call
-LOCK_PAUSE = 0.01  # seconds
+MAX_FILE_SIZE = 1024 * 1024  # bytes
+LOCK_ATTEMPTS = 25  # a limit, so that a stopped process that holds the lock can't block a call
+LOCK_PAUSE = 0.01  # seconds between attempts
 log = logging.getLogger(__name__)
 
 
 class OrderStore:
-    """Orders in a folder, or in memory alone when there is none."""
+    """The stored orders; without a folder they are only kept in memory."""
 
     def __init__(self, folder: Path | None) -> None:
         self.path = folder / "myrtlecourse-orders.json" if folder is not None else None
         self.orders = Orders()
-        self.stamp: tuple[int, int, int] | None = None  # of the file as last read
+        # inode, time of modification and size of the file as last read
+        self.file_state: tuple[int, int, int] | None = None
 
     def refresh(self) -> bool:
-        """Read what another process may have written; whether there was anything new."""
+        """Reads orders that another process may have written. Returns whether there was a newer revision."""
         if self.path is None:
             return False
         try:
-            found = os.stat(self.path)
-            stamp = (found.st_ino, found.st_mtime_ns, found.st_size)
-            if stamp == self.stamp:
+            info = os.stat(self.path)
+            state = (info.st_ino, info.st_mtime_ns, info.st_size)
+            if state == self.file_state:
                 return False
-            self.stamp = stamp
-            if found.st_size > MAX_FILE:
-                raise OrdersError(f"it has {found.st_size} bytes")
+            self.file_state = state
+            if info.st_size > MAX_FILE_SIZE:
+                raise OrdersError(f"the file is too large: {info.st_size} bytes")
             orders = self._read(self.path.read_bytes())
         except FileNotFoundError:
             return False
         except (OSError, ValueError) as e:
-            log.error("orders in %s can't be used, those held stay: %s", self.path, e)
+            log.error("orders in %s can't be used, the current ones stay in force: %s", self.path, e)
             return False
         if orders.revision <= self.orders.revision:
             return False
@@ -59,34 +60,34 @@
 
     @staticmethod
     def _read(text: bytes) -> Orders:
-        message = orjson.loads(text)
-        if not isinstance(message, dict) or message.get("version") != VERSION:
-            raise OrdersError("it is of another version or program")
-        table = message.get("orders")
-        if message.get("sha256") != _digest(table):
-            raise OrdersError("its checksum does not fit")
+        content = orjson.loads(text)
+        if not isinstance(content, dict) or content.get("version") != VERSION:
+            raise OrdersError("it was written by another version or program")
+        table = content.get("orders")
+        if content.get("sha256") != _digest(table):
+            raise OrdersError("its checksum is wrong")
         return from_table(table)
 
-    async def change(self, how: Callable[[Orders], Orders]) -> None:
-        """Change orders together with what another process may just have written.
+    async def change(self, update: Callable[[Orders], Orders]) -> None:
+        """Replaces the latest orders, which another process may just have written, by an update of them.
 
         Raises:
-            OrdersError: they can't be changed so, or can't be kept; then they stay as they were.
+            OrdersError: the update is refused or can't be stored; the orders stay unchanged.
         """
         if self.path is None:
-            self.orders = how(self.orders)
+            self.orders = update(self.orders)
             return
         try:
             lock = os.open(self.path.with_suffix(".lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         except OSError as e:
-            raise OrdersError(f"orders can't be kept: {e}") from e
+            raise OrdersError(f"orders can't be stored: {e}") from e
         try:
             try:
                 await self._lock(lock)
             except OSError as e:  # ENOLCK, EIO
                 log.warning("orders are written without the lock: %s", e)
             self.refresh()
-            orders = how(self.orders)
+            orders = update(self.orders)
             if orders is not self.orders:
                 self._write(self.path, orders)
                 self.orders = orders
@@ -95,25 +96,25 @@
 
     @staticmethod
     async def _lock(lock: int) -> None:
-        for _ in range(LOCK_TRIES):
+        for _ in range(LOCK_ATTEMPTS):
             try:
                 fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
                 return
             except BlockingIOError:
                 await asyncio.sleep(LOCK_PAUSE)
-        log.warning("orders are written without the lock: another process has held it for too long")
+        log.warning("orders are written without the lock: another process holds it for too long")
 
     def _write(self, path: Path, orders: Orders) -> None:
         table = to_table(orders)
         text = orjson.dumps({"version": VERSION, "sha256": _digest(table), "orders": table})
-        new = path.with_suffix(f".{os.getpid()}")
+        temporary = path.with_suffix(f".{os.getpid()}")
         try:
-            new.write_bytes(text)
-            new.rename(path)  # a reader sees the old file or the new one, whole
+            temporary.write_bytes(text)
+            temporary.rename(path)  # atomic: a reader gets the old file or the new one
         except OSError as e:
             with suppress(OSError):
-                new.unlink(missing_ok=True)  # half written, perhaps
-            raise OrdersError(f"orders can't be kept: {e}") from e
+                temporary.unlink(missing_ok=True)  # may be incomplete
+            raise OrdersError(f"orders can't be stored: {e}") from e
 
 
 def _digest(table: object) -> str:
--- a/tests/test_folder_faults.py
+++ b/tests/test_folder_faults.py
@@ -55,7 +55,7 @@
     kept = store.orders
     with monkeypatch.context() as patch:
         patch.setattr(Path, what, write_half if what == "write_bytes" and error is FULL else fail(error))
-        with pytest.raises(OrdersError, match="can't be kept"):
+        with pytest.raises(OrdersError, match="can't be stored"):
             ban(store, "b")
     assert store.orders == kept
     assert {p.name for p in tmp_path.iterdir()} == {"myrtlecourse-orders.json", "myrtlecourse-orders.lock"}
--- a/tests/test_ops_orders.py
+++ b/tests/test_ops_orders.py
@@ -86,7 +86,7 @@
     listed = ListedServers()
     listed.record([("a", True), ("o", False)])
     assert listed.refusal_reason("a") == "" and "origin" in listed.refusal_reason("o")
-    assert listed.refusal_reason("x") == "no list has named this id"
+    assert listed.refusal_reason("x") == "this id was never listed by discovery"
     listed.record([("a", True), ("b", True)])
     assert listed.refusal_reason("a") == "" and listed.refusal_reason("o")  # o was named longest ago
 
@@ -162,7 +162,7 @@
 
 def test_an_order_that_can_t_be_kept_is_a_no(tmp_path: Path) -> None:
     store = OrderStore(tmp_path / "gone")
-    with pytest.raises(OrdersError, match="can't be kept"):
+    with pytest.raises(OrdersError, match="can't be stored"):
         change(store, "a")
     assert not store.orders.bans
 
