--- a/deploy/build.py
+++ b/deploy/build.py
@@ -1,7 +1,7 @@
-"""Prepares a router's folder: its virtual environment and, where a C compiler is, its modules compiled.
+"""Prepares a router's folder: its virtual environment and, if there is a C compiler, its compiled modules.
 
-Run from anywhere with the system's Python. What is up to date is left as it is. A module that can't be
-compiled ends the build well all the same: the router then runs from its sources, and says so in its log.
+Run from any folder with the system's Python. Steps that are up to date are skipped. A failed compilation does not
+fail the build: the router then runs from its sources, and reports that in its log.
 """
 
 from __future__ import annotations
@@ -18,8 +18,9 @@
 
 VENV = compiled.ROOT / ".venv"
 PYTHON = VENV / "bin" / "python"
-# run once, for another host, or round a library that gives other types than it declares: nothing to gain
-PLAIN = (
+# not compiled, as nothing would be gained: modules that run rarely, serve another host, or use a library whose
+# values have other types than it declares
+UNCOMPILED = (
     "__main__.py",
     "config.py",
     "subsystems.py",
@@ -89,13 +90,13 @@
 import sys
 from mypyc.build import mypycify
 from setuptools import setup
-made, *modules = sys.argv[1:]
-setup(name="compiled", ext_modules=mypycify(modules), script_args=["build_ext", "--build-lib", made])
+output, *modules = sys.argv[1:]
+setup(name="compiled", ext_modules=mypycify(modules), script_args=["build_ext", "--build-lib", output])
 """
 
 
 def install(requirements: str) -> None:
-    """Install what a file lists, unless just that has been."""
+    """Installs the packages that a file lists, unless they were installed from the same file."""
     file = compiled.ROOT / requirements
     stamp = VENV / f".{requirements}.sha256"
     digest = hashlib.sha256(file.read_bytes()).hexdigest()
@@ -106,26 +107,29 @@
 
 
 def compile_package(target: Path) -> None:
-    """Compile into a folder beside the target and rename it: one that was cut short is never taken."""
+    """Compiles into a folder beside the target, then renames it, so that an interrupted build is never used."""
     target.parent.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory(dir=target.parent) as scratch:
-        copy, made = Path(scratch, "source"), Path(scratch, "made")
+        copy, output = Path(scratch, "source"), Path(scratch, "made")
         unwanted = shutil.ignore_patterns("__pycache__", *compiled.TOOLS)
         shutil.copytree(compiled.PACKAGE, copy / compiled.PACKAGE.name, ignore=unwanted)
-        for file in ("pyproject.toml", "README.md"):  # the checker's settings, and what they name
+        for file in (
+            "pyproject.toml",
+            "README.md",
+        ):  # the settings of the type checker, and a file that they name
             shutil.copy(compiled.ROOT / file, copy)
-        plain = {compiled.PACKAGE / name for name in PLAIN}
-        modules = [str(f.relative_to(compiled.ROOT)) for f in compiled.sources() if f not in plain]
+        uncompiled = {compiled.PACKAGE / name for name in UNCOMPILED}
+        modules = [str(f.relative_to(compiled.ROOT)) for f in compiled.sources() if f not in uncompiled]
         subprocess.run(
-            [PYTHON, "-c", SCRIPT, made, *modules],
+            [PYTHON, "-c", SCRIPT, output, *modules],
             cwd=copy,
             check=True,
             stdout=subprocess.DEVNULL,
             env=os.environ | {"MYPYC_OPT_LEVEL": "2"},
         )
-        for name in PLAIN:
-            shutil.copy(compiled.PACKAGE / name, made / compiled.PACKAGE.name / name)
-        made.rename(target)
+        for name in UNCOMPILED:
+            shutil.copy(compiled.PACKAGE / name, output / compiled.PACKAGE.name / name)
+        output.rename(target)
 
 
 def main() -> None:
@@ -139,7 +143,7 @@
         install("requirements-build.txt")
         compile_package(target)
     except (subprocess.CalledProcessError, OSError) as e:
-        print(f"not compiled, the router will run from its sources: {e}", file=sys.stderr)
+        print(f"compilation failed, the router will run from its sources: {e}", file=sys.stderr)
         return
     for old in target.parent.iterdir():
         if old != target:
--- a/deploy/compiled.py
+++ b/deploy/compiled.py
@@ -1,6 +1,6 @@
-"""Where the compiled form of the sources lies: under a name made of all that it was made from.
+"""Names the folder of the compiled modules by a hash of all inputs of the compilation.
 
-So it can't be stale: a source, compiler or interpreter that differs names another folder, which is not there.
+So a stale result is never used: with another source, compiler or interpreter the folder has another name.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 PACKAGE = ROOT / "myrtlecourse"
 BUILDER = ROOT / "requirements-build.txt"
-KEPT = ROOT / "build" / "compiled"
-# that a router never imports, and whose libraries it does not install
+OUTPUT = ROOT / "build" / "compiled"
+# modules that a router never imports, and whose libraries are not installed with it
 TOOLS = (
     "address/commands.py",
     "audit",
@@ -34,20 +34,24 @@
 
 
 def sources() -> list[Path]:
-    """The router's files, in a steady order."""
+    """Returns the source files of the router, sorted."""
     tools = [PACKAGE / name for name in TOOLS]
     return sorted(f for f in PACKAGE.rglob("*.py") if not any(f.is_relative_to(t) for t in tools))
 
 
 def folder() -> Path:
-    """The folder that holds the package as compiled from the sources as they are, if it is there."""
-    made_from = hashlib.sha256()
-    machine = (sys.implementation.cache_tag, platform.machine(), sysconfig.get_config_var("EXT_SUFFIX") or "")
-    made_from.update("\0".join(machine).encode())
+    """Returns the folder for the package compiled from the current sources; it may not exist."""
+    inputs = hashlib.sha256()
+    platform_tags = (
+        sys.implementation.cache_tag,
+        platform.machine(),
+        sysconfig.get_config_var("EXT_SUFFIX") or "",
+    )
+    inputs.update("\0".join(platform_tags).encode())
     for file in (BUILDER, Path(__file__).with_name("build.py"), *sources()):
         text = file.read_bytes()
-        made_from.update(f"\0{file.relative_to(ROOT)}\0{len(text)}\0".encode() + text)
-    return KEPT / made_from.hexdigest()[:32]
+        inputs.update(f"\0{file.relative_to(ROOT)}\0{len(text)}\0".encode() + text)
+    return OUTPUT / inputs.hexdigest()[:32]
 
 
 if __name__ == "__main__":
--- a/myrtlecourse/address/__init__.py
+++ b/myrtlecourse/address/__init__.py
@@ -1,1 +1,1 @@
-"""The service address in service: voters over UDP, votes on disk, the link that announces it."""
+"""The service address that moves between routers: election over UDP, stored votes, and announcement."""
--- a/myrtlecourse/address/commands.py
+++ b/myrtlecourse/address/commands.py
@@ -1,4 +1,4 @@
-"""`myrtlecourse address`: what staff ask of a router whose address moves, over its operators' address."""
+"""`myrtlecourse address`: shows and moves the service address, through a router's operators' address."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from rich.console import Console
 from rich.table import Table
 
-EXIT_UNREACHABLE = 2  # exit code when there was no answer
-EXIT_REFUSED = 1  # when the answer was no
+EXIT_UNREACHABLE = 2  # exit code if a router does not answer
+EXIT_REFUSED = 1  # exit code if a router refuses the call
 TIMEOUT = 2.0  # seconds
-MAX_RESPONSE = 1024 * 1024  # bytes; a thousand routers are told in less
+MAX_RESPONSE = 1024 * 1024  # bytes; more than the status of a thousand routers
 
 
 def call_router(at: str, method: str, path: str) -> tuple[int, str]:
-    """One operators' call. Ends with exit code 2 when nobody answers."""
+    """Makes an operators' call. Returns status code and text, or exits with code 2 if there is no answer."""
     host, _, port = at.rpartition(":")
     if not host or not port.isdigit():
         raise click.BadParameter(f"{at} is not host:port", param_hint="--at")
@@ -35,27 +35,28 @@
         connection.close()
 
 
-def query_each(places: tuple[str, ...], what: str) -> dict[str, Any]:
-    """What each router tells of something. Ends with exit code 1 when one says no, 2 when one is silent."""
-    found: dict[str, Any] = {}
-    for at in places:
-        code, text = call_router(at, "GET", what)
+def query_each(addresses: tuple[str, ...], path: str) -> dict[str, Any]:
+    """Returns the status of each router by its address. Exits with code 1 if one refuses, 2 if one does not
+    answer."""
+    statuses: dict[str, Any] = {}
+    for at in addresses:
+        code, text = call_router(at, "GET", path)
         if code != 200:
             click.echo(f"myrtlecourse: {at}: {text}", err=True)
             sys.exit(EXIT_REFUSED)
-        found[at] = json.loads(text)
-    return found
+        statuses[at] = json.loads(text)
+    return statuses
 
 
 @click.group()
 def address() -> None:
-    """Who holds the service address, and handing it over.
+    """Shows which router holds the service address, and hands it over.
 
     \b
     myrtlecourse address status --at 10.0.0.4:15000 --at 10.0.0.5:15000 --at 10.0.0.6:15000
     myrtlecourse address move router-b --at 10.0.0.4:15000
 
-    --at is a router's operators' address (`ops`). Exit code 0, 1 when a router says no, 2 when one does not
+    --at is a router's operators' address (`ops`). Exit code 0, 1 if a router refuses, 2 if one does not
     answer.
     """
 
@@ -67,10 +68,10 @@
 @AT_OPTION
 @click.option("--json", "as_json", is_flag=True, help="print JSON, an object for each --at")
 def status(places: tuple[str, ...], as_json: bool) -> None:
-    """What each router knows of the address."""
-    found = query_each(places, "address")
+    """Shows what each router knows of the address."""
+    statuses = query_each(places, "address")
     if as_json:
-        click.echo(json.dumps(found, indent=2))
+        click.echo(json.dumps(statuses, indent=2))
         return
     table = Table(title="The service address")
     for heading in (
@@ -79,19 +80,27 @@
         "role",
         "term",
         "lease left",
-        "word given to",
+        "lease granted to",
         "able",
         "dropped",
         "last move",
     ):
         table.add_column(heading)
-    for at, told in found.items():
-        dropped = ", ".join(f"{count} {why}" for why, count in told["dropped"].items())
-        lease = f"{told['lease_left_s']:.2f} s" if told["holds"] else ""
-        last = told["moves"][-1] if told["moves"] else ""
-        able = "yes" if told["able"] else "no"
-        row = (at, told["name"], told["role"], str(told["term"]), lease, told["word_given_to"], able)
-        table.add_row(*row, dropped, last)
+    for at, router_status in statuses.items():
+        dropped = ", ".join(f"{count} {reason}" for reason, count in router_status["dropped"].items())
+        lease = f"{router_status['lease_left_s']:.2f} s" if router_status["holds"] else ""
+        last = router_status["moves"][-1] if router_status["moves"] else ""
+        able = "yes" if router_status["able"] else "no"
+        cells = (
+            at,
+            router_status["name"],
+            router_status["role"],
+            str(router_status["term"]),
+            lease,
+            router_status["word_given_to"],
+            able,
+        )
+        table.add_row(*cells, dropped, last)
     Console().print(table)
 
 
@@ -99,7 +108,7 @@
 @click.argument("to", default="")
 @click.option("--at", "at", required=True, help="host:port of the router that holds the address")
 def move(to: str, at: str) -> None:
-    """Hand the address over, to a router by name or to whoever stands first."""
+    """Hands the address over to a router, or to the first candidate if none is named."""
     code, text = call_router(at, "PUT", "address/move" + (f"/{quote(to, safe='')}" if to else ""))
     click.echo(text)
     sys.exit(0 if code == 200 else EXIT_REFUSED)
--- a/myrtlecourse/address/driver.py
+++ b/myrtlecourse/address/driver.py
@@ -1,4 +1,4 @@
-"""Keeps one instance's part of the service address: its election, its peers, its votes and its link."""
+"""Connects one router's election for the service address to its socket, clock, votes file and link."""
 
 from __future__ import annotations
 
@@ -14,152 +14,159 @@
 from myrtlecourse.address.codec import ElectionCodec
 from myrtlecourse.address.link import Link, LinkUpdater
 from myrtlecourse.address.votes import write_votes
-from myrtlecourse.election import messages as said
+from myrtlecourse.election import messages
 from myrtlecourse.election.core import Election, Role
 from myrtlecourse.net.logs import BoundedLog
 from myrtlecourse.peers.end import End, Endpoint
 from myrtlecourse.peers.wire import Wire
 
-DRAIN_TIMEOUT = 1.0  # seconds for what was taken to end, of the lease that still stands
-LOOK = 0.1  # seconds between looks at whether this instance can serve
+# seconds for accepted requests to end before the address is withdrawn, while the lease lasts
+DRAIN_TIMEOUT = 1.0
+POLL_INTERVAL = 0.1  # seconds between checks of whether this router can serve
 log = logging.getLogger(__name__)
 bounded = BoundedLog(log)
 
 
-class AddressDriver(End[said.Message]):
-    """One instance."""
+class AddressDriver(End[messages.Message]):
+    """Drives the election of one router."""
 
     def __init__(
         self,
-        settings: said.Settings,
+        settings: messages.Settings,
         peers: dict[str, Endpoint],
         key: bytes,
         link: Link,
-        votes: Path | None,
-        saved: said.Saved,
+        votes_file: Path | None,
+        saved: messages.Saved,
         able: Callable[[], bool],
-        held: Callable[[bool], None],
-        emptied: Callable[[], Awaitable[None]],
-        also: tuple[bytes, ...] = (),
+        on_change: Callable[[bool], None],
+        wait_until_drained: Callable[[], Awaitable[None]],
+        further_keys: tuple[bytes, ...] = (),
     ) -> None:
-        """`able` says whether clients could be served here; `held` hears when the address comes and goes.
+        """`able` returns whether this router can serve clients. `on_change` is called with True when it acquires
+        the address, and with False when it loses it.
 
-        When it goes, nothing may be accepted any more once `held` has returned; `emptied` waits until what
-        was taken has ended.
+        When it loses the address, nothing may be accepted any more once `on_change` has returned;
+        `wait_until_drained` then waits until the accepted requests have ended.
         """
-        chance = random.SystemRandom()
-        start = chance.getrandbits(62) + 1
-        super().__init__(Wire(settings.name, settings.voters, key, start, ElectionCodec(), also), peers)
+        rng = random.SystemRandom()
+        start = rng.getrandbits(62) + 1
+        super().__init__(
+            Wire(settings.name, settings.voters, key, start, ElectionCodec(), further_keys), peers
+        )
         self.settings = settings
-        self.votes = votes
-        self.unwritten: said.Saved | None = None  # of what must last
+        self.votes_file = votes_file
+        self.unwritten: messages.Saved | None = None  # the term and vote that are not on the disk yet
         self.able = able
-        self.held = held
-        self.emptied = emptied
-        self.leaving: asyncio.Task[None] | None = None
+        self.on_change = on_change
+        self.wait_until_drained = wait_until_drained
+        self.withdrawal: asyncio.Task[None] | None = None
         self.link_updater = LinkUpdater(link)
-        self.election = Election(settings, saved, time.monotonic(), chance.getrandbits(32))
-        self.looking: asyncio.Task[None] | None = None
-        self.looked_at = time.monotonic()
-        self.moves: list[str] = []  # the last few, for staff
+        self.election = Election(settings, saved, time.monotonic(), rng.getrandbits(32))
+        self.polling: asyncio.Task[None] | None = None
+        self.polled_at = time.monotonic()
+        self.moves: list[str] = []  # the last changes, for operators
 
     async def start(self, bind: Endpoint) -> Endpoint:
-        """Listen for the others. Raises OSError."""
+        """Opens the socket and returns its address. Raises OSError."""
         at = await self.listen(bind)
-        self.looked_at = time.monotonic()
-        self.looking = asyncio.create_task(self._look())
+        self.polled_at = time.monotonic()
+        self.polling = asyncio.create_task(self._poll())
         return at
 
     def holds(self) -> bool:
-        """Whether the address is here at this very moment."""
+        """Returns whether this router holds the address now."""
         return self.election.holds(time.monotonic())
 
-    async def _look(self) -> None:
-        """Tell the election whether this instance can serve; a loop that stood still can't."""
+    async def _poll(self) -> None:
+        """Reports to the election whether this router can serve; it can't while its event loop is stalled."""
         while True:
             now = time.monotonic()
-            stood = now - self.looked_at > self.settings.unwell + LOOK
-            self.looked_at = now
-            self.post(said.AbilityReported(self.able() and not stood))
-            await asyncio.sleep(LOOK)
+            stalled = now - self.polled_at > self.settings.unwell + POLL_INTERVAL
+            self.polled_at = now
+            self.post(messages.AbilityReported(self.able() and not stalled))
+            await asyncio.sleep(POLL_INTERVAL)
 
-    def heard(self, sender: str, message: said.Message) -> None:
-        self.post(said.MessageReceived(sender, message))
+    def heard(self, sender: str, message: messages.Message) -> None:
+        self.post(messages.MessageReceived(sender, message))
 
-    def post(self, event: said.Event) -> None:
-        """Let the election hear of something, and carry out what it answers."""
+    def post(self, event: messages.Event) -> None:
+        """Passes an event to the election and carries out the resulting actions."""
         for action in self.election.handle(time.monotonic(), event):
             self._carry_out(action)
 
-    def _carry_out(self, action: said.Action) -> None:
+    def _carry_out(self, action: messages.Action) -> None:
         match action:
-            case said.Save(saved):
-                self.unwritten = saved if self.votes is not None else None
-            case said.Send(to, message):
-                if self._written():
+            case messages.Save(saved):
+                self.unwritten = saved if self.votes_file is not None else None
+            case messages.Send(to, message):
+                if self._write_unwritten():
                     self.send(to, self.wire.pack(to, message))
-            case said.Announce(term):
-                self._note(f"holds the address in term {term}")
-                self.held(True)
+            case messages.Announce(term):
+                self._log_move(f"holds the address in term {term}")
+                self.on_change(True)
                 self.link_updater.request(term)
-            case said.Withdraw(why):
-                self._note(f"holds the address no more: {why}")
-                self.held(False)
-                self.leaving = self.loop.create_task(self._leave())
-            case said.SetTimer(at):
-                self.call_at(at, lambda: self.post(said.TimerFired()))
-
-    def _written(self) -> bool:
-        """Whether all that must last is on the disk; until it is, not a word may go out."""
-        if self.unwritten is not None and self.votes is not None:
+            case messages.Withdraw(reason):
+                self._log_move(f"no longer holds the address: {reason}")
+                self.on_change(False)
+                self.withdrawal = self.loop.create_task(self._withdraw())
+            case messages.SetTimer(at):
+                self.call_at(at, lambda: self.post(messages.TimerFired()))
+
+    def _write_unwritten(self) -> bool:
+        """Writes the term and vote if necessary. Returns whether they are on the disk, as nothing may be sent
+        before."""
+        if self.unwritten is not None and self.votes_file is not None:
             try:
-                write_votes(self.votes, self.unwritten)
+                write_votes(self.votes_file, self.unwritten)
             except OSError as e:
-                bounded.log(logging.ERROR, "votes can't be written, nothing is said to the others: %s", e)
+                bounded.log(logging.ERROR, "the votes file can't be written, no messages are sent: %s", e)
                 return False
             self.unwritten = None
         return True
 
-    async def _leave(self) -> None:
-        """Let what was taken end while its clients can still be reached, and then let go.
+    async def _withdraw(self) -> None:
+        """Lets accepted requests end while their clients can still be reached, then withdraws the address.
 
-        The link moves open connections with the address: they would be cut by whoever announces it next.
+        The network directs open connections along with the address, so the next holder's announcement would
+        cut them.
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(DRAIN_TIMEOUT):
-                await self.emptied()
+                await self.wait_until_drained()
         self.link_updater.request(None)
-        self.post(said.Withdrawn())
+        self.post(messages.Withdrawn())
 
-    def _note(self, text: str) -> None:
+    def _log_move(self, text: str) -> None:
         log.info("%s %s", self.settings.name, text)
         self.moves = [*self.moves[-19:], f"{time.strftime('%Y-%m-%d %H:%M:%S')} {text}"]
 
-    def change(self, settings: said.Settings, peers: dict[str, Endpoint]) -> None:
-        """Take new settings; one voter may have come or gone.
+    def change(self, settings: messages.Settings, peers: dict[str, Endpoint]) -> None:
+        """Applies new settings; at most one voter may have been added or removed.
 
         Raises:
-            ElectionError: more than one has, or this instance is another; nothing is taken.
+            ElectionError: the new settings can't be applied now, or this router's name or address changed;
+                nothing was changed.
         """
         if settings.name != self.settings.name or peers[settings.name] != self.peers[settings.name]:
-            raise said.ElectionError("name: it can't be another while it runs, nor be heard elsewhere")
-        self.post(said.SettingsChanged(settings))
+            raise messages.ElectionError("name: a change of the name or the own address needs a restart")
+        self.post(messages.SettingsChanged(settings))
         self.settings, self.peers = settings, peers
         self.wire.members(settings.voters)
 
     def move(self, to: str) -> str:
-        """Hand the address over; answers with why not, or nothing."""
+        """Starts to hand the address over. Returns why that is refused, or an empty text."""
         if self.election.role is not Role.HOLDER:
             return f"{self.settings.name} does not hold the address"
         if to and to not in self.settings.voters:
-            return f"{to} is no voter"
+            return f"{to} is not a voter"
         if to == self.settings.name:
-            return f"{to} holds it already"
-        self.post(said.Move(to))
+            return f"{to} already holds the address"
+        self.post(messages.Move(to))
         return ""
 
     def status(self) -> dict[str, Any]:
-        """What staff may want to know; JSON-able."""
+        """Returns the status for operators, in a form that can be written as JSON."""
         election, now = self.election, time.monotonic()
         return {
             "name": self.settings.name,
@@ -177,13 +184,13 @@
         }
 
     async def close(self) -> None:
-        """Give the address up in order, if it is here, and say so to the others."""
-        if self.looking is not None:
-            self.looking.cancel()
+        """Hands the address over if this router holds it, releases the lease, and closes the socket."""
+        if self.polling is not None:
+            self.polling.cancel()
         if self.election.role is Role.HOLDER:
-            self.post(said.Move())
-        if self.leaving is not None:
-            await self.leaving  # the release goes out, and the address is withdrawn
+            self.post(messages.Move())
+        if self.withdrawal is not None:
+            await self.withdrawal  # sends the release and withdraws the address
             await asyncio.sleep(0)
         self.link_updater.close()
         self.leave()
--- a/myrtlecourse/address/duty.py
+++ b/myrtlecourse/address/duty.py
@@ -1,4 +1,4 @@
-"""The service address as a duty of `[duties]`: held on the same votes, words and datagrams as the others."""
+"""The service address as one of the duties in `[duties]`, with the voters and datagrams of the others."""
 
 from __future__ import annotations
 
@@ -10,75 +10,78 @@
 
 from myrtlecourse.address.driver import DRAIN_TIMEOUT
 from myrtlecourse.address.link import Link, LinkUpdater
-from myrtlecourse.duties import messages as said
+from myrtlecourse.duties import messages
 from myrtlecourse.duties.driver import DutyDriver
 from myrtlecourse.duties.messages import ADDRESS
 from myrtlecourse.election.core import Role
 
 
 class AddressWork:
-    """What the holder of the address does."""
+    """The work of the router that holds the address: it announces the address and serves its clients."""
 
     def __init__(
         self,
-        keeper: DutyDriver,
+        driver: DutyDriver,
         link: Link,
-        held: Callable[[bool], None],
-        emptied: Callable[[], Awaitable[None]],
+        on_change: Callable[[bool], None],
+        wait_until_drained: Callable[[], Awaitable[None]],
     ) -> None:
-        """`held` hears when the address comes and goes; when it goes, nothing may be accepted any more once
-        `held` has returned. `emptied` waits until what was taken has ended."""
-        self.keeper = keeper
+        """`on_change` is called with True when this router acquires the address, and with False when it loses it.
+
+        When it loses the address, nothing may be accepted any more once `on_change` has returned;
+        `wait_until_drained` then waits until the accepted requests have ended.
+        """
+        self.driver = driver
         self.link_updater = LinkUpdater(link)
-        self.held = held
-        self.emptied = emptied
-        self.leaving: asyncio.Task[None] | None = None
+        self.on_change = on_change
+        self.wait_until_drained = wait_until_drained
+        self.withdrawal: asyncio.Task[None] | None = None
 
     def holds(self) -> bool:
-        """Whether the address is here at this very moment."""
-        return self.keeper.acting_token(ADDRESS) is not None
+        """Returns whether this router holds the address now."""
+        return self.driver.acting_token(ADDRESS) is not None
 
-    def on_acquired(self, token: int, value: said.Value) -> None:
-        self.held(True)
+    def on_acquired(self, token: int, value: messages.Value) -> None:
+        self.on_change(True)
         self.link_updater.request(token)
 
     def on_lost(self) -> None:
-        self.held(False)
-        self.leaving = asyncio.create_task(self._leave())
+        self.on_change(False)
+        self.withdrawal = asyncio.create_task(self._withdraw())
 
-    async def _leave(self) -> None:
-        """Let what was taken end while its clients can still be reached, and then let go."""
+    async def _withdraw(self) -> None:
+        """Lets accepted requests end while their clients can still be reached, then withdraws the address."""
         with suppress(TimeoutError):
             async with asyncio.timeout(DRAIN_TIMEOUT):
-                await self.emptied()
+                await self.wait_until_drained()
         self.link_updater.request(None)
-        self.keeper.post(said.WorkStopped(ADDRESS))
+        self.driver.post(messages.WorkStopped(ADDRESS))
 
     def on_committed(self, token: int, number: int) -> None:
-        """It orders nothing."""
+        """Does nothing, as this duty has no orders."""
 
     def poll(self) -> None:
-        """It has nothing due."""
+        """Does nothing, as this duty has no periodic work."""
 
     async def close(self) -> None:
-        if self.leaving is not None:
-            await self.leaving
+        if self.withdrawal is not None:
+            await self.withdrawal
         self.link_updater.close()
 
     def status(self) -> dict[str, Any]:
-        """What staff may want to know; JSON-able."""
-        election, now, keeper = self.keeper.duties.elections[ADDRESS], time.monotonic(), self.keeper
+        """Returns the status for operators, in a form that can be written as JSON."""
+        election, now, driver = self.driver.duties.elections[ADDRESS], time.monotonic(), self.driver
         return {
-            "name": keeper.settings.name,
+            "name": driver.settings.name,
             "role": election.role.value,
             "holds": self.holds(),
             "term": election.term,
             "lease_left_s": max(0.0, election.lease_until - now) if election.role is Role.HOLDER else 0.0,
             "word_given_to": election.promise[0] if now < election.promise_until else "",
-            "able": keeper.able() and keeper.abilities[ADDRESS](),
-            "voters": list(keeper.settings.voters),
-            "sent": keeper.sent,
-            "dropped": dict(keeper.wire.dropped),
+            "able": driver.able() and driver.abilities[ADDRESS](),
+            "voters": list(driver.settings.voters),
+            "sent": driver.sent,
+            "dropped": dict(driver.wire.dropped),
             "link_failures": self.link_updater.failures,
-            "moves": [m for m in keeper.moves if f" {ADDRESS}:" in m],
+            "moves": [m for m in driver.moves if f" {ADDRESS}:" in m],
         }
--- a/myrtlecourse/address/link.py
+++ b/myrtlecourse/address/link.py
@@ -1,6 +1,6 @@
-"""Where the address is announced and withdrawn: one narrow interface, and its two sides.
+"""Announces and withdraws the service address on the network, by an operator's command or through a switch.
 
-A link may take its time, fail, or lose what it was told: the lease protects, not the link.
+A link may be slow, fail or lose a request: safety depends only on the lease, not on the link.
 """
 
 from __future__ import annotations
@@ -10,25 +10,25 @@
 from typing import Protocol
 
 log = logging.getLogger(__name__)
-LONGEST_ANSWER = 64  # bytes
+MAX_RESPONSE = 64  # bytes
 
 
 class LinkError(RuntimeError):
-    """The link did not do it; the message says why."""
+    """The address was not announced or withdrawn; the message says why."""
 
 
 class Link(Protocol):
-    """What makes the address this machine's in the eyes of the network."""
+    """Directs the traffic for the address to this machine."""
 
     async def announce(self, term: int) -> None:
-        """The address is here from now on. May be repeated. Raises LinkError."""
+        """Announces that this machine has the address. Idempotent. Raises LinkError."""
 
     async def withdraw(self) -> None:
-        """It is not. May be repeated. Raises LinkError."""
+        """Announces that this machine no longer has the address. Idempotent. Raises LinkError."""
 
 
 class CommandLink:
-    """A command of the operator's, given `announce TERM` or `withdraw`: exit code 0 is yes."""
+    """Runs an operator's command with `announce TERM` or `withdraw`; exit code 0 means success."""
 
     def __init__(self, command: tuple[str, ...], timeout: float) -> None:
         self.command = command
@@ -40,26 +40,26 @@
     async def withdraw(self) -> None:
         await self._run("withdraw")
 
-    async def _run(self, *words: str) -> None:
+    async def _run(self, *arguments: str) -> None:
         try:
             process = await asyncio.create_subprocess_exec(
-                *self.command, *words, stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.DEVNULL
+                *self.command, *arguments, stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.DEVNULL
             )
         except OSError as e:
             raise LinkError(f"{self.command[0]}: {e}") from e
         try:
             code = await asyncio.wait_for(process.wait(), self.timeout)
         except TimeoutError:
-            # guards the next word: a command that hangs would hold it up for good
+            # a command that hangs would delay the next one forever
             process.kill()
             await process.wait()
-            raise LinkError(f"{self.command[0]} {words[0]}: not done in {self.timeout:g} s") from None
+            raise LinkError(f"{self.command[0]} {arguments[0]}: not done in {self.timeout:g} s") from None
         if code != 0:
-            raise LinkError(f"{self.command[0]} {words[0]}: exit code {code}")
+            raise LinkError(f"{self.command[0]} {arguments[0]}: exit code {code}")
 
 
 class SwitchLink:
-    """A switch that takes a line, `announce NAME TERM` or `withdraw NAME`, and answers `ok`."""
+    """Sends a line `announce NAME TERM` or `withdraw NAME` to a switch, which responds `ok`."""
 
     def __init__(self, address: tuple[str, int], name: str, timeout: float) -> None:
         self.address = address
@@ -67,69 +67,71 @@
         self.timeout = timeout
 
     async def announce(self, term: int) -> None:
-        await self._say(f"announce {self.name} {term}\n")
+        await self._send(f"announce {self.name} {term}\n")
 
     async def withdraw(self) -> None:
-        await self._say(f"withdraw {self.name}\n")
+        await self._send(f"withdraw {self.name}\n")
 
-    async def _say(self, line: str) -> None:
+    async def _send(self, line: str) -> None:
         try:
             async with asyncio.timeout(self.timeout):
                 reader, writer = await asyncio.open_connection(*self.address)
                 try:
                     writer.write(line.encode())
-                    answer = await reader.read(LONGEST_ANSWER)
+                    response = await reader.read(MAX_RESPONSE)
                 finally:
                     writer.close()
         except (OSError, TimeoutError) as e:
             raise LinkError(f"switch: {e!r}") from e
-        if answer.strip() != b"ok":
-            raise LinkError(f"switch: {answer!r}")
+        if response.strip() != b"ok":
+            raise LinkError(f"switch: {response!r}")
 
 
 class LinkUpdater:
-    """Tells a link what holds now, one after the other, and again until it has heard.
+    """Applies the latest requested state to a link, one request after the other, with retries after errors.
 
-    Only the last word counts: what was overtaken before it was told is not told any more.
+    A request that was replaced by a later one before it was started is skipped.
     """
 
-    AGAIN = 0.2  # seconds before a word is said again that was not heard
+    RETRY_PAUSE = 0.2  # seconds
 
     def __init__(self, link: Link) -> None:
         self.link = link
-        self.wanted: int | None = None  # the term to be announced, or None: withdrawn
-        self.told: int | None = None
+        self.requested: int | None = None  # the term to announce; None: withdraw
+        self.applied: int | None = None  # the state that the link has confirmed, likewise
         self.changed = asyncio.Event()
-        self.failures = 0
+        self.failures = 0  # consecutive
         self.task: asyncio.Task[None] | None = None
 
     def request(self, term: int | None) -> None:
-        """Announce in a term, or withdraw."""
-        self.wanted = term
+        """Requests to announce the address in a term or, with None, to withdraw it."""
+        self.requested = term
         self.changed.set()
         if self.task is None:
-            self.task = asyncio.create_task(self._tell())
+            self.task = asyncio.create_task(self._apply())
 
-    async def _tell(self) -> None:
+    async def _apply(self) -> None:
         while True:
             self.changed.clear()
-            wanted = self.wanted
-            if wanted != self.told:
+            requested = self.requested
+            if requested != self.applied:
                 try:
-                    await (self.link.withdraw() if wanted is None else self.link.announce(wanted))
-                    self.told = wanted
+                    await (self.link.withdraw() if requested is None else self.link.announce(requested))
+                    self.applied = requested
                     self.failures = 0
                 except LinkError as e:
                     self.failures += 1
                     log.warning(
-                        "the address was not %s: %s", "withdrawn" if wanted is None else "announced", e
+                        "the service address was not %s: %s",
+                        "withdrawn" if requested is None else "announced",
+                        e,
                     )
-                    await asyncio.sleep(self.AGAIN)
+                    await asyncio.sleep(self.RETRY_PAUSE)
                     continue
             if not self.changed.is_set():
                 await self.changed.wait()
 
     def close(self) -> None:
-        """Say nothing more."""
+        """Stops; later requests are ignored, and pending ones are dropped."""
         if self.task is not None:
             self.task.cancel()
--- a/myrtlecourse/address/setup.py
+++ b/myrtlecourse/address/setup.py
@@ -1,4 +1,4 @@
-"""Makes a keeper of what the operators' file says."""
+"""Builds the driver of the service address from the operators' file."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 
 
 def read_key(path: Path, field: str = "address.key_file") -> bytes:
-    """The common key. Raises ConfigError."""
+    """Returns the key in a file; `field` names the file in errors. Raises ConfigError."""
     try:
         key = path.read_bytes().strip()
     except OSError as e:
         raise ConfigError(f"{field}: {path}: {e.strerror}") from e
     if len(key) > MAX_KEY_SIZE:
-        raise ConfigError(f"{field}: {path}: has over {MAX_KEY_SIZE} bytes")
+        raise ConfigError(f"{field}: {path}: a key has at most {MAX_KEY_SIZE} bytes")
     return key
 
 
 def read_keys(table: Address) -> tuple[bytes, tuple[bytes, ...]]:
-    """The key to seal with, and those that are taken as well. Raises ConfigError."""
-    also = (read_key(Path(file), "address.also_key_files") for file in table.also_key_files)
-    return read_key(Path(table.key_file or "")), tuple(also)
+    """Returns the key to seal datagrams with, and those that are accepted as well. Raises ConfigError."""
+    further = (read_key(Path(file), "address.also_key_files") for file in table.also_key_files)
+    return read_key(Path(table.key_file or "")), tuple(further)
 
 
 def make_link(table: Address, name: str) -> Link:
-    """Where the address is announced, and as whose."""
+    """Returns the link that announces the address as that of the router `name`."""
     if table.switch is not None:
         return SwitchLink(address_of(table.switch), name, table.link_timeout)
     return CommandLink(table.command, table.link_timeout)
@@ -48,38 +48,38 @@
 def make_driver(
     table: Address,
     able: Callable[[], bool],
-    held: Callable[[bool], None],
-    emptied: Callable[[], Awaitable[None]],
+    on_change: Callable[[bool], None],
+    wait_until_drained: Callable[[], Awaitable[None]],
 ) -> AddressDriver:
-    """The keeper of an instance.
+    """Returns the driver of this instance; see `AddressDriver` for the callbacks.
 
     Raises:
-        ConfigError: a file that is named can't be used.
+        ConfigError: a file named in the table can't be used.
     """
-    votes = Path(table.votes_file) if table.votes_file is not None else None
+    votes_file = Path(table.votes_file) if table.votes_file is not None else None
     saved = Saved()
-    if votes is not None:
+    if votes_file is not None:
         try:
-            saved = read_votes(votes)
+            saved = read_votes(votes_file)
         except VotesError as e:
-            # guards against a second vote in a term: staff must say that it may be begun with anew
+            # guards against a second vote in a term: only an operator may decide to start without the file
             raise ConfigError(
-                f"address.votes_file: {e}; remove it to begin anew, a lease after the last start"
+                f"address.votes_file: {e}; remove it to start without it, a lease's time after the last start"
             ) from e
     peers = {p.name: address_of(p.at) for p in table.peers}
-    key, also = read_keys(table)
+    key, further_keys = read_keys(table)
     try:
         return AddressDriver(
             table.election_settings(),
             peers,
             key,
             make_link(table, table.name or ""),
-            votes,
+            votes_file,
             saved,
             able,
-            held,
-            emptied,
-            also,
+            on_change,
+            wait_until_drained,
+            further_keys,
         )
     except ValueError as e:
         raise ConfigError(f"address.key_file: {e}") from e
--- a/myrtlecourse/address/votes.py
+++ b/myrtlecourse/address/votes.py
@@ -1,4 +1,4 @@
-"""The little that must outlive a restart: the term, and who was voted for in it."""
+"""Stores what an election must not forget at a restart: the term, and the vote in it."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from myrtlecourse.election.messages import Saved
 
 VERSION = 1
-LONGEST = 4096  # bytes of the file
+MAX_FILE_SIZE = 4096  # bytes
 
 
 class VotesError(ValueError):
-    """A file that can't be used; the message says why."""
+    """A votes file that can't be used; the message says why."""
 
 
 def _digest(term: int, voted: str) -> str:
@@ -23,10 +23,11 @@
 
 
 def read_votes(path: Path) -> Saved:
-    """What was written last; nothing when there is no file.
+    """Returns the term and vote written last; the initial ones if there is no file.
 
     Raises:
-        VotesError: it is torn, foreign or newer. To go on as if nothing had been voted would vote twice.
+        VotesError: the file is incomplete, or of another program or version. An instance that ignored this
+            could vote twice in a term.
     """
     try:
         text = path.read_bytes()
@@ -35,18 +36,18 @@
     except OSError as e:
         raise VotesError(f"{path}: {e.strerror}") from e
     try:
-        table = orjson.loads(text) if len(text) <= LONGEST else None
+        table = orjson.loads(text) if len(text) <= MAX_FILE_SIZE else None
     except ValueError:
         table = None
     if not isinstance(table, dict) or table.get("version") != VERSION:
-        raise VotesError(f"{path}: torn, or of another version or program")
+        raise VotesError(f"{path}: incomplete, or of another version or program")
     term, voted = table.get("term"), table.get("voted")
     if type(term) is not int or not isinstance(voted, str) or table.get("sha256") != _digest(term, voted):
-        raise VotesError(f"{path}: its checksum does not fit")
+        raise VotesError(f"{path}: its checksum is wrong")
     return Saved(term, voted)
 
 
 def write_votes(path: Path, saved: Saved) -> None:
-    """Write it down, on the disk before this returns: the vote goes out next. Raises OSError."""
+    """Writes the term and vote, durably before it returns, as the vote is sent next. Raises OSError."""
     table = {"version": VERSION, "term": saved.term, "voted": saved.voted}
     replace_file(path, orjson.dumps(table | {"sha256": _digest(saved.term, saved.voted)}))
--- a/myrtlecourse/ops/server.py
+++ b/myrtlecourse/ops/server.py
@@ -17,7 +17,8 @@
 from myrtlecourse.net.transport import Transport
 from myrtlecourse.ops.calls import Call, Exchange, Response
 
-MAX_CALLERS = 12  # open connections; beyond that an answered one is closed, or one without a complete call
+# open connections; beyond that an answered one is closed, else the oldest without a complete call
+MAX_CALLERS = 12
 CALL_TIMEOUT = 2.0  # seconds from the start of a connection in which the call must arrive completely
 LINGER_TIMEOUT = 1.0  # seconds for a caller to read the response and close the connection
 log = logging.getLogger(__name__)
