--- a/deploy/build.py
+++ b/deploy/build.py
@@ -1,7 +1,7 @@
 """Prepares a router's folder: its virtual environment and, if there is a C compiler, its compiled modules.
 
-Run from any folder with the system's Python. Steps that are up to date are skipped. A failed compilation does not
-fail the build: the router then runs from its sources, and reports that in its log.
+Run from any folder with the system's Python. Steps that are up to date are skipped. A failed compilation does
+not fail the build: the router then runs from its sources, and reports that in its log.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 
 VENV = compiled.ROOT / ".venv"
 PYTHON = VENV / "bin" / "python"
-# not compiled, as nothing would be gained: modules that run rarely, serve another host, or use a library whose
-# values have other types than it declares
+# not compiled, as nothing would be gained: modules that run rarely, serve another host, or use a library that
+# returns other types than it declares
 UNCOMPILED = (
     "__main__.py",
     "config.py",
@@ -107,16 +107,13 @@
 
 
 def compile_package(target: Path) -> None:
-    """Compiles into a folder beside the target, then renames it, so that an interrupted build is never used."""
+    """Compiles into a folder beside the target and renames it, so that an interrupted build is never used."""
     target.parent.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory(dir=target.parent) as scratch:
         copy, output = Path(scratch, "source"), Path(scratch, "made")
         unwanted = shutil.ignore_patterns("__pycache__", *compiled.TOOLS)
         shutil.copytree(compiled.PACKAGE, copy / compiled.PACKAGE.name, ignore=unwanted)
-        for file in (
-            "pyproject.toml",
-            "README.md",
-        ):  # the settings of the type checker, and a file that they name
+        for file in ("pyproject.toml", "README.md"):  # the type checker's settings, and a file named there
             shutil.copy(compiled.ROOT / file, copy)
         uncompiled = {compiled.PACKAGE / name for name in UNCOMPILED}
         modules = [str(f.relative_to(compiled.ROOT)) for f in compiled.sources() if f not in uncompiled]
--- a/deploy/compiled.py
+++ b/deploy/compiled.py
@@ -42,12 +42,8 @@
 def folder() -> Path:
     """Returns the folder for the package compiled from the current sources; it may not exist."""
     inputs = hashlib.sha256()
-    platform_tags = (
-        sys.implementation.cache_tag,
-        platform.machine(),
-        sysconfig.get_config_var("EXT_SUFFIX") or "",
-    )
-    inputs.update("\0".join(platform_tags).encode())
+    tags = (sys.implementation.cache_tag, platform.machine(), sysconfig.get_config_var("EXT_SUFFIX") or "")
+    inputs.update("\0".join(tags).encode())
     for file in (BUILDER, Path(__file__).with_name("build.py"), *sources()):
         text = file.read_bytes()
         inputs.update(f"\0{file.relative_to(ROOT)}\0{len(text)}\0".encode() + text)
--- a/deploy/start.py
+++ b/deploy/start.py
@@ -1,4 +1,4 @@
-"""Starts the router from modules compiled from the current sources if there are any, else from the sources."""
+"""Starts the router from the compiled form of its current sources if it exists, else from the sources."""
 
 from __future__ import annotations
 
--- a/myrtlecourse/address/driver.py
+++ b/myrtlecourse/address/driver.py
@@ -43,8 +43,8 @@
         wait_until_drained: Callable[[], Awaitable[None]],
         further_keys: tuple[bytes, ...] = (),
     ) -> None:
-        """`able` returns whether this router can serve clients. `on_change` is called with True when it acquires
-        the address, and with False when it loses it.
+        """`able` returns whether this router can serve clients. `on_change` is called with True when it
+        acquires the address, and with False when it loses it.
 
         When it loses the address, nothing may be accepted any more once `on_change` has returned;
         `wait_until_drained` then waits until the accepted requests have ended.
--- a/myrtlecourse/address/duty.py
+++ b/myrtlecourse/address/duty.py
@@ -26,7 +26,7 @@
         on_change: Callable[[bool], None],
         wait_until_drained: Callable[[], Awaitable[None]],
     ) -> None:
-        """`on_change` is called with True when this router acquires the address, and with False when it loses it.
+        """`on_change` is called with True when this router acquires the address, with False when it loses it.
 
         When it loses the address, nothing may be accepted any more once `on_change` has returned;
         `wait_until_drained` then waits until the accepted requests have ended.
--- a/myrtlecourse/ops/orders.py
+++ b/myrtlecourse/ops/orders.py
@@ -51,7 +51,7 @@
         returned = {name: at for name, at in self.returned.items() if now < at + RETURN_MEMORY}
         return replace(self, revision=self.revision + 1, bans=bans, returned={**returned, server: now})
 
-    def with_service(self, out: bool) -> Orders:
+    def with_out_of_service(self, out: bool) -> Orders:
         """Returns these orders with the router out of service, or in service."""
         return (
             self
@@ -110,7 +110,7 @@
     """The ids that discovery has listed, to refuse calls for servers that the fleet does not have."""
 
     def __init__(self) -> None:
-        self.is_cache: dict[str, bool] = {}  # id -> whether it is a cache server; latest listed last
+        self.cache_by_id: dict[str, bool] = {}  # id -> whether it is a cache server; latest listed last
 
     def record(self, listed: Iterable[tuple[str, bool]]) -> None:
         """Records listed ids with whether each is a cache server.
@@ -118,13 +118,13 @@
         The number is bounded, as a fleet whose servers are replaced lists new ids all the time.
         """
         for name, is_cache in listed:
-            self.is_cache.pop(name, None)
-            self.is_cache[name] = is_cache
-        while len(self.is_cache) > MAX_LISTED:
-            del self.is_cache[next(iter(self.is_cache))]
+            self.cache_by_id.pop(name, None)
+            self.cache_by_id[name] = is_cache
+        while len(self.cache_by_id) > MAX_LISTED:
+            del self.cache_by_id[next(iter(self.cache_by_id))]
 
     def refusal_reason(self, name: str) -> str:
         """Returns why a call for this id is refused, or an empty text if it is not."""
-        if name not in self.is_cache:
-            return "this id was never listed by discovery"
-        return "" if self.is_cache[name] else "this is the origin, not a cache server"
+        if name not in self.cache_by_id:
+            return "discovery has not listed this id"
+        return "" if self.cache_by_id[name] else "this is the origin, not a cache server"
--- a/myrtlecourse/ops/server.py
+++ b/myrtlecourse/ops/server.py
@@ -46,9 +46,9 @@
         descriptors."""
         self.callers[caller] = None
         if len(self.callers) > MAX_CALLERS:
-            answered = (c for c in self.callers if c.answered)
+            answered_callers = (c for c in self.callers if c.answered)
             without_call = (c for c in self.callers if not c.call_complete)
-            next(chain(answered, without_call), caller).transport.abort()
+            next(chain(answered_callers, without_call), caller).transport.abort()
 
     def close(self) -> None:
         """Stops to listen and closes all connections."""
--- a/myrtlecourse/service.py
+++ b/myrtlecourse/service.py
@@ -232,7 +232,7 @@
             )
         try:
             if call.kind is Kind.OUT_OF_SERVICE or call.kind is Kind.IN_SERVICE:
-                await self.store.change(lambda o: o.with_service(call.kind is Kind.OUT_OF_SERVICE))
+                await self.store.change(lambda o: o.with_out_of_service(call.kind is Kind.OUT_OF_SERVICE))
             else:
                 banned = call.server in self.store.orders.bans
                 if not banned and (reason := self.listed_servers.refusal_reason(call.server)):
--- a/tests/test_ops_orders.py
+++ b/tests/test_ops_orders.py
@@ -44,9 +44,9 @@
 
 
 def test_service_is_left_and_resumed_once() -> None:
-    out = Orders().with_service(True)
-    assert out.out_of_service and out.with_service(True) is out
-    assert not out.with_service(False).out_of_service
+    out = Orders().with_out_of_service(True)
+    assert out.out_of_service and out.with_out_of_service(True) is out
+    assert not out.with_out_of_service(False).out_of_service
 
 
 CALLS = st.lists(
@@ -75,7 +75,7 @@
 
 @given(CALLS, st.booleans())
 def test_orders_survive_their_form_in_the_file(calls: list[tuple[str, bool, float]], out: bool) -> None:
-    orders = Orders().with_service(out)
+    orders = Orders().with_out_of_service(out)
     for server, off, now in calls:
         orders = orders.with_ban(server, now) if off else orders.without_ban(server, now)
     assert from_table(orjson.loads(orjson.dumps(to_table(orders)))) == orders
@@ -86,7 +86,7 @@
     listed = ListedServers()
     listed.record([("a", True), ("o", False)])
     assert listed.refusal_reason("a") == "" and "origin" in listed.refusal_reason("o")
-    assert listed.refusal_reason("x") == "this id was never listed by discovery"
+    assert listed.refusal_reason("x") == "discovery has not listed this id"
     listed.record([("a", True), ("b", True)])
     assert listed.refusal_reason("a") == "" and listed.refusal_reason("o")  # o was named longest ago
 
