--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,9 @@
-"""The tests of sockets run on Python's event loop and on the one in C, where it is installed.
+"""Settings for all tests.
 
-Examples are the same in every run and bound by no time, as many tests run side by side. What tests write
-lies in memory where the machine has such a folder: votes are synced to the disk before each word, and a disk
-that others keep busy made elections of tenths of a second time out.
+The tests of sockets run on asyncio's event loop and on uvloop's, if that is installed. The examples of
+property tests are the same in each run and have no deadline, as many tests run side by side. Temporary files
+are kept in memory if possible: votes are synced to the disk before each message, and on a busy disk elections
+of tenths of a second timed out.
 """
 
 from __future__ import annotations
@@ -20,26 +21,26 @@
 
 pytest_plugins = ["tests.known_red", "tests.processes"]
 
-IN_MEMORY = "/dev/shm"
-if os.access(IN_MEMORY, os.W_OK):
-    tempfile.tempdir = IN_MEMORY  # not $TMPDIR, by which the processes of an upgrade would meet one another's
+MEMORY_FOLDER = "/dev/shm"
+if os.access(MEMORY_FOLDER, os.W_OK):
+    tempfile.tempdir = MEMORY_FOLDER  # not by $TMPDIR, which routers of different tests would then share
 hypothesis.settings.register_profile("same", derandomize=True, deadline=None)
 hypothesis.settings.load_profile("same")
-# it would mix in constants of the modules that happen to be loaded, which other tests of the worker decide
+# without the constants of loaded modules, which depend on the tests that ran before in the same worker
 providers._get_local_constants = lambda: providers._local_constants
 
-LOOPS = ["asyncio", "uvloop"] if importlib.util.find_spec("uvloop") else ["asyncio"]
+EVENT_LOOPS = ["asyncio", "uvloop"] if importlib.util.find_spec("uvloop") else ["asyncio"]
 
 
 def pytest_generate_tests(metafunc: pytest.Metafunc) -> None:
     if metafunc.module.__name__.startswith("tests.test_net_"):
         metafunc.fixturenames.append("event_loop_of")
-        metafunc.parametrize("event_loop_of", LOOPS, indirect=True)
+        metafunc.parametrize("event_loop_of", EVENT_LOOPS, indirect=True)
 
 
 @pytest.fixture
 def event_loop_of(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Makes `loopback.run` use the loop that the test is run for."""
+    """Makes `loopback.run` use the event loop of the test's parameter."""
     if request.param == "uvloop":
         import uvloop  # noqa: PLC0415
 
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,8 +1,7 @@
-"""Tests that start processes bear the mark `processes`, and are run in a pass of their own.
+"""Enforces the mark `processes` of tests that start processes, which run in a pass of their own.
 
-Guards verdicts: real processes hold one another up on a crowded machine, and what tests of them bound is how
-soon routers act. The mark is enforced here, as one that is only remembered is forgotten: a test without it
-that starts a child process fails.
+Real processes delay one another on a busy machine, and their tests bound how soon routers act, so that with too
+many side by side they would fail without a fault. A test without the mark fails when it starts a child process.
 """
 
 from __future__ import annotations
@@ -16,68 +15,71 @@
 import pytest
 
 MARK = "processes"
-STARTS = {"subprocess.Popen", "os.posix_spawn", "os.fork", "os.forkpty", "os.system"}  # audit events
-WHY = f"starts a child process without the mark `{MARK}`"
+START_EVENTS = {"subprocess.Popen", "os.posix_spawn", "os.fork", "os.forkpty", "os.system"}  # audit events
+MESSAGE = f"starts a child process without the mark `{MARK}`"
 
 
-class Watch:
-    """Whether the test that runs may start processes, and whether one did that may not."""
+class ProcessGuard:
+    """Whether the running test may start processes, and whether it did so without the mark."""
 
     def __init__(self) -> None:
         self.allowed = True
-        self.broken = False
+        self.violated = False
 
-    def started(self) -> None:
-        """A child process is about to start.
+    def check_start(self) -> None:
+        """Called before a child process starts.
 
         Raises:
-            pytest.fail.Exception: the test that runs may not start one.
+            pytest.fail.Exception: the running test may not start one.
         """
         if not self.allowed:
-            self.broken = True  # what raises here may be lost in a task
-            pytest.fail(WHY)
+            self.violated = True  # the exception raised here may be lost in a task
+            pytest.fail(MESSAGE)
 
 
-WATCH = Watch()
+GUARD = ProcessGuard()
 
 
-def heard(event: str, _: tuple[Any, ...]) -> None:
-    if event in STARTS:
-        WATCH.started()
+def audit(event: str, _: tuple[Any, ...]) -> None:
+    if event in START_EVENTS:
+        GUARD.check_start()
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Hear of child processes, whoever starts them, for as long as this process lives."""
+    """Installs the guard for child processes, whichever way they are started, until this process ends."""
     config.addinivalue_line("markers", f"{MARK}: starts processes; run in a pass of its own")
-    sys.addaudithook(heard)
-    os.register_at_fork(before=WATCH.started)  # uvloop forks without an audit event
-    spawn = util.spawnv_passfds
+    sys.addaudithook(audit)
+    os.register_at_fork(before=GUARD.check_start)  # uvloop forks without an audit event
+    original_spawn = util.spawnv_passfds
 
-    def told(path: bytes, args: Any, passfds: Any) -> Any:
-        """As `multiprocessing` spawns its processes without an audit event."""
-        WATCH.started()
-        return spawn(path, args, passfds)
+    def guarded_spawn(path: bytes, args: Any, passfds: Any) -> Any:
+        """Checks the start of a process by `multiprocessing`, which raises no audit event."""
+        GUARD.check_start()
+        return original_spawn(path, args, passfds)
 
-    util.spawnv_passfds = told
+    util.spawnv_passfds = guarded_spawn
 
 
 @pytest.hookimpl(wrapper=True)
 def pytest_runtest_protocol(item: pytest.Item) -> Generator[None, object, object]:
-    WATCH.allowed = item.get_closest_marker(MARK) is not None
+    GUARD.allowed = item.get_closest_marker(MARK) is not None
     try:
         return (yield)
     finally:
-        WATCH.allowed = True
+        GUARD.allowed = True
 
 
 @pytest.hookimpl(wrapper=True)
 def pytest_runtest_setup() -> Generator[None, object, object]:
-    """Each of the three parts of a test fails by itself, where what was raised in it was lost."""
-    WATCH.broken = False
-    done = yield
-    if WATCH.broken:
-        pytest.fail(WHY)
-    return done
+    """Fails a phase of a test that started a process, also if the exception raised there was lost.
+
+    Used for each of the three phases.
+    """
+    GUARD.violated = False
+    result = yield
+    if GUARD.violated:
+        pytest.fail(MESSAGE)
+    return result
 
 
 pytest_runtest_call = pytest_runtest_teardown = pytest_runtest_setup
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -1,4 +1,4 @@
-"""The service address on loopback: sealed datagrams, votes on disk, links, and real routers."""
+"""Tests of the service address: sealed datagrams, stored votes, links, and real routers on loopback."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from myrtlecourse.address.link import CommandLink, LinkError, LinkUpdater
 from myrtlecourse.address.votes import VotesError, read_votes, write_votes
 from myrtlecourse.config import ConfigError
-from myrtlecourse.election import messages as said
+from myrtlecourse.election import messages
 from myrtlecourse.fleet.reserved_ports import free
 from myrtlecourse.fleet.switch import Switch
 from myrtlecourse.operators import read_operators
@@ -34,32 +34,32 @@
 
 KEY = b"a common key of voters"
 THREE = ("a", "b", "c")
-MESSAGES = [
-    said.Ask(3, 2**61, True),
-    said.Grant(3, 7, False),
-    said.Deny(2**50),
-    said.Beat(1, 1),
-    said.Renew(1, 1),
-    said.Release(9),
-    said.Take(9),
+EXAMPLES = [
+    messages.Ask(3, 2**61, True),
+    messages.Grant(3, 7, False),
+    messages.Deny(2**50),
+    messages.Beat(1, 1),
+    messages.Renew(1, 1),
+    messages.Release(9),
+    messages.Take(9),
 ]
 
 
-def end(name: str, voters: tuple[str, ...], key: bytes, start: int) -> Wire[said.Message]:
-    """A voter's end."""
+def end(name: str, voters: tuple[str, ...], key: bytes, start: int) -> Wire[messages.Message]:
+    """Returns the end of a voter."""
     return Wire(name, voters, key, start, ElectionCodec())
 
 
-def pair() -> tuple[Wire[said.Message], Wire[said.Message]]:
-    """Two voters' ends that have greeted each other."""
+def pair() -> tuple[Wire[messages.Message], Wire[messages.Message]]:
+    """Returns the ends of two voters that have greeted each other."""
     a, b = end("a", THREE, KEY, 11), end("b", THREE, KEY, 22)
     assert b.open(a.hello("b")) == ("a", Sign.GREETING)
     assert a.open(b.hello("a")) == ("b", Sign.GREETING)
     return a, b
 
 
-@pytest.mark.parametrize("message", MESSAGES)
-def test_a_message_comes_as_it_went_and_once(message: said.Message) -> None:
+@pytest.mark.parametrize("message", EXAMPLES)
+def test_a_message_comes_as_it_went_and_once(message: messages.Message) -> None:
     a, b = pair()
     data = a.pack("b", message)
     assert len(data) <= LONGEST
@@ -71,18 +71,18 @@
 
 def test_messages_may_pass_one_another_within_the_window() -> None:
     a, b = pair()
-    sent = [a.pack("b", said.Beat(1, n)) for n in range(WINDOW + 1)]
-    assert b.open(sent[-1])[1] == said.Beat(1, WINDOW)
+    sent = [a.pack("b", messages.Beat(1, n)) for n in range(WINDOW + 1)]
+    assert b.open(sent[-1])[1] == messages.Beat(1, WINDOW)
     for data in reversed(sent[1:-1]):
         b.open(data)
     with pytest.raises(Dropped, match="replayed"):
-        b.open(sent[0])  # too old to be told from a repeat
+        b.open(sent[0])  # too old to be distinguished from a replay
 
 
 @given(st.data())
 def test_what_was_changed_anywhere_is_dropped(data: st.DataObject) -> None:
     a, b = pair()
-    sent = bytearray(a.pack("b", said.Beat(4, 5)))
+    sent = bytearray(a.pack("b", messages.Beat(4, 5)))
     at = data.draw(st.integers(0, len(sent) - 1))
     sent[at] ^= data.draw(st.integers(1, 255))
     with pytest.raises(Dropped, match="forged"):
@@ -99,50 +99,50 @@
 def test_strangers_other_receivers_and_other_keys_are_dropped() -> None:
     a, b = pair()
     with pytest.raises(Dropped, match="forged"):
-        end("c", THREE, KEY, 33).open(a.pack("b", said.Beat(1, 1)))  # it was for another
+        end("c", THREE, KEY, 33).open(a.pack("b", messages.Beat(1, 1)))  # sealed for another receiver
     with pytest.raises(Dropped, match="no member"):
-        b.open(end("x", ("x", "b"), KEY, 44).pack("b", said.Beat(1, 1)))
+        b.open(end("x", ("x", "b"), KEY, 44).pack("b", messages.Beat(1, 1)))
     with pytest.raises(Dropped, match="forged"):
-        b.open(end("a", THREE, b"another key of voters", 55).pack("b", said.Beat(1, 1)))
+        b.open(end("a", THREE, b"another key of voters", 55).pack("b", messages.Beat(1, 1)))
     with pytest.raises(ValueError, match="bytes"):
         end("a", THREE, b"short", 1)
 
 
 def test_what_was_sealed_for_a_process_before_is_answered_with_a_greeting_and_not_taken() -> None:
-    """A renewal from before a restart would bear a lease that nobody gave."""
+    """A renewal sealed for a process before its restart would count for a lease that nobody granted."""
     a, _ = pair()
-    old = a.pack("b", said.Renew(1, 1))
+    old = a.pack("b", messages.Renew(1, 1))
     again = end("b", THREE, KEY, 23)
     assert again.open(old) == ("a", Sign.STALE)
     assert a.open(again.hello("a")) == ("b", Sign.GREETING)
-    assert again.open(a.pack("b", said.Renew(1, 2))) == ("a", said.Renew(1, 2))
+    assert again.open(a.pack("b", messages.Renew(1, 2))) == ("a", messages.Renew(1, 2))
 
 
 def test_a_sender_that_has_restarted_is_not_followed_back() -> None:
     a, b = pair()
-    old = a.pack("b", said.Beat(1, 1))
+    old = a.pack("b", messages.Beat(1, 1))
     new = end("a", THREE, KEY, 12)
     new.open(b.hello("a"))
-    assert b.open(new.pack("b", said.Beat(2, 1))) == ("a", said.Beat(2, 1))
+    assert b.open(new.pack("b", messages.Beat(2, 1))) == ("a", messages.Beat(2, 1))
     with pytest.raises(Dropped, match="over"):
         b.open(old)
 
 
 def test_votes_last(tmp_path: Path) -> None:
     path = tmp_path / "votes"
-    assert read_votes(path) == said.Saved()
-    write_votes(path, said.Saved(7, "b"))
-    write_votes(path, said.Saved(8, ""))
-    assert read_votes(path) == said.Saved(8, "")
+    assert read_votes(path) == messages.Saved()
+    write_votes(path, messages.Saved(7, "b"))
+    write_votes(path, messages.Saved(8, ""))
+    assert read_votes(path) == messages.Saved(8, "")
 
 
 @given(st.integers(0, 200), st.integers(1, 255))
 def test_a_torn_or_changed_file_of_votes_is_refused(at: int, flip: int) -> None:
-    import tempfile  # noqa: PLC0415  (a folder for each example)
+    import tempfile  # noqa: PLC0415  (a folder per example)
 
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "votes"
-        write_votes(path, said.Saved(7, "b"))
+        write_votes(path, messages.Saved(7, "b"))
         text = bytearray(path.read_bytes())
         at %= len(text)
         path.write_bytes(text[:at])
@@ -151,7 +151,7 @@
         text[at] ^= flip
         path.write_bytes(text)
         with suppress(VotesError):
-            assert read_votes(path) == said.Saved(7, "b")  # what was changed said nothing
+            assert read_votes(path) == messages.Saved(7, "b")  # the changed byte had no meaning
 
 
 def script(folder: Path, text: str) -> str:
@@ -229,7 +229,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said_"),
+    ("old", "new", "message"),
     [
         ('name = "a"\npeers', 'name = "x"\npeers', "x is not among them"),
         ("switch =", "swich =", "swich"),
@@ -247,14 +247,14 @@
     ],
 )
 def test_a_file_that_can_t_hold_is_named_with_its_place(
-    old: str, new: str, said_: str, tmp_path: Path
+    old: str, new: str, message: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "router.toml"
     path.write_text(GOOD)
     table = read_operators(path).address
     assert table is not None and table.election_settings().majority == 2
     path.write_text(GOOD.replace(old, new))
-    with pytest.raises(ConfigError, match=said_) as told:
+    with pytest.raises(ConfigError, match=message) as told:
         read_operators(path)
     assert "router.toml" in str(told.value)
 
@@ -278,7 +278,7 @@
 
 
 def test_not_a_word_goes_out_before_the_vote_is_on_the_disk(tmp_path: Path) -> None:
-    """Said again to a candidate that asks again, it would be forgotten by a restart and given twice."""
+    """A vote sent before it is stored would be lost at a restart, and could be granted twice in a term."""
 
     async def scenario() -> None:
         async def emptied() -> None:
@@ -292,7 +292,7 @@
                 return
 
         folder = tmp_path / "votes"
-        settings = said.Settings("a", THREE)
+        settings = messages.Settings("a", THREE)
         peers = dict.fromkeys(THREE, ("127.0.0.1", 1))
         driver = AddressDriver(
             settings,
@@ -300,31 +300,31 @@
             KEY,
             Silent(),
             folder / "file",
-            said.Saved(),
+            messages.Saved(),
             lambda: True,
             lambda _: None,
             emptied,
         )
         driver.election.startup_wait_until = 0.0
         driver.loop = asyncio.get_running_loop()
-        out: list[tuple[str, bytes]] = []
-        driver.send = lambda to, data: out.append((to, data))  # type: ignore[method-assign]
-        for number in (1, 2):  # there is no such folder
-            driver.post(said.MessageReceived("b", said.Ask(1, number, False)))
-            assert not out
+        sent: list[tuple[str, bytes]] = []
+        driver.send = lambda to, data: sent.append((to, data))  # type: ignore[method-assign]
+        for number in (1, 2):  # the folder does not exist yet
+            driver.post(messages.MessageReceived("b", messages.Ask(1, number, False)))
+            assert not sent
         folder.mkdir()
-        driver.post(said.MessageReceived("b", said.Ask(1, 3, False)))
-        assert [to for to, _ in out] == ["b"] and read_votes(folder / "file") == said.Saved(1, "b")
+        driver.post(messages.MessageReceived("b", messages.Ask(1, 3, False)))
+        assert [to for to, _ in sent] == ["b"] and read_votes(folder / "file") == messages.Saved(1, "b")
         await driver.close()
 
     run(scenario)
 
 
-class Places:
-    """Three real routers behind a switch, each before the caches of one site."""
+class AddressFleet:
+    """Three real routers behind a switch, all with the cache servers of one site."""
 
     def __init__(self, folder: Path, here: Site, switch: Switch, duty: bool) -> None:
-        self.duty = duty  # the address is one of the duties
+        self.duty = duty  # whether the address is one of the duties
         self.folder = folder
         self.here = here
         self.switch = switch
@@ -334,7 +334,7 @@
     def write(
         self, name: str, voters: tuple[str, ...] = THREE, more: str = "", key: str = "key", told_at: str = ""
     ) -> Path:
-        """A router's operators' file."""
+        """Writes the operators' file of a router and returns its path."""
         peers = [
             {"name": n, "at": spelled(self.switch.relays.at.get((name, n), self.switch.voters[n]))}
             for n in voters
@@ -358,7 +358,7 @@
         return file
 
     async def start(self, name: str) -> Process:
-        """Start one, or start it again."""
+        """Starts or restarts a router."""
         file = self.write(name)
         config = self.folder / f"{name}.json"
         config.write_bytes(orjson.dumps({**self.here.config(), "listen": spelled(self.switch.routers[name])}))
@@ -366,15 +366,16 @@
         return self.routers[name]
 
     async def holder(self, other_than: str = "") -> str:
-        """Whoever has the address, once somebody has."""
+        """Waits until a router other than `other_than` has the address, and returns its name."""
         while (name := self.switch.holder) in ("", other_than):
             await asyncio.sleep(0.01)
         return name
 
-    async def settled(self, holder: str) -> None:
-        """Wait until all others have given their word to the holder: then each of them may hold, too.
+    async def wait_for_promises(self, holder: str) -> None:
+        """Waits until all others have promised the holder its lease: from then on each of them may vote.
 
-        A router gives none before a lease has passed since its start, and settles sooner than that.
+        A router promises nothing before a lease's time has passed since its start, but is able to campaign
+        sooner.
         """
         for name in THREE:
             while name != holder and (await status(self.routers[name]))["word_given_to"] != holder:
@@ -385,12 +386,12 @@
 
 
 @asynccontextmanager
-async def places(folder: Path, duty: bool = False) -> AsyncIterator[Places]:
+async def places(folder: Path, duty: bool = False) -> AsyncIterator[AddressFleet]:
     async with site(folder) as here:
         switch = Switch({name: free() for name in THREE})
         await switch.start()
         await switch.relays.join({name: free() for name in THREE})
-        made = Places(folder, here, switch, duty)
+        made = AddressFleet(folder, here, switch, duty)
         try:
             await asyncio.gather(*(made.start(name) for name in THREE))
             yield made
@@ -427,7 +428,7 @@
                 old = await there.start(first)
             else:
                 late = Link(*await asyncio.open_connection(*there.switch.routers[first]))
-                late.write(read("late"))  # it waits in the backlog of one that stands still
+                late.write(read("late"))  # waits in the backlog of the stopped router
                 os.kill(old.process.pid, signal.SIGCONT)
                 assert await late.ended()
                 assert not any(request == "late" for _, request in there.here.seen)
@@ -447,20 +448,21 @@
         async with places(tmp_path, duty) as there:
             first = await there.holder()
             to = next(n for n in THREE if n != first)
-            await there.settled(first)
+            await there.wait_for_promises(first)
             busy = await there.client()
             there.here.slow["long"] = asyncio.Event()
             busy.write(read("long"))
             while not any(request == "long" for _, request in there.here.seen):
                 await asyncio.sleep(0.001)
-            assert (await there.routers[to].call("PUT", "address/move"))[0] == 409  # it has none
+            # it does not hold the address
+            assert (await there.routers[to].call("PUT", "address/move"))[0] == 409
             assert (await there.routers[first].call("PUT", "address/move/x"))[0] == 409
             assert (await there.routers[first].call("PUT", f"address/move/{to}"))[0] == 200
             await asyncio.sleep(0.05)
             there.here.slow["long"].set()
-            assert await busy.resp() == b"value"  # what was taken ends before the address goes
+            assert await busy.resp() == b"value"  # accepted requests end before the address is withdrawn
             assert await there.holder(first) == to
-            await there.settled(to)
+            await there.wait_for_promises(to)
             assert (await there.routers[to].call("PUT", "out-of-service"))[0] == 200
             third = await there.holder(to)
             client = await there.client()
@@ -478,7 +480,7 @@
     async def scenario() -> None:
         async with places(tmp_path) as there:
             first = await there.holder()
-            there.switch.deaf.add(first)  # its withdrawal is lost as well
+            there.switch.deaf.add(first)  # the withdrawal is lost, too
             there.switch.split({first})
             second = await there.holder(first)
             assert not (await status(there.routers[first]))["holds"]
@@ -525,7 +527,7 @@
             told = orjson.loads(out)
             assert code == 0 and [t["name"] for t in told.values() if t["holds"]] == [first]
             to = next(n for n in THREE if n != first)
-            assert (await command("move", to, f"--at={ops[to]}"))[0] == 1  # it does not hold it
+            assert (await command("move", to, f"--at={ops[to]}"))[0] == 1  # it does not hold the address
             assert (await command("move", to, f"--at={ops[first]}"))[0] == 0
             assert await there.holder(first) == to
             assert (await command("status", "--at=127.0.0.1:1"))[0] == 2
@@ -538,7 +540,9 @@
     async def scenario() -> None:
         async with places(tmp_path) as there:
             first = await there.holder()
-            await there.settled(first)  # else the lease may rest on the word of the one that goes
+            await there.wait_for_promises(
+                first
+            )  # otherwise the lease may depend on the promise of the removed voter
             others = tuple(n for n in THREE if n != first)
             there.write(first, (first,))
             there.routers[first].process.send_signal(signal.SIGHUP)
@@ -566,7 +570,7 @@
 
 @pytest.mark.processes
 def test_a_new_key_and_another_switch_go_by_a_reload(tmp_path: Path) -> None:
-    """Nobody loses the address on the way; whoever takes it next tells the switch that is named now."""
+    """No router loses the address during the reloads, and the next holder announces it to the new switch."""
 
     async def scenario() -> None:
         async with places(tmp_path) as there:
@@ -613,8 +617,8 @@
                 },
                 stderr=asyncio.subprocess.PIPE,
             )
-            _, said_ = await process.communicate()
+            _, errors = await process.communicate()
             assert process.returncode == 2
-            assert b"router.toml" in said_ and line.split(" ", maxsplit=1)[0].encode() in said_
+            assert b"router.toml" in errors and line.split(" ", maxsplit=1)[0].encode() in errors
 
     run(scenario)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configurations at a reload: whole or not at all."""
+"""Tests of configurations at a reload, which are applied completely or not at all."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from myrtlecourse import config as configs
+from myrtlecourse import config as config_module
 from myrtlecourse.config import Config, ConfigError, read_config
 from tests.test_main import GOOD
 
@@ -19,7 +19,7 @@
 
 
 def read_reload(text: bytes, before: Config) -> Config:
-    return asyncio.run(configs.read_reload(text, before))
+    return asyncio.run(config_module.read_reload(text, before))
 
 
 def running() -> Config:
@@ -27,7 +27,7 @@
 
 
 def changed(path: list[Any], value: Any) -> bytes:
-    """The configuration with one thing set, or taken out if `value` is ..."""
+    """Returns the configuration with one value replaced, or removed if `value` is `...`."""
     table = copy.deepcopy(GOOD)
     at: Any = table
     for step in path[:-1]:
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "field"),
     [
         (b"", "not JSON"),
         (TEXT[:-1], "not JSON"),
@@ -72,10 +72,10 @@
         (changed(["discovery"], ...), "discovery"),
     ],
 )
-def test_a_broken_file_is_refused_with_the_field_named(text: bytes, said: str) -> None:
-    with pytest.raises(ConfigError) as told:
+def test_a_broken_file_is_refused_with_the_field_named(text: bytes, field: str) -> None:
+    with pytest.raises(ConfigError) as caught:
         read_reload(text, running())
-    assert said in str(told.value)
+    assert field in str(caught.value)
 
 
 @given(st.integers(0, len(TEXT) - 1))
@@ -85,17 +85,17 @@
 
 
 def leaves(table: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """The places of all keys."""
-    found = []
+    """Returns the paths of all keys."""
+    paths = []
     items = table.items() if isinstance(table, dict) else enumerate(table) if isinstance(table, list) else ()
     for name, value in items:
         if isinstance(table, dict):
-            found.append((*path, name))
-        found += leaves(value, (*path, name))
-    return found
+            paths.append((*path, name))
+        paths += leaves(value, (*path, name))
+    return paths
 
 
-# a row lacks only what others of its list have, and what was nothing before is no loss
+# without keys of rows, which are only required if all rows of a list have them, and keys that may be null
 KEYS = [p for p in leaves(GOOD) if "endpoints" not in p and not any(isinstance(step, int) for step in p)]
 
 
@@ -105,6 +105,6 @@
     for step in path:
         at = at[step]
     if at is None:
-        pytest.skip("it told nothing")
+        pytest.skip("the key is null")
     with pytest.raises(ConfigError):
         read_reload(changed(list(path), ...), running())
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""A property test has the same examples alone, in its file and in the whole suite."""
+"""Tests that a property test gets the same examples alone, with its file and in the whole suite."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 def examples() -> list[str]:
-    """What a property test is given."""
-    given_to: list[str] = []
+    """Returns the examples that a property test gets."""
+    drawn_examples: list[str] = []
 
     @settings(max_examples=200)
     @given(st.tuples(st.integers(), st.floats(), st.text(), st.binary()))
-    def take(drawn: object) -> None:
-        given_to.append(repr(drawn))
+    def collect(drawn: object) -> None:
+        drawn_examples.append(repr(drawn))
 
-    take()
-    return given_to
+    collect()
+    return drawn_examples
 
 
 def test_no_module_that_others_load_changes_examples(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Constants of whatever code was loaded came in, so that a verdict hung on which tests ran before."""
+    """Hypothesis draws constants of loaded modules, so that results depended on the tests run before."""
     before = examples()
     source = tmp_path / "loaded_by_another.py"
     source.write_text("".join(f"A{n} = {n + 1000}, {n}.5, 'text {n}', b'bytes {n}'\n" for n in range(60)))
--- a/tests/test_folder_faults.py
+++ b/tests/test_folder_faults.py
@@ -1,4 +1,4 @@
-"""Lasting folders that are full, broken or half written: orders stay as they were, and the router goes on."""
+"""Tests with folders that are full, broken or half written: stored data stays valid, and routers run on."""
 
 from __future__ import annotations
 
@@ -52,16 +52,16 @@
 ) -> None:
     store = OrderStore(tmp_path)
     ban(store, "a")
-    kept = store.orders
+    stored = store.orders
     with monkeypatch.context() as patch:
         patch.setattr(Path, what, write_half if what == "write_bytes" and error is FULL else fail(error))
         with pytest.raises(OrdersError, match="can't be stored"):
             ban(store, "b")
-    assert store.orders == kept
+    assert store.orders == stored
     assert {p.name for p in tmp_path.iterdir()} == {"myrtlecourse-orders.json", "myrtlecourse-orders.lock"}
     other = OrderStore(tmp_path)
-    assert other.refresh() and other.orders == kept  # what was kept before is whole
-    ban(store, "b")  # and the folder is used again once it can be
+    assert other.refresh() and other.orders == stored  # the orders stored before are intact
+    ban(store, "b")  # the folder is used again once it works
     assert other.refresh() and set(other.orders.bans) == {"a", "b"}
 
 
@@ -76,7 +76,7 @@
 def test_a_router_starts_and_shares_its_limits_beside_a_broken_folder(
     method: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An error on the folder at a start ended the new process of an upgrade."""
+    """An error on the folder during the start ended the new process of an upgrade."""
 
     async def scenario() -> None:
         with monkeypatch.context() as patch:
@@ -110,7 +110,7 @@
 
 
 def short_writes(monkeypatch: pytest.MonkeyPatch, error_after: int | None = None) -> None:
-    """Let each write take half of what it is given, and fail once so many bytes are there."""
+    """Makes each write store half of its data, and fail once `error_after` bytes are written."""
     write, written = os.write, 0
 
     def half(descriptor: int, data: bytes) -> int:
@@ -125,7 +125,7 @@
 
 
 def test_a_write_that_takes_a_part_is_gone_on_with(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """What a router had promised was replaced by half a file, which the next start refused."""
+    """A router's promises were replaced by half a file, which the next start refused."""
     memories = {"purge": Memory(term=7, voted="router-1", value=(1, 2, 3))}
     short_writes(monkeypatch)
     write_memories(tmp_path / "memory", memories)
@@ -147,7 +147,7 @@
 def test_which_process_is_the_newer_is_known_though_the_wall_clock_was_set_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The older one of an upgrade took itself for the newer, and gave nothing up as it ended."""
+    """The older process of an upgrade took itself for the newer, and released no descriptors as it ended."""
 
     async def scenario() -> None:
         older = DescriptorClaims(tmp_path)
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The program: its configuration and its signals."""
+"""Tests of the router's program: its configuration and its signals."""
 
 from __future__ import annotations
 
@@ -90,16 +90,16 @@
 def test_an_address_in_use_ends_the_start_in_one_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken:
+    with socket.create_server(("127.0.0.1", 0)) as occupied:
         path = tmp_path / "config.json"
-        path.write_bytes(orjson.dumps({**GOOD, "listen": spelled(taken.getsockname())}))
+        path.write_bytes(orjson.dumps({**GOOD, "listen": spelled(occupied.getsockname())}))
         monkeypatch.setenv("RELAY_CONFIG", str(path))
         assert program.main() == 2
     assert capsys.readouterr().err.splitlines()[-1].startswith("myrtlecourse: listen: ")
 
 
 async def ready(address: tuple[str, int]) -> Link:
-    """A client's connection that has been answered."""
+    """Returns a client's connection on which the router has answered."""
     client = Link(*await asyncio.open_connection(*address))
     client.write(command("PING"))
     assert await client.resp() == b"PONG"
@@ -107,7 +107,7 @@
 
 
 async def listening(log: asyncio.StreamReader | None) -> tuple[str, int]:
-    """Where the program says that it listens."""
+    """Returns the address on which the program listens, from its log."""
     assert log is not None
     while (found := re.search(rb"listening on ([0-9.]+:\d+)", await log.readline())) is None:
         assert not log.at_eof()
@@ -116,7 +116,7 @@
 
 @asynccontextmanager
 async def program_run(config: dict[str, Any], path: Path) -> AsyncIterator[asyncio.subprocess.Process]:
-    """The program with a configuration."""
+    """Runs the program with a configuration."""
     path.write_bytes(orjson.dumps(config))
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -134,7 +134,7 @@
 
 
 def configured(cache: Peer, discovery: Peer, mode: str) -> dict[str, Any]:
-    """A configuration with one cache server known."""
+    """Returns a configuration that lists one cache server."""
     line = {**LINE, "address": cache.address, "type": "std", "since_ms": 0}
     return {
         **GOOD,
@@ -148,7 +148,7 @@
 @pytest.mark.processes
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
 def test_the_program_serves_and_ends_on_sigterm_when_nothing_is_owed(mode: str, tmp_path: Path) -> None:
-    """Ended too early it loses what it has taken; too late it is killed with what it holds."""
+    """A router that ends too early loses accepted requests; one that ends too late is killed with them."""
 
     async def scenario() -> None:
         async with (
@@ -178,7 +178,7 @@
 @pytest.mark.processes
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
 def test_sighup_moves_the_watch_twice_under_load(mode: str, tmp_path: Path) -> None:
-    """Unhandled it kills the router; a watch left on the old discovery would miss drains told by the new."""
+    """An unhandled signal kills the router; a watch of the old discovery would miss drains at the new one."""
 
     async def scenario() -> None:
         path = tmp_path / "config.json"
--- a/tests/test_ops_calls.py
+++ b/tests/test_ops_calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls, as bytes in and out."""
+"""Tests of the parser of operators' calls and of the encoded responses."""
 
 from __future__ import annotations
 
--- a/tests/test_ops_orders.py
+++ b/tests/test_ops_orders.py
@@ -1,4 +1,4 @@
-"""What operators ordered: as values, in the shared file, and what two processes make of it."""
+"""Tests of operators' orders as values and in the shared file, and of two processes that share them."""
 
 from __future__ import annotations
 
@@ -56,20 +56,20 @@
 
 @given(CALLS, st.integers(0, 12))
 def test_whoever_looks_late_holds_the_same_bans(calls: list[tuple[str, bool, float]], seen: int) -> None:
-    """A process that missed some revisions hears of each ban and each end of one, and of no other."""
-    orders = early = Orders()
+    """A process that missed some revisions gets an event for each ban that began or ended, and no other."""
+    orders = seen_orders = Orders()
     for i, (server, out, now) in enumerate(sorted(calls, key=lambda c: c[2])):
         orders = orders.with_ban(server, now) if out else orders.without_ban(server, now)
         if i < seen:
-            early = orders
-    held = set(early.bans)
-    for event in events_between(early, orders):
+            seen_orders = orders
+    bans = set(seen_orders.bans)
+    for event in events_between(seen_orders, orders):
         if isinstance(event, api.ServerBanned):
-            held.add(event.server)
+            bans.add(event.server)
         else:
             assert event.server not in orders.bans
-            held.discard(event.server)
-    assert held == set(orders.bans)
+            bans.discard(event.server)
+    assert bans == set(orders.bans)
     assert not list(events_between(orders, orders))
 
 
@@ -98,7 +98,7 @@
 def test_what_one_process_is_told_binds_the_other(tmp_path: Path) -> None:
     one, other = OrderStore(tmp_path), OrderStore(tmp_path)
     change(one, "a")
-    change(other, "b")  # which has not looked since
+    change(other, "b")  # which has not read the file since
     assert set(other.orders.bans) == {"a", "b"}
     assert one.refresh() and set(one.orders.bans) == {"a", "b"}
     assert not one.refresh()
@@ -128,7 +128,7 @@
     store = OrderStore(tmp_path)
     assert not store.refresh() and store.orders == Orders()
     assert "can't be used" in caplog.text
-    change(store, "a")  # and it is replaced by the next order
+    change(store, "a")  # the next order replaces the file
     assert OrderStore(tmp_path).refresh()
 
 
@@ -177,7 +177,7 @@
     one, other = DescriptorClaims(tmp_path), DescriptorClaims(tmp_path)
     one.claim(200)
     assert other.others() == [Claim(one.started_ns, 200)]
-    os.close(one.file)  # as its death would
+    os.close(one.file)  # as if the process had died
     assert other.others() == [] and not one.path.exists()
     other.release()
     assert not list(tmp_path.iterdir())
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""A test that starts a process without the mark fails, whichever way it starts one."""
+"""Tests that a test without the mark `processes` fails when it starts a process, whichever way it does so."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.test_known_red import HOUSE, run_pytest
+from tests.test_known_red import ROOT, run_pytest
 
 pytestmark = pytest.mark.processes
 TESTS = """
@@ -77,12 +77,12 @@
 
 
 def test_a_test_that_starts_a_process_fails_without_the_mark(tmp_path: Path) -> None:
-    code, said = run_pytest(tmp_path, TESTS, "tests.processes")
+    code, output = run_pytest(tmp_path, TESTS, "tests.processes")
     assert code == 1
     ways = re.findall(r"^def ((?:by|in_a|though)_\w+)", TESTS, re.MULTILINE)
-    red = {line.split(" ")[1] for line in said.splitlines() if line.startswith(("FAILED", "ERROR"))}
-    assert red == {f"test_it.py::test_without[{way}]" for way in ways}
-    assert "starts a child process without the mark `processes`" in said
+    failed = {line.split(" ")[1] for line in output.splitlines() if line.startswith(("FAILED", "ERROR"))}
+    assert failed == {f"test_it.py::test_without[{way}]" for way in ways}
+    assert "starts a child process without the mark `processes`" in output
 
 
 PYTHON = """#!/bin/sh
@@ -99,17 +99,17 @@
     python = tmp_path / "python"
     python.write_text(PYTHON % (others, processes))
     python.chmod(0o755)
-    done = subprocess.run(
-        [HOUSE / "tests" / "passes.sh", "7", "2"],
+    result = subprocess.run(
+        [ROOT / "tests" / "passes.sh", "7", "2"],
         env={"PATH": f"{tmp_path}:/usr/bin:/bin"},
         capture_output=True,
         text=True,
         check=False,
     )
-    assert (done.returncode == 0) is (others == processes == 0)
-    lines = done.stdout.splitlines()
-    asked = [line for line in lines if line.startswith("asked")]
-    assert [line.partition("-n ")[2] for line in asked] == [
+    assert (result.returncode == 0) is (others == processes == 0)
+    lines = result.stdout.splitlines()
+    runs = [line for line in lines if line.startswith("asked")]
+    assert [line.partition("-n ")[2] for line in runs] == [
         "7 --dist worksteal -m not processes",
         "2 --dist worksteal -m processes",
     ]
--- a/tests/test_reload_signal.py
+++ b/tests/test_reload_signal.py
@@ -1,4 +1,4 @@
-"""A new configuration is told in the midst of a router's start: it lives, and takes what stands there."""
+"""Tests of SIGHUP during the start and the end of a router, which must neither end it nor get lost."""
 
 from __future__ import annotations
 
@@ -43,7 +43,8 @@
 
 @pytest.mark.processes
 def test_a_router_that_is_told_all_through_its_start_lives_and_has_the_new_settings(tmp_path: Path) -> None:
-    """The signal's default action ended it without a word; seen on a soak, a restart among reloads."""
+    """The signal's default action ended the process without a message; found by a soak that reloaded a router
+    while it restarted."""
 
     async def scenario() -> None:
         path, log = tmp_path / "config.json", tmp_path / "router.log"
@@ -54,7 +55,7 @@
                 *shlex.split(COMMAND), env={**os.environ, "RELAY_CONFIG": str(path)}, stdout=out, stderr=out
             )
         try:
-            await asyncio.sleep(0.01)  # the shell has set the signal aside
+            await asyncio.sleep(0.01)  # by then the shell ignores the signal
             classes = [*CONF["classes"], {**CONF["classes"][0], "name": "new"}]
             path.write_bytes(orjson.dumps({**config, "settings": {**CONF, "classes": classes}}))
             while b"listening on" not in log.read_bytes():
@@ -79,7 +80,7 @@
 def test_signals_all_through_a_routers_end_change_nothing_of_it(
     further: signal.Signals, tmp_path: Path
 ) -> None:
-    """Once the event loop had closed their default actions ended the process, which counts as a crash."""
+    """Once the event loop had closed, the default actions ended the process, which counts as a crash."""
     path, log = tmp_path / "config.json", tmp_path / "router.log"
     path.write_bytes(orjson.dumps({**GOOD, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9"}))
     with log.open("wb") as out:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The program in daily service: operators' calls, drains, reloads and upgrades, with real processes."""
+"""Tests of operators' calls, drains, reloads and upgrades with real router processes."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 RULES = {**CONF["rules"], "coldFrom": 0.9, "rampTime": 0.5}
 
 
-class Never(dict[str, asyncio.Event]):
-    """Requests that are never answered: all."""
+class NeverAnswered(dict[str, asyncio.Event]):
+    """Stands in for `Site.slow` and contains every request, so that none is answered."""
 
     def __contains__(self, request: object) -> bool:
         return True
@@ -40,30 +40,30 @@
 
 
 class Process:
-    """One process of a router, and what it logs."""
+    """A process of a router, and its log."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
         self.lines: list[str] = []
-        self.grown = asyncio.Event()
+        self.line_added = asyncio.Event()
         self.reader = asyncio.create_task(self._read())
 
     async def _read(self) -> None:
         assert self.process.stderr is not None
         async for line in self.process.stderr:
             self.lines.append(line.decode())
-            self.grown.set()
+            self.line_added.set()
 
     async def logged(self, pattern: str) -> re.Match[str]:
-        """The first line that holds something, once it is there."""
+        """Waits until the log has a match of the pattern, and returns the first one."""
         while True:
-            self.grown.clear()
+            self.line_added.clear()
             if (found := re.search(pattern, "".join(self.lines))) is not None:
                 return found
-            await self.grown.wait()
+            await self.line_added.wait()
 
     async def call(self, method: str, path: str) -> tuple[int, str]:
-        """An operator's call."""
+        """Makes an operators' call and returns the status code and text of the response."""
         ops = address_of((await self.logged(r"operators call (\S+)\n"))[1])
         link = Link(*await asyncio.open_connection(*ops))
         link.write(f"{method} /control/{path} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
@@ -73,7 +73,7 @@
 
 
 class Site:
-    """Two caches, discovery, and the processes of one router on a socket that the platform holds."""
+    """Two cache servers, discovery, and the processes of one router, on an inherited socket if `inherit`."""
 
     def __init__(self, folder: Path, inherit: bool) -> None:
         self.folder = folder
@@ -82,8 +82,8 @@
         self.socket = socket.socket()
         self.caches = {"a": Peer(), "b": Peer()}
         self.discovery = Peer()
-        self.seen: list[tuple[str, str]] = []  # cache and request, as they came
-        self.slow: dict[str, asyncio.Event] = {}  # requests that are answered when told
+        self.seen: list[tuple[str, str]] = []  # cache and name of each request, in order
+        self.slow: dict[str, asyncio.Event] = {}  # requests that are answered once the event is set
         self.tasks: list[asyncio.Task[None]] = []
         self.processes: list[Process] = []
 
@@ -103,19 +103,19 @@
         }
 
     async def start(self, descriptors: int = 1024, **more: str) -> Process:
-        """Another process of the router, `more` in its environment; it is up when it takes calls."""
-        own = {"RELAY_CONFIG": str(self.path), "TMPDIR": str(self.folder)}
-        environment = {**os.environ, **own, **more}
-        handed: tuple[int, ...] = ()
+        """Starts a process with `more` in its environment, and waits until it accepts operators' calls."""
+        defaults = {"RELAY_CONFIG": str(self.path), "TMPDIR": str(self.folder)}
+        environment = {**os.environ, **defaults, **more}
+        passed_descriptors: tuple[int, ...] = ()
         if self.inherit:
-            handed = (self.socket.fileno(),)
-            environment["RELAY_LISTEN_FD"] = str(handed[0])
+            passed_descriptors = (self.socket.fileno(),)
+            environment["RELAY_LISTEN_FD"] = str(passed_descriptors[0])
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "myrtlecourse",
             env=environment,
-            pass_fds=handed,
+            pass_fds=passed_descriptors,
             stderr=asyncio.subprocess.PIPE,
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors)),
         )
@@ -125,7 +125,7 @@
         return started
 
     async def _serve_cache(self, name: str, peer: Peer) -> None:
-        async def one(link: Link) -> None:
+        async def serve(link: Link) -> None:
             with suppress(AssertionError, ConnectionError):
                 while True:
                     request = (await link.resp())[2].decode()
@@ -135,10 +135,10 @@
                     link.write(HIT)
 
         while True:
-            self.tasks.append(asyncio.create_task(one(await peer.link())))
+            self.tasks.append(asyncio.create_task(serve(await peer.link())))
 
     async def _serve_discovery(self) -> None:
-        async def one(link: Link) -> None:
+        async def serve(link: Link) -> None:
             with suppress(asyncio.IncompleteReadError, ConnectionError):
                 first = (await link.http())[0]
                 if "after=" in first:
@@ -146,7 +146,7 @@
                 link.write(http("200 OK", orjson.dumps(self.list)))
 
         while True:
-            self.tasks.append(asyncio.create_task(one(await self.discovery.link())))
+            self.tasks.append(asyncio.create_task(serve(await self.discovery.link())))
 
     async def client(self, process: Process | None = None) -> Link:
         if self.inherit:
@@ -194,7 +194,7 @@
             router = await here.start()
             assert await router.call("GET", "ready") == (200, "ready")
             client = await here.client()
-            for _ in range(2):  # calls out may be repeated
+            for _ in range(2):  # the call may be repeated
                 assert (await router.call("PUT", "cache-servers/a/offline"))[0] == 200
             assert (await router.call("PUT", "cache-servers/z/offline"))[0] == 404
             assert (await router.call("GET", "cache-servers/a/offline"))[0] == 405
@@ -203,7 +203,7 @@
                 assert await ask(client, f"r{n}", f"k{n}") == b"value"
             assert {name for name, _ in here.seen} == {"b"}
             here.seen.clear()
-            assert (await router.call("PUT", "cache-servers/a/online"))[0] == 200  # and one ends the ban
+            assert (await router.call("PUT", "cache-servers/a/online"))[0] == 200  # one call ends the ban
             for n in range(40, 120):
                 assert await ask(client, f"r{n}", f"k{n}") == b"value"
             assert {name for name, _ in here.seen} == {"a", "b"}
@@ -240,11 +240,12 @@
                 assert (await router.call("PUT", "out-of-service"))[0] == 200
             assert await router.call("GET", "ready") == (503, "out of service")
             assert not await ping(await here.client())
-            assert await ask(eager, "e1", "k") == b"value"  # those who come are still served
+            assert await ask(eager, "e1", "k") == b"value"  # clients on open connections are still served
             assert await idle.ended() and await eager.ended()
             here.slow["long"].set()
             assert await busy.resp() == b"value" and await busy.ended()
-            assert not await ping(await here.client())  # and it is still there to say so
+            # the router still accepts connections, and reports that it is not ready
+            assert not await ping(await here.client())
             assert (await router.call("PUT", "in-service"))[0] == 200
             back = await here.client()
             assert await ping(back) and await ask(back, "b", "k") == b"value"
@@ -281,7 +282,7 @@
             answers: list[Any] = [await client.resp() for _ in range(3)]
             sent = 3
             with suppress(AssertionError, ConnectionError):
-                while True:  # always one in work, so that it never falls idle
+                while True:  # one request is always in flight, so that the connection never becomes idle
                     client.write(read(f"q{sent}", "k") + read(f"q{sent + 1}", "k"))
                     answers.append(await client.resp())
                     answers.append(await client.resp())
@@ -315,7 +316,8 @@
             router.process.send_signal(signal.SIGHUP)
             await router.logged(r"classes added \['new'\], dropped \['read'\]")
             assert await ask(other, "n", "k", "c=new,t=x,d=2000") == b"value"
-            assert await ask(other, "late", "k") == b"value"  # it was under way
+            # as if the command had been on its way during the reload
+            assert await ask(other, "late", "k") == b"value"
             here.slow["open"].set()
             assert await client.resp() == b"value"
             async with asyncio.timeout(PATIENCE):
@@ -327,7 +329,7 @@
 
 
 def test_two_reloads_in_quick_succession_end_in_the_second(tmp_path: Path) -> None:
-    """A class dropped by the first went on being taken for good when the second changed nothing of it."""
+    """A class removed by the first reload was accepted forever if the second changed no settings."""
 
     async def scenario() -> None:
         async with site(tmp_path) as here:
@@ -352,28 +354,28 @@
 
 
 class Load:
-    """Clients that ask one after the other, each on a connection until it is closed."""
+    """Clients that send one request after the other, each on a connection until that is closed."""
 
     def __init__(self, here: Site) -> None:
         self.here = here
         self.answers: list[Any] = []
         self.lost: list[str] = []
         self.asked = 0
-        self.going = True
+        self.running = True
 
-    async def one(self, number: int) -> None:
-        client, fresh = await self.here.client(), True
-        while self.going:
+    async def run_client(self, number: int) -> None:
+        client, new_connection = await self.here.client(), True
+        while self.running:
             self.asked += 1
             name = f"c{number}-{self.asked}"
             try:
                 self.answers.append(await ask(client, name, f"k{self.asked % 50}"))
-                fresh = False
+                new_connection = False
             except (AssertionError, ConnectionError):
-                # it crossed the close of an idle connection; nothing of it may have been sent on
-                if fresh or any(request == name for _, request in self.here.seen):
+                # the router closed the idle connection as the request was sent; it must not have forwarded it
+                if new_connection or any(request == name for _, request in self.here.seen):
                     self.lost.append(name)
-                client, fresh = await self.here.client(), True
+                client, new_connection = await self.here.client(), True
             await asyncio.sleep(0.01)
 
 
@@ -381,28 +383,29 @@
 def test_an_upgrade_under_load_loses_no_request_and_keeps_what_operators_ordered(
     how: str, tmp_path: Path
 ) -> None:
-    """The second process ended with an address in use, and a ban was gone with the first."""
+    """The second process failed because the address was in use, and bans were lost with the first process."""
 
     async def scenario() -> None:
         async with site(tmp_path, inherit=True) as here:
             old = await here.start()
             assert (await old.call("PUT", "cache-servers/a/offline"))[0] == 200
             load = Load(here)
-            clients = [asyncio.create_task(load.one(n)) for n in range(3)]  # one server's first limit
+            # as many clients as the initial limit of one server
+            clients = [asyncio.create_task(load.run_client(n)) for n in range(3)]
             while load.asked < 100:
                 await asyncio.sleep(0.01)
             new = await here.start()
             assert await new.call("GET", "ready") == (200, "ready")
-            assert (await old.call("PUT", "cache-servers/a/online"))[0] == 200  # either binds both
-            await asyncio.sleep(0.3)  # three looks at what the other was told
+            assert (await old.call("PUT", "cache-servers/a/online"))[0] == 200  # applies to both processes
+            await asyncio.sleep(0.3)  # three polls of the other process's orders
             assert (await new.call("PUT", "cache-servers/b/offline"))[0] == 200
             await asyncio.sleep(0.3)
             here.seen.clear()
             if how == "killed":
-                for client in clients:  # what it held may be asked again: no loss
+                for client in clients:  # clients may retry, so requests of a killed process are not lost
                     client.cancel()
                 old.process.kill()
-                clients = [asyncio.create_task(load.one(n)) for n in range(8, 11)]
+                clients = [asyncio.create_task(load.run_client(n)) for n in range(8, 11)]
             else:
                 old.process.send_signal(signal.SIGTERM)
             async with asyncio.timeout(PATIENCE):
@@ -411,7 +414,7 @@
             asked = load.asked
             while load.asked < asked + 100:
                 await asyncio.sleep(0.01)
-            load.going = False
+            load.running = False
             await asyncio.gather(*clients, return_exceptions=True)
             assert not load.lost
             assert {str(a) for a in load.answers} == {"b'value'"}
@@ -479,13 +482,13 @@
             assert held <= 64
             back = Peer()
             back.server = await asyncio.start_server(back._accept, *port)
-            async with asyncio.timeout(6.0):  # from then on what it has counts as told
+            async with asyncio.timeout(6.0):  # after this time the router must know of the drain
                 link = await back.links.get()
                 await link.http()
             (line, _) = here.config()["known"]["endpoints"]
             one = {**line, "status": "terminating"}
             link.write(http("200 OK", orjson.dumps({"index": 2, "snapshot": False, "endpoints": [one]})))
-            await back.links.get()  # it goes on watching, and so has taken that
+            await back.links.get()  # the next request of the watch shows that the change was applied
             client = await here.client()
             assert await ask(client, "r", "k") == b"value" and here.seen[-1][0] == "b"
             assert "Too many open files" not in "".join(router.lines)
@@ -507,44 +510,46 @@
 
 
 def test_a_router_that_ends_is_done_before_it_may_be_killed_and_loses_nothing(tmp_path: Path) -> None:
-    """Clients go on asking on open connections; with short deadlines it was killed over what it had taken."""
+    """With short deadlines and clients that kept sending, the router was killed with accepted requests."""
 
     async def scenario() -> None:
         async with site(tmp_path) as here:
             kinds = [{**kind, "giveUp": 1.0, "aim": 0.8} for kind in CONF["classes"]]
             here.path.write_bytes(orjson.dumps(here.config(classes=kinds)))
             router = await here.start()
-            here.slow = Never()
+            here.slow = NeverAnswered()
             client = await here.client()
             answers: list[Any] = []
 
-            async def asks() -> None:
-                """So often that one is always open, and the connection never falls idle."""
+            async def send_requests() -> None:
+                """Sends requests so often that one is always open, and the connection never becomes idle."""
                 for n in range(100):
                     client.write(read(f"r{n}", f"k{n}", "c=read,t=x,d=900"))
                     await asyncio.sleep(0.2)
 
-            async def hears() -> None:
+            async def read_answers() -> None:
                 with suppress(AssertionError, ConnectionError):
                     while True:
                         answers.append(await client.resp())
 
-            tasks = [asyncio.create_task(asks()), asyncio.create_task(hears())]
+            tasks = [asyncio.create_task(send_requests()), asyncio.create_task(read_answers())]
             while len(here.seen) < 2:
                 await asyncio.sleep(0.001)
             router.process.send_signal(signal.SIGTERM)
-            async with asyncio.timeout(1.0 + 0.7):  # from then on it may be killed
+            async with asyncio.timeout(1.0 + 0.7):  # after that the platform may send SIGKILL
                 assert await router.process.wait() == 0
             await tasks[1]
             tasks[0].cancel()
-            taken = len({request for _, request in here.seen})
-            assert len(answers) >= taken and str(answers[-1]) == "BUSY"  # each has one; the last were refused
+            accepted = len({request for _, request in here.seen})
+            # all accepted requests were answered, and the last ones were refused
+            assert len(answers) >= accepted and str(answers[-1]) == "BUSY"
 
     run(scenario)
 
 
 def test_a_duty_that_is_slow_to_be_left_keeps_no_router_beyond_its_end(tmp_path: Path) -> None:
-    """The end counted from when all was given up: requests taken meanwhile were lost to SIGKILL."""
+    """The time limit of the shutdown began only after the end of the duty; requests accepted meanwhile were
+    lost to SIGKILL."""
 
     async def scenario() -> None:
         leaving = tmp_path / "leaving"
@@ -571,7 +576,7 @@
             router.process.send_signal(signal.SIGTERM)
             await router.logged("ended; ")
             pid = int(leaving.read_text())
-            os.kill(pid, 0)  # it is still being left
+            os.kill(pid, 0)  # the command that leaves the duty still runs
             os.kill(pid, signal.SIGKILL)
 
     run(scenario, patience=3 * PATIENCE)
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,7 +1,7 @@
-"""An event loop whose clock is its own, with connections in memory: what a test bounds in time is then exact.
+"""An event loop with a virtual clock and connections in memory, for tests of exact times.
 
-The clock stands still while anything is to be done and moves to the next timer once nothing is, so that no
-machine is too slow for it. A scenario in which nothing will ever happen again fails at once.
+The clock stands still while callbacks are ready and then jumps to the next timer, so that results don't depend
+on the speed of the machine. A scenario that would wait forever fails at once.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 Factory = Callable[[], asyncio.BaseProtocol]
 
 
-class Clock(selectors.SelectSelector):
-    """Waits by moving the clock."""
+class VirtualClock(selectors.SelectSelector):
+    """Advances the clock instead of waiting."""
 
     now = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         ready = super().select(0)
         if not ready and timeout is None:
-            raise AssertionError("nothing will ever happen")
+            raise AssertionError("nothing is scheduled any more")
         if not ready and timeout is not None:
             self.now += max(0.0, timeout)
         return ready
 
 
-class End(asyncio.Transport):
-    """One end of a connection; what is written at one is received at the other in the next turn."""
+class ConnectionEnd(asyncio.Transport):
+    """One end of a connection; the other end receives its data in the next iteration of the event loop."""
 
     def __init__(self, loop: VirtualTimeLoop, protocol: asyncio.BaseProtocol) -> None:
         super().__init__()
         self.loop = loop
         self.protocol = cast(asyncio.Protocol, protocol)
-        self.other: End
+        self.other: ConnectionEnd
         self.closing = False
 
     def write(self, data: Any) -> None:
@@ -51,7 +51,7 @@
         return self.closing
 
     def close(self) -> None:
-        """The other end gets what was written, and then the end of it."""
+        """Closes the connection; the other end first receives what was written, then the stream's end."""
         if not self.closing:
             self.closing = True
             self.loop.call_soon(self.protocol.connection_lost, None)
@@ -65,8 +65,8 @@
             self.close()
 
 
-class Listening:
-    """A server; it stands in for its one socket, too."""
+class Server:
+    """A server, which also stands in for its only socket."""
 
     def __init__(self, loop: VirtualTimeLoop, address: Address) -> None:
         self.loop = loop
@@ -81,10 +81,10 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """For `loopback.run`."""
+    """An event loop in virtual time, for `loopback.run`."""
 
     def __init__(self) -> None:
-        self.clock = Clock()
+        self.clock = VirtualClock()
         self.listening: dict[Address, Factory] = {}
         self.ports = 0
         super().__init__(self.clock)
@@ -98,14 +98,14 @@
         self.ports += 1
         address = host, port or self.ports
         self.listening[address] = factory
-        return Listening(self, address)
+        return Server(self, address)
 
     async def create_connection(  # type: ignore[override]
         self, factory: Any, host: Any = None, port: Any = None, **_: Any
     ) -> Any:
         if (host, port) not in self.listening:
             raise ConnectionRefusedError(f"{host}:{port}")
-        here, there = End(self, factory()), End(self, self.listening[host, port]())
+        here, there = ConnectionEnd(self, factory()), ConnectionEnd(self, self.listening[host, port]())
         here.other, there.other = there, here
         there.protocol.connection_made(there)
         here.protocol.connection_made(here)
