--- a/myrtlecourse/operators.py
+++ b/myrtlecourse/operators.py
@@ -48,6 +48,7 @@
     also_key_files: Annotated[tuple[str, ...], Meta(max_length=2)] = ()
     # without it votes are lost at a restart, and an instance grants none until a lease's time after its start
     votes_file: str | None = None
+    # as in `election.messages.Settings`
     heartbeat: Seconds = 0.5
     lease: Seconds = 2.0
     drift: Annotated[float, Meta(ge=0.0, le=0.1)] = 0.02
@@ -171,6 +172,7 @@
     listen: Endpoint | None = None  # None: its own address among the peers
     also_key_files: Annotated[tuple[str, ...], Meta(max_length=2)] = ()
     memory_file: str | None = None  # None: promises are lost at a restart
+    # as in `duties.messages.Settings`
     heartbeat: Seconds = 0.5
     lease: Seconds = 2.0
     drift: Annotated[float, Meta(ge=0.0, le=0.1)] = 0.02
--- a/myrtlecourse/subsystems.py
+++ b/myrtlecourse/subsystems.py
@@ -294,7 +294,7 @@
         from myrtlecourse.address.setup import make_link, read_keys  # noqa: PLC0415  (an optional dependency)
 
         if table is None or not table.peers:
-            raise ConfigError("the table `address` was there at the start and is missing")
+            raise ConfigError("the table `address` is missing, but was present at the start")
         keys = read_keys(table)
         settings = table.election_settings()
         if settings != driver.settings:
@@ -314,7 +314,7 @@
         from myrtlecourse.duties.setup import keys, peers  # noqa: PLC0415  (an optional dependency)
 
         if (table := file.duties) is None:
-            raise ConfigError("the table `duties` was there at the start and is missing")
+            raise ConfigError("the table `duties` is missing, but was present at the start")
         driver.change(file.duty_settings(), peers(table), keys(table))
         logging.info("duties: %d routers, voters %s", len(table.peers), ", ".join(table.voters))
 
@@ -328,7 +328,7 @@
         from myrtlecourse.spread.setup import peer_addresses, read_keys  # noqa: PLC0415
 
         if table is None:
-            raise ConfigError("the table `spread` was there at the start and is missing")
+            raise ConfigError("the table `spread` is missing, but was present at the start")
         if table.settings() != driver.settings:
             raise ConfigError("spread: members and parameters can't change while the process runs")
         keys = read_keys(table)
@@ -341,7 +341,7 @@
 
         configured = part(table, self.service.config) if table is not None else None
         if configured is None:
-            raise ConfigError("the table `fleet` was there at the start and is missing")
+            raise ConfigError("the table `fleet` is missing, but was present at the start")
         new_part, peers, _ = configured
         if new_part != speaker.agent.part or peers != speaker.peers:
             speaker.change(new_part, peers)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,7 +1,8 @@
 """Enforces the mark `processes` of tests that start processes, which run in a pass of their own.
 
-Real processes delay one another on a busy machine, and their tests bound how soon routers act, so that with too
-many side by side they would fail without a fault. A test without the mark fails when it starts a child process.
+Real processes delay one another on a busy machine, and their tests bound how soon routers act, so that they
+would fail without a fault if too many ran side by side. A test without the mark fails when it starts a child
+process.
 """
 
 from __future__ import annotations
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -540,9 +540,8 @@
     async def scenario() -> None:
         async with places(tmp_path) as there:
             first = await there.holder()
-            await there.wait_for_promises(
-                first
-            )  # otherwise the lease may depend on the promise of the removed voter
+            # otherwise the lease may depend on the promise of the removed voter
+            await there.wait_for_promises(first)
             others = tuple(n for n in THREE if n != first)
             there.write(first, (first,))
             there.routers[first].process.send_signal(signal.SIGHUP)
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,7 +1,7 @@
 """An event loop with a virtual clock and connections in memory, for tests of exact times.
 
-The clock stands still while callbacks are ready and then jumps to the next timer, so that results don't depend
-on the speed of the machine. A scenario that would wait forever fails at once.
+The clock stands still while callbacks are ready and then jumps to the next timer, so that results don't
+depend on the speed of the machine. A scenario that would wait forever fails at once.
 """
 
 from __future__ import annotations
