--- a/myrtlecourse/operators.py
+++ b/myrtlecourse/operators.py
@@ -55,7 +55,7 @@
     settle: Annotated[float, Meta(ge=0.0, le=3600.0)] = 2.0
     unwell: Annotated[float, Meta(ge=0.0, le=3600.0)] = 1.0
     even_voters: bool = False
-    list_age: Seconds = 60.0  # largest age of the list of servers at a holder
+    list_age: Seconds = 60.0  # largest age of the list of servers at a holder, in seconds
     # a router whose admission control admits a smaller share of the commands can't hold the address
     least_share: Annotated[float, Meta(ge=0.0, le=1.0)] = 0.1
     # the address is announced and withdrawn by a switch with a line-based protocol or by a command
