--- a/bench/led_return.py
+++ b/bench/led_return.py
@@ -17,7 +17,7 @@
 from myrtlecourse.sim.world import World
 from myrtlecourse.zones import core
 from myrtlecourse.zones.core import Register, Zones
-from myrtlecourse.zones.verdict import WHOLE, Order, Standing
+from myrtlecourse.zones.exit_rule import WHOLE, Order, Standing
 
 DUTY = "return"
 LOOK = 0.1  # seconds
--- a/bench/zone_return.py
+++ b/bench/zone_return.py
@@ -34,7 +34,7 @@
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.sim.world import World
 from myrtlecourse.zones import pace
-from myrtlecourse.zones.verdict import WHOLE
+from myrtlecourse.zones.exit_rule import WHOLE
 
 ZONES = ("north", "south", "west")
 LOST = "south"
--- a/myrtlecourse/beyond.py
+++ b/myrtlecourse/beyond.py
@@ -23,7 +23,7 @@
     from myrtlecourse.address.keeper import Keeper
     from myrtlecourse.duties.keeper import Keeper as DutyKeeper
     from myrtlecourse.operators import Address, Duties, Fleet, OperatorsFile, Spread
-    from myrtlecourse.peers.speaker import Speaker
+    from myrtlecourse.peers.gossip_socket import Speaker
     from myrtlecourse.service import Service
     from myrtlecourse.spread.keeper import Keeper as SpreadKeeper
 
@@ -127,7 +127,7 @@
     def _of_fleet(self, call: Call) -> Answer:
         if self.speaker is None:
             return Answer(HTTPStatus.NOT_FOUND, ABSENT[call.kind])
-        from myrtlecourse.zones.verdict import Order  # noqa: PLC0415  (an extra)
+        from myrtlecourse.zones.exit_rule import Order  # noqa: PLC0415  (an extra)
 
         agent, now = self.speaker.agent, self.service.host.clock.now()
         if call.kind is Kind.FLEET:
--- a/myrtlecourse/duties/keeper.py
+++ b/myrtlecourse/duties/keeper.py
@@ -17,7 +17,7 @@
 from myrtlecourse.duties.message_log import MessageLog
 from myrtlecourse.election import messages as election
 from myrtlecourse.net.logs import BoundedLog
-from myrtlecourse.peers.end import End, Endpoint
+from myrtlecourse.peers.peer_socket import End, Endpoint
 from myrtlecourse.peers.records import started
 from myrtlecourse.peers.wire import Wire
 
--- a/myrtlecourse/duties/setup.py
+++ b/myrtlecourse/duties/setup.py
@@ -12,7 +12,7 @@
 from myrtlecourse.duties.memory import RememberError, read_memories
 from myrtlecourse.duties.work import Commands, HoldWork, StepWork
 from myrtlecourse.net.pool import address_of
-from myrtlecourse.peers.end import Endpoint
+from myrtlecourse.peers.peer_socket import Endpoint
 
 if TYPE_CHECKING:
     from myrtlecourse.duties.messages import Settings
--- a/myrtlecourse/scale/hollow.py
+++ b/myrtlecourse/scale/hollow.py
@@ -31,7 +31,7 @@
 from myrtlecourse.net.servers import CacheConnection
 from myrtlecourse.operators import read_operators
 from myrtlecourse.overload.core import CoreControl
-from myrtlecourse.peers.speaker import Speaker
+from myrtlecourse.peers.gossip_socket import Speaker
 from myrtlecourse.scale.child import told_to_end
 from myrtlecourse.scale.scenario import Place
 from myrtlecourse.zones.agent import Agent
--- a/myrtlecourse/spread/keeper.py
+++ b/myrtlecourse/spread/keeper.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from myrtlecourse.net.logs import BoundedLog
-from myrtlecourse.peers.end import End, Endpoint
+from myrtlecourse.peers.peer_socket import End, Endpoint
 from myrtlecourse.peers.wire import Wire
 from myrtlecourse.spread import head_events as of_head
 from myrtlecourse.spread import messages as said
--- a/myrtlecourse/spread/setup.py
+++ b/myrtlecourse/spread/setup.py
@@ -8,7 +8,7 @@
 from myrtlecourse.address.setup import read_key
 from myrtlecourse.config import ConfigError
 from myrtlecourse.net.pool import address_of
-from myrtlecourse.peers.end import Endpoint
+from myrtlecourse.peers.peer_socket import Endpoint
 from myrtlecourse.spread.keeper import Keeper
 
 if TYPE_CHECKING:
--- a/myrtlecourse/zones/agent.py
+++ b/myrtlecourse/zones/agent.py
@@ -15,8 +15,8 @@
 from myrtlecourse.peers.gossip import Datagram, Gossip
 from myrtlecourse.peers.seal import ident
 from myrtlecourse.zones.core import ORIGIN, Change, Zones
+from myrtlecourse.zones.exit_rule import ALL, Order
 from myrtlecourse.zones.tiers import Tiers
-from myrtlecourse.zones.verdict import ALL, Order
 
 
 @dataclass(slots=True, frozen=True)
--- a/myrtlecourse/zones/core.py
+++ b/myrtlecourse/zones/core.py
@@ -14,11 +14,11 @@
 from myrtlecourse import interface as api
 from myrtlecourse.peers.records import ROOM, Record, width
 from myrtlecourse.peers.seal import ident
-from myrtlecourse.zones import pace, verdict
-from myrtlecourse.zones.evidence import LONG, PERIOD, SHORT, UNKNOWN, Counts, Tally, heard, told
+from myrtlecourse.zones import exit_rule, pace
+from myrtlecourse.zones.exit_rule import ALL, WHOLE, Look, Order, Standing, Sum
 from myrtlecourse.zones.returns import Report, Returns
+from myrtlecourse.zones.tallies import LONG, PERIOD, SHORT, UNKNOWN, Counts, Tally, heard, told
 from myrtlecourse.zones.tiers import Tiers
-from myrtlecourse.zones.verdict import ALL, WHOLE, Look, Order, Standing, Sum
 
 ORIGIN = "\0origin"  # the origin's zone, which no other can be named
 LATELY = PERIOD * SHORT  # seconds for which a record's short counts say how things stand
@@ -154,7 +154,7 @@
         changed = False
         for i in range(0, len(rest) - 4, 5):
             scope, zone, number, by, left = rest[i : i + 5]
-            standing = verdict.standing(number, by)
+            standing = exit_rule.standing(number, by)
             # an operators' order is somebody's and has an end, and nothing else has
             if standing.ordered is bool(by and left):
                 changed |= self._merge(now, (scope, zone), standing, left)
@@ -261,21 +261,21 @@
             # the others' word does where this zone's routers have not tried for long: a cut between two
             # zones is no business of a third
             long = now >= register.since + UNTRIED * standing.hold
-            if not held or not (verdict.back(near) or (long and self._back_elsewhere(near, far))):
+            if not held or not (exit_rule.back(near) or (long and self._back_elsewhere(near, far))):
                 return False
             self._come_back(now, zone, standing, "trials come through")
             return True
-        enough = verdict.ENOUGH
+        enough = exit_rule.ENOUGH
         if standing.order is Order.BACK:
-            enough = verdict.AGAIN
+            enough = exit_rule.AGAIN
             # guards a return: those of other zones, which have not begun, still know of runs from before
             far = [replace(tally, run=UNKNOWN) for tally in far]
-        own, everyone = verdict.added(near), verdict.added(near + far)
-        shown = verdict.left(own, everyone, self.members.get(self.home, 1), self.fleet, enough)
+        own, everyone = exit_rule.added(near), exit_rule.added(near + far)
+        shown = exit_rule.left(own, everyone, self.members.get(self.home, 1), self.fleet, enough)
         if shown is None:
             return standing.order is Order.BACK and self._go_on(now, zone, register)
         calm = now - register.since > CALM and standing.order is Order.IN
-        flaps = 1 if calm else min(verdict.MOST_FLAPS, standing.flaps + 1)
+        flaps = 1 if calm else min(exit_rule.MOST_FLAPS, standing.flaps + 1)
         left = Standing(standing.epoch + 1, Order.OUT, flaps)
         self._set(now, zone, left, self._why(shown, shown is own))
         return True
@@ -308,7 +308,7 @@
 
     @staticmethod
     def _back_elsewhere(near: list[Tally], far: list[Tally]) -> bool:
-        return not any(t.bad_long for t in near) and verdict.back(near + far)
+        return not any(t.bad_long for t in near) and exit_rule.back(near + far)
 
     def _told_by(self, record: Record) -> dict[int, Tally]:
         return self.read.get(record.owner, (record, {}))[1]
@@ -316,15 +316,15 @@
     def _look_alone(self, now: float, zone: int) -> None:
         """Whether it is this router that can't reach a zone, and not the zone that can't be reached."""
         mine = self.counts.tallies(now).get(zone, Tally())
-        if mine.run < verdict.TRIALS or zone in self._left():
+        if mine.run < exit_rule.TRIALS or zone in self._left():
             self.doubted.pop(zone, None)
             self.alone.discard(zone)
             return
         near = [r for r in self.records if r.zone == self.home and now - r.made_at <= RECENT]
-        others = verdict.added_long(self._told_by(r).get(zone, Tally()) for r in near)
+        others = exit_rule.added_long(self._told_by(r).get(zone, Tally()) for r in near)
         if not others.total:
             return
-        if not verdict.light(others):
+        if not exit_rule.light(others):
             self.doubted.pop(zone, None)
             self.alone.discard(zone)
         elif now - self.doubted.setdefault(zone, now) >= ALONE and zone not in self.alone:
@@ -380,7 +380,7 @@
             return True
         # guards against the word of routers that are cut off: what this one reaches itself is not gone
         mine = self.counts.tallies(now).get(zone, Tally())
-        return not (mine.heard and mine.heard >= verdict.CONTRADICTED * (mine.heard + mine.bad))
+        return not (mine.heard and mine.heard >= exit_rule.CONTRADICTED * (mine.heard + mine.bad))
 
     def _left(self) -> set[int]:
         own = {ident(z, 2) for z in self.given.zones}
@@ -432,8 +432,8 @@
         found = {}
         for number, name in self.names.items():
             near, far = self._seen(now, number)
-            seen = verdict.added_long(near + far)
+            seen = exit_rule.added_long(near + far)
             key = (ALL, number) if self._ordered(number) else (self.home, number)
             register = self.registers.get(key, Register())
-            found[name] = (verdict.look(seen), seen, register.standing, now - register.since)
+            found[name] = (exit_rule.look(seen), seen, register.standing, now - register.since)
         return found
--- a/myrtlecourse/zones/verdict.py
+++ b/myrtlecourse/zones/exit_rule.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from myrtlecourse.zones.evidence import Tally
+from myrtlecourse.zones.tallies import Tally
 
 DARK = 0.8  # share of the attempts that did not come through: half a zone's servers, or slow ones, are fewer
 LIGHT = 0.6  # share that came through: the zone is back
--- a/myrtlecourse/zones/pace.py
+++ b/myrtlecourse/zones/pace.py
@@ -13,7 +13,7 @@
 import math
 from dataclasses import dataclass
 
-from myrtlecourse.zones.verdict import WHOLE
+from myrtlecourse.zones.exit_rule import WHOLE
 
 FIRST = 8  # of WHOLE: the first step
 DWELL = 0.6  # seconds that a step stands at least, so that what is counted is of after it
--- a/myrtlecourse/zones/returns.py
+++ b/myrtlecourse/zones/returns.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 
 from myrtlecourse.zones import pace
-from myrtlecourse.zones.evidence import LONG, PERIOD, SHORT, Tally
+from myrtlecourse.zones.exit_rule import WHOLE, Order, Standing
 from myrtlecourse.zones.pace import ENOUGH, View
-from myrtlecourse.zones.verdict import WHOLE, Order, Standing
+from myrtlecourse.zones.tallies import LONG, PERIOD, SHORT, Tally
 
 LATER = PERIOD * LONG  # seconds of the longer counts
 WINDOW = PERIOD * (SHORT - 0.5)  # seconds that short counts are of, on average: the latest period is not over
--- a/myrtlecourse/zones/setup.py
+++ b/myrtlecourse/zones/setup.py
@@ -12,7 +12,7 @@
 from myrtlecourse.address.setup import read_key
 from myrtlecourse.config import Config, ConfigError
 from myrtlecourse.net.pool import address_of
-from myrtlecourse.peers.speaker import Endpoint, Speaker
+from myrtlecourse.peers.gossip_socket import Endpoint, Speaker
 from myrtlecourse.zones.agent import Agent, Part
 from myrtlecourse.zones.tiers import Tiers
 
--- a/tests/test_peers_speaker.py
+++ b/tests/test_peers_speaker.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from myrtlecourse.peers.speaker import Speaker
+from myrtlecourse.peers.gossip_socket import Speaker
 from myrtlecourse.zones.agent import Agent
 
 
--- a/tests/test_zone_exit.py
+++ b/tests/test_zone_exit.py
@@ -21,7 +21,7 @@
 from myrtlecourse.fleet.scenario import Scenario
 from myrtlecourse.fleet.session import Outcome, play, stand_up
 from myrtlecourse.load.profile import Profile
-from myrtlecourse.zones.verdict import HOLD
+from myrtlecourse.zones.exit_rule import HOLD
 
 pytestmark = pytest.mark.processes
 ROUTERS = 6
--- a/tests/test_zone_return.py
+++ b/tests/test_zone_return.py
@@ -25,8 +25,8 @@
 from myrtlecourse.policy.walk import Walk
 from myrtlecourse.zones import pace
 from myrtlecourse.zones.core import REST
+from myrtlecourse.zones.exit_rule import HOLD, WHOLE, Order
 from myrtlecourse.zones.pace import View
-from myrtlecourse.zones.verdict import HOLD, WHOLE, Order
 from tests.driver import Driver, entry
 from tests.driver import settings as conf
 from tests.loopback import needs_sources
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -23,18 +23,18 @@
 from myrtlecourse.interface import Reach
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.operators import read_operators
+from myrtlecourse.peers.gossip_socket import Speaker
 from myrtlecourse.peers.records import ROOM, Record, width
 from myrtlecourse.peers.seal import Dropped, Seal, ident
-from myrtlecourse.peers.speaker import Speaker
 from myrtlecourse.policy import Router, tuning
 from myrtlecourse.sim.world import World
-from myrtlecourse.zones import verdict
+from myrtlecourse.zones import exit_rule
 from myrtlecourse.zones.agent import Agent, Part
 from myrtlecourse.zones.core import FRESH, ORIGIN, REST, TRIALS_A_SECOND, UNBELIEVED, Zones, ZonesError
-from myrtlecourse.zones.evidence import LONG, PERIOD, RUN, Counts, Tally, heard, told
+from myrtlecourse.zones.exit_rule import ALL, HOLD, Look, Order, Standing, Sum
 from myrtlecourse.zones.setup import speaker
+from myrtlecourse.zones.tallies import LONG, PERIOD, RUN, Counts, Tally, heard, told
 from myrtlecourse.zones.tiers import Tiers
-from myrtlecourse.zones.verdict import ALL, HOLD, Look, Order, Standing, Sum
 from tests.driver import Driver, entry
 from tests.driver import settings as conf
 from tests.loopback import needs_sources
@@ -42,7 +42,11 @@
 counts = st.integers(0, 20)
 tallies = st.builds(Tally, counts, counts, counts, counts, counts, counts, counts)
 standings = st.builds(
-    Standing, st.integers(0, 3), st.sampled_from(Order), st.integers(0, verdict.MOST_FLAPS), st.integers(0, 2)
+    Standing,
+    st.integers(0, 3),
+    st.sampled_from(Order),
+    st.integers(0, exit_rule.MOST_FLAPS),
+    st.integers(0, 2),
 )
 
 
@@ -55,7 +59,7 @@
         results.add(x.merged(y).merged(z))
         results.add(x.merged(y.merged(z)).merged(y))
     assert len(results) == 1
-    assert verdict.standing(a.number(), a.by) == a
+    assert exit_rule.standing(a.number(), a.by) == a
 
 
 @given(st.dictionaries(st.integers(1, 65_535), tallies, max_size=40), st.integers(0, ROOM))
@@ -99,24 +103,24 @@
     ],
 )
 def test_what_it_looks_like_in_a_word(seen: Sum, word: Look) -> None:
-    assert verdict.look(seen) is word
+    assert exit_rule.look(seen) is word
 
 
 def test_half_a_zone_or_a_slow_one_is_not_left_and_one_witness_does_not_do() -> None:
-    assert verdict.dark(Sum(0, 9, 0, 2), 6) and verdict.dark(Sum(0, 0, 9, 2), 6)
-    assert not verdict.dark(Sum(0, 50, 0, 1), 6)
+    assert exit_rule.dark(Sum(0, 9, 0, 2), 6) and exit_rule.dark(Sum(0, 0, 9, 2), 6)
+    assert not exit_rule.dark(Sum(0, 50, 0, 1), 6)
     few = Sum(40, 2, 3, 3, run=5, runners=3)  # before each left the servers out by itself
-    assert verdict.dark(few, 6) and not verdict.dark(replace(few, lately=1), 6)
-    assert not verdict.dark(replace(few, runners=1), 6)
-    assert not verdict.dark(replace(few, others=2), 6)  # some have been answered since
-    assert verdict.dark(Sum(0, 50, 0, 1), 1)  # the only router of its zone
-    assert not verdict.dark(Sum(10, 10, 0, 6), 6) and not verdict.dark(Sum(10, 0, 20, 6), 6)
+    assert exit_rule.dark(few, 6) and not exit_rule.dark(replace(few, lately=1), 6)
+    assert not exit_rule.dark(replace(few, runners=1), 6)
+    assert not exit_rule.dark(replace(few, others=2), 6)  # some have been answered since
+    assert exit_rule.dark(Sum(0, 50, 0, 1), 1)  # the only router of its zone
+    assert not exit_rule.dark(Sum(10, 10, 0, 6), 6) and not exit_rule.dark(Sum(10, 0, 20, 6), 6)
     own, rest = Sum(0, 0, 0), Sum(0, 20, 0, 4)
-    assert verdict.left(own, rest, 3, 9) is rest  # who has not met it follows
-    assert verdict.left(Sum(9, 0, 0), rest, 3, 9) is None  # who reaches it stays
+    assert exit_rule.left(own, rest, 3, 9) is rest  # who has not met it follows
+    assert exit_rule.left(Sum(9, 0, 0), rest, 3, 9) is None  # who reaches it stays
     seldom = Sum(1, 0, 0, heard_long=1)  # who has been answered by it, if seldom, stays as well
-    assert verdict.left(seldom, rest, 3, 9) is None
-    assert verdict.left(replace(seldom, run=2, runners=1), rest, 3, 9) is rest
+    assert exit_rule.left(seldom, rest, 3, 9) is None
+    assert exit_rule.left(replace(seldom, run=2, runners=1), rest, 3, 9) is rest
 
 
 class Fleet:
--- a/tests/wrong_zones.py
+++ b/tests/wrong_zones.py
@@ -10,32 +10,32 @@
 from myrtlecourse import __main__
 from myrtlecourse.peers import gossip
 from myrtlecourse.policy.leaving import Leaving
-from myrtlecourse.zones import pace, verdict
-from myrtlecourse.zones.evidence import Tally
-from myrtlecourse.zones.verdict import WHOLE, Sum
+from myrtlecourse.zones import exit_rule, pace
+from myrtlecourse.zones.exit_rule import WHOLE, Sum
+from myrtlecourse.zones.tallies import Tally
 
 
 def counts_twice() -> None:
     """What does not come through counts again with each record that repeats it, as if others had seen it."""
-    added = verdict.added
+    added = exit_rule.added
 
     def again(tallies: object) -> Sum:
         each: list[Tally] = list(tallies)  # type: ignore[call-overload]
         return added([*each, *(t for t in each if t.bad_long and not t.heard for _ in range(49))])
 
-    verdict.added = again
+    exit_rule.added = again
 
 
 def believes_one() -> None:
     """One router's word is enough, whatever the others reach."""
-    verdict.dark = lambda seen, members, enough=1: seen.silent + seen.refused >= verdict.ENOUGH
-    verdict.CONTRADICTED, verdict.ENOUGH = math.inf, 1
+    exit_rule.dark = lambda seen, members, enough=1: seen.silent + seen.refused >= exit_rule.ENOUGH
+    exit_rule.CONTRADICTED, exit_rule.ENOUGH = math.inf, 1
 
 
 def has_no_hysteresis() -> None:
     """Comes back with the first answer, and leaves at the first doubt."""
-    verdict.HOLD, verdict.DARK, verdict.ENOUGH = 0.0, 0.3, 2
-    verdict.back = lambda tallies: any(t.heard_long for t in tallies)
+    exit_rule.HOLD, exit_rule.DARK, exit_rule.ENOUGH = 0.0, 0.3, 2
+    exit_rule.back = lambda tallies: any(t.heard_long for t in tallies)
 
 
 def moves_all() -> None:
