--- a/bench/duty_move.py
+++ b/bench/duty_move.py
@@ -168,8 +168,8 @@
 
     def send(self, sender: str, to: str, items: tuple[said.Item, ...]) -> None:
         wire = Wire(sender, self.names, b"k" * 16, 2**61, DutyCodec())
-        wire.senders[to].start, wire.number = 2**61, 2**20
-        for part in split(items, wire.room):
+        wire.senders[to].start, wire.sent_number = 2**61, 2**20
+        for part in split(items, wire.max_message_size):
             self.sizes.append((sender, len(wire.pack(to, part))))
         super().send(sender, to, items)
 
--- a/bench/led_return.py
+++ b/bench/led_return.py
@@ -90,7 +90,7 @@
         self.chance = world.core.stream("led")
         self.names = tuple(r.name for r in world.routers)
         self.parts: dict[str, Part] = {}
-        self.go_on: Callable[..., bool] = ZoneCoordinator._go_on
+        self.go_on: Callable[..., bool] = ZoneCoordinator._step_return
         for router in world.routers:
             self._follow(router)
 
@@ -112,21 +112,23 @@
     def take(self, zones: ZoneCoordinator, now: float, zone: int, share: int) -> None:
         """Take the share that an order names."""
         register = zones.registers.get((zones.home, zone), Register())
-        standing = register.standing
-        if standing.order is ZoneMode.BACK and standing.share != share:
+        standing = register.state
+        if standing.mode is ZoneMode.BACK and standing.share != share:
             order = ZoneMode.BACK if share > 0 else ZoneMode.IN
-            zones._set(now, zone, ZoneState(standing.epoch + 1, order, standing.flaps, 0, share), "ordered")
+            zones._set_state(
+                now, zone, ZoneState(standing.epoch + 1, order, standing.flaps, 0, share), "ordered"
+            )
 
     def ordered(self, zones: ZoneCoordinator, now: float) -> said.Value:
         """What the holder orders: the next step of each zone that comes back, by the usual rule."""
         each = []
         for (home, zone), register in zones.registers.items():
-            if home == zones.home and register.standing.order is ZoneMode.BACK:
+            if home == zones.home and register.state.mode is ZoneMode.BACK:
                 self.go_on(zones, now, zone, register)
-                after = zones.registers[home, zone].standing
-                share = 0 if after.order is not ZoneMode.BACK else after.share
+                after = zones.registers[home, zone].state
+                share = 0 if after.mode is not ZoneMode.BACK else after.share
                 each.append(zone << BITS | min(share, FULL_SHARE))
-            elif home == zones.home and register.standing.epoch and zone in zones.returns.began:
+            elif home == zones.home and register.state.epoch and zone in zones.returns.began_at:
                 each.append(zone << BITS)
         # what has ended is still ordered, as whole, until the next return
         known = {n >> BITS for n in each}
@@ -140,11 +142,11 @@
         return max((lead.value for lead in leads if lead is not None and lead.acting), default=())
 
     def _is_in(self, zones: ZoneCoordinator, zone: int) -> bool:
-        return zones.registers.get((zones.home, zone), Register()).standing.order is ZoneMode.IN
+        return zones.registers.get((zones.home, zone), Register()).state.mode is ZoneMode.IN
 
     def __enter__(self) -> Led:
-        core.ZoneCoordinator._go_on = lambda *_: False  # type: ignore[method-assign]
+        core.ZoneCoordinator._step_return = lambda *_: False  # type: ignore[method-assign]
         return self
 
     def __exit__(self, *_: object) -> None:
-        core.ZoneCoordinator._go_on = self.go_on  # type: ignore[method-assign]
+        core.ZoneCoordinator._step_return = self.go_on  # type: ignore[method-assign]
--- a/bench/spread_plain.py
+++ b/bench/spread_plain.py
@@ -180,15 +180,15 @@
         except Dropped:
             return
         for record in records:
-            if record.said:
-                for number in range(record.said[0], record.said[0] + len(record.said) // 2):
+            if record.payload:
+                for number in range(record.payload[0], record.payload[0] + len(record.payload) // 2):
                     self.came[name].setdefault(number, now)
-                gossip.stir(now)
+                gossip.spread_urgently(now)
 
     def propose(self) -> None:
         """One purge more."""
         self.born.append(self.core.now)
-        self.each[self.first].stir(self.core.now)
+        self.each[self.first].spread_urgently(self.core.now)
 
 
 def rumours(members: int, seed: int, loss: float, rate: float) -> Figures:
--- a/myrtlecourse/address/keeper.py
+++ b/myrtlecourse/address/keeper.py
@@ -83,7 +83,7 @@
             self.post(said.Able(self.able() and not stood))
             await asyncio.sleep(LOOK)
 
-    def heard(self, sender: str, message: said.Message) -> None:
+    def message_received(self, sender: str, message: said.Message) -> None:
         self.post(said.Heard(sender, message))
 
     def post(self, event: said.Event) -> None:
@@ -145,7 +145,7 @@
             raise said.ElectionError("name: it can't be another while it runs, nor be heard elsewhere")
         self.post(said.Changed(settings))
         self.settings, self.peers = settings, peers
-        self.wire.members(settings.voters)
+        self.wire.set_members(settings.voters)
 
     def move(self, to: str) -> str:
         """Hand the address over; answers with why not, or nothing."""
@@ -186,4 +186,4 @@
             await self.leaving  # the release goes out, and the address is withdrawn
             await asyncio.sleep(0)
         self.words.close()
-        self.leave()
+        self.close_socket()
--- a/myrtlecourse/beyond.py
+++ b/myrtlecourse/beyond.py
@@ -134,7 +134,7 @@
             return Answer(HTTPStatus.OK, orjson.dumps(agent.status(now)).decode())
         try:
             order = ZoneMode[call.kind.name.replace("ZONE_", "ORDERED_")]
-            agent.order(now, call.server, order, call.seconds)
+            agent.order_zone(now, call.server, order, call.seconds)
         except ValueError as e:
             return Answer(HTTPStatus.NOT_FOUND, str(e))
         return Answer(HTTPStatus.OK, f"{call.server} is ordered {call.kind.value} for {call.seconds:g} s")
@@ -278,7 +278,7 @@
         if settings != keeper.settings:
             keeper.change(settings, {p.name: address_of(p.at) for p in table.peers})
             logging.info("voters for the service address: %s", ", ".join(settings.voters))
-        keeper.wire.seal.change(*taken)
+        keeper.wire.seal.set_keys(*taken)
         keeper.words.link = link(table, table.name or "")
         logging.info("the address's keys and link are those of the file")
 
@@ -302,7 +302,7 @@
         if table.settings() != keeper.settings:
             raise ConfigError("spread: members and figures can't be others while a process runs")
         taken = keys(table)
-        keeper.wire.seal.change(*taken)
+        keeper.wire.seal.set_keys(*taken)
         keeper.peers = peers(table)
 
     def _reload_fleet(self, speaker: GossipSocket, table: Fleet | None) -> None:
@@ -313,6 +313,6 @@
         if told is None:
             raise ConfigError("the table `fleet` was there at the start and is missing")
         taken, peers, _ = told
-        if taken != speaker.agent.part or peers != speaker.peers:
-            speaker.change(taken, peers)
+        if taken != speaker.agent.settings or peers != speaker.peers:
+            speaker.reconfigure(taken, peers)
             logging.info("new settings of the fleet: %d routers", len(peers))
--- a/myrtlecourse/duties/keeper.py
+++ b/myrtlecourse/duties/keeper.py
@@ -123,7 +123,7 @@
         """The token to act for a duty with at this very moment, or None."""
         return self.duties.may(time.monotonic(), duty)
 
-    def heard(self, sender: str, message: tuple[said.Item, ...]) -> None:
+    def message_received(self, sender: str, message: tuple[said.Item, ...]) -> None:
         self.message_log.received(sender, message)
         self.post(said.Heard(sender, message))
 
@@ -227,7 +227,7 @@
         self.writing = None
 
     def _say(self, to: str, items: tuple[said.Item, ...]) -> None:
-        for part in split(items, self.wire.room):
+        for part in split(items, self.wire.max_message_size):
             self.send(to, self.wire.pack(to, part))
 
     def _note(self, duty: str, text: str) -> None:
@@ -247,8 +247,8 @@
         if settings != self.settings:
             self.post(said.Changed(settings))
             self.settings = settings
-            self.wire.members(settings.members)
-        self.wire.seal.change(*keys)
+            self.wire.set_members(settings.members)
+        self.wire.seal.set_keys(*keys)
         self.peers = peers
 
     def move(self, duty: str, to: str) -> str:
@@ -286,4 +286,4 @@
             task.cancel()
         if self.writing is not None:
             self.writing.cancel()
-        self.leave()
+        self.close_socket()
--- a/myrtlecourse/fleet/hollow_spread.py
+++ b/myrtlecourse/fleet/hollow_spread.py
@@ -77,7 +77,7 @@
         for name in names:
             keeper = self.keepers.pop(name)
             self.before = [self.before[0] + keeper.sent, self.before[1] + keeper.bytes_sent]
-            keeper.leave()
+            keeper.close_socket()
             keeper.failed = "it has vanished"
             for task in keeper.running:
                 task.cancel()
--- a/myrtlecourse/peers/gossip.py
+++ b/myrtlecourse/peers/gossip.py
@@ -49,10 +49,10 @@
 
     name: str
     record: Record | None = None
-    numbers: ReplayWindow | None = None  # of its datagrams
+    replay_window: ReplayWindow | None = None  # of its datagrams
     start: int = 0  # that the numbers belong to
-    told: int = 0  # times that its present record was passed on
-    starts: int = 0  # processes of it that were heard
+    times_sent: int = 0  # times that its present record was passed on
+    processes_heard: int = 0  # processes of it that were heard
 
 
 @dataclass(slots=True, frozen=True)
@@ -77,27 +77,27 @@
         seed: int,
         interval: float = 1.0,
         budget: float = 16_384.0,
-        also: tuple[bytes, ...] = (),
+        accepted_keys: tuple[bytes, ...] = (),
     ) -> None:
         """`wall` is the Unix time; `interval` seconds lie between words when all is calm, `budget` bytes go
         out a second at most. Raises ValueError for a roster or a key that can't be used."""
         self.name = name
         self.members = {i: Member(m) for i, m in self._roster(members).items()}
-        self.seal = Seal(name, key, also)
-        self.me = ident(name)
+        self.seal = Seal(name, key, accepted_keys)
+        self.own_id = ident(name)
         self.zone = ident(zone, 2)
         self.random = random.Random(seed)
         self.interval = interval
         self.budget = budget
         self.start = start_number(wall)
-        self.number = 0  # of records
+        self.record_number = 0  # of records
         self.sent = 0  # datagrams, numbered
-        self.saved = budget  # bytes that may go out now
-        self.ticked_at = now
+        self.byte_credit = budget  # bytes that may go out now
+        self.last_tick = now
         self.due = now  # at once: what has changed is asked for by being there
-        self.owed: set[int] = set()  # members whose process is new: they know nothing yet
-        self.hot_until = -math.inf
-        self.believes = False  # somebody has been heard since the start, or since this process stood still
+        self.new_processes: set[int] = set()  # members whose process is new: they know nothing yet
+        self.urgent_until = -math.inf
+        self.peers_heard = False  # somebody has been heard since the start, or since this process stood still
         self.stalls = 0
         self.bytes_sent = 0
         self.dropped: Counter[str] = Counter()
@@ -110,18 +110,23 @@
             raise ValueError("members: two names look alike in a datagram; rename one")
         return roster
 
-    def change(
-        self, members: tuple[str, ...], key: bytes, also: tuple[bytes, ...], interval: float, budget: float
+    def reconfigure(
+        self,
+        members: tuple[str, ...],
+        key: bytes,
+        accepted_keys: tuple[bytes, ...],
+        interval: float,
+        budget: float,
     ) -> None:
         """Other members, keys and paces; raises ValueError where they can't be used, and takes none then."""
         roster = self._roster(members)
-        self.seal.change(key, also)
+        self.seal.set_keys(key, accepted_keys)
         self.members = {i: self.members.get(i, Member(name)) for i, name in roster.items()}
         self.interval, self.budget = interval, budget
 
     @property
-    def heard_by(self) -> list[Member]:
-        return [m for i, m in self.members.items() if i != self.me]
+    def peers(self) -> list[Member]:
+        return [m for i, m in self.members.items() if i != self.own_id]
 
     def rounds(self) -> int:
         """Times that something new is told before it has come to all, as good as surely."""
@@ -142,90 +147,88 @@
             return State.ALIVE
         return State.SUSPECTED if age <= pause * (1 + GONE_FACTOR) else State.GONE
 
-    def present(self, now: float) -> Counter[int]:
+    def member_counts(self, now: float) -> Counter[int]:
         """How many members there are, by their zones, those suspected among them; this router is one.
 
         Guards what needs several witnesses: with the others forgotten too soon, one alone would do.
         """
         found = Counter({self.zone: 1})
-        for member in self.heard_by:
+        for member in self.peers:
             if member.record is not None and self.state(member, now) is not State.GONE:
                 found[member.record.zone] += 1
         return found
 
     def records(self, now: float) -> list[Record]:
         """What the others that are there have said."""
-        return [
-            m.record for m in self.heard_by if m.record is not None and self.state(m, now) is not State.GONE
-        ]
+        return [m.record for m in self.peers if m.record is not None and self.state(m, now) is not State.GONE]
 
-    def stir(self, now: float) -> None:
+    def spread_urgently(self, now: float) -> None:
         """Something has changed that all should know at once."""
-        self.hot_until = max(self.hot_until, now + TICK_INTERVAL * self.rounds())
+        self.urgent_until = max(self.urgent_until, now + TICK_INTERVAL * self.rounds())
         self.due = min(self.due, now)
 
     def tick(self, now: float, wall: float, say: Callable[[], tuple[int, ...]]) -> list[Datagram]:
         """What is to be sent now; `say` is asked for what this router's next record says."""
-        if now - self.ticked_at > STALL_THRESHOLD:
+        if now - self.last_tick > STALL_THRESHOLD:
             self.stalls += 1
-            self.believes = False
-            self.hot_until = -math.inf
-        self.saved = min(self.budget, self.saved + self.budget * (now - self.ticked_at))
-        self.ticked_at = now
+            self.peers_heard = False
+            self.urgent_until = -math.inf
+        self.byte_credit = min(self.budget, self.byte_credit + self.budget * (now - self.last_tick))
+        self.last_tick = now
         if now < self.due:
-            owed = [self.members[m] for m in self.owed if m in self.members]
-            self.owed.clear()
+            owed = [self.members[m] for m in self.new_processes if m in self.members]
+            self.new_processes.clear()
             if owed:
-                self._renew(now, say())
-            return self._tell(owed, now, wall)
-        hot = now < self.hot_until or not self.number
+                self._renew_record(now, say())
+            return self._make_datagrams(owed, now, wall)
+        hot = now < self.urgent_until or not self.record_number
         self.due = now + (TICK_INTERVAL if hot else self.interval * self.random.uniform(0.8, 1.2))
-        self._renew(now, say())
-        others = [m for m in self.heard_by if self.state(m, now) is State.ALIVE]
-        absent = [m for m in self.heard_by if self.state(m, now) is not State.ALIVE]
+        self._renew_record(now, say())
+        others = [m for m in self.peers if self.state(m, now) is State.ALIVE]
+        absent = [m for m in self.peers if self.state(m, now) is not State.ALIVE]
         chosen = self.random.sample(others, min(len(others), FANOUT if hot else 1))
         # who is not heard may be back, or cut off one way: it is told now and then all the same
         if absent and (not chosen or self.random.random() < 0.3):
             chosen.append(self.random.choice(absent))
-        return self._tell(chosen, now, wall)
+        return self._make_datagrams(chosen, now, wall)
 
-    def _tell(self, chosen: Iterable[Member], now: float, wall: float) -> list[Datagram]:
+    def _make_datagrams(self, chosen: Iterable[Member], now: float, wall: float) -> list[Datagram]:
         """A datagram for each, as far as the budget goes."""
         out = []
         for member in chosen:
             data = self._pack(member.name, now, wall)
-            if len(data) > self.saved:
+            if len(data) > self.byte_credit:
                 break
-            self.saved -= len(data)
+            self.byte_credit -= len(data)
             self.bytes_sent += len(data)
             out.append(Datagram(member.name, data))
         return out
 
-    def _renew(self, now: float, said: tuple[int, ...]) -> None:
-        self.number += 1
-        own = self.members[self.me]
-        own.record = Record(self.me, self.start, self.number, self.zone, said, now)
-        own.told = 0
+    def _renew_record(self, now: float, said: tuple[int, ...]) -> None:
+        self.record_number += 1
+        own = self.members[self.own_id]
+        own.record = Record(self.own_id, self.start, self.record_number, self.zone, said, now)
+        own.times_sent = 0
 
     def _pack(self, to: str, now: float, wall: float) -> bytes:
         """A datagram with the own record and as many others as it holds: least told, then newest, first."""
         self.sent += 1
-        head = [VERSION, self.me, self.start, self.sent, start_number(wall)]
-        own, receiver = self.members[self.me], ident(to)
+        head = [VERSION, self.own_id, self.start, self.sent, start_number(wall)]
+        own, receiver = self.members[self.own_id], ident(to)
         assert own.record is not None
-        carried = [own.record.parts(now)]
-        room = MAX_DATAGRAM - SEAL_SIZE - HEADER_SIZE - own.record.width
+        carried = [own.record.encode(now)]
+        room = MAX_DATAGRAM - SEAL_SIZE - HEADER_SIZE - own.record.max_size
         # an old record of one that may be gone would only make it look alive for longer
-        others = [m for m in self.heard_by if m.record is not None and self.state(m, now) is State.ALIVE]
-        others.sort(key=lambda m: (m.told, -(m.record.made_at if m.record else 0.0)))
+        others = [m for m in self.peers if m.record is not None and self.state(m, now) is State.ALIVE]
+        others.sort(key=lambda m: (m.times_sent, -(m.record.made_at if m.record else 0.0)))
         for member in others:
             if member.record is None or member.record.owner == receiver:
                 continue
-            needed = member.record.width
+            needed = member.record.max_size
             if needed <= room:
                 room -= needed
-                member.told += 1
-                carried.append(member.record.parts(now))
+                member.times_sent += 1
+                carried.append(member.record.encode(now))
         return self.seal.pack(to, [*head, carried])
 
     def receive(self, data: bytes, now: float, wall: float) -> list[Record]:
@@ -245,33 +248,33 @@
         if any(type(n) is not int for n in (sender, start, number, sent)) or not isinstance(carried, list):
             raise Dropped("malformed")
         member = self.members.get(sender)
-        if member is None or sender == self.me:
+        if member is None or sender == self.own_id:
             raise Dropped("of no member")
         late = max(0.0, (start_number(wall) - sent) / 10)
         if late > MAX_DELAY:
             raise Dropped("too late")
         if start < member.start:
             raise Dropped("of a process that is over")
-        if start > member.start or member.numbers is None:
-            member.start, member.numbers = start, ReplayWindow()
-            member.starts += 1
+        if start > member.start or member.replay_window is None:
+            member.start, member.replay_window = start, ReplayWindow()
+            member.processes_heard += 1
             # guards what is under way: a process that has just begun would act as if nothing were
-            self.owed.add(sender)
-        member.numbers.take(number)
+            self.new_processes.add(sender)
+        member.replay_window.accept(number)
         # what lay in a queue while this process stood still is as old as it is
         records = [decode_record(parts, now - late) for parts in carried]
         if not records or records[0].owner != sender:
             raise Dropped("malformed")
-        self.believes = True
+        self.peers_heard = True
         return [record for record in records if self._merge(record)]
 
     def _merge(self, record: Record) -> bool:
         member = self.members.get(record.owner)
-        if member is None or record.owner == self.me:
+        if member is None or record.owner == self.own_id:
             return False
         before = member.record
         member.record = record if before is None else before.merged(record)
-        if before is not None and not member.record.newer(before):
+        if before is not None and not member.record.is_newer(before):
             return False
-        member.told = 0
+        member.times_sent = 0
         return True
--- a/myrtlecourse/peers/gossip_socket.py
+++ b/myrtlecourse/peers/gossip_socket.py
@@ -38,21 +38,21 @@
         self.peers = peers
         self.clock = clock
         # guards peers' words: after a step of the wall clock all would look late, here or there
-        self.unix = Clock()
+        self.wall_clock = Clock()
         self.post = post
         self.transport: asyncio.DatagramTransport | None = None
-        self.running: list[asyncio.Task[None]] = []
-        self.left: list[str] = []
-        self.back: dict[str, float] = {}
+        self.tasks: list[asyncio.Task[None]] = []
+        self.last_left: list[str] = []
+        self.last_returning: dict[str, float] = {}
 
     async def start(self, shared: bool) -> None:
         """Listen, and begin. Where another process of this router may still listen (`shared`, at an upgrade)
         it goes on without hearing until that one ends. Raises OSError."""
         if shared:
-            self.running.append(asyncio.create_task(self._listen_later()))
+            self.tasks.append(asyncio.create_task(self._listen_later()))
         else:
             await self._listen()
-        self.running.append(asyncio.create_task(self._run()))
+        self.tasks.append(asyncio.create_task(self._run()))
 
     async def _listen(self) -> None:
         loop = asyncio.get_running_loop()
@@ -72,18 +72,18 @@
             await asyncio.sleep(TICK_INTERVAL)
 
     def _tick(self) -> None:
-        done = self.agent.tick(self.clock(), self.unix.now())
+        done = self.agent.tick(self.clock(), self.wall_clock.now())
         for change in done.changes:
             log.info("zone %s: %s", change.zone, change.text)
-        if done.left is not None:
-            left = sorted(done.left.zones) + (["the origin"] if done.left.origin else [])
-            if left != self.left:
+        if done.zones_left is not None:
+            left = sorted(done.zones_left.zones) + (["the origin"] if done.zones_left.origin else [])
+            if left != self.last_left:
                 log.info("zones left: %s", ", ".join(left) or "none")
-            self.left = left
-            back = {zone: round(share, 3) for zone, share in sorted(done.left.shares.items())}
-            if back != self.back:
+            self.last_left = left
+            back = {zone: round(share, 3) for zone, share in sorted(done.zones_left.shares.items())}
+            if back != self.last_returning:
                 log.info("zones coming back: %s", " ".join(f"{z}={s}" for z, s in back.items()) or "none")
-            self.back = back
+            self.last_returning = back
         for event in done.events:
             self.post(event)
         if self.transport is not None:
@@ -92,23 +92,23 @@
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         try:
-            self.agent.receive(data, self.clock(), self.unix.now())
+            self.agent.receive(data, self.clock(), self.wall_clock.now())
         except Dropped as e:
             bounded.log(logging.WARNING, "a datagram of %s:%s was dropped: %s", addr[0], addr[1], e)
 
     def error_received(self, exc: Exception) -> None:
         bounded.log(logging.INFO, "another router was not reached: %s", exc)
 
-    def change(self, part: AgentSettings, peers: dict[str, Endpoint]) -> None:
+    def reconfigure(self, part: AgentSettings, peers: dict[str, Endpoint]) -> None:
         """Take another part, as operators have it now. Raises ValueError; then nothing is taken."""
         if part.name in self.peers and peers[part.name] != self.peers[part.name]:
             raise ValueError("a router can't be heard elsewhere while it runs")
-        self.agent.change(part)
+        self.agent.reconfigure(part)
         self.peers = peers
 
     def close(self) -> None:
         """Say no more, and leave the address to the process that follows."""
-        for task in self.running:
+        for task in self.tasks:
             task.cancel()
         if self.transport is not None:
             self.transport.close()
--- a/myrtlecourse/peers/peer_socket.py
+++ b/myrtlecourse/peers/peer_socket.py
@@ -18,17 +18,17 @@
 
 
 class PeerSocket(asyncio.DatagramProtocol, Generic[Message]):
-    """Sends, hears and greets; what a message means is in `heard`."""
+    """Sends, hears and greets; what a message means is in `message_received`."""
 
     def __init__(self, wire: Wire[Message], peers: dict[str, Endpoint]) -> None:
         self.wire = wire
         self.peers = peers
         self.loop: asyncio.AbstractEventLoop
         self.transport: asyncio.DatagramTransport | None = None
-        self.wake: asyncio.TimerHandle | None = None
+        self.timer: asyncio.TimerHandle | None = None
         self.sent = self.bytes_sent = 0
 
-    def heard(self, sender: str, message: Message) -> None:
+    def message_received(self, sender: str, message: Message) -> None:
         """A message has come, sealed for this process and taken once."""
         raise NotImplementedError
 
@@ -56,22 +56,22 @@
         if message is Control.STALE:
             self.send(sender, self.wire.hello(sender))
         elif not isinstance(message, Control):
-            self.heard(sender, message)
+            self.message_received(sender, message)
 
     def error_received(self, exc: Exception) -> None:
         bounded.log(logging.INFO, "another router was not reached: %s", exc)
 
     def call_at(self, at: float, call: Callable[[], None]) -> None:
         """Call when a time on the monotonic clock has come, in place of the call before; infinity: never."""
-        if self.wake is not None:
-            self.wake.cancel()
+        if self.timer is not None:
+            self.timer.cancel()
         if at < float("inf"):
-            self.wake = self.loop.call_later(max(0.0, at - time.monotonic()), call)
+            self.timer = self.loop.call_later(max(0.0, at - time.monotonic()), call)
 
-    def leave(self) -> None:
+    def close_socket(self) -> None:
         """Close the socket; nothing is called any more."""
-        if self.wake is not None:
-            self.wake.cancel()
+        if self.timer is not None:
+            self.timer.cancel()
         if self.transport is not None:
             self.transport.close()
             self.transport = None
--- a/myrtlecourse/peers/records.py
+++ b/myrtlecourse/peers/records.py
@@ -36,10 +36,10 @@
     start: int
     number: int  # over 0; grows with each that is made
     zone: int  # where it stands, `seal.ident` of the zone's name with two bytes
-    said: tuple[int, ...]  # for whom it may concern
+    payload: tuple[int, ...]  # for whom it may concern
     made_at: float  # on the holder's own clock
 
-    def newer(self, other: Record) -> bool:
+    def is_newer(self, other: Record) -> bool:
         """Whether it is of a later start, or later of the same."""
         return (self.start, self.number) > (other.start, other.number)
 
@@ -47,19 +47,19 @@
         """The one that holds of two. Of the same one, the greater age: each way adds to it, none takes
         off."""
         if (self.start, self.number) != (other.start, other.number):
-            return self if self.newer(other) else other
+            return self if self.is_newer(other) else other
         return self if self.made_at <= other.made_at else other
 
     @property
-    def width(self) -> int:
+    def max_size(self) -> int:
         """The most bytes that it takes in a datagram, its age included."""
-        numbers = (self.owner, self.start, self.number, self.zone, MAX_AGE, *self.said)
+        numbers = (self.owner, self.start, self.number, self.zone, MAX_AGE, *self.payload)
         return 4 + sum(map(encoded_size, numbers))
 
-    def parts(self, now: float) -> list[Any]:
+    def encode(self, now: float) -> list[Any]:
         """What a datagram carries of it."""
         age = min(MAX_AGE, max(0, round((now - self.made_at) * 10)))
-        return [self.owner, self.start, self.number, self.zone, age, list(self.said)]
+        return [self.owner, self.start, self.number, self.zone, age, list(self.payload)]
 
 
 def decode_record(parts: Any, now: float) -> Record:
--- a/myrtlecourse/peers/seal.py
+++ b/myrtlecourse/peers/seal.py
@@ -30,31 +30,31 @@
 class Seal:
     """Seals and opens datagrams with the key that all have in common."""
 
-    def __init__(self, name: str, key: bytes, also: tuple[bytes, ...] = ()) -> None:
+    def __init__(self, name: str, key: bytes, accepted_keys: tuple[bytes, ...] = ()) -> None:
         """`name` is the receiver's own. Raises ValueError when a key is too short."""
         self.name = name
-        self.change(key, also)
+        self.set_keys(key, accepted_keys)
 
-    def change(self, key: bytes, also: tuple[bytes, ...]) -> None:
+    def set_keys(self, key: bytes, accepted_keys: tuple[bytes, ...]) -> None:
         """Seal with a key from now on, and take what is sealed with it or with one of the others.
 
         A new key goes round in three steps, each at all routers before the next: taken as well, sealed with
         while the old one is taken as well, alone. Raises ValueError when one is too short.
         """
-        for each in (key, *also):
+        for each in (key, *accepted_keys):
             if len(each) < MIN_KEY_SIZE:
                 raise ValueError(f"the key has {len(each)} bytes, {MIN_KEY_SIZE} are the least")
         self.key = key
-        self.keys = (key, *also)
+        self.keys = (key, *accepted_keys)
 
     @staticmethod
-    def _over(key: bytes, to: str, body: bytes) -> bytes:
+    def _mac(key: bytes, to: str, body: bytes) -> bytes:
         return hmac.digest(key, to.encode() + b"\0" + body, "sha256")[:SEAL_SIZE]
 
     def pack(self, to: str, parts: list[Any]) -> bytes:
         """A datagram for `to`."""
         body = msgspec.msgpack.encode(parts)
-        return self._over(self.key, to, body) + body
+        return self._mac(self.key, to, body) + body
 
     def open(self, data: bytes, count: int, version: int) -> list[Any]:
         """The parts of a datagram for this process: `count` of them, the first of them the version.
@@ -65,7 +65,7 @@
         if not SEAL_SIZE < len(data) <= MAX_DATAGRAM:
             raise Dropped("of a length that none has")
         # before anything of it is read: what is not sealed with the key was made by anybody
-        seals = [self._over(key, self.name, data[SEAL_SIZE:]) for key in self.keys]
+        seals = [self._mac(key, self.name, data[SEAL_SIZE:]) for key in self.keys]
         if not any(hmac.compare_digest(data[:SEAL_SIZE], seal) for seal in seals):
             raise Dropped("forged or cut")
         try:
@@ -84,18 +84,18 @@
 class ReplayWindow:
     """The numbers of one sender's process that have been taken."""
 
-    __slots__ = ("highest", "taken")
+    __slots__ = ("highest", "seen")
 
     def __init__(self) -> None:
         self.highest = 0
-        self.taken = 0  # the WINDOW numbers up to that, as bits
+        self.seen = 0  # the WINDOW numbers up to that, as bits
 
-    def take(self, number: int) -> None:
+    def accept(self, number: int) -> None:
         """Guards what is said against repeats. Raises Dropped."""
         age = self.highest - number
-        if age >= REPLAY_WINDOW or number <= 0 or (age >= 0 and self.taken >> age & 1):
+        if age >= REPLAY_WINDOW or number <= 0 or (age >= 0 and self.seen >> age & 1):
             raise Dropped("replayed")
         if age < 0:
-            self.taken = (self.taken << min(-age, REPLAY_WINDOW)) & (1 << REPLAY_WINDOW) - 1
+            self.seen = (self.seen << min(-age, REPLAY_WINDOW)) & (1 << REPLAY_WINDOW) - 1
             self.highest, age = number, 0
-        self.taken |= 1 << age
+        self.seen |= 1 << age
--- a/myrtlecourse/peers/wire.py
+++ b/myrtlecourse/peers/wire.py
@@ -43,8 +43,8 @@
     """What is known of another end."""
 
     start: int = 0  # of its process; 0: not heard yet
-    numbers: ReplayWindow = field(default_factory=ReplayWindow)
-    retired: tuple[int, ...] = ()  # starts of processes before
+    replay_window: ReplayWindow = field(default_factory=ReplayWindow)
+    previous_starts: tuple[int, ...] = ()  # starts of processes before
 
 
 class Wire(Generic[Message]):
@@ -57,23 +57,23 @@
         key: bytes,
         start: int,
         codec: Codec[Message],
-        also: tuple[bytes, ...] = (),
+        accepted_keys: tuple[bytes, ...] = (),
     ) -> None:
         """`start` is a random number of this process, over 0. Raises ValueError when the key is too short."""
-        self.seal = Seal(name, key, also)
+        self.seal = Seal(name, key, accepted_keys)
         self.name = name
         self.start = start
         self.codec = codec
-        self.number = 0
+        self.sent_number = 0
         self.senders = {member: Sender() for member in members if member != name}
         self.dropped: Counter[str] = Counter()
 
-    def members(self, members: tuple[str, ...]) -> None:
+    def set_members(self, members: tuple[str, ...]) -> None:
         """Members have come or gone."""
         self.senders = {m: self.senders.get(m, Sender()) for m in members if m != self.name}
 
     @property
-    def room(self) -> int:
+    def max_message_size(self) -> int:
         """Bytes that a message may take: a datagram's, without its seal and head at their longest."""
         return MAX_DATAGRAM - SEAL_SIZE - HEADER_SIZE - len(self.name.encode())
 
@@ -86,9 +86,9 @@
         return self._pack(to, [HELLO])
 
     def _pack(self, to: str, parts: list[Any]) -> bytes:
-        self.number += 1
+        self.sent_number += 1
         known = self.senders[to].start if to in self.senders else 0
-        return self.seal.pack(to, [VERSION, self.name, self.start, known, self.number, parts])
+        return self.seal.pack(to, [VERSION, self.name, self.start, known, self.sent_number, parts])
 
     def open(self, data: bytes) -> tuple[str, Message | Control]:
         """The sender and the message of a datagram.
@@ -119,15 +119,15 @@
         self._greet(sender, start)
         if start != sender.start:
             raise Dropped("of a process that is over")
-        sender.numbers.take(number)
+        sender.replay_window.accept(number)
         return name, self.codec.read(parts)
 
     @staticmethod
     def _greet(sender: Sender, start: int) -> None:
-        if start == sender.start or start in sender.retired:
+        if start == sender.start or start in sender.previous_starts:
             return
-        if len(sender.retired) >= MAX_STARTS:
+        if len(sender.previous_starts) >= MAX_STARTS:
             raise Dropped("of a sender that starts too often")
         if sender.start:
-            sender.retired = (*sender.retired, sender.start)
-        sender.start, sender.numbers = start, ReplayWindow()
+            sender.previous_starts = (*sender.previous_starts, sender.start)
+        sender.start, sender.replay_window = start, ReplayWindow()
--- a/myrtlecourse/scale/measuring.py
+++ b/myrtlecourse/scale/measuring.py
@@ -173,7 +173,7 @@
             each[to].receive(data, now, WALL + now)
         for gossip in each.values():
             waiting += [(d.to, d.data) for d in gossip.tick(now, WALL + now, lambda: ())]
-    alive = sum(g.state(m, now) is State.ALIVE for g in each.values() for m in g.heard_by)
+    alive = sum(g.state(m, now) is State.ALIVE for g in each.values() for m in g.peers)
     sent, octets = sum(g.sent for g in each.values()), sum(g.bytes_sent for g in each.values())
     return alive / (count * (count - 1)), sent / count / KNOWN_AFTER, octets / count / KNOWN_AFTER
 
--- a/myrtlecourse/scale/slopes.py
+++ b/myrtlecourse/scale/slopes.py
@@ -237,10 +237,10 @@
     """Let it know all others, as a member does that has run for long: news of each comes by turns."""
     turn = max(1.0, len(gossip.members) / RECORDS_PER_DATAGRAM)
     for i, member in gossip.members.items():
-        if i != gossip.me:
+        if i != gossip.own_id:
             made_at = now - chance.uniform(0.0, turn)
             member.record = Record(i, start_number(WALL), 1_000_000, i % 138, said, made_at)
-            member.told = chance.randrange(1, 4)
+            member.times_sent = chance.randrange(1, 4)
 
 
 def readdressed(datagram: Datagram, to: str) -> bytes:
@@ -264,7 +264,7 @@
     me, other = (
         Agent(AgentSettings(name, names(size), "zone-001", KEY), now, WALL, seed) for name in names(2)
     )
-    said = other.zones.said(now)
+    said = other.zones.payload(now)
     for agent in (me, other):
         agent.listed({f"zone-{z:03d}": 48 for z in range(max(1, zones))})
         acquaint(agent.gossip, said, chance, now)
@@ -272,7 +272,7 @@
     spent = 0.0
     for _ in range(round(WATCHED / TICK_INTERVAL)):
         now += TICK_INTERVAL
-        sent = [readdressed(d, me.part.name) for d in other.tick(now, WALL).datagrams]
+        sent = [readdressed(d, me.settings.name) for d in other.tick(now, WALL).datagrams]
         before = time.thread_time()
         for data in sent:
             if zones:
--- a/myrtlecourse/sim/meeting.py
+++ b/myrtlecourse/sim/meeting.py
@@ -67,9 +67,9 @@
             self.bytes += len(datagram.data)
             for pause in self.ways.fate((router.name, datagram.to)):
                 self.core.after(pause, self._arrive, self.routers[datagram.to], datagram.data)
-        if done.left is not None:
-            self.orders.append((self.core.now, router.name, done.left.zones, done.left.origin))
-            self.shares.append((self.core.now, router.name, done.left.shares))
+        if done.zones_left is not None:
+            self.orders.append((self.core.now, router.name, done.zones_left.zones, done.zones_left.origin))
+            self.shares.append((self.core.now, router.name, done.zones_left.shares))
         for event in done.events:
             router.post(event)
 
--- a/myrtlecourse/spread/keeper.py
+++ b/myrtlecourse/spread/keeper.py
@@ -99,7 +99,7 @@
                 # beside the event loop: a long log takes longer than clients may wait
                 self.log = await asyncio.to_thread(LogFile, self.folder)
         except (OSError, of_head.LogError):
-            self.leave()
+            self.close_socket()
             raise
         now = time.monotonic()
         self.node = Node(self.settings, now, self.chance.getrandbits(32))
@@ -119,7 +119,7 @@
 
     # What comes, and what is answered
 
-    def heard(self, sender: str, message: tuple[said.Word, ...]) -> None:
+    def message_received(self, sender: str, message: tuple[said.Word, ...]) -> None:
         of_heads = tuple(word for word in message if isinstance(word, said.OF_HEADS))
         of_nodes = tuple(word for word in message if not isinstance(word, said.OF_HEADS))
         if of_heads:
@@ -222,7 +222,7 @@
         """Fall silent: then this member's lease runs out, and others wait for it no longer than that."""
         log.error("spread: this process takes no part any more: %s", why)
         self.failed = why
-        self.leave()
+        self.close_socket()
 
     # Time
 
@@ -278,4 +278,4 @@
             except OSError as e:
                 log.error("spread: what is applied can't be written: %s", e)
             self.applied = None
-        self.leave()
+        self.close_socket()
--- a/myrtlecourse/zones/agent.py
+++ b/myrtlecourse/zones/agent.py
@@ -31,7 +31,7 @@
     leave_origin: bool = False
     interval: float = 1.0  # seconds between words when all is calm
     budget: float = 16_384.0  # bytes a second
-    also: tuple[bytes, ...] = ()  # keys that are taken, while the others go from one to the next
+    accepted_keys: tuple[bytes, ...] = ()  # keys that are taken, while the others go from one to the next
     tiers: Tiers = Tiers()
     paced: bool = True  # zones that are back are returned to by steps
     origin_rate: float = 0.0  # fetches a second that the origin bears of all routers; 0: nobody knows
@@ -43,7 +43,7 @@
 
     datagrams: list[Datagram]
     events: list[api.Event]  # for the decision module
-    left: api.ZonesLeft | None  # among them, if it is another than before
+    zones_left: api.ZonesLeft | None  # among them, if it is another than before
     changes: list[StateChange]  # for the log
 
 
@@ -52,7 +52,7 @@
 
     def __init__(self, part: AgentSettings, now: float, wall: float, seed: int) -> None:
         """`wall` is the Unix time in seconds. Raises ValueError for a part that can't be used."""
-        self.part = part
+        self.settings = part
         self.gossip = Gossip(
             part.name,
             part.members,
@@ -63,37 +63,37 @@
             seed,
             part.interval,
             part.budget,
-            part.also,
+            part.accepted_keys,
         )
         self.zones = ZoneCoordinator(
             *(part.name, part.zone, now, part.spill, part.leave_origin, part.tiers),
             *(part.paced, part.origin_rate),
         )
-        self.given = self.zones.given
-        self.preferred: dict[str, float] = {}
+        self.last_order = self.zones.current_order
+        self.zone_weights: dict[str, float] = {}
         self.stalls = 0
 
-    def change(self, part: AgentSettings) -> None:
+    def reconfigure(self, part: AgentSettings) -> None:
         """Take other settings, keys or members; what is known of those that stay, stays.
 
         Raises:
             ValueError: it is another router's part, or can't be used; nothing is taken.
         """
-        if (part.name, part.zone) != (self.part.name, self.part.zone):
+        if (part.name, part.zone) != (self.settings.name, self.settings.zone):
             raise ValueError("name and zone can't be others while a router runs")
-        self.gossip.change(part.members, part.key, part.also, part.interval, part.budget)
+        self.gossip.reconfigure(part.members, part.key, part.accepted_keys, part.interval, part.budget)
         zones = self.zones
         zones.spill, zones.leave_origin, zones.tiers = part.spill, part.leave_origin, part.tiers
         zones.paced, zones.returns.origin_rate = part.paced, part.origin_rate
-        self.part = part
+        self.settings = part
 
     def listed(self, zones: Mapping[str, int]) -> None:
         """How many cache servers a list names in each zone."""
-        self.zones.zones(zones)
+        self.zones.set_zone_sizes(zones)
 
-    def _preferred(self) -> dict[str, float]:
+    def _compute_weights(self) -> dict[str, float]:
         """How gladly each zone is asked, of those that count less than the own one."""
-        tiers, home = self.part.tiers, self.part.zone
+        tiers, home = self.settings.tiers, self.settings.zone
         each = {zone: tiers.weight(home, zone) for zone in self.zones.sizes}
         return {zone: weight for zone, weight in each.items() if weight != 1.0}
 
@@ -107,83 +107,89 @@
         missed: bool = False,
     ) -> None:
         """An attempt has ended (`api.Watch`)."""
-        if self.zones.ended(now, ORIGIN if origin else zone, reach, pressed, missed):
-            self.gossip.stir(now)
+        if self.zones.attempt_ended(now, ORIGIN if origin else zone, reach, pressed, missed):
+            self.gossip.spread_urgently(now)
 
     def receive(self, data: bytes, now: float, wall: float) -> None:
         """A datagram has come. Raises Dropped."""
         for record in self.gossip.receive(data, now, wall):
-            if self.zones.hear(now, record):
-                self.gossip.stir(now)
+            if self.zones.receive_record(now, record):
+                self.gossip.spread_urgently(now)
 
     def tick(self, now: float, wall: float) -> TickResult:
         """What is due: to be called every PACE seconds, whatever else happens."""
         gossip, zones = self.gossip, self.zones
-        datagrams = gossip.tick(now, wall, lambda: zones.said(now))
+        datagrams = gossip.tick(now, wall, lambda: zones.payload(now))
         if gossip.stalls != self.stalls:
             self.stalls = gossip.stalls
-            zones.stood_still(now)
-        members = gossip.present(now)
-        changed = zones.tick(now, gossip.records(now), members, gossip.believes and members.total() > 1)
+            zones.process_stalled(now)
+        members = gossip.member_counts(now)
+        changed = zones.tick(now, gossip.records(now), members, gossip.peers_heard and members.total() > 1)
         if changed or zones.returning:
-            gossip.stir(now)
+            gossip.spread_urgently(now)
         events: list[api.Event] = []
-        left = zones.given if zones.given != self.given else None
-        self.given = zones.given
+        left = zones.current_order if zones.current_order != self.last_order else None
+        self.last_order = zones.current_order
         if left is not None:
             events.append(left)
-        if (preferred := self._preferred()) != self.preferred:
-            self.preferred = preferred
+        if (preferred := self._compute_weights()) != self.zone_weights:
+            self.zone_weights = preferred
             events.append(api.Preferred(preferred))
         changes, zones.changes = zones.changes, []
         return TickResult(datagrams, events, left, changes)
 
-    def order(self, now: float, zone: str, order: ZoneMode, seconds: float) -> None:
+    def order_zone(self, now: float, zone: str, order: ZoneMode, seconds: float) -> None:
         """An operator's word for the whole fleet. Raises ZonesError."""
-        self.zones.order(now, zone, order, seconds)
-        self.gossip.stir(now)
+        self.zones.order_zone(now, zone, order, seconds)
+        self.gossip.spread_urgently(now)
 
     def status(self, now: float) -> dict[str, Any]:
         """Members and zones as seen from here; JSON-able. Times in seconds."""
         gossip, zones = self.gossip, self.zones
-        names = {ident(name): name for name in self.part.members}
+        names = {ident(name): name for name in self.settings.members}
         members = [
             {
                 "name": m.name,
                 "state": gossip.state(m, now).value,
                 "zone": zones.names.get(m.record.zone, "") if m.record is not None else "",
                 "age_s": round(now - m.record.made_at, 1) if m.record is not None else None,
-                "starts_heard": m.starts,
+                "starts_heard": m.processes_heard,
             }
             for m in gossip.members.values()
         ]
         seen = []
-        for name, (word, total, standing, since) in zones.look(now).items():
+        for name, (word, total, standing, since) in zones.summaries(now).items():
             left = zones.registers.get((ALL_ROUTERS, ident(name, 2)))
             seen.append(
                 {
                     "zone": "the origin" if name == ORIGIN else name,
                     "looks": word.value,
-                    "weight": self.preferred.get(name, 1.0),
-                    "heard": total.heard,
+                    "weight": self.zone_weights.get(name, 1.0),
+                    "heard": total.answered,
                     "refused": total.refused,
                     "silent": total.silent,
                     "seen_by": total.witnesses,
-                    "order": standing.order.name.lower(),
+                    "order": standing.mode.name.lower(),
                     "epoch": standing.epoch,
                     "since_s": round(since, 1) if since < math.inf else None,
-                    "by": names.get(standing.by, ""),
-                    "left_s": round(left.until - now, 1) if left and left.until < math.inf else None,
-                    "left": zones.given.origin if name == ORIGIN else name in zones.given.zones,
-                    "alone": ident(name, 2) in zones.alone,
-                    "share": round(zones.given.shares[name], 3) if name in zones.given.shares else None,
-                    "waits": zones.returns.waits.get(ident(name, 2), ""),
+                    "by": names.get(standing.ordered_by, ""),
+                    "left_s": round(left.order_ends - now, 1)
+                    if left and left.order_ends < math.inf
+                    else None,
+                    "left": zones.current_order.origin
+                    if name == ORIGIN
+                    else name in zones.current_order.zones,
+                    "alone": ident(name, 2) in zones.isolated_from,
+                    "share": round(zones.current_order.shares[name], 3)
+                    if name in zones.current_order.shares
+                    else None,
+                    "waits": zones.returns.blocked_by.get(ident(name, 2), ""),
                 }
             )
         return {
-            "name": self.part.name,
-            "zone": self.part.zone,
-            "believes": gossip.believes,
+            "name": self.settings.name,
+            "zone": self.settings.zone,
+            "believes": gossip.peers_heard,
             "members": members,
             "zones": seen,
             "stalls": gossip.stalls,
--- a/myrtlecourse/zones/exit_rule.py
+++ b/myrtlecourse/zones/exit_rule.py
@@ -46,11 +46,11 @@
 class ZoneHealth(Enum):
     """What a zone looks like, in a word for staff."""
 
-    WELL = "well"
+    HEALTHY = "well"
     UNKNOWN = "unknown"  # too little is known
-    GONE = "gone"  # refused
+    REFUSED = "gone"  # refused
     SILENT = "silent"
-    HALF = "half dead"
+    HALF_DEAD = "half dead"
     SLOW = "slow"
 
 
@@ -58,28 +58,28 @@
 class Evidence:
     """Tallies of several routers, added up."""
 
-    heard: int = 0
+    answered: int = 0
     refused: int = 0
     silent: int = 0
     witnesses: int = 0  # routers that have seen it, by more than a doubt
-    run: int = 0  # that did not since the last one that did, at each of them
-    runners: int = 0  # routers to which nothing came through since
-    others: int = 0  # routers to which the last one did
-    lately: int = 0  # attempts that came through in the latest time
-    heard_long: int = 0  # and in the longer one
+    failures_in_row: int = 0  # that did not since the last one that did, at each of them
+    routers_in_run: int = 0  # routers to which nothing came through since
+    routers_answered: int = 0  # routers to which the last one did
+    answered_short: int = 0  # attempts that came through in the latest time
+    answered_long: int = 0  # and in the longer one
 
     @property
-    def bad(self) -> int:
+    def failed(self) -> int:
         return self.refused + self.silent
 
     @property
     def total(self) -> int:
-        return self.heard + self.bad
+        return self.answered + self.failed
 
     @property
-    def share(self) -> float:
+    def failed_share(self) -> float:
         """Of those that did not come through."""
-        return self.bad / self.total if self.total else 0.0
+        return self.failed / self.total if self.total else 0.0
 
 
 def sum_tallies(tallies: Iterable[Tally]) -> Evidence:
@@ -93,10 +93,10 @@
     """The same of the latest time alone."""
     each = list(tallies)
     return Evidence(
-        sum(t.heard for t in each),
+        sum(t.answered for t in each),
         sum(t.refused for t in each),
         sum(t.silent for t in each),
-        sum(is_witness(t.bad, t.heard, t.run) for t in each),
+        sum(is_witness(t.failed, t.answered, t.failures_in_row) for t in each),
         *failure_runs(each),
     )
 
@@ -105,10 +105,10 @@
     """The same over the longer time."""
     each = list(tallies)
     return Evidence(
-        sum(t.heard_long for t in each),
+        sum(t.answered_long for t in each),
         sum(t.refused_long for t in each),
         sum(t.silent_long for t in each),
-        sum(is_witness(t.bad_long, t.heard_long, t.run) for t in each),
+        sum(is_witness(t.failed_long, t.answered_long, t.failures_in_row) for t in each),
         *failure_runs(each),
     )
 
@@ -125,44 +125,46 @@
 def failure_runs(tallies: list[Tally]) -> tuple[int, int, int, int, int]:
     """How many attempts in a row did not come through, at how many routers; at how many the last one did, and
     how many did lately."""
-    each = [t.run for t in tallies if t.run >= MIN_RUN]
-    others = sum(t.run == 0 and (t.heard_long > 0 or t.heard > 0) for t in tallies)
-    lately, longer = sum(t.heard for t in tallies), sum(t.heard_long for t in tallies)
+    each = [t.failures_in_row for t in tallies if t.failures_in_row >= MIN_RUN]
+    others = sum(t.failures_in_row == 0 and (t.answered_long > 0 or t.answered > 0) for t in tallies)
+    lately, longer = sum(t.answered for t in tallies), sum(t.answered_long for t in tallies)
     return sum(each), len(each), others, lately, longer
 
 
 def is_unreachable(seen: Evidence, members: int, enough: int = MIN_ATTEMPTS) -> bool:
     """Whether nothing comes through, by enough routers of `members`."""
     needed = min(MIN_WITNESSES, members)
-    if seen.bad >= enough and seen.witnesses >= needed and seen.share >= UNREACHABLE_SHARE:
+    if seen.failed >= enough and seen.witnesses >= needed and seen.failed_share >= UNREACHABLE_SHARE:
         return True
     # few attempts, as each router has left the servers out by itself: nothing came through since, and to
     # nobody
-    most = seen.runners >= needed and seen.runners >= UNREACHABLE_SHARE * (seen.runners + seen.others)
-    return seen.run >= enough and most and not seen.lately
+    most = seen.routers_in_run >= needed and seen.routers_in_run >= UNREACHABLE_SHARE * (
+        seen.routers_in_run + seen.routers_answered
+    )
+    return seen.failures_in_row >= enough and most and not seen.answered_short
 
 
 def is_recovered(seen: Evidence) -> bool:
     """Whether enough comes through."""
-    return seen.heard >= MIN_TRIALS and seen.heard >= RECOVERED_SHARE * seen.total
+    return seen.answered >= MIN_TRIALS and seen.answered >= RECOVERED_SHARE * seen.total
 
 
 def is_back(tallies: Iterable[Tally]) -> bool:
     """Whether enough comes through again, by counts of after a zone was left."""
     each = list(tallies)
     lately = sum_short(each)
-    return (lately.heard >= MIN_RECENT_ANSWERS and not lately.bad) or is_recovered(sum_long(each))
+    return (lately.answered >= MIN_RECENT_ANSWERS and not lately.failed) or is_recovered(sum_long(each))
 
 
 def zone_health(seen: Evidence) -> ZoneHealth:
     """A word for it."""
     if seen.total < MIN_ATTEMPTS:
         return ZoneHealth.UNKNOWN
-    if seen.share >= UNREACHABLE_SHARE:
-        return ZoneHealth.SILENT if seen.silent > seen.refused else ZoneHealth.GONE
-    if seen.share >= 1 - UNREACHABLE_SHARE:
-        return ZoneHealth.SLOW if seen.silent > seen.refused else ZoneHealth.HALF
-    return ZoneHealth.WELL
+    if seen.failed_share >= UNREACHABLE_SHARE:
+        return ZoneHealth.SILENT if seen.silent > seen.refused else ZoneHealth.REFUSED
+    if seen.failed_share >= 1 - UNREACHABLE_SHARE:
+        return ZoneHealth.SLOW if seen.silent > seen.refused else ZoneHealth.HALF_DEAD
+    return ZoneHealth.HEALTHY
 
 
 def exit_evidence(
@@ -175,7 +177,7 @@
     """
     if is_unreachable(own, members, enough):
         return own
-    unknown = own.heard < MIN_TRIALS and (own.runners > 0 or not own.heard_long)
+    unknown = own.answered < MIN_TRIALS and (own.routers_in_run > 0 or not own.answered_long)
     return everyone if unknown and is_unreachable(everyone, fleet, enough) else None
 
 
@@ -184,32 +186,32 @@
     """How a zone stands: a register whose later value wins, whatever order values come in."""
 
     epoch: int = 0  # grows with each change
-    order: ZoneMode = ZoneMode.IN
+    mode: ZoneMode = ZoneMode.IN
     flaps: int = 0  # times that it was left in a row
-    by: int = 0  # who ordered it; 0: nobody did
+    ordered_by: int = 0  # who ordered it; 0: nobody did
     share: int = 0  # of WHOLE: the points that count while it comes back
 
     @property
     def out(self) -> bool:
-        return self.order in (ZoneMode.OUT, ZoneMode.ORDERED_OUT)
+        return self.mode in (ZoneMode.OUT, ZoneMode.ORDERED_OUT)
 
     @property
     def ordered(self) -> bool:
-        return self.order in (ZoneMode.ORDERED_OUT, ZoneMode.ORDERED_IN, ZoneMode.ORDERED_HOLD)
+        return self.mode in (ZoneMode.ORDERED_OUT, ZoneMode.ORDERED_IN, ZoneMode.ORDERED_HOLD)
 
     @property
-    def hold(self) -> float:
+    def min_out_time(self) -> float:
         """Seconds for which it stays out at least."""
         return float(MIN_OUT * 2 ** max(0, self.flaps - 1))
 
     def merged(self, other: ZoneState) -> ZoneState:
         """The one that holds of two: the later; of two made at once, the one by order, then the one out, then
         the one with the smaller share."""
-        return max(self, other, key=lambda s: (s.epoch, s.order.value, -s.share, s.flaps, s.by))
+        return max(self, other, key=lambda s: (s.epoch, s.mode.value, -s.share, s.flaps, s.ordered_by))
 
-    def number(self) -> int:
+    def encode(self) -> int:
         """As it is told, without who ordered it."""
-        return self.epoch << 13 | self.share << 6 | self.flaps << 3 | self.order.value
+        return self.epoch << 13 | self.share << 6 | self.flaps << 3 | self.mode.value
 
 
 def decode_state(number: int, by: int) -> ZoneState:
--- a/myrtlecourse/zones/pace.py
+++ b/myrtlecourse/zones/pace.py
@@ -37,18 +37,18 @@
 class ReturnView:
     """What the fleet has counted since a step, as far as it has been heard; rates a second."""
 
-    heard: int = 0  # answers of the zone that comes back
-    pressed: int = 0
-    missed: int = 0
-    others_heard: int = 0  # and of the others
-    others_pressed: int = 0
-    others_missed: int = 0
-    fetches: float = 0.0  # a second, of all routers
-    fetched: int = 0  # answers of the origin
-    fetches_pressed: int = 0
-    routers: float = 0.0  # share of the fleet's routers that have been heard
-    comes: float = 0.0  # requests a second that come over with all of the zone's points
-    mine: float = 1.0  # of what the origin bears beyond now, that is for this return
+    answered: int = 0  # answers of the zone that comes back
+    overloaded: int = 0
+    misses: int = 0
+    others_answered: int = 0  # and of the others
+    others_overloaded: int = 0
+    others_misses: int = 0
+    fetch_rate: float = 0.0  # a second, of all routers
+    origin_answered: int = 0  # answers of the origin
+    origin_overloaded: int = 0
+    routers_share: float = 0.0  # share of the fleet's routers that have been heard
+    full_rate: float = 0.0  # requests a second that come over with all of the zone's points
+    origin_part: float = 1.0  # of what the origin bears beyond now, that is for this return
 
 
 def ratio(part: int, whole: int) -> float:
@@ -58,10 +58,10 @@
 
 def is_overloaded(view: ReturnView) -> bool:
     """Whether the servers that come back bear what they get worse than the others."""
-    if view.heard < MIN_ANSWERS:
+    if view.answered < MIN_ANSWERS:
         return False
-    usual = ratio(view.others_pressed, view.others_heard)
-    return ratio(view.pressed, view.heard) > usual + STEP_BACK_MARGIN
+    usual = ratio(view.others_overloaded, view.others_answered)
+    return ratio(view.overloaded, view.answered) > usual + STEP_BACK_MARGIN
 
 
 def next_share(share: int, age: float, view: ReturnView, origin_rate: float) -> int:
@@ -79,9 +79,9 @@
         most = min(
             most, COLD_STEP
         )  # nobody knows what the origin bears: not found out by asking for too much
-    if origin_rate and view.comes:
-        room = (ORIGIN_USABLE_SHARE * origin_rate - view.fetches) * view.mine
-        fits = math.floor(max(-1.0, min(FULL_SHARE, FULL_SHARE * room / view.comes)))
+    if origin_rate and view.full_rate:
+        room = (ORIGIN_USABLE_SHARE * origin_rate - view.fetch_rate) * view.origin_part
+        fits = math.floor(max(-1.0, min(FULL_SHARE, FULL_SHARE * room / view.full_rate)))
         most = min(most, fits) if age < FORCED_STEP_AFTER else min(most, max(1, fits))
     share += max(0, most)
     return share if share < COMPLETE_FROM else FULL_SHARE
@@ -89,24 +89,24 @@
 
 def is_proven(age: float, view: ReturnView) -> bool:
     """Whether enough of the fleet has seen that a step is borne, or nobody the contrary for long enough."""
-    enough = view.heard >= MIN_ANSWERS and view.routers >= MIN_ROUTERS_SHARE
+    enough = view.answered >= MIN_ANSWERS and view.routers_share >= MIN_ROUTERS_SHARE
     return age >= MIN_STEP_TIME and not blocking_reason(view) and (enough or age >= RELAXED_PROOF_AFTER)
 
 
 def lacks_keys(view: ReturnView) -> bool:
     """Whether the servers that come back lack what they are asked for."""
-    usual = ratio(view.others_missed, view.others_heard)
-    return ratio(view.missed, view.heard) > usual + MISS_MARGIN
+    usual = ratio(view.others_misses, view.others_answered)
+    return ratio(view.misses, view.answered) > usual + MISS_MARGIN
 
 
 def blocking_reason(view: ReturnView) -> str:
     """What keeps a return from going on, for staff; empty: nothing."""
-    usual = ratio(view.others_pressed, view.others_heard)
-    if view.heard >= MIN_ANSWERS and ratio(view.pressed, view.heard) > usual + OVERLOAD_MARGIN:
+    usual = ratio(view.others_overloaded, view.others_answered)
+    if view.answered >= MIN_ANSWERS and ratio(view.overloaded, view.answered) > usual + OVERLOAD_MARGIN:
         return "its servers are slower or fuller than the others"
     if (
-        view.fetched >= MIN_ANSWERS
-        and ratio(view.fetches_pressed, view.fetched) > ORIGIN_OVERLOAD_SHARE
+        view.origin_answered >= MIN_ANSWERS
+        and ratio(view.origin_overloaded, view.origin_answered) > ORIGIN_OVERLOAD_SHARE
         and lacks_keys(view)
     ):
         return "the origin is full, and they lack what they are asked for"
--- a/myrtlecourse/zones/returns.py
+++ b/myrtlecourse/zones/returns.py
@@ -29,7 +29,7 @@
 
 def long_counts(tally: Tally) -> Tally:
     """What came over the longer time, in place of the latest."""
-    return Tally(heard=tally.heard_long, pressed=tally.pressed_long, missed=tally.missed_long)
+    return Tally(answered=tally.answered_long, overloaded=tally.overloaded_long, misses=tally.misses_long)
 
 
 class Returns:
@@ -38,23 +38,23 @@
     def __init__(self, origin: int, origin_rate: float) -> None:
         """`origin` is what the origin's zone is in a record; `origin_rate` fetches a second are what it bears
         of all routers, 0 where nobody has said."""
-        self.origin = origin
+        self.origin_id = origin
         self.origin_rate = origin_rate
-        self.began: dict[int, float] = {}  # of each return
-        self.kept: set[int] = set()  # zones that others left, and that this router reached all the time
-        self.waits: dict[int, str] = {}  # why a return does not go on, for staff
+        self.began_at: dict[int, float] = {}  # of each return
+        self.never_left: set[int] = set()  # zones that others left, and that this router reached all the time
+        self.blocked_by: dict[int, str] = {}  # why a return does not go on, for staff
 
-    def note(self, now: float, zone: int, standing: ZoneState, obeyed: bool) -> None:
+    def update(self, now: float, zone: int, standing: ZoneState, obeyed: bool) -> None:
         """How a zone stands now, and whether this router does as the others."""
-        if standing.order is ZoneMode.OUT:
-            self.began.pop(zone, None)
-            (self.kept.discard if obeyed else self.kept.add)(zone)
-        elif standing.order is ZoneMode.BACK:
-            self.began.setdefault(zone, now)
+        if standing.mode is ZoneMode.OUT:
+            self.began_at.pop(zone, None)
+            (self.never_left.discard if obeyed else self.never_left.add)(zone)
+        elif standing.mode is ZoneMode.BACK:
+            self.began_at.setdefault(zone, now)
         else:
-            self.began.pop(zone, None)
-            self.kept.discard(zone)
-            self.waits.pop(zone, None)
+            self.began_at.pop(zone, None)
+            self.never_left.discard(zone)
+            self.blocked_by.pop(zone, None)
 
     def view(
         self,
@@ -77,41 +77,41 @@
         scale = whole / max(1, len(fresh)) / MEAN_SHORT_WINDOW  # from what was heard to all, a second
         here = [r for r in fresh if r.made_at >= since + PERIOD * SHORT_PERIODS]
         back = [r.tallies.get(zone, Tally()) for r in here]
-        others = [t for r in here for z, t in r.tallies.items() if z not in (zone, self.origin)]
-        if sum(t.heard for t in back) < MIN_ANSWERS:
+        others = [t for r in here for z, t in r.tallies.items() if z not in (zone, self.origin_id)]
+        if sum(t.answered for t in back) < MIN_ANSWERS:
             # the zone gets little yet: what came over a longer time, once none of it is of before the step
             back = [
                 long_counts(r.tallies.get(zone, Tally())) for r in here if r.made_at >= since + LONG_WINDOW
             ]
-        origin = [t.tallies.get(self.origin, Tally()) for t in fresh]
+        origin = [t.tallies.get(self.origin_id, Tally()) for t in fresh]
         near = [r.tallies for r in fresh if r.home == home]
-        asked = sum(t.heard for each in near for z, t in each.items() if z != self.origin)
+        asked = sum(t.answered for each in near for z, t in each.items() if z != self.origin_id)
         asking = members.get(home, 1) / max(1, len(near)) / MEAN_SHORT_WINDOW * asked
         return ReturnView(
-            heard=sum(t.heard for t in back),
-            pressed=sum(t.pressed for t in back),
-            missed=sum(t.missed for t in back),
-            others_heard=sum(t.heard for t in others),
-            others_pressed=sum(t.pressed for t in others),
-            others_missed=sum(t.missed for t in others),
-            fetches=scale * sum(t.heard for t in origin),
-            fetched=sum(t.heard for t in origin),
-            fetches_pressed=sum(t.pressed for t in origin),
-            routers=len(here) / whole,
-            comes=load * asking,
-            mine=mine,
+            answered=sum(t.answered for t in back),
+            overloaded=sum(t.overloaded for t in back),
+            misses=sum(t.misses for t in back),
+            others_answered=sum(t.answered for t in others),
+            others_overloaded=sum(t.overloaded for t in others),
+            others_misses=sum(t.misses for t in others),
+            fetch_rate=scale * sum(t.answered for t in origin),
+            origin_answered=sum(t.answered for t in origin),
+            origin_overloaded=sum(t.overloaded for t in origin),
+            routers_share=len(here) / whole,
+            full_rate=load * asking,
+            origin_part=mine,
         )
 
-    def step(
+    def next_state(
         self, now: float, zone: int, before: ZoneState, age: float, view: ReturnView
     ) -> tuple[ZoneState, str] | None:
         """How a zone stands from now on, `age` seconds after its last step, and why; None: as before."""
         share = pace.next_share(before.share, age, view, self.origin_rate)
-        self.waits[zone] = pace.blocking_reason(view)
-        seen = f"{view.heard} answers, {view.pressed} slow, {view.missed} missed"
+        self.blocked_by[zone] = pace.blocking_reason(view)
+        seen = f"{view.answered} answers, {view.overloaded} slow, {view.misses} missed"
         # the last step is proven like the others
         proven = before.share >= FULL_SHARE and pace.is_proven(age, view)
-        if proven or now - self.began.get(zone, now) >= pace.MAX_RETURN_TIME:
+        if proven or now - self.began_at.get(zone, now) >= pace.MAX_RETURN_TIME:
             return ZoneState(before.epoch + 1, ZoneMode.IN, before.flaps), f"all of it is back ({seen})"
         if share == before.share:
             return None
--- a/myrtlecourse/zones/tallies.py
+++ b/myrtlecourse/zones/tallies.py
@@ -25,31 +25,33 @@
 class Tally:
     """How attempts at one zone ended, of one router: lately, and over a longer time."""
 
-    heard: int = 0
+    answered: int = 0
     refused: int = 0
     silent: int = 0
-    heard_long: int = 0
+    answered_long: int = 0
     refused_long: int = 0
     silent_long: int = 0
-    run: int = 0  # that did not come through since the last one that did
-    pressed: int = 0  # lately, of those that did: turned away as crowded, or slower than wanted
-    missed: int = 0  # and answered that the key is not there
-    pressed_long: int = 0
-    missed_long: int = 0
+    failures_in_row: int = 0  # that did not come through since the last one that did
+    overloaded: int = 0  # lately, of those that did: turned away as crowded, or slower than wanted
+    misses: int = 0  # and answered that the key is not there
+    overloaded_long: int = 0
+    misses_long: int = 0
 
     @property
-    def bad(self) -> int:
+    def failed(self) -> int:
         return self.refused + self.silent
 
     @property
-    def bad_long(self) -> int:
+    def failed_long(self) -> int:
         return self.refused_long + self.silent_long
 
-    def longer(self) -> Tally:
+    def long_only(self) -> Tally:
         """Without what it says of the latest time, which is over."""
-        return replace(self, heard=0, refused=0, silent=0, run=RUN_UNKNOWN, pressed=0, missed=0)
+        return replace(
+            self, answered=0, refused=0, silent=0, failures_in_row=RUN_UNKNOWN, overloaded=0, misses=0
+        )
 
-    def numbers(self) -> tuple[int, ...]:
+    def encode(self) -> tuple[int, ...]:
         """As they are told."""
         return tuple(min(MAX_COUNT, n) for n in astuple(self))
 
@@ -62,25 +64,25 @@
     """A router's own."""
 
     def __init__(self, now: float) -> None:
-        self.period = int(now / PERIOD)
+        self.current_period = int(now / PERIOD)
         # by zone: LONG periods of heard, refused, silent, pressed, missed
-        self.zones: dict[int, list[list[int]]] = {}
+        self.periods_by_zone: dict[int, list[list[int]]] = {}
         self.runs: dict[int, tuple[int, float]] = {}  # by zone: how long, and when the last one was
 
     def _advance(self, now: float) -> None:
         """Begin a new period for each that is over."""
-        passed = min(LONG_PERIODS, max(0, int(now / PERIOD) - self.period))
-        self.period += max(0, int(now / PERIOD) - self.period)
+        passed = min(LONG_PERIODS, max(0, int(now / PERIOD) - self.current_period))
+        self.current_period += max(0, int(now / PERIOD) - self.current_period)
         if passed:
-            for zone, periods in list(self.zones.items()):
+            for zone, periods in list(self.periods_by_zone.items()):
                 periods[:] = [[0] * 5 for _ in range(passed)] + periods[: LONG_PERIODS - passed]
                 if not any(any(p) for p in periods):
-                    del self.zones[zone]
+                    del self.periods_by_zone[zone]
 
     def add(self, now: float, zone: int, reach: Reach, pressed: bool = False, missed: bool = False) -> None:
         """An attempt at a zone has ended, or is taken for lost."""
         self._advance(now)
-        periods = self.zones.setdefault(zone, [[0] * 5 for _ in range(LONG_PERIODS)])
+        periods = self.periods_by_zone.setdefault(zone, [[0] * 5 for _ in range(LONG_PERIODS)])
         periods[0][(Reach.HEARD, Reach.REFUSED, Reach.SILENT).index(reach)] += 1
         periods[0][3] += pressed
         periods[0][4] += missed
@@ -95,8 +97,8 @@
         self._advance(now)
         found = {}
         self.runs = {zone: run for zone, run in self.runs.items() if now - run[1] <= RUN_TTL}
-        for zone in self.zones.keys() | self.runs.keys():
-            periods = self.zones.get(zone, [])
+        for zone in self.periods_by_zone.keys() | self.runs.keys():
+            periods = self.periods_by_zone.get(zone, [])
             short = [sum(p[i] for p in periods[:SHORT_PERIODS]) for i in range(5)]
             long = [sum(p[i] for p in periods) for i in range(5)]
             run = self.runs.get(zone, (0, now))[0]
@@ -106,7 +108,7 @@
 
     def clear(self) -> None:
         """What was counted is not to be believed."""
-        self.zones.clear()
+        self.periods_by_zone.clear()
         self.runs.clear()
 
 
@@ -116,8 +118,8 @@
     The worst come first, as many as fit into so many bytes.
     """
     most = min(MAX_ZONES, max(0, room - 1) // BYTES_PER_TALLY)
-    worst = sorted(tallies.items(), key=lambda item: (-item[1].bad_long, item[0]))[:most]
-    return (len(worst), *(n for zone, tally in worst for n in (zone, *tally.numbers())))
+    worst = sorted(tallies.items(), key=lambda item: (-item[1].failed_long, item[0]))[:most]
+    return (len(worst), *(n for zone, tally in worst for n in (zone, *tally.encode())))
 
 
 def decode_tallies(numbers: tuple[int, ...]) -> tuple[dict[int, Tally], tuple[int, ...]]:
--- a/myrtlecourse/zones/tiers.py
+++ b/myrtlecourse/zones/tiers.py
@@ -22,7 +22,7 @@
     elsewhere: float = 1.0
 
     @property
-    def flat(self) -> bool:
+    def is_uniform(self) -> bool:
         """Whether all zones are alike."""
         return self.own_region == self.elsewhere == 1.0
 
@@ -33,13 +33,13 @@
         near = any(home in zones and zone in zones for zones in self.regions.values())
         return self.own_region if near else self.elsewhere
 
-    def lost(self, home: str, sizes: Mapping[str, float], left: frozenset[str]) -> float:
+    def lost_share(self, home: str, sizes: Mapping[str, float], left: frozenset[str]) -> float:
         """The share of their load that routers of a zone lose with those that are left."""
         each = {zone: size * self.weight(home, zone) for zone, size in sizes.items()}
         total = sum(each.values())
         return sum(each[zone] for zone in left if zone in each) / total if total else 0.0
 
-    def spill(
+    def spill_bound(
         self,
         bound: float,
         home: str,
@@ -53,11 +53,11 @@
         proportion to what each router's zone loses. `routers` tells how many there are by zone; each is taken
         to carry the same load.
         """
-        mine = self.lost(home, sizes, left)
-        if self.flat or not 0.0 < mine < 1.0:
+        mine = self.lost_share(home, sizes, left)
+        if self.is_uniform or not 0.0 < mine < 1.0:
             return bound
-        moves = sum(count * self.lost(zone, sizes, left) for zone, count in routers.items())
-        stays = sum(count * (1.0 - self.lost(zone, sizes, left)) for zone, count in routers.items())
+        moves = sum(count * self.lost_share(zone, sizes, left) for zone, count in routers.items())
+        stays = sum(count * (1.0 - self.lost_share(zone, sizes, left)) for zone, count in routers.items())
         if not moves:
             return bound
         allowed = (bound - 1.0) * stays / moves  # for each that moves
--- a/tests/test_duty_parts.py
+++ b/tests/test_duty_parts.py
@@ -45,9 +45,9 @@
 def test_words_come_as_they_were_said_in_datagrams_that_hold_them(each: tuple[Item, ...]) -> None:
     names = ("a" * 64, "b")
     wire = Wire(names[0], names, b"k" * 16, 2**62, DutyCodec())
-    wire.senders["b"].start, wire.number = 2**62, 2**31
+    wire.senders["b"].start, wire.sent_number = 2**62, 2**31
     came: list[Item] = []
-    for part in split(each, wire.room):
+    for part in split(each, wire.max_message_size):
         assert len(wire.pack("b", part)) <= MAX_DATAGRAM
         came += DutyCodec().read(msgspec.msgpack.decode(msgspec.msgpack.encode(DutyCodec().parts(part))))
     assert sorted(map(repr, came)) == sorted(map(repr, each))
@@ -66,7 +66,9 @@
 
 def test_a_heartbeat_for_sixteen_duties_is_one_datagram() -> None:
     beats = tuple((60_000 + i, election.Beat(2**31, 2**48)) for i in range(16))
-    assert len(list(split(beats, Wire("a" * 16, ("a" * 16,), b"k" * 16, 1, DutyCodec()).room))) == 1
+    assert (
+        len(list(split(beats, Wire("a" * 16, ("a" * 16,), b"k" * 16, 1, DutyCodec()).max_message_size))) == 1
+    )
 
 
 memories = st.builds(Memory, numbers, st.text(max_size=9), numbers, numbers, numbers, values)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -62,11 +62,11 @@
     owner: int, start: int, number: int, said: list[int], age: float
 ) -> None:
     record = Record(owner, start, number, 3, tuple(said), 50.0 - age)
-    came = decode_record(record.parts(50.0), 50.0)
-    assert (came.owner, came.start, came.number, came.said) == (owner, start, number, tuple(said))
+    came = decode_record(record.encode(50.0), 50.0)
+    assert (came.owner, came.start, came.number, came.payload) == (owner, start, number, tuple(said))
     assert abs(came.made_at - record.made_at) <= 0.06 or age * 10 > MAX_AGE
-    sealed = Seal("b", KEY).pack("b", record.parts(50.0))
-    assert len(sealed) <= 16 + record.width + 2
+    sealed = Seal("b", KEY).pack("b", record.encode(50.0))
+    assert len(sealed) <= 16 + record.max_size + 2
 
 
 @pytest.mark.parametrize(
@@ -94,7 +94,7 @@
     window, taken = ReplayWindow(), []
     for number in numbers:
         try:
-            window.take(number)
+            window.accept(number)
         except Dropped:
             continue
         taken.append(number)
@@ -163,17 +163,17 @@
     group = Group(60)
     group.run(20.0)
     before = len(group.sent)
-    number = group.each["r0"].number
+    number = group.each["r0"].record_number
     first = group.each["r0"]
-    first.stir(group.now)
+    first.spread_urgently(group.now)
     heard: set[str] = set()
     for _ in range(8):
         group.run(TICK_INTERVAL)
         for name, gossip in group.each.items():
-            record = gossip.members[first.me].record
+            record = gossip.members[first.own_id].record
             if name not in heard and record is not None and record.number > number:
                 heard.add(name)
-                gossip.stir(group.now)
+                gossip.spread_urgently(group.now)
     assert len(heard) >= 0.95 * 60
     assert len(group.sent) - before < 60 * 3 * 9
 
@@ -198,17 +198,17 @@
 def test_a_router_that_stood_still_believes_nothing_until_it_hears_somebody() -> None:
     group = Group(6)
     group.run(10.0)
-    assert group.each["r0"].believes
+    assert group.each["r0"].peers_heard
     group.stopped = {"r0"}
     group.run(5.0)
     group.cut = {(n, "r0") for n in group.names}
     group.waiting["r0"].clear()
     group.stopped = set()
     group.run(TICK_INTERVAL)
-    assert group.each["r0"].stalls == 1 and not group.each["r0"].believes
+    assert group.each["r0"].stalls == 1 and not group.each["r0"].peers_heard
     group.cut = set()
     group.run(3.0)
-    assert group.each["r0"].believes
+    assert group.each["r0"].peers_heard
 
 
 def test_what_lay_in_a_queue_meanwhile_is_as_old_as_it_is() -> None:
@@ -263,11 +263,11 @@
 def test_a_budget_of_bytes_is_kept_however_much_there_is_to_say() -> None:
     group = Group(30)
     for gossip in group.each.values():
-        gossip.budget = gossip.saved = 1000.0
+        gossip.budget = gossip.byte_credit = 1000.0
     group.run(5.0)
     before = group.each["r3"].bytes_sent
     for _ in range(100):
-        group.each["r3"].stir(group.now)
+        group.each["r3"].spread_urgently(group.now)
         group.run(TICK_INTERVAL)
     assert group.each["r3"].bytes_sent - before <= 11 * 1000.0
 
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -433,14 +433,14 @@
         async with Stand(tmp_path, peers={"interval": 0.1}, regions=2, zones=2, sites=2) as stand:
             agents = [m.speaker.agent for _, _, m in stand.members if m.speaker is not None]
             assert len(agents) == 3
-            await stand.until(lambda: all(a.gossip.present(0.0).total() >= 3 for a in agents))
+            await stand.until(lambda: all(a.gossip.member_counts(0.0).total() >= 3 for a in agents))
             assert stand.counts.datagrams_in >= 3
             assert stand.counts.datagram_bytes_in > stand.counts.datagrams_in
             for _, _, member in stand.members:
                 datagrams, size = member.sent()
                 assert 0 < datagrams < size
-            assert {a.part.zone for a in agents} == {"zone-0", "zone-1"}
-            assert all(len(a.part.members) == 4 for a in agents)  # the real router among them
+            assert {a.settings.zone for a in agents} == {"zone-0", "zone-1"}
+            assert all(len(a.settings.members) == 4 for a in agents)  # the real router among them
 
     asyncio.run(play())
 
--- a/tests/test_spread_codec.py
+++ b/tests/test_spread_codec.py
@@ -144,7 +144,7 @@
 def test_what_fits_the_room_fits_a_datagram(length: int, words: tuple[Word, ...]) -> None:
     name = "n" * length
     wire = Wire(name, (name, "other"), bytes(32), 2**63, CODEC)
-    wire.number = 2**60
-    assert wire.room == room(name)
+    wire.sent_number = 2**60
+    assert wire.max_message_size == room(name)
     if CODEC.size(words) <= room(name):
         assert len(wire.pack("other", words)) <= 256
--- a/tests/test_zone_return.py
+++ b/tests/test_zone_return.py
@@ -42,7 +42,7 @@
     ReturnView, counts, counts, counts, counts, counts, counts, rates, counts, counts, st.floats(0, 1), rates
 )
 shares = st.integers(1, FULL_SHARE - 1)
-GOOD = ReturnView(heard=20, others_heard=200, fetched=50, routers=1.0, comes=200.0)
+GOOD = ReturnView(answered=20, others_answered=200, origin_answered=50, routers_share=1.0, full_rate=200.0)
 
 
 @given(shares, st.floats(0.0, 100.0), views, rates)
@@ -55,8 +55,8 @@
     assert age >= pace.MIN_STEP_TIME or after == share
     if age < pace.FORCED_STEP_AFTER and after > share:
         assert (
-            view.routers >= pace.MIN_ROUTERS_SHARE
-            and view.heard >= pace.MIN_ANSWERS
+            view.routers_share >= pace.MIN_ROUTERS_SHARE
+            and view.answered >= pace.MIN_ANSWERS
             or age >= pace.RELAXED_PROOF_AFTER
         )
         assert not pace.blocking_reason(view)
@@ -67,10 +67,10 @@
     share: int, view: ReturnView, rate: float
 ) -> None:
     after = pace.next_share(share, pace.RELAXED_PROOF_AFTER, view, rate)
-    if share < after < FULL_SHARE and view.comes:
-        assert (after - share) / FULL_SHARE * view.comes <= (
-            pace.ORIGIN_USABLE_SHARE * rate - view.fetches
-        ) * view.mine + 1e-6
+    if share < after < FULL_SHARE and view.full_rate:
+        assert (after - share) / FULL_SHARE * view.full_rate <= (
+            pace.ORIGIN_USABLE_SHARE * rate - view.fetch_rate
+        ) * view.origin_part + 1e-6
 
 
 @given(st.lists(views.filter(lambda v: not pace.is_overloaded(v)), min_size=1, max_size=20), rates)
@@ -90,20 +90,22 @@
 def test_what_hurts_goes_a_step_back_and_what_lacks_all_goes_on_slower() -> None:
     assert pace.next_share(16, 1.0, GOOD, 0.0) == 32
     assert pace.next_share(32, 1.0, GOOD, 0.0) == FULL_SHARE
-    slow = ReturnView(heard=20, pressed=15, others_heard=200, routers=1.0)
+    slow = ReturnView(answered=20, overloaded=15, others_answered=200, routers_share=1.0)
     assert pace.next_share(16, 1.0, slow, 0.0) == 8 and pace.next_share(1, 1.0, slow, 0.0) == 1
-    everywhere = ReturnView(heard=20, pressed=15, others_heard=200, others_pressed=150, routers=1.0)
+    everywhere = ReturnView(
+        answered=20, overloaded=15, others_answered=200, others_overloaded=150, routers_share=1.0
+    )
     assert (
         pace.next_share(16, 1.0, everywhere, 0.0) == 32
     )  # the others are at their limit too: help is wanted
-    empty = ReturnView(heard=20, missed=18, others_heard=200, others_missed=10, routers=1.0)
+    empty = ReturnView(answered=20, misses=18, others_answered=200, others_misses=10, routers_share=1.0)
     assert pace.next_share(16, 1.0, empty, 0.0) == 16 + pace.COLD_STEP
-    full = ReturnView(20, 0, 18, 200, 0, 10, fetched=50, fetches_pressed=20, routers=1.0)
+    full = ReturnView(20, 0, 18, 200, 0, 10, origin_answered=50, origin_overloaded=20, routers_share=1.0)
     assert (
         pace.next_share(16, 1.0, full, 0.0) == 16
         and pace.next_share(16, pace.FORCED_STEP_AFTER, full, 0.0) == 17
     )
-    unknown = ReturnView(heard=1, others_heard=10, routers=0.1)
+    unknown = ReturnView(answered=1, others_answered=10, routers_share=0.1)
     assert (
         pace.next_share(16, 1.0, unknown, 0.0) == 16
         and pace.next_share(16, pace.RELAXED_PROOF_AFTER, unknown, 0.0) == 32
@@ -111,12 +113,14 @@
 
 
 def test_a_known_origin_cuts_steps_to_what_is_left_of_it() -> None:
-    view = ReturnView(heard=20, others_heard=200, fetches=60.0, routers=1.0, comes=200.0)
+    view = ReturnView(answered=20, others_answered=200, fetch_rate=60.0, routers_share=1.0, full_rate=200.0)
     left = pace.ORIGIN_USABLE_SHARE * 100.0 - 60.0
     assert pace.next_share(16, 1.0, view, 100.0) == 16 + int(FULL_SHARE * left / 200)
-    assert pace.next_share(16, 1.0, replace(view, mine=0.5), 100.0) == 16 + int(FULL_SHARE * left / 2 / 200)
-    assert pace.next_share(16, 1.0, replace(view, fetches=95.0), 100.0) == 16
-    assert pace.next_share(16, pace.FORCED_STEP_AFTER, replace(view, fetches=95.0), 100.0) == 17
+    assert pace.next_share(16, 1.0, replace(view, origin_part=0.5), 100.0) == 16 + int(
+        FULL_SHARE * left / 2 / 200
+    )
+    assert pace.next_share(16, 1.0, replace(view, fetch_rate=95.0), 100.0) == 16
+    assert pace.next_share(16, pace.FORCED_STEP_AFTER, replace(view, fetch_rate=95.0), 100.0) == 17
 
 
 # One fleet's registers
@@ -128,7 +132,7 @@
     fleet.run(MIN_OUT + 1.0)
     assert set(fleet.left().values()) == {SOUTH}
     for _ in range(20):
-        if any(z.given.shares for z in fleet.each.values()):
+        if any(z.current_order.shares for z in fleet.each.values()):
             return
         fleet.attempts("south", Reach.HEARD, times=1)
         fleet.run(0.2)
@@ -140,13 +144,16 @@
     for _ in range(round(seconds / 0.2)):
         for zones in fleet.each.values():
             for _ in range(4):
-                zones.ended(fleet.now, "north", Reach.HEARD)
-                zones.ended(fleet.now, "south", Reach.HEARD, pressed, missed)
+                zones.attempt_ended(fleet.now, "north", Reach.HEARD)
+                zones.attempt_ended(fleet.now, "south", Reach.HEARD, pressed, missed)
         fleet.run(0.2)
 
 
 def given_shares(fleet: Fleet) -> list[float]:
-    return [z.given.shares.get("south", 0.0 if z.given.zones else 1.0) for z in fleet.each.values()]
+    return [
+        z.current_order.shares.get("south", 0.0 if z.current_order.zones else 1.0)
+        for z in fleet.each.values()
+    ]
 
 
 def test_a_fleet_returns_by_steps_that_all_routers_of_a_zone_take_together() -> None:
@@ -172,7 +179,7 @@
     usual = pace.next_share
 
     def step(share: int, age: float, view: ReturnView, origin_rate: float) -> int:
-        parts.append(view.mine)
+        parts.append(view.origin_part)
         return share if len(parts) < 200 else usual(share, age, view, origin_rate)
 
     monkeypatch.setattr(pace, "next_share", step)
@@ -194,7 +201,7 @@
     out_and_back(fleet)
     go_on(fleet, 8.0, pressed=True)
     assert all(0.0 < s <= pace.FIRST_SHARE / FULL_SHARE for s in given_shares(fleet))
-    assert {z.returns.waits[ident("south", 2)] for z in fleet.each.values()} != {""}
+    assert {z.returns.blocked_by[ident("south", 2)] for z in fleet.each.values()} != {""}
     go_on(fleet, 10.0)
     assert set(given_shares(fleet)) == {1.0}
 
@@ -223,19 +230,19 @@
     fleet = Fleet(*SIX)
     out_and_back(fleet)
     fleet.run(0.3)
-    fleet.each["r3"].order(fleet.now, "south", ZoneMode.ORDERED_HOLD, 8.0)
+    fleet.each["r3"].order_zone(fleet.now, "south", ZoneMode.ORDERED_HOLD, 8.0)
     go_on(fleet, 1.0)
     held = given_shares(fleet)
     go_on(fleet, 5.0)
     assert given_shares(fleet) == held and max(held) < 1.0
     go_on(fleet, 8.0)
     assert set(given_shares(fleet)) == {1.0}
-    fleet.each["r1"].order(fleet.now, "south", ZoneMode.ORDERED_OUT, 2.0)
+    fleet.each["r1"].order_zone(fleet.now, "south", ZoneMode.ORDERED_OUT, 2.0)
     go_on(fleet, 1.0)
     assert set(fleet.left().values()) == {SOUTH}
     go_on(fleet, 1.4)
     assert all(0.0 < s < 1.0 for s in given_shares(fleet))  # it may have been restarted meanwhile
-    fleet.each["r1"].order(fleet.now, "south", ZoneMode.ORDERED_IN, 2.0)
+    fleet.each["r1"].order_zone(fleet.now, "south", ZoneMode.ORDERED_IN, 2.0)
     fleet.run(0.3)
     assert set(given_shares(fleet)) == {1.0}
 
@@ -246,27 +253,27 @@
         fleet.attempts("south", Reach.REFUSED, "r1", "r2", "r3", "r4", "r5", times=3)
         fleet.attempts("south", Reach.HEARD, "r0", times=1)
         fleet.run(0.2)
-    assert not fleet.each["r0"].given.zones and fleet.each["r1"].given.zones
+    assert not fleet.each["r0"].current_order.zones and fleet.each["r1"].current_order.zones
     for _ in range(20):
         fleet.attempts("south", Reach.HEARD, times=1)
         fleet.run(0.2)
-        assert not fleet.each["r0"].given.shares
-        if fleet.each["r3"].given.shares:
+        assert not fleet.each["r0"].current_order.shares
+        if fleet.each["r3"].current_order.shares:
             break
-    assert fleet.each["r3"].given.shares
+    assert fleet.each["r3"].current_order.shares
 
 
 def test_a_router_that_stood_still_keeps_to_its_step_until_it_hears_or_a_while_is_over() -> None:
     fleet = Fleet(*SIX)
     out_and_back(fleet)
     zones = fleet.each["r2"]
-    before = zones.given.shares
+    before = zones.current_order.shares
     fleet.now += 5.0
-    zones.stood_still(fleet.now)
-    zones.tick(fleet.now, [], {zones.home: 2}, believes=False)
-    assert zones.given.shares == before
-    zones.tick(fleet.now + NO_PEERS_GRACE, [], {zones.home: 2}, believes=False)
-    assert not zones.given.shares
+    zones.process_stalled(fleet.now)
+    zones.tick(fleet.now, [], {zones.home: 2}, peers_heard=False)
+    assert zones.current_order.shares == before
+    zones.tick(fleet.now + NO_PEERS_GRACE, [], {zones.home: 2}, peers_heard=False)
+    assert not zones.current_order.shares
 
 
 def test_a_new_process_is_told_at_once() -> None:
@@ -278,7 +285,7 @@
     for data in told.tick(0.3, 2e9 + 1, tuple):
         each[data.to].receive(data.data, 0.3, 2e9 + 1)
     answers = [d for d in each["b"].tick(0.31, 2e9 + 1, lambda: (7,)) if d.to == "a"]
-    assert answers and told.receive(answers[0].data, 0.31, 2e9 + 1)[0].said == (7,)
+    assert answers and told.receive(answers[0].data, 0.31, 2e9 + 1)[0].payload == (7,)
 
 
 # The decision module
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -75,7 +75,7 @@
         results.add(x.merged(y).merged(z))
         results.add(x.merged(y.merged(z)).merged(y))
     assert len(results) == 1
-    assert exit_rule.decode_state(a.number(), a.by) == a
+    assert exit_rule.decode_state(a.encode(), a.ordered_by) == a
 
 
 @given(st.dictionaries(st.integers(1, 65_535), tallies, max_size=40), st.integers(0, MAX_PAYLOAD_SIZE))
@@ -90,7 +90,7 @@
 @given(st.lists(st.integers(0, 2**32), max_size=60))
 def test_numbers_that_say_nothing_are_taken_for_nothing(numbers: list[int]) -> None:
     zones = ZoneCoordinator("a", "north", 0.0)
-    zones.hear(1.0, Record(5, 1, 1, 2, tuple(numbers), 1.0))
+    zones.receive_record(1.0, Record(5, 1, 1, 2, tuple(numbers), 1.0))
     zones.tick(1.0, [Record(5, 1, 1, 2, tuple(numbers), 1.0)], {zones.home: 2}, True)
     assert len(zones.registers) <= 64
 
@@ -101,7 +101,7 @@
     own.add(100.3, 7, Reach.SILENT)
     assert own.tallies(100.3)[7] == Tally(1, 0, 1, 1, 0, 1, 1)
     assert own.tallies(100.8)[7] == Tally(0, 0, 0, 1, 0, 1, 1)
-    assert own.tallies(100.3 + LONG_PERIODS * PERIOD) == {7: Tally(run=1)}
+    assert own.tallies(100.3 + LONG_PERIODS * PERIOD) == {7: Tally(failures_in_row=1)}
     assert own.tallies(100.3 + RUN_TTL + 0.1) == {}
     own.add(1000.0, 7, Reach.REFUSED)
     assert own.tallies(1000.0)[7] == Tally(0, 1, 0, 0, 1, 0, 1)
@@ -111,10 +111,10 @@
     ("seen", "word"),
     [
         (Evidence(2, 0, 0), ZoneHealth.UNKNOWN),
-        (Evidence(20, 0, 0), ZoneHealth.WELL),
-        (Evidence(1, 20, 0, 3), ZoneHealth.GONE),
+        (Evidence(20, 0, 0), ZoneHealth.HEALTHY),
+        (Evidence(1, 20, 0, 3), ZoneHealth.REFUSED),
         (Evidence(1, 2, 20, 3), ZoneHealth.SILENT),
-        (Evidence(10, 10, 0, 3), ZoneHealth.HALF),
+        (Evidence(10, 10, 0, 3), ZoneHealth.HALF_DEAD),
         (Evidence(10, 0, 10, 3), ZoneHealth.SLOW),
     ],
 )
@@ -127,10 +127,14 @@
         Evidence(0, 0, 9, 2), 6
     )
     assert not exit_rule.is_unreachable(Evidence(0, 50, 0, 1), 6)
-    few = Evidence(40, 2, 3, 3, run=5, runners=3)  # before each left the servers out by itself
-    assert exit_rule.is_unreachable(few, 6) and not exit_rule.is_unreachable(replace(few, lately=1), 6)
-    assert not exit_rule.is_unreachable(replace(few, runners=1), 6)
-    assert not exit_rule.is_unreachable(replace(few, others=2), 6)  # some have been answered since
+    few = Evidence(
+        40, 2, 3, 3, failures_in_row=5, routers_in_run=3
+    )  # before each left the servers out by itself
+    assert exit_rule.is_unreachable(few, 6) and not exit_rule.is_unreachable(
+        replace(few, answered_short=1), 6
+    )
+    assert not exit_rule.is_unreachable(replace(few, routers_in_run=1), 6)
+    assert not exit_rule.is_unreachable(replace(few, routers_answered=2), 6)  # some have been answered since
     assert exit_rule.is_unreachable(Evidence(0, 50, 0, 1), 1)  # the only router of its zone
     assert not exit_rule.is_unreachable(Evidence(10, 10, 0, 6), 6) and not exit_rule.is_unreachable(
         Evidence(10, 0, 20, 6), 6
@@ -138,9 +142,9 @@
     own, rest = Evidence(0, 0, 0), Evidence(0, 20, 0, 4)
     assert exit_rule.exit_evidence(own, rest, 3, 9) is rest  # who has not met it follows
     assert exit_rule.exit_evidence(Evidence(9, 0, 0), rest, 3, 9) is None  # who reaches it stays
-    seldom = Evidence(1, 0, 0, heard_long=1)  # who has been answered by it, if seldom, stays as well
+    seldom = Evidence(1, 0, 0, answered_long=1)  # who has been answered by it, if seldom, stays as well
     assert exit_rule.exit_evidence(seldom, rest, 3, 9) is None
-    assert exit_rule.exit_evidence(replace(seldom, run=2, runners=1), rest, 3, 9) is rest
+    assert exit_rule.exit_evidence(replace(seldom, failures_in_row=2, routers_in_run=1), rest, 3, 9) is rest
 
 
 class Fleet:
@@ -151,30 +155,30 @@
         self.each = {f"r{i}": ZoneCoordinator(f"r{i}", home, self.now) for i, home in enumerate(homes)}
         self.number = 0
         for zones in self.each.values():
-            zones.zones({"north": 2, "south": 2, "west": 2})
+            zones.set_zone_sizes({"north": 2, "south": 2, "west": 2})
 
     def attempts(self, zone: str, reach: Reach, *names: str, times: int = 3) -> None:
         for name in names or self.each:
             for _ in range(times):
-                self.each[name].ended(self.now, zone, reach)
+                self.each[name].attempt_ended(self.now, zone, reach)
 
     def run(self, seconds: float, apart: tuple[str, ...] = ()) -> None:
         for _ in range(round(seconds / 0.1)):
             self.now += 0.1
             self.number += 1
             records = {
-                name: Record(z.me, 1, self.number, z.home, z.said(self.now), self.now)
+                name: Record(z.own_id, 1, self.number, z.home, z.payload(self.now), self.now)
                 for name, z in self.each.items()
             }
             members = {z.home: sum(o.home == z.home for o in self.each.values()) for z in self.each.values()}
             for name, zones in self.each.items():
                 side = [r for n, r in records.items() if n != name and (n in apart) is (name in apart)]
                 for record in side:
-                    zones.hear(self.now, record)
+                    zones.receive_record(self.now, record)
                 zones.tick(self.now, side, members, True)
 
     def left(self) -> dict[str, frozenset[str]]:
-        return {name: z.given.zones for name, z in self.each.items()}
+        return {name: z.current_order.zones for name, z in self.each.items()}
 
 
 SIX = ("north", "north", "south", "south", "west", "west")
@@ -186,7 +190,7 @@
     fleet.attempts("south", reach, "r0", "r2", "r3")
     fleet.run(0.3)
     assert set(fleet.left().values()) == {frozenset({"south"})}
-    assert fleet.each["r5"].given.trial_every == 2 / TRIALS_PER_SECOND
+    assert fleet.each["r5"].current_order.trial_every == 2 / TRIALS_PER_SECOND
 
 
 def test_a_router_that_alone_can_t_reach_a_zone_takes_nobody_with_it_and_is_told_so() -> None:
@@ -196,7 +200,7 @@
         fleet.attempts("south", Reach.HEARD, "r1", "r2", "r3", "r4", "r5")
         fleet.run(0.2)
     assert set(fleet.left().values()) == {frozenset()}
-    assert ident("south", 2) in fleet.each["r0"].alone
+    assert ident("south", 2) in fleet.each["r0"].isolated_from
     assert any("alone" in c.text for c in fleet.each["r0"].changes)
     assert not any("alone" in c.text for c in fleet.each["r1"].changes)
 
@@ -209,7 +213,7 @@
         fleet.attempts(ORIGIN, Reach.HEARD, "r0", "r1", "r4", "r5")
         fleet.attempts("north", Reach.HEARD, "r0", "r1", "r4", "r5")
         fleet.run(0.2)
-    given = {name: (z.given.zones, z.given.origin) for name, z in fleet.each.items()}
+    given = {name: (z.current_order.zones, z.current_order.origin) for name, z in fleet.each.items()}
     assert given["r2"] == given["r3"] == (frozenset({"north"}), True)
     assert {given[n] for n in ("r0", "r1", "r4", "r5")} == {(frozenset(), False)}
 
@@ -235,12 +239,12 @@
     fleet = Fleet(*SIX)
     fleet.attempts("south", Reach.REFUSED)
     fleet.run(MIN_OUT + 1.0)
-    seldom = fleet.each["r0"].given.trial_every
+    seldom = fleet.each["r0"].current_order.trial_every
     fleet.attempts("south", Reach.HEARD, "r1", times=1)
     fleet.run(0.2)
-    assert fleet.left()["r0"] and fleet.each["r0"].given.trial_every <= seldom / 2
+    assert fleet.left()["r0"] and fleet.each["r0"].current_order.trial_every <= seldom / 2
     fleet.run(LONG_PERIODS * PERIOD + 1.0)
-    assert fleet.left()["r0"] and fleet.each["r0"].given.trial_every == seldom
+    assert fleet.left()["r0"] and fleet.each["r0"].current_order.trial_every == seldom
 
 
 def test_trials_that_fail_keep_it_out_and_what_came_before_brings_nobody_back() -> None:
@@ -251,7 +255,7 @@
         fleet.attempts("south", Reach.REFUSED, times=1)
         fleet.run(0.5)
     assert set(fleet.left().values()) == {frozenset({"south"})}
-    assert {z.registers[z.home, ident("south", 2)].standing.epoch for z in fleet.each.values()} == {1}
+    assert {z.registers[z.home, ident("south", 2)].state.epoch for z in fleet.each.values()} == {1}
 
 
 def test_a_split_takes_nobody_out_who_can_reach_the_zone() -> None:
@@ -274,40 +278,42 @@
     fleet.attempts("south", Reach.REFUSED)
     fleet.run(0.3)
     zones = fleet.each["r0"]
-    assert zones.given.zones
-    zones.tick(fleet.now, [], {zones.home: 1}, believes=False)
-    assert zones.given.zones  # for a moment it stays as it was
-    zones.tick(fleet.now + NO_PEERS_GRACE, [], {zones.home: 1}, believes=False)
-    assert zones.given == api.ZonesLeft(spill=zones.spill, trial_every=zones.given.trial_every, paced=True)
+    assert zones.current_order.zones
+    zones.tick(fleet.now, [], {zones.home: 1}, peers_heard=False)
+    assert zones.current_order.zones  # for a moment it stays as it was
+    zones.tick(fleet.now + NO_PEERS_GRACE, [], {zones.home: 1}, peers_heard=False)
+    assert zones.current_order == api.ZonesLeft(
+        spill=zones.spill, trial_every=zones.current_order.trial_every, paced=True
+    )
 
 
 def test_a_process_that_stood_still_counts_nothing_of_that_time() -> None:
     zones = ZoneCoordinator("r0", "north", 1000.0)
-    zones.zones({"south": 2})
-    zones.ended(1000.0, "south", Reach.REFUSED)
-    zones.stood_still(1005.0)
+    zones.set_zone_sizes({"south": 2})
+    zones.attempt_ended(1000.0, "south", Reach.REFUSED)
+    zones.process_stalled(1005.0)
     for _ in range(50):  # all that timed out meanwhile, for no fault of the zone
-        zones.ended(1005.1, "south", Reach.SILENT)
+        zones.attempt_ended(1005.1, "south", Reach.SILENT)
     assert zones.counts.tallies(1005.1) == {}
-    zones.ended(1005.0 + IGNORED_AFTER_STALL, "south", Reach.SILENT)
+    zones.attempt_ended(1005.0 + IGNORED_AFTER_STALL, "south", Reach.SILENT)
     assert zones.counts.tallies(1005.6)
 
 
 def test_records_that_are_old_say_nothing() -> None:
     zones = ZoneCoordinator("r0", "north", 1000.0)
-    zones.zones({"south": 2})
+    zones.set_zone_sizes({"south": 2})
     bad = encode_tallies({ident("south", 2): Tally(0, 9, 0, 0, 9, 0)}, MAX_PAYLOAD_SIZE)
     stale = [Record(i, 1, 1, zones.home, bad, 1000.0 - MAX_RECORD_AGE - 0.1) for i in (5, 6, 7)]
     for record in stale:
-        zones.hear(1000.0, record)
+        zones.receive_record(1000.0, record)
     zones.tick(1000.0, stale, {zones.home: 4}, True)
-    assert not zones.given.zones
+    assert not zones.current_order.zones
 
 
 def test_doubts_of_some_that_are_no_news_take_no_newcomer_out() -> None:
     """Routers that started anew left four zones and the origin by single doubts of others, seconds old."""
     zones = ZoneCoordinator("r0", "north", 1000.0)
-    zones.zones({"south": 2})
+    zones.set_zone_sizes({"south": 2})
     doubt = encode_tallies({ident("south", 2): Tally(0, 0, 0, 9, 0, 1, 1)}, MAX_PAYLOAD_SIZE)
     for age in (1.0, 0.2):
         records = [Record(i, 1, int(1 / age), zones.home, doubt, 1000.0 - age) for i in range(5, 12)]
@@ -317,33 +323,33 @@
                 1,
                 int(1 / age),
                 zones.home,
-                encode_tallies({ident("south", 2): Tally(heard_long=5)}, MAX_PAYLOAD_SIZE),
+                encode_tallies({ident("south", 2): Tally(answered_long=5)}, MAX_PAYLOAD_SIZE),
                 999.8,
             )
             for i in range(12, 16)
         ]
         for record in records:
-            zones.hear(1000.0, record)
+            zones.receive_record(1000.0, record)
         zones.tick(1000.0, records, {zones.home: 12}, True)
-        assert not zones.given.zones
+        assert not zones.current_order.zones
 
 
 def test_an_operator_s_order_holds_everywhere_until_it_ends_and_by_whom_is_known() -> None:
     fleet = Fleet(*SIX)
-    fleet.each["r4"].order(fleet.now, "south", ZoneMode.ORDERED_OUT, 5.0)
+    fleet.each["r4"].order_zone(fleet.now, "south", ZoneMode.ORDERED_OUT, 5.0)
     fleet.attempts("south", Reach.HEARD, times=5)
     fleet.run(0.3)
     assert set(fleet.left().values()) == {frozenset({"south"})}
-    assert fleet.each["r0"].given.forced == frozenset({"south"})
-    assert fleet.each["r0"].registers[ALL_ROUTERS, ident("south", 2)].standing.by == ident("r4")
+    assert fleet.each["r0"].current_order.forced == frozenset({"south"})
+    assert fleet.each["r0"].registers[ALL_ROUTERS, ident("south", 2)].state.ordered_by == ident("r4")
     fleet.run(5.5)
     assert set(fleet.left().values()) == {frozenset()}
     fleet.attempts("south", Reach.REFUSED)
-    fleet.each["r1"].order(fleet.now, "south", ZoneMode.ORDERED_IN, 5.0)
+    fleet.each["r1"].order_zone(fleet.now, "south", ZoneMode.ORDERED_IN, 5.0)
     fleet.run(0.3)
     assert set(fleet.left().values()) == {frozenset()}  # in, whatever the evidence says
     with pytest.raises(ZonesError, match="nowhere"):
-        fleet.each["r1"].order(fleet.now, "nowhere", ZoneMode.ORDERED_OUT, 5.0)
+        fleet.each["r1"].order_zone(fleet.now, "nowhere", ZoneMode.ORDERED_OUT, 5.0)
 
 
 @given(
@@ -359,19 +365,19 @@
     """Whatever order records come in, and however often."""
     senders = [ZoneCoordinator(f"s{i}", home, 1000.0) for i, home in enumerate(SIX)]
     for i, (zone, reach, _) in enumerate(ends):
-        senders[i % 6].zones({"north": 2, "south": 2})
-        senders[i % 6].ended(1000.0, zone, reach)
-    records = [Record(z.me, 1, 1, z.home, z.said(1000.1), 1000.1) for z in senders]
+        senders[i % 6].set_zone_sizes({"north": 2, "south": 2})
+        senders[i % 6].attempt_ended(1000.0, zone, reach)
+    records = [Record(z.own_id, 1, 1, z.home, z.payload(1000.1), 1000.1) for z in senders]
     found = set()
     for name in ("a", "b"):
         zones = ZoneCoordinator(name, "north", 1000.0)
-        zones.zones({"north": 2, "south": 2, "west": 2})
+        zones.set_zone_sizes({"north": 2, "south": 2, "west": 2})
         shuffled = records * 2
         chance.shuffle(shuffled)  # type: ignore[attr-defined]
         for record in shuffled:
-            zones.hear(1000.1, record)
+            zones.receive_record(1000.1, record)
         zones.tick(1000.1, records, {zones.home: 3, 1: 4}, True)
-        found.add(zones.given)
+        found.add(zones.current_order)
     assert len(found) == 1
 
 
@@ -636,12 +642,12 @@
     left = frozenset({gone})
     had = moved = 0.0
     for zone, count in routers.items():
-        lost = tiers.lost(zone, sizes, left)
+        lost = tiers.lost_share(zone, sizes, left)
         had += count * (1.0 - lost)
-        moved += count * (tiers.spill(bound, zone, sizes, left, routers) - 1.0) * (1.0 - lost)
+        moved += count * (tiers.spill_bound(bound, zone, sizes, left, routers) - 1.0) * (1.0 - lost)
     # no router may lose all of its load: then nothing stays that the bound could go by
     assert moved <= (bound - 1.0) * had * (1 + 1e-9) + 1e-9
-    assert Tiers().spill(bound, "north", sizes, left, routers) == bound
+    assert Tiers().spill_bound(bound, "north", sizes, left, routers) == bound
 
 
 def test_the_own_zone_is_asked_most_and_its_region_takes_over_when_it_is_left() -> None:
@@ -696,16 +702,18 @@
     agent.listed({"north": 2, "south": 2})
     assert agent.tick(0.1, 0.1).events == []
     tiers = Tiers({}, 1.0, 0.5)
-    agent.change(part_of(members=("a", "b", "c"), spill=2.0, tiers=tiers, also=(b"j" * 16,), interval=2.0))
+    agent.reconfigure(
+        part_of(members=("a", "b", "c"), spill=2.0, tiers=tiers, accepted_keys=(b"j" * 16,), interval=2.0)
+    )
     assert agent.tick(0.2, 0.2).events == [api.Preferred({"south": 0.5})]
     assert [m["name"] for m in agent.status(0.2)["members"]] == ["a", "b", "c"]
     assert agent.zones.spill == 2.0 and agent.gossip.interval == 2.0
-    before = agent.part
-    wrong = ({"zone": "south"}, {"members": ("b", "c")}, {"key": b"short"}, {"also": (b"short",)})
+    before = agent.settings
+    wrong = ({"zone": "south"}, {"members": ("b", "c")}, {"key": b"short"}, {"accepted_keys": (b"short",)})
     for change in wrong:
         with pytest.raises(ValueError, match=r"others|among|least"):
-            agent.change(part_of(**change))
-        assert agent.part is before and len(agent.gossip.members) == 3
+            agent.reconfigure(part_of(**change))
+        assert agent.settings is before and len(agent.gossip.members) == 3
 
 
 def test_a_new_key_goes_round_without_a_word_lost() -> None:
@@ -784,7 +792,7 @@
     assert made(config(False, **there)) is None and made(config(True)) is None
     end = made(config(True, **there))
     assert end is not None
-    assert (end.agent.part.name, end.agent.part.zone, end.bind) == ("1", "north", ("127.0.0.1", 7))
+    assert (end.agent.settings.name, end.agent.settings.zone, end.bind) == ("1", "north", ("127.0.0.1", 7))
     path.write_text(GOOD.replace("KEY", str(key)))
     table = read_operators(path).fleet
     end = made(config(False))
--- a/tests/wrong_zones.py
+++ b/tests/wrong_zones.py
@@ -21,7 +21,7 @@
 
     def again(tallies: object) -> Evidence:
         each: list[Tally] = list(tallies)  # type: ignore[call-overload]
-        return added([*each, *(t for t in each if t.bad_long and not t.heard for _ in range(49))])
+        return added([*each, *(t for t in each if t.failed_long and not t.answered for _ in range(49))])
 
     exit_rule.sum_tallies = again
 
@@ -37,7 +37,7 @@
 def has_no_hysteresis() -> None:
     """Comes back with the first answer, and leaves at the first doubt."""
     exit_rule.MIN_OUT, exit_rule.UNREACHABLE_SHARE, exit_rule.MIN_ATTEMPTS = 0.0, 0.3, 2
-    exit_rule.is_back = lambda tallies: any(t.heard_long for t in tallies)
+    exit_rule.is_back = lambda tallies: any(t.answered_long for t in tallies)
 
 
 def moves_all() -> None:
@@ -55,7 +55,7 @@
     """Goes on by the clock, whatever the zone that comes back bears."""
     usual = pace.next_share
     pace.next_share = lambda share, age, view, origin_rate: usual(
-        share, age, pace.ReturnView(20, routers=1.0), 0.0
+        share, age, pace.ReturnView(20, routers_share=1.0), 0.0
     )
 
 
