--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -87,9 +87,9 @@
     monkeypatch.setattr(slopes, "Agent", made)
     assert slopes.watched(30, 1, 4) > 0
     me, other = agents
-    assert me.gossip.present(1010.0).total() == 30
+    assert me.gossip.member_counts(1010.0).total() == 30
     assert 8 <= me.gossip.sent <= 16 and 8 <= other.gossip.sent <= 16  # about one a second
-    assert me.gossip.believes and not me.gossip.dropped
+    assert me.gossip.peers_heard and not me.gossip.dropped
 
 
 def test_sealed_datagrams_of_the_slope_are_nearly_as_long_as_they_may_be(
