--- a/myrtlecourse/zones/core.py
+++ b/myrtlecourse/zones/core.py
@@ -46,7 +46,7 @@
 NO_PEERS_GRACE = 2.0  # seconds for which a router that hears no peer keeps its last order
 ORDER_TOLERANCE = 0.25  # relative change of a number in an order that does not cause a new order
 ANSWERS_OUTWEIGHING_FAILURE = 3  # recent answers, beside which one failure need not be spread at once
-# Seconds after a stall of this process in which no outcome is counted: attempts time out because of the stall.
+# Seconds after a stall of this process in which no outcome is counted: the stall causes timeouts.
 IGNORED_AFTER_STALL = 0.5
 
 
@@ -212,7 +212,8 @@
         self.routers = members
         self.fleet_size = sum(members.values())
         if not peers_heard:
-            # There is nobody to agree with: after the grace time, each server is judged by this router alone.
+            # There is nobody to agree with: after the grace time, no zone is left, and this router leaves out
+            # single servers by itself, as one without peers does.
             if now >= self.keeps_order_until:
                 self._update_order(now, frozenset(), {})
             return False
@@ -318,7 +319,7 @@
         return True
 
     def _begin_return(self, now: float, zone: int, state: ZoneState, why: str) -> None:
-        """Begin the return to a zone in steps; the origin, which has no points on the ring, returns at once."""
+        """Begin the return to a zone, in steps; to the origin without steps, as routers resume one by one."""
         mode, share = ZoneMode.IN, 0
         if self.paced and self.names.get(zone) != ORIGIN:
             mode, share = ZoneMode.BACK, pace.FIRST_SHARE
--- a/myrtlecourse/zones/exit_rule.py
+++ b/myrtlecourse/zones/exit_rule.py
@@ -1,8 +1,10 @@
-"""One rule on merged evidence: is a zone dark from here, from my zone, or for all? No I/O, no clock.
+"""The rule that decides, from merged evidence, whether a zone is left; no I/O and no clock.
 
-Two routers that have heard the same say the same: what the rule looks at are sums over records, and how it
-stood before is a value that merges, too. Its two thresholds lie apart (hysteresis), and a zone that was
-left again and again stays out for longer each time.
+The rule tells apart a zone that one router can't reach, one that the routers of a zone can't reach, and one
+that nobody reaches. It looks only at sums over the routers' records, and the state before is itself a value
+that merges, so routers that have received the same records decide the same. Its thresholds for leaving and
+for returning lie apart (hysteresis), and a zone that is left several times in a row stays out for longer each
+time.
 """
 
 from __future__ import annotations
@@ -13,42 +15,39 @@
 
 from myrtlecourse.zones.tallies import Tally
 
-UNREACHABLE_SHARE = (
-    0.8  # share of the attempts that did not come through: half a zone's servers, or slow ones, are fewer
-)
-RECOVERED_SHARE = 0.6  # share that came through: the zone is back
-MIN_ATTEMPTS = 5  # attempts that say anything, of the fleet's or a zone's routers together
-MIN_ATTEMPTS_RETURNING = 3  # the same of a zone that has just come back, which gets few
-MIN_TRIALS = 3  # that came through: back
-MIN_RECENT_ANSWERS = 2  # that came through lately and none that did not: back as well
-MIN_RUN = 2  # in a row at one router are a run: one alone comes late now and then
-MIN_WITNESSES = 2  # routers that must have seen it: one alone may be the one that is cut off
-CONTRADICTING_SHARE = (
-    0.5  # of one's own attempts come through: what others say of the zone does not hold here
-)
-MIN_OUT = 2.0  # seconds out at least, doubled each time that it is left again
+# Share of failed attempts at which a zone is unreachable. Half a zone's servers, or slow servers, fail fewer.
+UNREACHABLE_SHARE = 0.8
+RECOVERED_SHARE = 0.6  # share of answered attempts at which a zone has recovered
+MIN_ATTEMPTS = 5  # attempts needed for a decision, by all routers of the zone or the fleet together
+MIN_ATTEMPTS_RETURNING = 3  # the same for a zone that is being returned to, which gets few attempts
+MIN_TRIALS = 3  # answered trials needed for a return
+MIN_RECENT_ANSWERS = 2  # recent answers that suffice for a return when no recent attempt failed
+MIN_RUN = 2  # failures in a row that make a run at one router: single answers are late now and then
+MIN_WITNESSES = 2  # routers that must have seen the failures: a single one may be cut off itself
+CONTRADICTING_SHARE = 0.5  # share of a router's own attempts answered, at which it ignores the others' exit
+MIN_OUT = 2.0  # minimum seconds out, doubled each time the zone is left again
 MAX_FLAPS = 4
-FULL_SHARE = 64  # parts of a zone's points
-ALL_ROUTERS = 0  # in place of a zone's number: every router
+FULL_SHARE = 64  # parts into which a zone's points on the ring are divided
+ALL_ROUTERS = 0  # scope of a register that is valid for the routers of every zone
 
 
 class ZoneMode(Enum):
-    """How a zone stands, for the routers of one zone; by operators' order in the last two."""
+    """The mode of a zone, for the routers of one zone; operators order the last three."""
 
     IN = 0
-    BACK = 1  # by steps, each a part of its points
+    BACK = 1  # being returned to in steps, each a share of its points
     OUT = 2
     ORDERED_OUT = 3
-    ORDERED_IN = 4  # whatever the evidence says
-    ORDERED_HOLD = 5  # a return stays where it is
+    ORDERED_IN = 4  # in use whatever the evidence says
+    ORDERED_HOLD = 5  # a return takes no further step
 
 
 class ZoneHealth(Enum):
-    """What a zone looks like, in a word for staff."""
+    """A one-word summary of the evidence on a zone, for operators."""
 
     HEALTHY = "well"
-    UNKNOWN = "unknown"  # too little is known
-    REFUSED = "gone"  # refused
+    UNKNOWN = "unknown"  # too few attempts
+    REFUSED = "gone"  # most attempts are refused
     SILENT = "silent"
     HALF_DEAD = "half dead"
     SLOW = "slow"
@@ -56,17 +55,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Evidence:
-    """Tallies of several routers, added up."""
+    """The sum of several routers' tallies of one zone."""
 
     answered: int = 0
     refused: int = 0
     silent: int = 0
-    witnesses: int = 0  # routers that have seen it, by more than a doubt
-    failures_in_row: int = 0  # that did not since the last one that did, at each of them
-    routers_in_run: int = 0  # routers to which nothing came through since
-    routers_answered: int = 0  # routers to which the last one did
-    answered_short: int = 0  # attempts that came through in the latest time
-    answered_long: int = 0  # and in the longer one
+    witnesses: int = 0  # routers that saw the zone fail, by more than a single late answer
+    failures_in_row: int = 0  # failures since the last answer, summed over the routers with a run of them
+    routers_in_run: int = 0  # routers with such a run
+    routers_answered: int = 0  # routers whose last attempt was answered
+    answered_short: int = 0  # attempts answered within the short window
+    answered_long: int = 0  # attempts answered within the long window
 
     @property
     def failed(self) -> int:
@@ -78,19 +77,19 @@
 
     @property
     def failed_share(self) -> float:
-        """Of those that did not come through."""
+        """The share of the attempts that failed."""
         return self.failed / self.total if self.total else 0.0
 
 
 def sum_tallies(tallies: Iterable[Tally]) -> Evidence:
-    """What several routers saw lately; over the longer time where that is too little to tell."""
+    """Sum several routers' short counts, or their long counts where the short ones are too few to decide."""
     each = list(tallies)
     short = sum_short(each)
     return short if short.total >= MIN_ATTEMPTS else sum_long(each)
 
 
 def sum_short(tallies: Iterable[Tally]) -> Evidence:
-    """The same of the latest time alone."""
+    """Sum several routers' counts of the short window."""
     each = list(tallies)
     return Evidence(
         sum(t.answered for t in each),
@@ -102,7 +101,7 @@
 
 
 def sum_long(tallies: Iterable[Tally]) -> Evidence:
-    """The same over the longer time."""
+    """Sum several routers' counts of the long window."""
     each = list(tallies)
     return Evidence(
         sum(t.answered_long for t in each),
@@ -113,83 +112,88 @@
     )
 
 
-def is_witness(bad: int, heard: int, run: int) -> bool:
-    """Whether a router has seen it: most of its attempts did not come through, or none of the last few.
+def is_witness(failed: int, answered: int, failures_in_row: int) -> bool:
+    """Return whether a router has seen a zone fail: most of its attempts failed, or all of its last few.
 
-    Guards a zone that one router alone can't reach, whose many failures and another's one late answer would
-    do.
+    Otherwise the many failures of one router that is cut off, and a single late answer at another, would
+    suffice to leave a zone.
     """
-    return bad > 0 and (bad > heard or run >= MIN_RUN)
+    return failed > 0 and (failed > answered or failures_in_row >= MIN_RUN)
 
 
 def failure_runs(tallies: list[Tally]) -> tuple[int, int, int, int, int]:
-    """How many attempts in a row did not come through, at how many routers; at how many the last one did, and
-    how many did lately."""
-    each = [t.failures_in_row for t in tallies if t.failures_in_row >= MIN_RUN]
-    others = sum(t.failures_in_row == 0 and (t.answered_long > 0 or t.answered > 0) for t in tallies)
-    lately, longer = sum(t.answered for t in tallies), sum(t.answered_long for t in tallies)
-    return sum(each), len(each), others, lately, longer
+    """Return the last five fields of `Evidence`: failures in a row, the routers that have such runs, the
+    routers whose last attempt was answered, and the answers in the short and in the long window."""
+    runs = [t.failures_in_row for t in tallies if t.failures_in_row >= MIN_RUN]
+    answered = sum(t.failures_in_row == 0 and (t.answered_long > 0 or t.answered > 0) for t in tallies)
+    short, long = sum(t.answered for t in tallies), sum(t.answered_long for t in tallies)
+    return sum(runs), len(runs), answered, short, long
 
 
-def is_unreachable(seen: Evidence, members: int, enough: int = MIN_ATTEMPTS) -> bool:
-    """Whether nothing comes through, by enough routers of `members`."""
+def is_unreachable(evidence: Evidence, members: int, min_attempts: int = MIN_ATTEMPTS) -> bool:
+    """Return whether enough of the `members` routers fail to reach a zone."""
     needed = min(MIN_WITNESSES, members)
-    if seen.failed >= enough and seen.witnesses >= needed and seen.failed_share >= UNREACHABLE_SHARE:
+    if (
+        evidence.failed >= min_attempts
+        and evidence.witnesses >= needed
+        and evidence.failed_share >= UNREACHABLE_SHARE
+    ):
         return True
-    # few attempts, as each router has left the servers out by itself: nothing came through since, and to
-    # nobody
-    most = seen.routers_in_run >= needed and seen.routers_in_run >= UNREACHABLE_SHARE * (
-        seen.routers_in_run + seen.routers_answered
+    # Each router bans failing servers by itself and so makes few attempts. Then it suffices that the last
+    # attempts of nearly all routers failed, and that none was answered recently.
+    most = evidence.routers_in_run >= needed and evidence.routers_in_run >= UNREACHABLE_SHARE * (
+        evidence.routers_in_run + evidence.routers_answered
     )
-    return seen.failures_in_row >= enough and most and not seen.answered_short
+    return evidence.failures_in_row >= min_attempts and most and not evidence.answered_short
 
 
-def is_recovered(seen: Evidence) -> bool:
-    """Whether enough comes through."""
-    return seen.answered >= MIN_TRIALS and seen.answered >= RECOVERED_SHARE * seen.total
+def is_recovered(evidence: Evidence) -> bool:
+    """Return whether enough attempts are answered."""
+    return evidence.answered >= MIN_TRIALS and evidence.answered >= RECOVERED_SHARE * evidence.total
 
 
 def is_back(tallies: Iterable[Tally]) -> bool:
-    """Whether enough comes through again, by counts of after a zone was left."""
+    """Return whether a zone that was left answers again, given only counts from after the exit."""
     each = list(tallies)
-    lately = sum_short(each)
-    return (lately.answered >= MIN_RECENT_ANSWERS and not lately.failed) or is_recovered(sum_long(each))
+    short = sum_short(each)
+    return (short.answered >= MIN_RECENT_ANSWERS and not short.failed) or is_recovered(sum_long(each))
 
 
-def zone_health(seen: Evidence) -> ZoneHealth:
-    """A word for it."""
-    if seen.total < MIN_ATTEMPTS:
+def zone_health(evidence: Evidence) -> ZoneHealth:
+    """Summarise the evidence on a zone in one word."""
+    if evidence.total < MIN_ATTEMPTS:
         return ZoneHealth.UNKNOWN
-    if seen.failed_share >= UNREACHABLE_SHARE:
-        return ZoneHealth.SILENT if seen.silent > seen.refused else ZoneHealth.REFUSED
-    if seen.failed_share >= 1 - UNREACHABLE_SHARE:
-        return ZoneHealth.SLOW if seen.silent > seen.refused else ZoneHealth.HALF_DEAD
+    if evidence.failed_share >= UNREACHABLE_SHARE:
+        return ZoneHealth.SILENT if evidence.silent > evidence.refused else ZoneHealth.REFUSED
+    if evidence.failed_share >= 1 - UNREACHABLE_SHARE:
+        return ZoneHealth.SLOW if evidence.silent > evidence.refused else ZoneHealth.HALF_DEAD
     return ZoneHealth.HEALTHY
 
 
 def exit_evidence(
-    own: Evidence, everyone: Evidence, members: int, fleet: int, enough: int = MIN_ATTEMPTS
+    own: Evidence, everyone: Evidence, members: int, fleet: int, min_attempts: int = MIN_ATTEMPTS
 ) -> Evidence | None:
-    """What shows that the routers of one zone should leave another; None if nothing does.
+    """Return the evidence for which the routers of one zone should leave another, or None to stay.
 
-    Their own evidence decides; what the rest of the fleet sees does where they have met it too little to
-    tell. So a cut between two zones is left by those that it cuts off, and a dead zone by all.
+    The routers' own evidence decides. Where they have too few attempts of their own, the evidence of the whole
+    fleet decides. So only those routers leave a zone that a partition cuts off from it, and all leave a dead
+    zone.
     """
-    if is_unreachable(own, members, enough):
+    if is_unreachable(own, members, min_attempts):
         return own
-    unknown = own.answered < MIN_TRIALS and (own.routers_in_run > 0 or not own.answered_long)
-    return everyone if unknown and is_unreachable(everyone, fleet, enough) else None
+    undecided = own.answered < MIN_TRIALS and (own.routers_in_run > 0 or not own.answered_long)
+    return everyone if undecided and is_unreachable(everyone, fleet, min_attempts) else None
 
 
 @dataclass(slots=True, frozen=True)
 class ZoneState:
-    """How a zone stands: a register whose later value wins, whatever order values come in."""
+    """The value of a zone's register: the later value wins, in whatever order values arrive."""
 
     epoch: int = 0  # grows with each change
     mode: ZoneMode = ZoneMode.IN
-    flaps: int = 0  # times that it was left in a row
-    ordered_by: int = 0  # who ordered it; 0: nobody did
-    share: int = 0  # of WHOLE: the points that count while it comes back
+    flaps: int = 0  # number of exits in a row
+    ordered_by: int = 0  # router at which an operator ordered the mode; 0: no order
+    share: int = 0  # of FULL_SHARE: points that count during a return
 
     @property
     def out(self) -> bool:
@@ -201,22 +205,22 @@
 
     @property
     def min_out_time(self) -> float:
-        """Seconds for which it stays out at least."""
+        """The minimum number of seconds that the zone stays out."""
         return float(MIN_OUT * 2 ** max(0, self.flaps - 1))
 
     def merged(self, other: ZoneState) -> ZoneState:
-        """The one that holds of two: the later; of two made at once, the one by order, then the one out, then
-        the one with the smaller share."""
+        """Return the value that wins of two: the one of the later epoch; of two of the same epoch, an ordered
+        one, then one that is out, then the one with the smaller share."""
         return max(self, other, key=lambda s: (s.epoch, s.mode.value, -s.share, s.flaps, s.ordered_by))
 
     def encode(self) -> int:
-        """As it is told, without who ordered it."""
+        """Return the number that stands for the state in a record; it leaves out who ordered it."""
         return self.epoch << 13 | self.share << 6 | self.flaps << 3 | self.mode.value
 
 
 def decode_state(number: int, by: int) -> ZoneState:
-    """What was told; an order that this version does not know is none."""
-    order = ZoneMode(number & 7) if number & 7 < len(ZoneMode) else ZoneMode.IN
+    """Return the state that a record's number stands for; a mode that this version lacks is read as IN."""
+    mode = ZoneMode(number & 7) if number & 7 < len(ZoneMode) else ZoneMode.IN
     return ZoneState(
-        number >> 13, order, min(MAX_FLAPS, number >> 3 & 7), by, min(FULL_SHARE, number >> 6 & 127)
+        number >> 13, mode, min(MAX_FLAPS, number >> 3 & 7), by, min(FULL_SHARE, number >> 6 & 127)
     )
--- a/myrtlecourse/zones/returns.py
+++ b/myrtlecourse/zones/returns.py
@@ -1,5 +1,5 @@
-"""What one router knows of zones that come back: the fleet's counts since a step, put together; no I/O, no
-clock."""
+"""One router's state of the returns under way: it sums what the fleet has counted since the last step, from
+which the next step follows. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -11,16 +11,15 @@
 from myrtlecourse.zones.pace import MIN_ANSWERS, ReturnView
 from myrtlecourse.zones.tallies import LONG_PERIODS, PERIOD, SHORT_PERIODS, Tally
 
-LONG_WINDOW = PERIOD * LONG_PERIODS  # seconds of the longer counts
-MEAN_SHORT_WINDOW = PERIOD * (
-    SHORT_PERIODS - 0.5
-)  # seconds that short counts are of, on average: the latest period is not over
-MAX_REPORT_AGE = 1.0  # seconds for which what another has counted is taken for what it sends now
+LONG_WINDOW = PERIOD * LONG_PERIODS  # seconds
+# Seconds that the short counts cover on average: the current period is not over.
+MEAN_SHORT_WINDOW = PERIOD * (SHORT_PERIODS - 0.5)
+MAX_REPORT_AGE = 1.0  # seconds for which another router's counts stand for its present traffic
 
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """What one router has counted, as of some moment."""
+    """What one router had counted at a given time."""
 
     home: int  # its zone
     made_at: float
@@ -28,28 +27,28 @@
 
 
 def long_counts(tally: Tally) -> Tally:
-    """What came over the longer time, in place of the latest."""
+    """Return a tally whose short counts are the long counts of another."""
     return Tally(answered=tally.answered_long, overloaded=tally.overloaded_long, misses=tally.misses_long)
 
 
 class Returns:
-    """Of one router."""
+    """The returns that one router takes part in."""
 
-    def __init__(self, origin: int, origin_rate: float) -> None:
-        """`origin` is what the origin's zone is in a record; `origin_rate` fetches a second are what it bears
-        of all routers, 0 where nobody has said."""
-        self.origin_id = origin
+    def __init__(self, origin_id: int, origin_rate: float) -> None:
+        """`origin_id` stands for the origin's zone in records. `origin_rate` is the number of fetches a second
+        that the origin can take from all routers; 0 means that it is unknown."""
+        self.origin_id = origin_id
         self.origin_rate = origin_rate
-        self.began_at: dict[int, float] = {}  # of each return
-        self.never_left: set[int] = set()  # zones that others left, and that this router reached all the time
-        self.blocked_by: dict[int, str] = {}  # why a return does not go on, for staff
+        self.began_at: dict[int, float] = {}  # by zone that is being returned to
+        self.never_left: set[int] = set()  # zones that others left while this router still reached them
+        self.blocked_by: dict[int, str] = {}  # by zone: why the next step is not taken, for operators
 
-    def update(self, now: float, zone: int, standing: ZoneState, obeyed: bool) -> None:
-        """How a zone stands now, and whether this router does as the others."""
-        if standing.mode is ZoneMode.OUT:
+    def update(self, now: float, zone: int, state: ZoneState, left_out: bool) -> None:
+        """Note a zone's state, and whether this router leaves the zone out like the others."""
+        if state.mode is ZoneMode.OUT:
             self.began_at.pop(zone, None)
-            (self.never_left.discard if obeyed else self.never_left.add)(zone)
-        elif standing.mode is ZoneMode.BACK:
+            (self.never_left.discard if left_out else self.never_left.add)(zone)
+        elif state.mode is ZoneMode.BACK:
             self.began_at.setdefault(zone, now)
         else:
             self.began_at.pop(zone, None)
@@ -65,56 +64,60 @@
         members: Mapping[int, int],
         home: int,
         load: float,
-        mine: float,
+        origin_part: float,
     ) -> ReturnView:
-        """What has been counted since a step at `since`, for the routers of one zone (`home`).
+        """Sum what has been counted since a step at `since`, for the routers of one zone (`home`).
 
-        `load` is the share of their requests that the returning zone gets when it is whole; `mine` their part
-        of what the origin bears beyond now.
+        `members` is the number of routers by zone, `load` the share of the routers' requests that the returning
+        zone gets with all of its points, and `origin_part` their part of the origin's free capacity.
         """
-        fresh = [r for r in reports if now - r.made_at <= MAX_REPORT_AGE]
-        whole = max(1, sum(members.values()))
-        scale = whole / max(1, len(fresh)) / MEAN_SHORT_WINDOW  # from what was heard to all, a second
-        here = [r for r in fresh if r.made_at >= since + PERIOD * SHORT_PERIODS]
-        back = [r.tallies.get(zone, Tally()) for r in here]
-        others = [t for r in here for z, t in r.tallies.items() if z not in (zone, self.origin_id)]
-        if sum(t.answered for t in back) < MIN_ANSWERS:
-            # the zone gets little yet: what came over a longer time, once none of it is of before the step
-            back = [
-                long_counts(r.tallies.get(zone, Tally())) for r in here if r.made_at >= since + LONG_WINDOW
+        recent = [r for r in reports if now - r.made_at <= MAX_REPORT_AGE]
+        fleet_size = max(1, sum(members.values()))
+        # Extrapolates from the routers heard to all routers, and to one second.
+        scale = fleet_size / max(1, len(recent)) / MEAN_SHORT_WINDOW
+        after_step = [r for r in recent if r.made_at >= since + PERIOD * SHORT_PERIODS]
+        returning = [r.tallies.get(zone, Tally()) for r in after_step]
+        others = [t for r in after_step for z, t in r.tallies.items() if z not in (zone, self.origin_id)]
+        if sum(t.answered for t in returning) < MIN_ANSWERS:
+            # The zone gets little traffic yet. The long counts are used once they include nothing from before
+            # the step.
+            returning = [
+                long_counts(r.tallies.get(zone, Tally()))
+                for r in after_step
+                if r.made_at >= since + LONG_WINDOW
             ]
-        origin = [t.tallies.get(self.origin_id, Tally()) for t in fresh]
-        near = [r.tallies for r in fresh if r.home == home]
-        asked = sum(t.answered for each in near for z, t in each.items() if z != self.origin_id)
-        asking = members.get(home, 1) / max(1, len(near)) / MEAN_SHORT_WINDOW * asked
+        origin = [r.tallies.get(self.origin_id, Tally()) for r in recent]
+        neighbours = [r.tallies for r in recent if r.home == home]
+        answered = sum(t.answered for each in neighbours for z, t in each.items() if z != self.origin_id)
+        request_rate = members.get(home, 1) / max(1, len(neighbours)) / MEAN_SHORT_WINDOW * answered
         return ReturnView(
-            answered=sum(t.answered for t in back),
-            overloaded=sum(t.overloaded for t in back),
-            misses=sum(t.misses for t in back),
+            answered=sum(t.answered for t in returning),
+            overloaded=sum(t.overloaded for t in returning),
+            misses=sum(t.misses for t in returning),
             others_answered=sum(t.answered for t in others),
             others_overloaded=sum(t.overloaded for t in others),
             others_misses=sum(t.misses for t in others),
             fetch_rate=scale * sum(t.answered for t in origin),
             origin_answered=sum(t.answered for t in origin),
             origin_overloaded=sum(t.overloaded for t in origin),
-            routers_share=len(here) / whole,
-            full_rate=load * asking,
-            origin_part=mine,
+            routers_share=len(after_step) / fleet_size,
+            full_rate=load * request_rate,
+            origin_part=origin_part,
         )
 
     def next_state(
         self, now: float, zone: int, before: ZoneState, age: float, view: ReturnView
     ) -> tuple[ZoneState, str] | None:
-        """How a zone stands from now on, `age` seconds after its last step, and why; None: as before."""
+        """Return a zone's new state, `age` seconds after its last step, and the reason; None for no change."""
         share = pace.next_share(before.share, age, view, self.origin_rate)
         self.blocked_by[zone] = pace.blocking_reason(view)
-        seen = f"{view.answered} answers, {view.overloaded} slow, {view.misses} missed"
-        # the last step is proven like the others
+        seen = f"{view.answered} answers, {view.overloaded} overloaded, {view.misses} missed"
+        # The last step must prove bearable like the others.
         proven = before.share >= FULL_SHARE and pace.is_proven(age, view)
         if proven or now - self.began_at.get(zone, now) >= pace.MAX_RETURN_TIME:
-            return ZoneState(before.epoch + 1, ZoneMode.IN, before.flaps), f"all of it is back ({seen})"
+            return ZoneState(before.epoch + 1, ZoneMode.IN, before.flaps), f"the return is complete ({seen})"
         if share == before.share:
             return None
-        way = "on" if share > before.share else "back"
-        why = f"{share}/{FULL_SHARE} of it, {way} from {before.share} ({seen})"
+        direction = "on" if share > before.share else "back"
+        why = f"share {share}/{FULL_SHARE}, {direction} from {before.share} ({seen})"
         return ZoneState(before.epoch + 1, ZoneMode.BACK, before.flaps, 0, share), why
--- a/myrtlecourse/zones/tallies.py
+++ b/myrtlecourse/zones/tallies.py
@@ -1,7 +1,8 @@
-"""What one router's attempts say of each zone, as sums over the latest seconds; no I/O, no clock.
+"""Counts of how one router's attempts at each zone ended, as sums over the last seconds; no I/O and no clock.
 
-Counts go by periods of the router's own clock and are sums that are dropped whole, so that nothing is counted
-twice. They are told as small numbers in the router's record: the latest one replaces the one before.
+Attempts are counted in periods of the router's own clock, and whole periods are dropped as they age. The sums
+travel as small numbers in the router's record, of which a later one replaces an earlier one, so that no
+attempt is counted twice.
 """
 
 from __future__ import annotations
@@ -11,19 +12,17 @@
 from myrtlecourse.interface import Reach
 
 PERIOD = 0.25  # seconds
-SHORT_PERIODS = 2  # periods: enough where a fleet sends much
-LONG_PERIODS = 8  # periods: where it sends little
-MAX_COUNT = 127  # of each count told: one byte
-RUN_UNKNOWN = -1  # run, of a record that is no news any more
-RUN_TTL = (
-    4.0  # seconds after the last attempt that did not come through, in which a run of them says something
-)
-MAX_ZONES = 16  # told in a record
+SHORT_PERIODS = 2  # periods in the short window, which suffices in a fleet with much traffic
+LONG_PERIODS = 8  # periods in the long window, for little traffic
+MAX_COUNT = 127  # largest count in a record: it takes one byte
+RUN_UNKNOWN = -1  # value of failures_in_row where the record is out of date
+RUN_TTL = 4.0  # seconds after its last failure for which a run of failures is remembered
+MAX_ZONES = 16  # in one record
 
 
 @dataclass(slots=True, frozen=True)
 class Tally:
-    """How attempts at one zone ended, of one router: lately, and over a longer time."""
+    """How one router's attempts at one zone ended, in the short and in the long window."""
 
     answered: int = 0
     refused: int = 0
@@ -31,9 +30,9 @@
     answered_long: int = 0
     refused_long: int = 0
     silent_long: int = 0
-    failures_in_row: int = 0  # that did not come through since the last one that did
-    overloaded: int = 0  # lately, of those that did: turned away as crowded, or slower than wanted
-    misses: int = 0  # and answered that the key is not there
+    failures_in_row: int = 0  # since the last answer
+    overloaded: int = 0  # answers that were a refusal for overload, or slower than the router wants
+    misses: int = 0  # answers that the key is missing
     overloaded_long: int = 0
     misses_long: int = 0
 
@@ -46,31 +45,33 @@
         return self.refused_long + self.silent_long
 
     def long_only(self) -> Tally:
-        """Without what it says of the latest time, which is over."""
+        """Return the tally without its short counts, which are out of date."""
         return replace(
             self, answered=0, refused=0, silent=0, failures_in_row=RUN_UNKNOWN, overloaded=0, misses=0
         )
 
     def encode(self) -> tuple[int, ...]:
-        """As they are told."""
+        """Return the numbers that stand for the tally in a record."""
         return tuple(min(MAX_COUNT, n) for n in astuple(self))
 
 
-NUMBERS_PER_TALLY = 1 + len(fields(Tally))  # numbers of a tally that is told: its zone's, and its own
-BYTES_PER_TALLY = 2 + NUMBERS_PER_TALLY  # bytes that they take
+NUMBERS_PER_TALLY = 1 + len(fields(Tally))  # in a record: the zone and the counts
+BYTES_PER_TALLY = 2 + NUMBERS_PER_TALLY  # in a record
 
 
 class AttemptCounts:
-    """A router's own."""
+    """One router's own counts."""
 
     def __init__(self, now: float) -> None:
         self.current_period = int(now / PERIOD)
-        # by zone: LONG periods of heard, refused, silent, pressed, missed
+        # by zone: for each of LONG_PERIODS periods, the answered, refused, silent, overloaded and missed ones
         self.periods_by_zone: dict[int, list[list[int]]] = {}
-        self.runs: dict[int, tuple[int, float]] = {}  # by zone: how long, and when the last one was
+        self.runs: dict[
+            int, tuple[int, float]
+        ] = {}  # by zone: length of the run, and time of its last failure
 
     def _advance(self, now: float) -> None:
-        """Begin a new period for each that is over."""
+        """Drop the periods that are out of the long window."""
         passed = min(LONG_PERIODS, max(0, int(now / PERIOD) - self.current_period))
         self.current_period += max(0, int(now / PERIOD) - self.current_period)
         if passed:
@@ -79,21 +80,24 @@
                 if not any(any(p) for p in periods):
                     del self.periods_by_zone[zone]
 
-    def add(self, now: float, zone: int, reach: Reach, pressed: bool = False, missed: bool = False) -> None:
-        """An attempt at a zone has ended, or is taken for lost."""
+    def add(
+        self, now: float, zone: int, reach: Reach, overloaded: bool = False, missed: bool = False
+    ) -> None:
+        """Count an attempt at a zone that has ended or is long overdue."""
         self._advance(now)
         periods = self.periods_by_zone.setdefault(zone, [[0] * 5 for _ in range(LONG_PERIODS)])
         periods[0][(Reach.HEARD, Reach.REFUSED, Reach.SILENT).index(reach)] += 1
-        periods[0][3] += pressed
+        periods[0][3] += overloaded
         periods[0][4] += missed
         if reach is Reach.HEARD:
             self.runs.pop(zone, None)
         else:
-            # guards against what each router does by itself: it leaves servers out before it has tried enough
+            # Runs are kept beside the counts because each router bans failing servers by itself, before its
+            # counts suffice for a decision.
             self.runs[zone] = self.runs.get(zone, (0, now))[0] + 1, now
 
     def tallies(self, now: float) -> dict[int, Tally]:
-        """The sums of each zone of which anything is known."""
+        """Return the sums of each zone that has any."""
         self._advance(now)
         found = {}
         self.runs = {zone: run for zone, run in self.runs.items() if now - run[1] <= RUN_TTL}
@@ -102,20 +106,20 @@
             short = [sum(p[i] for p in periods[:SHORT_PERIODS]) for i in range(5)]
             long = [sum(p[i] for p in periods) for i in range(5)]
             run = self.runs.get(zone, (0, now))[0]
-            answered = short[0], short[1], short[2], long[0], long[1], long[2]
-            found[zone] = Tally(*answered, run, short[3], short[4], long[3], long[4])
+            reached = short[0], short[1], short[2], long[0], long[1], long[2]
+            found[zone] = Tally(*reached, run, short[3], short[4], long[3], long[4])
         return found
 
     def clear(self) -> None:
-        """What was counted is not to be believed."""
+        """Forget everything, as it can't be trusted."""
         self.periods_by_zone.clear()
         self.runs.clear()
 
 
 def encode_tallies(tallies: dict[int, Tally], room: int) -> tuple[int, ...]:
-    """Tallies as the numbers of a record: how many zones, then each with its sums.
+    """Return tallies as the numbers of a record: the number of zones, then each zone with its counts.
 
-    The worst come first, as many as fit into so many bytes.
+    The zones with most failures come first, as many as fit into `room` bytes.
     """
     most = min(MAX_ZONES, max(0, room - 1) // BYTES_PER_TALLY)
     worst = sorted(tallies.items(), key=lambda item: (-item[1].failed_long, item[0]))[:most]
@@ -123,7 +127,7 @@
 
 
 def decode_tallies(numbers: tuple[int, ...]) -> tuple[dict[int, Tally], tuple[int, ...]]:
-    """The tallies of a record, and the numbers after them; none of one that can't be read."""
+    """Return the tallies of a record and the numbers after them; both are empty for an unreadable record."""
     end = 1 + NUMBERS_PER_TALLY * numbers[0] if numbers else 0
     if not numbers or numbers[0] > MAX_ZONES or len(numbers) < end:
         return {}, ()
--- a/tests/wrong_zones.py
+++ b/tests/wrong_zones.py
@@ -28,8 +28,8 @@
 
 def believes_one() -> None:
     """One router's word is enough, whatever the others reach."""
-    exit_rule.is_unreachable = lambda seen, members, enough=1: (
-        seen.silent + seen.refused >= exit_rule.MIN_ATTEMPTS
+    exit_rule.is_unreachable = lambda evidence, members, min_attempts=1: (
+        evidence.silent + evidence.refused >= exit_rule.MIN_ATTEMPTS
     )
     exit_rule.CONTRADICTING_SHARE, exit_rule.MIN_ATTEMPTS = math.inf, 1
 
