--- a/myrtlecourse/zones/__init__.py
+++ b/myrtlecourse/zones/__init__.py
@@ -1,2 +1,2 @@
-"""Which zones the fleet has left: evidence merged over routers, one verdict, and orders to the
-decision module."""
+"""Leaving zones as a fleet: merges the routers' evidence on each zone, applies one rule to it, and makes
+orders for the decision module."""
--- a/myrtlecourse/zones/agent.py
+++ b/myrtlecourse/zones/agent.py
@@ -1,7 +1,7 @@
-"""One router's gossip and its part in leaving zones, put together; no I/O and no clock.
+"""Combines one router's gossip with its part in leaving zones; no I/O and no clock.
 
-Whoever hosts it on sockets or in virtual time calls `tick` every PACE seconds, hands it the datagrams that
-come, and lets it hear what attempts prove.
+Its host, on sockets or in virtual time, calls `tick` every `gossip.TICK_INTERVAL` seconds, passes on the
+datagrams that arrive, and reports how attempts ended.
 """
 
 from __future__ import annotations
@@ -21,78 +21,84 @@
 
 @dataclass(slots=True, frozen=True)
 class AgentSettings:
-    """What an installation gives one router to take part with."""
+    """The settings of one router's agent."""
 
     name: str
-    members: tuple[str, ...]  # the router's own name among them
+    members: tuple[str, ...]  # names of all routers, its own included
     zone: str
     key: bytes
     spill: float = 3.0
     leave_origin: bool = False
-    interval: float = 1.0  # seconds between words when all is calm
-    budget: float = 16_384.0  # bytes a second
-    accepted_keys: tuple[bytes, ...] = ()  # keys that are taken, while the others go from one to the next
+    interval: float = 1.0  # seconds between datagrams when nothing changes
+    budget: float = 16_384.0  # bytes sent a second
+    accepted_keys: tuple[bytes, ...] = ()  # keys accepted besides, during a key rotation
     tiers: Tiers = Tiers()
-    paced: bool = True  # zones that are back are returned to by steps
-    origin_rate: float = 0.0  # fetches a second that the origin bears of all routers; 0: nobody knows
+    paced: bool = True  # the return to a zone goes in steps
+    origin_rate: float = 0.0  # fetches a second the origin can take from all routers; 0: unknown
 
 
 @dataclass(slots=True, frozen=True)
 class TickResult:
-    """What a tick came to, to be carried out."""
+    """What the host has to carry out after a tick."""
 
     datagrams: list[Datagram]
     events: list[api.Event]  # for the decision module
-    zones_left: api.ZonesLeft | None  # among them, if it is another than before
+    zones_left: api.ZonesLeft | None  # the one among them, if it changed
     changes: list[StateChange]  # for the log
 
 
 class Agent:
-    """One router's part in the fleet."""
+    """One router's member of the gossip group, with its part in leaving zones."""
 
-    def __init__(self, part: AgentSettings, now: float, wall: float, seed: int) -> None:
-        """`wall` is the Unix time in seconds. Raises ValueError for a part that can't be used."""
-        self.settings = part
+    def __init__(self, settings: AgentSettings, now: float, wall: float, seed: int) -> None:
+        """Start an agent; `wall` is the Unix time in seconds.
+
+        Raises:
+            ValueError: the members or a key can't be used.
+        """
+        self.settings = settings
         self.gossip = Gossip(
-            part.name,
-            part.members,
-            part.zone,
-            part.key,
+            settings.name,
+            settings.members,
+            settings.zone,
+            settings.key,
             now,
             wall,
             seed,
-            part.interval,
-            part.budget,
-            part.accepted_keys,
+            settings.interval,
+            settings.budget,
+            settings.accepted_keys,
         )
         self.zones = ZoneCoordinator(
-            *(part.name, part.zone, now, part.spill, part.leave_origin, part.tiers),
-            *(part.paced, part.origin_rate),
+            *(settings.name, settings.zone, now, settings.spill, settings.leave_origin, settings.tiers),
+            *(settings.paced, settings.origin_rate),
         )
         self.last_order = self.zones.current_order
         self.zone_weights: dict[str, float] = {}
         self.stalls = 0
 
-    def reconfigure(self, part: AgentSettings) -> None:
-        """Take other settings, keys or members; what is known of those that stay, stays.
+    def reconfigure(self, settings: AgentSettings) -> None:
+        """Apply new settings, keys or members; keeps what it knows of members that stay.
 
         Raises:
-            ValueError: it is another router's part, or can't be used; nothing is taken.
+            ValueError: the settings are another router's, or can't be used; nothing has changed then.
         """
-        if (part.name, part.zone) != (self.settings.name, self.settings.zone):
-            raise ValueError("name and zone can't be others while a router runs")
-        self.gossip.reconfigure(part.members, part.key, part.accepted_keys, part.interval, part.budget)
+        if (settings.name, settings.zone) != (self.settings.name, self.settings.zone):
+            raise ValueError("name and zone can't change while a router runs")
+        self.gossip.reconfigure(
+            settings.members, settings.key, settings.accepted_keys, settings.interval, settings.budget
+        )
         zones = self.zones
-        zones.spill, zones.leave_origin, zones.tiers = part.spill, part.leave_origin, part.tiers
-        zones.paced, zones.returns.origin_rate = part.paced, part.origin_rate
-        self.settings = part
+        zones.spill, zones.leave_origin, zones.tiers = settings.spill, settings.leave_origin, settings.tiers
+        zones.paced, zones.returns.origin_rate = settings.paced, settings.origin_rate
+        self.settings = settings
 
     def listed(self, zones: Mapping[str, int]) -> None:
-        """How many cache servers a list names in each zone."""
+        """Set how many cache servers the list names in each zone (`api.Watch`)."""
         self.zones.set_zone_sizes(zones)
 
     def _compute_weights(self) -> dict[str, float]:
-        """How gladly each zone is asked, of those that count less than the own one."""
+        """Return the weight of each zone whose weight is not 1."""
         tiers, home = self.settings.tiers, self.settings.zone
         each = {zone: tiers.weight(home, zone) for zone in self.zones.sizes}
         return {zone: weight for zone, weight in each.items() if weight != 1.0}
@@ -106,18 +112,22 @@
         pressed: bool = False,
         missed: bool = False,
     ) -> None:
-        """An attempt has ended (`api.Watch`)."""
+        """Count an attempt that has ended (`api.Watch`)."""
         if self.zones.attempt_ended(now, ORIGIN if origin else zone, reach, pressed, missed):
             self.gossip.spread_urgently(now)
 
     def receive(self, data: bytes, now: float, wall: float) -> None:
-        """A datagram has come. Raises Dropped."""
+        """Process a datagram.
+
+        Raises:
+            Dropped: the datagram is not accepted.
+        """
         for record in self.gossip.receive(data, now, wall):
             if self.zones.receive_record(now, record):
                 self.gossip.spread_urgently(now)
 
     def tick(self, now: float, wall: float) -> TickResult:
-        """What is due: to be called every PACE seconds, whatever else happens."""
+        """Do what is due; to be called every `gossip.TICK_INTERVAL` seconds without exception."""
         gossip, zones = self.gossip, self.zones
         datagrams = gossip.tick(now, wall, lambda: zones.payload(now))
         if gossip.stalls != self.stalls:
@@ -132,19 +142,23 @@
         self.last_order = zones.current_order
         if left is not None:
             events.append(left)
-        if (preferred := self._compute_weights()) != self.zone_weights:
-            self.zone_weights = preferred
-            events.append(api.Preferred(preferred))
+        if (weights := self._compute_weights()) != self.zone_weights:
+            self.zone_weights = weights
+            events.append(api.Preferred(weights))
         changes, zones.changes = zones.changes, []
         return TickResult(datagrams, events, left, changes)
 
-    def order_zone(self, now: float, zone: str, order: ZoneMode, seconds: float) -> None:
-        """An operator's word for the whole fleet. Raises ZonesError."""
-        self.zones.order_zone(now, zone, order, seconds)
+    def order_zone(self, now: float, zone: str, mode: ZoneMode, seconds: float) -> None:
+        """Carry out an operator's order for the whole fleet, for `seconds`.
+
+        Raises:
+            ZonesError: no zone has that name.
+        """
+        self.zones.order_zone(now, zone, mode, seconds)
         self.gossip.spread_urgently(now)
 
     def status(self, now: float) -> dict[str, Any]:
-        """Members and zones as seen from here; JSON-able. Times in seconds."""
+        """Return members and zones as this router sees them, JSON-serialisable; times are in seconds."""
         gossip, zones = self.gossip, self.zones
         names = {ident(name): name for name in self.settings.members}
         members = [
@@ -157,24 +171,24 @@
             }
             for m in gossip.members.values()
         ]
-        seen = []
-        for name, (word, total, standing, since) in zones.summaries(now).items():
-            left = zones.registers.get((ALL_ROUTERS, ident(name, 2)))
-            seen.append(
+        zone_rows = []
+        for name, (health, evidence, state, since) in zones.summaries(now).items():
+            ordered = zones.registers.get((ALL_ROUTERS, ident(name, 2)))
+            zone_rows.append(
                 {
                     "zone": "the origin" if name == ORIGIN else name,
-                    "looks": word.value,
+                    "looks": health.value,
                     "weight": self.zone_weights.get(name, 1.0),
-                    "heard": total.answered,
-                    "refused": total.refused,
-                    "silent": total.silent,
-                    "seen_by": total.witnesses,
-                    "order": standing.mode.name.lower(),
-                    "epoch": standing.epoch,
+                    "heard": evidence.answered,
+                    "refused": evidence.refused,
+                    "silent": evidence.silent,
+                    "seen_by": evidence.witnesses,
+                    "order": state.mode.name.lower(),
+                    "epoch": state.epoch,
                     "since_s": round(since, 1) if since < math.inf else None,
-                    "by": names.get(standing.ordered_by, ""),
-                    "left_s": round(left.order_ends - now, 1)
-                    if left and left.order_ends < math.inf
+                    "by": names.get(state.ordered_by, ""),
+                    "left_s": round(ordered.order_ends - now, 1)
+                    if ordered and ordered.order_ends < math.inf
                     else None,
                     "left": zones.current_order.origin
                     if name == ORIGIN
@@ -191,7 +205,7 @@
             "zone": self.settings.zone,
             "believes": gossip.peers_heard,
             "members": members,
-            "zones": seen,
+            "zones": zone_rows,
             "stalls": gossip.stalls,
             "sent": gossip.sent,
             "bytes_sent": gossip.bytes_sent,
--- a/myrtlecourse/zones/exit_rule.py
+++ b/myrtlecourse/zones/exit_rule.py
@@ -175,9 +175,9 @@
 ) -> Evidence | None:
     """Return the evidence for which the routers of one zone should leave another, or None to stay.
 
-    The routers' own evidence decides. Where they have too few attempts of their own, the evidence of the whole
-    fleet decides. So only those routers leave a zone that a partition cuts off from it, and all leave a dead
-    zone.
+    The routers' own evidence decides. Where they have too few attempts of their own, the evidence of the
+    whole fleet decides. So only those routers leave a zone that a partition cuts off from it, and all leave
+    a dead zone.
     """
     if is_unreachable(own, members, min_attempts):
         return own
--- a/myrtlecourse/zones/pace.py
+++ b/myrtlecourse/zones/pace.py
@@ -4,8 +4,8 @@
 router, so that each key moves once and then stays. The first step is small, and each later step may double
 the share (slow start, as in TCP; RFC 5681, 3.1) as long as the returning servers answer no worse than those
 that took their keys over. Where the returning servers lack the keys, the origin bears the load: a step is
-then cut to what remains of the origin's configured capacity or, where that is unknown, to a small constant (as
-in congestion avoidance). No I/O and no clock.
+then cut to what remains of the origin's configured capacity or, where that is unknown, to a small constant
+(as in congestion avoidance). No I/O and no clock.
 """
 
 from __future__ import annotations
--- a/myrtlecourse/zones/returns.py
+++ b/myrtlecourse/zones/returns.py
@@ -35,8 +35,11 @@
     """The returns that one router takes part in."""
 
     def __init__(self, origin_id: int, origin_rate: float) -> None:
-        """`origin_id` stands for the origin's zone in records. `origin_rate` is the number of fetches a second
-        that the origin can take from all routers; 0 means that it is unknown."""
+        """Start without a return.
+
+        `origin_id` stands for the origin's zone in records. `origin_rate` is the number of fetches a second
+        that the origin can take from all routers; 0 means that it is unknown.
+        """
         self.origin_id = origin_id
         self.origin_rate = origin_rate
         self.began_at: dict[int, float] = {}  # by zone that is being returned to
@@ -68,8 +71,9 @@
     ) -> ReturnView:
         """Sum what has been counted since a step at `since`, for the routers of one zone (`home`).
 
-        `members` is the number of routers by zone, `load` the share of the routers' requests that the returning
-        zone gets with all of its points, and `origin_part` their part of the origin's free capacity.
+        `members` is the number of routers by zone, `load` the share of the routers' requests that the
+        returning zone gets with all of its points, and `origin_part` their part of the origin's free
+        capacity.
         """
         recent = [r for r in reports if now - r.made_at <= MAX_REPORT_AGE]
         fleet_size = max(1, sum(members.values()))
@@ -108,16 +112,16 @@
     def next_state(
         self, now: float, zone: int, before: ZoneState, age: float, view: ReturnView
     ) -> tuple[ZoneState, str] | None:
-        """Return a zone's new state, `age` seconds after its last step, and the reason; None for no change."""
+        """Return a zone's new state, `age` seconds after its last step, and the reason, or None to wait."""
         share = pace.next_share(before.share, age, view, self.origin_rate)
         self.blocked_by[zone] = pace.blocking_reason(view)
         seen = f"{view.answered} answers, {view.overloaded} overloaded, {view.misses} missed"
-        # The last step must prove bearable like the others.
+        # The servers must bear the last step like the others.
         proven = before.share >= FULL_SHARE and pace.is_proven(age, view)
         if proven or now - self.began_at.get(zone, now) >= pace.MAX_RETURN_TIME:
             return ZoneState(before.epoch + 1, ZoneMode.IN, before.flaps), f"the return is complete ({seen})"
         if share == before.share:
             return None
         direction = "on" if share > before.share else "back"
-        why = f"share {share}/{FULL_SHARE}, {direction} from {before.share} ({seen})"
+        why = f"{share}/{FULL_SHARE} of its points, {direction} from {before.share} ({seen})"
         return ZoneState(before.epoch + 1, ZoneMode.BACK, before.flaps, 0, share), why
--- a/myrtlecourse/zones/setup.py
+++ b/myrtlecourse/zones/setup.py
@@ -1,4 +1,4 @@
-"""Makes a router's part in the fleet of what the operators' file and the platform say."""
+"""Builds a router's agent and its socket from the operators' file and the platform's configuration."""
 
 from __future__ import annotations
 
@@ -21,15 +21,16 @@
 
 
 def make_tiers(regions: Mapping[str, tuple[str, ...]], own_region: float, elsewhere: float) -> Tiers:
-    """The tiers of preference."""
+    """Return the tiers of preference."""
     return Tiers({name: frozenset(zones) for name, zones in regions.items()}, own_region, elsewhere)
 
 
 def agent_settings(
     table: Fleet, config: Config
 ) -> tuple[AgentSettings, dict[str, Endpoint], Endpoint] | None:
-    """A router's part, where each router is heard, and where it listens; None where neither the platform nor
-    the file lets routers talk.
+    """Return a router's settings, the address of each router, and the address to listen on.
+
+    Returns None where neither the platform nor the file enables gossip.
 
     Raises:
         ConfigError: a file that is named can't be used.
@@ -39,12 +40,12 @@
         name, zone = table.name or "", table.zone or ""
         bind = address_of(table.listen) if table.listen is not None else peers[name]
     elif config.settings.peers and config.peer_listen is not None and config.peers:
-        # by their numbers in the settings: the platform names them no other way
+        # The platform identifies routers only by their numbers in the settings.
         peers = {str(i): at for i, at in enumerate(config.peers)}
         name, zone, bind = str(config.me), config.settings.zone, config.peer_listen
     else:
         return None
-    taken = AgentSettings(
+    settings = AgentSettings(
         name,
         tuple(peers),
         zone,
@@ -58,22 +59,22 @@
         table.paced,
         table.origin_rate,
     )
-    return taken, peers, bind
+    return settings, peers, bind
 
 
 def make_gossip_socket(
     table: Fleet, config: Config, clock: Callable[[], float], post: Callable[[api.Event], None]
 ) -> GossipSocket | None:
-    """A router's end, or None where neither the platform nor the file lets routers talk.
+    """Return a router's gossip socket, or None where neither the platform nor the file enables gossip.
 
     Raises:
-        ConfigError: a file that is named can't be used, or what is said can't be so.
+        ConfigError: a file that is named can't be used, or the settings are not valid.
     """
-    if (told := agent_settings(table, config)) is None:
+    if (configured := agent_settings(table, config)) is None:
         return None
-    taken, peers, bind = told
+    settings, peers, bind = configured
     try:
-        agent = Agent(taken, clock(), time.time(), random.SystemRandom().getrandbits(32))
+        agent = Agent(settings, clock(), time.time(), random.SystemRandom().getrandbits(32))
     except ValueError as e:
         raise ConfigError(f"fleet: {e}") from e
     return GossipSocket(agent, bind, peers, clock, post)
--- a/myrtlecourse/zones/tiers.py
+++ b/myrtlecourse/zones/tiers.py
@@ -1,8 +1,8 @@
 """Tiers of preference among zones: a router's own zone, the zones of its region, and all others; no I/O.
 
-Weights are factors on a server's size on the ring, so that the ring's own walk goes on to the next tier when a
-nearer one is left. The load that may move then is bounded over the whole fleet, although routers of different
-zones lose different shares of their load.
+Weights are factors on a server's size on the ring, so that the ring's own walk goes on to the next tier when
+a nearer one is left. The load that may move then is bounded over the whole fleet, although routers of
+different zones lose different shares of their load.
 """
 
 from __future__ import annotations
@@ -50,8 +50,8 @@
         """Return how many times their former load from a router of zone `home` survivors may get from it.
 
         All routers together keep within `bound`: what survivors may get beyond their former load is divided
-        among the routers in proportion to what each router's zone loses. `routers` is the number of routers by
-        zone; each is taken to carry the same load.
+        among the routers in proportion to what each router's zone loses. `routers` is the number of routers
+        by zone; each is taken to carry the same load.
         """
         own_loss = self.lost_share(home, sizes, left)
         if self.is_uniform or not 0.0 < own_loss < 1.0:
