--- a/myrtlecourse/peers/__init__.py
+++ b/myrtlecourse/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Other routers: who is there, what they last said, and the sealed datagrams between them."""
+"""Communication between routers: membership, the records they gossip, and authenticated datagrams."""
--- a/myrtlecourse/peers/gossip.py
+++ b/myrtlecourse/peers/gossip.py
@@ -1,13 +1,14 @@
-"""Who is there and what they last said, spread by random gossip; datagrams in, datagrams out, no I/O.
+"""Membership and the latest record of each router, spread by random gossip; no I/O and no clock.
 
-Each router makes a new record of itself now and then and tells a few others, drawn by chance; each passes
-on what it has heard, the newest and the least told first (rumours of Demers et al., 1987; the piggyback of
-SWIM, Das et al., 2002). Who is there follows from whose records still grow (van Renesse et al., 1998):
-there are no probes. A router that stood still finds every record old at once, and so suspects itself first
-(Lifeguard, Dadgar et al., 2018): it believes nothing until it has heard somebody again.
+Datagrams go in and come out. Each router makes a new record of itself from time to time and sends it to a few
+other routers, chosen at random. Each router passes on the records it has received, those least sent and then
+the newest first (rumour spreading of Demers et al., 1987; the piggybacking of SWIM, Das et al., 2002). A
+member is alive while its record's number grows (van Renesse et al., 1998); there are no probes. A router that
+has stalled finds all records old at once, and so suspects itself first (Lifeguard, Dadgar et al., 2018): it
+does not rely on the records until it has heard a peer again.
 
-Calm, a router tells one other a second. When something has changed it tells FANOUT others every PACE
-seconds for as long as a rumour takes to reach all, about log(n) rounds, within its budget of bytes.
+In the steady state, a router sends to one peer each interval. After a change it sends to FANOUT peers every
+TICK_INTERVAL seconds for as long as a rumour takes to reach all, about log(n) rounds, within its byte budget.
 """
 
 from __future__ import annotations
@@ -23,48 +24,48 @@
 from myrtlecourse.peers.seal import MAX_DATAGRAM, SEAL_SIZE, Dropped, ReplayWindow, Seal, ident
 
 VERSION = 2
-HEADER_SIZE = 34  # bytes of a datagram at most, without its records
-FANOUT = 3  # others told at a time when something has changed
-TICK_INTERVAL = 0.1  # seconds between two times
-EXTRA_ROUNDS = 3  # beyond the logarithm: datagrams get lost
-MAX_DELAY = 10.0  # seconds on its way, by the machines' one clock; a copy of an older one is no news
-STALL_THRESHOLD = 0.5  # seconds between two ticks: this process stood still
-RECORDS_PER_DATAGRAM = 8  # records that a datagram carries when all is calm
-SUSPECT_INTERVALS = 4.0  # times the interval in which a record should have come anew
-GONE_FACTOR = 3.0  # times that again
+HEADER_SIZE = 34  # bytes; the maximum of a datagram without its records and its seal
+FANOUT = 3  # peers that a change is sent to in each round
+TICK_INTERVAL = 0.1  # seconds between two calls of `tick`
+EXTRA_ROUNDS = 3  # beyond the logarithm, as datagrams get lost
+MAX_DELAY = 10.0  # seconds in transit, by the wall clock that machines share; older datagrams are dropped
+STALL_THRESHOLD = 0.5  # seconds between two ticks, from which on this process has stalled
+RECORDS_PER_DATAGRAM = 8  # in the steady state
+SUSPECT_INTERVALS = 4.0  # expected times between new records of a member, after which it is suspected
+GONE_FACTOR = 3.0  # further such periods, after which it is gone
 MAX_MEMBERS = 1000
 
 
 class State(Enum):
-    """What a member is, as seen from here."""
+    """The state of a member as this router sees it."""
 
     ALIVE = "alive"
     SUSPECTED = "suspected"
-    GONE = "gone"  # or never heard
+    GONE = "gone"  # or never heard of
 
 
 @dataclass(slots=True)
 class Member:
-    """Another router, or this one."""
+    """A router of the fleet, this one included."""
 
     name: str
     record: Record | None = None
-    replay_window: ReplayWindow | None = None  # of its datagrams
-    start: int = 0  # that the numbers belong to
-    times_sent: int = 0  # times that its present record was passed on
-    processes_heard: int = 0  # processes of it that were heard
+    replay_window: ReplayWindow | None = None  # of the numbers of its datagrams
+    start: int = 0  # start of the process that the numbers belong to
+    times_sent: int = 0  # how often its present record was passed on
+    processes_heard: int = 0  # number of its processes that were heard
 
 
 @dataclass(slots=True, frozen=True)
 class Datagram:
-    """To be sent; it may be lost."""
+    """A datagram to send; the network may lose it."""
 
     to: str
     data: bytes
 
 
 class Gossip:
-    """One router's part."""
+    """One router's member of the gossip group."""
 
     def __init__(
         self,
@@ -79,8 +80,14 @@
         budget: float = 16_384.0,
         accepted_keys: tuple[bytes, ...] = (),
     ) -> None:
-        """`wall` is the Unix time; `interval` seconds lie between words when all is calm, `budget` bytes go
-        out a second at most. Raises ValueError for a roster or a key that can't be used."""
+        """Start without having heard any peer.
+
+        `wall` is the Unix time in seconds, `interval` the seconds between datagrams in the steady state, and
+        `budget` the maximum number of bytes sent a second.
+
+        Raises:
+            ValueError: the members or a key can't be used.
+        """
         self.name = name
         self.members = {i: Member(m) for i, m in self._roster(members).items()}
         self.seal = Seal(name, key, accepted_keys)
@@ -90,14 +97,14 @@
         self.interval = interval
         self.budget = budget
         self.start = start_number(wall)
-        self.record_number = 0  # of records
-        self.sent = 0  # datagrams, numbered
-        self.byte_credit = budget  # bytes that may go out now
+        self.record_number = 0
+        self.sent = 0  # datagrams, which also numbers them
+        self.byte_credit = budget  # bytes that may be sent now
         self.last_tick = now
-        self.due = now  # at once: what has changed is asked for by being there
-        self.new_processes: set[int] = set()  # members whose process is new: they know nothing yet
+        self.due = now  # at once, so that peers reply with their records
+        self.new_processes: set[int] = set()  # members with a new process, which has no records yet
         self.urgent_until = -math.inf
-        self.peers_heard = False  # somebody has been heard since the start, or since this process stood still
+        self.peers_heard = False  # whether a peer was heard since the start or the last stall
         self.stalls = 0
         self.bytes_sent = 0
         self.dropped: Counter[str] = Counter()
@@ -107,7 +114,7 @@
             raise ValueError(f"members: {self.name} must be among them, each once, {MAX_MEMBERS} at most")
         roster = {ident(m): m for m in members}
         if len(roster) < len(members):
-            raise ValueError("members: two names look alike in a datagram; rename one")
+            raise ValueError("members: two names have the same identifier in a datagram; rename one")
         return roster
 
     def reconfigure(
@@ -118,7 +125,11 @@
         interval: float,
         budget: float,
     ) -> None:
-        """Other members, keys and paces; raises ValueError where they can't be used, and takes none then."""
+        """Apply new members, keys, interval and byte budget.
+
+        Raises:
+            ValueError: the members or a key can't be used; nothing has changed then.
+        """
         roster = self._roster(members)
         self.seal.set_keys(key, accepted_keys)
         self.members = {i: self.members.get(i, Member(name)) for i, name in roster.items()}
@@ -129,28 +140,29 @@
         return [m for i, m in self.members.items() if i != self.own_id]
 
     def rounds(self) -> int:
-        """Times that something new is told before it has come to all, as good as surely."""
+        """Return the number of rounds after which a rumour has almost surely reached all members."""
         return math.ceil(math.log(max(2, len(self.members)), FANOUT)) + EXTRA_ROUNDS
 
     def state(self, member: Member, now: float) -> State:
-        """Whether a member's record still grows."""
+        """Return a member's state, which follows from the age of its record."""
         if member.name == self.name:
             return State.ALIVE
         if member.record is None:
             return State.GONE
-        # news of one among many comes by turns: a datagram carries a few records, and one goes out an
-        # interval
-        turns = max(1.0, math.log2(len(self.members)) / 2, len(self.members) / RECORDS_PER_DATAGRAM)
-        pause = SUSPECT_INTERVALS * self.interval * turns
+        # In a large fleet, news of one member arrives less often: one datagram with a few records goes out in
+        # each interval.
+        slowdown = max(1.0, math.log2(len(self.members)) / 2, len(self.members) / RECORDS_PER_DATAGRAM)
+        suspect_after = SUSPECT_INTERVALS * self.interval * slowdown
         age = now - member.record.made_at
-        if age <= pause:
+        if age <= suspect_after:
             return State.ALIVE
-        return State.SUSPECTED if age <= pause * (1 + GONE_FACTOR) else State.GONE
+        return State.SUSPECTED if age <= suspect_after * (1 + GONE_FACTOR) else State.GONE
 
     def member_counts(self, now: float) -> Counter[int]:
-        """How many members there are, by their zones, those suspected among them; this router is one.
+        """Return the number of members that are present, by zone: this router, and all that are not gone.
 
-        Guards what needs several witnesses: with the others forgotten too soon, one alone would do.
+        Suspected members count, as decisions need several witnesses: with the others forgotten too soon, a
+        single one would suffice.
         """
         found = Counter({self.zone: 1})
         for member in self.peers:
@@ -159,16 +171,16 @@
         return found
 
     def records(self, now: float) -> list[Record]:
-        """What the others that are there have said."""
+        """Return the records of the peers that are not gone."""
         return [m.record for m in self.peers if m.record is not None and self.state(m, now) is not State.GONE]
 
     def spread_urgently(self, now: float) -> None:
-        """Something has changed that all should know at once."""
+        """Send at the fast rate until a change that just happened has reached all members."""
         self.urgent_until = max(self.urgent_until, now + TICK_INTERVAL * self.rounds())
         self.due = min(self.due, now)
 
-    def tick(self, now: float, wall: float, say: Callable[[], tuple[int, ...]]) -> list[Datagram]:
-        """What is to be sent now; `say` is asked for what this router's next record says."""
+    def tick(self, now: float, wall: float, make_payload: Callable[[], tuple[int, ...]]) -> list[Datagram]:
+        """Return the datagrams to send now; `make_payload` makes the payload of this router's next record."""
         if now - self.last_tick > STALL_THRESHOLD:
             self.stalls += 1
             self.peers_heard = False
@@ -176,24 +188,25 @@
         self.byte_credit = min(self.budget, self.byte_credit + self.budget * (now - self.last_tick))
         self.last_tick = now
         if now < self.due:
-            owed = [self.members[m] for m in self.new_processes if m in self.members]
+            newcomers = [self.members[m] for m in self.new_processes if m in self.members]
             self.new_processes.clear()
-            if owed:
-                self._renew_record(now, say())
-            return self._make_datagrams(owed, now, wall)
-        hot = now < self.urgent_until or not self.record_number
-        self.due = now + (TICK_INTERVAL if hot else self.interval * self.random.uniform(0.8, 1.2))
-        self._renew_record(now, say())
-        others = [m for m in self.peers if self.state(m, now) is State.ALIVE]
+            if newcomers:
+                self._renew_record(now, make_payload())
+            return self._make_datagrams(newcomers, now, wall)
+        urgent = now < self.urgent_until or not self.record_number
+        self.due = now + (TICK_INTERVAL if urgent else self.interval * self.random.uniform(0.8, 1.2))
+        self._renew_record(now, make_payload())
+        alive = [m for m in self.peers if self.state(m, now) is State.ALIVE]
         absent = [m for m in self.peers if self.state(m, now) is not State.ALIVE]
-        chosen = self.random.sample(others, min(len(others), FANOUT if hot else 1))
-        # who is not heard may be back, or cut off one way: it is told now and then all the same
+        chosen = self.random.sample(alive, min(len(alive), FANOUT if urgent else 1))
+        # A member that is not heard may have recovered, or be cut off in one direction only, so it is sent a
+        # datagram from time to time.
         if absent and (not chosen or self.random.random() < 0.3):
             chosen.append(self.random.choice(absent))
         return self._make_datagrams(chosen, now, wall)
 
     def _make_datagrams(self, chosen: Iterable[Member], now: float, wall: float) -> list[Datagram]:
-        """A datagram for each, as far as the budget goes."""
+        """Return a datagram for each of the members, as far as the byte budget allows."""
         out = []
         for member in chosen:
             data = self._pack(member.name, now, wall)
@@ -204,21 +217,24 @@
             out.append(Datagram(member.name, data))
         return out
 
-    def _renew_record(self, now: float, said: tuple[int, ...]) -> None:
+    def _renew_record(self, now: float, payload: tuple[int, ...]) -> None:
         self.record_number += 1
         own = self.members[self.own_id]
-        own.record = Record(self.own_id, self.start, self.record_number, self.zone, said, now)
+        own.record = Record(self.own_id, self.start, self.record_number, self.zone, payload, now)
         own.times_sent = 0
 
     def _pack(self, to: str, now: float, wall: float) -> bytes:
-        """A datagram with the own record and as many others as it holds: least told, then newest, first."""
+        """Return a datagram with this router's record and as many others as fit.
+
+        Those that were sent least come first, and of these the newest.
+        """
         self.sent += 1
-        head = [VERSION, self.own_id, self.start, self.sent, start_number(wall)]
+        header = [VERSION, self.own_id, self.start, self.sent, start_number(wall)]
         own, receiver = self.members[self.own_id], ident(to)
         assert own.record is not None
         carried = [own.record.encode(now)]
         room = MAX_DATAGRAM - SEAL_SIZE - HEADER_SIZE - own.record.max_size
-        # an old record of one that may be gone would only make it look alive for longer
+        # The old record of a member that may be gone would only make it look alive for longer.
         others = [m for m in self.peers if m.record is not None and self.state(m, now) is State.ALIVE]
         others.sort(key=lambda m: (m.times_sent, -(m.record.made_at if m.record else 0.0)))
         for member in others:
@@ -229,13 +245,13 @@
                 room -= needed
                 member.times_sent += 1
                 carried.append(member.record.encode(now))
-        return self.seal.pack(to, [*head, carried])
+        return self.seal.pack(to, [*header, carried])
 
     def receive(self, data: bytes, now: float, wall: float) -> list[Record]:
-        """Take a datagram; answers with the records in it that were news.
+        """Process a datagram; returns the records in it that are news.
 
         Raises:
-            Dropped: it is cut, forged, foreign, replayed, too late or malformed.
+            Dropped: it is truncated, forged, replayed, too late, malformed, or not from a member.
         """
         try:
             return self._receive(data, now, wall)
@@ -250,19 +266,21 @@
         member = self.members.get(sender)
         if member is None or sender == self.own_id:
             raise Dropped("of no member")
-        late = max(0.0, (start_number(wall) - sent) / 10)
-        if late > MAX_DELAY:
+        delay = max(0.0, (start_number(wall) - sent) / 10)
+        if delay > MAX_DELAY:
             raise Dropped("too late")
         if start < member.start:
             raise Dropped("of a process that is over")
         if start > member.start or member.replay_window is None:
             member.start, member.replay_window = start, ReplayWindow()
             member.processes_heard += 1
-            # guards what is under way: a process that has just begun would act as if nothing were
+            # The new process is sent the records at once: without them it would act as if no exit or return
+            # were under way.
             self.new_processes.add(sender)
         member.replay_window.accept(number)
-        # what lay in a queue while this process stood still is as old as it is
-        records = [decode_record(parts, now - late) for parts in carried]
+        # A datagram may have waited in a queue while this process was stalled: its time in transit is added
+        # to the age of its records.
+        records = [decode_record(parts, now - delay) for parts in carried]
         if not records or records[0].owner != sender:
             raise Dropped("malformed")
         self.peers_heard = True
--- a/myrtlecourse/peers/gossip_socket.py
+++ b/myrtlecourse/peers/gossip_socket.py
@@ -1,4 +1,4 @@
-"""The one socket to other routers: datagrams in and out, and the clock that drives what is said."""
+"""The UDP socket for gossip with other routers, and the clock that drives the agent."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from myrtlecourse.peers.seal import Dropped
 from myrtlecourse.zones.agent import Agent, AgentSettings
 
-LISTEN_RETRY = 0.2  # seconds until listening is tried again, where the process before this one still does
+LISTEN_RETRY = 0.2  # seconds between attempts to listen while the previous process still does
 log = logging.getLogger(__name__)
 bounded = BoundedLog(log)
 Endpoint = tuple[str, int]
 
 
 class GossipSocket(asyncio.DatagramProtocol):
-    """One router's end."""
+    """One router's socket and agent."""
 
     def __init__(
         self,
@@ -32,12 +32,12 @@
         clock: Callable[[], float],
         post: Callable[[api.Event], None],
     ) -> None:
-        """`clock` is the decision module's, and `post` hands it an order."""
+        """`clock` is the decision module's clock, and `post` passes an event to that module."""
         self.agent = agent
         self.bind = bind
         self.peers = peers
         self.clock = clock
-        # guards peers' words: after a step of the wall clock all would look late, here or there
+        # A wall clock without steps: after one, all datagrams would look late here or at the peers.
         self.wall_clock = Clock()
         self.post = post
         self.transport: asyncio.DatagramTransport | None = None
@@ -46,8 +46,14 @@
         self.last_returning: dict[str, float] = {}
 
     async def start(self, shared: bool) -> None:
-        """Listen, and begin. Where another process of this router may still listen (`shared`, at an upgrade)
-        it goes on without hearing until that one ends. Raises OSError."""
+        """Listen and start to send.
+
+        Where another process of this router may still listen (`shared`, during an upgrade), this one goes on
+        without receiving until that one ends.
+
+        Raises:
+            OSError: the address can't be used.
+        """
         if shared:
             self.tasks.append(asyncio.create_task(self._listen_later()))
         else:
@@ -57,7 +63,7 @@
     async def _listen(self) -> None:
         loop = asyncio.get_running_loop()
         self.transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self.bind)
-        log.info("other routers are heard on %s:%d", *self.transport.get_extra_info("sockname")[:2])
+        log.info("gossip: receiving datagrams on %s:%d", *self.transport.get_extra_info("sockname")[:2])
 
     async def _listen_later(self) -> None:
         while self.transport is None:
@@ -72,42 +78,48 @@
             await asyncio.sleep(TICK_INTERVAL)
 
     def _tick(self) -> None:
-        done = self.agent.tick(self.clock(), self.wall_clock.now())
-        for change in done.changes:
+        result = self.agent.tick(self.clock(), self.wall_clock.now())
+        for change in result.changes:
             log.info("zone %s: %s", change.zone, change.text)
-        if done.zones_left is not None:
-            left = sorted(done.zones_left.zones) + (["the origin"] if done.zones_left.origin else [])
+        if result.zones_left is not None:
+            left = sorted(result.zones_left.zones) + (["the origin"] if result.zones_left.origin else [])
             if left != self.last_left:
                 log.info("zones left: %s", ", ".join(left) or "none")
             self.last_left = left
-            back = {zone: round(share, 3) for zone, share in sorted(done.zones_left.shares.items())}
-            if back != self.last_returning:
-                log.info("zones coming back: %s", " ".join(f"{z}={s}" for z, s in back.items()) or "none")
-            self.last_returning = back
-        for event in done.events:
+            returning = {zone: round(share, 3) for zone, share in sorted(result.zones_left.shares.items())}
+            if returning != self.last_returning:
+                log.info(
+                    "zones coming back: %s", " ".join(f"{z}={s}" for z, s in returning.items()) or "none"
+                )
+            self.last_returning = returning
+        for event in result.events:
             self.post(event)
         if self.transport is not None:
-            for datagram in done.datagrams:
+            for datagram in result.datagrams:
                 self.transport.sendto(datagram.data, self.peers[datagram.to])
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         try:
             self.agent.receive(data, self.clock(), self.wall_clock.now())
         except Dropped as e:
-            bounded.log(logging.WARNING, "a datagram of %s:%s was dropped: %s", addr[0], addr[1], e)
+            bounded.log(logging.WARNING, "dropped a datagram from %s:%s: %s", addr[0], addr[1], e)
 
     def error_received(self, exc: Exception) -> None:
-        bounded.log(logging.INFO, "another router was not reached: %s", exc)
+        bounded.log(logging.INFO, "another router can't be reached: %s", exc)
+
+    def reconfigure(self, settings: AgentSettings, peers: dict[str, Endpoint]) -> None:
+        """Apply new settings and addresses of peers.
 
-    def reconfigure(self, part: AgentSettings, peers: dict[str, Endpoint]) -> None:
-        """Take another part, as operators have it now. Raises ValueError; then nothing is taken."""
-        if part.name in self.peers and peers[part.name] != self.peers[part.name]:
-            raise ValueError("a router can't be heard elsewhere while it runs")
-        self.agent.reconfigure(part)
+        Raises:
+            ValueError: they can't be used, or this router's own address differs; nothing has changed then.
+        """
+        if settings.name in self.peers and peers[settings.name] != self.peers[settings.name]:
+            raise ValueError("a router's own address can't change while it runs")
+        self.agent.reconfigure(settings)
         self.peers = peers
 
     def close(self) -> None:
-        """Say no more, and leave the address to the process that follows."""
+        """Stop sending and free the address for the next process."""
         for task in self.tasks:
             task.cancel()
         if self.transport is not None:
--- a/myrtlecourse/peers/peer_socket.py
+++ b/myrtlecourse/peers/peer_socket.py
@@ -1,4 +1,4 @@
-"""One process's end of a wire: its socket, and what every holder of one does with datagrams and a timer."""
+"""The UDP socket for sealed messages between processes, and one timer; drivers derive from it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PeerSocket(asyncio.DatagramProtocol, Generic[Message]):
-    """Sends, hears and greets; what a message means is in `message_received`."""
+    """Sends and receives datagrams and answers greetings; subclasses implement `message_received`."""
 
     def __init__(self, wire: Wire[Message], peers: dict[str, Endpoint]) -> None:
         self.wire = wire
@@ -29,11 +29,15 @@
         self.sent = self.bytes_sent = 0
 
     def message_received(self, sender: str, message: Message) -> None:
-        """A message has come, sealed for this process and taken once."""
+        """Process a message, which was sealed for this process and is passed on once."""
         raise NotImplementedError
 
     async def listen(self, bind: Endpoint) -> Endpoint:
-        """Open the socket; answers with where it is. Raises OSError."""
+        """Open the socket and return its address.
+
+        Raises:
+            OSError: the address can't be used.
+        """
         self.loop = asyncio.get_running_loop()
         transport, _ = await self.loop.create_datagram_endpoint(lambda: self, local_addr=bind)
         self.transport = transport
@@ -41,7 +45,7 @@
         return host, port
 
     def send(self, to: str, data: bytes) -> None:
-        """A datagram for another, if it is known where that is; it may be lost."""
+        """Send a datagram to a member, if its address is known; it may be lost."""
         if self.transport is not None and to in self.peers:
             self.sent += 1
             self.bytes_sent += len(data)
@@ -51,7 +55,7 @@
         try:
             sender, message = self.wire.open(data)
         except Dropped as e:
-            bounded.log(logging.WARNING, "a datagram of %s:%s was dropped: %s", addr[0], addr[1], e)
+            bounded.log(logging.WARNING, "dropped a datagram from %s:%s: %s", addr[0], addr[1], e)
             return
         if message is Control.STALE:
             self.send(sender, self.wire.hello(sender))
@@ -59,17 +63,17 @@
             self.message_received(sender, message)
 
     def error_received(self, exc: Exception) -> None:
-        bounded.log(logging.INFO, "another router was not reached: %s", exc)
+        bounded.log(logging.INFO, "another router can't be reached: %s", exc)
 
     def call_at(self, at: float, call: Callable[[], None]) -> None:
-        """Call when a time on the monotonic clock has come, in place of the call before; infinity: never."""
+        """Call `call` at a time on the monotonic clock, never for infinity; replaces the call set before."""
         if self.timer is not None:
             self.timer.cancel()
         if at < float("inf"):
             self.timer = self.loop.call_later(max(0.0, at - time.monotonic()), call)
 
     def close_socket(self) -> None:
-        """Close the socket; nothing is called any more."""
+        """Close the socket and cancel the timer."""
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is not None:
--- a/myrtlecourse/peers/seal.py
+++ b/myrtlecourse/peers/seal.py
@@ -1,7 +1,7 @@
-"""What makes a datagram one of ours: a seal over receiver and body, and numbers that are taken once; no I/O.
+"""Authentication of datagrams between routers, and protection against replays; no I/O.
 
-The seal is the first 16 bytes of an HMAC-SHA256 (RFC 2104); numbers are remembered in a window as IPsec's are
-(RFC 4303, 3.4.3). Bodies are MessagePack.
+A datagram carries a seal over its receiver and its body: the first 16 bytes of an HMAC-SHA256 (RFC 2104). Its
+number is accepted once, by a sliding window as in IPsec (RFC 4303, 3.4.3). Bodies are MessagePack.
 """
 
 from __future__ import annotations
@@ -12,38 +12,45 @@
 
 import msgspec
 
-MAX_DATAGRAM = 256  # bytes of a datagram (PROTOCOL, "Between routers")
+MAX_DATAGRAM = 256  # bytes (PROTOCOL, "Between routers")
 SEAL_SIZE = 16  # bytes
 MIN_KEY_SIZE = 16  # bytes
-REPLAY_WINDOW = 64  # numbers that may be passed by later ones
+REPLAY_WINDOW = 64  # by how much a number may be lower than the highest one received
 
 
 class Dropped(ValueError):
-    """A datagram that is not taken; the message is one of a few words, to be counted by."""
+    """A datagram is not accepted; the message is one of a few fixed reasons, by which drops are counted."""
 
 
 def ident(name: str, size: int = 4) -> int:
-    """What a name is in a datagram: a number of so many bytes, over 0."""
+    """Return the number over 0, of `size` bytes, that stands for a name in a datagram."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=size).digest(), "big") or 1
 
 
 class Seal:
-    """Seals and opens datagrams with the key that all have in common."""
+    """Seals and opens datagrams with the key that all routers share."""
 
     def __init__(self, name: str, key: bytes, accepted_keys: tuple[bytes, ...] = ()) -> None:
-        """`name` is the receiver's own. Raises ValueError when a key is too short."""
+        """Use the given keys; `name` is the name under which this process receives datagrams.
+
+        Raises:
+            ValueError: a key is too short.
+        """
         self.name = name
         self.set_keys(key, accepted_keys)
 
     def set_keys(self, key: bytes, accepted_keys: tuple[bytes, ...]) -> None:
-        """Seal with a key from now on, and take what is sealed with it or with one of the others.
+        """Seal with `key` from now on, and accept what is sealed with it or with one of `accepted_keys`.
+
+        A key is rotated in three steps, each at all routers before the next: the new key is accepted besides
+        the old one; it seals while the old one is still accepted; the old one is removed.
 
-        A new key goes round in three steps, each at all routers before the next: taken as well, sealed with
-        while the old one is taken as well, alone. Raises ValueError when one is too short.
+        Raises:
+            ValueError: a key is too short; nothing has changed then.
         """
         for each in (key, *accepted_keys):
             if len(each) < MIN_KEY_SIZE:
-                raise ValueError(f"the key has {len(each)} bytes, {MIN_KEY_SIZE} are the least")
+                raise ValueError(f"the key has {len(each)} bytes, at least {MIN_KEY_SIZE} are needed")
         self.key = key
         self.keys = (key, *accepted_keys)
 
@@ -52,19 +59,19 @@
         return hmac.digest(key, to.encode() + b"\0" + body, "sha256")[:SEAL_SIZE]
 
     def pack(self, to: str, parts: list[Any]) -> bytes:
-        """A datagram for `to`."""
+        """Return a datagram for `to`."""
         body = msgspec.msgpack.encode(parts)
         return self._mac(self.key, to, body) + body
 
     def open(self, data: bytes, count: int, version: int) -> list[Any]:
-        """The parts of a datagram for this process: `count` of them, the first of them the version.
+        """Return the `count` parts of a datagram for this process, of which the first is the version.
 
         Raises:
-            Dropped: it is cut, forged, for another, of another version or malformed.
+            Dropped: it is truncated, forged, for another receiver, of another version, or malformed.
         """
         if not SEAL_SIZE < len(data) <= MAX_DATAGRAM:
             raise Dropped("of a length that none has")
-        # before anything of it is read: what is not sealed with the key was made by anybody
+        # The seal is checked before the body is parsed, as anybody can send a body without a valid seal.
         seals = [self._mac(key, self.name, data[SEAL_SIZE:]) for key in self.keys]
         if not any(hmac.compare_digest(data[:SEAL_SIZE], seal) for seal in seals):
             raise Dropped("forged or cut")
@@ -82,16 +89,20 @@
 
 
 class ReplayWindow:
-    """The numbers of one sender's process that have been taken."""
+    """The numbers that were accepted from one sender's process."""
 
     __slots__ = ("highest", "seen")
 
     def __init__(self) -> None:
         self.highest = 0
-        self.seen = 0  # the WINDOW numbers up to that, as bits
+        self.seen = 0  # bit mask of the REPLAY_WINDOW numbers up to the highest
 
     def accept(self, number: int) -> None:
-        """Guards what is said against repeats. Raises Dropped."""
+        """Accept a number once.
+
+        Raises:
+            Dropped: the number was accepted before, or is too old to tell.
+        """
         age = self.highest - number
         if age >= REPLAY_WINDOW or number <= 0 or (age >= 0 and self.seen >> age & 1):
             raise Dropped("replayed")
--- a/myrtlecourse/peers/wire.py
+++ b/myrtlecourse/peers/wire.py
@@ -1,8 +1,8 @@
-"""Messages that need a proof of freshness, as sealed datagrams, never taken twice; no I/O.
+"""Sealed datagrams for messages that must be fresh: each is accepted at most once; no I/O.
 
-A datagram names the start (a random number) of both ends, so that nothing sealed for a process before this
-one counts: an end that has not heard the other's start greets first. What messages are is their codec's
-affair.
+A datagram names the starts (random numbers) of the sending and the receiving process, so that no datagram
+sealed for an earlier process is accepted. A process that does not know the other's start greets first. The
+messages themselves are encoded by a codec.
 """
 
 from __future__ import annotations
@@ -15,40 +15,44 @@
 from myrtlecourse.peers.seal import MAX_DATAGRAM, SEAL_SIZE, Dropped, ReplayWindow, Seal
 
 VERSION = 2
-HEADER_SIZE = 36  # bytes at most: the version, two starts, the number and what MessagePack adds
-MAX_STARTS = 64  # of one sender, remembered while this process lives
-HELLO = "hello"  # what an end says that was addressed by a start that is not its own
+HEADER_SIZE = 36  # maximum bytes of the version, two starts, the number and what MessagePack adds
+MAX_STARTS = 64  # of one sender that are remembered, for as long as this process runs
+HELLO = "hello"  # reply to a datagram that names a start other than the receiver's
 Message = TypeVar("Message")
 
 
 class Codec(Protocol[Message]):
-    """Makes plain parts of messages, and messages of parts."""
+    """Encodes messages as plain parts, and decodes them."""
 
     def parts(self, message: Message) -> list[Any]:
-        """What a datagram carries."""
+        """Return the parts that a datagram carries."""
 
     def read(self, parts: list[Any]) -> Message:
-        """The message, checked. Raises Dropped."""
+        """Return the validated message.
+
+        Raises:
+            Dropped: the parts are no valid message.
+        """
 
 
 class Control(Enum):
-    """What is no message."""
+    """What a datagram without an accepted message was."""
 
-    GREETING = "greeting"  # the sender has told its start
-    STALE = "stale"  # it was sealed for a process before this one, which owes a `hello`
+    GREETING = "greeting"  # it announced the sender's start
+    STALE = "stale"  # it named an earlier process as its receiver, and is to be answered with `hello`
 
 
 @dataclass(slots=True)
 class Sender:
-    """What is known of another end."""
+    """What is known of another member's process."""
 
-    start: int = 0  # of its process; 0: not heard yet
+    start: int = 0  # 0: not heard yet
     replay_window: ReplayWindow = field(default_factory=ReplayWindow)
-    previous_starts: tuple[int, ...] = ()  # starts of processes before
+    previous_starts: tuple[int, ...] = ()  # of its earlier processes
 
 
 class Wire(Generic[Message]):
-    """One end."""
+    """One process's side of the exchange with the other members."""
 
     def __init__(
         self,
@@ -59,7 +63,11 @@
         codec: Codec[Message],
         accepted_keys: tuple[bytes, ...] = (),
     ) -> None:
-        """`start` is a random number of this process, over 0. Raises ValueError when the key is too short."""
+        """Know no other start yet; `start` is a random number over 0 that stands for this process.
+
+        Raises:
+            ValueError: a key is too short.
+        """
         self.seal = Seal(name, key, accepted_keys)
         self.name = name
         self.start = start
@@ -69,20 +77,20 @@
         self.dropped: Counter[str] = Counter()
 
     def set_members(self, members: tuple[str, ...]) -> None:
-        """Members have come or gone."""
+        """Set the members; what is known of those that stay is kept."""
         self.senders = {m: self.senders.get(m, Sender()) for m in members if m != self.name}
 
     @property
     def max_message_size(self) -> int:
-        """Bytes that a message may take: a datagram's, without its seal and head at their longest."""
+        """Bytes that a message may take: a datagram's, less its seal and its header at their longest."""
         return MAX_DATAGRAM - SEAL_SIZE - HEADER_SIZE - len(self.name.encode())
 
     def pack(self, to: str, message: Message) -> bytes:
-        """A datagram for a member."""
+        """Return a datagram with a message for a member."""
         return self._pack(to, self.codec.parts(message))
 
     def hello(self, to: str) -> bytes:
-        """A datagram that tells a member this process's start."""
+        """Return a datagram that announces this process's start to a member."""
         return self._pack(to, [HELLO])
 
     def _pack(self, to: str, parts: list[Any]) -> bytes:
@@ -91,10 +99,10 @@
         return self.seal.pack(to, [VERSION, self.name, self.start, known, self.sent_number, parts])
 
     def open(self, data: bytes) -> tuple[str, Message | Control]:
-        """The sender and the message of a datagram.
+        """Return the sender of a datagram, and its message or what it was instead.
 
         Raises:
-            Dropped: it is cut, forged, foreign, replayed or malformed.
+            Dropped: it is truncated, forged, replayed, malformed, or not from a member.
         """
         try:
             return self._open(data)
@@ -110,20 +118,21 @@
         if sender is None:
             raise Dropped("of no member")
         if parts == [HELLO]:
-            # it may be an old one: then what is sent on its word is not taken, and answered with a new one
-            self._greet(sender, start)
+            # It may be an old one. Then datagrams that name its start are not accepted, and are answered with
+            # a new one.
+            self._update_start(sender, start)
             return name, Control.GREETING
         if known != self.start:
             return name, Control.STALE
-        # guards words against repeats: a renewal said again would bear a lease that nobody gave
-        self._greet(sender, start)
+        # Replays are rejected: a replayed renewal would support a lease that nobody granted.
+        self._update_start(sender, start)
         if start != sender.start:
             raise Dropped("of a process that is over")
         sender.replay_window.accept(number)
         return name, self.codec.read(parts)
 
     @staticmethod
-    def _greet(sender: Sender, start: int) -> None:
+    def _update_start(sender: Sender, start: int) -> None:
         if start == sender.start or start in sender.previous_starts:
             return
         if len(sender.previous_starts) >= MAX_STARTS:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -711,7 +711,7 @@
     before = agent.settings
     wrong = ({"zone": "south"}, {"members": ("b", "c")}, {"key": b"short"}, {"accepted_keys": (b"short",)})
     for change in wrong:
-        with pytest.raises(ValueError, match=r"others|among|least"):
+        with pytest.raises(ValueError, match=r"can't change|among|least"):
             agent.reconfigure(part_of(**change))
         assert agent.settings is before and len(agent.gossip.members) == 3
 
