--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Gossip between routers: sealed datagrams, records that merge, and who is there."""
+"""Gossip between routers: sealed datagrams, merging records, and membership."""
 
 from __future__ import annotations
 
@@ -34,21 +34,21 @@
 )
 
 
-def same(record: Record) -> tuple[int, int]:
-    """What tells two records of one router apart: what one of them says never differs."""
+def identity(record: Record) -> tuple[int, int]:
+    """Return what identifies a record among those of one router."""
     return record.start, record.number
 
 
 @given(records, records, records)
 def test_merging_is_commutative_associative_and_idempotent(a: Record, b: Record, c: Record) -> None:
-    def said(r: Record) -> Record:  # a router says one thing under one number
+    def with_payload(r: Record) -> Record:  # a router makes one payload for each number
         return Record(r.owner, r.start, r.number, r.zone, (r.start * 10 + r.number,), r.made_at)
 
-    a, b, c = said(a), said(b), said(c)
+    a, b, c = with_payload(a), with_payload(b), with_payload(c)
     assert a.merged(a) == a
     assert a.merged(b) == b.merged(a)
     assert a.merged(b).merged(c) == a.merged(b.merged(c))
-    assert same(a.merged(b)) == max(same(a), same(b))
+    assert identity(a.merged(b)) == max(identity(a), identity(b))
 
 
 @given(
@@ -59,12 +59,17 @@
     st.floats(0.0, 100.0),
 )
 def test_a_record_comes_as_it_went_and_within_its_width(
-    owner: int, start: int, number: int, said: list[int], age: float
+    owner: int, start: int, number: int, payload: list[int], age: float
 ) -> None:
-    record = Record(owner, start, number, 3, tuple(said), 50.0 - age)
-    came = decode_record(record.encode(50.0), 50.0)
-    assert (came.owner, came.start, came.number, came.payload) == (owner, start, number, tuple(said))
-    assert abs(came.made_at - record.made_at) <= 0.06 or age * 10 > MAX_AGE
+    record = Record(owner, start, number, 3, tuple(payload), 50.0 - age)
+    decoded = decode_record(record.encode(50.0), 50.0)
+    assert (decoded.owner, decoded.start, decoded.number, decoded.payload) == (
+        owner,
+        start,
+        number,
+        tuple(payload),
+    )
+    assert abs(decoded.made_at - record.made_at) <= 0.06 or age * 10 > MAX_AGE
     sealed = Seal("b", KEY).pack("b", record.encode(50.0))
     assert len(sealed) <= 16 + record.max_size + 2
 
@@ -91,18 +96,18 @@
 
 @given(st.lists(st.integers(1, 200), min_size=1, max_size=100))
 def test_a_number_is_taken_once_whatever_the_order(numbers: list[int]) -> None:
-    window, taken = ReplayWindow(), []
+    window, accepted = ReplayWindow(), []
     for number in numbers:
         try:
             window.accept(number)
         except Dropped:
             continue
-        taken.append(number)
-    assert len(set(taken)) == len(taken) and max(numbers) in taken
+        accepted.append(number)
+    assert len(set(accepted)) == len(accepted) and max(numbers) in accepted
 
 
 class Group:
-    """Routers on one clock, with a network between them that a test rules."""
+    """Routers on one clock, with a network that a test controls."""
 
     def __init__(self, count: int, interval: float = 1.0, seed: int = 1) -> None:
         self.chance = random.Random(seed)
@@ -225,7 +230,7 @@
     group = Group(3)
     a, b = group.each["r0"], group.each["r1"]
 
-    def said(gossip: Gossip, to: str) -> bytes:
+    def next_datagram(gossip: Gossip, to: str) -> bytes:
         gossip.due = -1.0
         while True:
             for datagram in gossip.tick(group.now, WALL + group.now, lambda: (1,)):
@@ -234,23 +239,23 @@
             group.now += TICK_INTERVAL
             gossip.due = -1.0
 
-    data = said(a, "r1")
+    data = next_datagram(a, "r1")
     b.receive(data, group.now, WALL + group.now)
     with pytest.raises(Dropped, match="replayed"):
         b.receive(data, group.now, WALL + group.now)
     with pytest.raises(Dropped, match="forged"):
-        group.each["r2"].receive(said(a, "r1"), group.now, WALL + group.now)
+        group.each["r2"].receive(next_datagram(a, "r1"), group.now, WALL + group.now)
     with pytest.raises(Dropped, match="forged"):
-        b.receive(said(a, "r1")[:-1] + b"x", group.now, WALL + group.now)
-    old = said(a, "r1")
+        b.receive(next_datagram(a, "r1")[:-1] + b"x", group.now, WALL + group.now)
+    old = next_datagram(a, "r1")
     group.now += 1.0
     later = Gossip("r0", group.names, "z0", KEY, group.now, WALL + group.now, 5)
-    b.receive(said(later, "r1"), group.now, WALL + group.now)
+    b.receive(next_datagram(later, "r1"), group.now, WALL + group.now)
     with pytest.raises(Dropped, match="over"):
         b.receive(old, group.now, WALL + group.now)
     stranger = Gossip("x", ("x", "r1"), "z0", KEY, group.now, WALL + group.now, 5)
     with pytest.raises(Dropped, match="no member"):
-        b.receive(said(stranger, "r1"), group.now, WALL + group.now)
+        b.receive(next_datagram(stranger, "r1"), group.now, WALL + group.now)
     assert b.dropped.total() == 4 and group.each["r2"].dropped.total() == 1
 
 
@@ -281,7 +286,7 @@
 
 
 def test_numbers_take_the_bytes_that_are_reckoned() -> None:
-    import msgspec  # noqa: PLC0415  (beside the reckoning)
+    import msgspec  # noqa: PLC0415  (only for this comparison)
 
     for number in (0, 127, 128, 255, 256, 65_535, 65_536, 2**32 - 1, 2**32):
         assert len(msgspec.msgpack.encode(number)) == encoded_size(number)
@@ -292,11 +297,11 @@
     group = Group(6)
     rates = dict(zip(group.names, (0.98, 1.02, 1.0, 0.98, 1.02, 1.0), strict=True))
     ticks = {name: gossip.tick for name, gossip in group.each.items()}
-    takes = {name: gossip.receive for name, gossip in group.each.items()}
+    receivers = {name: gossip.receive for name, gossip in group.each.items()}
     for name, gossip in group.each.items():
         rate = rates[name]
         gossip.tick = lambda now, wall, say, t=ticks[name], r=rate: t(now * r, wall, say)  # type: ignore[method-assign,misc]
-        gossip.receive = lambda data, now, wall, t=takes[name], r=rate: t(data, now * r, wall)  # type: ignore[method-assign,misc]
+        gossip.receive = lambda data, now, wall, t=receivers[name], r=rate: t(data, now * r, wall)  # type: ignore[method-assign,misc]
     group.run(300.0)
     for name, gossip in group.each.items():
         states = [gossip.state(m, group.now * rates[name]) for m in gossip.members.values()]
--- a/tests/test_peers_speaker.py
+++ b/tests/test_peers_speaker.py
@@ -1,4 +1,4 @@
-"""The socket of a router's peers: what their words are judged by."""
+"""The gossip socket: the clock by which it judges how late datagrams are."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Listener:
-    """Notes by which time each datagram is judged."""
+    """An agent that notes the wall-clock time passed with each datagram."""
 
     def __init__(self) -> None:
         self.times: list[float] = []
@@ -25,7 +25,7 @@
 def test_a_step_of_the_wall_clock_makes_no_datagram_late(
     step: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All that peers said was dropped as too late, or all that this router said to them."""
+    """After a step, datagrams from peers were dropped as too late, or this router's were at its peers."""
     listener = Listener()
     speaker = GossipSocket(cast(Agent, listener), ("127.0.0.1", 0), {}, time.monotonic, lambda _: None)
     before, wall = time.time(), time.time
--- a/tests/test_zone_exit.py
+++ b/tests/test_zone_exit.py
@@ -1,4 +1,4 @@
-"""Six real routers and more, with faults between them: which zones they leave, when, and what it costs."""
+"""Real routers, six or more, under faults: which zones they leave, when, and how many requests suffer."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 ROUTERS = 6
 AT = 4.0  # seconds after the load begins
 SECONDS = 12.0
-SOON = 4.0  # seconds in which all have left: the aims are a bench's, and this machine may be busy
+SOON = 4.0  # seconds in which all have left; the targets are a benchmark's, as this machine may be busy
 SOUTH = frozenset({"south"})
-NETWORK = {"loss": 0.3, "copies": 0.2, "spread": 0.02}  # three in ten lost, others twice and out of order
+NETWORK = {"loss": 0.3, "copies": 0.2, "spread": 0.02}  # loses 30%, duplicates and reorders others
 ZONES = ("north", "south", "west")
 HOUSE = Path(__file__).parent.parent
 
@@ -42,7 +42,7 @@
         "delay": 0.001,
         "kinds": [{"name": "std", "boxes": 6, "cores": 4, "cold": 0.5, "warm_up": 1.0}],
         "origin": {"slots": 32, "time": 0.005, "queue": 200},
-        "discovery": {"notice": 60.0, "silent_notice": 60.0},  # the list is no help
+        "discovery": {"notice": 60.0, "silent_notice": 60.0},  # too late to help
         "classes": [
             {"name": "read", "work": 0.005, "aim": 0.5, "deadline": 1.5, "worth": 3},
             {"name": "book", "work": 0.005, "aim": 0.5, "deadline": 1.5, "effect": "guarded", "worth": 9},
@@ -67,12 +67,12 @@
 
 
 class Played:
-    """What came of a run, by what was seen and what routers said."""
+    """The result of a run: what was observed, and what the routers logged."""
 
-    def __init__(self, folder: Path, told: Scenario, rate: float = 180.0, way: str = "") -> None:
-        command = f"{shlex.quote(sys.executable)} -m tests.wrong_zones {way}" if way else COMMAND
+    def __init__(self, folder: Path, what: Scenario, rate: float = 180.0, fault: str = "") -> None:
+        command = f"{shlex.quote(sys.executable)} -m tests.wrong_zones {fault}" if fault else COMMAND
         self.outcome: Outcome = play(
-            told, profile(rate, told.seconds), folder, command, 1, lambda at, counts: None
+            what, profile(rate, what.seconds), folder, command, 1, lambda at, counts: None
         )
         self.verdict = self.outcome.verdict
         each = list(seen.merged(sorted(folder.glob("*.jsonl"))))
@@ -83,13 +83,13 @@
         }
         self.logs = {log.stem: log.read_text() for log in sorted(folder.glob("router-*.log"))}
 
-    def kept(self) -> None:
-        """The four rules, and those on zones; nobody crashed."""
+    def check_rules(self) -> None:
+        """Check the auditor's rules, and that no router crashed."""
         assert self.verdict["kept"], self.verdict["named"]
         assert not self.outcome.faults
 
-    def when(self, router: str, zones: frozenset[str]) -> float:
-        """Seconds after the fault at which a router left just these."""
+    def left_after(self, router: str, zones: frozenset[str]) -> float:
+        """Return how many seconds after the fault a router left exactly these zones."""
         return next((at - AT for at, left in self.left[router] if left == zones), float("inf"))
 
 
@@ -105,8 +105,8 @@
     faults: list[dict[str, Any]], tmp_path: Path
 ) -> None:
     played = Played(tmp_path, scenario(faults, seconds=SECONDS + 3.0))
-    played.kept()
-    assert all(0.0 <= played.when(r, SOUTH) <= SOON for r in played.left), played.left
+    played.check_rules()
+    assert all(0.0 <= played.left_after(r, SOUTH) <= SOON for r in played.left), played.left
     assert all(each[-1][1] == frozenset() for each in played.left.values()), played.left
     counts = played.outcome.record.all.counts
     assert counts["served"] >= 0.9 * counts["scheduled"]
@@ -118,23 +118,23 @@
         {"what": "unreached", "at": AT, "routers": [0], "boxes": "south", "seconds": 7.5},
     ]
     played = Played(tmp_path, scenario(faults))
-    played.kept()
+    played.check_rules()
     assert not any(played.left.values()), played.left
     assert "alone" in played.logs["router-0"]
     assert not any("alone" in log for name, log in played.logs.items() if name != "router-0")
 
 
-@pytest.mark.parametrize("way", ["", "counts_twice", "believes_one"])
-def test_a_fleet_that_goes_by_one_router_s_word_is_caught(way: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("fault", ["", "counts_twice", "believes_one"])
+def test_a_fleet_that_goes_by_one_router_s_word_is_caught(fault: str, tmp_path: Path) -> None:
     faults = [{"what": "unreached", "at": AT, "routers": [0], "boxes": "south", "seconds": 7.5}]
 
-    def led(play: int) -> bool:
+    def others_left(play: int) -> bool:
         (folder := tmp_path / str(play)).mkdir()
-        played = Played(folder, scenario(faults), way=way)
+        played = Played(folder, scenario(faults), fault=fault)
         return any(zones == SOUTH for r, each in played.left.items() if r != "router-0" for _, zones in each)
 
-    # a wrong form may go unseen once: how many attempts fall into half a second is chance
-    assert any(led(play) for play in range(3)) if way else not led(0)
+    # a fault may not show in one run: how many attempts fall into half a second is random
+    assert any(others_left(play) for play in range(3)) if fault else not others_left(0)
 
 
 CUT = [
@@ -145,9 +145,9 @@
 
 
 def test_a_cut_is_left_by_the_zones_that_it_cuts_off_and_hits_go_on(tmp_path: Path) -> None:
-    """The origin stands in the north: the others can't reach it, and read what their caches have."""
+    """The origin is in the north: routers of the other zones can't reach it, and still get hits."""
     played = Played(tmp_path, scenario(CUT, peers=NETWORK | {"leave_origin": True}))
-    played.kept()
+    played.check_rules()
     cut_off = [f"router-{i}" for i in range(ROUTERS) if ZONES[i % 3] != "north"]
     for router in cut_off:
         assert any("the origin" in zones for _, zones in played.left[router]), played.left
@@ -161,58 +161,58 @@
         {"what": "split", "at": 7.0, "routers": [1], "seconds": 3.0, "one_way": True},
     ]
     played = Played(tmp_path, scenario(faults))
-    played.kept()
+    played.check_rules()
     assert not any(played.left.values()), played.left
 
 
 FLAPPING = [{"what": "silence", "at": AT + 2.5 * i, "zone": "south", "seconds": 1.2} for i in range(3)]
 
 
-def turns(played: Played) -> int:
+def exits_and_returns(played: Played) -> int:
     return max(len(each) for each in played.left.values())
 
 
 def test_a_flapping_zone_makes_nobody_turn_with_each_flap(tmp_path: Path) -> None:
     played = Played(tmp_path, scenario(FLAPPING))
-    played.kept()
-    assert turns(played) <= 4, played.left
+    played.check_rules()
+    assert exits_and_returns(played) <= 4, played.left
 
 
 def test_routers_without_hysteresis_are_caught(tmp_path: Path) -> None:
-    # nothing is lost here: a rumour that comes late would look like patience
-    played = Played(tmp_path, scenario(FLAPPING, peers={}), way="has_no_hysteresis")
+    # without datagram loss: a late rumour would look like hysteresis
+    played = Played(tmp_path, scenario(FLAPPING, peers={}), fault="has_no_hysteresis")
     stays = [b[0] - a[0] for each in played.left.values() for a, b in pairwise(each) if a[1] and not b[1]]
-    assert turns(played) > 4 or min(stays) < MIN_OUT, played.left
+    assert exits_and_returns(played) > 4 or min(stays) < MIN_OUT, played.left
 
 
 def test_routers_that_start_in_the_middle_with_nothing_learned_follow_the_others(tmp_path: Path) -> None:
     faults = [{"what": "crash", "at": AT, "zone": "south", "seconds": 20.0}]
     faults += [{"what": "restart", "at": AT + 3.0, "router": n, "kill": True} for n in (0, 2, 3, 5)]
     played = Played(tmp_path, scenario(faults))
-    played.kept()
+    played.check_rules()
     for n in (0, 2, 3, 5):
         after = [at for at, zones in played.left[f"router-{n}"] if at > AT + 3.0 and zones == SOUTH]
         assert after and after[0] < AT + 3.0 + SOON, played.left
 
 
 def test_a_router_of_another_version_hears_nobody_and_nobody_is_led_by_it(tmp_path: Path) -> None:
-    played = Played(tmp_path, scenario(DEAD, seconds=SECONDS + 3.0), way="one_of_another_version")
-    played.kept()
+    played = Played(tmp_path, scenario(DEAD, seconds=SECONDS + 3.0), fault="one_of_another_version")
+    played.check_rules()
     assert "of another version" in played.logs["router-1"]
-    assert not played.left["router-1"]  # it does what a lone router does
+    assert not played.left["router-1"]  # it acts as a router without peers
     others = [r for r in played.left if r != "router-1"]
-    assert all(0.0 <= played.when(r, SOUTH) <= SOON for r in others), played.left
+    assert all(0.0 <= played.left_after(r, SOUTH) <= SOON for r in others), played.left
     assert all(played.left[r][-1][1] == frozenset() for r in others), played.left
 
 
 def test_an_upgrade_in_the_middle_goes_on_as_one_router(tmp_path: Path) -> None:
-    """The new process hears the others once the old one has ended, and leaves as they did."""
+    """The new process hears the others once the old one has ended, and then leaves the zone like them."""
     faults = [
         {"what": "crash", "at": AT, "zone": "south", "seconds": 20.0},
         {"what": "upgrade", "at": AT + 2.0, "router": 0},
     ]
     played = Played(tmp_path, scenario(faults))
-    played.kept()
+    played.check_rules()
     after = [at for at, zones in played.left["router-0"] if at > AT + 2.0 and zones == SOUTH]
     assert len(after) == 1 and after[0] < AT + 2.0 + LONGEST_DEADLINE + KILLED + SOON, played.left
 
@@ -222,9 +222,9 @@
 
 
 def test_a_router_s_own_zone_is_asked_first_then_its_region(tmp_path: Path) -> None:
-    told = scenario([{"what": "crash", "at": AT, "zone": "south", "seconds": 20.0}], **NEAR)
-    played = Played(tmp_path, told)
-    played.kept()
+    tiered = scenario([{"what": "crash", "at": AT, "zone": "south", "seconds": 20.0}], **NEAR)
+    played = Played(tmp_path, tiered)
+    played.check_rules()
 
     def shares(begin: float, end: float) -> dict[str, float]:
         found = Counter[str]()
@@ -248,14 +248,14 @@
     (tmp_path / "right").mkdir()
     (tmp_path / "wrong").mkdir()
     right = Played(tmp_path / "right", scenario(LONG, **LESS))
-    right.kept()
+    right.check_rules()
     assert right.outcome.record.all.counts["refused"] > 0
-    wrong = Played(tmp_path / "wrong", scenario(LONG, **LESS), way="moves_all")
+    wrong = Played(tmp_path / "wrong", scenario(LONG, **LESS), fault="moves_all")
     assert wrong.verdict["breaches"]["spilled"] > 0
 
 
 async def reloaded(folder: Path, routers: list[Router]) -> None:
-    """All take a new key, in the three steps that lose no word; a file that can't be used changes nothing."""
+    """Rotate the key at all routers in three steps; a file that can't be used changes nothing."""
     new = folder / "new.key"
     new.write_bytes(b"another key of all routers")
     old = folder / "peers.key"
@@ -276,7 +276,7 @@
 
 
 def test_an_operator_s_word_at_one_router_is_heard_by_all_and_told_by_each(tmp_path: Path) -> None:
-    """No load: the word, and what each router knows, by the calls that staff make."""
+    """Without load: operators give an order at one router, and ask each router for its status."""
     upgrade = [{"what": "upgrade", "at": 80_000.0, "router": 0}]  # so that routers have an operators' address
 
     async def fleet() -> None:
@@ -298,10 +298,10 @@
             cwd=HOUSE,
             stdout=asyncio.subprocess.PIPE,
         )
-        told = json.loads((await child.communicate())[0])[at]
-        south = next(z for z in told["zones"] if z["zone"] == "south")
+        status = json.loads((await child.communicate())[0])[at]
+        south = next(z for z in status["zones"] if z["zone"] == "south")
         assert south["left"] and south["order"] == "ordered_out" and south["by"] == "4"
-        assert [m["name"] for m in told["members"]] == [str(n) for n in range(ROUTERS)]
+        assert [m["name"] for m in status["members"]] == [str(n) for n in range(ROUTERS)]
         assert await routers[2].call("PUT", "zones/west/hold?seconds=30") == 200
         assert await routers[0].call("PUT", "zones/south/in?seconds=5") == 200
         await reloaded(tmp_path, routers)
--- a/tests/test_zone_return.py
+++ b/tests/test_zone_return.py
@@ -1,5 +1,4 @@
-"""Returning to a zone: the pace, what merges, what the decision module does, and six real routers under
-faults."""
+"""Returning to a zone: the pace, merging states, the decision module, and six real routers under faults."""
 
 from __future__ import annotations
 
@@ -75,7 +74,7 @@
 
 @given(st.lists(views.filter(lambda v: not pace.is_overloaded(v)), min_size=1, max_size=20), rates)
 def test_every_return_ends_unless_it_hurts(each: list[ReturnView], rate: float) -> None:
-    """And goes one way; where it hurts, the longest time is its bound, which the fleet's register keeps."""
+    """The share only grows. A return to overloaded servers is ended by its maximum time, tested below."""
     share, age = pace.FIRST_SHARE, 0.0
     for turn in range(int(FULL_SHARE * (pace.FORCED_STEP_AFTER + 1.0) / 0.5)):
         age += 0.5
@@ -95,9 +94,8 @@
     everywhere = ReturnView(
         answered=20, overloaded=15, others_answered=200, others_overloaded=150, routers_share=1.0
     )
-    assert (
-        pace.next_share(16, 1.0, everywhere, 0.0) == 32
-    )  # the others are at their limit too: help is wanted
+    # the others are overloaded too, and need the zone's capacity
+    assert pace.next_share(16, 1.0, everywhere, 0.0) == 32
     empty = ReturnView(answered=20, misses=18, others_answered=200, others_misses=10, routers_share=1.0)
     assert pace.next_share(16, 1.0, empty, 0.0) == 16 + pace.COLD_STEP
     full = ReturnView(20, 0, 18, 200, 0, 10, origin_answered=50, origin_overloaded=20, routers_share=1.0)
@@ -126,8 +124,8 @@
 # One fleet's registers
 
 
-def out_and_back(fleet: Fleet) -> None:
-    """All have left the south; it answers trials again, and the return has begun."""
+def leave_and_begin_return(fleet: Fleet) -> None:
+    """Make all routers leave the south, and answer trials until they begin to return."""
     fleet.attempts("south", Reach.REFUSED)
     fleet.run(MIN_OUT + 1.0)
     assert set(fleet.left().values()) == {SOUTH}
@@ -139,8 +137,8 @@
     raise AssertionError("nobody returned")
 
 
-def go_on(fleet: Fleet, seconds: float, pressed: bool = False, missed: bool = False) -> None:
-    """Answers come from everywhere, those of the south as told."""
+def answer_all(fleet: Fleet, seconds: float, pressed: bool = False, missed: bool = False) -> None:
+    """Let all zones answer; answers of the south may be overloaded or misses."""
     for _ in range(round(seconds / 0.2)):
         for zones in fleet.each.values():
             for _ in range(4):
@@ -149,7 +147,7 @@
         fleet.run(0.2)
 
 
-def given_shares(fleet: Fleet) -> list[float]:
+def current_shares(fleet: Fleet) -> list[float]:
     return [
         z.current_order.shares.get("south", 0.0 if z.current_order.zones else 1.0)
         for z in fleet.each.values()
@@ -158,12 +156,12 @@
 
 def test_a_fleet_returns_by_steps_that_all_routers_of_a_zone_take_together() -> None:
     fleet = Fleet(*SIX)
-    out_and_back(fleet)
+    leave_and_begin_return(fleet)
     began, steps = fleet.now, {name: [0.0] for name in fleet.each}
-    while any(s < 1.0 for s in given_shares(fleet)):
-        for name, share in zip(fleet.each, given_shares(fleet), strict=True):
+    while any(s < 1.0 for s in current_shares(fleet)):
+        for name, share in zip(fleet.each, current_shares(fleet), strict=True):
             steps[name].append(share)
-        go_on(fleet, 0.2)
+        answer_all(fleet, 0.2)
         assert fleet.now < began + 10.0
     for each in steps.values():
         assert all(a <= b <= max(2 * a, pace.FIRST_SHARE / FULL_SHARE) or b == 1.0 for a, b in pairwise(each))
@@ -174,7 +172,7 @@
 
 
 def test_all_returns_under_way_share_what_the_origin_bears(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Those of two zones, by the routers of three: no router may take the whole of it for each."""
+    """The routers of three zones return to two zones: no return may use the origin's whole capacity."""
     parts: list[float] = []
     usual = pace.next_share
 
@@ -198,53 +196,54 @@
 
 def test_a_zone_that_is_back_slow_gets_little_and_all_of_it_when_it_is_well() -> None:
     fleet = Fleet(*SIX)
-    out_and_back(fleet)
-    go_on(fleet, 8.0, pressed=True)
-    assert all(0.0 < s <= pace.FIRST_SHARE / FULL_SHARE for s in given_shares(fleet))
+    leave_and_begin_return(fleet)
+    answer_all(fleet, 8.0, pressed=True)
+    assert all(0.0 < s <= pace.FIRST_SHARE / FULL_SHARE for s in current_shares(fleet))
     assert {z.returns.blocked_by[ident("south", 2)] for z in fleet.each.values()} != {""}
-    go_on(fleet, 10.0)
-    assert set(given_shares(fleet)) == {1.0}
+    answer_all(fleet, 10.0)
+    assert set(current_shares(fleet)) == {1.0}
 
 
 def test_a_return_that_never_goes_well_is_left_to_the_servers_own_warm_up_in_the_end() -> None:
     fleet = Fleet(*SIX)
-    out_and_back(fleet)
-    go_on(fleet, pace.MAX_RETURN_TIME + 2.0, pressed=True)
-    assert set(given_shares(fleet)) == {1.0}
+    leave_and_begin_return(fleet)
+    answer_all(fleet, pace.MAX_RETURN_TIME + 2.0, pressed=True)
+    assert set(current_shares(fleet)) == {1.0}
 
 
 def test_one_that_is_gone_again_is_left_at_once_and_returned_to_from_the_first_step() -> None:
     fleet = Fleet(*SIX)
-    out_and_back(fleet)
-    go_on(fleet, 2.0)
-    assert all(s > pace.FIRST_SHARE / FULL_SHARE for s in given_shares(fleet))
+    leave_and_begin_return(fleet)
+    answer_all(fleet, 2.0)
+    assert all(s > pace.FIRST_SHARE / FULL_SHARE for s in current_shares(fleet))
     for _ in range(6):
         fleet.attempts("south", Reach.REFUSED, times=1)
         fleet.run(0.2)
     assert set(fleet.left().values()) == {SOUTH}
-    out_and_back(fleet)
-    assert all(s <= pace.FIRST_SHARE / FULL_SHARE for s in given_shares(fleet))
+    leave_and_begin_return(fleet)
+    assert all(s <= pace.FIRST_SHARE / FULL_SHARE for s in current_shares(fleet))
 
 
 def test_an_operator_holds_a_return_and_ends_an_order_out_with_one() -> None:
     fleet = Fleet(*SIX)
-    out_and_back(fleet)
+    leave_and_begin_return(fleet)
     fleet.run(0.3)
     fleet.each["r3"].order_zone(fleet.now, "south", ZoneMode.ORDERED_HOLD, 8.0)
-    go_on(fleet, 1.0)
-    held = given_shares(fleet)
-    go_on(fleet, 5.0)
-    assert given_shares(fleet) == held and max(held) < 1.0
-    go_on(fleet, 8.0)
-    assert set(given_shares(fleet)) == {1.0}
+    answer_all(fleet, 1.0)
+    held = current_shares(fleet)
+    answer_all(fleet, 5.0)
+    assert current_shares(fleet) == held and max(held) < 1.0
+    answer_all(fleet, 8.0)
+    assert set(current_shares(fleet)) == {1.0}
     fleet.each["r1"].order_zone(fleet.now, "south", ZoneMode.ORDERED_OUT, 2.0)
-    go_on(fleet, 1.0)
+    answer_all(fleet, 1.0)
     assert set(fleet.left().values()) == {SOUTH}
-    go_on(fleet, 1.4)
-    assert all(0.0 < s < 1.0 for s in given_shares(fleet))  # it may have been restarted meanwhile
+    answer_all(fleet, 1.4)
+    # the return goes in steps, as the zone's servers may have been restarted
+    assert all(0.0 < s < 1.0 for s in current_shares(fleet))
     fleet.each["r1"].order_zone(fleet.now, "south", ZoneMode.ORDERED_IN, 2.0)
     fleet.run(0.3)
-    assert set(given_shares(fleet)) == {1.0}
+    assert set(current_shares(fleet)) == {1.0}
 
 
 def test_a_router_that_reached_it_all_the_time_goes_on_with_all_of_it() -> None:
@@ -265,7 +264,7 @@
 
 def test_a_router_that_stood_still_keeps_to_its_step_until_it_hears_or_a_while_is_over() -> None:
     fleet = Fleet(*SIX)
-    out_and_back(fleet)
+    leave_and_begin_return(fleet)
     zones = fleet.each["r2"]
     before = zones.current_order.shares
     fleet.now += 5.0
@@ -280,19 +279,19 @@
     each = {n: Gossip(n, ("a", "b", "c"), "z", b"k" * 16, 0.0, 2e9, 1) for n in "abc"}
     for data in each["a"].tick(0.0, 2e9, tuple):
         each[data.to].receive(data.data, 0.0, 2e9)
-    assert each["b"].tick(0.05, 2e9, lambda: (7,))  # its own first words
-    told = Gossip("a", ("a", "b", "c"), "z", b"k" * 16, 0.3, 2e9 + 1, 2)
-    for data in told.tick(0.3, 2e9 + 1, tuple):
+    assert each["b"].tick(0.05, 2e9, lambda: (7,))  # its first datagrams of its own
+    newcomer = Gossip("a", ("a", "b", "c"), "z", b"k" * 16, 0.3, 2e9 + 1, 2)
+    for data in newcomer.tick(0.3, 2e9 + 1, tuple):
         each[data.to].receive(data.data, 0.3, 2e9 + 1)
     answers = [d for d in each["b"].tick(0.31, 2e9 + 1, lambda: (7,)) if d.to == "a"]
-    assert answers and told.receive(answers[0].data, 0.31, 2e9 + 1)[0].payload == (7,)
+    assert answers and newcomer.receive(answers[0].data, 0.31, 2e9 + 1)[0].payload == (7,)
 
 
 # The decision module
 
 
 def owners(d: Driver, keys: int, order: api.ZonesLeft) -> list[str]:
-    """Who gets each key."""
+    """Return the server that each key's request is sent to."""
     d.feed(order)
     d.now += 2 * tuning.PAUSE
     found = []
@@ -316,7 +315,7 @@
         order = api.ZonesLeft(shares={"south": share}, spill=100.0, paced=True)
         after = owners(d, 400, order)
         moved = [(a, b, u) for a, b, u in zip(before, after, usual, strict=True) if a != b]
-        # by the bounded walk a few hot keys' requests go on to the next server; none leaves the south
+        # with bounded loads, requests for a few hot keys go on to the next server; none leaves the south
         assert all(b in south and a not in south for a, b, _ in moved), moved
         assert sum(b == u for _, b, u in moved) >= 0.97 * len(moved)
         part = sum(b in south for b in after) / sum(u in south for u in usual)
@@ -335,7 +334,7 @@
     d.list(*again)
     assert not {"c", "d"} & set(owners(d, 50, left))
     back = owners(d, 400, api.ZonesLeft(shares={"south": 0.9}, spill=100.0, paced=True))
-    # half of the keys are the south's; cold servers take half of theirs, whatever the fleet's pace
+    # half of the keys belong to the south; its cold servers get half of these, whatever the fleet's pace
     assert 0 < sum(b in "cd" for b in back) < 0.9 * 0.5 * 400 - 20
 
 
@@ -351,7 +350,7 @@
             d.end(f"q{i}", api.Status.OK)
         else:
             refused += 1
-    assert refused > 50 and sent > 100  # a spill of 1 lets nothing move but what was saved
+    assert refused > 50 and sent > 100  # a spill of 1 lets nothing move but the saved credit
 
 
 @needs_sources
@@ -362,7 +361,7 @@
         test_keys_go_over_once_in_a_return_and_to_where_they_belong()
 
 
-# The auditor's rule
+# The auditor's rule on the origin
 
 
 def test_an_origin_that_is_asked_for_too_much_in_any_second_is_told() -> None:
@@ -379,7 +378,7 @@
 BACK = {"what": "crash", "zone": "south", "at": 4.0, "seconds": 4.0}
 
 
-def shares_of(played: Any) -> dict[str, list[Mapping[str, float]]]:
+def shares_by_router(played: Any) -> dict[str, list[Mapping[str, float]]]:
     found: dict[str, list[Mapping[str, float]]] = {}
     for _, who, each in played.routers[0].meeting.shares:
         found.setdefault(who, []).append(each)
@@ -391,22 +390,22 @@
     played = zoned(faults, seconds=26.0, peers=NETWORK | {"origin_rate": 400.0})
     result = played.run()
     assert result.verdict["kept"], result.verdict["named"]
-    each = shares_of(played)
+    each = shares_by_router(played)
     assert len(each) == 12
-    for told in each.values():
-        assert {z for t in told for z in t} == {"south", "west"} and not told[-1]
+    for router_shares in each.values():
+        assert {z for t in router_shares for z in t} == {"south", "west"} and not router_shares[-1]
         for zone in ("south", "west"):
-            steps = [t[zone] for t in told if zone in t]
+            steps = [t[zone] for t in router_shares if zone in t]
             assert steps[0] <= pace.FIRST_SHARE / FULL_SHARE and steps == sorted(steps)
 
 
 # Six real routers
 
 
-def returned(played: Played, folder: Path) -> dict[str, list[tuple[float, float]]]:
-    """When each router went to which share of the south, in seconds since the load began."""
+def shares_over_time(played: Played, folder: Path) -> dict[str, list[tuple[float, float]]]:
+    """Return when each router set which share of the south, in seconds since the load began."""
     return {
-        log.stem: [(at - played.began, told.get("south", 1.0)) for at, told in zones_back(log)]
+        log.stem: [(at - played.began, by_zone.get("south", 1.0)) for at, by_zone in zones_back(log)]
         for log in sorted(folder.glob("router-*.log"))
     }
 
@@ -425,11 +424,11 @@
         {"what": "split", "at": MIDDLE, "routers": [0, 2, 4], "seconds": 4.0},
     ]
     played = Played(tmp_path, scenario(faults, seconds=23.0), rate=300.0)
-    played.kept()
-    for router, each in returned(played, tmp_path).items():
-        if router != "router-1":  # who stood still forgets, and may have gone by itself for a moment
+    played.check_rules()
+    for router, each in shares_over_time(played, tmp_path).items():
+        if router != "router-1":  # it forgot everything in its stall, and may have acted alone for a moment
             assert each and each[0][1] <= pace.FIRST_SHARE / FULL_SHARE + 0.001, each
-            # until the split: then the halves go apart, and the later word holds for both in the end
+            # Only until the split: then the halves differ, and in the end the later state wins in both.
             together = [share for at, share in each if at < MIDDLE]
             assert all(b <= 2 * a + 0.001 for a, b in pairwise(together)), each
         assert each[-1][1] == 1.0, each
@@ -443,16 +442,16 @@
     faults = [GONE, {"what": "crash", "at": MIDDLE, "zone": "south", "seconds": 5.0}]
     faults += [{"what": "restart", "at": MIDDLE + 9.5, "router": n, "kill": True} for n in (0, 2, 3, 5)]
     played = Played(tmp_path, scenario(faults, seconds=31.0), rate=300.0)
-    played.kept()
+    played.check_rules()
     for router, exits in played.left.items():
         again = [at for at, zones in exits if at > MIDDLE and zones == SOUTH]
         assert again and again[0] < MIDDLE + SOON, (router, exits)
         assert exits[-1][1] == frozenset()
-    for each in returned(played, tmp_path).values():
+    for each in shares_over_time(played, tmp_path).values():
         assert each[-1][1] == 1.0, each
 
 
-WEAK = {"what": "slow", "at": 8.05, "seconds": 60.0, "factor": 0.25}  # as soon as it has started again
+WEAK = {"what": "slow", "at": 8.05, "seconds": 60.0, "factor": 0.25}  # just after it has restarted
 SLOW: list[dict[str, Any]] = [GONE, *(WEAK | {"box": box} for box in ("std-1", "std-4"))]
 WORK: list[dict[str, Any]] = [
     {"name": "read", "work": 0.03, "aim": 0.5, "deadline": 1.5},
@@ -461,11 +460,11 @@
 
 
 @pytest.mark.processes
-@pytest.mark.parametrize("way", ["", "needs_no_proof", "returns_at_once"])
+@pytest.mark.parametrize("fault", ["", "needs_no_proof", "returns_at_once"])
 def test_a_zone_that_comes_back_slow_gets_little_and_one_who_needs_no_proof_is_caught(
-    way: str, tmp_path: Path
+    fault: str, tmp_path: Path
 ) -> None:
-    played = Played(tmp_path, scenario(SLOW, seconds=16.0, classes=WORK), rate=300.0, way=way)
-    each = returned(played, tmp_path).values()
-    # the right one goes up, sees that it hurts, and goes down again
-    assert (sum(bool(steps) and steps[-1][1] == 1.0 for steps in each) >= 4) is bool(way), each
+    played = Played(tmp_path, scenario(SLOW, seconds=16.0, classes=WORK), rate=300.0, fault=fault)
+    each = shares_over_time(played, tmp_path).values()
+    # the correct form raises the share, sees the overload, and lowers the share again
+    assert (sum(bool(steps) and steps[-1][1] == 1.0 for steps in each) >= 4) is bool(fault), each
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Leaving zones as a fleet: the rule, what merges, and what the decision module does with an order."""
+"""Leaving zones as a fleet: the exit rule, the merge of states, and how the decision module obeys orders."""
 
 from __future__ import annotations
 
@@ -82,9 +82,9 @@
 def test_tallies_come_as_they_went_and_within_their_room(each: dict[int, Tally], room: int) -> None:
     numbers = encode_tallies(each, room)
     assert sum(map(encoded_size, numbers)) <= max(1, room)
-    came, rest = decode_tallies((*numbers, 5, 6))
+    decoded, rest = decode_tallies((*numbers, 5, 6))
     assert rest == (5, 6)
-    assert all(came[zone] == each[zone] for zone in came)
+    assert all(decoded[zone] == each[zone] for zone in decoded)
 
 
 @given(st.lists(st.integers(0, 2**32), max_size=60))
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize(
-    ("seen", "word"),
+    ("evidence", "health"),
     [
         (Evidence(2, 0, 0), ZoneHealth.UNKNOWN),
         (Evidence(20, 0, 0), ZoneHealth.HEALTHY),
@@ -118,8 +118,8 @@
         (Evidence(10, 0, 10, 3), ZoneHealth.SLOW),
     ],
 )
-def test_what_it_looks_like_in_a_word(seen: Evidence, word: ZoneHealth) -> None:
-    assert exit_rule.zone_health(seen) is word
+def test_what_it_looks_like_in_a_word(evidence: Evidence, health: ZoneHealth) -> None:
+    assert exit_rule.zone_health(evidence) is health
 
 
 def test_half_a_zone_or_a_slow_one_is_not_left_and_one_witness_does_not_do() -> None:
@@ -127,28 +127,29 @@
         Evidence(0, 0, 9, 2), 6
     )
     assert not exit_rule.is_unreachable(Evidence(0, 50, 0, 1), 6)
-    few = Evidence(
-        40, 2, 3, 3, failures_in_row=5, routers_in_run=3
-    )  # before each left the servers out by itself
+    # the answers are from before each router banned the servers by itself
+    few = Evidence(40, 2, 3, 3, failures_in_row=5, routers_in_run=3)
     assert exit_rule.is_unreachable(few, 6) and not exit_rule.is_unreachable(
         replace(few, answered_short=1), 6
     )
     assert not exit_rule.is_unreachable(replace(few, routers_in_run=1), 6)
-    assert not exit_rule.is_unreachable(replace(few, routers_answered=2), 6)  # some have been answered since
+    # two routers have been answered since
+    assert not exit_rule.is_unreachable(replace(few, routers_answered=2), 6)
     assert exit_rule.is_unreachable(Evidence(0, 50, 0, 1), 1)  # the only router of its zone
     assert not exit_rule.is_unreachable(Evidence(10, 10, 0, 6), 6) and not exit_rule.is_unreachable(
         Evidence(10, 0, 20, 6), 6
     )
     own, rest = Evidence(0, 0, 0), Evidence(0, 20, 0, 4)
-    assert exit_rule.exit_evidence(own, rest, 3, 9) is rest  # who has not met it follows
-    assert exit_rule.exit_evidence(Evidence(9, 0, 0), rest, 3, 9) is None  # who reaches it stays
-    seldom = Evidence(1, 0, 0, answered_long=1)  # who has been answered by it, if seldom, stays as well
+    # routers without attempts of their own follow the fleet
+    assert exit_rule.exit_evidence(own, rest, 3, 9) is rest
+    assert exit_rule.exit_evidence(Evidence(9, 0, 0), rest, 3, 9) is None  # routers that reach the zone stay
+    seldom = Evidence(1, 0, 0, answered_long=1)  # a single answer suffices to stay
     assert exit_rule.exit_evidence(seldom, rest, 3, 9) is None
     assert exit_rule.exit_evidence(replace(seldom, failures_in_row=2, routers_in_run=1), rest, 3, 9) is rest
 
 
 class Fleet:
-    """Zones of several routers that hear one another at once, on one clock."""
+    """Coordinators of several routers, which receive one another's records at once, on one clock."""
 
     def __init__(self, *homes: str) -> None:
         self.now = 1000.0
@@ -222,7 +223,7 @@
     fleet = Fleet(*SIX)
     outs = []
     for _ in range(3):
-        for _ in range(6):  # what was counted before its return says nothing
+        for _ in range(6):  # counts from before the return must not matter
             fleet.attempts("south", Reach.REFUSED, times=1)
             fleet.run(0.2)
         assert set(fleet.left().values()) == {frozenset({"south"})}
@@ -266,7 +267,7 @@
         fleet.run(0.2, apart=("r0", "r2", "r4"))
     left = fleet.left()
     assert {left[n] for n in ("r0", "r2", "r4")} == {frozenset({"south"})}
-    for _ in range(5):  # whole again: those that reach it are not taken along by the word of the others
+    for _ in range(5):  # after the split: the others' state must not make those leave that reach the zone
         fleet.attempts("south", Reach.HEARD, "r1", "r3", "r5")
         fleet.run(0.2)
         left = fleet.left()
@@ -280,7 +281,7 @@
     zones = fleet.each["r0"]
     assert zones.current_order.zones
     zones.tick(fleet.now, [], {zones.home: 1}, peers_heard=False)
-    assert zones.current_order.zones  # for a moment it stays as it was
+    assert zones.current_order.zones  # during the grace time, the order stays
     zones.tick(fleet.now + NO_PEERS_GRACE, [], {zones.home: 1}, peers_heard=False)
     assert zones.current_order == api.ZonesLeft(
         spill=zones.spill, trial_every=zones.current_order.trial_every, paced=True
@@ -292,7 +293,7 @@
     zones.set_zone_sizes({"south": 2})
     zones.attempt_ended(1000.0, "south", Reach.REFUSED)
     zones.process_stalled(1005.0)
-    for _ in range(50):  # all that timed out meanwhile, for no fault of the zone
+    for _ in range(50):  # attempts that timed out because of the stall
         zones.attempt_ended(1005.1, "south", Reach.SILENT)
     assert zones.counts.tallies(1005.1) == {}
     zones.attempt_ended(1005.0 + IGNORED_AFTER_STALL, "south", Reach.SILENT)
@@ -311,7 +312,7 @@
 
 
 def test_doubts_of_some_that_are_no_news_take_no_newcomer_out() -> None:
-    """Routers that started anew left four zones and the origin by single doubts of others, seconds old."""
+    """Restarted routers left four zones and the origin on others' single failures, which were seconds old."""
     zones = ZoneCoordinator("r0", "north", 1000.0)
     zones.set_zone_sizes({"south": 2})
     doubt = encode_tallies({ident("south", 2): Tally(0, 0, 0, 9, 0, 1, 1)}, MAX_PAYLOAD_SIZE)
@@ -347,7 +348,7 @@
     fleet.attempts("south", Reach.REFUSED)
     fleet.each["r1"].order_zone(fleet.now, "south", ZoneMode.ORDERED_IN, 5.0)
     fleet.run(0.3)
-    assert set(fleet.left().values()) == {frozenset()}  # in, whatever the evidence says
+    assert set(fleet.left().values()) == {frozenset()}  # in use, whatever the evidence is
     with pytest.raises(ZonesError, match="nowhere"):
         fleet.each["r1"].order_zone(fleet.now, "nowhere", ZoneMode.ORDERED_OUT, 5.0)
 
@@ -362,7 +363,7 @@
 def test_routers_of_a_zone_that_have_heard_the_same_say_the_same(
     ends: list[tuple[str, Reach, str]], chance: object
 ) -> None:
-    """Whatever order records come in, and however often."""
+    """The order and the number of copies of the records make no difference."""
     senders = [ZoneCoordinator(f"s{i}", home, 1000.0) for i, home in enumerate(SIX)]
     for i, (zone, reach, _) in enumerate(ends):
         senders[i % 6].set_zone_sizes({"north": 2, "south": 2})
@@ -503,20 +504,20 @@
     for i in range(10):
         d.request(f"q{i}", key=f"k{i}")
         d.end(f"q{i}", api.Status.MISS if i % 2 else api.Status.OK)
-        if i % 2:  # it waits a while, and has time to come back elsewhere
+        if i % 2:  # it waits, but is refused early enough for a retry elsewhere
             assert f"q{i}" in d.open
             d.wait(0.9)
         assert d.ended[f"q{i}"] == ("refused" if i % 2 else "served")
     assert not any("o" in sent for sent in d.sends.values())
     d.feed(api.ZonesLeft())
-    d.now += 1.1  # spread over the routers
+    d.now += 1.1  # routers resume at different times
     d.request("later", key="x")
     d.end("later", api.Status.MISS)
     assert d.sends["later"][-1] == "o"
 
 
 def test_the_watch_is_told_once_of_each_attempt() -> None:
-    told_of: list[tuple[str, bool, Reach]] = []
+    reported: list[tuple[str, bool, Reach]] = []
 
     class Watch:
         def ended(
@@ -528,10 +529,10 @@
             pressed: bool = False,
             missed: bool = False,
         ) -> None:
-            told_of.append((zone, origin, reach))
+            reported.append((zone, origin, reach))
 
         def listed(self, zones: Mapping[str, int]) -> None:
-            raise AssertionError("the host tells this")
+            raise AssertionError("the host calls this")
 
     d = driver()
     d.router.watch = Watch()
@@ -540,8 +541,8 @@
     ):
         d.request(f"q{i}", key="k")
         d.end(f"q{i}", status)
-    assert [reach for _, _, reach in told_of[:4]] == [Reach.HEARD, Reach.REFUSED, Reach.REFUSED, Reach.HEARD]
-    assert {zone for zone, _, _ in told_of} <= {"north", "south"} and not any(o for _, o, _ in told_of)
+    assert [reach for _, _, reach in reported[:4]] == [Reach.HEARD, Reach.REFUSED, Reach.REFUSED, Reach.HEARD]
+    assert {zone for zone, _, _ in reported} <= {"north", "south"} and not any(o for _, o, _ in reported)
 
 
 # Whole fleets in virtual time, with the same modules
@@ -565,8 +566,8 @@
         "pieces": [{"seconds": 13.0, "rate": 300}],
         "classes": [{"name": "read", "aim": 0.5, "deadline": 1.5}],
     }
-    told_of = msgspec.convert(plain | changes, Scenario)
-    return World(told_of, msgspec.convert(load | {"keys": {"count": 200}}, Profile))
+    scenario = msgspec.convert(plain | changes, Scenario)
+    return World(scenario, msgspec.convert(load | {"keys": {"count": 200}}, Profile))
 
 
 def last_left(played: World) -> dict[str, frozenset[str]]:
@@ -603,7 +604,7 @@
 
 
 class Deaf(Router):
-    """Broken on purpose: hears of no order."""
+    """A router with a deliberate fault: it ignores orders to leave zones."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         return [] if isinstance(event, api.ZonesLeft) else super().handle(now, event)
@@ -645,7 +646,7 @@
         lost = tiers.lost_share(zone, sizes, left)
         had += count * (1.0 - lost)
         moved += count * (tiers.spill_bound(bound, zone, sizes, left, routers) - 1.0) * (1.0 - lost)
-    # no router may lose all of its load: then nothing stays that the bound could go by
+    # This holds only if no router loses all of its load: else no load is left to measure the bound by.
     assert moved <= (bound - 1.0) * had * (1 + 1e-9) + 1e-9
     assert Tiers().spill_bound(bound, "north", sizes, left, routers) == bound
 
@@ -658,7 +659,7 @@
 
     def shares() -> dict[str, float]:
         seen = Counter[str]()
-        d.now += 2 * tuning.PAUSE  # so that those that are back are asked again
+        d.now += 2 * tuning.PAUSE  # until servers that are back in use are asked again
         for i in range(600):
             name = f"{d.now}-{i}"
             d.request(name, key=f"k{i}")
@@ -727,7 +728,7 @@
         Seal("b", *steps[3]).open(Seal("a", *steps[0]).pack("b", [1, 2]), 2, 1)
 
 
-# Its place in the operators' file
+# The table in the operators' file
 
 
 GOOD = """
@@ -740,7 +741,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ("[fleet]", "[flet]", "flet"),
         ("zone =", "zones =", "zones"),
@@ -757,20 +758,20 @@
     ],
 )
 def test_a_file_that_can_t_hold_is_named_with_its_place(
-    old: str, new: str, said: str, tmp_path: Path
+    old: str, new: str, message: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "router.toml"
     path.write_text(GOOD)
     table = read_operators(path).fleet
     assert table is not None and table.spill == 3.0
     path.write_text(GOOD.replace(old, new))
-    with pytest.raises(ConfigError, match=said) as told_of:
+    with pytest.raises(ConfigError, match=message) as error:
         read_operators(path)
-    assert "router.toml" in str(told_of.value)
+    assert "router.toml" in str(error.value)
 
 
-def config(talk: bool, **more: Any) -> Config:
-    settings = {"classes": [{"name": "read"}], "zone": "north", "me": 1, "limits": {"peers": talk}}
+def config(peers_allowed: bool, **more: Any) -> Config:
+    settings = {"classes": [{"name": "read"}], "zone": "north", "me": 1, "limits": {"peers": peers_allowed}}
     known = {"index": 1, "snapshot": True, "endpoints": []}
     plain = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "known": known}
     return read_config(json.dumps(plain | {"settings": settings} | more).encode())
@@ -783,23 +784,23 @@
     path.write_text(f'[fleet]\nkey_file = "{key}"\n')
     table = read_operators(path).fleet
     assert table is not None
-    there = {"peer_listen": "127.0.0.1:7", "peers": ["127.0.0.1:6", "127.0.0.1:7"]}
+    addresses = {"peer_listen": "127.0.0.1:7", "peers": ["127.0.0.1:6", "127.0.0.1:7"]}
 
-    def made(conf: Config) -> GossipSocket | None:
+    def make(conf: Config) -> GossipSocket | None:
         assert table is not None
         return make_gossip_socket(table, conf, lambda: 0.0, lambda event: None)
 
-    assert made(config(False, **there)) is None and made(config(True)) is None
-    end = made(config(True, **there))
+    assert make(config(False, **addresses)) is None and make(config(True)) is None
+    end = make(config(True, **addresses))
     assert end is not None
     assert (end.agent.settings.name, end.agent.settings.zone, end.bind) == ("1", "north", ("127.0.0.1", 7))
     path.write_text(GOOD.replace("KEY", str(key)))
     table = read_operators(path).fleet
-    end = made(config(False))
+    end = make(config(False))
     assert end is not None and end.bind == ("127.0.0.1", 7001) and set(end.peers) == {"a", "b"}
     key.write_bytes(b"short")
     with pytest.raises(ConfigError, match="fleet"):
-        made(config(False))
+        make(config(False))
     with pytest.raises(ConfigError, match=r"peers\[0\]"):
         config(True, peer_listen="127.0.0.1:7", peers=["here"])
 
--- a/tests/wrong_zones.py
+++ b/tests/wrong_zones.py
@@ -1,4 +1,4 @@
-"""A real router that leaves zones wrongly in one way, on purpose: `python -m tests.wrong_zones WAY`."""
+"""A real router with one deliberate fault in leaving zones: `python -m tests.wrong_zones FAULT`."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 def counts_twice() -> None:
-    """What does not come through counts again with each record that repeats it, as if others had seen it."""
-    added = exit_rule.sum_tallies
+    """Counts failures again with each record that repeats them, as if more routers had seen them."""
+    plain_sum = exit_rule.sum_tallies
 
-    def again(tallies: object) -> Evidence:
+    def sum_with_repeats(tallies: object) -> Evidence:
         each: list[Tally] = list(tallies)  # type: ignore[call-overload]
-        return added([*each, *(t for t in each if t.failed_long and not t.answered for _ in range(49))])
+        return plain_sum([*each, *(t for t in each if t.failed_long and not t.answered for _ in range(49))])
 
-    exit_rule.sum_tallies = again
+    exit_rule.sum_tallies = sum_with_repeats
 
 
 def believes_one() -> None:
-    """One router's word is enough, whatever the others reach."""
+    """Leaves a zone on the evidence of one router, whatever the others reach."""
     exit_rule.is_unreachable = lambda evidence, members, min_attempts=1: (
         evidence.silent + evidence.refused >= exit_rule.MIN_ATTEMPTS
     )
@@ -35,24 +35,24 @@
 
 
 def has_no_hysteresis() -> None:
-    """Comes back with the first answer, and leaves at the first doubt."""
+    """Returns with the first answer, and leaves after few failures."""
     exit_rule.MIN_OUT, exit_rule.UNREACHABLE_SHARE, exit_rule.MIN_ATTEMPTS = 0.0, 0.3, 2
     exit_rule.is_back = lambda tallies: any(t.answered_long for t in tallies)
 
 
 def moves_all() -> None:
-    """Sends survivors whatever has lost its server."""
+    """Moves all requests that lost their server to the survivors."""
     Leaving.moves = lambda self, worth, most: True  # type: ignore[method-assign]
 
 
 def returns_at_once() -> None:
-    """Returns to all of a zone with the first trials that come through."""
+    """Returns to all of a zone after the first answered trials."""
     pace.FIRST_SHARE = FULL_SHARE
     pace.next_share = lambda share, age, view, origin_rate: FULL_SHARE
 
 
 def needs_no_proof() -> None:
-    """Goes on by the clock, whatever the zone that comes back bears."""
+    """Takes the next step of a return after a fixed time, however overloaded the zone is."""
     usual = pace.next_share
     pace.next_share = lambda share, age, view, origin_rate: usual(
         share, age, pace.ReturnView(20, routers_share=1.0), 0.0
@@ -60,7 +60,7 @@
 
 
 def one_of_another_version() -> None:
-    """One router of the fleet, by its configuration's name: not wrong, but older or newer than the others."""
+    """Gives one router of the fleet another protocol version, as an older or newer release has."""
     if Path(os.environ["RELAY_CONFIG"]).stem == "router-1":
         gossip.VERSION += 1
 
