--- a/myrtlecourse/peers/gossip_socket.py
+++ b/myrtlecourse/peers/gossip_socket.py
@@ -82,11 +82,15 @@
         for change in result.changes:
             log.info("zone %s: %s", change.zone, change.text)
         if result.zones_left is not None:
-            left = sorted(result.zones_left.zones) + (["the origin"] if result.zones_left.origin else [])
+            left = sorted(result.zones_left.zones) + (
+                ["the origin"] if result.zones_left.origin_unreachable else []
+            )
             if left != self.last_left:
                 log.info("zones left: %s", ", ".join(left) or "none")
             self.last_left = left
-            returning = {zone: round(share, 3) for zone, share in sorted(result.zones_left.shares.items())}
+            returning = {
+                zone: round(share, 3) for zone, share in sorted(result.zones_left.return_shares.items())
+            }
             if returning != self.last_returning:
                 log.info(
                     "zones coming back: %s", " ".join(f"{z}={s}" for z, s in returning.items()) or "none"
--- a/myrtlecourse/sim/meeting.py
+++ b/myrtlecourse/sim/meeting.py
@@ -68,8 +68,10 @@
             for pause in self.ways.fate((router.name, datagram.to)):
                 self.core.after(pause, self._arrive, self.routers[datagram.to], datagram.data)
         if done.zones_left is not None:
-            self.orders.append((self.core.now, router.name, done.zones_left.zones, done.zones_left.origin))
-            self.shares.append((self.core.now, router.name, done.zones_left.shares))
+            self.orders.append(
+                (self.core.now, router.name, done.zones_left.zones, done.zones_left.origin_unreachable)
+            )
+            self.shares.append((self.core.now, router.name, done.zones_left.return_shares))
         for event in done.events:
             router.post(event)
 
--- a/myrtlecourse/spread/parent.py
+++ b/myrtlecourse/spread/parent.py
@@ -1,7 +1,7 @@
-"""Whom a node reports to, and the lease that it has of it.
+"""A node's choice of parent, and the lease that the parent grants it.
 
-The lease runs from the moment of the report that the answer repeats, on the node's own clock: however long
-either was under way, it ends before the parent counts the node no more (Gray and Cheriton, 1989).
+The lease begins when the node sent the report that the answer echoes, on the node's own clock. However long
+both messages were under way, it ends before the parent stops counting the node (Gray and Cheriton, 1989).
 """
 
 from __future__ import annotations
@@ -9,110 +9,122 @@
 import math
 import random
 
-from myrtlecourse.spread.messages import Beat, Settings
+from myrtlecourse.spread.messages import Heartbeat, Settings
 
-SILENT = 3  # reports without an answer after which a parent is left
-IN_VAIN = 3  # leases after which one is left that answers and grants nothing
-HOME = 10  # leases after which a node that is with a late candidate tries its first again
-TRIAL = 2  # leases that such a trial lasts
+MAX_UNANSWERED_REPORTS = 3  # reports without an answer after which a parent is replaced
+MAX_LEASES_WITHOUT_GRANT = 3  # leases after which a parent that answers without granting a lease is replaced
+# leases after which a node whose parent is a late candidate tries its first candidate again
+LEASES_BEFORE_TRIAL = 10
+TRIAL_LEASES = 2  # leases for which such a trial lasts
 
 
 class Parent:
-    """A node's choice among its candidates."""
+    """Chooses a parent among the candidates."""
 
     def __init__(self, settings: Settings, candidates: tuple[str, ...], now: float, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.candidates = candidates
-        self.at = 0
-        self.trial = ""  # the first candidate, while it is tried beside the present parent
+        self.index = 0
+        self.trial_parent = ""  # the first candidate, while it is tried in parallel with the present parent
         self.trial_until = math.inf
-        self.moved = 0
-        self.stamp = self.random.getrandbits(48)  # guards against answers to the process before this one
-        self.sent: dict[int, float] = {}  # when each report of the last lease went out
+        self.moves = 0
+        # random, so that answers to a previous process are not mistaken for answers to this one
+        self.stamp = self.random.getrandbits(48)
+        self.sent_reports: dict[int, float] = {}  # by stamp: when each report of the last lease was sent
         self.lease_until = -math.inf
-        self.last = 0  # of the log, as the parent has told
-        self.heard_at = self.granted_at = self.since = now
-        self.patience = self._patience()
-        self.refused = False  # by the present parent
+        self.log_end = 0  # number of the parent's last entry
+        self.heard_at = self.granted_at = self.chosen_at = now
+        self.silence_limit = self._draw_silence_limit()
+        self.refused = False  # the present parent has answered `NoCapacity`
 
     @property
     def name(self) -> str:
-        """The present parent; empty: there is nobody."""
-        return self.candidates[self.at] if self.candidates else ""
+        """The present parent; empty when there is none."""
+        return self.candidates[self.index] if self.candidates else ""
 
-    def _patience(self) -> float:
-        """Guards a new parent against all children of a dead one in one moment."""
-        return (SILENT + 2 * self.random.random()) * self.settings.report
+    def _draw_silence_limit(self) -> float:
+        """Return a random time limit, so that not all children of a dead parent turn to a new one at the same
+        moment."""
+        return (MAX_UNANSWERED_REPORTS + 2 * self.random.random()) * self.settings.report
 
-    def follow(self, now: float, candidates: tuple[str, ...]) -> None:
-        """Others than before may be the parent: a control machine's, when the holder changes."""
+    def set_candidates(self, now: float, candidates: tuple[str, ...]) -> None:
+        """Replace the candidates; on a control node the leader is the only one."""
         if candidates != self.candidates:
-            self.candidates, self.at, self.trial = candidates, 0, ""
-            self._taken(now)
+            self.candidates, self.index, self.trial_parent = candidates, 0, ""
+            self._reset(now)
 
-    def _taken(self, now: float) -> None:
-        self.heard_at = self.granted_at = self.since = now
-        self.patience = self._patience()
+    def _reset(self, now: float) -> None:
+        self.heard_at = self.granted_at = self.chosen_at = now
+        self.silence_limit = self._draw_silence_limit()
         self.refused = False
-        self.last = 0
+        self.log_end = 0
 
-    def reports_to(self) -> tuple[str, ...]:
-        """The present parent, and the one that is tried."""
-        return tuple(n for n in (self.name, self.trial) if n)
+    def report_targets(self) -> tuple[str, ...]:
+        """Return the present parent and the parent on trial."""
+        return tuple(n for n in (self.name, self.trial_parent) if n)
 
     def next_stamp(self, now: float) -> int:
-        """For a report that goes out now."""
+        """Return the stamp of a report that is sent now."""
         self.stamp += 1
-        self.sent[self.stamp] = now
-        while next(iter(self.sent.values())) < now - self.settings.lease:
-            del self.sent[next(iter(self.sent))]
+        self.sent_reports[self.stamp] = now
+        while next(iter(self.sent_reports.values())) < now - self.settings.lease:
+            del self.sent_reports[next(iter(self.sent_reports))]
         return self.stamp
 
-    def tick(self, now: float, waits: bool) -> None:
-        """Leave a parent that is silent, refuses, or grants nothing though nothing is missing here (`waits`);
-        later try the first again."""
+    def tick(self, now: float, caught_up: bool) -> None:
+        """Replace a parent that is silent, has no capacity, or grants no lease although this node has all of
+        its entries (`caught_up`); later try the first candidate again."""
         lease = self.settings.lease
-        if not waits:
+        if not caught_up:
             self.granted_at = max(self.granted_at, now - lease)
-        in_vain = now - self.granted_at > IN_VAIN * lease + 5 * self.patience
-        silent = now - self.heard_at > self.patience
-        if len(self.candidates) > 1 and (silent or in_vain or (self.refused and now > self.since)):
-            self.at = (self.at + 1) % len(self.candidates)
-            if self.name == self.trial:
-                self.trial = ""
-            self.moved += 1
-            self._taken(now)
-        if self.trial and now > self.trial_until:
-            self.trial, self.since = "", now
-        elif not self.trial and self.at > 1 and now - self.since > HOME * lease * (1 + self.random.random()):
-            self.trial, self.trial_until = self.candidates[0], now + TRIAL * lease
-
-    def full(self, now: float, sender: str) -> None:
-        """One can't bear another child."""
-        if sender == self.trial:
-            self.trial, self.since = "", now
+        without_grant = now - self.granted_at > MAX_LEASES_WITHOUT_GRANT * lease + 5 * self.silence_limit
+        silent = now - self.heard_at > self.silence_limit
+        if len(self.candidates) > 1 and (silent or without_grant or (self.refused and now > self.chosen_at)):
+            self.index = (self.index + 1) % len(self.candidates)
+            if self.name == self.trial_parent:
+                self.trial_parent = ""
+            self.moves += 1
+            self._reset(now)
+        if self.trial_parent and now > self.trial_until:
+            self.trial_parent, self.chosen_at = "", now
+        elif (
+            not self.trial_parent
+            and self.index > 1
+            and now - self.chosen_at > LEASES_BEFORE_TRIAL * lease * (1 + self.random.random())
+        ):
+            self.trial_parent, self.trial_until = self.candidates[0], now + TRIAL_LEASES * lease
+
+    def on_no_capacity(self, now: float, sender: str) -> None:
+        """Process `NoCapacity` from the parent or the parent on trial."""
+        if sender == self.trial_parent:
+            self.trial_parent, self.chosen_at = "", now
         elif sender == self.name:
             self.refused = True
 
-    def beat(self, now: float, sender: str, beat: Beat, granted_until: float) -> str:
-        """Take an answer. Returns a parent that is to be left: it has been replaced by the one on trial.
+    def on_heartbeat(self, now: float, sender: str, heartbeat: Heartbeat, granted_until: float) -> str:
+        """Process an answer to a report. Return the name of the former parent when the one on trial has
+        replaced it, else an empty string.
 
-        That one's lease must bear all grants given on from the old one's, or those would be counted nowhere.
+        The new parent's lease must cover all leases that this node has granted on the strength of the old
+        one, because no other node would count them.
         """
-        sent = self.sent.get(beat.echo)
-        until = -math.inf if sent is None or not beat.good_for else sent + beat.good_for / 1000.0
+        sent_at = self.sent_reports.get(heartbeat.echo)
+        lease_until = (
+            -math.inf if sent_at is None or not heartbeat.good_for else sent_at + heartbeat.good_for / 1000.0
+        )
         if sender == self.name:
             self.heard_at = now
-            self.last = max(self.last, beat.last)
-            if until > now:
-                self.lease_until, self.granted_at = max(self.lease_until, until), now
-        elif sender == self.trial and until > now and until >= granted_until:
-            left = self.name
-            self.at, self.trial = self.candidates.index(sender), ""
-            self.moved += 1
-            self._taken(now)
-            self.lease_until, self.last = until, beat.last
-            self.sent.clear()  # guards the old one, which counts this node no more, against being believed
-            return left
+            self.log_end = max(self.log_end, heartbeat.last)
+            if lease_until > now:
+                self.lease_until, self.granted_at = max(self.lease_until, lease_until), now
+        elif sender == self.trial_parent and lease_until > now and lease_until >= granted_until:
+            former_parent = self.name
+            self.index, self.trial_parent = self.candidates.index(sender), ""
+            self.moves += 1
+            self._reset(now)
+            self.lease_until, self.log_end = lease_until, heartbeat.last
+            # Answers of the old parent, which no longer counts this node, must not be accepted.
+            self.sent_reports.clear()
+            return former_parent
         return ""
--- a/myrtlecourse/zones/agent.py
+++ b/myrtlecourse/zones/agent.py
@@ -43,7 +43,7 @@
 
     datagrams: list[Datagram]
     events: list[api.Event]  # for the decision module
-    zones_left: api.ZonesLeft | None  # the one among them, if it changed
+    zones_left: api.ZoneExit | None  # the one among them, if it changed
     changes: list[StateChange]  # for the log
 
 
@@ -93,8 +93,8 @@
         zones.paced, zones.returns.origin_rate = settings.paced, settings.origin_rate
         self.settings = settings
 
-    def listed(self, zones: Mapping[str, int]) -> None:
-        """Set how many cache servers the list names in each zone (`api.Watch`)."""
+    def servers_listed(self, zones: Mapping[str, int]) -> None:
+        """Set how many cache servers the list names in each zone (`api.ReachabilityObserver`)."""
         self.zones.set_zone_sizes(zones)
 
     def _compute_weights(self) -> dict[str, float]:
@@ -103,16 +103,16 @@
         each = {zone: tiers.weight(home, zone) for zone in self.zones.sizes}
         return {zone: weight for zone, weight in each.items() if weight != 1.0}
 
-    def ended(
+    def attempt_ended(
         self,
         now: float,
         zone: str,
         origin: bool,
-        reach: api.Reach,
+        reach: api.Reachability,
         pressed: bool = False,
         missed: bool = False,
     ) -> None:
-        """Count an attempt that has ended (`api.Watch`)."""
+        """Count an attempt that has ended (`api.ReachabilityObserver`)."""
         if self.zones.attempt_ended(now, ORIGIN if origin else zone, reach, pressed, missed):
             self.gossip.spread_urgently(now)
 
@@ -144,7 +144,7 @@
             events.append(left)
         if (weights := self._compute_weights()) != self.zone_weights:
             self.zone_weights = weights
-            events.append(api.Preferred(weights))
+            events.append(api.ZonePreferences(weights))
         changes, zones.changes = zones.changes, []
         return TickResult(datagrams, events, left, changes)
 
@@ -190,12 +190,12 @@
                     "left_s": round(ordered.order_ends - now, 1)
                     if ordered and ordered.order_ends < math.inf
                     else None,
-                    "left": zones.current_order.origin
+                    "left": zones.current_order.origin_unreachable
                     if name == ORIGIN
                     else name in zones.current_order.zones,
                     "alone": ident(name, 2) in zones.isolated_from,
-                    "share": round(zones.current_order.shares[name], 3)
-                    if name in zones.current_order.shares
+                    "share": round(zones.current_order.return_shares[name], 3)
+                    if name in zones.current_order.return_shares
                     else None,
                     "waits": zones.returns.blocked_by.get(ident(name, 2), ""),
                 }
--- a/myrtlecourse/zones/core.py
+++ b/myrtlecourse/zones/core.py
@@ -108,7 +108,7 @@
         self.decoded: dict[int, tuple[Record, dict[int, Tally]]] = {}  # tallies in them, by owner
         self.routers = {self.home: 1}  # number of routers present, by zone
         self.fleet_size = 1
-        self.current_order = api.ZonesLeft()
+        self.current_order = api.ZoneExit()
         self.changes: list[StateChange] = []
         # since when others reach a zone that this router does not reach
         self.unreached_since: dict[int, float] = {}
@@ -124,7 +124,7 @@
     # Evidence
 
     def attempt_ended(
-        self, now: float, zone: str, reach: api.Reach, pressed: bool = False, missed: bool = False
+        self, now: float, zone: str, reach: api.Reachability, pressed: bool = False, missed: bool = False
     ) -> bool:
         """Count an attempt at a zone that has ended; returns whether to spread the news at once."""
         if now < self.ignores_until:
@@ -133,9 +133,9 @@
         before = self.counts.tallies(now).get(zone_id, Tally())
         self.counts.add(now, zone_id, reach, pressed, missed)
         if zone_id in self._left_zone_ids():
-            return reach is api.Reach.HEARD and not before.answered  # the zone may have recovered
+            return reach is api.Reachability.ANSWERED and not before.answered  # the zone may have recovered
         return (
-            reach is not api.Reach.HEARD
+            reach is not api.Reachability.ANSWERED
             and not before.failed
             and before.answered < ANSWERS_OUTWEIGHING_FAILURE
         )
@@ -428,7 +428,7 @@
 
     def _left_zone_ids(self) -> set[int]:
         zones = {ident(z, 2) for z in self.current_order.zones}
-        return zones | ({ident(ORIGIN, 2)} if self.current_order.origin else set())
+        return zones | ({ident(ORIGIN, 2)} if self.current_order.origin_unreachable else set())
 
     def _update_order(self, now: float, left: frozenset[int], returning: Mapping[int, int]) -> None:
         """Make a new order for the decision module if it differs from the last one: which zones are left, and
@@ -442,16 +442,18 @@
             self.names[n] for n in left if n != origin and self._operator_mode(n) is ZoneMode.ORDERED_OUT
         )
         before = self.current_order
-        if abs(trial_every - before.trial_every) <= ORDER_TOLERANCE * before.trial_every:
-            trial_every = before.trial_every  # one router more or less does not make a new order
+        if abs(trial_every - before.trial_interval) <= ORDER_TOLERANCE * before.trial_interval:
+            trial_every = before.trial_interval  # one router more or less does not make a new order
         routers = {self.names.get(number, ""): count for number, count in self.routers.items()}
         spill = self.tiers.spill_bound(self.spill, self.names[self.home], self.sizes, zones, routers)
-        if abs(spill - before.spill) <= ORDER_TOLERANCE * before.spill and zones == before.zones:
-            spill = before.spill
+        if abs(spill - before.spill_limit) <= ORDER_TOLERANCE * before.spill_limit and zones == before.zones:
+            spill = before.spill_limit
         shares = {self.names[n]: share / FULL_SHARE for n, share in returning.items()}
         left_origin = self.leave_origin and origin in left
-        order = api.ZonesLeft(zones, left_origin, forced, spill, trial_every, shares, self.paced)
-        if order != before and any((o.zones or o.origin or o.shares) for o in (order, before)):
+        order = api.ZoneExit(zones, left_origin, forced, spill, trial_every, shares, self.paced)
+        if order != before and any(
+            (o.zones or o.origin_unreachable or o.return_shares) for o in (order, before)
+        ):
             self.current_order = order
 
     # Operators
--- a/myrtlecourse/zones/tallies.py
+++ b/myrtlecourse/zones/tallies.py
@@ -9,7 +9,7 @@
 
 from dataclasses import astuple, dataclass, fields, replace
 
-from myrtlecourse.interface import Reach
+from myrtlecourse.interface import Reachability
 
 PERIOD = 0.25  # seconds
 SHORT_PERIODS = 2  # periods in the short window, which suffices in a fleet with much traffic
@@ -81,15 +81,15 @@
                     del self.periods_by_zone[zone]
 
     def add(
-        self, now: float, zone: int, reach: Reach, overloaded: bool = False, missed: bool = False
+        self, now: float, zone: int, reach: Reachability, overloaded: bool = False, missed: bool = False
     ) -> None:
         """Count an attempt at a zone that has ended or is long overdue."""
         self._advance(now)
         periods = self.periods_by_zone.setdefault(zone, [[0] * 5 for _ in range(LONG_PERIODS)])
-        periods[0][(Reach.HEARD, Reach.REFUSED, Reach.SILENT).index(reach)] += 1
+        periods[0][(Reachability.ANSWERED, Reachability.REFUSED, Reachability.SILENT).index(reach)] += 1
         periods[0][3] += overloaded
         periods[0][4] += missed
-        if reach is Reach.HEARD:
+        if reach is Reachability.ANSWERED:
             self.runs.pop(zone, None)
         else:
             # Runs are kept beside the counts because each router bans failing servers by itself, before its
