--- a/myrtlecourse/spread/log_duty.py
+++ b/myrtlecourse/spread/log_duty.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from myrtlecourse.duties import messages as duties
-from myrtlecourse.duties.keeper import Keeper as DutyKeeper
+from myrtlecourse.duties.driver import DutyDriver
 from myrtlecourse.spread.driver import Driver
 from myrtlecourse.spread.messages import Entry, SpreadError
 from myrtlecourse.spread.replica_events import Acknowledge, Refuse
@@ -17,28 +17,28 @@
 class LogDuty:
     """The duty of writing the log. It has no numbered orders; its fencing token is the log's epoch."""
 
-    def __init__(self, duty: str, duty_driver: DutyKeeper, driver: Driver) -> None:
+    def __init__(self, duty: str, duty_driver: DutyDriver, driver: Driver) -> None:
         self.duty = duty
         self.duties = duty_driver
         self.driver = driver
-        driver.held_token = lambda: duty_driver.may(duty)
+        driver.held_token = lambda: duty_driver.acting_token(duty)
 
     def able(self) -> bool:
         """Return whether this process can lead; it can't while its predecessor still holds the log."""
         return self.driver.replica is not None and not self.driver.failure
 
-    def took(self, token: int, value: duties.Value) -> None:
+    def on_acquired(self, token: int, value: duties.Value) -> None:
         self.driver.gain_leadership(token)
 
-    def lost(self) -> None:
+    def on_lost(self) -> None:
         self.driver.lose_leadership()
         # The duty must not be called back from within its own notification.
-        asyncio.get_running_loop().call_soon(self.duties.post, duties.Stopped(self.duty))
+        asyncio.get_running_loop().call_soon(self.duties.post, duties.WorkStopped(self.duty))
 
-    def settled(self, token: int, number: int) -> None:
+    def on_committed(self, token: int, number: int) -> None:
         """Ignored, because this duty has no orders."""
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Do nothing, because this duty has nothing periodic."""
 
     async def close(self) -> None:
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The wire: every event and action both ways, and bad input."""
+"""The JSON protocol: every event and action, and invalid input."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 
 def test_settings_defaults() -> None:
     conf = read_settings({"classes": [{"name": "x"}]})
-    # what is not told is taken at its most careful: no repeats, no second copies, one attempt
+    # defaults are the safest values: no repeats, no hedging, one attempt
     assert conf.classes["x"].effect is api.Effect.UNSAFE
     assert (conf.hedging, conf.may_cancel, conf.max_attempts) == (False, False, 1)
 
@@ -126,7 +126,7 @@
     play(host, 1.1, ask("1"))
     play(host, 1.2, done("1", 0, outcome, outcome == "delivered"))
     router = host.routers[3]
-    assert sum(s.load for s in router.servers.values()) == len(router.attempts) <= 1
+    assert sum(s.in_flight for s in router.servers.values()) == len(router.attempts) <= 1
 
 
 def test_every_list_kind_and_state_is_taken() -> None:
--- a/tests/wrong_zones.py
+++ b/tests/wrong_zones.py
@@ -9,7 +9,7 @@
 
 from myrtlecourse import __main__
 from myrtlecourse.peers import gossip
-from myrtlecourse.policy.leaving import Leaving
+from myrtlecourse.policy.zone_exit import ZoneExitControl
 from myrtlecourse.zones import exit_rule, pace
 from myrtlecourse.zones.exit_rule import FULL_SHARE, Evidence
 from myrtlecourse.zones.tallies import Tally
@@ -42,7 +42,7 @@
 
 def moves_all() -> None:
     """Moves all requests that lost their server to the survivors."""
-    Leaving.moves = lambda self, worth, most: True  # type: ignore[method-assign]
+    ZoneExitControl.allow_move = lambda self, value, highest_value: True  # type: ignore[method-assign]
 
 
 def returns_at_once() -> None:
