--- a/tests/test_duty_parts.py
+++ b/tests/test_duty_parts.py
@@ -24,7 +24,7 @@
 from myrtlecourse.duties.steps import StepAction, Steps
 from myrtlecourse.election import messages as election
 from myrtlecourse.operators import read_operators
-from myrtlecourse.peers.seal import Dropped
+from myrtlecourse.peers.seal import MAX_DATAGRAM, Dropped
 from myrtlecourse.peers.wire import Wire
 from tests.loopback import run
 
