--- a/myrtlecourse/policy/members.py
+++ b/myrtlecourse/policy/members.py
@@ -119,7 +119,7 @@
             longest = min(longest, self.settings.drain_grace / 8)
         pause = min(longest, self.settings.fall_window * 2.0 ** (self.list_failures - 2))
         self.actions.append(api.SetTimer(pause * self.random.uniform(0.5, 1.0), "list"))
-        self.actions.append(api.Log(f"list unavailable, consecutive failures: {self.list_failures}"))
+        self.actions.append(api.Log(f"list unavailable, {self.list_failures} consecutive failures"))
 
     def _is_origin(self, entry: api.ServerEntry) -> bool:
         return self.settings.cache_aside and entry.kind == self.settings.origin_kind
