--- a/myrtlecourse/duties/steps.py
+++ b/myrtlecourse/duties/steps.py
@@ -1,8 +1,8 @@
-"""A duty that is done in numbered steps, each by one router and once; events in, actions out, no I/O.
+"""A duty done in numbered steps, each by one router and at most once; events in, actions out, no I/O.
 
-The state holds the last step that was claimed, the last that ended, and when the last was claimed. A step is
-begun only after a majority has taken its claim, so that no later holder begins it again: at most once. One
-that was claimed and is not known to have ended is told to staff, and not repeated.
+The state holds the last step that was claimed, the last that finished, and the time of the last claim. A step
+runs only after a majority of the members has accepted its claim, so that no later holder runs it again. A
+step that was claimed and is not known to have finished is reported to operators and not repeated.
 """
 
 from __future__ import annotations
@@ -14,72 +14,73 @@
 from myrtlecourse.duties.messages import Value
 
 
-class What(Enum):
+class StepAction(Enum):
     """What is to be done."""
 
-    PLACE = "place"  # order this state
-    RUN = "run"  # begin the step, if the duty is still held at that moment
-    LEFT = "left"  # tell staff: a step before was claimed and is not known to have ended
+    SET_STATE = "place"  # order this state to the members
+    RUN = "run"  # run the step, if the duty is still held at that moment
+    UNFINISHED = "left"  # report that an earlier step was claimed and is not known to have finished
 
 
 @dataclass(slots=True, frozen=True)
-class Do:
-    """One thing to do."""
+class StepTask:
+    """One action to be carried out."""
 
-    what: What
+    action: StepAction
     step: int
     value: Value = ()
 
 
 class Steps:
-    """A holder's part."""
+    """A holder's part in the steps."""
 
     def __init__(self, every: float) -> None:
-        """A step every so many seconds."""
+        """`every` is the time in seconds from one step to the next."""
         self.every = every
-        self.token = 0  # 0: not the holder
+        self.token = 0  # 0: this process does not hold the duty
         self.claimed = self.ended = 0
         self.claimed_at = 0  # Unix time in seconds
-        self.claiming: int | None = None  # the order that has to last first
+        # number of the order that has to be committed before the step runs
+        self.claim_order: int | None = None
         self.running = False
-        self.due = math.inf  # on the own clock
+        self.next_step_at = math.inf  # on the monotonic clock
 
-    def took(self, now: float, wall: float, token: int, value: Value) -> list[Do]:
-        """The duty is this process's; `wall` is the Unix time."""
+    def on_acquired(self, now: float, wall: float, token: int, value: Value) -> list[StepTask]:
+        """Starts a holding of the duty; `wall` is the Unix time in seconds."""
         self.token = token
         self.claimed, self.ended, self.claimed_at = value if len(value) == 3 else (0, 0, 0)
-        self.claiming, self.running = None, False
-        # guards the pace: a new holder goes on when the one before would have, and at the latest a step later
+        self.claim_order, self.running = None, False
+        # keeps the pace: a new holder continues when the previous one would have, and at most one step later
         since = min(max(0.0, wall - self.claimed_at), self.every)
-        self.due = now + (self.every - since)
-        return [Do(What.LEFT, self.claimed)] if self.claimed > self.ended else []
+        self.next_step_at = now + (self.every - since)
+        return [StepTask(StepAction.UNFINISHED, self.claimed)] if self.claimed > self.ended else []
 
-    def lost(self) -> None:
-        """It is not any more."""
-        self.token, self.due, self.claiming = 0, math.inf, None
+    def on_lost(self) -> None:
+        """Ends the holding."""
+        self.token, self.next_step_at, self.claim_order = 0, math.inf, None
 
-    def tick(self, now: float, wall: float, last: int) -> list[Do]:
-        """What is due; `last` is the number of the order before."""
-        if not self.token or now < self.due or self.running or self.claiming is not None:
+    def tick(self, now: float, wall: float, last_order: int) -> list[StepTask]:
+        """Claims the next step when it is due; `last_order` is the number of the holder's last order."""
+        if not self.token or now < self.next_step_at or self.running or self.claim_order is not None:
             return []
         self.claimed, self.claimed_at = self.claimed + 1, int(wall)
-        self.claiming = last + 1
-        self.due = now + self.every
-        return [Do(What.PLACE, self.claimed, self._value())]
+        self.claim_order = last_order + 1
+        self.next_step_at = now + self.every
+        return [StepTask(StepAction.SET_STATE, self.claimed, self._value())]
 
-    def settled(self, token: int, number: int) -> list[Do]:
-        """An order will last."""
-        if token != self.token or self.claiming is None or number < self.claiming:
+    def on_committed(self, token: int, number: int) -> list[StepTask]:
+        """Runs the claimed step once its claim is committed."""
+        if token != self.token or self.claim_order is None or number < self.claim_order:
             return []
-        self.claiming, self.running = None, True
-        return [Do(What.RUN, self.claimed)]
+        self.claim_order, self.running = None, True
+        return [StepTask(StepAction.RUN, self.claimed)]
 
-    def done(self, token: int) -> list[Do]:
-        """The step has ended, whatever came of it."""
+    def on_finished(self, token: int) -> list[StepTask]:
+        """Records that the step has ended, whatever its result."""
         if token != self.token or not self.running:
             return []
         self.running, self.ended = False, self.claimed
-        return [Do(What.PLACE, self.ended, self._value())]
+        return [StepTask(StepAction.SET_STATE, self.ended, self._value())]
 
     def _value(self) -> Value:
         return self.claimed, self.ended, self.claimed_at
