--- a/bench/address_move.py
+++ b/bench/address_move.py
@@ -118,7 +118,11 @@
     looked = 0
     while True:
         for each in told[looked:]:
-            if isinstance(each, seen.Answered) and each.how == "served" and each.at > when + ON_ITS_WAY:
+            if (
+                isinstance(each, seen.RequestAnswered)
+                and each.how == "served"
+                and each.at > when + ON_ITS_WAY
+            ):
                 return each.at
         looked = len(told)
         await asyncio.sleep(0.005)
@@ -133,7 +137,9 @@
     figure = Figure(figsize=(9, 4), layout="constrained")
     upper, lower = figure.subplots(2, 1, sharex=True, height_ratios=(3, 1))
     slots = np.arange(-1.0, 3.0, PICTURED)
-    ends = [(e.how, e.at - killed) for e in told if isinstance(e, seen.Answered | seen.Unanswered)]
+    ends = [
+        (e.how, e.at - killed) for e in told if isinstance(e, seen.RequestAnswered | seen.RequestUnanswered)
+    ]
     for how in ("served", "refused", "failed", "ended", "late"):
         counts, _ = np.histogram([at for h, at in ends if h == how], [*slots, 3.0])
         if counts.any():
@@ -154,7 +160,14 @@
     def observe(what: seen.Observation) -> None:
         if isinstance(what, seen.RouterUp | seen.RouterDown):
             return  # one of three: to clients the service goes on, and this bench says when it did not
-        if isinstance(what, seen.Asked | seen.Sent | seen.Told | seen.Calls | seen.Unasked):
+        if isinstance(
+            what,
+            seen.RequestSent
+            | seen.AttemptReceived
+            | seen.ListEntrySent
+            | seen.DiscoveryCall
+            | seen.UnexpectedBytes,
+        ):
             what = replace(what, router=SERVICE)
         told.append(what)
 
@@ -203,8 +216,8 @@
     auditor = Auditor(msgspec.convert(SCENARIO, Scenario).rules)
     ends: Counter[str] = Counter()
     for each in sorted(told, key=lambda o: o.at):
-        auditor.take(each)
-        if isinstance(each, seen.Answered | seen.Unanswered):
+        auditor.judge(each)
+        if isinstance(each, seen.RequestAnswered | seen.RequestUnanswered):
             ends[each.how] += 1
     verdict = auditor.verdict()
 
--- a/bench/duty_move.py
+++ b/bench/duty_move.py
@@ -83,9 +83,11 @@
         folder = Path(name)
         told = scenario(members, how, times, rate)
         outcome = play(*told, folder, COMMAND, 1, lambda at, counts: None)
-        began = next(o.at for o in seen.merged(sorted(folder.glob("*.jsonl"))) if isinstance(o, seen.Asked))
-        took = [o for o in observed(folder) if isinstance(o, seen.Holds) and o.token]
-        steps = sum(isinstance(o, seen.Did) for o in observed(folder))
+        began = next(
+            o.at for o in seen.merge_logs(sorted(folder.glob("*.jsonl"))) if isinstance(o, seen.RequestSent)
+        )
+        took = [o for o in observed(folder) if isinstance(o, seen.HoldsDuty) and o.token]
+        steps = sum(isinstance(o, seen.StepDone) for o in observed(folder))
     gaps, holder = [], ""
     for i in range(times):
         at = began + BEGIN + SPACE * i
@@ -109,21 +111,21 @@
         told = scenario(members, "stall", times, rate)
         folder = Path(name)
         play(*told, folder, COMMAND, 1, lambda at, counts: None)
-        each = [*seen.merged(sorted(folder.glob("*.jsonl")))]
-    began = next(o.at for o in each if isinstance(o, seen.Asked)) + BEGIN
-    tokens = sorted({o.token for o in each if isinstance(o, seen.Obeys)})
+        each = [*seen.merge_logs(sorted(folder.glob("*.jsonl")))]
+    began = next(o.at for o in each if isinstance(o, seen.RequestSent)) + BEGIN
+    tokens = sorted({o.token for o in each if isinstance(o, seen.FollowsHolder)})
     figure, axes = plt.subplots(figsize=(9, 3.2))
     since: dict[str, tuple[float, int]] = {}
     until = began + SPACE
-    for what in [*each, *(seen.Rests(until, f"router-{n}", "purge") for n in range(members))]:
-        if isinstance(what, seen.Obeys | seen.Rests):
+    for what in [*each, *(seen.FollowsNobody(until, f"router-{n}", "purge") for n in range(members))]:
+        if isinstance(what, seen.FollowsHolder | seen.FollowsNobody):
             at, token = since.pop(what.router, (0.0, 0))
             if token and what.at > began - 1.0:
                 row, colour = int(what.router.rpartition("-")[2]), f"C{tokens.index(token)}"
                 axes.barh(row, what.at - at, left=at - began, height=0.6, color=colour)
-            if isinstance(what, seen.Obeys):
+            if isinstance(what, seen.FollowsHolder):
                 since[what.router] = what.at, what.token
-        elif isinstance(what, seen.Did) and began - 1.0 < what.at < until:
+        elif isinstance(what, seen.StepDone) and began - 1.0 < what.at < until:
             axes.plot(what.at - began, int(what.router.rpartition("-")[2]), "k|", markersize=12)
     axes.axvspan(0.0, LASTS, color="0.9", zorder=0)
     axes.set(xlim=(-1.0, SPACE), xlabel="seconds from the holder's stop (grey)", ylabel="router")
--- a/bench/zone_exit.py
+++ b/bench/zone_exit.py
@@ -113,18 +113,18 @@
     def take(self, what: seen.Observation) -> None:
         """One observation, in the order of their times."""
         match what:
-            case seen.Stands():
+            case seen.ServerZone():
                 self.zones[what.box] = what.zone
-            case seen.Happened():
+            case seen.ScenarioStep():
                 self.fault_at = min(self.fault_at, what.at)
-            case seen.Asked():
+            case seen.RequestSent():
                 self.began = what.at if self.began is None else self.began
                 # a client's repeats belong to its first try: who is refused at once comes again sooner
                 first = what.id.rpartition("-")[0]
                 if first not in self.asked:
                     self.asked[first] = what.at - self.began
                     self.seconds[int(what.at - self.began)]["asked"] += 1
-            case seen.Answered() if self.began is not None:
+            case seen.RequestAnswered() if self.began is not None:
                 at = self.asked.get(what.id.rpartition("-")[0])
                 if at is None:
                     return
@@ -133,7 +133,7 @@
                 self.seconds[int(at)][how] += 1
                 if what.how == "served":
                     self.took[int(at)].append(took)
-            case seen.Dialled() if self.began is not None:
+            case seen.UnreachableDial() if self.began is not None:
                 self.dials.append((what.at - self.began, what.router))
 
     def share(self, first: float, last: float) -> float:
@@ -180,7 +180,7 @@
     world, sums = World(scenario(routers, case, peers), profile(rate), seed), Sums()
     for name, zone in world.layout.zones.items():
         sums.zones[name] = zone
-    take = world.auditor.take
+    take = world.auditor.judge
 
     def observe(what: seen.Observation) -> None:
         sums.take(what)
@@ -215,7 +215,7 @@
     """Play a case with processes of the program."""
     outcome = play(scenario(routers, case, peers), profile(rate), folder, COMMAND, 2, lambda at, counts: None)
     sums = Sums()
-    for each in seen.merged(sorted(folder.glob("*.jsonl"))):
+    for each in seen.merge_logs(sorted(folder.glob("*.jsonl"))):
         sums.take(each)
     figures: dict[str, Any] = sums.figures() | {"breaches": sum(outcome.verdict["breaches"].values())}
     figures["faults"] = outcome.faults
--- a/bench/zone_return.py
+++ b/bench/zone_return.py
@@ -168,16 +168,16 @@
     def take(self, what: seen.Observation) -> None:
         """One observation, in the order of their times."""
         match what:
-            case seen.Asked():
+            case seen.RequestSent():
                 first = what.id.rpartition("-")[0]
                 if first not in self.asked:
                     self.asked[first] = what.at - self.began
                     self.seconds[int(what.at - self.began)]["asked"] += 1
-            case seen.Answered():
+            case seen.RequestAnswered():
                 at = self.asked.get(what.id.rpartition("-")[0])
                 if at is not None and what.how == "served" and what.at - self.began - at <= AIM:
                     self.seconds[int(at)]["in_time"] += 1
-            case seen.Sent() if what.box in self.world.layout.zones:
+            case seen.AttemptReceived() if what.box in self.world.layout.zones:
                 self.sent[int(what.at - self.began)][self.world.layout.zones[what.box]] += 1
 
     def share(self, first: float, last: float) -> float:
@@ -208,7 +208,7 @@
     try:
         world = World(scenario(routers, case, way), profile(rate), seed)
         sums = Sums(world)
-        take = world.auditor.take
+        take = world.auditor.judge
 
         def observe(what: seen.Observation) -> None:
             sums.take(what)
--- a/myrtlecourse/audit/auditor.py
+++ b/myrtlecourse/audit/auditor.py
@@ -139,7 +139,7 @@
         self.lives: OrderedDict[str, Life] = OrderedDict()
         self.ran: OrderedDict[str, tuple[float, str]] = OrderedDict()  # keyed writes: when, by which request
         self.routers: dict[str, Knowledge] = {}
-        self.listed: dict[str, seen.Listed] = {}
+        self.listed: dict[str, seen.ListChanged] = {}
         self.started: dict[str, float] = {}
         self.window = 0.0  # the longest seen
         self.counts: Counter[str] = Counter()
@@ -153,37 +153,37 @@
         self.duties = DutyRules(rules.duty_gap, self._breach_of_zone)
         self.origin = OriginRule(rules.origin_rate, self._breach_of_origin)
 
-    def take(self, what: seen.Observation) -> None:
+    def judge(self, what: seen.Observation) -> None:
         """Judge one observation; none may be much older than those before it."""
         self.began = what.at if self.began is None else self.began
         self.now = max(self.now, what.at)
         self.seen[str(what.__struct_config__.tag)] += 1
-        self.zones.take(what)
-        self.duties.take(what)
-        self.origin.take(what)
+        self.zones.judge(what)
+        self.duties.judge(what)
+        self.origin.judge(what)
         match what:
-            case seen.Asked():
+            case seen.RequestSent():
                 life = self._life(what.id, what.router, what.at)
                 life.deadline, life.effect, life.key = what.deadline, what.effect, what.key
-            case seen.Answered():
+            case seen.RequestAnswered():
                 self._answered(what)
-            case seen.Unanswered():
+            case seen.RequestUnanswered():
                 self._unanswered(what)
-            case seen.Unasked() if what.after:  # else a farewell, which answers nothing twice
+            case seen.UnexpectedBytes() if what.after:  # else a farewell, which answers nothing twice
                 detail = "bytes nobody asked for"
                 self._breach("answered_twice", what.at, what.router, what.after, detail=detail)
-            case seen.Sent():
+            case seen.AttemptReceived():
                 self._sent(what)
             case seen.NeverRan():
                 for attempt in reversed(self._life(what.id, "", what.at).attempts):
                     if attempt.box == what.box:
                         attempt.never_ran = True
                         break
-            case seen.Ran():
+            case seen.WriteExecuted():
                 self._ran(what)
-            case seen.Started():
+            case seen.ServerStarted():
                 self.started[what.box] = what.at
-            case seen.Fell():
+            case seen.ColdServerOverloaded():
                 self._fell(what)
             case _:
                 self._of_list(what)
@@ -192,11 +192,11 @@
     def _of_list(self, what: seen.Observation) -> None:
         """What discovery and routers' starts tell."""
         match what:
-            case seen.Listed():
+            case seen.ListChanged():
                 self.listed[what.box] = what
-            case seen.Told():
+            case seen.ListEntrySent():
                 self._router(what.router).learn(what.at, what.box, what.status, what.since)
-            case seen.Calls():
+            case seen.DiscoveryCall():
                 router = self._router(what.router)
                 if what.how == "begun":
                     self._count_as_told(router, what.at)
@@ -205,7 +205,7 @@
                     router.calls = max(0, router.calls - 1)
                     router.quiet = what.at
                     router.failed = what.how == "failed"
-            case seen.Banned():
+            case seen.BanAcknowledged():
                 bans = self._router(what.router).bans
                 if what.back:
                     bans.pop(what.box, None)
@@ -215,11 +215,11 @@
                 killed = self._router(what.router).killed
                 killed = None if killed is None else min(killed, what.at)
                 self.routers[what.router] = Knowledge(quiet=what.at, up=what.at, killed=killed)
-            case seen.Stalled():
+            case seen.RouterStalled():
                 self.stalls.setdefault(what.router, []).append((what.at, what.at + what.seconds))
             case seen.RouterDown():
                 self._router(what.router).killed = math.inf if what.killed else None
-            case seen.RouterGone():
+            case seen.RouterExited():
                 self._router(what.router).killed = what.at
 
     def _router(self, name: str) -> Knowledge:
@@ -241,7 +241,7 @@
             if since <= now and (router.starts.get(box) != entry.since or entry.status != "in_service"):
                 router.learn(since, box, entry.status, entry.since)
 
-    def _sent(self, what: seen.Sent) -> None:
+    def _sent(self, what: seen.AttemptReceived) -> None:
         """An attempt has reached a box or the origin."""
         self.window = max(self.window, what.window)
         router = self._router(what.router)
@@ -279,7 +279,7 @@
                 self._breach("repeated", what.began, what.router, what.id, what.box, detail)
         life.attempts.append(Attempt(what.at, what.box, what.group))
 
-    def _judge_told(self, life: Life, what: seen.Sent) -> None:
+    def _judge_told(self, life: Life, what: seen.AttemptReceived) -> None:
         """Judge for how long a box was told that its answer is waited for."""
         if not what.until or life.deadline is None or self._stood(life, what.began):
             return
@@ -289,7 +289,7 @@
             detail = f"{over:.3f} s longer than its client waits"
             self._breach("told_too_long", what.began, what.router, what.id, what.box, detail)
 
-    def _ran(self, what: seen.Ran) -> None:
+    def _ran(self, what: seen.WriteExecuted) -> None:
         life = self._life(what.id, "", what.at)
         life.ran += 1
         before = self.ran.get(what.key) if what.key else None
@@ -302,7 +302,7 @@
         if what.key:
             self.ran[what.key] = what.at, what.id
 
-    def _answered(self, what: seen.Answered) -> None:
+    def _answered(self, what: seen.RequestAnswered) -> None:
         life = self._life(what.id, "", what.at)
         life.answers += 1
         if life.answers > 1:
@@ -324,7 +324,7 @@
         if life.ended is None:
             life.ended = what.at
 
-    def _unanswered(self, what: seen.Unanswered) -> None:
+    def _unanswered(self, what: seen.RequestUnanswered) -> None:
         life = self._life(what.id, "", what.at)
         life.ended = what.at
         if what.how == "left":
@@ -350,7 +350,7 @@
     def _breach_of_origin(self, at: float, detail: str) -> None:
         self._breach("origin_over", at, "", box=ORIGIN, detail=detail)
 
-    def _fell(self, what: seen.Fell) -> None:
+    def _fell(self, what: seen.ColdServerOverloaded) -> None:
         """Judge who pushed a cold box over."""
         start = self.started.get(what.box, 0.0)
         informed = 0.0
@@ -386,7 +386,7 @@
         """A request of which no end was seen."""
         if life.deadline is not None and life.ended is None:
             if life.deadline + self.rules.answer_slack < self.now:
-                self._unanswered(seen.Unanswered(life.deadline, request, "late"))
+                self._unanswered(seen.RequestUnanswered(life.deadline, request, "late"))
                 self.lives.pop(request, None)
             else:
                 self.seen["open"] += 1
--- a/myrtlecourse/audit/duties.py
+++ b/myrtlecourse/audit/duties.py
@@ -30,16 +30,16 @@
         self.nobody: dict[str, float] = {}  # by duty: since when
         self.margins: dict[str, float] = {}
 
-    def take(self, what: seen.Observation) -> None:
+    def judge(self, what: seen.Observation) -> None:
         """One observation, in the order of their times."""
         match what:
-            case seen.Obeys():
+            case seen.FollowsHolder():
                 self._obeys(what)
-            case seen.Rests():
+            case seen.FollowsNobody():
                 self.obeyed.pop((what.duty, what.router), None)
-            case seen.Holds():
+            case seen.HoldsDuty():
                 self._holds(what)
-            case seen.Did():
+            case seen.StepDone():
                 before = self.done.get((what.duty, what.step))
                 if before is not None:
                     detail = f"step {what.step} under {what.token}, and before under {before}"
@@ -52,7 +52,7 @@
                     if each.pop(what.router, None) is not None and not each:
                         self.nobody[duty] = what.at
 
-    def _obeys(self, what: seen.Obeys) -> None:
+    def _obeys(self, what: seen.FollowsHolder) -> None:
         others = {t for (d, r), t in self.obeyed.items() if d == what.duty and r != what.router}
         for token in others - {what.token}:
             detail = f"{what.router} obeys {what.token} while others obey {token}"
@@ -63,7 +63,7 @@
         self.highest[what.duty] = max(highest, what.token)
         self.obeyed[what.duty, what.router] = what.token
 
-    def _holds(self, what: seen.Holds) -> None:
+    def _holds(self, what: seen.HoldsDuty) -> None:
         each = self.holders.setdefault(what.duty, {})
         if what.token:
             since = self.nobody.pop(what.duty, math.inf)
--- a/myrtlecourse/audit/observations.py
+++ b/myrtlecourse/audit/observations.py
@@ -22,13 +22,13 @@
     """A file that can't be used; the message names the file and the line."""
 
 
-class Seen(Struct, frozen=True, tag_field="saw", forbid_unknown_fields=True):
+class ObservationBase(Struct, frozen=True, tag_field="saw", forbid_unknown_fields=True):
     """Something seen at a time."""
 
     at: float
 
 
-class Asked(Seen, frozen=True, tag="asked"):
+class RequestSent(ObservationBase, frozen=True, tag="asked"):
     """A client has written a request's last byte."""
 
     id: str
@@ -39,7 +39,7 @@
     key: str = ""  # of idempotency
 
 
-class Answered(Seen, frozen=True, tag="answered"):
+class RequestAnswered(ObservationBase, frozen=True, tag="answered"):
     """A whole answer has come: `served`, `refused` or `failed`; `made`: for this very request."""
 
     id: str
@@ -47,7 +47,7 @@
     made: bool = True
 
 
-class Unanswered(Seen, frozen=True, tag="unanswered"):
+class RequestUnanswered(ObservationBase, frozen=True, tag="unanswered"):
     """No answer came: its client `left`, its connection `ended`, or it is `late`, past its deadline."""
 
     id: str
@@ -55,14 +55,14 @@
     kept: bool = False  # the connection had carried an answer before
 
 
-class Unasked(Seen, frozen=True, tag="unasked"):
+class UnexpectedBytes(ObservationBase, frozen=True, tag="unasked"):
     """Bytes came to a client that waited for none."""
 
     router: str
     after: str  # the request answered last on that connection
 
 
-class Sent(Seen, frozen=True, tag="sent"):
+class AttemptReceived(ObservationBase, frozen=True, tag="sent"):
     """A router's attempt has come whole to a box or the origin; `began` is when its first byte came."""
 
     id: str
@@ -76,14 +76,14 @@
     until: float = 0.0  # when the box was told that the router stops waiting; 0: not known
 
 
-class NeverRan(Seen, frozen=True, tag="never_ran"):
+class NeverRan(ObservationBase, frozen=True, tag="never_ran"):
     """An attempt was answered in a way that proves it never ran."""
 
     id: str
     box: str
 
 
-class Ran(Seen, frozen=True, tag="ran"):
+class WriteExecuted(ObservationBase, frozen=True, tag="ran"):
     """A write took effect."""
 
     id: str
@@ -91,20 +91,20 @@
     key: str = ""
 
 
-class Started(Seen, frozen=True, tag="started"):
+class ServerStarted(ObservationBase, frozen=True, tag="started"):
     """A box has started, cold."""
 
     box: str
 
 
-class Fell(Seen, frozen=True, tag="fell"):
+class ColdServerOverloaded(ObservationBase, frozen=True, tag="fell"):
     """A cold box was pushed over; the work that each router had sent it."""
 
     box: str
     work: dict[str, float]
 
 
-class Listed(Seen, frozen=True, tag="listed"):
+class ListChanged(ObservationBase, frozen=True, tag="listed"):
     """Discovery's list has changed."""
 
     box: str
@@ -112,7 +112,7 @@
     since: float  # of its start; 0 for long ago
 
 
-class Told(Seen, frozen=True, tag="told"):
+class ListEntrySent(ObservationBase, frozen=True, tag="told"):
     """Discovery has written an entry to a router."""
 
     router: str
@@ -121,40 +121,40 @@
     since: float
 
 
-class Calls(Seen, frozen=True, tag="calls"):
+class DiscoveryCall(ObservationBase, frozen=True, tag="calls"):
     """A router's call of discovery has `begun`, `ended` or `failed`."""
 
     router: str
     how: str
 
 
-class RouterUp(Seen, frozen=True, tag="router_up"):
+class RouterUp(ObservationBase, frozen=True, tag="router_up"):
     """A router has been started."""
 
     router: str
 
 
-class RouterDown(Seen, frozen=True, tag="router_down"):
+class RouterDown(ObservationBase, frozen=True, tag="router_down"):
     """A router is gone; what it held is its clients' to ask again if it was killed."""
 
     router: str
     killed: bool
 
 
-class RouterGone(Seen, frozen=True, tag="router_gone"):
+class RouterExited(ObservationBase, frozen=True, tag="router_gone"):
     """The kernel has ended a killed router's process, whose sockets took requests until then."""
 
     router: str
 
 
-class Stands(Seen, frozen=True, tag="stands"):
+class ServerZone(ObservationBase, frozen=True, tag="stands"):
     """A box stands in a zone."""
 
     box: str
     zone: str
 
 
-class Happened(Seen, frozen=True, tag="happened"):
+class ScenarioStep(ObservationBase, frozen=True, tag="happened"):
     """A scenario did something to a box (`fleet.faults.Step`), to the routers named or to all."""
 
     box: str
@@ -162,21 +162,21 @@
     routers: tuple[str, ...] = ()
 
 
-class Dialled(Seen, frozen=True, tag="dialled"):
+class UnreachableDial(ObservationBase, frozen=True, tag="dialled"):
     """A router has tried to reach a box that it can't reach; seen in virtual time alone."""
 
     router: str
     box: str
 
 
-class Stalled(Seen, frozen=True, tag="stalled"):
+class RouterStalled(ObservationBase, frozen=True, tag="stalled"):
     """A router's process was stopped for so many seconds, from then on."""
 
     router: str
     seconds: float
 
 
-class Obeys(Seen, frozen=True, tag="obeys"):
+class FollowsHolder(ObservationBase, frozen=True, tag="obeys"):
     """A router obeys a duty's holder from now on, under a token; told by itself."""
 
     router: str
@@ -184,14 +184,14 @@
     token: int
 
 
-class Rests(Seen, frozen=True, tag="rests"):
+class FollowsNobody(ObservationBase, frozen=True, tag="rests"):
     """A router obeys nobody for a duty; told by itself, maybe later."""
 
     router: str
     duty: str
 
 
-class Holds(Seen, frozen=True, tag="holds"):
+class HoldsDuty(ObservationBase, frozen=True, tag="holds"):
     """A router acts for a duty from now on; with token 0, no more."""
 
     router: str
@@ -199,7 +199,7 @@
     token: int
 
 
-class Did(Seen, frozen=True, tag="did"):
+class StepDone(ObservationBase, frozen=True, tag="did"):
     """A duty's step was done, as its command tells."""
 
     router: str
@@ -208,7 +208,7 @@
     token: int
 
 
-class Banned(Seen, frozen=True, tag="banned"):
+class BanAcknowledged(ObservationBase, frozen=True, tag="banned"):
     """A router has said yes to an operator who took a box out, or gave it `back`."""
 
     router: str
@@ -217,34 +217,34 @@
 
 
 Observation = (
-    Asked
-    | Answered
-    | Unanswered
-    | Unasked
-    | Sent
+    RequestSent
+    | RequestAnswered
+    | RequestUnanswered
+    | UnexpectedBytes
+    | AttemptReceived
     | NeverRan
-    | Ran
-    | Started
-    | Fell
-    | Listed
-    | Told
-    | Calls
+    | WriteExecuted
+    | ServerStarted
+    | ColdServerOverloaded
+    | ListChanged
+    | ListEntrySent
+    | DiscoveryCall
     | RouterUp
     | RouterDown
-    | RouterGone
-    | Stands
-    | Happened
-    | Dialled
-    | Stalled
-    | Banned
-    | Obeys
-    | Rests
-    | Holds
-    | Did
+    | RouterExited
+    | ServerZone
+    | ScenarioStep
+    | UnreachableDial
+    | RouterStalled
+    | BanAcknowledged
+    | FollowsHolder
+    | FollowsNobody
+    | HoldsDuty
+    | StepDone
 )
 
 
-class Log:
+class ObservationLog:
     """Writes observations to a file, a few at a time."""
 
     def __init__(self, path: Path) -> None:
@@ -289,6 +289,6 @@
         raise ObservationError(f"{path}: {e.strerror}") from e
 
 
-def merged(paths: list[Path]) -> Iterator[Observation]:
+def merge_logs(paths: list[Path]) -> Iterator[Observation]:
     """All observations of some files in the order of their times."""
     return heapq.merge(*(read_log(p) for p in paths), key=lambda o: o.at)
--- a/myrtlecourse/audit/origin.py
+++ b/myrtlecourse/audit/origin.py
@@ -22,9 +22,9 @@
         self.over = False
         self.closest = 0.0  # 1 at the limit
 
-    def take(self, what: seen.Observation) -> None:
+    def judge(self, what: seen.Observation) -> None:
         """One observation, in the order of their times."""
-        if not self.rate or not isinstance(what, seen.Sent) or what.box != ORIGIN:
+        if not self.rate or not isinstance(what, seen.AttemptReceived) or what.box != ORIGIN:
             return
         self.lately.append(what.at)
         while self.lately[0] <= what.at - SECOND:
--- a/myrtlecourse/audit/zones.py
+++ b/myrtlecourse/audit/zones.py
@@ -47,21 +47,21 @@
         self.judged: set[tuple[str, str, str, int]] = set()
         self.margins: dict[str, float] = {}
 
-    def take(self, what: seen.Observation) -> None:
+    def judge(self, what: seen.Observation) -> None:
         """One observation, in the order of their times."""
         match what:
-            case seen.Stands():
+            case seen.ServerZone():
                 self.zones[what.box] = what.zone
-            case seen.Happened() if what.box in self.zones:
+            case seen.ScenarioStep() if what.box in self.zones:
                 self._happened(what)
-            case seen.Sent() if what.box in self.zones:
+            case seen.AttemptReceived() if what.box in self.zones:
                 self._sent(what)
-            case seen.Dialled() if what.box in self.zones:
+            case seen.UnreachableDial() if what.box in self.zones:
                 self._dialled(what)
-            case seen.RouterUp() | seen.Stalled():
+            case seen.RouterUp() | seen.RouterStalled():
                 self.sent.pop(what.router, None)
 
-    def _happened(self, what: seen.Happened) -> None:
+    def _happened(self, what: seen.ScenarioStep) -> None:
         zone = self.zones[what.box]
         was_dark = self._dark(zone)
         for router in what.routers:
@@ -82,7 +82,7 @@
         """Whether none of its boxes can be reached by anybody."""
         return all(self.down.get(box) for box, z in self.zones.items() if z == zone)
 
-    def _sent(self, what: seen.Sent) -> None:
+    def _sent(self, what: seen.AttemptReceived) -> None:
         zone = self.zones[what.box]
         own = self.sent.setdefault(what.router, deque())
         own.append((what.at, zone))
@@ -95,7 +95,7 @@
         if self.spill:
             self._judge_spill(what.at)
 
-    def _judge_alone(self, what: seen.Sent, own: deque[tuple[float, str]]) -> None:
+    def _judge_alone(self, what: seen.AttemptReceived, own: deque[tuple[float, str]]) -> None:
         """A router that sends nothing to a zone that it, and all others, can reach."""
         if len(own) < self.enough or own[-1][0] - own[0][0] < 0.9 * WATCHED:
             return
@@ -119,7 +119,7 @@
                 detail = f"{sent} sends in a second to what is left, {usual:.0f} before {zone} was lost"
                 self._once("spilled", now, "", zone, detail)
 
-    def _dialled(self, what: seen.Dialled) -> None:
+    def _dialled(self, what: seen.UnreachableDial) -> None:
         zone = self.zones[what.box]
         if not self.dials or not self._dark(zone) or what.at < self.trouble[zone] + LEARNT:
             return
--- a/myrtlecourse/fleet/box_server.py
+++ b/myrtlecourse/fleet/box_server.py
@@ -46,10 +46,10 @@
     )
 
 
-def sent(request: Request, box: str, began: float, group: str) -> seen.Sent:
+def sent(request: Request, box: str, began: float, group: str) -> seen.AttemptReceived:
     """What the auditor is told of an attempt."""
     kind = request.request_class
-    return seen.Sent(
+    return seen.AttemptReceived(
         time.monotonic(),
         request.id,
         box,
@@ -164,7 +164,7 @@
         self.observe(sent(request, self.box.name, began, self.group(request.request_class)))
         piece = self.box.arrive(now, request)
         if self.box.fallen is not None:
-            self.observe(seen.Fell(now, self.box.name, self.box.fallen))
+            self.observe(seen.ColdServerOverloaded(now, self.box.name, self.box.fallen))
             self.end()
             self.fell(self)
             return None
@@ -198,7 +198,9 @@
         while (ended := self.box.ended(now)) is not None:
             connection = self.senders.pop(ended.request, None)
             if ended.ran:
-                self.observe(seen.Ran(now, ended.request.id, self.box.name, ended.request.idempotency))
+                self.observe(
+                    seen.WriteExecuted(now, ended.request.id, self.box.name, ended.request.idempotency)
+                )
             if ended.how in (How.MISS, How.BUSY):
                 self.observe(seen.NeverRan(now, ended.request.id, self.box.name))
             if ended.how is How.MISS:
@@ -270,7 +272,7 @@
         if self.up or self.box.fallen is not None:
             return self.box.started
         self.box.start(now)
-        self.observe(seen.Started(now, self.box.name))
+        self.observe(seen.ServerStarted(now, self.box.name))
         self.up = True
         for port in self.ports.values():
             await port.listen()
--- a/myrtlecourse/fleet/discovery_server.py
+++ b/myrtlecourse/fleet/discovery_server.py
@@ -49,7 +49,7 @@
         if self.calls is (how == "begun"):
             return
         self.calls = how == "begun"
-        self.server.observe(seen.Calls(time.monotonic(), self.port.router, how))
+        self.server.observe(seen.DiscoveryCall(time.monotonic(), self.port.router, how))
 
     def tell(self, status: int, body: bytes) -> None:
         """Answer the call."""
@@ -106,7 +106,7 @@
             self.timer = self.loop.call_later(max(0.0, due - time.monotonic()), self._advance)
 
     def _listed(self, entry: Entry) -> None:
-        self.observe(seen.Listed(time.monotonic(), entry.name, entry.status, max(0.0, entry.since)))
+        self.observe(seen.ListChanged(time.monotonic(), entry.name, entry.status, max(0.0, entry.since)))
 
     def _advance(self) -> None:
         self.timer = None
@@ -159,7 +159,7 @@
         body, entries = self.document(router, connection.index)
         now = time.monotonic()
         for entry in entries:
-            self.observe(seen.Told(now, router, entry.name, entry.status, max(0.0, entry.since)))
+            self.observe(seen.ListEntrySent(now, router, entry.name, entry.status, max(0.0, entry.since)))
         connection.tell(200, body)
 
     def away(self) -> None:
--- a/myrtlecourse/fleet/duty_logs.py
+++ b/myrtlecourse/fleet/duty_logs.py
@@ -25,23 +25,27 @@
     found: list[seen.Observation] = []
     for log in folder.glob("router-*.log"):
         text, router = log.read_text(), log.stem
-        found += [seen.Obeys(float(at), router, duty, int(token)) for duty, token, at in OBEYS.findall(text)]
-        found += [seen.Rests(float(at), router, duty) for duty, at in RESTS.findall(text)]
-        found += [seen.Holds(float(at), router, duty, int(token)) for duty, token, at in HELD.findall(text)]
-        found += [seen.Holds(float(at), router, duty, 0) for duty, at in LOST.findall(text)]
+        found += [
+            seen.FollowsHolder(float(at), router, duty, int(token)) for duty, token, at in OBEYS.findall(text)
+        ]
+        found += [seen.FollowsNobody(float(at), router, duty) for duty, at in RESTS.findall(text)]
+        found += [
+            seen.HoldsDuty(float(at), router, duty, int(token)) for duty, token, at in HELD.findall(text)
+        ]
+        found += [seen.HoldsDuty(float(at), router, duty, 0) for duty, at in LOST.findall(text)]
     steps = folder / STEPS
     for line in steps.read_text().splitlines() if steps.exists() else []:
         at, duty, router, step, token = line.split()
-        found.append(seen.Did(float(at), router, duty, int(step), int(token)))
+        found.append(seen.StepDone(float(at), router, duty, int(step), int(token)))
     # of one moment: an end comes first
-    return sorted(found, key=lambda o: (o.at, not isinstance(o, seen.Rests)))
+    return sorted(found, key=lambda o: (o.at, not isinstance(o, seen.FollowsNobody)))
 
 
 def holder_of(folder: Path, duty: str) -> str:
     """Who holds a duty now, as routers' logs have it; empty: nobody."""
     holder = ""
     for what in observed(folder):
-        if isinstance(what, seen.Holds) and what.duty == duty:
+        if isinstance(what, seen.HoldsDuty) and what.duty == duty:
             if what.token:
                 holder = what.router
             elif holder == what.router:
--- a/myrtlecourse/fleet/operators.py
+++ b/myrtlecourse/fleet/operators.py
@@ -62,7 +62,7 @@
             with suppress(RouterError, OSError, ValueError, IndexError, TimeoutError):
                 if await router.call("PUT", f"cache-servers/{step.target}/{step.do}") == 200:
                     back = step.do == "online"
-                    router.observe(seen.Banned(time.monotonic(), router.name, step.target, back))
+                    router.observe(seen.BanAcknowledged(time.monotonic(), router.name, step.target, back))
                     return
             await asyncio.sleep(AGAIN)
         self.faults.append(f"{router.name} did not say yes to {step.do} {step.target}")
--- a/myrtlecourse/fleet/origin_server.py
+++ b/myrtlecourse/fleet/origin_server.py
@@ -186,7 +186,7 @@
         while (ended := self.store.ended(now)) is not None:
             connection = self.senders.pop(ended.request, None)
             if ended.ran:
-                self.observe(seen.Ran(now, ended.request.id, NAME, ended.request.idempotency))
+                self.observe(seen.WriteExecuted(now, ended.request.id, NAME, ended.request.idempotency))
             self.answered(ended)
             if connection is None:
                 continue
--- a/myrtlecourse/fleet/routers.py
+++ b/myrtlecourse/fleet/routers.py
@@ -219,7 +219,7 @@
             await self.process.wait()
         series.cancel()
         now = time.monotonic()
-        self.observe(seen.RouterGone(now, self.name) if kill else seen.RouterDown(now, self.name, False))
+        self.observe(seen.RouterExited(now, self.name) if kill else seen.RouterDown(now, self.name, False))
 
 
 def zones_back(log: Path) -> list[tuple[float, dict[str, float]]]:
@@ -285,7 +285,7 @@
             self.soon(self._upgrade(router))
             return
         if step.do == "stall":
-            router.observe(seen.Stalled(time.monotonic(), router.name, step.lasts))
+            router.observe(seen.RouterStalled(time.monotonic(), router.name, step.lasts))
             router.stall(True)
             return
         router.wanted = False
--- a/myrtlecourse/fleet/session.py
+++ b/myrtlecourse/fleet/session.py
@@ -45,7 +45,7 @@
 
     fleet: Fleet
     routers: Routers | None
-    log: seen.Log
+    log: seen.ObservationLog
     operators: Operators | None = None  # where the scenario has work for them
 
     def where(self) -> dict[str, Any]:
@@ -119,7 +119,7 @@
 
     Observations, configurations and logs are written into the folder. Raises RouterError.
     """
-    log = seen.Log(folder / LOG)
+    log = seen.ObservationLog(folder / LOG)
     fleet = Fleet(scenario, log.add)
     await fleet.listen()
     standing = Standing(fleet, None, log)
@@ -240,7 +240,7 @@
 def audit(folder: Path, rules: Rules) -> dict[str, Any]:
     """Judge the observations in a folder. Raises ObservationError."""
     if told := observed(folder):
-        log = seen.Log(folder / DUTIES_LOG)
+        log = seen.ObservationLog(folder / DUTIES_LOG)
         for each in told:
             log.add(each)
         log.close()
@@ -248,8 +248,8 @@
     if not paths:
         raise seen.ObservationError(f"{folder}: no observations (*.jsonl) in it")
     auditor = Auditor(rules)
-    for each in seen.merged(paths):
-        auditor.take(each)
+    for each in seen.merge_logs(paths):
+        auditor.judge(each)
     return auditor.verdict()
 
 
@@ -266,7 +266,7 @@
 
     def watch(what: seen.Observation) -> None:
         nonlocal began
-        if not began and isinstance(what, seen.Calls):
+        if not began and isinstance(what, seen.DiscoveryCall):
             began = True
             standing.fleet.begin()
             loop.call_later(scenario.seconds, over.set)
--- a/myrtlecourse/fleet/stand_in.py
+++ b/myrtlecourse/fleet/stand_in.py
@@ -81,7 +81,7 @@
         if self.scenario.duties is not None:
             await self.duty_relays.join(self.duty_relays.places(self.routers))
         for name, zone in self.layout.zones.items():
-            self.observe(seen.Stands(time.monotonic(), name, zone))
+            self.observe(seen.ServerZone(time.monotonic(), name, zone))
         self._sweep()
 
     def _sweep(self) -> None:
@@ -178,7 +178,7 @@
                 self._to_port(step, port)
 
     def _to_box(self, step: Step, server: BoxServer) -> None:
-        self.observe(seen.Happened(time.monotonic(), step.target, step.do, step.routers))
+        self.observe(seen.ScenarioStep(time.monotonic(), step.target, step.do, step.routers))
         match step.do:
             case "freeze" | "thaw":
                 server.freeze(step.do == "freeze")
--- a/myrtlecourse/load/generator.py
+++ b/myrtlecourse/load/generator.py
@@ -54,7 +54,7 @@
             effect = "free" if not kind.write else "guarded" if kind.keyed else "single_shot"
             key = self.asked.name if kind.keyed else ""
             until = now + self.deadline_ms / 1000
-            observe(seen.Asked(now, self.name, f"router-{self.router}", kind.name, until, effect, key))
+            observe(seen.RequestSent(now, self.name, f"router-{self.router}", kind.name, until, effect, key))
 
     def heard(self, answer: Message | BaseException, kept: bool) -> None:
         """Its answer, or what went wrong."""
@@ -64,12 +64,12 @@
             value = served_value(answer)
             if value is not None:
                 made = value.startswith(self.name.encode() + b" ")
-                observe(seen.Answered(now, self.name, "served", made))
+                observe(seen.RequestAnswered(now, self.name, "served", made))
             elif isinstance(answer, BaseException):
-                observe(seen.Unanswered(now, self.name, "ended", kept))
+                observe(seen.RequestUnanswered(now, self.name, "ended", kept))
             else:
                 refused = isinstance(answer, ErrorLine) and come_back(answer.text) is not None
-                observe(seen.Answered(now, self.name, "refused" if refused else "failed"))
+                observe(seen.RequestAnswered(now, self.name, "refused" if refused else "failed"))
         if not self.over:
             self.over = True
             self.asked.heard(answer, kept)
@@ -90,7 +90,7 @@
         generator = self.asked.generator
         if self.wanted is not None:
             if generator.observe is not None and self.seen:
-                generator.observe(seen.Unanswered(time.monotonic(), self.name, how))
+                generator.observe(seen.RequestUnanswered(time.monotonic(), self.name, how))
             self.wanted.abandon()
         generator.lingering.discard(self)
         generator.look()
@@ -211,7 +211,7 @@
 
     def _unasked(self, router: int, last: str) -> None:
         if self.observe is not None:
-            self.observe(seen.Unasked(time.monotonic(), f"router-{router}", last))
+            self.observe(seen.UnexpectedBytes(time.monotonic(), f"router-{router}", last))
 
     def look(self) -> None:
         """Something has ended: is that all?"""
--- a/myrtlecourse/load/run.py
+++ b/myrtlecourse/load/run.py
@@ -15,7 +15,7 @@
 
 from uvloop import new_event_loop
 
-from myrtlecourse.audit.observations import Log
+from myrtlecourse.audit.observations import ObservationLog
 from myrtlecourse.load.generator import Generator
 from myrtlecourse.load.profile import Profile, ProfileError
 from myrtlecourse.load.record import Record
@@ -53,7 +53,9 @@
 async def play(job: Job, worker: int, tell: Callable[[str, Any], None], stop: Any) -> None:
     """One worker's part; what it tells is `progress` with counts, and at the end `record`."""
     name = f"{job.run}{worker:x}."
-    log = Log(job.observations / f"clients-{worker}.jsonl") if job.observations is not None else None
+    log = (
+        ObservationLog(job.observations / f"clients-{worker}.jsonl") if job.observations is not None else None
+    )
     observe = log.add if log is not None else None
     generator = Generator(job.profile, job.plan(worker), job.addresses, name, observe)
     told_at = generator.loop.time()
--- a/myrtlecourse/scale/ground.py
+++ b/myrtlecourse/scale/ground.py
@@ -93,7 +93,7 @@
 class Ground(Fleet):
     """The stand-in fleet, whose discovery hollow members ask too."""
 
-    def __init__(self, scenario: Scenario, log: seen.Log, of_hollow: bool) -> None:
+    def __init__(self, scenario: Scenario, log: seen.ObservationLog, of_hollow: bool) -> None:
         super().__init__(scenario.fleet(), log.add)
         self.scale = scenario
         self.of_hollow = of_hollow
@@ -144,12 +144,12 @@
 
     def _observed(self, what: seen.Observation) -> None:
         """The auditor judges real routers alone."""
-        if isinstance(what, seen.Calls):
+        if isinstance(what, seen.DiscoveryCall):
             self.calls[role_of(what.router)] += what.how == "begun"
-        if isinstance(what, seen.Listed):
+        if isinstance(what, seen.ListChanged):
             since_ms = round((what.since + self.discovery.epoch) * 1000) if what.since else 0
             self.changes.append(Change(what.at, what.box, what.status, since_ms))
-        if not (isinstance(what, seen.Calls | seen.Told) and role_of(what.router) == HOLLOW):
+        if not (isinstance(what, seen.DiscoveryCall | seen.ListEntrySent) and role_of(what.router) == HOLLOW):
             self.log.add(what)
 
     def begin(self) -> None:
@@ -166,7 +166,7 @@
 
 async def live(scenario: Scenario, folder: Path, command: str | None, words: Any) -> None:
     """Stand up, begin when told, end when told; without a command it is the stand-in of hollow members."""
-    log = seen.Log(folder / LOG)
+    log = seen.ObservationLog(folder / LOG)
     ground = Ground(scenario, log, command is None)
     await ground.listen()
     routers = Routers(ground.routers if command is not None else [], command or "", folder, log.add)
--- a/myrtlecourse/sim/clients.py
+++ b/myrtlecourse/sim/clients.py
@@ -49,7 +49,7 @@
         left = max(0.001, round(self.until - now, 3))
         effect = "free" if not kind.write else "guarded" if kind.keyed else "single_shot"
         key = f"{self.number:x}" if kind.keyed else ""
-        clients.observe(seen.Asked(now, self.name, router.name, kind.name, now + left, effect, key))
+        clients.observe(seen.RequestSent(now, self.name, router.name, kind.name, now + left, effect, key))
         self.router = router
         hint = kind.hint / 1e6 if kind.hint else None
         told = clients.classes[kind.name]
@@ -68,9 +68,9 @@
         now = clients.core.now
         if how == "ended":
             if name in clients.open:
-                clients.observe(seen.Unanswered(now, name, "ended"))
+                clients.observe(seen.RequestUnanswered(now, name, "ended"))
         elif how != "unreachable":
-            clients.observe(seen.Answered(now, name, how))
+            clients.observe(seen.RequestAnswered(now, name, how))
         clients.open.discard(name)
         if self.over or name != self.name:
             return
@@ -90,7 +90,7 @@
     def _leave(self) -> None:
         """Go away without the answer."""
         if self.router is not None and self.name in self.clients.open:
-            self.clients.observe(seen.Unanswered(self.clients.core.now, self.name, "left"))
+            self.clients.observe(seen.RequestUnanswered(self.clients.core.now, self.name, "left"))
             self.clients.open.discard(self.name)
             self.clients.core.after(HOP, self.router.client_gone, self.name)
         self._end("left")
@@ -149,4 +149,4 @@
         """The time is over in which an answer could have come."""
         if name in self.open:
             self.open.discard(name)
-            self.observe(seen.Unanswered(self.core.now, name, "late"))
+            self.observe(seen.RequestUnanswered(self.core.now, name, "late"))
--- a/myrtlecourse/sim/discovery.py
+++ b/myrtlecourse/sim/discovery.py
@@ -48,7 +48,7 @@
             self.timer = self.core.at(due, self._advance)
 
     def _listed(self, entry: Entry) -> None:
-        self.observe(seen.Listed(self.core.now, entry.name, entry.status, max(0.0, entry.since)))
+        self.observe(seen.ListChanged(self.core.now, entry.name, entry.status, max(0.0, entry.since)))
 
     def _advance(self) -> None:
         self.timer = None
@@ -63,9 +63,9 @@
         """A router asks, and watches from then on."""
         if router.name in self.watches:
             return
-        self.observe(seen.Calls(self.core.now, router.name, "begun"))
+        self.observe(seen.DiscoveryCall(self.core.now, router.name, "begun"))
         if self.is_away:
-            self.observe(seen.Calls(self.core.now, router.name, "failed"))
+            self.observe(seen.DiscoveryCall(self.core.now, router.name, "failed"))
             self.core.after(HOP, self._failed, router, router.life)
             return
         # the list that a router starts with is the first
@@ -94,7 +94,9 @@
         self.seen[router.name] = self.registry.index
         for entry in entries:
             self.observe(
-                seen.Told(self.core.now, router.name, entry.name, entry.status, max(0.0, entry.since))
+                seen.ListEntrySent(
+                    self.core.now, router.name, entry.name, entry.status, max(0.0, entry.since)
+                )
             )
         router.list_told(api.ListKind.FULL if whole else api.ListKind.DELTA, entries)
 
@@ -104,11 +106,11 @@
         if away:
             ended, self.watches = list(self.watches.values()), {}
             for router, _ in ended:
-                self.observe(seen.Calls(self.core.now, router.name, "failed"))
+                self.observe(seen.DiscoveryCall(self.core.now, router.name, "failed"))
                 self.core.after(HOP, self._failed, router, router.life)
 
     def forget(self, router: SimRouter) -> None:
         """A router has ended; its successor has seen the first list."""
         if self.watches.pop(router.name, None) is not None:
-            self.observe(seen.Calls(self.core.now, router.name, "failed"))
+            self.observe(seen.DiscoveryCall(self.core.now, router.name, "failed"))
         self.seen.pop(router.name, None)
--- a/myrtlecourse/sim/servers.py
+++ b/myrtlecourse/sim/servers.py
@@ -74,11 +74,11 @@
         else:
             attempt.fresh = True
             if self._cut_from(router):
-                self.observe(seen.Dialled(self.core.now, router, self.name))
+                self.observe(seen.UnreachableDial(self.core.now, router, self.name))
                 self.core.after(attempt.router.settings.dial_timeout, attempt.end, Status.CONNECT_FAILED)
                 return
             if not self.up or self.refusing:
-                self.observe(seen.Dialled(self.core.now, router, self.name))
+                self.observe(seen.UnreachableDial(self.core.now, router, self.name))
                 self.core.after(HOP, attempt.end, Status.CONNECT_FAILED)
                 return
         attempt.began = self.core.now
@@ -97,7 +97,7 @@
         window = kind.window if request.idempotency else 0.0
         group = self.group(request)
         self.observe(
-            seen.Sent(
+            seen.AttemptReceived(
                 now,
                 request.id,
                 self.name,
@@ -111,7 +111,7 @@
         )
         piece = self.model.arrive(now, request)
         if isinstance(self.model, Box) and self.model.fallen is not None:
-            self.observe(seen.Fell(now, self.name, self.model.fallen))
+            self.observe(seen.ColdServerOverloaded(now, self.name, self.model.fallen))
             self.end()
             self.fell(self)
             attempt.end(Status.RESET)
@@ -138,7 +138,7 @@
         while (ended := self.model.ended(now)) is not None:
             attempt = self.out.pop(ended.request, None)
             if ended.ran:
-                self.observe(seen.Ran(now, ended.request.id, self.name, ended.request.idempotency))
+                self.observe(seen.WriteExecuted(now, ended.request.id, self.name, ended.request.idempotency))
             if ended.how in (How.MISS, How.BUSY):
                 self.observe(seen.NeverRan(now, ended.request.id, self.name))
             self.answered(self, ended)
--- a/myrtlecourse/sim/world.py
+++ b/myrtlecourse/sim/world.py
@@ -89,7 +89,7 @@
         entries = list(self.layout.entries.values())
         self.registry = Registry(entries)
         self.discovery = SimDiscovery(
-            self.core, self.registry, scenario.discovery.lines_a_second, self.auditor.take
+            self.core, self.registry, scenario.discovery.lines_a_second, self.auditor.judge
         )
         self.routers = [
             SimRouter(
@@ -103,7 +103,7 @@
             for i, name in enumerate(self.layout.routers)
         ]
         for name, zone in self.layout.zones.items():
-            self.auditor.take(seen.Stands(self.core.now, name, zone))
+            self.auditor.judge(seen.ServerZone(self.core.now, name, zone))
         self.ways = Ways(scenario.seed)  # between routers
         if scenario.peers is not None:
             told, ways = scenario.peers, self.ways
@@ -112,10 +112,10 @@
             for i, router in enumerate(self.routers):
                 router.meeting, router.zone = met, zone_of(scenario, i)
         for router in self.routers:
-            self.auditor.take(seen.RouterUp(self.core.now, router.name))
+            self.auditor.judge(seen.RouterUp(self.core.now, router.name))
             router.start(entries)
         profile = replace(profile, hot=profile.hot + hot_keys(scenario))
-        self.clients = Clients(self.core, profile, known, self.routers, self.auditor.take, scenario.seconds)
+        self.clients = Clients(self.core, profile, known, self.routers, self.auditor.judge, scenario.seconds)
         for step in steps(scenario):
             self.core.after(step.at, self._do, step)
 
@@ -125,7 +125,7 @@
 
         distances = self.layout.distances(self.layout.zones[name])
         idle = self.layout.kinds[name].idle
-        node = Node(self.core, name, self.layout.box(name), distances, idle, group, self.auditor.take)
+        node = Node(self.core, name, self.layout.box(name), distances, idle, group, self.auditor.judge)
         node.answered = self._answered
         node.fell = self._fell
         return node
@@ -139,7 +139,7 @@
             distances,
             store.origin.idle,
             lambda r: r.request_class.group,
-            self.auditor.take,
+            self.auditor.judge,
         )
         node.answered = self._fetched
         return node
@@ -187,11 +187,11 @@
 
     def _stall(self, router: SimRouter, step: Step) -> None:
         if step.do == "stall":
-            self.auditor.take(seen.Stalled(self.core.now, router.name, step.lasts))
+            self.auditor.judge(seen.RouterStalled(self.core.now, router.name, step.lasts))
         router.stall(step.do == "stall")
 
     def _to_node(self, step: Step, node: Node) -> None:
-        self.auditor.take(seen.Happened(self.core.now, step.target, step.do, step.routers))
+        self.auditor.judge(seen.ScenarioStep(self.core.now, step.target, step.do, step.routers))
         match step.do:
             case "part" | "mend":
                 node.part(step.routers, step.do == "part")
@@ -225,7 +225,7 @@
             if router.taking and not router.ending:
                 now, box = self.core.now, step.target
                 router.post(api.BanLifted(box, now) if back else api.ServerBanned(box))
-                self.auditor.take(seen.Banned(now, router.name, box, back))
+                self.auditor.judge(seen.BanAcknowledged(now, router.name, box, back))
 
     def _start(self, node: Node) -> None:
         """A new process, which the list will tell of."""
@@ -239,7 +239,7 @@
             return False
         box.start(self.core.now)
         node.up = True
-        self.auditor.take(seen.Started(self.core.now, node.name))
+        self.auditor.judge(seen.ServerStarted(self.core.now, node.name))
         return True
 
     def _to_list(self, step: Step) -> None:
@@ -255,7 +255,7 @@
         if not router.taking or router.ending:
             return  # it is ending or starting already
         if kill:
-            self.auditor.take(seen.RouterDown(self.core.now, router.name, True))
+            self.auditor.judge(seen.RouterDown(self.core.now, router.name, True))
             router.kill()
             self.core.after(STARTING, self._up, router)
         else:
@@ -265,12 +265,12 @@
 
     def _ended(self, router: SimRouter) -> None:
         router.kill()
-        self.auditor.take(seen.RouterDown(self.core.now, router.name, False))
+        self.auditor.judge(seen.RouterDown(self.core.now, router.name, False))
         self.core.after(STARTING, self._up, router)
 
     def _up(self, router: SimRouter) -> None:
         self.discovery.forget(router)
-        self.auditor.take(seen.RouterUp(self.core.now, router.name))
+        self.auditor.judge(seen.RouterUp(self.core.now, router.name))
         router.start(list(self.layout.entries.values()))
 
     def margins(self) -> dict[str, float]:
--- a/tests/test_duty_faults.py
+++ b/tests/test_duty_faults.py
@@ -68,10 +68,10 @@
         profile = msgspec.convert(PROFILE, Profile)
         self.outcome: Outcome = play(told, profile, folder, command, 1, lambda at, counts: None)
         self.verdict = self.outcome.verdict
-        each = list(seen.merged(sorted(folder.glob("*.jsonl"))))
-        self.began = next(o.at for o in each if isinstance(o, seen.Asked))
-        self.took = [o for o in each if isinstance(o, seen.Holds) and o.token]
-        self.did = [o for o in each if isinstance(o, seen.Did)]
+        each = list(seen.merge_logs(sorted(folder.glob("*.jsonl"))))
+        self.began = next(o.at for o in each if isinstance(o, seen.RequestSent))
+        self.took = [o for o in each if isinstance(o, seen.HoldsDuty) and o.token]
+        self.did = [o for o in each if isinstance(o, seen.StepDone)]
         self.logs = {log.stem: log.read_text() for log in sorted(folder.glob("router-*.log"))}
 
     def kept(self) -> None:
--- a/tests/test_duty_parts.py
+++ b/tests/test_duty_parts.py
@@ -189,21 +189,21 @@
 
 def test_the_auditor_judges_duties() -> None:
     told: list[seen.Observation] = [
-        seen.Holds(1.0, "a", "x", 5),
-        seen.Obeys(1.0, "a", "x", 5),
-        seen.Obeys(1.1, "b", "x", 5),
-        seen.Did(1.2, "a", "x", 1, 5),
-        seen.Holds(2.0, "a", "x", 0),
-        seen.Rests(2.0, "a", "x"),
-        seen.Holds(2.5, "c", "x", 6),
-        seen.Obeys(2.5, "c", "x", 6),  # while b obeys 5
+        seen.HoldsDuty(1.0, "a", "x", 5),
+        seen.FollowsHolder(1.0, "a", "x", 5),
+        seen.FollowsHolder(1.1, "b", "x", 5),
+        seen.StepDone(1.2, "a", "x", 1, 5),
+        seen.HoldsDuty(2.0, "a", "x", 0),
+        seen.FollowsNobody(2.0, "a", "x"),
+        seen.HoldsDuty(2.5, "c", "x", 6),
+        seen.FollowsHolder(2.5, "c", "x", 6),  # while b obeys 5
         seen.RouterDown(2.6, "b", True),
-        seen.Obeys(2.7, "a", "x", 4),
-        seen.Did(2.8, "c", "x", 1, 6),
+        seen.FollowsHolder(2.7, "a", "x", 4),
+        seen.StepDone(2.8, "c", "x", 1, 6),
     ]
     auditor = Auditor(Rules(duty_gap=0.4))
     for what in told:
-        auditor.take(what)
+        auditor.judge(what)
     found = auditor.verdict()["breaches"]
     kinds = ("two_obeyed", "stale_obeyed", "done_twice", "nobody_too_long")
     assert [found[kind] for kind in kinds] == [2, 1, 1, 1]
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -113,7 +113,7 @@
             stand.do("thaw")
             assert (await link.resp())[0].startswith(b"r1 ")
             # what was sent before it was given up is seen as sent then
-            late = [o for o in stand.told if isinstance(o, seen.Sent) and o.id == "r2"]
+            late = [o for o in stand.told if isinstance(o, seen.AttemptReceived) and o.id == "r2"]
             assert len(late) == 1 and late[0].began < before - ANSWER_TIME / 2
 
     run(scenario)
@@ -139,7 +139,7 @@
             assert box.memory.size == 0 and box.station.pace.share(box.started) == box.kind.cold
             ask(link := await stand.link(), "r1")
             assert await link.resp() == [None, b"miss", None]
-            told = [o.status for o in stand.told if isinstance(o, seen.Told) and o.box == "b-0"]
+            told = [o.status for o in stand.told if isinstance(o, seen.ListEntrySent) and o.box == "b-0"]
             assert told[-2:] == ["terminated", "in_service"]
 
     run(scenario)
@@ -222,7 +222,7 @@
                     break
                 except ConnectionRefusedError:
                     await asyncio.sleep(0.01)
-            hows = [o.how for o in stand.told if isinstance(o, seen.Calls)]
+            hows = [o.how for o in stand.told if isinstance(o, seen.DiscoveryCall)]
             assert hows == ["begun", "ended", "begun", "failed", "begun", "ended"]
 
     run(scenario)
@@ -252,7 +252,7 @@
             assert (await origin.http())[2].startswith(b"w1 ")
             ask(box, "r3", "a/b")
             assert (await box.resp())[1] == b"miss"
-            assert [o.id for o in stand.told if isinstance(o, seen.Ran)] == ["w1"]
+            assert [o.id for o in stand.told if isinstance(o, seen.WriteExecuted)] == ["w1"]
 
     run(scenario)
 
--- a/tests/test_fleet_routers.py
+++ b/tests/test_fleet_routers.py
@@ -65,7 +65,7 @@
     asyncio.run(start())
     up, down, ended = told
     assert isinstance(up, seen.RouterUp) and isinstance(down, seen.RouterDown) and down.killed
-    assert isinstance(ended, seen.RouterGone) and down.at < gone[0] <= ended.at
+    assert isinstance(ended, seen.RouterExited) and down.at < gone[0] <= ended.at
 
 
 ENDS = """
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -61,8 +61,8 @@
         scenario(faults=[fault])
 
 
-def sent(at: float, box: str) -> seen.Sent:
-    return seen.Sent(at, f"r{at}", box, "n", at, "free")
+def sent(at: float, box: str) -> seen.AttemptReceived:
+    return seen.AttemptReceived(at, f"r{at}", box, "n", at, "free")
 
 
 @pytest.mark.parametrize(("at", "breaches"), [(9.0, 0), (11.9, 0), (12.2, 1), (14.0, 1), (20.1, 0)])
@@ -71,15 +71,15 @@
     auditor = Auditor(Rules())
     told: list[seen.Observation] = [
         seen.RouterUp(1.0, "n"),
-        seen.Banned(10.0, "n", "a"),
-        seen.Told(11.0, "n", "a", "in_service", 11.0),
-        seen.Banned(11.5, "n", "a"),  # calls out may be repeated; the first one counts
-        seen.Banned(20.0, "n", "a", back=True),
+        seen.BanAcknowledged(10.0, "n", "a"),
+        seen.ListEntrySent(11.0, "n", "a", "in_service", 11.0),
+        seen.BanAcknowledged(11.5, "n", "a"),  # calls out may be repeated; the first one counts
+        seen.BanAcknowledged(20.0, "n", "a", back=True),
         sent(at, "a"),
         sent(at + 0.1, "b"),
     ]
     for each in sorted(told, key=lambda o: o.at):
-        auditor.take(each)
+        auditor.judge(each)
     assert auditor.verdict()["breaches"]["sent_to_banned"] == breaches
 
 
--- a/tests/test_fleet_sockets.py
+++ b/tests/test_fleet_sockets.py
@@ -50,7 +50,7 @@
     fleet.close()
     auditor = Auditor(fleet.scenario.rules)
     for each in sorted(told, key=lambda o: o.at):
-        auditor.take(each)
+        auditor.judge(each)
     assert auditor.seen["asked"] and auditor.seen["sent"] or way == "makes_values"
     return {k: n for k, n in auditor.verdict()["breaches"].items() if n}, generator
 
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -342,7 +342,7 @@
     def __init__(self, folder: Path, **told: Any) -> None:
         self.folder = folder
         self.scenario = msgspec.convert({"hollow": 3, "per_process": 2} | told, Scenario)
-        self.log = seen.Log(folder / "fleet.jsonl")
+        self.log = seen.ObservationLog(folder / "fleet.jsonl")
         self.counts = Counts()
 
     async def __aenter__(self) -> Stand:
@@ -399,7 +399,7 @@
 
     asyncio.run(play())
     kinds = {type(each) for each in seen.read_log(tmp_path / "fleet.jsonl")}
-    assert seen.Listed in kinds and not kinds & {seen.Calls, seen.Told}
+    assert seen.ListChanged in kinds and not kinds & {seen.DiscoveryCall, seen.ListEntrySent}
 
 
 def test_a_hollow_member_that_begins_anew_has_the_list_first_given_and_then_the_change(
--- a/tests/test_zone_exit.py
+++ b/tests/test_zone_exit.py
@@ -75,8 +75,8 @@
             told, profile(rate, told.seconds), folder, command, 1, lambda at, counts: None
         )
         self.verdict = self.outcome.verdict
-        each = list(seen.merged(sorted(folder.glob("*.jsonl"))))
-        self.began = next(o.at for o in each if isinstance(o, seen.Asked))
+        each = list(seen.merge_logs(sorted(folder.glob("*.jsonl"))))
+        self.began = next(o.at for o in each if isinstance(o, seen.RequestSent))
         self.left = {
             log.stem: [(at - self.began, zones) for at, zones in zones_left(log)]
             for log in sorted(folder.glob("router-*.log"))
@@ -228,8 +228,8 @@
 
     def shares(begin: float, end: float) -> dict[str, float]:
         found = Counter[str]()
-        for what in seen.merged(sorted(tmp_path.glob("*.jsonl"))):
-            if isinstance(what, seen.Sent) and what.router in ("router-1", "router-4"):
+        for what in seen.merge_logs(sorted(tmp_path.glob("*.jsonl"))):
+            if isinstance(what, seen.AttemptReceived) and what.router in ("router-1", "router-4"):
                 number = what.box.rpartition("-")[2]
                 if begin <= what.at - played.began < end and number.isdigit():
                     found[ZONES[int(number) % 3]] += 1
--- a/tests/test_zone_return.py
+++ b/tests/test_zone_return.py
@@ -347,7 +347,7 @@
 def test_an_origin_that_is_asked_for_too_much_in_any_second_is_told() -> None:
     auditor = Auditor(Rules(origin_rate=3.0))
     for at in (0.0, 0.4, 0.8, 1.1, 1.5, 1.6, 1.7, 3.0, 3.1):
-        auditor.take(seen.Sent(at, f"q{at}", "origin", "router-0", at, "free"))
+        auditor.judge(seen.AttemptReceived(at, f"q{at}", "origin", "router-0", at, "free"))
     assert auditor.verdict()["breaches"]["origin_over"] == 1
     assert auditor.margins.get("origin_over", auditor.origin.closest) == 1.0
 
