--- a/bench/address_move.py
+++ b/bench/address_move.py
@@ -31,7 +31,7 @@
 from myrtlecourse.fleet.switch import Switch
 from myrtlecourse.load.generator import Generator
 from myrtlecourse.load.profile import Profile
-from myrtlecourse.load.requests import planned
+from myrtlecourse.load.requests import plan_requests
 from myrtlecourse.operators import read_operators
 
 HEARTBEAT, LEASE, SETTLE = 0.2, 0.8, 0.4
@@ -180,7 +180,7 @@
     assert bound is not None
     seconds = kills * (CALM + 3.0 * LEASE + 2.0) + 30.0
     plan = profile(seconds, rate)
-    generator = Generator(plan, planned(plan), [place.switch.address], observe=observe)
+    generator = Generator(plan, plan_requests(plan), [place.switch.address], observe=observe)
     told.append(seen.RouterUp(time.monotonic(), SERVICE))
     load = asyncio.create_task(generator.run())
     moves, outages = [], []
--- a/bench/load_generator.py
+++ b/bench/load_generator.py
@@ -23,10 +23,10 @@
 from myrtlecourse.load.client import ClientPool
 from myrtlecourse.load.generator import Generator
 from myrtlecourse.load.profile import Clients, Piece, Profile, RequestClass
-from myrtlecourse.load.record import LATE, LATE_SHARE, Part
-from myrtlecourse.load.requests import planned
+from myrtlecourse.load.record import LATE_START, MAX_LATE_SHARE, OutcomeStats
+from myrtlecourse.load.requests import plan_requests
 from myrtlecourse.load.run import Job, run
-from myrtlecourse.load.trace import Replay, replayed
+from myrtlecourse.load.trace import Replay, replay_requests
 from myrtlecourse.net.resp import pack
 
 TARGET_CORES = {1}
@@ -56,7 +56,7 @@
 async def open_loop(port: int) -> dict[str, float]:
     """What the generator reports."""
     profile = reads(RATE, LASTS)
-    generator = Generator(profile, planned(profile), [("127.0.0.1", port)])
+    generator = Generator(profile, plan_requests(profile), [("127.0.0.1", port)])
     await generator.run()
     return generator.record.all.quantiles()
 
@@ -64,13 +64,13 @@
 async def closed_loop(port: int) -> dict[str, float]:
     """What clients report that ask again only when they are answered, and count from when they ask."""
     loop = asyncio.get_running_loop()
-    pool, part, until = ClientPool(("127.0.0.1", port), CLOSED), Part(), loop.time() + LASTS
+    pool, part, until = ClientPool(("127.0.0.1", port), CLOSED), OutcomeStats(), loop.time() + LASTS
 
     async def client() -> None:
         while loop.time() < until:
             sent, answered = loop.time(), loop.create_future()
             command = pack([b"C.GET", b"k", b"i", b"c=read,t=a,d=9000"])
-            pool.ask("i", command, lambda *_, a=answered: a.set_result(None))
+            pool.submit("i", command, lambda *_, a=answered: a.set_result(None))
             await answered
             part.add(max(1, round((loop.time() - sent) * 1e6)))
             await asyncio.sleep(CLOSED / RATE)
@@ -103,11 +103,12 @@
             job = Job(reads(step, 3.0), (("127.0.0.1", fleet.box()),), workers)
             _, record = run(job, lambda *_: None)
         late = record.starts.counts["late"] / max(1, record.starts.counts["sent"])
-        if late > LATE_SHARE:
+        if late > MAX_LATE_SHARE:
             break
         best = step
     print(
-        f"{workers} workers: {best:,.0f}/s in time; at the next step {late:.0%} over {LATE * 1000:g} ms late"
+        f"{workers} workers: {best:,.0f}/s in time; at the next step {late:.0%} "
+        f"over {LATE_START * 1000:g} ms late"
     )
     return {"workers": workers, "rate": best, "late_at_next_step": late}
 
@@ -119,10 +120,10 @@
         with file.open("w") as out:
             for i in range(count):
                 out.write(f'{{"at":{i / 10_000},"class":"read","tenant":"a","key":"key-{i % 9973}"}}\n')
-        list(zip(range(1000), replayed(Replay(file)), strict=False))
+        list(zip(range(1000), replay_requests(Replay(file)), strict=False))
         before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
         began = time.perf_counter()
-        read = sum(1 for _ in replayed(Replay(file)))
+        read = sum(1 for _ in replay_requests(Replay(file)))
         took = time.perf_counter() - began
         after = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     print(f"{read:,} lines in {took:.1f} s: {before:.1f} MB before, {after:.1f} MB at the most")
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -23,7 +23,7 @@
 from bench import rig
 from bench.router_rate import CACHES, MEASURED, rate
 from myrtlecourse.load.profile import Clients, Piece, Profile, RequestClass
-from myrtlecourse.load.record import Part
+from myrtlecourse.load.record import OutcomeStats
 from myrtlecourse.load.run import Job, run
 
 MULTIPLES = (0.25, 0.5, 0.75, 1.0, 1.5, 2.0, 4.0)
@@ -56,7 +56,7 @@
     """One multiple of the capacity."""
     asked = profile(multiple * capacity, capacity, seconds)
     _, record = run(Job(asked, (("127.0.0.1", port),), workers), lambda *_: None)
-    during = Part()
+    during = OutcomeStats()
     for second in range(SETTLE, seconds):
         during.merge(record.seconds[second])
     counts, scheduled = during.counts, max(1, during.counts["scheduled"])
@@ -74,7 +74,7 @@
         "failed": counts["failed"] / scheduled,
         "p99_ms": during.quantiles()["p99"],
         "well_again_after_s": next(well, None),
-        "generator_was_the_limit": record.behind(),
+        "generator_was_the_limit": record.generator_limited(),
     }
 
 
--- a/bench/sim_against_sockets.py
+++ b/bench/sim_against_sockets.py
@@ -96,7 +96,7 @@
             "refused": [r.all.counts["refused"] for r in (simulated.record, real.record)],
             "attempts": list(attempts_of),
             "breaches": [sum(v["breaches"].values()) for v in (simulated.verdict, real.verdict)],
-            "generator_was_the_limit": real.record.behind(),
+            "generator_was_the_limit": real.record.generator_limited(),
         }
         rows.append(row)
         difference = row["simulated"] - row["sockets"]
--- a/myrtlecourse/experiment/commands.py
+++ b/myrtlecourse/experiment/commands.py
@@ -18,7 +18,7 @@
 from myrtlecourse.experiment.runs import run_all, runs
 from myrtlecourse.experiment.store import Store, StoreError
 from myrtlecourse.fleet.scenario import ScenarioError
-from myrtlecourse.load.commands import UNUSABLE, RunByDefault, write_json
+from myrtlecourse.load.commands import EXIT_UNUSABLE, RunByDefault, write_json
 from myrtlecourse.load.profile import ProfileError
 
 SHOWN = ("goodput", "p99_ms", "refused", "fetches", "breaches")
@@ -76,7 +76,7 @@
         store.close()
     except (PlanError, ScenarioError, ProfileError, StoreError) as e:
         console.print(f"myrtlecourse experiment: {e}", markup=False, highlight=False)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_UNUSABLE)
     show(told, found, Console())
     console.print(f"{played:,} runs played, {len(todo) - played:,} were known", highlight=False)
     if json_file is not None:
@@ -123,7 +123,7 @@
         found = compare(Store(first, must_exist=True), Store(second, must_exist=True))
     except StoreError as e:
         click.echo(f"myrtlecourse experiment compare: {e}", err=True)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_UNUSABLE)
     if as_json:
         told = [{"point": p, "measure": m, "difference": [e.mean, e.low, e.high]} for p, m, e in found]
         click.echo(msgspec.json.encode(told))
--- a/myrtlecourse/experiment/page.py
+++ b/myrtlecourse/experiment/page.py
@@ -13,7 +13,7 @@
 
 from myrtlecourse.experiment.analysis import Row  # noqa: E402
 from myrtlecourse.experiment.plan import Plan  # noqa: E402
-from myrtlecourse.load.page import STYLE, svg  # noqa: E402
+from myrtlecourse.load.page import STYLE, render_svg  # noqa: E402
 
 SHOWN = ("goodput", "p99_ms", "fetches", "refused")
 
@@ -86,7 +86,7 @@
 <h1>{html.escape(title)}</h1>
 <p>Means over {plan.seeds} seeds; in brackets the difference from the first row on the same seeds, with
 its 95% interval. Bold: the interval leaves out 0.</p>
-{svg(figure(plan, rows))}
+{render_svg(figure(plan, rows))}
 <table><tr>{head}</tr>{"".join(body)}</table>
 </html>
 """
--- a/myrtlecourse/fleet/commands.py
+++ b/myrtlecourse/fleet/commands.py
@@ -22,7 +22,7 @@
 from myrtlecourse.fleet.session import Outcome, SessionError, Standing, play, stand
 from myrtlecourse.fleet.session import audit as judge
 from myrtlecourse.load import report
-from myrtlecourse.load.commands import UNUSABLE, Progress, write_json
+from myrtlecourse.load.commands import EXIT_UNUSABLE, Progress, write_json
 from myrtlecourse.load.profile import ProfileError, read_profile
 from myrtlecourse.load.run import RunError
 
@@ -133,7 +133,7 @@
                 _write_page(html_file, figures, scenario, outcome)
     except (ScenarioError, ProfileError, RunError, SessionError, RouterError, ObservationError, OSError) as e:
         console.print(f"myrtlecourse fleet: {e}", markup=False, highlight=False)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_UNUSABLE)
     show_verdict(verdict, Console())
     for fault in faults:
         console.print(fault, markup=False, highlight=False)
@@ -174,7 +174,7 @@
         verdict = judge(folder, read_scenario(scenario).rules if scenario else Rules())
     except (ObservationError, ScenarioError) as e:
         click.echo(f"myrtlecourse audit: {e}", err=True)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_UNUSABLE)
     if as_json:
         click.echo(msgspec.json.encode(verdict))
     else:
--- a/myrtlecourse/fleet/faults.py
+++ b/myrtlecourse/fleet/faults.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from myrtlecourse.fleet import scenario as told
-from myrtlecourse.load.profile import Hot
+from myrtlecourse.load.profile import HotKeys
 
 
 @dataclass(frozen=True, slots=True)
@@ -164,10 +164,10 @@
     return found
 
 
-def hot_keys(scenario: told.Scenario) -> tuple[Hot, ...]:
+def hot_keys(scenario: told.Scenario) -> tuple[HotKeys, ...]:
     """What the load beside the fleet must ask for."""
     return tuple(
-        Hot(at=f.at, seconds=f.seconds, share=f.share, keys=f.keys)
+        HotKeys(at=f.at, seconds=f.seconds, share=f.share, keys=f.keys)
         for f in scenario.faults
         if isinstance(f, told.HotKey)
     )
--- a/myrtlecourse/load/client.py
+++ b/myrtlecourse/load/client.py
@@ -118,7 +118,7 @@
         self.waiting: deque[Wanted] = deque()
         self.dials: set[asyncio.Task[None]] = set()
 
-    def ask(
+    def submit(
         self,
         name: str,
         data: bytes,
--- a/myrtlecourse/load/commands.py
+++ b/myrtlecourse/load/commands.py
@@ -17,8 +17,8 @@
 from myrtlecourse.load.run import Job, RunError, run
 from myrtlecourse.load.trace import Replay
 
-UNUSABLE = 2  # exit code of what can't be begun
-NOTHING_SERVED = 1
+EXIT_UNUSABLE = 2  # exit code of what can't be begun
+EXIT_NOTHING_SERVED = 1
 
 
 class Address(click.ParamType[tuple[str, int]]):
@@ -159,7 +159,7 @@
             took, record = run(job, progress)
     except (ProfileError, RunError) as e:
         console.print(f"myrtlecourse load: {e}", markup=False, highlight=False)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_UNUSABLE)
     figures = record.figures(took)
     report.show(figures, Console())
     if json_file is not None:
@@ -168,7 +168,7 @@
         from myrtlecourse.load.page import page  # noqa: PLC0415  (plots take a second to import)
 
         html_file.write_text(page(figures, "Load on " + ", ".join(f"{host}:{port}" for host, port in target)))
-    sys.exit(0 if figures["served"] else NOTHING_SERVED)
+    sys.exit(0 if figures["served"] else EXIT_NOTHING_SERVED)
 
 
 @load.command("compare")
@@ -181,7 +181,7 @@
         rows = report.compare(report.read(first), report.read(second))
     except report.ReportError as e:
         click.echo(f"myrtlecourse load compare: {e}", err=True)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_UNUSABLE)
     if as_json:
         click.echo(msgspec.json.encode({title: [a, b] for title, a, b in rows}))
     else:
--- a/myrtlecourse/load/generator.py
+++ b/myrtlecourse/load/generator.py
@@ -18,7 +18,7 @@
 from myrtlecourse.load.client import Broken, ClientPool, Wanted
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.load.record import Record
-from myrtlecourse.load.requests import Planned, comes_back, repeatable
+from myrtlecourse.load.requests import PlannedRequest, repeatable, retry_delay
 from myrtlecourse.net.resp import ErrorLine, Message, pack
 
 LINGER = 1.0  # seconds after its time in which an observed client still listens: is the answer late, or lost?
@@ -106,7 +106,7 @@
 class Asked:
     """One request through all its tries: it ends once."""
 
-    def __init__(self, generator: Generator, plan: Planned, number: int) -> None:
+    def __init__(self, generator: Generator, plan: PlannedRequest, number: int) -> None:
         self.generator = generator
         self.plan = plan
         self.due = generator.began + plan.at
@@ -118,7 +118,7 @@
         self.out: Try | None = None
         loop = generator.loop
         self.timers = [loop.call_at(self.until, self.end, "failed")]
-        if plan.leaves:
+        if plan.client_leaves:
             self.timers.append(loop.call_at(self.due + plan.request_class.deadline / 2, self.end, "left"))
 
     def send(self, fresh: bool = False) -> None:
@@ -140,7 +140,7 @@
         # in turns, as a front deals out connections; a further try goes to the next router
         router = (self.number + self.tries - 1) % len(generator.pools)
         self.out = out = Try(self, name, router, left)
-        out.wanted = generator.pools[router].ask(name, pack(parts), out.heard, out.written, fresh)
+        out.wanted = generator.pools[router].submit(name, pack(parts), out.heard, out.written, fresh)
 
     def heard(self, answer: Message | BaseException, kept: bool) -> None:
         """What came of the latest try."""
@@ -159,7 +159,7 @@
             self.send(fresh=True)
             return
         clients, chance = self.generator.profile.clients, self.generator.random
-        wait = comes_back(clients, kind, self.tries, how, pause, chance)
+        wait = retry_delay(clients, kind, self.tries, how, pause, chance)
         again = math.inf if wait is None else self.generator.loop.time() + wait
         if again >= self.until:
             self.end("refused" if pause is not None else "failed")
@@ -177,7 +177,7 @@
             self.out.end("left" if outcome == "left" else "late")
         kind = self.plan.request_class
         took = self.generator.loop.time() - self.due
-        self.generator.record.ended(self.plan.at, kind.name, self.plan.tenant, outcome, took, kind.aim)
+        self.generator.record.count_end(self.plan.at, kind.name, self.plan.tenant, outcome, took, kind.aim)
         self.generator.look()
 
 
@@ -187,7 +187,7 @@
     def __init__(
         self,
         profile: Profile,
-        plan: Iterable[Planned],
+        plan: Iterable[PlannedRequest],
         addresses: Sequence[tuple[str, int]],
         name: str = "w0-",
         observe: Callable[[seen.Observation], None] | None = None,
@@ -240,7 +240,7 @@
                 await asyncio.sleep(0)
             asked = Asked(self, plan, number)
             self.out.add(asked)
-            self.record.started(max(0.0, self.loop.time() - due))
+            self.record.count_start(max(0.0, self.loop.time() - due))
             asked.send()
         while self.out or self.lingering:
             self.drained.clear()
--- a/myrtlecourse/load/page.py
+++ b/myrtlecourse/load/page.py
@@ -26,7 +26,7 @@
 """
 
 
-def svg(figure: Figure) -> str:
+def render_svg(figure: Figure) -> str:
     """A picture as part of a page."""
     text = io.StringIO()
     # a fixed salt and no date: the same run gives the same page
@@ -35,7 +35,7 @@
     return text.getvalue()[text.getvalue().index("<svg") :]
 
 
-def over_time(figures: Mapping[str, Any], marks: Sequence[tuple[float, str]] = ()) -> str:
+def plot_over_time(figures: Mapping[str, Any], marks: Sequence[tuple[float, str]] = ()) -> str:
     """Latency, and what became of the requests, by the second in which they should have been sent.
 
     Each mark, a second and what happened then, stands as a line with its number in the upper picture.
@@ -48,7 +48,7 @@
         above.plot(seconds, [p["latency_ms"][name] for p in parts], label=name)
     above.set_ylabel("latency, ms")
     above.set_ylim(bottom=0)
-    for number, (at, _) in enumerate(together(marks), 1):
+    for number, (at, _) in enumerate(merge_marks(marks), 1):
         above.axvline(at, color="grey", linewidth=0.7, linestyle=":")
         place = (at, above.get_ylim()[1])
         above.annotate(f"{number}", place, fontsize=7, color="grey", ha="center", annotation_clip=False)
@@ -58,10 +58,10 @@
     below.set_ylabel("requests a second")
     below.set_xlabel("second in which they should have been sent")
     below.legend(loc="upper left", bbox_to_anchor=(1.01, 1.0))
-    return svg(figure)
+    return render_svg(figure)
 
 
-def by_quantile(figures: Mapping[str, Any]) -> str:
+def plot_by_quantile(figures: Mapping[str, Any]) -> str:
     """Latency by quantile, for each class: the tail has as much room as the rest."""
     figure = Figure(figsize=(9, 3.5))
     axes = figure.subplots()
@@ -72,10 +72,10 @@
     axes.set_xticks(list(places), [f"{q:g}%" if q < 100 else "max" for q in QUANTILES.values()])
     axes.set_ylabel("latency, ms")
     axes.legend()
-    return svg(figure)
+    return render_svg(figure)
 
 
-def together(marks: Sequence[tuple[float, str]]) -> list[tuple[float, str]]:
+def merge_marks(marks: Sequence[tuple[float, str]]) -> list[tuple[float, str]]:
     """Marks of one time as one."""
     found: dict[float, str] = {}
     for at, word in marks:
@@ -85,7 +85,7 @@
 
 def _legend(marks: Sequence[tuple[float, str]]) -> str:
     """What the numbers in the picture stand for."""
-    items = "".join(f"<li>{at:g} s: {html.escape(word)}</li>" for at, word in together(marks))
+    items = "".join(f"<li>{at:g} s: {html.escape(word)}</li>" for at, word in merge_marks(marks))
     return f"<ol>{items}</ol>" if items else ""
 
 
@@ -128,7 +128,7 @@
 at the median and {late["max"]:.2f} ms at most.</p>
 <table><tr>{head}</tr>{"".join(rows)}</table>
 {"" if verdict is None else _verdict(verdict)}
-<h2>Over time</h2>{over_time(figures, marks)}{_legend(marks)}
-<h2>By quantile</h2>{by_quantile(figures)}
+<h2>Over time</h2>{plot_over_time(figures, marks)}{_legend(marks)}
+<h2>By quantile</h2>{plot_by_quantile(figures)}
 </html>
 """
--- a/myrtlecourse/load/profile.py
+++ b/myrtlecourse/load/profile.py
@@ -103,7 +103,7 @@
     connections: Annotated[int, Meta(ge=1, le=60_000)] = 256  # of each worker, at most
 
 
-class Hot(Struct, forbid_unknown_fields=True, frozen=True):
+class HotKeys(Struct, forbid_unknown_fields=True, frozen=True):
     """For a while a few keys draw a share of all requests that are no writes."""
 
     at: Annotated[float, Meta(ge=0.0)]  # seconds after the start
@@ -122,7 +122,7 @@
     tenants: tuple[Tenant, ...] = (Tenant("demo"),)
     keys: Keys = Keys()
     clients: Clients = Clients()
-    hot: tuple[Hot, ...] = ()
+    hot: tuple[HotKeys, ...] = ()
 
     def __post_init__(self) -> None:
         for what, members in (("classes", self.classes), ("tenants", self.tenants)):
--- a/myrtlecourse/load/record.py
+++ b/myrtlecourse/load/record.py
@@ -10,24 +10,24 @@
 
 from hdrh.histogram import HdrHistogram
 
-LEAST, MOST, DIGITS = 1, 3_600_000_000, 3  # microseconds
+MIN_VALUE, MAX_VALUE, SIGNIFICANT_DIGITS = 1, 3_600_000_000, 3  # microseconds
 OUTCOMES = ("served", "refused", "failed", "left")
 QUANTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9, "max": 100.0}
-LATE = 0.002  # seconds behind its time at which a start counts as late
-LATE_SHARE = 0.05  # of starts that are late: the generator was the limit
+LATE_START = 0.002  # seconds behind its time at which a start counts as late
+MAX_LATE_SHARE = 0.05  # of starts that are late: the generator was the limit
 
 
-def histogram() -> HdrHistogram:
+def new_histogram() -> HdrHistogram:
     """An empty one."""
-    return HdrHistogram(LEAST, MOST, DIGITS)
+    return HdrHistogram(MIN_VALUE, MAX_VALUE, SIGNIFICANT_DIGITS)
 
 
-class Part:
+class OutcomeStats:
     """The counts of one class, tenant or second, and how long what is counted took."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.values = histogram()
+        self.values = new_histogram()
         self.sum = 0  # of all values, microseconds: the histogram would walk all its buckets for a mean
 
     def __getstate__(self) -> tuple[dict[str, int], int, bytes]:
@@ -39,7 +39,7 @@
         self.sum = state[1]
         self.values = HdrHistogram.decode(state[2])
 
-    def merge(self, other: Part) -> None:
+    def merge(self, other: OutcomeStats) -> None:
         self.counts.update(other.counts)
         self.sum += other.sum
         self.values.add(other.values)
@@ -66,25 +66,25 @@
     """The record of one worker, or of several merged."""
 
     def __init__(self) -> None:
-        self.all = Part()
-        self.classes: defaultdict[str, Part] = defaultdict(Part)
-        self.tenants: defaultdict[str, Part] = defaultdict(Part)
-        self.seconds: defaultdict[int, Part] = defaultdict(Part)
-        self.starts = Part()  # and how late they were
+        self.all = OutcomeStats()
+        self.classes: defaultdict[str, OutcomeStats] = defaultdict(OutcomeStats)
+        self.tenants: defaultdict[str, OutcomeStats] = defaultdict(OutcomeStats)
+        self.seconds: defaultdict[int, OutcomeStats] = defaultdict(OutcomeStats)
+        self.starts = OutcomeStats()  # and how late they were
         self.exhausted = False  # a worker ran out of descriptors: requests waited for connections
 
-    def started(self, late: float) -> None:
+    def count_start(self, late: float) -> None:
         """A request's first try was sent so many seconds after its time."""
         self.starts.counts["sent"] += 1
-        self.starts.counts["late"] += late > LATE
-        self.starts.add(min(MOST, max(LEAST, round(late * 1e6))))
+        self.starts.counts["late"] += late > LATE_START
+        self.starts.add(min(MAX_VALUE, max(MIN_VALUE, round(late * 1e6))))
 
-    def ended(
+    def count_end(
         self, at: float, request_class: str, tenant: str, outcome: str, latency: float, aim: float
     ) -> None:
         """The end of a request that should have been sent at `at`, `latency` seconds after that time."""
         parts = (self.all, self.classes[request_class], self.tenants[tenant], self.seconds[int(at)])
-        value = min(MOST, max(LEAST, round(latency * 1e6)))
+        value = min(MAX_VALUE, max(MIN_VALUE, round(latency * 1e6)))
         for part in parts:
             part.counts["scheduled"] += 1
             part.counts[outcome] += 1
@@ -103,9 +103,9 @@
         self.starts.merge(other.starts)
         self.exhausted |= other.exhausted
 
-    def behind(self) -> bool:
+    def generator_limited(self) -> bool:
         """Whether the generator, and not its target, was the limit."""
-        return self.exhausted or self.starts.counts["late"] > LATE_SHARE * self.starts.counts["sent"]
+        return self.exhausted or self.starts.counts["late"] > MAX_LATE_SHARE * self.starts.counts["sent"]
 
     def figures(self, seconds: float) -> dict[str, Any]:
         """What `--json` holds; `seconds` is how long it ran."""
@@ -114,7 +114,7 @@
             "seconds": seconds,
             "goodput": self.all.counts["in_time"] / seconds if seconds else 0.0,
             "start_lateness_ms": self.starts.quantiles(),
-            "generator_was_the_limit": self.behind(),
+            "generator_was_the_limit": self.generator_limited(),
             "descriptors_exhausted": self.exhausted,
             "classes": {name: part.figures() for name, part in sorted(self.classes.items())},
             "tenants": {name: part.figures() for name, part in sorted(self.tenants.items())},
--- a/myrtlecourse/load/report.py
+++ b/myrtlecourse/load/report.py
@@ -11,7 +11,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from myrtlecourse.load.record import LATE, LATE_SHARE
+from myrtlecourse.load.record import LATE_START, MAX_LATE_SHARE
 
 COUNTS = ("scheduled", "served", "in_time", "refused", "failed", "left")
 TIMES = ("mean", "p50", "p90", "p99", "p999", "max")
@@ -57,8 +57,8 @@
         )
     elif figures["generator_was_the_limit"]:
         console.print(
-            f"[bold]The generator was the limit, not its target: over {LATE_SHARE:.0%} of requests went out "
-            f"{LATE * 1000:g} ms late or more. Give it more --workers, or ask for less.[/bold]"
+            f"[bold]The generator was the limit, not its target: over {MAX_LATE_SHARE:.0%} of requests "
+            f"went out {LATE_START * 1000:g} ms late or more. Give it more --workers, or ask for less.[/bold]"
         )
 
 
--- a/myrtlecourse/load/requests.py
+++ b/myrtlecourse/load/requests.py
@@ -13,14 +13,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Planned:
+class PlannedRequest:
     """A request and the offset (seconds from the start of the run) at which it should be sent."""
 
     at: float
     request_class: RequestClass
     tenant: str
     key: str
-    leaves: bool  # its client goes away half way through its time
+    client_leaves: bool  # its client goes away half way through its time
 
 
 def repeatable(kind: RequestClass) -> bool:
@@ -28,7 +28,7 @@
     return not kind.write or kind.keyed and kind.group == "all"
 
 
-def comes_back(
+def retry_delay(
     clients: Clients, kind: RequestClass, tries: int, how: str, pause: float | None, chance: random.Random
 ) -> float | None:
     """Seconds after which a client asks again, None when it does not.
@@ -45,7 +45,7 @@
     return float(clients.backoff * 2 ** (tries - 1) * chance.uniform(0.5, 1.5))
 
 
-def planned(profile: Profile, worker: int = 0, workers: int = 1) -> Iterator[Planned]:
+def plan_requests(profile: Profile, worker: int = 0, workers: int = 1) -> Iterator[PlannedRequest]:
     """The requests of one of several workers, in order. The same profile gives the same ones."""
     times, mix = (
         np.random.Generator(np.random.PCG64(np.random.SeedSequence([profile.seed, worker, stream])))
@@ -70,7 +70,7 @@
                 if not profile.classes[classes[i]].write:
                     names[i] = f"hot-{place}-{which[i]}"
         for i in range(count):
-            yield Planned(
+            yield PlannedRequest(
                 float(chunk[i]),
                 profile.classes[classes[i]],
                 profile.tenants[tenants[i]].name,
--- a/myrtlecourse/load/run.py
+++ b/myrtlecourse/load/run.py
@@ -19,8 +19,8 @@
 from myrtlecourse.load.generator import Generator
 from myrtlecourse.load.profile import Profile, ProfileError
 from myrtlecourse.load.record import Record
-from myrtlecourse.load.requests import Planned, planned
-from myrtlecourse.load.trace import Replay, replayed
+from myrtlecourse.load.requests import PlannedRequest, plan_requests
+from myrtlecourse.load.trace import Replay, replay_requests
 
 PROGRESS = 0.5  # seconds between a worker's words
 START_TIME = 30.0  # seconds for all workers to be ready
@@ -43,11 +43,11 @@
     observations: Path | None = None  # a folder, where each worker writes what its clients saw
     run: str = ""  # begins every id, so that two runs against one target share none
 
-    def plan(self, worker: int) -> Iterator[Planned]:
+    def plan(self, worker: int) -> Iterator[PlannedRequest]:
         """What one worker sends."""
         if self.replay is not None:
-            return replayed(self.replay, worker, self.workers)
-        return planned(self.profile, worker, self.workers)
+            return replay_requests(self.replay, worker, self.workers)
+        return plan_requests(self.profile, worker, self.workers)
 
 
 async def play(job: Job, worker: int, tell: Callable[[str, Any], None], stop: Any) -> None:
--- a/myrtlecourse/load/trace.py
+++ b/myrtlecourse/load/trace.py
@@ -16,17 +16,17 @@
 from msgspec import Meta, Struct
 
 from myrtlecourse.load.profile import Name, ProfileError, RequestClass
-from myrtlecourse.load.requests import Planned
+from myrtlecourse.load.requests import PlannedRequest
 
 MAX_LINE = 64 * 1024  # bytes
-MAX_KINDS = 1000  # of classes, sizes and hints told apart: names can't fill the memory
+MAX_CACHED_CLASSES = 1000  # of classes, sizes and hints told apart: names can't fill the memory
 
 
 class TraceError(ProfileError):
     """A trace that can't be used; the message names the file and the line."""
 
 
-class Line(Struct, forbid_unknown_fields=True, frozen=True):
+class TraceLine(Struct, forbid_unknown_fields=True, frozen=True):
     """One request of a trace."""
 
     at: Annotated[float, Meta(ge=0.0, le=31_536_000.0)]
@@ -48,9 +48,9 @@
     classes: tuple[RequestClass, ...] = ()  # deadlines and aims by name; others have the defaults
 
 
-def lines(path: Path) -> Iterator[Line]:
+def read_trace(path: Path) -> Iterator[TraceLine]:
     """The lines of a trace, checked, in order."""
-    decoder = msgspec.json.Decoder(Line)
+    decoder = msgspec.json.Decoder(TraceLine)
     number = 0
     before = 0.0
     try:
@@ -74,14 +74,14 @@
         raise TraceError(f"{path}: no request in it")
 
 
-def replayed(replay: Replay, worker: int = 0, workers: int = 1) -> Iterator[Planned]:
+def replay_requests(replay: Replay, worker: int = 0, workers: int = 1) -> Iterator[PlannedRequest]:
     """The requests of one of several workers, which take the lines in turn."""
     known = {c.name: c for c in replay.classes}
     kinds: dict[tuple[str, bool, int, int], RequestClass] = {}
     began = 0.0
     for _ in range(replay.loops):
         last = 0.0
-        for number, line in enumerate(lines(replay.path)):
+        for number, line in enumerate(read_trace(replay.path)):
             last = line.at
             if number % workers != worker:
                 continue
@@ -93,7 +93,7 @@
                 kind = msgspec.structs.replace(
                     base, write=line.write, keyed=keyed, size=line.size, hint=line.hint
                 )
-                if len(kinds) < MAX_KINDS:
+                if len(kinds) < MAX_CACHED_CLASSES:
                     kinds[name] = kind
-            yield Planned((began + line.at) / replay.speed, kind, line.tenant, line.key, False)
+            yield PlannedRequest((began + line.at) / replay.speed, kind, line.tenant, line.key, False)
         began += last
--- a/myrtlecourse/scale/capacity_commands.py
+++ b/myrtlecourse/scale/capacity_commands.py
@@ -7,7 +7,7 @@
 
 import click
 
-from myrtlecourse.load.commands import UNUSABLE
+from myrtlecourse.load.commands import EXIT_UNUSABLE
 from myrtlecourse.scale import calibration, measuring
 from myrtlecourse.scale.fit import check
 from myrtlecourse.scale.measuring import MeasureError
@@ -90,7 +90,7 @@
             write(out, merged(old, found))
     except ResultsError as e:
         click.echo(f"myrtlecourse scale slopes: {e}", err=True)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_UNUSABLE)
     except MeasureError as e:
         click.echo(f"myrtlecourse scale slopes: {e}", err=True)
         sys.exit(NOT_MEASURED)
@@ -114,10 +114,10 @@
         (docs / "CAPACITY.md").write_text(text)
     except ResultsError as e:
         click.echo(f"myrtlecourse scale page: {e}", err=True)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_UNUSABLE)
     except OSError as e:
         click.echo(f"myrtlecourse scale page: {e.filename}: {e.strerror}", err=True)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_UNUSABLE)
 
 
 def register(group: click.Group) -> None:
--- a/myrtlecourse/scale/commands.py
+++ b/myrtlecourse/scale/commands.py
@@ -16,7 +16,7 @@
 from myrtlecourse.audit.observations import ObservationError
 from myrtlecourse.fleet.commands import BROKEN, show_verdict
 from myrtlecourse.fleet.routers import COMMAND
-from myrtlecourse.load.commands import UNUSABLE, write_json
+from myrtlecourse.load.commands import EXIT_UNUSABLE, write_json
 from myrtlecourse.scale.capacity_commands import register
 from myrtlecourse.scale.figures import Results
 from myrtlecourse.scale.guard import MB, Guard, GuardError
@@ -181,9 +181,9 @@
         where = folder or Path(tempfile.mkdtemp(prefix="myrtlecourse-"))
         check_writable(where, json_file)
     except (ScenarioError, GuardError) as e:
-        give_up(e, UNUSABLE)
+        give_up(e, EXIT_UNUSABLE)
     except OSError as e:
-        give_up(f"{e.filename}: {e.strerror}", UNUSABLE)
+        give_up(f"{e.filename}: {e.strerror}", EXIT_UNUSABLE)
     for old in where.glob("*.jsonl"):  # of an earlier run: they would be judged with this one
         old.unlink()
     if folder is None:
--- a/myrtlecourse/sim/clients.py
+++ b/myrtlecourse/sim/clients.py
@@ -9,7 +9,7 @@
 from myrtlecourse.load.generator import LINGER
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.load.record import Record
-from myrtlecourse.load.requests import Planned, comes_back, planned
+from myrtlecourse.load.requests import PlannedRequest, plan_requests, retry_delay
 from myrtlecourse.sim.core import Core, Event
 from myrtlecourse.sim.routers import AskedFor, SimRouter
 from myrtlecourse.sim.servers import HOP
@@ -18,7 +18,7 @@
 class Client:
     """One request through all its tries."""
 
-    def __init__(self, clients: Clients, plan: Planned, number: int) -> None:
+    def __init__(self, clients: Clients, plan: PlannedRequest, number: int) -> None:
         self.clients = clients
         self.plan = plan
         self.number = number
@@ -30,7 +30,7 @@
         self.name = ""  # of the try that is out
         self.router: SimRouter | None = None
         self.timers = [core.at(self.until, self._end, "failed")]
-        if plan.leaves:
+        if plan.client_leaves:
             self.timers.append(core.after(plan.request_class.deadline / 2, self._leave))
 
     def ask(self) -> None:
@@ -79,7 +79,7 @@
             self._end("served")
             return
         word = how if how in ("refused", "unreachable") else "failed"
-        wait = comes_back(
+        wait = retry_delay(
             clients.profile.clients, self.plan.request_class, self.tries, word, pause, clients.chance
         )
         if wait is None or now + wait >= self.until:
@@ -103,7 +103,7 @@
             timer.cancel()
         kind, plan = self.plan.request_class, self.plan
         took = self.clients.core.now - self.due
-        self.clients.record.ended(plan.at, kind.name, plan.tenant, outcome, took, kind.aim)
+        self.clients.record.count_end(plan.at, kind.name, plan.tenant, outcome, took, kind.aim)
 
 
 class Clients:
@@ -129,7 +129,7 @@
         self.open: set[str] = set()  # tries that are owed an answer
         self.began = core.now
         self.number = 0
-        self.plan: Iterator[Planned] = planned(profile)
+        self.plan: Iterator[PlannedRequest] = plan_requests(profile)
         self._next()
 
     def _next(self) -> None:
@@ -138,10 +138,10 @@
         if plan is not None and plan.at < self.seconds:
             self.arrival: Event = self.core.at(self.began + plan.at, self._arrive, plan)
 
-    def _arrive(self, plan: Planned) -> None:
+    def _arrive(self, plan: PlannedRequest) -> None:
         client = Client(self, plan, self.number)
         self.number += 1
-        self.record.started(0.0)
+        self.record.count_start(0.0)
         client.ask()
         self._next()
 
--- a/myrtlecourse/sim/commands.py
+++ b/myrtlecourse/sim/commands.py
@@ -13,7 +13,7 @@
 from myrtlecourse.fleet.commands import BROKEN, marks, show_verdict
 from myrtlecourse.fleet.scenario import Scenario, ScenarioError
 from myrtlecourse.load import report
-from myrtlecourse.load.commands import UNUSABLE, write_json
+from myrtlecourse.load.commands import EXIT_UNUSABLE, write_json
 from myrtlecourse.load.profile import Profile, ProfileError
 from myrtlecourse.sim.finds import read_find, write_find
 from myrtlecourse.sim.search import Search, shrink
@@ -57,7 +57,7 @@
         world = World(*_read(scenario, profile, list(changes)), seed)
     except (ScenarioError, ProfileError, ScenarioMismatch) as e:
         console.print(f"myrtlecourse sim: {e}", markup=False, highlight=False)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_UNUSABLE)
     with Progress(console=console, disable=quiet or not console.is_terminal, transient=True) as progress:
         task = progress.add_task("simulated seconds", total=world.scenario.seconds + TAIL)
         result = world.run(lambda at: progress.update(task, completed=at))
@@ -137,7 +137,7 @@
                 find = shrink(found, hunt.make)
     except (ScenarioError, ProfileError, ScenarioMismatch) as e:
         console.print(f"myrtlecourse search: {e}", markup=False, highlight=False)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_UNUSABLE)
     margins = {k: max(t.margins.get(k, 0.0) for t in hunt.best) for t in hunt.best for k in t.margins}
     if json_file is not None:
         write_json(json_file, {"tried": hunt.tried, "margins": margins, "found": found and found.breaches})
--- a/tests/test_fleet_sockets.py
+++ b/tests/test_fleet_sockets.py
@@ -13,7 +13,7 @@
 from myrtlecourse.fleet.stand_in import Fleet
 from myrtlecourse.load.generator import Generator
 from myrtlecourse.load.profile import Profile
-from myrtlecourse.load.requests import planned
+from myrtlecourse.load.requests import plan_requests
 from tests.loopback import run
 from tests.wrong_router import WrongRouter
 
@@ -42,7 +42,7 @@
     router = WrongRouter(fleet, way)
     address = await router.listen()
     profile = msgspec.convert({"pieces": [{"seconds": seconds, "rate": 20}], "classes": [kind]}, Profile)
-    generator = Generator(profile, planned(profile), [address], observe=told.append)
+    generator = Generator(profile, plan_requests(profile), [address], observe=told.append)
     told.append(seen.RouterUp(0.0, router.name))
     fleet.begin()
     await generator.run()
--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -19,7 +19,7 @@
 from myrtlecourse.load.generator import Generator
 from myrtlecourse.load.page import page
 from myrtlecourse.load.profile import Clients, Piece, Profile, RequestClass
-from myrtlecourse.load.requests import planned
+from myrtlecourse.load.requests import plan_requests
 from myrtlecourse.net.resp import NOT_YET, Reader
 from tests.loopback import run
 from tests.virtual_time import VirtualTimeLoop
@@ -54,7 +54,7 @@
     loop = asyncio.get_running_loop()
     server = await loop.create_server(lambda: Target(answer), "127.0.0.1", 0)
     generator = Generator(
-        profile, planned(profile), [("127.0.0.1", port or server.sockets[0].getsockname()[1])]
+        profile, plan_requests(profile), [("127.0.0.1", port or server.sockets[0].getsockname()[1])]
     )
     await generator.run()
     server.close()
@@ -97,7 +97,7 @@
         server = await loop.create_server(lambda: Target(answer), "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         profile = reads(400.0, 1.5, connections=1000)
-        plan = list(planned(profile))
+        plan = list(plan_requests(profile))
         generator = Generator(profile, plan, [("127.0.0.1", port)])
         await asyncio.gather(generator.run(), ask_again_and_again(port))
         server.close()
@@ -260,13 +260,13 @@
         server = await asyncio.get_running_loop().create_server(
             lambda: Target(lambda t, *_: t.say(VALUE)), "127.0.0.1", 0
         )
-        generator = Generator(profile, planned(profile), [server.sockets[0].getsockname()])
+        generator = Generator(profile, plan_requests(profile), [server.sockets[0].getsockname()])
         generator.began = 0.0
         for _ in range(94):
-            generator.record.started(0.0)
+            generator.record.count_start(0.0)
         for _ in range(6):
-            generator.record.started(0.01)
-        assert generator.record.behind()
+            generator.record.count_start(0.01)
+        assert generator.record.generator_limited()
         server.close()
 
     run(scenario)
--- a/tests/test_load_plan.py
+++ b/tests/test_load_plan.py
@@ -26,8 +26,8 @@
     read_profile,
 )
 from myrtlecourse.load.record import Record
-from myrtlecourse.load.requests import planned
-from myrtlecourse.load.trace import Replay, TraceError, lines, replayed
+from myrtlecourse.load.requests import plan_requests
+from myrtlecourse.load.trace import Replay, TraceError, read_trace, replay_requests
 
 SHAPES = [
     Piece(20.0, 300.0),
@@ -76,13 +76,13 @@
         keys=Keys(count=1000, zipf=1.0),
         clients=Clients(leave=0.1),
     )
-    requests = list(planned(profile))
-    assert requests == list(planned(profile))
-    assert requests[:50] != list(planned(Profile(profile.pieces, seed=2)))[:50]
+    requests = list(plan_requests(profile))
+    assert requests == list(plan_requests(profile))
+    assert requests[:50] != list(plan_requests(Profile(profile.pieces, seed=2)))[:50]
     total = len(requests)
     assert sum(r.request_class.name == "book" for r in requests) / total == pytest.approx(0.1, abs=0.01)
     assert sum(r.tenant == "b" for r in requests) / total == pytest.approx(0.3, abs=0.01)
-    assert sum(r.leaves for r in requests) / total == pytest.approx(0.1, abs=0.01)
+    assert sum(r.client_leaves for r in requests) / total == pytest.approx(0.1, abs=0.01)
     counted = Counter(r.key for r in requests)
     harmonic = sum(1 / k for k in range(1, 1001))
     for rank in (1, 2, 10):
@@ -90,14 +90,14 @@
 
 
 def test_popular_keys_move_on() -> None:
-    requests = list(planned(Profile((Piece(10.0, 500.0),), keys=Keys(count=10, zipf=3.0, drift=5.0))))
+    requests = list(plan_requests(Profile((Piece(10.0, 500.0),), keys=Keys(count=10, zipf=3.0, drift=5.0))))
     late = Counter(r.key for r in requests if r.at > 9.8)
     assert late.most_common(1)[0][0] in ("key-49", "key-50")
 
 
 def test_workers_share_the_whole_rate() -> None:
     profile = Profile((Piece(20.0, 1000.0),))
-    parts = [len(list(planned(profile, worker, 4))) for worker in range(4)]
+    parts = [len(list(plan_requests(profile, worker, 4))) for worker in range(4)]
     assert sum(parts) == pytest.approx(20_000, rel=0.03)
     assert all(part == pytest.approx(5000, rel=0.08) for part in parts)
 
@@ -154,23 +154,23 @@
 )
 def test_a_trace_that_cant_be_used_names_its_line(tmp_path: Path, rows: list[object], named: str) -> None:
     with pytest.raises(TraceError, match=None) as caught:
-        list(lines(trace(tmp_path, *rows)))
+        list(read_trace(trace(tmp_path, *rows)))
     assert named in str(caught.value)
 
 
 def test_a_trace_that_is_not_there_is_named(tmp_path: Path) -> None:
     with pytest.raises(TraceError, match="none.jsonl"):
-        list(lines(tmp_path / "none.jsonl"))
+        list(read_trace(tmp_path / "none.jsonl"))
 
 
 def test_a_trace_is_replayed_faster_looped_and_by_several_workers(tmp_path: Path) -> None:
     file = trace(tmp_path, *(GOOD | {"at": i / 10, "key": f"k{i}", "write": i % 3 == 0} for i in range(11)))
     replay = Replay(file, speed=2.0, loops=2, classes=(RequestClass("read", deadline=7.0),))
-    whole = list(replayed(replay))
+    whole = list(replay_requests(replay))
     assert [r.at for r in whole] == pytest.approx([i / 20 for i in (*range(11), *range(10, 21))])
     assert all(r.request_class.deadline == 7.0 for r in whole)
     assert sum(r.request_class.write for r in whole) == 8
-    parts = [r for worker in range(3) for r in replayed(replay, worker, 3)]
+    parts = [r for worker in range(3) for r in replay_requests(replay, worker, 3)]
     assert sorted(parts, key=lambda r: (r.at, r.key)) == sorted(whole, key=lambda r: (r.at, r.key))
 
 
@@ -179,8 +179,8 @@
     whole, parts = Record(), [Record(), Record()]
     for i, (outcome, latency) in enumerate(ends):
         for record in (whole, parts[i % 2]):
-            record.started(latency / 1000)
-            record.ended(float(i), "read", f"t{i % 3}", outcome, latency, 1.0)
+            record.count_start(latency / 1000)
+            record.count_end(float(i), "read", f"t{i % 3}", outcome, latency, 1.0)
     merged = Record()
     for part in parts:
         merged.merge(pickle.loads(pickle.dumps(part)))
@@ -191,7 +191,7 @@
 def test_quantiles_are_within_three_digits() -> None:
     record = Record()
     for i in range(1, 10_001):
-        record.ended(0.0, "read", "a", "served", i / 1000, 5.0)
+        record.count_end(0.0, "read", "a", "served", i / 1000, 5.0)
     found = record.figures(1.0)["latency_ms"]
     for name, value in {"p50": 5000, "p90": 9000, "p99": 9900, "p999": 9990, "max": 10_000}.items():
         assert found[name] == pytest.approx(value, rel=0.002)
