--- a/myrtlecourse/audit/__init__.py
+++ b/myrtlecourse/audit/__init__.py
@@ -1,1 +1,1 @@
-"""The four rules, judged from outside a router: what clients and servers saw, and the auditor of it."""
+"""Audits a fleet from outside its routers: observations of clients and servers, and the rules on them."""
--- a/myrtlecourse/audit/auditor.py
+++ b/myrtlecourse/audit/auditor.py
@@ -1,7 +1,7 @@
-"""The four rules, judged from what clients, boxes, the origin and discovery saw; no I/O, no clock.
+"""Judges the rules from what clients, cache servers, the origin and discovery observed; no I/O and no clock.
 
-It knows nothing of a router's code: only what came out of it. It is given observations in the order of their
-times, and remembers a request until it can no longer matter.
+The auditor doesn't depend on a router's code, only on its visible behaviour. It reads observations in the
+order of their times and forgets a request once it can no longer break a rule, so that memory stays bounded.
 """
 
 from __future__ import annotations
@@ -20,13 +20,14 @@
 
 Time = Annotated[float, Meta(ge=0.0, le=86_400.0)]  # seconds
 Positive = Annotated[float, Meta(gt=0.0, le=86_400.0)]
-NAMED = 200  # breaches that are told one by one; further ones are counted
-REMEMBERED = 60.0  # seconds beyond a request's window and deadline
-TELLING = 0.05  # seconds that sockets add to a limit
-WAKING = 0.5  # seconds after a process was stopped in which it reads what had come meanwhile
-AFTER_END = 0.1  # seconds at most, after its client has gone, in which an attempt may begin
-TOLD_SLACK = 0.15  # seconds that a box may be told over what is left to the client
-INFORMED = 2 / 3  # of what pushed a box over, from routers that were told of its start: a breach
+MAX_NAMED_BREACHES = 200  # breaches reported in detail; further ones are only counted
+REQUEST_MEMORY = 60.0  # seconds for which a request is kept after the longest repeat window
+SOCKET_SLACK = 0.05  # seconds that delays in sockets add to a limit
+WAKE_UP_SLACK = 0.5  # seconds that a resumed process needs to read what arrived while it was stopped
+SEND_AFTER_END = 0.1  # seconds after a request's end in which an attempt may still begin, at most
+DEADLINE_SLACK = 0.15  # seconds by which the deadline sent to a server may exceed the client's
+# Overloading a cold server is a breach if routers that knew of its start sent this share of the work or more.
+INFORMED_SHARE = 2 / 3
 
 RULES = {
     "lost": "no request is lost",
@@ -53,23 +54,25 @@
 
 
 class Rules(Struct, forbid_unknown_fields=True, frozen=True):
-    """The figures of the four rules."""
-
-    answer_slack: Time = 0.07  # after a deadline in which an answer is not late
-    drain_grace: Time = 2.0  # after a router was told, in which it may still send
-    fall_multiple: Annotated[float, Meta(ge=1.0, le=1000.0)] = 4.0  # of what a cold box can do
-    fall_window: Positive = 1.0
-    must_ask: Positive = 10.0  # a router that neither watches nor asks for so long counts as told
-    zone_dials: Time = 0.0  # a second, of the fleet at a zone long dark; 0: not judged
-    zone_sends: Positive = 60.0  # of a router, after which it has met each zone; more where it prefers some
-    duty_gap: Time = 0.0  # seconds that a duty may have no holder, once it had one; 0: not judged
-    origin_rate: Time = 0.0  # fetches and writes that the origin bears in any second; 0: not judged
-    zone_spill: Time = 0.0  # times what survivors of a zone got, that they may get; 0: not judged
+    """The limits of the rules. Times are in seconds."""
+
+    answer_slack: Time = 0.07  # after a deadline, in which an answer does not count as late
+    drain_grace: Time = 2.0  # after a router learnt of a drain or ban, in which it may still send
+    # load that overloads a cold cache server, as a multiple of its capacity
+    fall_multiple: Annotated[float, Meta(ge=1.0, le=1000.0)] = 4.0
+    fall_window: Positive = 1.0  # over which that load is measured
+    must_ask: Positive = 10.0  # a router without a request to discovery for so long counts as informed
+    zone_dials: Time = 0.0  # attempts a second of the fleet at a zone unreachable for long; 0: not judged
+    # attempts of a router after which it must have reached each zone; more if it prefers some
+    zone_sends: Positive = 60.0
+    duty_gap: Time = 0.0  # that a duty may be without a holder, once it had one; 0: not judged
+    origin_rate: Time = 0.0  # fetches and writes that the origin can bear in any second; 0: not judged
+    zone_spill: Time = 0.0  # factor by which the load of surviving zones may grow; 0: not judged
 
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """One breach of a rule: what, when (seconds after the first observation), and of whom."""
+    """One breach of a rule: the kind, the time (seconds after the first observation) and who was involved."""
 
     what: str
     at: float
@@ -81,324 +84,359 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """What a box or the origin has seen of a request."""
+    """An attempt that a cache server or the origin received."""
 
     at: float
-    box: str
+    server: str
     group: str
     never_ran: bool = False
 
 
 @dataclass(slots=True)
-class Life:
-    """What is known of one request."""
+class RequestHistory:
+    """What was observed of one request."""
 
     router: str
-    first: float
+    first_seen: float
     effect: str = ""
     key: str = ""
-    deadline: float | None = None  # none: its client's side was not seen
-    ended: float | None = None  # answered, or its client went away
+    deadline: float | None = None  # None: the client's side was not observed
+    ended: float | None = None  # when it was answered, or its client went away
     answers: int = 0
-    out_of_bounds: bool = False  # it was sent again where its class forbids it
-    ran: int = 0
+    out_of_bounds: bool = False  # it was repeated although its class forbids that
+    executions: int = 0
     attempts: list[Attempt] = field(default_factory=list)
 
     def may_have_run(self) -> Attempt | None:
-        """The first attempt that may have run."""
+        """Return the first attempt that may have been executed, if any."""
         return next((a for a in self.attempts if not a.never_ran), None)
 
 
 @dataclass(slots=True)
-class Knowledge:
-    """What one router has been told, or counts as told."""
-
-    drains: dict[str, float] = field(default_factory=dict)  # box: since when it knows
-    bans: dict[str, float] = field(default_factory=dict)  # by operators; whatever the list says
-    starts: dict[str, float] = field(default_factory=dict)  # box: the start that it knows of
-    calls: int = 0  # of discovery, that are out
-    quiet: float = -math.inf  # since when none is
-    failed: bool = False  # the last one
-    up: float = -math.inf
-    killed: float | None = None  # when its process was gone; endless until then
-
-    def learn(self, at: float, box: str, status: str, since: float) -> None:
-        """It is told an entry."""
-        self.starts[box] = since
+class RouterKnowledge:
+    """What one router knows of the server list and of bans, or is assumed to know."""
+
+    # by cache server: since when the router knows of the drain
+    drains: dict[str, float] = field(default_factory=dict)
+    # by cache server: since when it is banned by operators, whatever the list says
+    bans: dict[str, float] = field(default_factory=dict)
+    # by cache server: the start that the router knows of
+    known_starts: dict[str, float] = field(default_factory=dict)
+    discovery_calls: int = 0  # requests to discovery that are open
+    idle_since: float = -math.inf  # since when none is open
+    last_failed: bool = False  # the last request to discovery failed
+    up: float = -math.inf  # when it was started
+    killed: float | None = None  # when its killed process ended; infinite while it is ending
+
+    def learn(self, at: float, server: str, status: str, since: float) -> None:
+        """Record that the router knows a list entry since a time."""
+        self.known_starts[server] = since
         if status == "in_service":
-            self.drains.pop(box, None)
+            self.drains.pop(server, None)
         else:
-            self.drains.setdefault(box, at)
+            self.drains.setdefault(server, at)
 
 
 class Auditor:
-    """Judges observations as they come."""
+    """Judges observations one by one and collects the breaches."""
 
     def __init__(self, rules: Rules) -> None:
         self.rules = rules
-        self.lives: OrderedDict[str, Life] = OrderedDict()
-        self.ran: OrderedDict[str, tuple[float, str]] = OrderedDict()  # keyed writes: when, by which request
-        self.routers: dict[str, Knowledge] = {}
+        self.requests: OrderedDict[str, RequestHistory] = OrderedDict()
+        # by idempotency key: when the write was executed, and for which request
+        self.executions: OrderedDict[str, tuple[float, str]] = OrderedDict()
+        self.routers: dict[str, RouterKnowledge] = {}
         self.listed: dict[str, seen.ListChanged] = {}
         self.started: dict[str, float] = {}
-        self.window = 0.0  # the longest seen
+        self.window = 0.0  # the longest repeat window observed
         self.counts: Counter[str] = Counter()
         self.breaches: list[Breach] = []
-        self.margins: dict[str, float] = {}  # how close each limit came, 1 at the limit
+        # by rule: the highest share of its limit that was reached, at most 1
+        self.margins: dict[str, float] = {}
         self.seen: Counter[str] = Counter()
         self.began: float | None = None
         self.now = 0.0
-        self.stalls: dict[str, list[tuple[float, float]]] = {}  # of each router's process
-        self.zones = ZoneRules(rules.zone_sends, rules.zone_dials, rules.zone_spill, self._breach_of_zone)
-        self.duties = DutyRules(rules.duty_gap, self._breach_of_zone)
-        self.origin = OriginRule(rules.origin_rate, self._breach_of_origin)
-
-    def judge(self, what: seen.Observation) -> None:
-        """Judge one observation; none may be much older than those before it."""
-        self.began = what.at if self.began is None else self.began
-        self.now = max(self.now, what.at)
-        self.seen[str(what.__struct_config__.tag)] += 1
-        self.zones.judge(what)
-        self.duties.judge(what)
-        self.origin.judge(what)
-        match what:
+        # by router: from when until when its process was stopped
+        self.stops: dict[str, list[tuple[float, float]]] = {}
+        self.zones = ZoneRules(rules.zone_sends, rules.zone_dials, rules.zone_spill, self._report_zone_breach)
+        self.duties = DutyRules(rules.duty_gap, self._report_zone_breach)
+        self.origin = OriginRule(rules.origin_rate, self._report_origin_breach)
+
+    def judge(self, event: seen.Observation) -> None:
+        """Judge one observation; it may not be much older than those before it."""
+        self.began = event.at if self.began is None else self.began
+        self.now = max(self.now, event.at)
+        self.seen[str(event.__struct_config__.tag)] += 1
+        self.zones.judge(event)
+        self.duties.judge(event)
+        self.origin.judge(event)
+        match event:
             case seen.RequestSent():
-                life = self._life(what.id, what.router, what.at)
-                life.deadline, life.effect, life.key = what.deadline, what.effect, what.key
+                history = self._history(event.id, event.router, event.at)
+                history.deadline, history.effect, history.key = event.deadline, event.effect, event.key
             case seen.RequestAnswered():
-                self._answered(what)
+                self._judge_answer(event)
             case seen.RequestUnanswered():
-                self._unanswered(what)
-            case seen.UnexpectedBytes() if what.after:  # else a farewell, which answers nothing twice
-                detail = "bytes nobody asked for"
-                self._breach("answered_twice", what.at, what.router, what.after, detail=detail)
+                self._judge_unanswered(event)
+            # without a request before them, the bytes answer nothing twice
+            case seen.UnexpectedBytes() if event.after:
+                detail = "bytes without a request"
+                self._report_breach("answered_twice", event.at, event.router, event.after, detail=detail)
             case seen.AttemptReceived():
-                self._sent(what)
+                self._judge_attempt(event)
             case seen.NeverRan():
-                for attempt in reversed(self._life(what.id, "", what.at).attempts):
-                    if attempt.box == what.box:
+                for attempt in reversed(self._history(event.id, "", event.at).attempts):
+                    if attempt.server == event.box:
                         attempt.never_ran = True
                         break
             case seen.WriteExecuted():
-                self._ran(what)
+                self._judge_write(event)
             case seen.ServerStarted():
-                self.started[what.box] = what.at
+                self.started[event.box] = event.at
             case seen.ColdServerOverloaded():
-                self._fell(what)
+                self._judge_overload(event)
             case _:
-                self._of_list(what)
+                self._judge_fleet_event(event)
         self._forget()
 
-    def _of_list(self, what: seen.Observation) -> None:
-        """What discovery and routers' starts tell."""
-        match what:
+    def _judge_fleet_event(self, event: seen.Observation) -> None:
+        """Handle observations of discovery, and of routers that start, stop or acknowledge bans."""
+        match event:
             case seen.ListChanged():
-                self.listed[what.box] = what
+                self.listed[event.box] = event
             case seen.ListEntrySent():
-                self._router(what.router).learn(what.at, what.box, what.status, what.since)
+                self._router(event.router).learn(event.at, event.box, event.status, event.since)
             case seen.DiscoveryCall():
-                router = self._router(what.router)
-                if what.how == "begun":
-                    self._count_as_told(router, what.at)
-                    router.calls += 1
+                router = self._router(event.router)
+                if event.how == "begun":
+                    self._assume_informed(router, event.at)
+                    router.discovery_calls += 1
                 else:
-                    router.calls = max(0, router.calls - 1)
-                    router.quiet = what.at
-                    router.failed = what.how == "failed"
+                    router.discovery_calls = max(0, router.discovery_calls - 1)
+                    router.idle_since = event.at
+                    router.last_failed = event.how == "failed"
             case seen.BanAcknowledged():
-                bans = self._router(what.router).bans
-                if what.back:
-                    bans.pop(what.box, None)
+                bans = self._router(event.router).bans
+                if event.back:
+                    bans.pop(event.box, None)
                 else:
-                    bans.setdefault(what.box, what.at)
+                    bans.setdefault(event.box, event.at)
             case seen.RouterUp():
-                killed = self._router(what.router).killed
-                killed = None if killed is None else min(killed, what.at)
-                self.routers[what.router] = Knowledge(quiet=what.at, up=what.at, killed=killed)
+                killed = self._router(event.router).killed
+                killed = None if killed is None else min(killed, event.at)
+                self.routers[event.router] = RouterKnowledge(idle_since=event.at, up=event.at, killed=killed)
             case seen.RouterStalled():
-                self.stalls.setdefault(what.router, []).append((what.at, what.at + what.seconds))
+                self.stops.setdefault(event.router, []).append((event.at, event.at + event.seconds))
             case seen.RouterDown():
-                self._router(what.router).killed = math.inf if what.killed else None
+                self._router(event.router).killed = math.inf if event.killed else None
             case seen.RouterExited():
-                self._router(what.router).killed = what.at
+                self._router(event.router).killed = event.at
+
+    def _router(self, name: str) -> RouterKnowledge:
+        return self.routers.setdefault(name, RouterKnowledge(idle_since=self.now))
 
-    def _router(self, name: str) -> Knowledge:
-        return self.routers.setdefault(name, Knowledge(quiet=self.now))
+    def _history(self, request: str, router: str, at: float) -> RequestHistory:
+        history = self.requests.get(request)
+        if history is None:
+            history = self.requests[request] = RequestHistory(router, at)
+        return history
 
-    def _life(self, request: str, router: str, at: float) -> Life:
-        life = self.lives.get(request)
-        if life is None:
-            life = self.lives[request] = Life(router, at)
-        return life
+    def _assume_informed(self, router: RouterKnowledge, now: float) -> None:
+        """Assume that a router knows the list once it has had no request to discovery for too long.
 
-    def _count_as_told(self, router: Knowledge, now: float) -> None:
-        """A router that neither watches nor asks counts as told what was listed so long ago."""
-        limit = self.rules.must_ask * (4 if router.failed else 1)
-        if router.calls or now - router.quiet < limit:
+        A router must ask discovery within `must_ask` seconds, and within four times as long after a failure.
+        """
+        limit = self.rules.must_ask * (4 if router.last_failed else 1)
+        if router.discovery_calls or now - router.idle_since < limit:
             return
-        for box, entry in self.listed.items():
-            since = max(entry.at, router.quiet) + limit
-            if since <= now and (router.starts.get(box) != entry.since or entry.status != "in_service"):
-                router.learn(since, box, entry.status, entry.since)
-
-    def _sent(self, what: seen.AttemptReceived) -> None:
-        """An attempt has reached a box or the origin."""
-        self.window = max(self.window, what.window)
-        router = self._router(what.router)
-        self._count_as_told(router, what.began)
-        known = router.drains.get(what.box)
+        for server, entry in self.listed.items():
+            since = max(entry.at, router.idle_since) + limit
+            if since <= now and (
+                router.known_starts.get(server) != entry.since or entry.status != "in_service"
+            ):
+                router.learn(since, server, entry.status, entry.since)
+
+    def _judge_attempt(self, event: seen.AttemptReceived) -> None:
+        """Judge an attempt that reached a cache server or the origin."""
+        self.window = max(self.window, event.window)
+        router = self._router(event.router)
+        self._assume_informed(router, event.began)
+        known = router.drains.get(event.box)
         if known is not None:
-            self._came_close("sent_to_drained", what.began - known, self.rules.drain_grace)
-        if known is not None and what.began > known + self.rules.drain_grace + TELLING:
-            late = f"{what.began - known:.3f} s after it was told"
-            self._breach("sent_to_drained", what.began, what.router, what.id, what.box, late)
-        banned = router.bans.get(what.box)
-        if banned is not None and what.began > banned + self.rules.drain_grace + TELLING:
-            late = f"{what.began - banned:.3f} s after its yes to the ban"
-            self._breach("sent_to_banned", what.began, what.router, what.id, what.box, late)
-        life = self._life(what.id, what.router, what.at)
-        life.effect = life.effect or what.effect
-        ended = life.ended is not None and not self._stood(life, what.began - WAKING)
-        slack = min(self.rules.answer_slack, AFTER_END)
-        if life.ended is not None and ended and what.began > life.ended + slack:
-            after = f"{what.began - life.ended:.3f} s after its end"
-            self._breach("sent_after_end", what.began, what.router, what.id, what.box, after)
-        self._judge_told(life, what)
-        earlier = life.may_have_run()
-        if earlier is not None and what.effect != "free":
-            self._came_close("repeated", what.began - earlier.at, what.window)
+            self._update_margin("sent_to_drained", event.began - known, self.rules.drain_grace)
+        if known is not None and event.began > known + self.rules.drain_grace + SOCKET_SLACK:
+            late = f"{event.began - known:.3f} s after the router learnt of it"
+            self._report_breach("sent_to_drained", event.began, event.router, event.id, event.box, late)
+        banned = router.bans.get(event.box)
+        if banned is not None and event.began > banned + self.rules.drain_grace + SOCKET_SLACK:
+            late = f"{event.began - banned:.3f} s after the router acknowledged the ban"
+            self._report_breach("sent_to_banned", event.began, event.router, event.id, event.box, late)
+        history = self._history(event.id, event.router, event.at)
+        history.effect = history.effect or event.effect
+        ended = history.ended is not None and not self._was_stopped(history, event.began - WAKE_UP_SLACK)
+        slack = min(self.rules.answer_slack, SEND_AFTER_END)
+        if history.ended is not None and ended and event.began > history.ended + slack:
+            after = f"{event.began - history.ended:.3f} s after the request ended"
+            self._report_breach("sent_after_end", event.began, event.router, event.id, event.box, after)
+        self._judge_deadline(history, event)
+        earlier = history.may_have_run()
+        if earlier is not None and event.effect != "free":
+            self._update_margin("repeated", event.began - earlier.at, event.window)
             detail = ""
-            if what.effect == "single_shot":
-                detail = f"it may have run at {earlier.box}"
-            elif what.began > earlier.at + what.window + TELLING:
-                detail = f"{what.began - earlier.at:.3f} s after it may have run at {earlier.box}"
-            elif what.group != earlier.group:
-                detail = f"outside the group of {earlier.box}, where it may have run"
+            if event.effect == "single_shot":
+                detail = f"it may have been executed at {earlier.server}"
+            elif event.began > earlier.at + event.window + SOCKET_SLACK:
+                detail = (
+                    f"{event.began - earlier.at:.3f} s after it may have been executed at {earlier.server}"
+                )
+            elif event.group != earlier.group:
+                detail = f"outside the group of {earlier.server}, where it may have been executed"
             if detail:
-                life.out_of_bounds = True
-                self._breach("repeated", what.began, what.router, what.id, what.box, detail)
-        life.attempts.append(Attempt(what.at, what.box, what.group))
+                history.out_of_bounds = True
+                self._report_breach("repeated", event.began, event.router, event.id, event.box, detail)
+        history.attempts.append(Attempt(event.at, event.box, event.group))
 
-    def _judge_told(self, life: Life, what: seen.AttemptReceived) -> None:
-        """Judge for how long a box was told that its answer is waited for."""
-        if not what.until or life.deadline is None or self._stood(life, what.began):
+    def _judge_deadline(self, history: RequestHistory, event: seen.AttemptReceived) -> None:
+        """Judge whether the deadline sent to a server exceeds the client's deadline."""
+        if not event.until or history.deadline is None or self._was_stopped(history, event.began):
             return
-        over = what.until - life.deadline
-        self._came_close("told_too_long", over, TOLD_SLACK)
-        if over > TOLD_SLACK + TELLING:
-            detail = f"{over:.3f} s longer than its client waits"
-            self._breach("told_too_long", what.began, what.router, what.id, what.box, detail)
-
-    def _ran(self, what: seen.WriteExecuted) -> None:
-        life = self._life(what.id, "", what.at)
-        life.ran += 1
-        before = self.ran.get(what.key) if what.key else None
-        if before is not None and before[1] == what.id and not life.out_of_bounds:
-            # both sends were allowed: a box that stood still ran its copy once the key was forgotten
+        over = event.until - history.deadline
+        self._update_margin("told_too_long", over, DEADLINE_SLACK)
+        if over > DEADLINE_SLACK + SOCKET_SLACK:
+            detail = f"{over:.3f} s later than the deadline of its client"
+            self._report_breach("told_too_long", event.began, event.router, event.id, event.box, detail)
+
+    def _judge_write(self, event: seen.WriteExecuted) -> None:
+        history = self._history(event.id, "", event.at)
+        history.executions += 1
+        before = self.executions.get(event.key) if event.key else None
+        if before is not None and before[1] == event.id and not history.out_of_bounds:
+            # Both attempts were allowed: a frozen server executed its copy after the key had expired.
             self.seen["ran_when_forgotten"] += 1
-        elif life.ran > 1 or before is not None:
-            first = f"before at {before[0] - (self.began or 0):.3f} s, as {before[1]}" if before else "before"
-            self._breach("ran_twice", what.at, life.router, what.id, what.box, first)
-        if what.key:
-            self.ran[what.key] = what.at, what.id
-
-    def _answered(self, what: seen.RequestAnswered) -> None:
-        life = self._life(what.id, "", what.at)
-        life.answers += 1
-        if life.answers > 1:
-            self._breach("answered_twice", what.at, life.router, what.id)
-        if life.deadline is not None:
-            whole = life.deadline + self.rules.answer_slack - life.first
-            self._came_close("late", what.at - life.first, whole)
-        overdue = life.deadline is not None and what.at > life.deadline + self.rules.answer_slack
-        if life.deadline is not None and overdue and not self._stood(life, what.at):
-            late = f"{what.at - life.deadline:.3f} s after its deadline"
-            self._breach("late", what.at, life.router, what.id, detail=late)
-        if what.how == "served" and not what.made:
-            self._breach("foreign", what.at, life.router, what.id, detail="made for no attempt of it")
-        ran = life.may_have_run()
-        everywhere = life.effect == "guarded" and ran is not None and ran.group == "all"
-        if what.how == "refused" and life.effect in ("guarded", "single_shot") and ran and not everywhere:
-            detail = "refused, though it may have run"
-            self._breach("refused_after_send", what.at, life.router, what.id, ran.box, detail)
-        if life.ended is None:
-            life.ended = what.at
-
-    def _unanswered(self, what: seen.RequestUnanswered) -> None:
-        life = self._life(what.id, "", what.at)
-        life.ended = what.at
-        if what.how == "left":
+        elif history.executions > 1 or before is not None:
+            earlier_run = (
+                f"before at {before[0] - (self.began or 0):.3f} s, as {before[1]}" if before else "before"
+            )
+            self._report_breach("ran_twice", event.at, history.router, event.id, event.box, earlier_run)
+        if event.key:
+            self.executions[event.key] = event.at, event.id
+
+    def _judge_answer(self, event: seen.RequestAnswered) -> None:
+        history = self._history(event.id, "", event.at)
+        history.answers += 1
+        if history.answers > 1:
+            self._report_breach("answered_twice", event.at, history.router, event.id)
+        if history.deadline is not None:
+            whole = history.deadline + self.rules.answer_slack - history.first_seen
+            self._update_margin("late", event.at - history.first_seen, whole)
+        overdue = history.deadline is not None and event.at > history.deadline + self.rules.answer_slack
+        if history.deadline is not None and overdue and not self._was_stopped(history, event.at):
+            late = f"{event.at - history.deadline:.3f} s after its deadline"
+            self._report_breach("late", event.at, history.router, event.id, detail=late)
+        if event.how == "served" and not event.made:
+            self._report_breach(
+                "foreign",
+                event.at,
+                history.router,
+                event.id,
+                detail="the answer belongs to no attempt of this request",
+            )
+        executed = history.may_have_run()
+        everywhere = history.effect == "guarded" and executed is not None and executed.group == "all"
+        if (
+            event.how == "refused"
+            and history.effect in ("guarded", "single_shot")
+            and executed
+            and not everywhere
+        ):
+            detail = "refused, though it may have been executed"
+            self._report_breach(
+                "refused_after_send", event.at, history.router, event.id, executed.server, detail
+            )
+        if history.ended is None:
+            history.ended = event.at
+
+    def _judge_unanswered(self, event: seen.RequestUnanswered) -> None:
+        history = self._history(event.id, "", event.at)
+        history.ended = event.at
+        if event.how == "left":
             return
-        killed = self._router(life.router).killed
-        if killed is not None and life.first <= killed + TELLING:
-            return  # what a killed router held is its client's to ask again
-        if self._stood(life, what.at):
-            return  # what a process that was stopped held, nobody could answer
-        # a connection that closes between requests may cross one that was never read
-        if what.how == "ended" and what.kept and not life.attempts:
+        killed = self._router(history.router).killed
+        if killed is not None and history.first_seen <= killed + SOCKET_SLACK:
+            return  # clients must retry what a killed router held
+        if self._was_stopped(history, event.at):
+            return  # a stopped process could not answer
+        # The close of an idle connection may cross a request, which is then never read.
+        if event.how == "ended" and event.kept and not history.attempts:
             return
-        detail = "its connection ended" if what.how == "ended" else "no answer in its time"
-        self._breach("lost", what.at, life.router, what.id, detail=detail)
+        detail = "its connection ended" if event.how == "ended" else "no answer by its deadline"
+        self._report_breach("lost", event.at, history.router, event.id, detail=detail)
 
-    def _stood(self, life: Life, until: float) -> bool:
-        """Whether a request's router was stopped, from outside, while it was owed its answer."""
-        return any(a <= until and b >= life.first for a, b in self.stalls.get(life.router, ()))
+    def _was_stopped(self, history: RequestHistory, until: float) -> bool:
+        """Return whether the request's router was stopped from outside between its arrival and `until`."""
+        return any(a <= until and b >= history.first_seen for a, b in self.stops.get(history.router, ()))
 
-    def _breach_of_zone(self, what: str, at: float, router: str, zone: str, detail: str) -> None:
-        self._breach(what, at, router, box=zone, detail=detail)
+    def _report_zone_breach(self, kind: str, at: float, router: str, zone: str, detail: str) -> None:
+        self._report_breach(kind, at, router, box=zone, detail=detail)
 
-    def _breach_of_origin(self, at: float, detail: str) -> None:
-        self._breach("origin_over", at, "", box=ORIGIN, detail=detail)
+    def _report_origin_breach(self, at: float, detail: str) -> None:
+        self._report_breach("origin_over", at, "", box=ORIGIN, detail=detail)
 
-    def _fell(self, what: seen.ColdServerOverloaded) -> None:
-        """Judge who pushed a cold box over."""
-        start = self.started.get(what.box, 0.0)
+    def _judge_overload(self, event: seen.ColdServerOverloaded) -> None:
+        """Judge whether routers that knew of a server's start overloaded it while it was cold."""
+        start = self.started.get(event.box, 0.0)
         informed = 0.0
-        for name, work in what.work.items():
+        for name, work in event.work.items():
             router = self._router(name)
-            self._count_as_told(router, what.at)
-            if router.starts.get(what.box, -1.0) >= start - TELLING:
+            self._assume_informed(router, event.at)
+            if router.known_starts.get(event.box, -1.0) >= start - SOCKET_SLACK:
                 informed += work
-        share = informed / (sum(what.work.values()) or 1.0)
-        if share >= INFORMED:
+        share = informed / (sum(event.work.values()) or 1.0)
+        if share >= INFORMED_SHARE:
             detail = f"{share:.0%} of the work came from routers that knew of its start"
-            self._breach("cold_pushed", what.at, ", ".join(sorted(what.work)), box=what.box, detail=detail)
+            self._report_breach(
+                "cold_pushed", event.at, ", ".join(sorted(event.work)), box=event.box, detail=detail
+            )
 
-    def _came_close(self, what: str, used: float, limit: float) -> None:
-        self.margins[what] = max(self.margins.get(what, 0.0), min(1.0, used / limit) if limit else 0.0)
+    def _update_margin(self, kind: str, used: float, limit: float) -> None:
+        self.margins[kind] = max(self.margins.get(kind, 0.0), min(1.0, used / limit) if limit else 0.0)
 
-    def _breach(
-        self, what: str, at: float, router: str, request: str = "", box: str = "", detail: str = ""
+    def _report_breach(
+        self, kind: str, at: float, router: str, request: str = "", box: str = "", detail: str = ""
     ) -> None:
-        self.counts[what] += 1
-        if len(self.breaches) < NAMED:
-            self.breaches.append(Breach(what, at - (self.began or 0.0), router, request, box, detail))
+        self.counts[kind] += 1
+        if len(self.breaches) < MAX_NAMED_BREACHES:
+            self.breaches.append(Breach(kind, at - (self.began or 0.0), router, request, box, detail))
 
     def _forget(self) -> None:
-        """Drop what can no longer matter: an audit of a day must not grow with it."""
-        until = self.now - self.window - REMEMBERED
-        while self.lives and (first := next(iter(self.lives.values()))).first < until:
-            self._judge_open(self.lives.popitem(last=False)[0], first)
-        while self.ran and next(iter(self.ran.values()))[0] < until:
-            self.ran.popitem(last=False)
-
-    def _judge_open(self, request: str, life: Life) -> None:
-        """A request of which no end was seen."""
-        if life.deadline is not None and life.ended is None:
-            if life.deadline + self.rules.answer_slack < self.now:
-                self._unanswered(seen.RequestUnanswered(life.deadline, request, "late"))
-                self.lives.pop(request, None)
+        """Drop requests that can no longer break a rule, to bound memory over a long audit."""
+        until = self.now - self.window - REQUEST_MEMORY
+        while self.requests and (oldest := next(iter(self.requests.values()))).first_seen < until:
+            self._judge_open(self.requests.popitem(last=False)[0], oldest)
+        while self.executions and next(iter(self.executions.values()))[0] < until:
+            self.executions.popitem(last=False)
+
+    def _judge_open(self, request: str, history: RequestHistory) -> None:
+        """Judge a request whose end was not observed."""
+        if history.deadline is not None and history.ended is None:
+            if history.deadline + self.rules.answer_slack < self.now:
+                self._judge_unanswered(seen.RequestUnanswered(history.deadline, request, "late"))
+                self.requests.pop(request, None)
             else:
                 self.seen["open"] += 1
 
     def verdict(self) -> dict[str, Any]:
-        """What was found, once all is taken: `kept`, `breaches` by kind, and each by name; JSON-able."""
-        for request, life in list(self.lives.items()):
-            self._judge_open(request, life)
-        kinds = {what: self.counts[what] for what in RULES}
+        """Return the findings, JSON-able, once all observations were judged.
+
+        `kept` says whether no rule was broken; `breaches` counts them by kind, `rules` by rule; `named` holds
+        the first ones in detail; `seen` counts the observations by kind.
+        """
+        for request, history in list(self.requests.items()):
+            self._judge_open(request, history)
+        kinds = {kind: self.counts[kind] for kind in RULES}
         rules = dict.fromkeys(RULES.values(), 0)
-        for what, count in kinds.items():
-            rules[RULES[what]] += count
+        for kind, count in kinds.items():
+            rules[RULES[kind]] += count
         return {
             "kept": not any(kinds.values()),
             "rules": rules,
--- a/myrtlecourse/audit/duties.py
+++ b/myrtlecourse/audit/duties.py
@@ -1,7 +1,8 @@
-"""Whether duties were one router's at a time: rules on what routers obeyed, held and did.
+"""Rules on duties: one holder at a time, rising fencing tokens, and no step done twice.
 
-Only a router knows what it obeys, so that this is told by routers themselves, with the times on the machine's
-one monotonic clock; what was done is told by the commands that did it.
+Only a router knows which holder it follows, so these observations come from the routers themselves, timed by
+the machine's monotonic clock, which all processes share. The steps done are reported by the commands that did
+them.
 """
 
 from __future__ import annotations
@@ -13,68 +14,75 @@
 
 ROUNDING = 1e-4  # seconds: times are written in microseconds, and read by two calls of the clock
 
-Breach = Callable[[str, float, str, str, str], None]  # what, when, router, duty, detail
+ReportBreach = Callable[[str, float, str, str, str], None]  # rule, time, router, duty, detail
 
 
 class DutyRules:
-    """Judges observations as they come."""
+    """Judges the observations one by one."""
 
-    def __init__(self, gap: float, breach: Breach) -> None:
-        """`gap` seconds are the longest that a duty may have no holder, once it had one; 0: not judged."""
+    def __init__(self, gap: float, breach: ReportBreach) -> None:
+        """Create the rules.
+
+        Args:
+            gap: seconds that a duty may be without a holder, once it had one; 0 turns that rule off.
+            breach: called for each breach.
+        """
         self.gap = gap
         self.breach = breach
-        self.obeyed: dict[tuple[str, str], int] = {}  # by duty and router: the token
+        self.followed: dict[tuple[str, str], int] = {}  # the token that a router follows, by duty and router
         self.highest: dict[str, int] = {}
-        self.done: dict[tuple[str, int], int] = {}  # by duty and step: the token
+        self.done: dict[tuple[str, int], int] = {}  # the token under which a step was done, by duty and step
         self.holders: dict[str, dict[str, int]] = {}
-        self.nobody: dict[str, float] = {}  # by duty: since when
+        self.without_holder_since: dict[str, float] = {}  # since when a duty has no holder
         self.margins: dict[str, float] = {}
 
-    def judge(self, what: seen.Observation) -> None:
-        """One observation, in the order of their times."""
-        match what:
+    def judge(self, event: seen.Observation) -> None:
+        """Judge an observation; observations must come in the order of their times."""
+        match event:
             case seen.FollowsHolder():
-                self._obeys(what)
+                self._follows_holder(event)
             case seen.FollowsNobody():
-                self.obeyed.pop((what.duty, what.router), None)
+                self.followed.pop((event.duty, event.router), None)
             case seen.HoldsDuty():
-                self._holds(what)
+                self._holds_duty(event)
             case seen.StepDone():
-                before = self.done.get((what.duty, what.step))
+                before = self.done.get((event.duty, event.step))
                 if before is not None:
-                    detail = f"step {what.step} under {what.token}, and before under {before}"
-                    self.breach("done_twice", what.at, what.router, what.duty, detail)
-                self.done[what.duty, what.step] = what.token
+                    detail = f"step {event.step} done under token {event.token}, and before under {before}"
+                    self.breach("done_twice", event.at, event.router, event.duty, detail)
+                self.done[event.duty, event.step] = event.token
             case seen.RouterDown():
-                for duty, router in [key for key in self.obeyed if key[1] == what.router]:
-                    del self.obeyed[duty, router]
-                for duty, each in self.holders.items():
-                    if each.pop(what.router, None) is not None and not each:
-                        self.nobody[duty] = what.at
+                for duty, router in [key for key in self.followed if key[1] == event.router]:
+                    del self.followed[duty, router]
+                for duty, tokens in self.holders.items():
+                    if tokens.pop(event.router, None) is not None and not tokens:
+                        self.without_holder_since[duty] = event.at
 
-    def _obeys(self, what: seen.FollowsHolder) -> None:
-        others = {t for (d, r), t in self.obeyed.items() if d == what.duty and r != what.router}
-        for token in others - {what.token}:
-            detail = f"{what.router} obeys {what.token} while others obey {token}"
-            self.breach("two_obeyed", what.at, what.router, what.duty, detail)
-        highest = self.highest.get(what.duty, 0)
-        if what.token < highest:
-            self.breach("stale_obeyed", what.at, what.router, what.duty, f"{what.token} after {highest}")
-        self.highest[what.duty] = max(highest, what.token)
-        self.obeyed[what.duty, what.router] = what.token
+    def _follows_holder(self, event: seen.FollowsHolder) -> None:
+        others = {t for (d, r), t in self.followed.items() if d == event.duty and r != event.router}
+        for token in others - {event.token}:
+            detail = f"{event.router} follows token {event.token} while others follow {token}"
+            self.breach("two_obeyed", event.at, event.router, event.duty, detail)
+        highest = self.highest.get(event.duty, 0)
+        if event.token < highest:
+            self.breach(
+                "stale_obeyed", event.at, event.router, event.duty, f"token {event.token} after {highest}"
+            )
+        self.highest[event.duty] = max(highest, event.token)
+        self.followed[event.duty, event.router] = event.token
 
-    def _holds(self, what: seen.HoldsDuty) -> None:
-        each = self.holders.setdefault(what.duty, {})
-        if what.token:
-            since = self.nobody.pop(what.duty, math.inf)
-            gap = what.at - since
+    def _holds_duty(self, event: seen.HoldsDuty) -> None:
+        tokens = self.holders.setdefault(event.duty, {})
+        if event.token:
+            since = self.without_holder_since.pop(event.duty, math.inf)
+            gap = event.at - since
             if self.gap and gap > 0:
                 self.margins["nobody_too_long"] = max(
                     self.margins.get("nobody_too_long", 0.0), min(1.0, gap / self.gap)
                 )
                 if gap > self.gap:
                     detail = f"nobody held it for {gap:.2f} s"
-                    self.breach("nobody_too_long", what.at, what.router, what.duty, detail)
-            each[what.router] = what.token
-        elif each.pop(what.router, None) is not None and not each:
-            self.nobody[what.duty] = what.at
+                    self.breach("nobody_too_long", event.at, event.router, event.duty, detail)
+            tokens[event.router] = event.token
+        elif tokens.pop(event.router, None) is not None and not tokens:
+            self.without_holder_since[event.duty] = event.at
--- a/myrtlecourse/audit/observations.py
+++ b/myrtlecourse/audit/observations.py
@@ -1,7 +1,8 @@
-"""What the fleet and the clients saw, one observation a line, from any number of processes.
+"""Observations of the fleet and its clients, and the log files that hold them.
 
-Times are in seconds on the machine's monotonic clock, which all its processes share. Files hold JSON lines,
-each file in the order of its times; they are read side by side in constant memory.
+Times are in seconds on the machine's monotonic clock, which all its processes share. Each process writes
+a file of JSON lines, one observation a line, in the order of their times. Any number of files are merged by
+time in constant memory.
 """
 
 from __future__ import annotations
@@ -15,32 +16,35 @@
 from msgspec import Struct
 
 MAX_LINE = 1024 * 1024  # bytes
-GATHERED = 256  # observations between two writes
+FLUSH_AFTER = 256  # observations buffered before a write
 
 
 class ObservationError(ValueError):
-    """A file that can't be used; the message names the file and the line."""
+    """A log file can't be used; the message names the file and the line."""
 
 
 class ObservationBase(Struct, frozen=True, tag_field="saw", forbid_unknown_fields=True):
-    """Something seen at a time."""
+    """What all observations share: the time at which the event was seen."""
 
     at: float
 
 
 class RequestSent(ObservationBase, frozen=True, tag="asked"):
-    """A client has written a request's last byte."""
+    """A client has written the last byte of a request."""
 
     id: str
     router: str
     request_class: str
-    deadline: float  # when it stops waiting
+    deadline: float  # when the client stops waiting
     effect: str  # free, guarded, single_shot
-    key: str = ""  # of idempotency
+    key: str = ""  # the idempotency key, if any
 
 
 class RequestAnswered(ObservationBase, frozen=True, tag="answered"):
-    """A whole answer has come: `served`, `refused` or `failed`; `made`: for this very request."""
+    """A client has received a whole answer.
+
+    `how` is `served`, `refused` or `failed`; `made` says whether the answer belongs to this request.
+    """
 
     id: str
     how: str
@@ -48,43 +52,46 @@
 
 
 class RequestUnanswered(ObservationBase, frozen=True, tag="unanswered"):
-    """No answer came: its client `left`, its connection `ended`, or it is `late`, past its deadline."""
+    """A request ended without an answer.
+
+    `how` is `left` (the client went away), `ended` (the connection closed) or `late` (its deadline passed).
+    """
 
     id: str
     how: str
-    kept: bool = False  # the connection had carried an answer before
+    kept: bool = False  # the connection was reused: it had carried an answer before
 
 
 class UnexpectedBytes(ObservationBase, frozen=True, tag="unasked"):
-    """Bytes came to a client that waited for none."""
+    """A client received bytes while no request of its connection was open."""
 
     router: str
-    after: str  # the request answered last on that connection
+    after: str  # the last request on that connection; empty if there was none
 
 
 class AttemptReceived(ObservationBase, frozen=True, tag="sent"):
-    """A router's attempt has come whole to a box or the origin; `began` is when its first byte came."""
+    """A cache server or the origin has received a whole attempt; `began` is when its first byte arrived."""
 
     id: str
     box: str
     router: str
     began: float
     effect: str
-    group: str = ""  # of the servers that drop each other's repeats
-    window: float = 0.0
+    group: str = ""  # the servers that drop repeats of each other's requests
+    window: float = 0.0  # seconds within which the group drops a repeat
     key: str = ""
-    until: float = 0.0  # when the box was told that the router stops waiting; 0: not known
+    until: float = 0.0  # when, as the server was told, the router stops waiting; 0: not known
 
 
 class NeverRan(ObservationBase, frozen=True, tag="never_ran"):
-    """An attempt was answered in a way that proves it never ran."""
+    """The answer to an attempt proves that it was not executed."""
 
     id: str
     box: str
 
 
 class WriteExecuted(ObservationBase, frozen=True, tag="ran"):
-    """A write took effect."""
+    """A server has executed a write."""
 
     id: str
     box: str
@@ -92,28 +99,28 @@
 
 
 class ServerStarted(ObservationBase, frozen=True, tag="started"):
-    """A box has started, cold."""
+    """A cache server has started with an empty cache."""
 
     box: str
 
 
 class ColdServerOverloaded(ObservationBase, frozen=True, tag="fell"):
-    """A cold box was pushed over; the work that each router had sent it."""
+    """A cold cache server was overloaded; `work` is what each router had sent it."""
 
     box: str
     work: dict[str, float]
 
 
 class ListChanged(ObservationBase, frozen=True, tag="listed"):
-    """Discovery's list has changed."""
+    """An entry of discovery's server list has changed."""
 
     box: str
     status: str
-    since: float  # of its start; 0 for long ago
+    since: float  # when the server started; 0 for long ago
 
 
 class ListEntrySent(ObservationBase, frozen=True, tag="told"):
-    """Discovery has written an entry to a router."""
+    """Discovery has written a list entry to a router."""
 
     router: str
     box: str
@@ -122,7 +129,7 @@
 
 
 class DiscoveryCall(ObservationBase, frozen=True, tag="calls"):
-    """A router's call of discovery has `begun`, `ended` or `failed`."""
+    """A router's request to discovery has `begun`, `ended` or `failed`."""
 
     router: str
     how: str
@@ -135,49 +142,49 @@
 
 
 class RouterDown(ObservationBase, frozen=True, tag="router_down"):
-    """A router is gone; what it held is its clients' to ask again if it was killed."""
+    """A router has ended. If it was killed, its clients must retry the requests that it held."""
 
     router: str
     killed: bool
 
 
 class RouterExited(ObservationBase, frozen=True, tag="router_gone"):
-    """The kernel has ended a killed router's process, whose sockets took requests until then."""
+    """The kernel has ended the process of a killed router; its sockets accepted requests until then."""
 
     router: str
 
 
 class ServerZone(ObservationBase, frozen=True, tag="stands"):
-    """A box stands in a zone."""
+    """Names the zone of a cache server."""
 
     box: str
     zone: str
 
 
 class ScenarioStep(ObservationBase, frozen=True, tag="happened"):
-    """A scenario did something to a box (`fleet.faults.Step`), to the routers named or to all."""
+    """A step of the scenario (`fleet.faults.Step`) was applied to a server, for some routers or for all."""
 
     box: str
     what: str
-    routers: tuple[str, ...] = ()
+    routers: tuple[str, ...] = ()  # empty: all
 
 
 class UnreachableDial(ObservationBase, frozen=True, tag="dialled"):
-    """A router has tried to reach a box that it can't reach; seen in virtual time alone."""
+    """A router has dialled an unreachable cache server; observed in virtual time only."""
 
     router: str
     box: str
 
 
 class RouterStalled(ObservationBase, frozen=True, tag="stalled"):
-    """A router's process was stopped for so many seconds, from then on."""
+    """A router's process was stopped (SIGSTOP), for `seconds` from this time on."""
 
     router: str
     seconds: float
 
 
 class FollowsHolder(ObservationBase, frozen=True, tag="obeys"):
-    """A router obeys a duty's holder from now on, under a token; told by itself."""
+    """A router follows the holder of a duty from now on, under a fencing token; reported by the router."""
 
     router: str
     duty: str
@@ -185,14 +192,14 @@
 
 
 class FollowsNobody(ObservationBase, frozen=True, tag="rests"):
-    """A router obeys nobody for a duty; told by itself, maybe later."""
+    """A router follows no holder of a duty; reported by the router, possibly later."""
 
     router: str
     duty: str
 
 
 class HoldsDuty(ObservationBase, frozen=True, tag="holds"):
-    """A router acts for a duty from now on; with token 0, no more."""
+    """A router holds a duty from now on; token 0 means that it has stopped holding it."""
 
     router: str
     duty: str
@@ -200,7 +207,7 @@
 
 
 class StepDone(ObservationBase, frozen=True, tag="did"):
-    """A duty's step was done, as its command tells."""
+    """A step of a duty was done; reported by the command of the duty."""
 
     router: str
     duty: str
@@ -209,7 +216,7 @@
 
 
 class BanAcknowledged(ObservationBase, frozen=True, tag="banned"):
-    """A router has said yes to an operator who took a box out, or gave it `back`."""
+    """A router has acknowledged an operator's ban of a cache server, or the end of the ban (`back`)."""
 
     router: str
     box: str
@@ -245,35 +252,36 @@
 
 
 class ObservationLog:
-    """Writes observations to a file, a few at a time."""
+    """Writes observations to a file, in batches."""
 
     def __init__(self, path: Path) -> None:
         self.file: IO[bytes] = path.open("wb")
         self.encoder = msgspec.json.Encoder()
-        self.gathered: list[Observation] = []
+        self.buffered: list[Observation] = []
 
-    def add(self, seen: Observation) -> None:
-        """Write it, soon."""
-        self.gathered.append(seen)
-        if len(self.gathered) >= GATHERED:
+    def add(self, observation: Observation) -> None:
+        """Buffer an observation, and write the batch once it is full."""
+        self.buffered.append(observation)
+        if len(self.buffered) >= FLUSH_AFTER:
             self.flush()
 
     def flush(self) -> None:
-        """Write all that is gathered."""
-        # of one process, but answers may be stamped when their bytes came and written when they are whole
-        self.gathered.sort(key=lambda o: o.at)
-        self.file.write(self.encoder.encode_lines(self.gathered))
+        """Write all buffered observations."""
+        # An answer carries the time at which its bytes arrived, but is added when it is whole, so that
+        # observations of one process can be out of order.
+        self.buffered.sort(key=lambda o: o.at)
+        self.file.write(self.encoder.encode_lines(self.buffered))
         self.file.flush()
-        self.gathered.clear()
+        self.buffered.clear()
 
     def close(self) -> None:
-        """Write the rest and close."""
+        """Write all buffered observations and close the file."""
         self.flush()
         self.file.close()
 
 
 def read_log(path: Path) -> Iterator[Observation]:
-    """The observations of a file, checked."""
+    """Yield the observations of a file. Raises ObservationError if the file or a line can't be used."""
     decoder = msgspec.json.Decoder(Observation)
     number = 0
     try:
@@ -290,5 +298,5 @@
 
 
 def merge_logs(paths: list[Path]) -> Iterator[Observation]:
-    """All observations of some files in the order of their times."""
+    """Yield the observations of all files in the order of their times."""
     return heapq.merge(*(read_log(p) for p in paths), key=lambda o: o.at)
--- a/myrtlecourse/audit/origin.py
+++ b/myrtlecourse/audit/origin.py
@@ -1,4 +1,4 @@
-"""Whether routers together asked the origin for more than it bears; judged only where the figure is set."""
+"""The rule that routers together must not overload the origin; judged only if its rate is configured."""
 
 from __future__ import annotations
 
@@ -8,30 +8,35 @@
 from myrtlecourse.audit import observations as seen
 
 ORIGIN = "origin"
-SECOND = 1.0
+WINDOW = 1.0
 
 
 class OriginRule:
-    """Judges observations as they come: fetches and writes that reach the origin, in every second."""
+    """Counts fetches and writes that reach the origin within any second; a breach is more than a rate."""
 
     def __init__(self, rate: float, breach: Callable[[float, str], None]) -> None:
-        """`rate` a second are what it bears; 0: not judged. A breach is told when, and what it was."""
+        """Create the rule.
+
+        Args:
+            rate: requests a second that the origin can bear; 0 turns the rule off.
+            breach: called with the time and the details of each breach.
+        """
         self.rate = rate
         self.breach = breach
-        self.lately: deque[float] = deque()
+        self.recent: deque[float] = deque()
         self.over = False
-        self.closest = 0.0  # 1 at the limit
+        self.closest = 0.0  # the highest share of the limit that was reached, at most 1
 
-    def judge(self, what: seen.Observation) -> None:
-        """One observation, in the order of their times."""
-        if not self.rate or not isinstance(what, seen.AttemptReceived) or what.box != ORIGIN:
+    def judge(self, event: seen.Observation) -> None:
+        """Judge an observation; observations must come in the order of their times."""
+        if not self.rate or not isinstance(event, seen.AttemptReceived) or event.box != ORIGIN:
             return
-        self.lately.append(what.at)
-        while self.lately[0] <= what.at - SECOND:
-            self.lately.popleft()
-        count = len(self.lately)
+        self.recent.append(event.at)
+        while self.recent[0] <= event.at - WINDOW:
+            self.recent.popleft()
+        count = len(self.recent)
         self.closest = max(self.closest, min(1.0, count / self.rate))
         over = count > self.rate
-        if over and not self.over:  # one breach for each time that it is asked for too much
-            self.breach(what.at, f"{count} in a second, of {self.rate:g} that it bears")
+        if over and not self.over:  # each period of overload counts as one breach
+            self.breach(event.at, f"{count} in a second, of {self.rate:g} that it bears")
         self.over = over
--- a/myrtlecourse/audit/zones.py
+++ b/myrtlecourse/audit/zones.py
@@ -1,8 +1,7 @@
-"""Whether routers left zones as they should: rules on what was sent while a zone could be reached or could
-not.
+"""Rules on how routers leave an unreachable zone, and stay in a reachable one.
 
-Told what a scenario did to boxes and what came to them, like the rest of the auditor; a rule is judged only
-where its figure is set. What routers say of themselves is not asked.
+The rules use the steps of the scenario and what cache servers received, not what routers report of
+themselves. Each rule is judged only if its limit is configured.
 """
 
 from __future__ import annotations
@@ -13,127 +12,140 @@
 
 from myrtlecourse.audit import observations as seen
 
-DOWN = ("crash", "cut", "end", "freeze", "refuse")  # what the scenario does to a box, and
-UP = ("start", "join", "thaw", "accept", "bounce")  # what ends it
-WATCHED = 4.0  # seconds in which a router's sends are looked at
-WELL = 20.0  # seconds after a zone's last trouble: a flapping one is rightly left for longer
-LEARNT = 5.0  # seconds that a fleet may take to leave a zone
-BEFORE = 3.0  # seconds that tell what survivors were sent
-CHANCE = 1.3  # times what is allowed in one second, and
-SLACK = 20  # requests more: arrivals come by chance
+DOWN_STEPS = ("crash", "cut", "end", "freeze", "refuse")  # steps of a scenario that make a server unreachable
+UP_STEPS = ("start", "join", "thaw", "accept", "bounce")  # steps that end this
+SEND_WINDOW = 4.0  # seconds of a router's attempts that are examined
+HEALTHY_AFTER = 20.0  # seconds since the zone's last fault: routers rightly avoid a flapping zone for longer
+EXIT_TIME = 5.0  # seconds that the fleet may take to leave a zone
+BASELINE_WINDOW = 3.0  # seconds before the fault over which the usual load of the other zones is measured
+# Arrivals are random, so that a second may exceed the allowed load by a factor and a number of requests.
+ARRIVAL_FACTOR = 1.3
+ARRIVAL_SLACK = 20
 
-Breach = Callable[[str, float, str, str, str], None]  # what, when, router, box, detail
+ReportBreach = Callable[[str, float, str, str, str], None]  # rule, time, router, zone, detail
 
 
 class ZoneRules:
-    """Judges observations as they come."""
+    """Judges the observations one by one."""
 
-    def __init__(self, enough: float, dials: float, spill: float, breach: Breach) -> None:
-        """`enough` sends of a router would by chance have met each zone. `dials` a second are what the fleet
-        may try at a dark zone, `spill` times what they had is what survivors may be sent; 0 where that is not
-        judged."""
+    def __init__(self, enough: float, dials: float, spill: float, breach: ReportBreach) -> None:
+        """Create the rules; 0 for `dials` or `spill` turns that rule off.
+
+        Args:
+            enough: attempts of one router after which it would by chance have reached each zone.
+            dials: attempts a second that the whole fleet may make at an unreachable zone.
+            spill: factor by which the load of the surviving zones may grow.
+            breach: called for each breach.
+        """
         self.enough = enough
         self.dials = dials
         self.spill = spill
         self.breach = breach
         self.zones: dict[str, str] = {}
-        self.down: dict[str, set[str]] = {}  # by box: what of the scenario keeps it from all
-        self.parted: Counter[tuple[str, str]] = Counter()  # by router and box
-        self.trouble: dict[str, float] = {}  # by zone: since when it is dark, or when it last was
-        self.sent: dict[str, deque[tuple[float, str]]] = {}  # by router: when, which zone
-        self.each: deque[tuple[float, str]] = deque()  # of all routers
-        self.tried: deque[float] = deque()  # dials at what is dark, long after it became so
-        self.usual: dict[str, float] = {}  # by dark zone: sends a second to the others before
-        self.judged: set[tuple[str, str, str, int]] = set()
+        self.down_by: dict[str, set[str]] = {}  # by cache server: the steps that make it unreachable for all
+        self.partitions: Counter[tuple[str, str]] = Counter()  # by router and cache server
+        self.last_fault: dict[str, float] = {}  # by zone: when it became unreachable, or the last step on it
+        self.sent: dict[str, deque[tuple[float, str]]] = {}  # attempts by router: time and zone
+        self.sent_by_all: deque[tuple[float, str]] = deque()  # attempts of all routers
+        self.late_dials: deque[float] = deque()  # dials at unreachable zones after EXIT_TIME
+        # by unreachable zone: attempts a second to the other zones before the fault
+        self.usual_rate: dict[str, float] = {}
+        self.reported: set[tuple[str, str, str, int]] = set()
         self.margins: dict[str, float] = {}
 
-    def judge(self, what: seen.Observation) -> None:
-        """One observation, in the order of their times."""
-        match what:
+    def judge(self, event: seen.Observation) -> None:
+        """Judge an observation; observations must come in the order of their times."""
+        match event:
             case seen.ServerZone():
-                self.zones[what.box] = what.zone
-            case seen.ScenarioStep() if what.box in self.zones:
-                self._happened(what)
-            case seen.AttemptReceived() if what.box in self.zones:
-                self._sent(what)
-            case seen.UnreachableDial() if what.box in self.zones:
-                self._dialled(what)
+                self.zones[event.box] = event.zone
+            case seen.ScenarioStep() if event.box in self.zones:
+                self._scenario_step(event)
+            case seen.AttemptReceived() if event.box in self.zones:
+                self._attempt_received(event)
+            case seen.UnreachableDial() if event.box in self.zones:
+                self._unreachable_dial(event)
             case seen.RouterUp() | seen.RouterStalled():
-                self.sent.pop(what.router, None)
-
-    def _happened(self, what: seen.ScenarioStep) -> None:
-        zone = self.zones[what.box]
-        was_dark = self._dark(zone)
-        for router in what.routers:
-            self.parted[router, what.box] += {"part": 1, "mend": -1}.get(what.what, 0)
-        if what.what in DOWN:
-            self.down.setdefault(what.box, set()).add(what.what)
-        elif what.what in UP:
-            self.down.pop(what.box, None)
-        if self._dark(zone) and not was_dark:
-            others = sum(at > what.at - BEFORE and z != zone for at, z in self.each)
-            self.usual[zone] = others / BEFORE
-        elif was_dark and not self._dark(zone):
-            self.usual.pop(zone, None)
-        if not (was_dark and self._dark(zone)):
-            self.trouble[zone] = what.at
-
-    def _dark(self, zone: str) -> bool:
-        """Whether none of its boxes can be reached by anybody."""
-        return all(self.down.get(box) for box, z in self.zones.items() if z == zone)
-
-    def _sent(self, what: seen.AttemptReceived) -> None:
-        zone = self.zones[what.box]
-        own = self.sent.setdefault(what.router, deque())
-        own.append((what.at, zone))
-        self.each.append((what.at, zone))
-        while own[0][0] < what.at - WATCHED:
+                self.sent.pop(event.router, None)
+
+    def _scenario_step(self, event: seen.ScenarioStep) -> None:
+        zone = self.zones[event.box]
+        was_unreachable = self._unreachable(zone)
+        for router in event.routers:
+            self.partitions[router, event.box] += {"part": 1, "mend": -1}.get(event.what, 0)
+        if event.what in DOWN_STEPS:
+            self.down_by.setdefault(event.box, set()).add(event.what)
+        elif event.what in UP_STEPS:
+            self.down_by.pop(event.box, None)
+        if self._unreachable(zone) and not was_unreachable:
+            others = sum(at > event.at - BASELINE_WINDOW and z != zone for at, z in self.sent_by_all)
+            self.usual_rate[zone] = others / BASELINE_WINDOW
+        elif was_unreachable and not self._unreachable(zone):
+            self.usual_rate.pop(zone, None)
+        if not (was_unreachable and self._unreachable(zone)):
+            self.last_fault[zone] = event.at
+
+    def _unreachable(self, zone: str) -> bool:
+        """Return whether no router can reach any cache server of the zone."""
+        return all(self.down_by.get(server) for server, z in self.zones.items() if z == zone)
+
+    def _attempt_received(self, event: seen.AttemptReceived) -> None:
+        zone = self.zones[event.box]
+        own = self.sent.setdefault(event.router, deque())
+        own.append((event.at, zone))
+        self.sent_by_all.append((event.at, zone))
+        while own[0][0] < event.at - SEND_WINDOW:
             own.popleft()
-        while self.each[0][0] < what.at - BEFORE:
-            self.each.popleft()
-        self._judge_alone(what, own)
+        while self.sent_by_all[0][0] < event.at - BASELINE_WINDOW:
+            self.sent_by_all.popleft()
+        self._judge_alone(event, own)
         if self.spill:
-            self._judge_spill(what.at)
+            self._judge_spill(event.at)
 
-    def _judge_alone(self, what: seen.AttemptReceived, own: deque[tuple[float, str]]) -> None:
-        """A router that sends nothing to a zone that it, and all others, can reach."""
-        if len(own) < self.enough or own[-1][0] - own[0][0] < 0.9 * WATCHED:
+    def _judge_alone(self, event: seen.AttemptReceived, own: deque[tuple[float, str]]) -> None:
+        """Judge whether a router sends nothing to a zone that all routers can reach."""
+        if len(own) < self.enough or own[-1][0] - own[0][0] < 0.9 * SEND_WINDOW:
             return
-        met = {zone for _, zone in own}
-        for zone in set(self.zones.values()) - met:
-            well = what.at - self.trouble.get(zone, -math.inf) > WELL
-            parted = any(self.parted[what.router, box] for box, z in self.zones.items() if z == zone)
-            if well and not parted and not self._dark(zone):
-                detail = f"none of its last {len(own)} sends went to {zone}, which all can reach"
-                self._once("left_alone", what.at, what.router, zone, detail)
+        reached = {zone for _, zone in own}
+        for zone in set(self.zones.values()) - reached:
+            healthy = event.at - self.last_fault.get(zone, -math.inf) > HEALTHY_AFTER
+            partitioned = any(
+                self.partitions[event.router, server] for server, z in self.zones.items() if z == zone
+            )
+            if healthy and not partitioned and not self._unreachable(zone):
+                detail = f"none of its last {len(own)} attempts went to {zone}, which all routers can reach"
+                self._report_once("left_alone", event.at, event.router, zone, detail)
 
     def _judge_spill(self, now: float) -> None:
-        """What goes to the survivors of a dark zone, in the last second."""
-        for zone, usual in self.usual.items():
-            if now < self.trouble[zone] + LEARNT:
+        """Judge the load on the surviving zones in the last second while a zone is unreachable."""
+        for zone, usual_rate in self.usual_rate.items():
+            if now < self.last_fault[zone] + EXIT_TIME:
                 continue
-            sent = sum(at > now - 1.0 and z != zone for at, z in self.each)
-            allowed = self.spill * usual * CHANCE + SLACK
+            sent = sum(at > now - 1.0 and z != zone for at, z in self.sent_by_all)
+            allowed = self.spill * usual_rate * ARRIVAL_FACTOR + ARRIVAL_SLACK
             self.margins["spilled"] = max(self.margins.get("spilled", 0.0), min(1.0, sent / allowed))
             if sent > allowed:
-                detail = f"{sent} sends in a second to what is left, {usual:.0f} before {zone} was lost"
-                self._once("spilled", now, "", zone, detail)
-
-    def _dialled(self, what: seen.UnreachableDial) -> None:
-        zone = self.zones[what.box]
-        if not self.dials or not self._dark(zone) or what.at < self.trouble[zone] + LEARNT:
+                detail = (
+                    f"{sent} attempts in a second at other zones, {usual_rate:.0f} before {zone} was lost"
+                )
+                self._report_once("spilled", now, "", zone, detail)
+
+    def _unreachable_dial(self, event: seen.UnreachableDial) -> None:
+        zone = self.zones[event.box]
+        if not self.dials or not self._unreachable(zone) or event.at < self.last_fault[zone] + EXIT_TIME:
             return
-        self.tried.append(what.at)
-        while self.tried[0] < what.at - 1.0:
-            self.tried.popleft()
-        self.margins["stayed"] = max(self.margins.get("stayed", 0.0), min(1.0, len(self.tried) / self.dials))
-        if len(self.tried) > self.dials:
-            detail = f"{len(self.tried)} attempts in a second at {zone}, long dark"
-            self._once("stayed", what.at, what.router, zone, detail)
-
-    def _once(self, rule: str, at: float, router: str, zone: str, detail: str) -> None:
-        """One breach for each trouble of a zone, not one for each send."""
-        key = rule, router if rule == "left_alone" else "", zone, int(self.trouble.get(zone, 0.0))
-        if key not in self.judged:
-            self.judged.add(key)
+        self.late_dials.append(event.at)
+        while self.late_dials[0] < event.at - 1.0:
+            self.late_dials.popleft()
+        self.margins["stayed"] = max(
+            self.margins.get("stayed", 0.0), min(1.0, len(self.late_dials) / self.dials)
+        )
+        if len(self.late_dials) > self.dials:
+            detail = f"{len(self.late_dials)} attempts in a second at {zone}, unreachable for long"
+            self._report_once("stayed", event.at, event.router, zone, detail)
+
+    def _report_once(self, rule: str, at: float, router: str, zone: str, detail: str) -> None:
+        """Report one breach for each fault of a zone, not one for each attempt."""
+        key = rule, router if rule == "left_alone" else "", zone, int(self.last_fault.get(zone, 0.0))
+        if key not in self.reported:
+            self.reported.add(key)
             self.breach(rule, at, router, zone, detail)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -7,7 +7,7 @@
 import pytest
 
 from myrtlecourse.audit import observations as seen
-from myrtlecourse.audit.auditor import REMEMBERED, Auditor, Rules
+from myrtlecourse.audit.auditor import REQUEST_MEMORY, Auditor, Rules
 
 RULES = Rules()
 
@@ -193,8 +193,8 @@
             served(at + 0.03, name),
         ):
             auditor.judge(what)
-        most = max(most, len(auditor.lives), len(auditor.ran))
-    assert most <= (REMEMBERED + 16) / 0.05
+        most = max(most, len(auditor.requests), len(auditor.executions))
+    assert most <= (REQUEST_MEMORY + 16) / 0.05
     assert auditor.verdict()["kept"]
 
 
