--- a/myrtlecourse/load/__init__.py
+++ b/myrtlecourse/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load generator: open-loop arrivals, latency counted from when a request should have been sent."""
+"""The load generator: open-loop arrivals, with latency measured from when a request was due."""
--- a/myrtlecourse/load/client.py
+++ b/myrtlecourse/load/client.py
@@ -1,4 +1,4 @@
-"""Connections of clients: one command at a time on each, kept and used again."""
+"""A pool of reusable client connections, each with at most one command in flight."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 
 from myrtlecourse.net.resp import NOT_YET, Message, Reader, RespError
 
-MAX_ANSWER = 16 * 1024 * 1024  # bytes; what announces more is no answer, and costs nothing
-MAX_ITEMS = 16
-DIAL_TIME = 5.0  # seconds
+MAX_ANSWER = 16 * 1024 * 1024  # bytes; an answer that announces more is rejected before it is read
+MAX_ITEMS = 16  # of an answer that is an array
+DIAL_TIMEOUT = 5.0  # seconds
 
-Heard = Callable[[Message | BaseException, bool], None]  # the answer or what went wrong; whether it was kept
+# called with the answer or the error, and with whether the connection had carried an answer before
+ReplyCallback = Callable[[Message | BaseException, bool], None]
 
 
-class Broken(ConnectionError):
-    """A connection ended, or brought what is no answer."""
+class ConnectionBroken(ConnectionError):
+    """The connection ended, or the bytes received are no answer."""
 
 
 class ClientConnection(asyncio.Protocol):
@@ -27,133 +28,137 @@
     def __init__(self, pool: ClientPool) -> None:
         self.pool = pool
         self.reader = Reader(MAX_ITEMS, MAX_ANSWER, MAX_ANSWER + 4096)
-        self.heard: Heard | None = None
-        self.kept = False  # it has carried an answer before
-        self.last = ""  # the request asked last on it
+        self.on_reply: ReplyCallback | None = None
+        self.reused = False  # the connection has carried an answer before
+        self.last = ""  # the id of the last request on this connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
-    def ask(self, data: bytes, heard: Heard) -> None:
-        """Send a command; `heard` is called once."""
-        self.heard = heard
+    def send(self, data: bytes, on_reply: ReplyCallback) -> None:
+        """Send a command; `on_reply` is called once, with the answer or the error."""
+        self.on_reply = on_reply
         self.transport.write(data)
 
     def abandon(self) -> None:
-        """Go away without the answer."""
-        self.heard = None
+        """Close the connection without waiting for the answer."""
+        self.on_reply = None
         self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        if self.heard is None:  # nobody asked
-            self.pool.unasked(self.last)
+        if self.on_reply is None:  # no request is open
+            self.pool.on_unexpected(self.last)
             self.transport.abort()
             return
         self.reader.feed(data)
         try:
             message = self.reader.next()
         except RespError as e:
-            self._end(Broken(str(e)))
+            self._end(ConnectionBroken(str(e)))
             self.transport.abort()
             return
         if message is not NOT_YET:
-            heard, self.heard = self.heard, None
-            kept, self.kept = self.kept, True
-            if (
-                self.reader.buffer
-            ):  # more than what was asked for: what comes next would be taken for an answer
-                self.pool.unasked(self.last)
+            on_reply, self.on_reply = self.on_reply, None
+            reused, self.reused = self.reused, True
+            # Bytes beyond the answer would be taken for the answer to the next request.
+            if self.reader.buffer:
+                self.pool.on_unexpected(self.last)
                 self.transport.abort()
             else:
-                self.pool.keep(self)
-            heard(message, kept)
+                self.pool.release(self)
+            on_reply(message, reused)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.pool.lost(self)
-        self._end(Broken("the connection ended"))
+        self.pool.closed(self)
+        self._end(ConnectionBroken("the connection was closed"))
 
-    def _end(self, fault: Broken) -> None:
-        heard, self.heard = self.heard, None
-        if heard is not None:
-            heard(fault, self.kept)
+    def _end(self, error: ConnectionBroken) -> None:
+        on_reply, self.on_reply = self.on_reply, None
+        if on_reply is not None:
+            on_reply(error, self.reused)
 
 
-class Wanted:
-    """A command that waits for a connection."""
+class PendingCommand:
+    """A command that waits for a connection or its answer."""
 
-    __slots__ = ("abandoned", "connection", "data", "fresh", "heard", "name", "written")
+    __slots__ = ("abandoned", "connection", "data", "fresh", "name", "on_reply", "written")
 
     def __init__(
-        self, name: str, data: bytes, heard: Heard, written: Callable[[], None], fresh: bool
+        self, name: str, data: bytes, on_reply: ReplyCallback, written: Callable[[], None], fresh: bool
     ) -> None:
         self.name = name
         self.data = data
-        self.written = written  # called when it is
-        self.heard = heard
-        self.fresh = fresh  # on a new connection
+        self.written = written  # called once the command was written
+        self.on_reply = on_reply
+        self.fresh = fresh  # needs a new connection
         self.abandoned = False
         self.connection: ClientConnection | None = None
 
     def abandon(self) -> None:
-        """Go away: the connection closes, as a client's does that waits no more."""
+        """Give up and close the connection, as a client does that stops waiting."""
         self.abandoned = True
         if self.connection is not None:
             self.connection.abandon()
 
 
 class ClientPool:
-    """The connections of one worker, at most `most`: what comes on top waits, and its latency counts on."""
+    """The connections of one worker, at most `max_open`.
+
+    Further commands wait for a connection, and that wait is part of their latency.
+    """
 
     def __init__(
-        self, address: tuple[str, int], most: int, unasked: Callable[[str], None] = lambda last: None
+        self,
+        address: tuple[str, int],
+        max_open: int,
+        on_unexpected: Callable[[str], None] = lambda last: None,
     ) -> None:
         self.address = address
-        self.unasked = unasked  # told of bytes that nobody asked for, and the request before them
-        self.most = most
-        self.open = 0  # dials included
-        self.exhausted = (
-            False  # the process ran out of descriptors: there are no more than so many connections
-        )
+        self.on_unexpected = on_unexpected  # called with the last request if bytes arrive without a request
+        self.max_open = max_open
+        self.open = 0  # including connections that are being dialled
+        # The process ran out of file descriptors; `max_open` was lowered to the connections that it has.
+        self.exhausted = False
         self.idle: deque[ClientConnection] = deque()
-        self.waiting: deque[Wanted] = deque()
+        self.waiting: deque[PendingCommand] = deque()
         self.dials: set[asyncio.Task[None]] = set()
 
     def submit(
         self,
         name: str,
         data: bytes,
-        heard: Heard,
+        on_reply: ReplyCallback,
         written: Callable[[], None] = lambda: None,
         fresh: bool = False,
-    ) -> Wanted:
-        """Send a command as soon as a connection is free; a fresh one is dialled for it if asked."""
-        wanted = Wanted(name, data, heard, written, fresh)
-        if fresh or not self._send(wanted):
-            self.waiting.append(wanted)
-            self._dial_one()
-        return wanted
-
-    def _send(self, wanted: Wanted) -> bool:
+    ) -> PendingCommand:
+        """Send a command as soon as a connection is free; `fresh` asks for a new connection."""
+        command = PendingCommand(name, data, on_reply, written, fresh)
+        if fresh or not self._send_on_idle(command):
+            self.waiting.append(command)
+            self._dial_if_needed()
+        return command
+
+    def _send_on_idle(self, command: PendingCommand) -> bool:
         while self.idle:
             connection = self.idle.pop()
             if not connection.transport.is_closing():
-                self._begin(connection, wanted)
+                self._send_on(connection, command)
                 return True
         return False
 
-    def _begin(self, connection: ClientConnection, wanted: Wanted) -> None:
-        wanted.connection = connection
+    def _send_on(self, connection: ClientConnection, command: PendingCommand) -> None:
+        command.connection = connection
 
-        def heard(answer: Message | BaseException, kept: bool) -> None:
-            wanted.connection = None
-            wanted.heard(answer, kept)
+        def on_reply(answer: Message | BaseException, reused: bool) -> None:
+            command.connection = None
+            command.on_reply(answer, reused)
 
-        connection.last = wanted.name
-        connection.ask(wanted.data, heard)
-        wanted.written()
+        connection.last = command.name
+        connection.send(command.data, on_reply)
+        command.written()
 
-    def _dial_one(self) -> None:
-        if self.open < self.most and len(self.dials) < len(self.waiting):
+    def _dial_if_needed(self) -> None:
+        if self.open < self.max_open and len(self.dials) < len(self.waiting):
             self.open += 1
             dial = asyncio.create_task(self._dial())
             self.dials.add(dial)
@@ -162,48 +167,48 @@
     async def _dial(self) -> None:
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(DIAL_TIME):
+            async with asyncio.timeout(DIAL_TIMEOUT):
                 _, connection = await loop.create_connection(lambda: ClientConnection(self), *self.address)
-        except OSError as e:  # a time-out is one
+        except OSError as e:  # includes TimeoutError
             self.open -= 1
             if e.errno in (errno.EMFILE, errno.ENFILE) and self.open:
-                # no descriptor is left: that is our own limit, and no answer of the target's
+                # This process's own limit: the command must not fail as if the target had refused it.
                 self.exhausted = True
-                self.most = self.open
+                self.max_open = self.open
                 return
-            wanted = self._next()
-            if wanted is not None:
-                wanted.heard(e, False)
+            command = self._next_waiting()
+            if command is not None:
+                command.on_reply(e, False)
             return
-        self.keep(connection)
+        self.release(connection)
 
-    def _next(self) -> Wanted | None:
+    def _next_waiting(self) -> PendingCommand | None:
         while self.waiting:
-            wanted = self.waiting.popleft()
-            if not wanted.abandoned:
-                return wanted
+            command = self.waiting.popleft()
+            if not command.abandoned:
+                return command
         return None
 
-    def keep(self, connection: ClientConnection) -> None:
-        """A connection is free."""
-        wanted = self._next()
-        if wanted is None:
+    def release(self, connection: ClientConnection) -> None:
+        """Take back a free connection and use it for the next waiting command."""
+        command = self._next_waiting()
+        if command is None:
             self.idle.append(connection)
-        elif wanted.fresh and connection.kept:
-            self.waiting.appendleft(wanted)
+        elif command.fresh and connection.reused:
+            self.waiting.appendleft(command)
             self.idle.append(connection)
         else:
-            self._begin(connection, wanted)
+            self._send_on(connection, command)
 
-    def lost(self, connection: ClientConnection) -> None:
-        """A connection has ended."""
+    def closed(self, connection: ClientConnection) -> None:
+        """Forget a connection that has closed, and dial another if commands wait."""
         self.open -= 1
         if connection in self.idle:
             self.idle.remove(connection)
-        self._dial_one()
+        self._dial_if_needed()
 
     def close(self) -> None:
-        """Close everything."""
+        """Cancel all dials and close the idle connections."""
         for dial in self.dials:
             dial.cancel()
         for connection in list(self.idle):
--- a/myrtlecourse/load/commands.py
+++ b/myrtlecourse/load/commands.py
@@ -1,4 +1,4 @@
-"""`myrtlecourse load`: its commands and their options."""
+"""The commands of `myrtlecourse load` and their options."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from myrtlecourse.load.run import Job, RunError, run
 from myrtlecourse.load.trace import Replay
 
-EXIT_UNUSABLE = 2  # exit code of what can't be begun
+EXIT_UNUSABLE = 2  # exit code if the arguments or input files can't be used
 EXIT_NOTHING_SERVED = 1
 
 
 class Address(click.ParamType[tuple[str, int]]):
-    """HOST:PORT."""
+    """A parameter of the form HOST:PORT."""
 
     name = "HOST:PORT"
 
@@ -36,7 +36,7 @@
 
 
 class RunByDefault(click.Group):
-    """`load` with a profile or options is a run; `load compare` is the one further word it knows."""
+    """A group whose default command is `run`, for `load PROFILE` or `load --rate ...`."""
 
     def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
         if args and args[0] not in self.commands and args[0] != "--help":
@@ -45,38 +45,38 @@
 
 
 class Progress:
-    """Live counts: a line that changes in a terminal, elsewhere one every few seconds."""
+    """Shows live counts: a status line in a terminal, otherwise a line every few seconds."""
 
     def __init__(self, console: Console, quiet: bool) -> None:
         self.console = console
         self.quiet = quiet
         self.status = console.status("starting")
-        self.last = time.monotonic()
+        self.last_printed = time.monotonic()
 
     def __enter__(self) -> Callable[[float, dict[str, int]], None]:
         self.status.start()
-        return self._tell
+        return self._report
 
     def __exit__(self, *_: object) -> None:
         self.status.stop()
 
-    def _tell(self, at: float, counts: dict[str, int]) -> None:
-        told = ", ".join(f"{name} {counts.get(name, 0):,}" for name in ("served", "refused", "failed"))
+    def _report(self, at: float, counts: dict[str, int]) -> None:
+        counts_text = ", ".join(f"{name} {counts.get(name, 0):,}" for name in ("served", "refused", "failed"))
         if self.console.is_terminal:
-            self.status.update(f"{at:.0f} s: {told}")
-        elif not self.quiet and time.monotonic() - self.last >= 5.0:
-            self.last = time.monotonic()
-            self.console.print(f"{at:.0f} s: {told}")
+            self.status.update(f"{at:.0f} s: {counts_text}")
+        elif not self.quiet and time.monotonic() - self.last_printed >= 5.0:
+            self.last_printed = time.monotonic()
+            self.console.print(f"{at:.0f} s: {counts_text}")
 
 
 def write_json(file: Path, figures: Any) -> None:
-    """For programs: the figures of a run."""
+    """Write the figures of a run as JSON."""
     file.write_bytes(msgspec.json.format(msgspec.json.encode(figures)) + b"\n")
 
 
 @click.group(cls=RunByDefault)
 def load() -> None:
-    """Send open-loop load: each request at its time, whatever became of those before.
+    """Send open-loop load: each request when it is due, however earlier requests end.
 
     \b
     myrtlecourse load --rate 200 --duration 10 --target 127.0.0.1:6379
@@ -91,10 +91,10 @@
 def _profile(file: Path | None, rate: float | None, duration: float | None, trace: Path | None) -> Profile:
     if file is not None:
         if rate is not None:
-            raise click.UsageError("--rate belongs to a run without a profile")
+            raise click.UsageError("--rate can't be combined with a profile")
         return read_profile(file)
     if trace is not None:
-        return constant(1.0, 1.0)  # of which only the clients' habits count
+        return constant(1.0, 1.0)  # only the behaviour of its clients is used
     if rate is None or duration is None:
         raise click.UsageError("give a profile, a --trace, or --rate with --duration")
     return constant(rate, duration)
@@ -107,30 +107,40 @@
     type=Address(),
     required=True,
     multiple=True,
-    help="a router's address; again for further ones, asked in turns",
+    help="a router's address; repeat for more, used by round robin",
 )
 @click.option("--rate", type=click.FloatRange(0, min_open=True), help="reads a second, without a profile")
 @click.option(
-    "--duration", type=click.FloatRange(0, min_open=True), help="seconds; of a profile, its first ones"
+    "--duration",
+    type=click.FloatRange(0, min_open=True),
+    help="seconds to run; with a profile, its first seconds",
 )
 @click.option(
     "--trace", type=click.Path(path_type=Path), help="replay this file of JSON lines (docs/load.md)"
 )
 @click.option(
-    "--speed", type=click.FloatRange(0.001, 1000), default=1.0, show_default=True, help="of the trace"
+    "--speed",
+    type=click.FloatRange(0.001, 1000),
+    default=1.0,
+    show_default=True,
+    help="speed factor of the trace",
+)
+@click.option(
+    "--loops", type=click.IntRange(1), default=1, show_default=True, help="repetitions of the trace"
 )
-@click.option("--loops", type=click.IntRange(1), default=1, show_default=True, help="of the trace")
 @click.option(
     "--workers", type=click.IntRange(1, 256), default=1, show_default=True, help="processes that send"
 )
 @click.option("--json", "json_file", type=click.Path(path_type=Path), help="write the figures there")
-@click.option("--html", "html_file", type=click.Path(path_type=Path), help="write a page with pictures there")
+@click.option(
+    "--html", "html_file", type=click.Path(path_type=Path), help="write an HTML report with charts there"
+)
 @click.option(
     "--observations",
     type=click.Path(path_type=Path, file_okay=False, exists=True),
-    help="a folder: write what the clients see there, for `myrtlecourse audit`",
+    help="a folder: write the clients' observations there, for `myrtlecourse audit`",
 )
-@click.option("--quiet", is_flag=True, help="no progress")
+@click.option("--quiet", is_flag=True, help="show no progress")
 def run_load(
     profile: Path | None,
     target: tuple[tuple[str, int], ...],
@@ -145,16 +155,16 @@
     observations: Path | None,
     quiet: bool,
 ) -> None:
-    """Send load and report what became of it.
+    """Send load and report the outcome.
 
-    Exit code 0, 1 when nothing was served, 2 when it could not begin. SIGINT ends the sending; the report is
-    then of what ran.
+    Exits with 0, with 1 if nothing was served, or with 2 if the run could not start. SIGINT stops the
+    sending; the report then covers what was sent.
     """
     console = Console(stderr=True)
     try:
-        made = _profile(profile, rate, duration, trace)
-        replay = Replay(trace, speed, loops, made.classes if profile else ()) if trace else None
-        job = Job(made, target, workers, duration, replay, observations)
+        load_profile = _profile(profile, rate, duration, trace)
+        replay = Replay(trace, speed, loops, load_profile.classes if profile else ()) if trace else None
+        job = Job(load_profile, target, workers, duration, replay, observations)
         with Progress(console, quiet) as progress:
             took, record = run(job, progress)
     except (ProfileError, RunError) as e:
@@ -165,7 +175,7 @@
     if json_file is not None:
         write_json(json_file, figures)
     if html_file is not None:
-        from myrtlecourse.load.page import page  # noqa: PLC0415  (plots take a second to import)
+        from myrtlecourse.load.page import page  # noqa: PLC0415  (matplotlib takes a second to import)
 
         html_file.write_text(page(figures, "Load on " + ", ".join(f"{host}:{port}" for host, port in target)))
     sys.exit(0 if figures["served"] else EXIT_NOTHING_SERVED)
@@ -176,7 +186,7 @@
 @click.argument("second", type=click.Path(path_type=Path))
 @click.option("--json", "as_json", is_flag=True, help="print JSON")
 def compare_runs(first: Path, second: Path, as_json: bool) -> None:
-    """Set two runs side by side, from the files that --json wrote."""
+    """Compare two runs, from the files that --json wrote."""
     try:
         rows = report.compare(report.read(first), report.read(second))
     except report.ReportError as e:
--- a/myrtlecourse/load/generator.py
+++ b/myrtlecourse/load/generator.py
@@ -1,7 +1,7 @@
-"""One worker of the generator: sends each request at its time, whatever became of those before.
+"""One worker of the generator: an open loop that sends each request when it is due.
 
-Latency counts from when a request should have been sent. A tool that waits for an answer before it asks
-again, or that counts from when it got round to sending, leaves out just the requests that a stall holds up
+Latency is measured from when a request was due. A tool that waits for an answer before it sends the next
+request, or that measures from when it managed to send, leaves out exactly the requests that a stall delays
 ("coordinated omission").
 """
 
@@ -15,96 +15,103 @@
 from functools import partial
 
 from myrtlecourse.audit import observations as seen
-from myrtlecourse.load.client import Broken, ClientPool, Wanted
+from myrtlecourse.load.client import ClientPool, ConnectionBroken, PendingCommand
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.load.record import Record
 from myrtlecourse.load.requests import PlannedRequest, repeatable, retry_delay
 from myrtlecourse.net.resp import ErrorLine, Message, pack
 
-LINGER = 1.0  # seconds after its time in which an observed client still listens: is the answer late, or lost?
-MOST_AT_ONCE = 256  # requests that are due and go out before answers are looked at
+# Seconds after its deadline for which an observed client still listens: is the answer late, or lost?
+LINGER = 1.0
+MAX_BURST = 256  # overdue requests that are sent before answers are read
 
 
-def come_back(line: str) -> float | None:
-    """Seconds that a refusal asks its client to stay away; None when the line is no refusal."""
-    word, _, pause = line.partition(" ")
-    if word != "BUSY":
+def parse_retry_after(line: str) -> float | None:
+    """Return the seconds that a refusal asks its client to wait, or None if the error is no refusal."""
+    code, _, retry_after = line.partition(" ")
+    if code != "BUSY":
         return None
-    return int(pause) / 1000 if pause.isdigit() and len(pause) <= 9 else 0.0
+    return int(retry_after) / 1000 if retry_after.isdigit() and len(retry_after) <= 9 else 0.0
 
 
 class Try:
-    """One try under an id of its own, and what is told of it to those who observe."""
+    """One try of a request, under an id of its own; reports its observations."""
 
-    def __init__(self, asked: Asked, name: str, router: int, deadline_ms: int) -> None:
-        self.asked = asked
+    def __init__(self, request: ClientRequest, name: str, router: int, deadline_ms: int) -> None:
+        self.request = request
         self.name = name
         self.router = router
         self.deadline_ms = deadline_ms
-        self.wanted: Wanted | None = None
-        self.seen = False  # it has been written
-        self.over = False
+        self.command: PendingCommand | None = None
+        self.observed = False  # its RequestSent was reported
+        self.ended = False  # the client waits no more
 
     def written(self) -> None:
-        """Its last byte is out."""
-        observe = self.asked.generator.observe
+        """Report that the last byte was written."""
+        observe = self.request.generator.observe
         if observe is not None:
-            self.seen = True
-            now, kind = time.monotonic(), self.asked.plan.request_class
-            effect = "free" if not kind.write else "guarded" if kind.keyed else "single_shot"
-            key = self.asked.name if kind.keyed else ""
+            self.observed = True
+            now, request_class = time.monotonic(), self.request.plan.request_class
+            effect = (
+                "free" if not request_class.write else "guarded" if request_class.keyed else "single_shot"
+            )
+            key = self.request.name if request_class.keyed else ""
             until = now + self.deadline_ms / 1000
-            observe(seen.RequestSent(now, self.name, f"router-{self.router}", kind.name, until, effect, key))
+            observe(
+                seen.RequestSent(
+                    now, self.name, f"router-{self.router}", request_class.name, until, effect, key
+                )
+            )
 
-    def heard(self, answer: Message | BaseException, kept: bool) -> None:
-        """Its answer, or what went wrong."""
-        observe, self.wanted = self.asked.generator.observe, None
-        if observe is not None and self.seen:
+    def on_reply(self, answer: Message | BaseException, reused: bool) -> None:
+        """Handle the answer or the error."""
+        observe, self.command = self.request.generator.observe, None
+        if observe is not None and self.observed:
             now = time.monotonic()
             value = served_value(answer)
             if value is not None:
                 made = value.startswith(self.name.encode() + b" ")
                 observe(seen.RequestAnswered(now, self.name, "served", made))
             elif isinstance(answer, BaseException):
-                observe(seen.RequestUnanswered(now, self.name, "ended", kept))
+                observe(seen.RequestUnanswered(now, self.name, "ended", reused))
             else:
-                refused = isinstance(answer, ErrorLine) and come_back(answer.text) is not None
+                refused = isinstance(answer, ErrorLine) and parse_retry_after(answer.text) is not None
                 observe(seen.RequestAnswered(now, self.name, "refused" if refused else "failed"))
-        if not self.over:
-            self.over = True
-            self.asked.heard(answer, kept)
+        if not self.ended:
+            self.ended = True
+            self.request.on_reply(answer, reused)
 
     def end(self, how: str) -> None:
-        """Its client waits no more: it goes away, but first listens a little if it is observed."""
-        self.over = True
-        generator = self.asked.generator
-        if self.wanted is None:
+        """Stop waiting; an observed client still listens for LINGER seconds after its deadline."""
+        self.ended = True
+        generator = self.request.generator
+        if self.command is None:
             return
-        if how == "late" and self.seen:
+        if how == "late" and self.observed:
             generator.lingering.add(self)
             generator.loop.call_later(LINGER, self._leave, how)
         else:
             self._leave(how)
 
     def _leave(self, how: str) -> None:
-        generator = self.asked.generator
-        if self.wanted is not None:
-            if generator.observe is not None and self.seen:
+        generator = self.request.generator
+        if self.command is not None:
+            if generator.observe is not None and self.observed:
                 generator.observe(seen.RequestUnanswered(time.monotonic(), self.name, how))
-            self.wanted.abandon()
+            self.command.abandon()
         generator.lingering.discard(self)
-        generator.look()
+        generator.check_drained()
 
 
 def served_value(answer: Message | BaseException) -> bytes | None:
-    """The value of a served answer."""
+    """Return the value of an answer, or None if the request was not served."""
     if isinstance(answer, list) and answer:
         answer = answer[0]
     return answer if isinstance(answer, bytes) else None
 
 
-class Asked:
-    """One request through all its tries: it ends once."""
+class ClientRequest:
+    """One request with all its tries; it ends exactly once."""
 
     def __init__(self, generator: Generator, plan: PlannedRequest, number: int) -> None:
         self.generator = generator
@@ -114,75 +121,90 @@
         self.number = number
         self.tries = 0
         self.sent_again = False
-        self.name = f"{generator.name}{number:x}"  # begins the ids of its tries, and is its idempotency key
-        self.out: Try | None = None
+        self.name = f"{generator.name}{number:x}"  # prefix of the ids of its tries, and the idempotency key
+        self.current_try: Try | None = None
         loop = generator.loop
         self.timers = [loop.call_at(self.until, self.end, "failed")]
         if plan.client_leaves:
             self.timers.append(loop.call_at(self.due + plan.request_class.deadline / 2, self.end, "left"))
 
     def send(self, fresh: bool = False) -> None:
-        """The next try, under a new id."""
-        generator, plan, kind = self.generator, self.plan, self.plan.request_class
+        """Start the next try, under a new id."""
+        generator, plan, request_class = self.generator, self.plan, self.plan.request_class
         name = f"{self.name}-{self.tries}{'f' if fresh else ''}"
-        left = max(1, round((self.until - generator.loop.time()) * 1000))
-        info = f"c={kind.name},t={plan.tenant},d={left}"
-        if kind.keyed:
+        time_left = max(1, round((self.until - generator.loop.time()) * 1000))
+        info = f"c={request_class.name},t={plan.tenant},d={time_left}"
+        if request_class.keyed:
             info += f",k={self.name}"
-        if kind.hint:
-            info += f",h={kind.hint}"
+        if request_class.hint:
+            info += f",h={request_class.hint}"
         if self.tries:
             info += ",r=1"
-        parts = [b"C.SET" if kind.write else b"C.GET", plan.key.encode(), name.encode(), info.encode()]
-        if kind.write:
-            parts.append(b"v" * kind.size)
+        parts = [
+            b"C.SET" if request_class.write else b"C.GET",
+            plan.key.encode(),
+            name.encode(),
+            info.encode(),
+        ]
+        if request_class.write:
+            parts.append(b"v" * request_class.size)
         self.tries += 1
-        # in turns, as a front deals out connections; a further try goes to the next router
+        # round robin, as a load balancer distributes connections; a retry goes to the next router
         router = (self.number + self.tries - 1) % len(generator.pools)
-        self.out = out = Try(self, name, router, left)
-        out.wanted = generator.pools[router].submit(name, pack(parts), out.heard, out.written, fresh)
+        self.current_try = current = Try(self, name, router, time_left)
+        current.command = generator.pools[router].submit(
+            name, pack(parts), current.on_reply, current.written, fresh
+        )
 
-    def heard(self, answer: Message | BaseException, kept: bool) -> None:
-        """What came of the latest try."""
-        self.out = None
+    def on_reply(self, answer: Message | BaseException, reused: bool) -> None:
+        """Handle the answer or the error of the current try."""
+        self.current_try = None
         if served_value(answer) is not None:
             self.end("served")
             return
-        pause = come_back(answer.text) if isinstance(answer, ErrorLine) else None
-        kind = self.plan.request_class
-        unreachable = isinstance(answer, OSError) and not isinstance(answer, Broken)
-        how = "refused" if pause is not None else "unreachable" if unreachable else "failed"
-        if isinstance(answer, ConnectionError) and kept and repeatable(kind) and not self.sent_again:
-            # a connection closed between requests may cross one that was not read: once more, on a new one
+        retry_after = parse_retry_after(answer.text) if isinstance(answer, ErrorLine) else None
+        request_class = self.plan.request_class
+        unreachable = isinstance(answer, OSError) and not isinstance(answer, ConnectionBroken)
+        how = "refused" if retry_after is not None else "unreachable" if unreachable else "failed"
+        if (
+            isinstance(answer, ConnectionError)
+            and reused
+            and repeatable(request_class)
+            and not self.sent_again
+        ):
+            # The close of an idle connection may cross a request, which is then not read: send it once more,
+            # on a new connection.
             self.sent_again = True
             self.tries -= 1
             self.send(fresh=True)
             return
-        clients, chance = self.generator.profile.clients, self.generator.random
-        wait = retry_delay(clients, kind, self.tries, how, pause, chance)
+        clients, rng = self.generator.profile.clients, self.generator.random
+        wait = retry_delay(clients, request_class, self.tries, how, retry_after, rng)
         again = math.inf if wait is None else self.generator.loop.time() + wait
         if again >= self.until:
-            self.end("refused" if pause is not None else "failed")
+            self.end("refused" if retry_after is not None else "failed")
         else:
             self.timers.append(self.generator.loop.call_at(again, self.send))
 
     def end(self, outcome: str) -> None:
-        """The end, once."""
-        if self not in self.generator.out:
+        """Record the outcome, unless the request has ended before."""
+        if self not in self.generator.in_flight:
             return
-        self.generator.out.discard(self)
+        self.generator.in_flight.discard(self)
         for timer in self.timers:
             timer.cancel()
-        if self.out is not None:
-            self.out.end("left" if outcome == "left" else "late")
-        kind = self.plan.request_class
+        if self.current_try is not None:
+            self.current_try.end("left" if outcome == "left" else "late")
+        request_class = self.plan.request_class
         took = self.generator.loop.time() - self.due
-        self.generator.record.count_end(self.plan.at, kind.name, self.plan.tenant, outcome, took, kind.aim)
-        self.generator.look()
+        self.generator.record.count_end(
+            self.plan.at, request_class.name, self.plan.tenant, outcome, took, request_class.aim
+        )
+        self.generator.check_drained()
 
 
 class Generator:
-    """Plays planned requests against routers, in turns; what its clients see is told to `observe`."""
+    """Sends planned requests to the routers by round robin; `observe` is called with what its clients see."""
 
     def __init__(
         self,
@@ -194,55 +216,58 @@
     ) -> None:
         self.profile = profile
         self.plan = plan
-        self.name = name  # begins the ids of its requests: unlike those of other workers and runs
+        self.name = name  # prefix of the ids of its requests; unique among workers and runs
         self.random = random.Random(f"{profile.seed} {name}")
         self.observe = observe
         self.pools = [
-            ClientPool(address, profile.clients.connections, partial(self._unasked, i))
+            ClientPool(address, profile.clients.connections, partial(self._report_unexpected, i))
             for i, address in enumerate(addresses)
         ]
         self.record = Record()
-        self.out: set[Asked] = set()
+        self.in_flight: set[ClientRequest] = set()
         self.lingering: set[Try] = set()
         self.drained = asyncio.Event()
         self.stopped = False
         self.began = 0.0
         self.loop = asyncio.get_running_loop()
 
-    def _unasked(self, router: int, last: str) -> None:
+    def _report_unexpected(self, router: int, last: str) -> None:
         if self.observe is not None:
             self.observe(seen.UnexpectedBytes(time.monotonic(), f"router-{router}", last))
 
-    def look(self) -> None:
-        """Something has ended: is that all?"""
-        if not self.out and not self.lingering:
+    def check_drained(self) -> None:
+        """Signal `drained` once no request is in flight."""
+        if not self.in_flight and not self.lingering:
             self.drained.set()
 
     def stop(self) -> None:
-        """Send nothing new; what is out still gets its answer or its time."""
+        """Send no new requests; those in flight still run until their answer or deadline."""
         self.stopped = True
 
     async def run(self, duration: float | None = None, tick: Callable[[], None] = lambda: None) -> float:
-        """Send all that is planned, or so many seconds of it; answers with the seconds that it took."""
+        """Send all planned requests, or those of the first `duration` seconds; return how long it took.
+
+        `tick` is called several times a second.
+        """
         self.began = self.loop.time()
-        at_once = 0
+        burst = 0
         for number, plan in enumerate(self.plan):
             if self.stopped or duration is not None and plan.at >= duration:
                 break
             due = self.began + plan.at
             while (early := due - self.loop.time()) > 0 and not self.stopped:
-                at_once = 0
-                await asyncio.sleep(min(early, 0.1))  # short, so that a stop is not waited for
+                burst = 0
+                await asyncio.sleep(min(early, 0.1))  # short, so that a stop takes effect at once
                 tick()
-            at_once += 1
-            if at_once >= MOST_AT_ONCE:  # behind its time: answers must be read all the same
-                at_once = 0
+            burst += 1
+            if burst >= MAX_BURST:  # behind schedule: let the event loop read answers
+                burst = 0
                 await asyncio.sleep(0)
-            asked = Asked(self, plan, number)
-            self.out.add(asked)
+            request = ClientRequest(self, plan, number)
+            self.in_flight.add(request)
             self.record.count_start(max(0.0, self.loop.time() - due))
-            asked.send()
-        while self.out or self.lingering:
+            request.send()
+        while self.in_flight or self.lingering:
             self.drained.clear()
             await self.drained.wait()
         took = self.loop.time() - self.began
--- a/myrtlecourse/load/profile.py
+++ b/myrtlecourse/load/profile.py
@@ -1,6 +1,6 @@
-"""What load to make: the profile file, read by one strict schema.
+"""The profile of a load: a TOML file, checked by a strict schema.
 
-A profile is TOML. A field that is unknown, of the wrong type or out of its bounds is an error that names it.
+A field that is unknown, of the wrong type or out of its bounds is an error that names it.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 Weight = Annotated[float, Meta(ge=0.0)]
 Name = Annotated[
     str, Meta(pattern=r"^[!-+\--<>-~]{1,64}$")
-]  # what the protocol's list may hold: no `,` or `=`
+]  # as the protocol's info list allows: no `,` or `=`
 
 
 class ProfileError(ValueError):
-    """A profile that can't be used; the message names the file and the field."""
+    """A profile can't be used; the message names the file and the field."""
 
 
 class Piece(Struct, forbid_unknown_fields=True, frozen=True):
-    """A stretch of time and the rate of arrivals in it (requests a second).
+    """A part of the run and the rate of arrivals in it (requests a second).
 
-    `constant` keeps `rate`; `ramp` goes evenly from `rate` to `to`; `step` jumps to `to` half way; `spike`
-    rises from `rate` to `to` in its first tenth and falls back by half every sixth of its length, as on the
-    morning when enrolment opens; `wave` swings between both once; `bursts` is at `to` for a fifth of every
-    second.
+    `constant` keeps `rate`; `ramp` changes linearly from `rate` to `to`; `step` jumps to `to` half way;
+    `spike` rises from `rate` to `to` in its first tenth and then decays by half every sixth of its length,
+    like the load on the morning when an enrolment opens; `wave` is one cosine period between both; `bursts`
+    is at `to` for the first fifth of every second.
     """
 
     seconds: Seconds
@@ -41,28 +41,28 @@
 
     def __post_init__(self) -> None:
         if (self.to is None) != (self.shape == "constant"):
-            raise ValueError("`to` belongs to every shape but constant")
+            raise ValueError("`to` is required for every shape but constant, which has none")
 
     def at(self, offset: float) -> float:
-        """The rate so many seconds after the piece began."""
-        low, high, part = self.rate, self.rate if self.to is None else self.to, offset / self.seconds
+        """Return the rate at `offset` seconds after the start of the piece."""
+        low, high, fraction = self.rate, self.rate if self.to is None else self.to, offset / self.seconds
         match self.shape:
             case "ramp":
-                return low + (high - low) * part
+                return low + (high - low) * fraction
             case "step":
-                return low if part < 0.5 else high
+                return low if fraction < 0.5 else high
             case "spike":
-                rise = min(1.0, part / 0.1)
-                return low + (high - low) * rise * math.exp2(-6 * max(0.0, part - 0.1))
+                rise = min(1.0, fraction / 0.1)
+                return low + (high - low) * rise * math.exp2(-6 * max(0.0, fraction - 0.1))
             case "wave":
-                return low + (high - low) * (1 - math.cos(2 * math.pi * part)) / 2
+                return low + (high - low) * (1 - math.cos(2 * math.pi * fraction)) / 2
             case "bursts":
                 return high if offset % 1.0 < 0.2 else low
         return low
 
 
 class RequestClass(Struct, forbid_unknown_fields=True, frozen=True):
-    """One kind of request and its part of the mix.
+    """One class of requests and its share of the mix.
 
     Times are in seconds, sizes in bytes, hints in microseconds.
     """
@@ -70,23 +70,23 @@
     name: Name
     share: Weight = 1.0
     deadline: Seconds = 2.0
-    aim: Seconds = 1.0  # an answer within it is goodput
+    aim: Seconds = 1.0  # latency up to which an answer counts as goodput
     write: bool = False
-    keyed: bool = False  # brings an idempotency key, the same with each repeat
-    group: Literal["all", "zone", "cell"] = "all"  # of the servers that drop a repeat of a key
+    keyed: bool = False  # carries an idempotency key, the same with each retry
+    group: Literal["all", "zone", "cell"] = "all"  # the servers that drop repeats of a key
     size: Annotated[int, Meta(ge=0, le=65_536)] = 64  # of a written value
-    hint: Annotated[int, Meta(ge=0, le=10**9)] = 0  # 0: none is given
+    hint: Annotated[int, Meta(ge=0, le=10**9)] = 0  # 0: no hint is sent
 
 
 class Tenant(Struct, forbid_unknown_fields=True, frozen=True):
-    """One tenant and its part of the requests."""
+    """One tenant and its share of the requests."""
 
     name: Name
     share: Weight = 1.0
 
 
 class Keys(Struct, forbid_unknown_fields=True, frozen=True):
-    """Which keys are asked for: Zipf's law over `count` keys, whose ranks move on by `drift` a second."""
+    """The keys of requests: Zipf's law over `count` keys, whose ranks shift by `drift` keys a second."""
 
     count: Annotated[int, Meta(ge=1, le=10_000_000)] = 10_000
     zipf: Annotated[float, Meta(ge=0.0, le=3.0)] = 0.9
@@ -94,17 +94,17 @@
 
 
 class Clients(Struct, forbid_unknown_fields=True, frozen=True):
-    """What clients do: how often they ask again, and how many go away while they wait."""
+    """The behaviour of clients: how often they retry, and how many leave while they wait."""
 
     retries: Annotated[int, Meta(ge=0, le=10)] = 0
-    backoff: Seconds = 0.1  # where the answer told no time; doubled with each repeat
-    honour: Share = 1.0  # of refusals' times to come back that are kept to
-    leave: Share = 0.0  # of requests whose client goes away half way through its time
+    backoff: Seconds = 0.1  # delay of a retry if the answer names none; doubled with each retry
+    honour: Share = 1.0  # of retry delays asked for by refusals, the share that clients respect
+    leave: Share = 0.0  # of requests whose client leaves after half of the deadline
     connections: Annotated[int, Meta(ge=1, le=60_000)] = 256  # of each worker, at most
 
 
 class HotKeys(Struct, forbid_unknown_fields=True, frozen=True):
-    """For a while a few keys draw a share of all requests that are no writes."""
+    """For some time a few keys receive a share of all reads."""
 
     at: Annotated[float, Meta(ge=0.0)]  # seconds after the start
     seconds: Seconds
@@ -113,7 +113,7 @@
 
 
 class Profile(Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole of a load."""
+    """A whole load."""
 
     pieces: Annotated[tuple[Piece, ...], Meta(min_length=1, max_length=1000)]
     arrivals: Literal["poisson", "even"] = "poisson"
@@ -130,19 +130,19 @@
             if not sum(m.share for m in members):
                 raise ValueError(f"the shares of `{what}` sum to 0")
             if len(set(names)) < len(names):
-                raise ValueError(f"a name stands twice in `{what}`")
-        for each in self.classes:
-            if each.keyed and not each.write:
-                raise ValueError(f"class {each.name}: only a write can be keyed")
+                raise ValueError(f"a name occurs twice in `{what}`")
+        for request_class in self.classes:
+            if request_class.keyed and not request_class.write:
+                raise ValueError(f"class {request_class.name}: only a write can be keyed")
 
     @property
     def seconds(self) -> float:
-        """How long it lasts."""
+        """The length of the load."""
         return sum(p.seconds for p in self.pieces)
 
 
 def read_profile(path: Path) -> Profile:
-    """Read a profile file."""
+    """Read a profile file. Raises ProfileError."""
     try:
         return msgspec.toml.decode(path.read_bytes(), type=Profile)
     except (OSError, msgspec.DecodeError, ValueError) as e:
@@ -150,7 +150,7 @@
 
 
 def constant(rate: float, seconds: float) -> Profile:
-    """Reads at one rate, evenly as chance has it."""
+    """Return a profile of reads with Poisson arrivals at a constant rate. Raises ProfileError."""
     try:
         return msgspec.convert({"pieces": [{"rate": rate, "seconds": seconds}]}, Profile)
     except msgspec.ValidationError as e:
--- a/myrtlecourse/load/record.py
+++ b/myrtlecourse/load/record.py
@@ -1,6 +1,6 @@
-"""What became of the requests: counts and histograms that merge, and the report's figures; no I/O.
+"""Counts of outcomes and histograms of latency, which can be merged, and the figures of the report; no I/O.
 
-Latencies are kept in HDR histograms (Gil Tene's; three significant digits) in microseconds.
+Latencies are kept in microseconds in Gil Tene's HDR histograms, with three significant digits.
 """
 
 from __future__ import annotations
@@ -13,25 +13,25 @@
 MIN_VALUE, MAX_VALUE, SIGNIFICANT_DIGITS = 1, 3_600_000_000, 3  # microseconds
 OUTCOMES = ("served", "refused", "failed", "left")
 QUANTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9, "max": 100.0}
-LATE_START = 0.002  # seconds behind its time at which a start counts as late
-MAX_LATE_SHARE = 0.05  # of starts that are late: the generator was the limit
+LATE_START = 0.002  # seconds after a request was due from which its start counts as late
+MAX_LATE_SHARE = 0.05  # share of late starts above which the generator counts as the limit
 
 
 def new_histogram() -> HdrHistogram:
-    """An empty one."""
+    """Return an empty histogram."""
     return HdrHistogram(MIN_VALUE, MAX_VALUE, SIGNIFICANT_DIGITS)
 
 
 class OutcomeStats:
-    """The counts of one class, tenant or second, and how long what is counted took."""
+    """The outcomes of one class, tenant or second, and the latencies of its served requests."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self.values = new_histogram()
-        self.sum = 0  # of all values, microseconds: the histogram would walk all its buckets for a mean
+        self.sum = 0  # of all values, in microseconds: the histogram would walk all its buckets for a mean
 
     def __getstate__(self) -> tuple[dict[str, int], int, bytes]:
-        """From one process to another in HDR's own form: the histogram's memory can't be pickled."""
+        """Pickle the histogram in HDR's own encoding, as its memory can't be pickled."""
         return dict(self.counts), self.sum, self.values.encode()
 
     def __setstate__(self, state: tuple[dict[str, int], int, bytes]) -> None:
@@ -45,36 +45,37 @@
         self.values.add(other.values)
 
     def add(self, microseconds: int) -> None:
-        """Count a value."""
+        """Add a value to the histogram."""
         self.sum += microseconds
         self.values.record_value(microseconds)
 
     def quantiles(self) -> dict[str, float]:
-        """The mean and the quantiles by name, in milliseconds; all 0 while nothing is counted."""
+        """Return the mean and the quantiles by name, in milliseconds; all are 0 without values."""
         count = self.values.get_total_count()
         if not count:
             return dict.fromkeys(("mean", *QUANTILES), 0.0)
-        found = self.values.get_percentile_to_value_dict(list(QUANTILES.values()))
-        return {"mean": self.sum / count / 1000} | {n: found[q] / 1000 for n, q in QUANTILES.items()}
+        percentiles = self.values.get_percentile_to_value_dict(list(QUANTILES.values()))
+        return {"mean": self.sum / count / 1000} | {n: percentiles[q] / 1000 for n, q in QUANTILES.items()}
 
     def figures(self) -> dict[str, Any]:
-        told = {name: self.counts[name] for name in ("scheduled", *OUTCOMES, "in_time")}
-        return told | {"latency_ms": self.quantiles()}
+        result = {name: self.counts[name] for name in ("scheduled", *OUTCOMES, "in_time")}
+        return result | {"latency_ms": self.quantiles()}
 
 
 class Record:
-    """The record of one worker, or of several merged."""
+    """The outcomes of one worker's requests, or of several workers' merged."""
 
     def __init__(self) -> None:
         self.all = OutcomeStats()
         self.classes: defaultdict[str, OutcomeStats] = defaultdict(OutcomeStats)
         self.tenants: defaultdict[str, OutcomeStats] = defaultdict(OutcomeStats)
         self.seconds: defaultdict[int, OutcomeStats] = defaultdict(OutcomeStats)
-        self.starts = OutcomeStats()  # and how late they were
-        self.exhausted = False  # a worker ran out of descriptors: requests waited for connections
+        self.starts = OutcomeStats()  # counts of starts, and how late they were
+        # a worker ran out of file descriptors, so that requests waited for connections
+        self.exhausted = False
 
     def count_start(self, late: float) -> None:
-        """A request's first try was sent so many seconds after its time."""
+        """Count a request whose first try was sent `late` seconds after it was due."""
         self.starts.counts["sent"] += 1
         self.starts.counts["late"] += late > LATE_START
         self.starts.add(min(MAX_VALUE, max(MIN_VALUE, round(late * 1e6))))
@@ -82,33 +83,33 @@
     def count_end(
         self, at: float, request_class: str, tenant: str, outcome: str, latency: float, aim: float
     ) -> None:
-        """The end of a request that should have been sent at `at`, `latency` seconds after that time."""
-        parts = (self.all, self.classes[request_class], self.tenants[tenant], self.seconds[int(at)])
+        """Count a request that was due at `at` and ended `latency` seconds later."""
+        all_stats = (self.all, self.classes[request_class], self.tenants[tenant], self.seconds[int(at)])
         value = min(MAX_VALUE, max(MIN_VALUE, round(latency * 1e6)))
-        for part in parts:
-            part.counts["scheduled"] += 1
-            part.counts[outcome] += 1
+        for stats in all_stats:
+            stats.counts["scheduled"] += 1
+            stats.counts[outcome] += 1
             if outcome == "served":
-                part.counts["in_time"] += latency <= aim
-                part.add(value)
+                stats.counts["in_time"] += latency <= aim
+                stats.add(value)
 
     def merge(self, other: Record) -> None:
-        """Take in what another worker saw."""
+        """Add the record of another worker."""
         self.all.merge(other.all)
         for mine, theirs in ((self.classes, other.classes), (self.tenants, other.tenants)):
-            for name, part in theirs.items():
-                mine[name].merge(part)
-        for second, part in other.seconds.items():
-            self.seconds[second].merge(part)
+            for name, stats in theirs.items():
+                mine[name].merge(stats)
+        for second, stats in other.seconds.items():
+            self.seconds[second].merge(stats)
         self.starts.merge(other.starts)
         self.exhausted |= other.exhausted
 
     def generator_limited(self) -> bool:
-        """Whether the generator, and not its target, was the limit."""
+        """Return whether the generator, and not its target, was the limit."""
         return self.exhausted or self.starts.counts["late"] > MAX_LATE_SHARE * self.starts.counts["sent"]
 
     def figures(self, seconds: float) -> dict[str, Any]:
-        """What `--json` holds; `seconds` is how long it ran."""
+        """Return the figures that `--json` writes; `seconds` is how long the run took."""
         return self.all.figures() | {
             "sent": self.starts.counts["sent"],
             "seconds": seconds,
@@ -116,7 +117,7 @@
             "start_lateness_ms": self.starts.quantiles(),
             "generator_was_the_limit": self.generator_limited(),
             "descriptors_exhausted": self.exhausted,
-            "classes": {name: part.figures() for name, part in sorted(self.classes.items())},
-            "tenants": {name: part.figures() for name, part in sorted(self.tenants.items())},
-            "by_second": {str(s): part.figures() for s, part in sorted(self.seconds.items())},
+            "classes": {name: stats.figures() for name, stats in sorted(self.classes.items())},
+            "tenants": {name: stats.figures() for name, stats in sorted(self.tenants.items())},
+            "by_second": {str(s): stats.figures() for s, stats in sorted(self.seconds.items())},
         }
--- a/myrtlecourse/load/report.py
+++ b/myrtlecourse/load/report.py
@@ -1,4 +1,4 @@
-"""The report of a run: a table for people, and the comparison of two."""
+"""The report of a run as tables, and the comparison of two reports."""
 
 from __future__ import annotations
 
@@ -18,37 +18,38 @@
 
 
 class ReportError(ValueError):
-    """A file that holds no report."""
+    """The file holds no report."""
 
 
 def _table(title: str, columns: tuple[str, ...], figures: Mapping[str, Any], form: str) -> Table:
-    """A table of some figures for all, each class and each tenant."""
+    """Return a table of some figures of all requests, of each class and of each tenant."""
     table = Table(title=title, box=SIMPLE_HEAD)
     table.add_column("", no_wrap=True)
     for column in columns:
         table.add_column(column.replace("_", " "), justify="right", no_wrap=True)
 
-    def add(name: str, part: Mapping[str, Any]) -> None:
-        table.add_row(name, *(format(part[column], form) for column in columns))
+    def add(name: str, stats: Mapping[str, Any]) -> None:
+        table.add_row(name, *(format(stats[column], form) for column in columns))
 
-    of_time = columns is TIMES
-    add("all", figures["latency_ms"] if of_time else figures)
-    for kind, word in (("classes", "class"), ("tenants", "tenant")):
+    is_latency = columns is TIMES
+    add("all", figures["latency_ms"] if is_latency else figures)
+    for kind, label in (("classes", "class"), ("tenants", "tenant")):
         table.add_section()
-        for name, part in figures[kind].items():
-            add(f"{word} {name}", part["latency_ms"] if of_time else part)
+        for name, stats in figures[kind].items():
+            add(f"{label} {name}", stats["latency_ms"] if is_latency else stats)
     return table
 
 
 def show(figures: Mapping[str, Any], console: Console) -> None:
     """Print a run's figures; two tables, so that both fit a terminal of 80 columns."""
     console.print(_table("Requests", COUNTS, figures, ","))
-    title = "Milliseconds from when each should have been sent to its answer"
+    title = "Milliseconds from when each was due to its answer"
     console.print(_table(title, TIMES, figures, ",.1f"))
     late = figures["start_lateness_ms"]
     console.print(
-        f"{figures['goodput']:,.1f} answers a second in their wanted time, over {figures['seconds']:.1f} s; "
-        f"starts late by {late['p50']:.2f} ms (p50), {late['p99']:.2f} ms (p99), {late['max']:.2f} ms (max)"
+        f"{figures['goodput']:,.1f} answers a second within their target latency, "
+        f"over {figures['seconds']:.1f} s; sent late by {late['p50']:.2f} ms (p50), "
+        f"{late['p99']:.2f} ms (p99), {late['max']:.2f} ms (max)"
     )
     if figures["descriptors_exhausted"]:
         console.print(
@@ -58,12 +59,12 @@
     elif figures["generator_was_the_limit"]:
         console.print(
             f"[bold]The generator was the limit, not its target: over {MAX_LATE_SHARE:.0%} of requests "
-            f"went out {LATE_START * 1000:g} ms late or more. Give it more --workers, or ask for less.[/bold]"
+            f"went out {LATE_START * 1000:g} ms late or more. Give it more --workers or a lower rate.[/bold]"
         )
 
 
 def read(path: Path) -> dict[str, Any]:
-    """A report that `--json` wrote."""
+    """Read a report that `--json` wrote. Raises ReportError."""
     try:
         figures = json.loads(path.read_bytes())
         for name in (*COUNTS, "goodput", "latency_ms", "start_lateness_ms"):
@@ -76,7 +77,7 @@
 
 
 def compare(first: Mapping[str, Any], second: Mapping[str, Any]) -> list[tuple[str, float, float]]:
-    """The figures of two runs side by side, by name."""
+    """Return the rows of a comparison: a title and the figure of each run."""
     rows = [(name.replace("_", " "), float(first[name]), float(second[name])) for name in COUNTS]
     rows.append(("goodput/s", first["goodput"], second["goodput"]))
     for kind, title in (("latency_ms", "latency"), ("start_lateness_ms", "start lateness")):
@@ -86,7 +87,7 @@
 
 
 def show_comparison(rows: list[tuple[str, float, float]], names: tuple[str, str], console: Console) -> None:
-    """Print two runs side by side."""
+    """Print a comparison of two runs."""
     table = Table()
     table.add_column("")
     for name in (*names, "ratio"):
--- a/myrtlecourse/load/run.py
+++ b/myrtlecourse/load/run.py
@@ -1,4 +1,4 @@
-"""A run: worker processes that each send their part, and one record of them all."""
+"""Runs the worker processes that each send a share of the load, and merges their records."""
 
 from __future__ import annotations
 
@@ -22,50 +22,50 @@
 from myrtlecourse.load.requests import PlannedRequest, plan_requests
 from myrtlecourse.load.trace import Replay, replay_requests
 
-PROGRESS = 0.5  # seconds between a worker's words
-START_TIME = 30.0  # seconds for all workers to be ready
-END_TIME = 10.0  # seconds after the last deadline in which a worker must have told its record
+PROGRESS_INTERVAL = 0.5  # seconds between a worker's progress reports
+START_TIMEOUT = 30.0  # seconds in which all workers must be ready
+END_TIMEOUT = 10.0  # seconds in which a worker must exit at the end of the run
 
 
 class RunError(RuntimeError):
-    """A run that could not be made."""
+    """The run failed."""
 
 
 @dataclass(frozen=True)
 class Job:
-    """What all workers share."""
+    """The parameters of a run, which all workers share."""
 
     profile: Profile
-    addresses: tuple[tuple[str, int], ...]  # of the routers, which are asked in turns
+    addresses: tuple[tuple[str, int], ...]  # of the routers, used by round robin
     workers: int = 1
     duration: float | None = None  # seconds; None: all of the profile or trace
     replay: Replay | None = None
-    observations: Path | None = None  # a folder, where each worker writes what its clients saw
-    run: str = ""  # begins every id, so that two runs against one target share none
+    observations: Path | None = None  # a folder in which each worker writes its clients' observations
+    run: str = ""  # prefix of every request id, so that two runs against one target share none
 
     def plan(self, worker: int) -> Iterator[PlannedRequest]:
-        """What one worker sends."""
+        """Yield the requests of one worker."""
         if self.replay is not None:
             return replay_requests(self.replay, worker, self.workers)
         return plan_requests(self.profile, worker, self.workers)
 
 
-async def play(job: Job, worker: int, tell: Callable[[str, Any], None], stop: Any) -> None:
-    """One worker's part; what it tells is `progress` with counts, and at the end `record`."""
+async def run_generator(job: Job, worker: int, report: Callable[[str, Any], None], stop: Any) -> None:
+    """Run one worker; it reports `progress` with counts, and at the end its `record`."""
     name = f"{job.run}{worker:x}."
     log = (
         ObservationLog(job.observations / f"clients-{worker}.jsonl") if job.observations is not None else None
     )
     observe = log.add if log is not None else None
     generator = Generator(job.profile, job.plan(worker), job.addresses, name, observe)
-    told_at = generator.loop.time()
+    reported_at = generator.loop.time()
 
     def tick() -> None:
-        nonlocal told_at
+        nonlocal reported_at
         now = generator.loop.time()
-        if now - told_at >= PROGRESS:
-            told_at = now
-            tell("progress", (now - generator.began, dict(generator.record.all.counts)))
+        if now - reported_at >= PROGRESS_INTERVAL:
+            reported_at = now
+            report("progress", (now - generator.began, dict(generator.record.all.counts)))
         if stop.is_set():
             generator.stop()
 
@@ -74,18 +74,20 @@
     finally:
         if log is not None:
             log.close()
-    tell("record", (took, generator.record))
+    report("record", (took, generator.record))
 
 
-def work(job: Job, worker: int, results: Any, stop: Any, begin: Any) -> None:
-    """A worker process."""
-    # the parent hears of SIGINT and tells: the report of what ran is still wanted
+def run_worker(job: Job, worker: int, results: Any, stop: Any, begin: Any) -> None:
+    """Run a worker process."""
+    # The parent handles SIGINT and tells the workers to stop, as the run must still be reported.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     try:
         results.put((worker, "ready", None))
-        begin.wait(START_TIME)
+        begin.wait(START_TIMEOUT)
         with asyncio.Runner(loop_factory=new_event_loop) as runner:
-            runner.run(play(job, worker, lambda what, value: results.put((worker, what, value)), stop))
+            runner.run(
+                run_generator(job, worker, lambda what, value: results.put((worker, what, value)), stop)
+            )
     except ProfileError as e:
         results.put((worker, "profile", str(e)))
     except Exception as e:
@@ -93,59 +95,64 @@
 
 
 def run(
-    job: Job, progress: Callable[[float, dict[str, int]], None], began: Callable[[], None] = lambda: None
+    job: Job, progress: Callable[[float, dict[str, int]], None], on_start: Callable[[], None] = lambda: None
 ) -> tuple[float, Record]:
-    """Run all workers to their end; answers with the seconds that it took and the merged record.
+    """Run all workers to their end; return the seconds that it took and the merged record.
 
-    `began` is called when all are ready and begin.
+    SIGINT stops the sending; requests in flight still run to their end and are reported.
 
-    SIGINT stops what is not sent yet; what is out still ends, and the report is of what ran.
+    Args:
+        job: the parameters of the run.
+        progress: called with the seconds since the start and the counts of all workers.
+        on_start: called when all workers are ready and start to send.
 
-    Raises ProfileError for a trace that can't be read and RunError when a worker dies.
+    Raises:
+        ProfileError: the trace can't be read.
+        RunError: a worker died.
     """
     context = multiprocessing.get_context("spawn")
     results, stop, begin = context.Queue(), context.Event(), context.Event()
     job = replace(job, run=job.run or f"{os.getpid():x}-{time.time_ns() & 0xFFFFFF:x}-")
     children = [
-        context.Process(target=work, args=(job, i, results, stop, begin), daemon=True)
+        context.Process(target=run_worker, args=(job, i, results, stop, begin), daemon=True)
         for i in range(job.workers)
     ]
-    collected = Collected(job.workers, begin, progress, began)
-    before = signal.signal(signal.SIGINT, lambda *_: stop.set())
+    collector = Collector(job.workers, begin, progress, on_start)
+    previous_handler = signal.signal(signal.SIGINT, lambda *_: stop.set())
     try:
         for child in children:
             child.start()
-        while len(collected.done) < job.workers:
+        while len(collector.done) < job.workers:
             try:
                 worker, what, value = results.get(timeout=0.5)
             except queue.Empty:
-                dead = [i for i, c in enumerate(children) if not c.is_alive() and i not in collected.done]
+                dead = [i for i, c in enumerate(children) if not c.is_alive() and i not in collector.done]
                 if dead:
                     raise RunError(f"worker {dead[0]} died (exit {children[dead[0]].exitcode})") from None
                 continue
-            collected.hear(worker, what, value)
+            collector.handle(worker, what, value)
     finally:
-        signal.signal(signal.SIGINT, before)
+        signal.signal(signal.SIGINT, previous_handler)
         for child in children:
-            if len(collected.done) < job.workers and child.is_alive():
+            if len(collector.done) < job.workers and child.is_alive():
                 child.terminate()
             if child.pid is not None:
-                child.join(END_TIME)
-    return collected.took, collected.record
+                child.join(END_TIMEOUT)
+    return collector.took, collector.record
 
 
-class Collected:
-    """What the workers have told so far."""
+class Collector:
+    """Collects the messages of the workers."""
 
     def __init__(
         self,
         workers: int,
         begin: Any,
         progress: Callable[[float, dict[str, int]], None],
-        began: Callable[[], None],
+        on_start: Callable[[], None],
     ) -> None:
         self.workers = workers
-        self.began = began
+        self.on_start = on_start
         self.begin = begin
         self.progress = progress
         self.counts: dict[int, dict[str, int]] = {}
@@ -154,13 +161,13 @@
         self.ready = 0
         self.done: set[int] = set()
 
-    def hear(self, worker: int, what: str, value: Any) -> None:
-        """Take a worker's word."""
+    def handle(self, worker: int, what: str, value: Any) -> None:
+        """Handle a message of a worker."""
         match what:
             case "ready":
                 self.ready += 1
                 if self.ready == self.workers:
-                    self.began()
+                    self.on_start()
                     self.begin.set()
             case "progress":
                 self.counts[worker] = value[1]
--- a/myrtlecourse/load/trace.py
+++ b/myrtlecourse/load/trace.py
@@ -1,4 +1,4 @@
-"""Recorded load: JSON lines, one request each, read in constant memory.
+"""Traces: recorded requests as JSON lines, read in constant memory.
 
 A line holds `at` (seconds from the start, never less than in the line before), `class`, `tenant` and `key`,
 and may hold `write` (bool), `size` (bytes of a written value) and `hint` (microseconds). Every error names
@@ -19,11 +19,11 @@
 from myrtlecourse.load.requests import PlannedRequest
 
 MAX_LINE = 64 * 1024  # bytes
-MAX_CACHED_CLASSES = 1000  # of classes, sizes and hints told apart: names can't fill the memory
+MAX_CACHED_CLASSES = 1000  # distinct request classes that are cached; bounds memory
 
 
 class TraceError(ProfileError):
-    """A trace that can't be used; the message names the file and the line."""
+    """A trace can't be used; the message names the file and the line."""
 
 
 class TraceLine(Struct, forbid_unknown_fields=True, frozen=True):
@@ -40,19 +40,19 @@
 
 @dataclass(frozen=True)
 class Replay:
-    """How a trace is played: `speed` 2 is twice as fast; `loops` of it, one behind the other."""
+    """How a trace is replayed: `speed` 2 is twice as fast; `loops` is how often it is repeated."""
 
     path: Path
     speed: float = 1.0
     loops: int = 1
-    classes: tuple[RequestClass, ...] = ()  # deadlines and aims by name; others have the defaults
+    classes: tuple[RequestClass, ...] = ()  # give deadlines and aims by name; other names have the defaults
 
 
 def read_trace(path: Path) -> Iterator[TraceLine]:
-    """The lines of a trace, checked, in order."""
+    """Yield the lines of a trace in order. Raises TraceError if the file or a line can't be used."""
     decoder = msgspec.json.Decoder(TraceLine)
     number = 0
-    before = 0.0
+    previous_at = 0.0
     try:
         with path.open("rb") as file:
             while text := file.readline(MAX_LINE + 1):
@@ -62,38 +62,42 @@
                 if not text.strip():
                     continue
                 line = decoder.decode(text)
-                if line.at < before:
-                    raise TraceError(f"{path}:{number}: `at` is {line.at:g}, after {before:g}: not sorted")
-                before = line.at
+                if line.at < previous_at:
+                    raise TraceError(
+                        f"{path}:{number}: `at` is {line.at:g}, after {previous_at:g}: not sorted"
+                    )
+                previous_at = line.at
                 yield line
     except msgspec.DecodeError as e:
         raise TraceError(f"{path}:{number}: {e}") from e
     except OSError as e:
         raise TraceError(f"{path}: {e.strerror}") from e
-    if not before and not number:
+    if not previous_at and not number:
         raise TraceError(f"{path}: no request in it")
 
 
 def replay_requests(replay: Replay, worker: int = 0, workers: int = 1) -> Iterator[PlannedRequest]:
-    """The requests of one of several workers, which take the lines in turn."""
-    known = {c.name: c for c in replay.classes}
-    kinds: dict[tuple[str, bool, int, int], RequestClass] = {}
-    began = 0.0
+    """Yield the requests of one of several workers, among whom the lines are distributed by round robin."""
+    by_name = {c.name: c for c in replay.classes}
+    cached: dict[tuple[str, bool, int, int], RequestClass] = {}
+    loop_start = 0.0
     for _ in range(replay.loops):
         last = 0.0
         for number, line in enumerate(read_trace(replay.path)):
             last = line.at
             if number % workers != worker:
                 continue
-            name = (line.class_, line.write, line.size, line.hint)
-            kind = kinds.get(name)
-            if kind is None:
-                base = known.get(line.class_, RequestClass(line.class_))
+            identity = (line.class_, line.write, line.size, line.hint)
+            request_class = cached.get(identity)
+            if request_class is None:
+                base = by_name.get(line.class_, RequestClass(line.class_))
                 keyed = base.keyed and line.write
-                kind = msgspec.structs.replace(
+                request_class = msgspec.structs.replace(
                     base, write=line.write, keyed=keyed, size=line.size, hint=line.hint
                 )
-                if len(kinds) < MAX_CACHED_CLASSES:
-                    kinds[name] = kind
-            yield PlannedRequest((began + line.at) / replay.speed, kind, line.tenant, line.key, False)
-        began += last
+                if len(cached) < MAX_CACHED_CLASSES:
+                    cached[identity] = request_class
+            yield PlannedRequest(
+                (loop_start + line.at) / replay.speed, request_class, line.tenant, line.key, False
+            )
+        loop_start += last
--- a/tests/test_load_plan.py
+++ b/tests/test_load_plan.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from myrtlecourse.load.arrivals import arrivals
+from myrtlecourse.load.arrivals import arrival_times
 from myrtlecourse.load.profile import (
     Clients,
     Keys,
@@ -40,7 +40,7 @@
 
 
 def offsets(profile: Profile, share: float = 1.0) -> np.ndarray[tuple[int], np.dtype[np.float64]]:
-    return np.concatenate(list(arrivals(profile, np.random.default_rng(7), share)))
+    return np.concatenate(list(arrival_times(profile, np.random.default_rng(7), share)))
 
 
 @pytest.mark.parametrize("piece", SHAPES, ids=lambda p: p.shape)
