--- a/myrtlecourse/audit/duties.py
+++ b/myrtlecourse/audit/duties.py
@@ -66,7 +66,7 @@
         highest = self.highest.get(event.duty, 0)
         if event.token < highest:
             self.breach(
-                "stale_obeyed", event.at, event.router, event.duty, f"token {event.token} after {highest}"
+                "stale_obeyed", event.at, event.router, event.duty, f"{event.token} after token {highest}"
             )
         self.highest[event.duty] = max(highest, event.token)
         self.followed[event.duty, event.router] = event.token
--- a/myrtlecourse/soak/__init__.py
+++ b/myrtlecourse/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Random days on real processes: drawn by a seed, played before a stand-in fleet, judged by the auditor."""
+"""Soak tests: seeded random scenarios on real routers and a stand-in fleet, judged by the auditor."""
--- a/myrtlecourse/soak/system_faults.c
+++ b/myrtlecourse/soak/system_faults.c
@@ -1,8 +1,12 @@
-/* Makes system calls of one process fail now and then as Linux documents, and steps its wall clock.
+/* Makes system calls of a process fail at random with errors that Linux documents, and steps its wall clock.
  *
- * Loaded with LD_PRELOAD into a router. By the environment: SOAK_SEED, SOAK_PER_MILLION (of calls that fail),
- * SOAK_AFTER (seconds from the start in which none does) and SOAK_STEPS (at:seconds,... of the wall clock).
- * Only sockets fail; an error that ends a connection is given only on those that the process opened itself.
+ * It is loaded into a router with LD_PRELOAD and configured by the environment:
+ *   SOAK_SEED         seed of the random numbers
+ *   SOAK_PER_MILLION  how many of a million calls fail
+ *   SOAK_AFTER        seconds from the start of the process in which no call fails
+ *   SOAK_STEPS        steps of the wall clock, as at:seconds,...
+ * Only calls on sockets fail. Errors that end a connection are returned only on connections that the process
+ * opened itself.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -18,23 +22,23 @@
 #include <time.h>
 #include <unistd.h>
 
-#define MOST_DESCRIPTORS 65536
-#define MOST_STEPS 16
-#define COUNT(errors) (sizeof(errors) / sizeof((errors)[0]))
+#define MAX_DESCRIPTORS 65536
+#define MAX_STEPS 16
+#define LENGTH(errors) (sizeof(errors) / sizeof((errors)[0]))
 #define NEXT(name)                                                                                                     \
     ({                                                                                                                 \
-        static __typeof__(&name) found;                                                                                \
-        if (!found)                                                                                                    \
-            found = (__typeof__(&name))dlsym(RTLD_NEXT, #name);                                                        \
-        found;                                                                                                         \
+        static __typeof__(&name) function;                                                                             \
+        if (!function)                                                                                                 \
+            function = (__typeof__(&name))dlsym(RTLD_NEXT, #name);                                                     \
+        function;                                                                                                      \
     })
 
-static uint64_t state;
+static uint64_t random_state;
 static uint32_t per_million;
-static double after, began;
-static struct { double at, seconds; } steps[MOST_STEPS];
+static double fail_after, started_at;
+static struct { double at, seconds; } steps[MAX_STEPS];
 static int step_count;
-static unsigned char opened[MOST_DESCRIPTORS]; /* descriptors on which connect() was called */
+static unsigned char connected[MAX_DESCRIPTORS]; /* descriptors on which connect() was called */
 
 static double monotonic(void) {
     struct timespec now;
@@ -42,41 +46,42 @@
     return (double)now.tv_sec + now.tv_nsec / 1e9;
 }
 
-__attribute__((constructor)) static void begin(void) {
-    const char *told = getenv("SOAK_SEED");
-    state = (told ? strtoull(told, NULL, 10) : 1) * 0x9E3779B97F4A7C15ULL ^ (uint64_t)getpid();
-    told = getenv("SOAK_PER_MILLION");
-    per_million = told ? (uint32_t)strtoul(told, NULL, 10) : 0;
-    told = getenv("SOAK_AFTER");
-    after = told ? strtod(told, NULL) : 0.0;
-    told = getenv("SOAK_STEPS");
-    for (char *rest = (char *)told; rest && *rest && step_count < MOST_STEPS; step_count++) {
-        steps[step_count].at = strtod(rest, &rest);
-        steps[step_count].seconds = *rest == ':' ? strtod(rest + 1, &rest) : 0.0;
-        rest += *rest == ',';
+__attribute__((constructor)) static void read_settings(void) {
+    const char *value = getenv("SOAK_SEED");
+    random_state = (value ? strtoull(value, NULL, 10) : 1) * 0x9E3779B97F4A7C15ULL ^ (uint64_t)getpid();
+    value = getenv("SOAK_PER_MILLION");
+    per_million = value ? (uint32_t)strtoul(value, NULL, 10) : 0;
+    value = getenv("SOAK_AFTER");
+    fail_after = value ? strtod(value, NULL) : 0.0;
+    value = getenv("SOAK_STEPS");
+    for (char *position = (char *)value; position && *position && step_count < MAX_STEPS; step_count++) {
+        steps[step_count].at = strtod(position, &position);
+        steps[step_count].seconds = *position == ':' ? strtod(position + 1, &position) : 0.0;
+        position += *position == ',';
     }
-    began = monotonic();
+    started_at = monotonic();
 }
 
-static uint32_t draw(void) {
-    state ^= state << 13;
-    state ^= state >> 7;
-    state ^= state << 17;
-    return (uint32_t)(state >> 32);
+static uint32_t next_random(void) {
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 7;
+    random_state ^= random_state << 17;
+    return (uint32_t)(random_state >> 32);
 }
 
 static int is_socket(int descriptor) {
-    struct stat found;
-    return fstat(descriptor, &found) == 0 && S_ISSOCK(found.st_mode);
+    struct stat status;
+    return fstat(descriptor, &status) == 0 && S_ISSOCK(status.st_mode);
 }
 
-static int due(int descriptor) {
-    return per_million && draw() % 1000000 < per_million && monotonic() - began >= after && is_socket(descriptor);
+static int should_fail(int descriptor) {
+    return per_million && next_random() % 1000000 < per_million && monotonic() - started_at >= fail_after &&
+           is_socket(descriptor);
 }
 
-/* Fails a call, and tells so on standard error, where the router's log is. */
-static int fail(const char *call, int descriptor, const int *errors, size_t count) {
-    int error = errors[draw() % count];
+/* Fails a call with a random error, and logs it on standard error, which is the router's log. */
+static int fail_call(const char *call, int descriptor, const int *errors, size_t count) {
+    int error = errors[next_random() % count];
     dprintf(STDERR_FILENO, "system_faults: %.3f %s(%d) fails with %s\n", monotonic(), call, descriptor,
             strerrorname_np(error));
     errno = error;
@@ -85,105 +90,106 @@
 
 int accept4(int descriptor, struct sockaddr *address, socklen_t *length, int flags) {
     static const int errors[] = {ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO, EINTR, EPERM};
-    if (due(descriptor))
-        return fail("accept4", descriptor, errors, COUNT(errors));
+    if (should_fail(descriptor))
+        return fail_call("accept4", descriptor, errors, LENGTH(errors));
     int accepted = NEXT(accept4)(descriptor, address, length, flags);
-    /* an event loop may close by a system call of its own, which is not seen here */
-    if (accepted >= 0 && accepted < MOST_DESCRIPTORS)
-        opened[accepted] = 0;
+    /* An event loop may close a descriptor by a direct system call, which close() below does not see. */
+    if (accepted >= 0 && accepted < MAX_DESCRIPTORS)
+        connected[accepted] = 0;
     return accepted;
 }
 
 int socket(int domain, int type, int protocol) {
     static const int errors[] = {EMFILE, ENFILE, ENOBUFS, ENOMEM};
-    if (per_million && domain == AF_INET && draw() % 1000000 < per_million && monotonic() - began >= after)
-        return fail("socket", -1, errors, COUNT(errors));
+    if (per_million && domain == AF_INET && next_random() % 1000000 < per_million &&
+        monotonic() - started_at >= fail_after)
+        return fail_call("socket", -1, errors, LENGTH(errors));
     return NEXT(socket)(domain, type, protocol);
 }
 
 int connect(int descriptor, const struct sockaddr *address, socklen_t length) {
     static const int errors[] = {EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ETIMEDOUT, ECONNREFUSED, EAGAIN};
-    if (descriptor >= 0 && descriptor < MOST_DESCRIPTORS)
-        opened[descriptor] = 1;
-    if (due(descriptor))
-        return fail("connect", descriptor, errors, COUNT(errors));
+    if (descriptor >= 0 && descriptor < MAX_DESCRIPTORS)
+        connected[descriptor] = 1;
+    if (should_fail(descriptor))
+        return fail_call("connect", descriptor, errors, LENGTH(errors));
     return NEXT(connect)(descriptor, address, length);
 }
 
 int close(int descriptor) {
-    if (descriptor >= 0 && descriptor < MOST_DESCRIPTORS)
-        opened[descriptor] = 0;
+    if (descriptor >= 0 && descriptor < MAX_DESCRIPTORS)
+        connected[descriptor] = 0;
     return NEXT(close)(descriptor);
 }
 
-static int broken(int descriptor) { return opened[descriptor % MOST_DESCRIPTORS] && draw() % 4 == 0; }
+static int should_break(int descriptor) { return connected[descriptor % MAX_DESCRIPTORS] && next_random() % 4 == 0; }
 
 ssize_t read(int descriptor, void *data, size_t size) {
     static const int errors[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET};
-    static const int passing[] = {EINTR, EAGAIN};
-    if (size > 1 && due(descriptor)) {
-        if (broken(descriptor))
-            return fail("read", descriptor, errors, COUNT(errors));
-        if (draw() % 2)
-            return fail("read", descriptor, passing, COUNT(passing));
-        size = 1 + draw() % (size < 64 ? size : 64);
+    static const int transient[] = {EINTR, EAGAIN};
+    if (size > 1 && should_fail(descriptor)) {
+        if (should_break(descriptor))
+            return fail_call("read", descriptor, errors, LENGTH(errors));
+        if (next_random() % 2)
+            return fail_call("read", descriptor, transient, LENGTH(transient));
+        size = 1 + next_random() % (size < 64 ? size : 64);
     }
     return NEXT(read)(descriptor, data, size);
 }
 
 ssize_t recv(int descriptor, void *data, size_t size, int flags) {
-    if (size > 1 && due(descriptor))
-        size = 1 + draw() % (size < 64 ? size : 64);
+    if (size > 1 && should_fail(descriptor))
+        size = 1 + next_random() % (size < 64 ? size : 64);
     return NEXT(recv)(descriptor, data, size, flags);
 }
 
 ssize_t write(int descriptor, const void *data, size_t size) {
-    static const int passing[] = {EINTR, EAGAIN};
-    if (size > 1 && due(descriptor)) {
-        if (draw() % 2)
-            return fail("write", descriptor, passing, COUNT(passing));
-        size = 1 + draw() % (size - 1);
+    static const int transient[] = {EINTR, EAGAIN};
+    if (size > 1 && should_fail(descriptor)) {
+        if (next_random() % 2)
+            return fail_call("write", descriptor, transient, LENGTH(transient));
+        size = 1 + next_random() % (size - 1);
     }
     return NEXT(write)(descriptor, data, size);
 }
 
 ssize_t writev(int descriptor, const struct iovec *parts, int count) {
-    if (count > 0 && parts[0].iov_len > 1 && due(descriptor))
-        return NEXT(write)(descriptor, parts[0].iov_base, 1 + draw() % (parts[0].iov_len - 1));
+    if (count > 0 && parts[0].iov_len > 1 && should_fail(descriptor))
+        return NEXT(write)(descriptor, parts[0].iov_base, 1 + next_random() % (parts[0].iov_len - 1));
     return NEXT(writev)(descriptor, parts, count);
 }
 
 ssize_t send(int descriptor, const void *data, size_t size, int flags) {
-    if (size > 1 && due(descriptor))
-        size = 1 + draw() % (size - 1);
+    if (size > 1 && should_fail(descriptor))
+        size = 1 + next_random() % (size - 1);
     return NEXT(send)(descriptor, data, size, flags);
 }
 
-static double stepped(void) {
-    double passed = monotonic() - began, sum = 0.0;
+static double clock_offset(void) {
+    double elapsed = monotonic() - started_at, sum = 0.0;
     for (int i = 0; i < step_count; i++)
-        if (passed >= steps[i].at)
+        if (elapsed >= steps[i].at)
             sum += steps[i].seconds;
     return sum;
 }
 
 int clock_gettime(clockid_t clock, struct timespec *now) {
-    int done = NEXT(clock_gettime)(clock, now);
-    if (done == 0 && clock == CLOCK_REALTIME && step_count)
-        now->tv_sec += (time_t)stepped();
-    return done;
+    int result = NEXT(clock_gettime)(clock, now);
+    if (result == 0 && clock == CLOCK_REALTIME && step_count)
+        now->tv_sec += (time_t)clock_offset();
+    return result;
 }
 
 int gettimeofday(struct timeval *restrict now, void *restrict zone) {
-    int done = NEXT(gettimeofday)(now, zone);
-    if (done == 0 && step_count)
-        now->tv_sec += (time_t)stepped();
-    return done;
+    int result = NEXT(gettimeofday)(now, zone);
+    if (result == 0 && step_count)
+        now->tv_sec += (time_t)clock_offset();
+    return result;
 }
 
-time_t time(time_t *told) {
-    time_t now = NEXT(time)(NULL) + (step_count ? (time_t)stepped() : 0);
-    if (told)
-        *told = now;
+time_t time(time_t *value) {
+    time_t now = NEXT(time)(NULL) + (step_count ? (time_t)clock_offset() : 0);
+    if (value)
+        *value = now;
     return now;
 }
--- a/tests/soak_wrong.py
+++ b/tests/soak_wrong.py
@@ -1,4 +1,4 @@
-"""A real router that breaks a rule on purpose, by the name of its argument: soaks must catch it."""
+"""A real router that breaks a rule on purpose, named by its argument; a soak test must catch it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def ends_at_once() -> None:
-    """Leaves what it has taken when it is told to end."""
+    """Exits at once on SIGTERM, without answering the requests in flight."""
 
     async def end(self: Service) -> None:
         os._exit(0)
@@ -21,24 +21,24 @@
 
 
 def misses_deadlines() -> None:
-    """Waits on for servers that don't answer."""
+    """Waits for servers beyond the deadline of the request."""
     host.DEADLINE_MARGIN = -2.0
 
 
 def forgets_drains() -> None:
-    """Takes servers that drain for ready ones."""
-    told = host.Host.take_list
+    """Ignores drains: leaves servers that are not ready out of each list update."""
+    original_take_list = host.Host.take_list
 
-    def take(self: Any, news: Any) -> None:
+    def take_ready(self: Any, news: Any) -> None:
         ready = [m for m in news.members if m.entry.ready]
-        told(self, type(news)(news.kind, ready))
+        original_take_list(self, type(news)(news.kind, ready))
 
-    host.Host.take_list = take  # type: ignore[method-assign]
+    host.Host.take_list = take_ready  # type: ignore[method-assign]
 
 
-WAYS = (ends_at_once, misses_deadlines, forgets_drains)
+VARIANTS = (ends_at_once, misses_deadlines, forgets_drains)
 
 if __name__ == "__main__":
-    next(way for way in WAYS if way.__name__ == sys.argv[1])()
+    next(variant for variant in VARIANTS if variant.__name__ == sys.argv[1])()
     sys.argv = sys.argv[:1]
     sys.exit(program.main())
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,4 +1,4 @@
-"""The auditor: each breach from what was seen, and none where rules were kept."""
+"""The auditor finds each kind of breach, and none where the rules were kept."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     return seen.RequestAnswered(at, name, "served", made)
 
 
-def told(at: float, status: str, since: float = 0.0) -> list[seen.Observation]:
+def list_entry(at: float, status: str, since: float = 0.0) -> list[seen.Observation]:
     return [seen.ListChanged(at, "b1", status, since), seen.ListEntrySent(at, "n1", "b1", status, since)]
 
 
-def found(*what: seen.Observation) -> dict[str, int]:
-    """The kinds of breaches."""
+def breaches(*what: seen.Observation) -> dict[str, int]:
+    """Return the number of breaches by kind."""
     auditor = Auditor(RULES)
     for each in what:
         auditor.judge(each)
@@ -44,7 +44,7 @@
     return {kind: count for kind, count in verdict["breaches"].items() if count}
 
 
-END = seen.ListChanged(100.0, "other", "in_service", 0.0)  # time has passed
+END = seen.ListChanged(100.0, "other", "in_service", 0.0)  # lets the deadline pass
 REFUSED = seen.RequestAnswered(0.5, "r1", "refused")
 UP = [
     seen.RouterUp(0.0, "n1"),
@@ -79,14 +79,14 @@
             [seen.WriteExecuted(0.1, "r1", "b1", "k1"), seen.WriteExecuted(20.0, "r2", "b2", "k1")],
             "ran_twice",
         ),
-        ([*UP, *told(1.0, "terminating"), sent(3.2)], "sent_to_drained"),
-        # neither watching nor asking for ten seconds counts as told what was listed then
+        ([*UP, *list_entry(1.0, "terminating"), sent(3.2)], "sent_to_drained"),
+        # a router without a request to discovery for ten seconds counts as informed
         ([*UP, seen.ListChanged(1.0, "b1", "terminating", 0.0), sent(13.2)], "sent_to_drained"),
         (
             [
                 *UP,
                 seen.ServerStarted(5.0, "b1"),
-                *told(6.0, "in_service", 5.0),
+                *list_entry(6.0, "in_service", 5.0),
                 seen.ColdServerOverloaded(7.0, "b1", {"n1": 2.0}),
             ],
             "cold_pushed",
@@ -94,7 +94,7 @@
     ],
 )
 def test_each_breach_is_found(what: list[seen.Observation], breach: str) -> None:
-    assert found(*what) == {breach: 1}
+    assert breaches(*what) == {breach: 1}
 
 
 @pytest.mark.parametrize(
@@ -102,19 +102,18 @@
     [
         [asked(0), sent(0.1), served(0.2)],
         [asked(0), sent(0.1), served(1.06)],
-        [
-            asked(0),
-            seen.RequestUnanswered(0.2, "r1", "ended", kept=True),
-        ],  # crossed by a close, and never read
+        # crossed the close of the connection and was never read
+        [asked(0), seen.RequestUnanswered(0.2, "r1", "ended", kept=True)],
         [asked(0), sent(0.1), seen.RequestUnanswered(0.2, "r1", "left"), sent(0.25, box="b2")],
-        [asked(0), sent(0.1), sent(0.2, box="b2"), served(0.3)],  # a safe read, sent twice
+        [asked(0), sent(0.1), sent(0.2, box="b2"), served(0.3)],  # a safe read may be sent twice
         [
             seen.RouterUp(0, "n1"),
             asked(0.1),
             seen.RouterDown(0.2, "n1", True),
             seen.RequestUnanswered(0.21, "r1", "ended"),
         ],
-        [  # it was asked while the kernel ended the process
+        # sent while the kernel was ending the process
+        [
             seen.RouterUp(0, "n1"),
             seen.RouterDown(0.2, "n1", True),
             asked(0.34),
@@ -130,60 +129,59 @@
             seen.WriteExecuted(0.35, "r1", "b2"),
             served(0.4),
         ],
-        [asked(0, effect="guarded"), sent(0.1, effect="guarded"), REFUSED],  # any server drops a repeat
+        [asked(0, effect="guarded"), sent(0.1, effect="guarded"), REFUSED],  # all servers drop repeats
         [sent(0, effect="guarded"), sent(14.9, effect="guarded", box="b2")],
-        # a box that stood still runs its copy when the group has forgotten the key: no router could know
+        # a frozen server executes its copy after the group has forgotten the key; no router can know
         [
             sent(0, effect="guarded"),
             sent(0.5, effect="guarded", box="b2"),
             seen.WriteExecuted(0.6, "r1", "b2", "k1"),
             seen.WriteExecuted(15.7, "r1", "b1", "k1"),
         ],
-        [*UP, *told(1.0, "terminating"), sent(2.9)],
-        [*UP, *told(1.0, "terminating"), *told(2.0, "in_service", 1.9), sent(9.0)],
-        [*UP, *told(1.0, "terminating"), seen.RouterUp(2.0, "n1"), sent(4.0)],  # which knows it no more
+        [*UP, *list_entry(1.0, "terminating"), sent(2.9)],
+        [*UP, *list_entry(1.0, "terminating"), *list_entry(2.0, "in_service", 1.9), sent(9.0)],
+        # a restarted router doesn't know of the drain
+        [*UP, *list_entry(1.0, "terminating"), seen.RouterUp(2.0, "n1"), sent(4.0)],
+        # an open request to discovery is a watch
         [
             *UP,
             seen.DiscoveryCall(0.9, "n1", "begun"),
             seen.ListChanged(1.0, "b1", "terminating", 0.0),
             sent(30.0),
-        ],  # a watch
+        ],
         [
             *UP,
             seen.DiscoveryCall(0.9, "n1", "failed"),
             seen.ListChanged(1.0, "b1", "terminating", 0.0),
             sent(40.0),
         ],
+        # no router was told of its start
+        [*UP, seen.ServerStarted(5.0, "b1"), seen.ColdServerOverloaded(7.0, "b1", {"n1": 2.0})],
         [
             *UP,
             seen.ServerStarted(5.0, "b1"),
-            seen.ColdServerOverloaded(7.0, "b1", {"n1": 2.0}),
-        ],  # of whose start nobody was told
-        [
-            *UP,
-            seen.ServerStarted(5.0, "b1"),
-            *told(6.0, "in_service", 5.0),
+            *list_entry(6.0, "in_service", 5.0),
             seen.ColdServerOverloaded(7.0, "b1", {"n1": 2.0, "n2": 1.1}),
         ],
     ],
 )
 def test_what_keeps_the_rules_is_no_breach(what: list[seen.Observation]) -> None:
-    assert found(*what) == {}
+    assert breaches(*what) == {}
 
 
 def test_a_router_that_ends_by_itself_loses_what_it_held() -> None:
     down = seen.RouterDown(0.2, "n1", False)
-    assert found(asked(0.1), down, seen.RequestUnanswered(0.21, "r1", "ended")) == {"lost": 1}
+    assert breaches(asked(0.1), down, seen.RequestUnanswered(0.21, "r1", "ended")) == {"lost": 1}
 
 
 @pytest.mark.parametrize("again", [seen.RouterExited(0.36, "n1"), seen.RouterUp(0.36, "n1")])
 def test_what_a_killed_router_is_asked_after_its_end_is_lost_as_any_other(again: seen.Observation) -> None:
     down = seen.RouterDown(0.2, "n1", True)
-    assert found(down, again, asked(0.42), seen.RequestUnanswered(0.5, "r1", "ended")) == {"lost": 1}
+    assert breaches(down, again, asked(0.42), seen.RequestUnanswered(0.5, "r1", "ended")) == {"lost": 1}
 
 
 def test_a_day_is_judged_in_memory_that_does_not_grow_with_it() -> None:
-    auditor, most = Auditor(RULES), 0
+    auditor, largest = Auditor(RULES), 0
     for i in range(20_000):
         at, name = i * 0.05, f"r{i}"
         for what in (
@@ -193,8 +191,8 @@
             served(at + 0.03, name),
         ):
             auditor.judge(what)
-        most = max(most, len(auditor.requests), len(auditor.executions))
-    assert most <= (REQUEST_MEMORY + 16) / 0.05
+        largest = max(largest, len(auditor.requests), len(auditor.executions))
+    assert largest <= (REQUEST_MEMORY + 16) / 0.05
     assert auditor.verdict()["kept"]
 
 
--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -1,4 +1,4 @@
-"""The generator against scripted peers: no delay is hidden, and each request ends once."""
+"""The generator against scripted targets: no delay is hidden, and each request ends once."""
 
 from __future__ import annotations
 
@@ -25,7 +25,8 @@
 from tests.virtual_time import VirtualTimeLoop
 
 VALUE = b"$5\r\nvalue\r\n"
-STARTED = 60.0  # seconds until a test of a process that hangs fails: a busy machine takes long to start one
+# seconds until a test whose process hangs fails; a busy machine takes long to start a process
+PROCESS_TIMEOUT = 60.0
 Answer = Callable[["Target", list[bytes], Any], None]
 
 
@@ -44,13 +45,13 @@
         while (parts := self.reader.next()) is not NOT_YET:
             self.answer(self, parts, self.transport)  # type: ignore[arg-type]
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         if not self.transport.is_closing():
             self.transport.write(data)
 
 
 async def play(profile: Profile, answer: Answer, port: int | None = None) -> Generator:
-    """Play a profile against a scripted target."""
+    """Send the load of a profile to a scripted target."""
     loop = asyncio.get_running_loop()
     server = await loop.create_server(lambda: Target(answer), "127.0.0.1", 0)
     generator = Generator(
@@ -71,7 +72,7 @@
 
 
 def test_a_stall_shows_in_full_where_a_closed_loop_hides_it() -> None:
-    """Each request's latency is from its time in the plan to its answer."""
+    """Latency is measured from when a request was due, so that a stall delays every request within it."""
     frozen_at, stall, usual = 0.3, 1.0, 0.001
 
     async def scenario() -> None:
@@ -81,7 +82,7 @@
         def answer(target: Target, _: list[bytes], __: Any) -> None:
             now = loop.time() - began
             held = frozen_at <= now < frozen_at + stall
-            loop.call_later(frozen_at + stall - now if held else usual, target.say, VALUE)
+            loop.call_later(frozen_at + stall - now if held else usual, target.send, VALUE)
 
         closed: list[float] = []
 
@@ -105,20 +106,22 @@
         assert figures["served"] == figures["scheduled"] == 600
         thawed_at = frozen_at + stall
         latencies = sorted(thawed_at - p.at if frozen_at <= p.at < thawed_at else usual for p in plan)
-        told = figures["latency_ms"]
+        latency_ms = figures["latency_ms"]
         for name, share in {"p50": 0.5, "p90": 0.9, "p99": 0.99, "max": 1.0}.items():
             expected = latencies[math.ceil(share * len(latencies)) - 1] * 1000
-            assert told[name] == pytest.approx(expected, rel=0.002)  # three digits, as the histogram keeps
-        assert told["mean"] == pytest.approx(sum(latencies) / 600 * 1000, rel=0.002)
-        assert told["p50"] > 200.0 and told["max"] > 900.0  # two thirds were held up, by half of the stall
+            assert latency_ms[name] == pytest.approx(expected, rel=0.002)  # the histogram keeps three digits
+        assert latency_ms["mean"] == pytest.approx(sum(latencies) / 600 * 1000, rel=0.002)
+        # two thirds of the requests were delayed, on average by half of the stall
+        assert latency_ms["p50"] > 200.0 and latency_ms["max"] > 900.0
         closed.sort()
-        assert max(closed) > 0.9 and closed[int(0.9 * len(closed))] < told["p90"] / 4000  # one of its tells
+        # the closed loop records the stall only once
+        assert max(closed) > 0.9 and closed[int(0.9 * len(closed))] < latency_ms["p90"] / 4000
 
     run(scenario, VirtualTimeLoop)
 
 
 def test_what_a_stopped_process_sends_late_counts_from_its_time_in_the_plan() -> None:
-    """Counted from when each was sent, a generator that can't keep up reported none of its own delay."""
+    """Latency from when a request was sent would hide the delay of a generator that can't keep up."""
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
@@ -128,15 +131,15 @@
         def answer(target: Target, _: list[bytes], __: Any) -> None:
             nonlocal asked
             asked += 1
-            if asked == 11:  # at 0.1 s; what is planned up to 0.6 s goes out then
+            if asked == 11:  # at 0.1 s; all requests due up to 0.6 s are sent after this
                 loop.clock.now += 0.5
-            target.say(VALUE)
+            target.send(VALUE)
 
         generator = await play(reads(100.0, 1.0), answer)
-        told = generator.record.figures(1.0)["latency_ms"]
+        latency_ms = generator.record.figures(1.0)["latency_ms"]
         assert generator.record.all.counts["served"] == 100
-        assert told["max"] == pytest.approx(500.0, rel=0.002)
-        assert told["mean"] == pytest.approx(sum(range(0, 501, 10)) / 100, rel=0.002)
+        assert latency_ms["max"] == pytest.approx(500.0, rel=0.002)
+        assert latency_ms["mean"] == pytest.approx(sum(range(0, 501, 10)) / 100, rel=0.002)
 
     run(scenario, VirtualTimeLoop)
 
@@ -154,20 +157,20 @@
 
 
 @pytest.mark.parametrize(
-    "said",
+    "reply",
     [b"$5\r\nva", b"$3000000000\r\n", b"$-1\r\n", b"-ERR failed\r\n", b"what is this\r\n"],
     ids=["cut short", "3 GB announced", "null", "error", "noise"],
 )
-def test_what_is_no_answer_fails_at_once(said: bytes) -> None:
+def test_what_is_no_answer_fails_at_once(reply: bytes) -> None:
     async def scenario() -> None:
         def answer(target: Target, _: list[bytes], transport: Any) -> None:
-            target.say(said)
-            if said[:3] == b"$5\r":
+            target.send(reply)
+            if reply[:3] == b"$5\r":
                 transport.close()
 
         generator = await play(reads(100.0, 0.2), answer)
         assert generator.record.all.counts == {"scheduled": 20, "failed": 20}
-        assert generator.loop.time() - generator.began < 2.0  # not one waited for its deadline of 3 s
+        assert generator.loop.time() - generator.began < 2.0  # none waited for its deadline of 3 s
 
     run(scenario, VirtualTimeLoop)
 
@@ -179,7 +182,7 @@
         def answer(target: Target, parts: list[bytes], _: Any) -> None:
             seen = tries.setdefault(parts[2].rpartition(b"-")[0], [])
             seen.append((asyncio.get_running_loop().time(), parts[2] + b" " + parts[3]))
-            target.say(b"-BUSY 150\r\n" if len(seen) < 3 else VALUE)
+            target.send(b"-BUSY 150\r\n" if len(seen) < 3 else VALUE)
 
         generator = await play(reads(50.0, 0.2, retries=2), answer)
         assert generator.record.all.counts["served"] == 10
@@ -198,7 +201,7 @@
         def answer(target: Target, parts: list[bytes], _: Any) -> None:
             info = dict(pair.split(b"=") for pair in parts[3].split(b","))
             keys.setdefault(info[b"c"] + info.get(b"k", parts[2]), []).append(parts[2])
-            target.say(b"-ERR failed\r\n")
+            target.send(b"-ERR failed\r\n")
 
         classes = (RequestClass("book", write=True, keyed=True), RequestClass("note", write=True))
         profile = Profile((Piece(0.2, 200.0),), classes=classes, clients=Clients(retries=1, backoff=0.01))
@@ -225,18 +228,20 @@
 def test_more_arrivals_than_connections_wait_and_their_wait_counts() -> None:
     async def scenario() -> None:
         def answer(target: Target, _: list[bytes], __: Any) -> None:
-            asyncio.get_running_loop().call_later(0.1, target.say, VALUE)
+            asyncio.get_running_loop().call_later(0.1, target.send, VALUE)
 
-        generator = await play(reads(100.0, 0.5, connections=2), answer)  # two can carry 20 a second
+        # two connections can carry 20 requests a second
+        generator = await play(reads(100.0, 0.5, connections=2), answer)
         latency = generator.record.figures(0.5)["latency_ms"]
         assert generator.record.all.counts["served"] == 50
-        assert latency["max"] == pytest.approx(2500 - 490 + 10, rel=0.002)  # the last comes at 490 ms
+        # the last request is due at 490 ms
+        assert latency["max"] == pytest.approx(2500 - 490 + 10, rel=0.002)
 
     run(scenario, VirtualTimeLoop)
 
 
 def test_a_connection_closed_between_requests_costs_none() -> None:
-    """The close may cross a request that was not read: it goes once more, on a new connection."""
+    """The close may cross a request that is then not read; it is sent once more, on a new connection."""
 
     async def scenario() -> None:
         seen: set[Target] = set()
@@ -246,7 +251,7 @@
                 transport.abort()
             else:
                 seen.add(target)
-                target.say(VALUE)
+                target.send(VALUE)
 
         generator = await play(reads(100.0, 0.3), answer)
         assert generator.record.all.counts["served"] == 30
@@ -258,7 +263,7 @@
     async def scenario() -> None:
         profile = reads(200.0, 0.5)
         server = await asyncio.get_running_loop().create_server(
-            lambda: Target(lambda t, *_: t.say(VALUE)), "127.0.0.1", 0
+            lambda: Target(lambda t, *_: t.send(VALUE)), "127.0.0.1", 0
         )
         generator = Generator(profile, plan_requests(profile), [server.sockets[0].getsockname()])
         generator.began = 0.0
@@ -284,13 +289,13 @@
 
 
 async def finished(child: subprocess.Popen[str]) -> tuple[int, str, str]:
-    out, err = await asyncio.to_thread(child.communicate, None, STARTED)
+    out, err = await asyncio.to_thread(child.communicate, None, PROCESS_TIMEOUT)
     return child.returncode, out, err
 
 
 async def target() -> tuple[asyncio.Server, str]:
     server = await asyncio.get_running_loop().create_server(
-        lambda: Target(lambda t, *_: t.say(VALUE)), "127.0.0.1", 0
+        lambda: Target(lambda t, *_: t.send(VALUE)), "127.0.0.1", 0
     )
     return server, f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
@@ -300,7 +305,7 @@
     async def scenario() -> None:
         server, address = await target()
         one, html = tmp_path / "one.json", tmp_path / "one.html"
-        # a deadline that no machine misses: it is all served, however late
+        # a deadline that no machine misses, so that all requests are served
         day = tmp_path / "day.toml"
         day.write_text(
             "[[pieces]]\nseconds = 1.0\nrate = 200.0\n[[classes]]\nname = 'read'\ndeadline = 60.0\n"
@@ -319,12 +324,12 @@
         assert code == 0 and json.loads(out)["served"] == [figures["served"]] * 2
         server.close()
 
-    run(scenario, patience=STARTED)
+    run(scenario, patience=PROCESS_TIMEOUT)
 
 
 @pytest.mark.processes
 @pytest.mark.parametrize(
-    ("arguments", "code", "said"),
+    ("arguments", "code", "message"),
     [
         ("--trace {}/empty.jsonl --target 127.0.0.1:9", 2, "no request in it"),
         ("{}/none.toml --target 127.0.0.1:9", 2, "none.toml"),
@@ -333,13 +338,15 @@
         ("compare {0}/empty.jsonl {0}/empty.jsonl", 2, "empty.jsonl"),
     ],
 )
-def test_what_cant_be_run_ends_with_its_reason(arguments: str, code: int, said: str, tmp_path: Path) -> None:
+def test_what_cant_be_run_ends_with_its_reason(
+    arguments: str, code: int, message: str, tmp_path: Path
+) -> None:
     async def scenario() -> None:
         (tmp_path / "empty.jsonl").write_text("")
         found, _, err = await finished(command(*arguments.format(tmp_path).split()))
-        assert found == code and said in err, (arguments, err)
+        assert found == code and message in err, (arguments, err)
 
-    run(scenario, patience=STARTED)
+    run(scenario, patience=PROCESS_TIMEOUT)
 
 
 @pytest.mark.processes
@@ -349,7 +356,7 @@
 
         def answer(target: Target, _: list[bytes], __: Any) -> None:
             begun.set()
-            target.say(VALUE)
+            target.send(VALUE)
 
         server = await asyncio.get_running_loop().create_server(lambda: Target(answer), "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
@@ -360,7 +367,7 @@
         assert code == 0 and "class read" in out, err
         server.close()
 
-    run(scenario, patience=STARTED)
+    run(scenario, patience=PROCESS_TIMEOUT)
 
 
 def test_the_page_is_the_same_for_the_same_run_and_escapes_names() -> None:
@@ -391,12 +398,12 @@
 def test_a_generator_without_descriptors_says_so_and_still_asks_for_all() -> None:
     async def scenario() -> None:
         def answer(target: Target, _: list[bytes], __: Any) -> None:
-            asyncio.get_running_loop().call_later(0.4, target.say, VALUE)
+            asyncio.get_running_loop().call_later(0.4, target.send, VALUE)
 
         server = await asyncio.get_running_loop().create_server(lambda: Target(answer), "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         arguments = f"-m myrtlecourse load --rate 200 --duration 1 --target 127.0.0.1:{port}"
-        # a soft limit of the child's own shell, as an operator would have it
+        # the soft limit of the shell, as an operator would set it
         child = await asyncio.create_subprocess_exec(
             "sh", "-c", f"ulimit -n 48; exec {sys.executable} {arguments}", stdout=-1, stderr=-1
         )
@@ -405,7 +412,7 @@
         assert b"ran out of descriptors" in out and b"failed" in out
         server.close()
 
-    run(scenario, patience=STARTED)
+    run(scenario, patience=PROCESS_TIMEOUT)
 
 
 def test_a_clock_that_steps_changes_no_latency(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -415,11 +422,12 @@
         def answer(target: Target, _: list[bytes], __: Any) -> None:
             nonlocal asked
             asked += 1
-            monkeypatch.setattr(time, "time", lambda: 0.0 if asked % 2 else 4e9)  # back and forth
-            target.say(VALUE)
+            # the wall clock jumps back and forth
+            monkeypatch.setattr(time, "time", lambda: 0.0 if asked % 2 else 4e9)
+            target.send(VALUE)
 
         generator = await play(reads(100.0, 0.5), answer)
-        told = generator.record.figures(0.5)
-        assert told["served"] == told["scheduled"] > 0 and told["latency_ms"]["max"] < 5000
+        figures = generator.record.figures(0.5)
+        assert figures["served"] == figures["scheduled"] > 0 and figures["latency_ms"]["max"] < 5000
 
     run(scenario, VirtualTimeLoop)
--- a/tests/test_load_plan.py
+++ b/tests/test_load_plan.py
@@ -1,4 +1,4 @@
-"""What the generator plans to send: arrivals, mix, profiles and traces."""
+"""The requests that the generator plans: arrivals, mix, profiles and traces; and the record of a run."""
 
 from __future__ import annotations
 
@@ -192,8 +192,8 @@
     record = Record()
     for i in range(1, 10_001):
         record.count_end(0.0, "read", "a", "served", i / 1000, 5.0)
-    found = record.figures(1.0)["latency_ms"]
+    quantiles = record.figures(1.0)["latency_ms"]
     for name, value in {"p50": 5000, "p90": 9000, "p99": 9900, "p999": 9990, "max": 10_000}.items():
-        assert found[name] == pytest.approx(value, rel=0.002)
+        assert quantiles[name] == pytest.approx(value, rel=0.002)
     assert record.all.counts["in_time"] == 5000
-    assert all(a <= b for a, b in pairwise([found[n] for n in ("p50", "p90", "p99", "p999", "max")]))
+    assert all(a <= b for a, b in pairwise([quantiles[n] for n in ("p50", "p90", "p99", "p999", "max")]))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Random days: drawn the same each time, within bounds, kept by routers, and broken by wrong ones."""
+"""Soak cases: reproducible and within bounds; routers keep the rules, and wrong routers are caught."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 from myrtlecourse.fleet import scenario as fleet
 from myrtlecourse.fleet.faults import steps
-from myrtlecourse.soak.draw import MOST_TROUBLES, QUIET, SystemFaults, draw
-from myrtlecourse.soak.library import compiled, loaded
-from myrtlecourse.soak.play import play_day
+from myrtlecourse.soak.cases import MARGIN, MAX_FAULTS, SystemFaults, draw_case
+from myrtlecourse.soak.preload import compile_library, with_library
+from myrtlecourse.soak.runner import run_case
 from tests import soak_wrong
 
-SEEDS = (2, 3, 4, 11, 13, 17, 19, 23)  # played in each run of the tests; others by `myrtlecourse soak`
+SEEDS = (2, 3, 4, 11, 13, 17, 19, 23)  # run by each test run; `myrtlecourse soak` runs others
 SECONDS = 9.0
-CALLS = """
+SOCKET_CALLS = """
 import errno, socket, sys, time
 server = None
 while server is None:
     try:
         server = socket.create_server(("127.0.0.1", 0))
     except OSError:
-        pass  # its socket() fails as any other
+        pass  # socket() may fail here too
 server.settimeout(5.0)
 failed = set()
 for _ in range(300):
@@ -57,34 +57,34 @@
 @settings(max_examples=60)
 @given(st.integers(0, 10**9), st.floats(6.0, 60.0))
 def test_a_day_is_the_same_each_time_and_within_bounds(seed: int, seconds: float) -> None:
-    day = draw(seed, seconds)
-    assert day == draw(seed, seconds)
-    again = msgspec.convert(msgspec.to_builtins(day.scenario), fleet.Scenario)
-    assert again == day.scenario  # the schema's own checks hold
-    assert 3 <= len(day.scenario.faults) <= MOST_TROUBLES
-    assert all(step.at >= QUIET for step in steps(day.scenario))
-    assert day.profile.seconds < seconds
-    assert str(len(day.scenario.boxes())) in day.tells()
+    case = draw_case(seed, seconds)
+    assert case == draw_case(seed, seconds)
+    again = msgspec.convert(msgspec.to_builtins(case.scenario), fleet.Scenario)
+    assert again == case.scenario  # the case passes the checks of the schema
+    assert 3 <= len(case.scenario.faults) <= MAX_FAULTS
+    assert all(step.at >= MARGIN for step in steps(case.scenario))
+    assert case.profile.seconds < seconds
+    assert str(len(case.scenario.boxes())) in case.summary()
 
 
 def test_all_troubles_are_drawn() -> None:
     found: Counter[str] = Counter()
     for seed in range(200):
-        found.update(type(f).__name__ for f in draw(seed, 14.0).scenario.faults)
+        found.update(type(f).__name__ for f in draw_case(seed, 14.0).scenario.faults)
     assert {"Crowd", "Reload", "Restart", "Stall", "Replace", "DiscoveryAway"} <= found.keys()
     assert min(found.values()) > 20
 
 
 @pytest.fixture(scope="module")
 def library(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    return compiled(tmp_path_factory.mktemp("library"))
+    return compile_library(tmp_path_factory.mktemp("library"))
 
 
 @pytest.mark.processes
 def test_the_library_fails_calls_and_steps_the_clock(library: Path) -> None:
     faults = SystemFaults(per_million=100_000, steps=((0.0, 3600.0),))
-    python = shlex.join([sys.executable, "-c", CALLS])
-    command = loaded(python, library, faults, 5).replace("SOAK_AFTER=1.0", "SOAK_AFTER=0")
+    python = shlex.join([sys.executable, "-c", SOCKET_CALLS])
+    command = with_library(python, library, faults, 5).replace("SOAK_AFTER=1.0", "SOAK_AFTER=0")
     now = float(subprocess.run(["date", "+%s"], capture_output=True, check=True).stdout)
     out = subprocess.run(
         [*shlex.split(command), str(now)], capture_output=True, text=True, timeout=60, check=True
@@ -96,25 +96,25 @@
 @pytest.mark.processes
 @pytest.mark.parametrize("seed", SEEDS)
 def test_routers_keep_the_rules_on_random_days(seed: int, library: Path, tmp_path: Path) -> None:
-    result = play_day(draw(seed, SECONDS), tmp_path / "day", library)
-    assert result.kept, result.line()
+    result = run_case(draw_case(seed, SECONDS), tmp_path / "day", library)
+    assert result.kept, result.summary_line()
     assert result.counts["served"] >= 0.5 * result.counts["scheduled"] > 0
 
 
 @pytest.mark.processes
 @pytest.mark.parametrize(
-    ("way", "breach"),
+    ("variant", "breach"),
     [("ends_at_once", "lost"), ("misses_deadlines", "told_too_long"), ("forgets_drains", "sent_to_drained")],
 )
-def test_a_wrong_router_is_caught(way: str, breach: str, library: Path, tmp_path: Path) -> None:
-    assert way in {w.__name__ for w in soak_wrong.WAYS}
-    day = draw(1, SECONDS)
+def test_a_wrong_router_is_caught(variant: str, breach: str, library: Path, tmp_path: Path) -> None:
+    assert variant in {w.__name__ for w in soak_wrong.VARIANTS}
+    case = draw_case(1, SECONDS)
     faults: tuple[fleet.Fault, ...] = (
         fleet.Freeze(2.0, "std-0", 3.0),
         fleet.Replace(2.0, box="std-1", drain=4.0),
-        *(fleet.Restart(3.0 + n, n % day.scenario.routers) for n in range(4)),
+        *(fleet.Restart(3.0 + n, n % case.scenario.routers) for n in range(4)),
     )
-    day = replace(day, scenario=msgspec.structs.replace(day.scenario, faults=faults))
-    command = shlex.join([sys.executable, "-m", "tests.soak_wrong", way])
-    result = play_day(day, tmp_path / "day", None, command)
-    assert breach in result.breaches, result.line()
+    case = replace(case, scenario=msgspec.structs.replace(case.scenario, faults=faults))
+    command = shlex.join([sys.executable, "-m", "tests.soak_wrong", variant])
+    result = run_case(case, tmp_path / "day", None, command)
+    assert breach in result.breaches, result.summary_line()
