--- a/myrtlecourse/sim/clients.py
+++ b/myrtlecourse/sim/clients.py
@@ -9,7 +9,7 @@
 from myrtlecourse.load.generator import LINGER
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.load.record import Record
-from myrtlecourse.load.requests import Planned, comes_back, planned
+from myrtlecourse.load.requests import PlannedRequest, plan_requests, retry_delay
 from myrtlecourse.sim.core import Core, Event
 from myrtlecourse.sim.routers import AskedFor, SimRouter
 from myrtlecourse.sim.servers import HOP
@@ -18,7 +18,7 @@
 class Client:
     """One request through all its tries."""
 
-    def __init__(self, clients: Clients, plan: Planned, number: int) -> None:
+    def __init__(self, clients: Clients, plan: PlannedRequest, number: int) -> None:
         self.clients = clients
         self.plan = plan
         self.number = number
@@ -30,7 +30,7 @@
         self.name = ""  # of the try that is out
         self.router: SimRouter | None = None
         self.timers = [core.at(self.until, self._end, "failed")]
-        if plan.leaves:
+        if plan.client_leaves:
             self.timers.append(core.after(plan.request_class.deadline / 2, self._leave))
 
     def ask(self) -> None:
@@ -49,7 +49,7 @@
         left = max(0.001, round(self.until - now, 3))
         effect = "free" if not kind.write else "guarded" if kind.keyed else "single_shot"
         key = f"{self.number:x}" if kind.keyed else ""
-        clients.observe(seen.Asked(now, self.name, router.name, kind.name, now + left, effect, key))
+        clients.observe(seen.RequestSent(now, self.name, router.name, kind.name, now + left, effect, key))
         self.router = router
         hint = kind.hint / 1e6 if kind.hint else None
         told = clients.classes[kind.name]
@@ -68,9 +68,9 @@
         now = clients.core.now
         if how == "ended":
             if name in clients.open:
-                clients.observe(seen.Unanswered(now, name, "ended"))
+                clients.observe(seen.RequestUnanswered(now, name, "ended"))
         elif how != "unreachable":
-            clients.observe(seen.Answered(now, name, how))
+            clients.observe(seen.RequestAnswered(now, name, how))
         clients.open.discard(name)
         if self.over or name != self.name:
             return
@@ -79,7 +79,7 @@
             self._end("served")
             return
         word = how if how in ("refused", "unreachable") else "failed"
-        wait = comes_back(
+        wait = retry_delay(
             clients.profile.clients, self.plan.request_class, self.tries, word, pause, clients.chance
         )
         if wait is None or now + wait >= self.until:
@@ -90,7 +90,7 @@
     def _leave(self) -> None:
         """Go away without the answer."""
         if self.router is not None and self.name in self.clients.open:
-            self.clients.observe(seen.Unanswered(self.clients.core.now, self.name, "left"))
+            self.clients.observe(seen.RequestUnanswered(self.clients.core.now, self.name, "left"))
             self.clients.open.discard(self.name)
             self.clients.core.after(HOP, self.router.client_gone, self.name)
         self._end("left")
@@ -103,7 +103,7 @@
             timer.cancel()
         kind, plan = self.plan.request_class, self.plan
         took = self.clients.core.now - self.due
-        self.clients.record.ended(plan.at, kind.name, plan.tenant, outcome, took, kind.aim)
+        self.clients.record.count_end(plan.at, kind.name, plan.tenant, outcome, took, kind.aim)
 
 
 class Clients:
@@ -129,7 +129,7 @@
         self.open: set[str] = set()  # tries that are owed an answer
         self.began = core.now
         self.number = 0
-        self.plan: Iterator[Planned] = planned(profile)
+        self.plan: Iterator[PlannedRequest] = plan_requests(profile)
         self._next()
 
     def _next(self) -> None:
@@ -138,10 +138,10 @@
         if plan is not None and plan.at < self.seconds:
             self.arrival: Event = self.core.at(self.began + plan.at, self._arrive, plan)
 
-    def _arrive(self, plan: Planned) -> None:
+    def _arrive(self, plan: PlannedRequest) -> None:
         client = Client(self, plan, self.number)
         self.number += 1
-        self.record.started(0.0)
+        self.record.count_start(0.0)
         client.ask()
         self._next()
 
@@ -149,4 +149,4 @@
         """The time is over in which an answer could have come."""
         if name in self.open:
             self.open.discard(name)
-            self.observe(seen.Unanswered(self.core.now, name, "late"))
+            self.observe(seen.RequestUnanswered(self.core.now, name, "late"))
