--- a/bench/listed_servers.py
+++ b/bench/listed_servers.py
@@ -24,7 +24,7 @@
 from uvloop import new_event_loop
 
 from myrtlecourse.net.command import CommandError, read_command
-from myrtlecourse.net.resp import NOT_YET, Reader, pack
+from myrtlecourse.net.resp import INCOMPLETE, Reader, encode_command
 
 ROOT = Path(__file__).resolve().parent.parent
 ADDRESSES = 16  # at which all listed servers are
@@ -100,7 +100,7 @@
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(65536):
                 commands.feed(data)
-                while (parts := commands.next()) is not NOT_YET:
+                while (parts := commands.next_message()) is not INCOMPLETE:
                     self._note(parts)
                     if number >= SILENT:
                         writer.write(VALUE)
@@ -109,7 +109,7 @@
     def _note(self, parts: Any) -> None:
         with contextlib.suppress(CommandError):
             command = read_command(parts)
-            left = self.sent[command.request.decode()] + DEADLINE - time.monotonic()
+            left = self.sent[command.request_id.decode()] + DEADLINE - time.monotonic()
             self.used.told_over_s = max(self.used.told_over_s, command.deadline_ms / 1000 - left)
 
     async def tell(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -198,7 +198,9 @@
     try:
         link = rested.pop() if rested else await asyncio.open_connection(*address)
         fleet.sent[name] = began = time.monotonic()
-        link[1].write(pack([b"C.GET", b"key%d" % (number % 5000), name.encode(), b"c=read,t=x,d=600"]))
+        link[1].write(
+            encode_command([b"C.GET", b"key%d" % (number % 5000), name.encode(), b"c=read,t=x,d=600"])
+        )
         answer = await asyncio.wait_for(link[0].readline(), DEADLINE + LATE_ROOM)
         used.latest_s = max(used.latest_s, time.monotonic() - began - DEADLINE)
         if answer.startswith(b"$"):
--- a/bench/load_generator.py
+++ b/bench/load_generator.py
@@ -27,7 +27,7 @@
 from myrtlecourse.load.requests import planned
 from myrtlecourse.load.run import Job, run
 from myrtlecourse.load.trace import Replay, replayed
-from myrtlecourse.net.resp import pack
+from myrtlecourse.net.resp import encode_command
 
 TARGET_CORES = {1}
 FREEZE, BEFORE, LASTS, RATE = 2.0, 0.5, 3.0, 100.0  # seconds; requests a second
@@ -69,7 +69,7 @@
     async def client() -> None:
         while loop.time() < until:
             sent, answered = loop.time(), loop.create_future()
-            command = pack([b"C.GET", b"k", b"i", b"c=read,t=a,d=9000"])
+            command = encode_command([b"C.GET", b"k", b"i", b"c=read,t=a,d=9000"])
             pool.ask("i", command, lambda *_, a=answered: a.set_result(None))
             await answered
             part.add(max(1, round((loop.time() - sent) * 1e6)))
--- a/myrtlecourse/address/keeper.py
+++ b/myrtlecourse/address/keeper.py
@@ -16,14 +16,14 @@
 from myrtlecourse.address.votes import write_votes
 from myrtlecourse.election import messages as said
 from myrtlecourse.election.core import Election, Role
-from myrtlecourse.net.logs import BoundedLog
+from myrtlecourse.net.rate_limited_log import RateLimitedLog
 from myrtlecourse.peers.end import End, Endpoint
 from myrtlecourse.peers.wire import Wire
 
 EMPTY_TIME = 1.0  # seconds for what was taken to end, of the lease that still stands
 LOOK = 0.1  # seconds between looks at whether this instance can serve
 log = logging.getLogger(__name__)
-bounded = BoundedLog(log)
+bounded = RateLimitedLog(log)
 
 
 class Keeper(End[said.Message]):
--- a/myrtlecourse/address/setup.py
+++ b/myrtlecourse/address/setup.py
@@ -12,7 +12,7 @@
 from myrtlecourse.address.votes import VotesError, read_votes
 from myrtlecourse.config import ConfigError
 from myrtlecourse.election.messages import Saved
-from myrtlecourse.net.pool import address_of
+from myrtlecourse.net.pool import parse_address
 
 if TYPE_CHECKING:
     from myrtlecourse.operators import Address
@@ -41,7 +41,7 @@
 def link(table: Address, name: str) -> Link:
     """Where the address is announced, and as whose."""
     if table.switch is not None:
-        return SwitchLink(address_of(table.switch), name, table.link_timeout)
+        return SwitchLink(parse_address(table.switch), name, table.link_timeout)
     return CommandLink(table.command, table.link_timeout)
 
 
@@ -66,7 +66,7 @@
             raise ConfigError(
                 f"address.votes_file: {e}; remove it to begin anew, a lease after the last start"
             ) from e
-    peers = {p.name: address_of(p.at) for p in table.peers}
+    peers = {p.name: parse_address(p.at) for p in table.peers}
     key, also = keys(table)
     try:
         return Keeper(
--- a/myrtlecourse/beyond.py
+++ b/myrtlecourse/beyond.py
@@ -15,7 +15,7 @@
 import orjson
 
 from myrtlecourse.config import ConfigError
-from myrtlecourse.net.pool import address_of
+from myrtlecourse.net.pool import parse_address
 from myrtlecourse.ops.calls import SPREAD_CALLS, ZONE_CALLS, Answer, Call, Kind
 
 if TYPE_CHECKING:
@@ -118,7 +118,7 @@
         if self.speaker is None:
             logging.warning("fleet: the settings allow no talk between routers, and the file names no peers")
             return
-        self.service.host.watch(self.speaker.agent)
+        self.service.host.set_watch(self.speaker.agent)
         try:
             await self.speaker.start(shared=self.service.inherited is not None)
         except OSError as e:
@@ -141,19 +141,23 @@
 
     def _serves(self, table: Address) -> bool:
         """An emptied or overloaded router gives the address up, and one that knows too little."""
-        fresh = time.monotonic() - self.service.discovery.heard_at < table.list_age
-        return fresh and self.service.door.share >= table.least_share and self.service.host.may_serve()
+        fresh = time.monotonic() - self.service.discovery.last_answer_at < table.list_age
+        return (
+            fresh and self.service.door.share >= table.least_share and self.service.host.has_usable_server()
+        )
 
     async def _keep_address(self, table: Address) -> None:
         """Take part in the election of who holds the service address."""
         from myrtlecourse.address.setup import keeper  # noqa: PLC0415  (an extra)
 
-        self.keeper = keeper(table, lambda: self._serves(table), self._held, self.service.listener.emptied)
-        self.service.listener.holds = self.keeper.holds
+        self.keeper = keeper(
+            table, lambda: self._serves(table), self._held, self.service.listener.wait_drained
+        )
+        self.service.listener.holds_address = self.keeper.holds
         self._held(False)
         own = next(p.at for p in table.peers if p.name == table.name)
         try:
-            logging.info("voters are heard on %s:%d", *await self.keeper.start(address_of(own)))
+            logging.info("voters are heard on %s:%d", *await self.keeper.start(parse_address(own)))
         except OSError as e:
             raise ConfigError(f"{self.path}: address.peers: {own}: {e}") from e
 
@@ -164,10 +168,10 @@
         from myrtlecourse.duties.messages import ADDRESS  # noqa: PLC0415
 
         made = link(table, keeper.settings.name)
-        self.address_work = AddressWork(keeper, made, self._held, self.service.listener.emptied)
+        self.address_work = AddressWork(keeper, made, self._held, self.service.listener.wait_drained)
         keeper.works[ADDRESS] = self.address_work
         keeper.abilities[ADDRESS] = lambda: self._serves(table)
-        self.service.listener.holds = self.address_work.holds
+        self.service.listener.holds_address = self.address_work.holds
         self._held(False)
 
     async def _keep_duties(self, told: OperatorsFile, table: Duties) -> None:
@@ -187,7 +191,7 @@
             work = LogWork(told.spread.duty, self.duties, self.spread)
             self.duties.works[told.spread.duty] = work
             self.duties.abilities[told.spread.duty] = work.able
-        own = address_of(table.listen) if table.listen is not None else peers(table)[table.name]
+        own = parse_address(table.listen) if table.listen is not None else peers(table)[table.name]
         try:
             await self.duties.start(own, shared=self.service.inherited is not None)
         except OSError as e:
@@ -237,11 +241,11 @@
 
     def _held(self, here: bool) -> None:
         """The service address has come, or is gone: then nothing is accepted, and what was taken ends."""
-        self.service.host.addressed = here
+        self.service.host.holds_service_address = here
         if not here:
-            self.service.listener.empty(0.0)
+            self.service.listener.start_drain(0.0)
         elif not self.service.orders.out_of_service:
-            self.service.listener.refill()
+            self.service.listener.stop_drain()
 
     def reload(self) -> None:
         """Take what has changed in the operators' file: each table whole, or nothing of it."""
@@ -276,7 +280,7 @@
         taken = keys(table)
         settings = table.election()
         if settings != keeper.settings:
-            keeper.change(settings, {p.name: address_of(p.at) for p in table.peers})
+            keeper.change(settings, {p.name: parse_address(p.at) for p in table.peers})
             logging.info("voters for the service address: %s", ", ".join(settings.voters))
         keeper.wire.seal.change(*taken)
         keeper.words.link = link(table, table.name or "")
--- a/myrtlecourse/config.py
+++ b/myrtlecourse/config.py
@@ -10,10 +10,10 @@
 import orjson
 
 from myrtlecourse import interface as api
-from myrtlecourse.net.command import MAX_GATHERED
-from myrtlecourse.net.discovery import ListError, read_head, read_in_turns, read_list
+from myrtlecourse.net.command import MAX_BUFFERED_ANSWER
+from myrtlecourse.net.discovery import ListError, read_header, read_list, read_list_in_steps
 from myrtlecourse.net.members import Member
-from myrtlecourse.net.pool import MAX_PASSED, address_of
+from myrtlecourse.net.pool import MAX_STREAMED_ANSWER, parse_address
 from myrtlecourse.settings import number, read_settings, rows, section
 
 DEFAULT_MEMORY = 80  # MB, where the configuration does not tell
@@ -74,17 +74,17 @@
         settings = read_settings(table.get("settings"))
         limits = section(table, "limits")
         sockets = int(number(limits, "sockets", 1024, "limits.", 64))
-        longest = int(number(limits, "longest_answer", MAX_PASSED, "limits.", MAX_GATHERED))
+        longest = int(number(limits, "longest_answer", MAX_STREAMED_ANSWER, "limits.", MAX_BUFFERED_ANSWER))
         memory = int(number(limits, "memory_mb", DEFAULT_MEMORY, "limits.", 1) * 1024 * 1024)
         if listed:
             index, _, known = read_list(table.get("known"), "known")
         else:
-            index, known = read_head(table.get("known"), "known").index, []
+            index, known = read_header(table.get("known"), "known").index, []
     except (api.SettingsError, ListError) as e:
         raise ConfigError(str(e)) from e
-    listen = address_of(read_address(table, "listen"))
+    listen = parse_address(read_address(table, "listen"))
     discovery = read_address(table, "discovery")
-    ops = None if table.get("ops") is None else address_of(read_address(table, "ops"))
+    ops = None if table.get("ops") is None else parse_address(read_address(table, "ops"))
     peer_listen, peers = read_peers(table)
     me = section(table, "settings").get("me")
     return Config(
@@ -113,8 +113,8 @@
     if not isinstance(each, list):
         raise ConfigError("peers must be a list")
     named = {f"peers[{i}]": at for i, at in enumerate(each)}
-    addresses = tuple(address_of(read_address(named, field)) for field in named)
-    return address_of(read_address(table, "peer_listen")), addresses
+    addresses = tuple(parse_address(read_address(named, field)) for field in named)
+    return parse_address(read_address(table, "peer_listen")), addresses
 
 
 async def read_reload(text: bytes, running: Config) -> Config:
@@ -128,7 +128,7 @@
     """
     config = read_config(text, listed=False)
     try:
-        await read_in_turns(config.table["known"], "known")
+        await read_list_in_steps(config.table["known"], "known")
     except ListError as e:
         raise ConfigError(str(e)) from e
     if (lost := next(missing(running.table, config.table, ""), None)) is not None:
--- a/myrtlecourse/duties/keeper.py
+++ b/myrtlecourse/duties/keeper.py
@@ -16,7 +16,7 @@
 from myrtlecourse.duties.memory import write_memories
 from myrtlecourse.duties.message_log import MessageLog
 from myrtlecourse.election import messages as election
-from myrtlecourse.net.logs import BoundedLog
+from myrtlecourse.net.rate_limited_log import RateLimitedLog
 from myrtlecourse.peers.end import End, Endpoint
 from myrtlecourse.peers.records import started
 from myrtlecourse.peers.wire import Wire
@@ -27,7 +27,7 @@
 # what rests on votes and orders that were taken; a lease rests on the wait after a start
 PROMISES = (election.Ask, election.Grant, said.Known, said.Taken)
 log = logging.getLogger(__name__)
-bounded = BoundedLog(log)
+bounded = RateLimitedLog(log)
 
 
 class Work(Protocol):
--- a/myrtlecourse/duties/setup.py
+++ b/myrtlecourse/duties/setup.py
@@ -11,7 +11,7 @@
 from myrtlecourse.duties.keeper import Keeper
 from myrtlecourse.duties.memory import RememberError, read_memories
 from myrtlecourse.duties.work import Commands, HoldWork, StepWork
-from myrtlecourse.net.pool import address_of
+from myrtlecourse.net.pool import parse_address
 from myrtlecourse.peers.end import Endpoint
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
 
 def peers(table: Duties) -> dict[str, Endpoint]:
     """Where each member hears the others."""
-    return {p.name: address_of(p.at) for p in table.peers}
+    return {p.name: parse_address(p.at) for p in table.peers}
 
 
 def keys(table: Duties) -> tuple[bytes, tuple[bytes, ...]]:
--- a/myrtlecourse/fleet/box_server.py
+++ b/myrtlecourse/fleet/box_server.py
@@ -15,7 +15,7 @@
 from myrtlecourse.fleet.scenario import RequestClass, Scenario
 from myrtlecourse.fleet.station import Piece
 from myrtlecourse.net.command import MAX_VALUE, Command, CommandError, read_command
-from myrtlecourse.net.resp import NOT_YET, Message, Reader, RespError, split_command
+from myrtlecourse.net.resp import INCOMPLETE, Message, Reader, RespError, split_command
 
 MAX_ITEMS = 16
 SWEEP = 0.25  # seconds between looks for idle connections
@@ -35,11 +35,11 @@
     if kind is None:
         raise CommandError(f"unknown class {command.info.get('c')!r}")
     return Request(
-        id=command.request.decode(),
+        id=command.request_id.decode(),
         key=command.key.decode("latin-1"),
         request_class=kind,
         router=router,
-        write=command.write,
+        write=command.is_write,
         idempotency=command.info.get("k", ""),
         time_left=command.deadline_ms / 1000,
         fresh=fresh,
@@ -86,7 +86,7 @@
                 return
         self.reader.feed(data)
         try:
-            while (message := self.reader.next()) is not NOT_YET:
+            while (message := self.reader.next_message()) is not INCOMPLETE:
                 self.commands.append((message, self.began))
                 self.began = began
         except RespError:
--- a/myrtlecourse/fleet/hollow_spread.py
+++ b/myrtlecourse/fleet/hollow_spread.py
@@ -27,7 +27,7 @@
 import msgspec
 from msgspec import Struct
 
-from myrtlecourse.net.pool import address_of
+from myrtlecourse.net.pool import parse_address
 from myrtlecourse.operators import Spread
 from myrtlecourse.spread.head_events import Acknowledge, Refuse
 from myrtlecourse.spread.keeper import Keeper
@@ -49,7 +49,7 @@
 
     def __init__(self, job: Job) -> None:
         self.folder = Path(job.folder)
-        self.listen = {name: address_of(at) for name, at in job.members.items()}
+        self.listen = {name: parse_address(at) for name, at in job.members.items()}
         self.applied = job.applied
         # any member does to read the table with, but for control machines, which want more
         some = next(site["routers"][0]["name"] for site in job.spread["site"])
--- a/myrtlecourse/load/client.py
+++ b/myrtlecourse/load/client.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from myrtlecourse.net.resp import NOT_YET, Message, Reader, RespError
+from myrtlecourse.net.resp import INCOMPLETE, Message, Reader, RespError
 
 MAX_ANSWER = 16 * 1024 * 1024  # bytes; what announces more is no answer, and costs nothing
 MAX_ITEMS = 16
@@ -51,12 +51,12 @@
             return
         self.reader.feed(data)
         try:
-            message = self.reader.next()
+            message = self.reader.next_message()
         except RespError as e:
             self._end(Broken(str(e)))
             self.transport.abort()
             return
-        if message is not NOT_YET:
+        if message is not INCOMPLETE:
             heard, self.heard = self.heard, None
             kept, self.kept = self.kept, True
             if (
--- a/myrtlecourse/load/generator.py
+++ b/myrtlecourse/load/generator.py
@@ -19,7 +19,7 @@
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.load.record import Record
 from myrtlecourse.load.requests import Planned, comes_back, repeatable
-from myrtlecourse.net.resp import ErrorLine, Message, pack
+from myrtlecourse.net.resp import ErrorLine, Message, encode_command
 
 LINGER = 1.0  # seconds after its time in which an observed client still listens: is the answer late, or lost?
 MOST_AT_ONCE = 256  # requests that are due and go out before answers are looked at
@@ -140,7 +140,7 @@
         # in turns, as a front deals out connections; a further try goes to the next router
         router = (self.number + self.tries - 1) % len(generator.pools)
         self.out = out = Try(self, name, router, left)
-        out.wanted = generator.pools[router].ask(name, pack(parts), out.heard, out.written, fresh)
+        out.wanted = generator.pools[router].ask(name, encode_command(parts), out.heard, out.written, fresh)
 
     def heard(self, answer: Message | BaseException, kept: bool) -> None:
         """What came of the latest try."""
--- a/myrtlecourse/net/clock.py
+++ b/myrtlecourse/net/clock.py
@@ -10,8 +10,10 @@
 from collections import deque
 from collections.abc import Callable
 
-STEP = 0.05  # seconds between wall and monotonic clock from which on the wall clock was stepped, not slewed
-MOST_STEPS = 16  # remembered
+MIN_STEP = (
+    0.05  # seconds between wall and monotonic clock from which on the wall clock was stepped, not slewed
+)
+MAX_OFFSETS = 16  # remembered
 
 
 class Clock:
@@ -20,21 +22,21 @@
     def __init__(
         self, wall: Callable[[], float] = time.time, steady: Callable[[], float] = time.monotonic
     ) -> None:
-        self.wall = wall
-        self.steady = steady
+        self.wall_time = wall
+        self.monotonic_time = steady
         self.offset = wall() - steady()
         # of the wall clock against the monotonic one, before and after each step; the latest last
-        self.offsets: deque[float] = deque([self.offset], MOST_STEPS)
+        self.offsets: deque[float] = deque([self.offset], MAX_OFFSETS)
 
     def now(self) -> float:
         """Seconds; never goes back."""
-        return self.offset + self.steady()
+        return self.offset + self.monotonic_time()
 
-    def look(self) -> float:
+    def detect_step(self) -> float:
         """Notice a step of the wall clock; answers with its seconds, 0 if there was none."""
-        offset = self.wall() - self.steady()
+        offset = self.wall_time() - self.monotonic_time()
         step = offset - self.offsets[-1]
-        if abs(step) < STEP:
+        if abs(step) < MIN_STEP:
             return 0.0
         self.offsets.append(offset)
         return step
@@ -44,7 +46,7 @@
         """Whether the wall clock has been stepped since the start."""
         return len(self.offsets) > 1
 
-    def start_of(self, since: float) -> float:
+    def start_on_this_clock(self, since: float) -> float:
         """When something started on this clock that another machine says started at `since` (Unix time, s).
 
         The latest that this may mean, and now if it lies ahead: whether `since` was read before a step or
--- a/myrtlecourse/net/command.py
+++ b/myrtlecourse/net/command.py
@@ -6,11 +6,13 @@
 from dataclasses import dataclass
 
 MAX_VALUE = 4 * 1024 * 1024  # bytes that a client may send
-MAX_GATHERED = 64 * 1024  # bytes of an answer that is held until it is whole; a longer one passes through
+MAX_BUFFERED_ANSWER = (
+    64 * 1024
+)  # bytes of an answer that is held until it is whole; a longer one passes through
 MAX_KEY = 1024
 MAX_INFO = 1024
 MAX_DEADLINE_MS = 600_000
-VISIBLE = re.compile(rb"[!-~]+")
+VISIBLE_ASCII = re.compile(rb"[!-~]+")
 # the origin's own paths, and those that a path's readers resolve away: as keys they would be other requests
 RESERVED_KEYS = (b".", b"..", b"stats", b"health/live")
 
@@ -25,7 +27,7 @@
 
     verb: bytes
     key: bytes
-    request: bytes
+    request_id: bytes
     info: dict[str, str]
     deadline_ms: int
     value: bytes | None
@@ -41,16 +43,16 @@
     ) -> None:
         self.verb = verb
         self.key = key
-        self.request = request
+        self.request_id = request
         self.info = info
         self.deadline_ms = deadline_ms
         self.value = value
 
     @property
-    def write(self) -> bool:
+    def is_write(self) -> bool:
         return self.value is not None
 
-    def info_for(self, time_left: float) -> bytes:
+    def encode_info(self, time_left: float) -> bytes:
         """The names and values in their order, with `d` telling how long the router will wait."""
         told = self.info | {"d": str(max(1, int(time_left * 1000)))}
         return ",".join(f"{name}={value}" for name, value in told.items()).encode()
@@ -59,7 +61,7 @@
 def read_info(text: bytes) -> dict[str, str]:
     """The list of names and values after the request's id."""
     # guards the origin: a line break in here would go on as a header or a request of its own
-    if len(text) > MAX_INFO or not VISIBLE.fullmatch(text):
+    if len(text) > MAX_INFO or not VISIBLE_ASCII.fullmatch(text):
         raise CommandError("names and values must be visible ASCII, 1024 bytes at most")
     info: dict[str, str] = {}
     for pair in text.decode().split(","):
@@ -85,7 +87,7 @@
     key, request = parts[1], parts[2]
     if not 0 < len(key) <= MAX_KEY or key in RESERVED_KEYS:
         raise CommandError("key is empty, too long or reserved")
-    if len(request) > 64 or not VISIBLE.fullmatch(request):
+    if len(request) > 64 or not VISIBLE_ASCII.fullmatch(request):
         raise CommandError("request id must be visible ASCII, 64 bytes at most")
     info = read_info(parts[3])
     deadline = info.get("d", "")
--- a/myrtlecourse/net/connection.py
+++ b/myrtlecourse/net/connection.py
@@ -12,22 +12,22 @@
 
 from myrtlecourse.interface import Status
 from myrtlecourse.net.command import Command
-from myrtlecourse.net.logs import BoundedLog
-from myrtlecourse.net.request_log import Close, requests_log
+from myrtlecourse.net.rate_limited_log import RateLimitedLog
+from myrtlecourse.net.request_log import CloseReason, requests_log
 from myrtlecourse.net.transport import Transport
 
 if TYPE_CHECKING:
     from myrtlecourse.net.pool import Pool
 
-ANSWER_TIME = 0.1  # seconds for the rest of an answer once it has begun: it is sent in one go
-FIRST_TIME = (
+ANSWER_TIMEOUT = 0.1  # seconds for the rest of an answer once it has begun: it is sent in one go
+STREAM_START_TIMEOUT = (
     0.3  # seconds without a byte of a long answer of which nothing has been passed on: another may do
 )
-PASSING_TIME = 3.0  # the same once its client has the first bytes, and only a cut could end it
-CHUNK = 64 * 1024  # bytes read at once: what a client that takes none makes a long answer hold
-HELD_BACK = 16 * 1024  # bytes of a long answer that must have come before any is passed on
+STREAM_STALL_TIMEOUT = 3.0  # the same once its client has the first bytes, and only a cut could end it
+READ_SIZE = 64 * 1024  # bytes read at once: what a client that takes none makes a long answer hold
+MIN_STREAM_START = 16 * 1024  # bytes of a long answer that must have come before any is passed on
 log = logging.getLogger(__name__)
-bounded = BoundedLog(log)
+rate_limited_log = RateLimitedLog(log)
 
 Answer = tuple[Status, bytes]
 
@@ -36,58 +36,58 @@
     """Bytes that are no answer; what they answer may have run."""
 
 
-def readable(transport: Transport) -> bool:
+def has_unread_input(transport: Transport) -> bool:
     """Whether bytes or an end wait on a socket that the event loop has not looked at yet."""
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
     return bool(poll.poll(0))
 
 
-class Receiver(Protocol):
+class AnswerReceiver(Protocol):
     """Whom an attempt is for; takes a long answer piece by piece, in place of its value at the end."""
 
-    def may_begin(self) -> bool:
+    def may_start(self) -> bool:
         """Whether the request may still be written, asked where that comes later than the decision."""
 
     def time_left(self) -> float:
         """Seconds for which its router will wait from now on."""
 
-    def latest(self) -> float:
+    def write_time_left(self) -> float:
         """Seconds from now within which its last byte has to be written; a later one never runs."""
 
-    def begin(self, length: int, source: Exchange) -> bool:
+    def begin_stream(self, length: int, source: Exchange) -> bool:
         """A value of so many bytes begins; False when it is not wanted any more."""
 
-    def piece(self, data: bytes) -> None:
+    def write_chunk(self, data: bytes) -> None:
         """The next bytes of it."""
 
 
 class Exchange:
     """One attempt: it ends once, by `done` or by being abandoned."""
 
-    __slots__ = ("command", "connection", "done", "open", "receiver", "time_left")
+    __slots__ = ("command", "connection", "on_finished", "open", "receiver", "time_left")
 
     def __init__(
         self,
         command: Command,
         time_left: float,
         done: Callable[[Status, bytes], None],
-        receiver: Receiver | None = None,
+        receiver: AnswerReceiver | None = None,
     ) -> None:
         self.command = command
         self.time_left = time_left
-        self.done = done
+        self.on_finished = done
         self.receiver = receiver
         self.open = True
         self.connection: Connection | None = None
 
-    def may_begin(self) -> bool:
+    def check_still_wanted(self) -> bool:
         """Whether it is still wanted, now that there is a connection for it; if not, it is over.
 
         Guards the rules on what is sent late: its client may have hung up meanwhile, its server begun to
         drain, or the time in which the server drops its repeat have run out.
         """
-        if self.open and self.receiver is not None and not self.receiver.may_begin():
+        if self.open and self.receiver is not None and not self.receiver.may_start():
             self.finish(Status.MOOT)
         if self.open and self.receiver is not None:
             self.time_left = self.receiver.time_left()
@@ -106,7 +106,7 @@
     def finish(self, status: Status, value: bytes = b"") -> None:
         if self.open:
             self.open = False
-            self.done(status, value)
+            self.on_finished(status, value)
 
     def abandon(self) -> None:
         """Stop waiting. Closing tells the server to stop work, and an answer can't meet a later request.
@@ -117,11 +117,11 @@
             return
         self.open = False
         if self.connection is not None:
-            self.connection.drop(Close.ABANDONED)
+            self.connection.drop(CloseReason.ABANDONED)
 
 
 # all connections read into one place: what came is taken out before the next one reads
-arrivals = memoryview(bytearray(CHUNK))
+read_buffer = memoryview(bytearray(READ_SIZE))
 
 
 class Connection(asyncio.BufferedProtocol):
@@ -132,15 +132,15 @@
         self.address = address
         self.exchange: Exchange | None = None
         self.written = False  # whether the request's last byte is
-        self.process: object = None  # that it was made to: another may come to its address
-        self.dialled_for: Exchange | None = None
-        self.made = False
-        self.expiry: asyncio.TimerHandle | None = None  # of an answer begun
+        self.server_process: object = None  # that it was made to: another may come to its address
+        self.first_exchange: Exchange | None = None
+        self.connected = False
+        self.answer_timer: asyncio.TimerHandle | None = None  # of an answer begun
         self.idle_since = 0.0
-        self.length = 0  # of a long value that has begun; its decoder sets it and fills `pieces`
-        self.pieces: list[bytes] = []
-        self.passing = False  # whether the client has had the first of them
-        self.moved = False  # whether any of it has come since the expiry was looked at
+        self.stream_length = 0  # of a long value that has begun; its decoder sets it and fills `pieces`
+        self.chunks: list[bytes] = []
+        self.streaming = False  # whether the client has had the first of them
+        self.progressed = False  # whether any of it has come since the expiry was looked at
         self.paused = False
 
     @abstractmethod
@@ -166,20 +166,20 @@
         self.transport = cast(Transport, transport)
         # so that `resume_writing` comes just when the last byte has gone to the kernel
         self.transport.set_write_buffer_limits(high=0)
-        self.made = True
+        self.connected = True
         self.pool.connections.add(self)
-        self.pool.dialled(self.address)
-        self.poll = select.poll()
-        self.poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
+        self.pool.dial_ended(self.address)
+        self.input_poll = select.poll()
+        self.input_poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
         # here, and not once the dial returns: one cancelled in between would leave a connection that nobody
         # knows, and with enough of those the budget is gone
-        exchange, self.dialled_for = self.dialled_for, None
-        if exchange is None or not exchange.may_begin():
-            self.pool.keep(self)
-        elif not self.begin(exchange):
+        exchange, self.first_exchange = self.first_exchange, None
+        if exchange is None or not exchange.check_still_wanted():
+            self.pool.release(self)
+        elif not self.start_exchange(exchange):
             exchange.finish(Status.CONNECT_FAILED)
 
-    def begin(self, exchange: Exchange) -> bool:
+    def start_exchange(self, exchange: Exchange) -> bool:
         """Write a request, unless bytes lie there that nobody asked for: then nothing of it is sent.
 
         The look comes last before the write. What came since the event loop's own would be taken for this
@@ -190,11 +190,11 @@
         except Exception:
             # guards the router: what can't be sent costs its connection, and the attempt ends at once
             log.exception("request to %s", self.address)
-            self.drop(Close.FAULT)
+            self.drop(CloseReason.INTERNAL_ERROR)
             exchange.finish(Status.CONNECT_FAILED)
             return True
-        if self.transport.is_closing() or self.poll.poll(0):
-            self.drop(Close.PEER_CLOSED)
+        if self.transport.is_closing() or self.input_poll.poll(0):
+            self.drop(CloseReason.PEER_CLOSED)
             return False
         exchange.connection = self
         self.exchange = exchange
@@ -203,39 +203,39 @@
         # guards against a second effect: `write` returns also when bytes are kept back or the write failed
         self.written = not self.transport.is_closing() and not self.transport.get_write_buffer_size()
         if not self.written and exchange.receiver is not None:
-            self._write_in_time(exchange, exchange.receiver.latest())
+            self._limit_write_time(exchange, exchange.receiver.write_time_left())
         return True
 
-    def _write_in_time(self, exchange: Exchange, latest: float) -> None:
+    def _limit_write_time(self, exchange: Exchange, latest: float) -> None:
         """Guards against a second effect: a repeat whose last byte comes too late is not dropped any more."""
         if latest < math.inf:
-            asyncio.get_running_loop().call_later(max(0.0, latest), self._cut_off, exchange)
+            asyncio.get_running_loop().call_later(max(0.0, latest), self._drop_late_write, exchange)
 
-    def _cut_off(self, exchange: Exchange) -> None:
+    def _drop_late_write(self, exchange: Exchange) -> None:
         receiver = exchange.receiver
         if (
             self.exchange is exchange
             and not self.written
             and receiver is not None
-            and not receiver.may_begin()
+            and not receiver.may_start()
         ):
-            self.drop(Close.NOT_WRITTEN)
+            self.drop(CloseReason.NOT_WRITTEN)
 
     def resume_writing(self) -> None:
         self.written = True
 
     def get_buffer(self, sizehint: int) -> memoryview:
         # guards memory: what is read of a long answer is held until its client takes it
-        return arrivals[: self.pool.windows.size()] if self.length else arrivals
+        return read_buffer[: self.pool.windows.size()] if self.stream_length else read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.data_received(bytes(arrivals[:nbytes]))
+        self.data_received(bytes(read_buffer[:nbytes]))
 
     def pause(self) -> None:
         """Leave the rest of a long answer where it is; the server's own connection slows it down."""
         if not self.paused and not self.transport.is_closing():
             self.paused = True
-            self.stop_expiry()
+            self.cancel_answer_timer()
             self.transport.pause_reading()
 
     def resume(self) -> None:
@@ -243,83 +243,91 @@
             self.paused = False
             self.transport.resume_reading()
             if self.exchange is not None:
-                self._expect_more(self.exchange)
+                self._arm_answer_timer(self.exchange)
 
-    def _pass_on(self, exchange: Exchange) -> bool:
+    def _forward_chunks(self, exchange: Exchange) -> bool:
         """Hand on what has come of a long value; False when that is the end of it.
 
         Nothing before a good part is there: a length that lies would cost the client's connection, and what
         has not begun can still be asked of another server.
         """
         receiver = exchange.receiver
-        if not self.passing:
-            if sum(map(len, self.pieces)) < HELD_BACK:
+        if not self.streaming:
+            if sum(map(len, self.chunks)) < MIN_STREAM_START:
                 return True
             if receiver is None:
-                raise MalformedAnswer(f"value of {self.length} bytes")
-            self.passing = receiver.begin(self.length, exchange)
-            if not self.passing:
+                raise MalformedAnswer(f"value of {self.stream_length} bytes")
+            self.streaming = receiver.begin_stream(self.stream_length, exchange)
+            if not self.streaming:
                 exchange.abandon()
-        pieces, self.pieces = self.pieces, []
+        pieces, self.chunks = self.chunks, []
         for piece in pieces:
             if receiver is not None and exchange.open:
-                receiver.piece(piece)
+                receiver.write_chunk(piece)
         return exchange.open
 
-    def _expect_more(self, exchange: Exchange) -> None:
+    def _arm_answer_timer(self, exchange: Exchange) -> None:
         """Guards the request: an answer said to be longer than it is never ends."""
-        self.moved = True
-        if self.expiry is None and not self.paused:
-            pause = PASSING_TIME if self.passing else FIRST_TIME if self.length else ANSWER_TIME
-            self.expiry = asyncio.get_running_loop().call_later(pause, self._expire, exchange)
-
-    def _expire(self, exchange: Exchange) -> None:
-        self.expiry = None
-        if self.length and self.moved:
-            self._expect_more(exchange)
-            self.moved = False
+        self.progressed = True
+        if self.answer_timer is None and not self.paused:
+            pause = (
+                STREAM_STALL_TIMEOUT
+                if self.streaming
+                else STREAM_START_TIMEOUT
+                if self.stream_length
+                else ANSWER_TIMEOUT
+            )
+            self.answer_timer = asyncio.get_running_loop().call_later(
+                pause, self._on_answer_timeout, exchange
+            )
+
+    def _on_answer_timeout(self, exchange: Exchange) -> None:
+        self.answer_timer = None
+        if self.stream_length and self.progressed:
+            self._arm_answer_timer(exchange)
+            self.progressed = False
         else:
-            self._spoilt(exchange, MalformedAnswer("begun and not ended"))
+            self._reject_answer(exchange, MalformedAnswer("begun and not ended"))
 
     def data_received(self, data: bytes) -> None:
         exchange = self.exchange
         if exchange is None:  # bytes that nobody asked for: the next answer could not be told from them
-            self.drop(Close.UNWANTED_BYTES)
+            self.drop(CloseReason.UNEXPECTED_BYTES)
             return
         try:
             answer = self.decode(data)
-            if self.length and not self._pass_on(exchange):
+            if self.stream_length and not self._forward_chunks(exchange):
                 return
         except Exception as e:
             # guards the router: whatever a server sends costs its connection and no more
-            self._spoilt(exchange, e)
+            self._reject_answer(exchange, e)
             return
         if answer is None:
-            self._expect_more(exchange)
+            self._arm_answer_timer(exchange)
         else:
             self.resume()
-            self.stop_expiry()
+            self.cancel_answer_timer()
             self.exchange = None
-            self.length = 0
-            self.passing = False
+            self.stream_length = 0
+            self.streaming = False
             if self.written and self.reusable() and not self.transport.is_closing():
-                self.pool.keep(self)
+                self.pool.release(self)
             else:
-                self.drop(Close.SPOILT)
+                self.drop(CloseReason.UNUSABLE_ANSWER)
             exchange.finish(*answer)
 
-    def _spoilt(self, exchange: Exchange, fault: Exception) -> None:
+    def _reject_answer(self, exchange: Exchange, fault: Exception) -> None:
         """An answer that can't be used: the request may have run, and what follows belongs to nobody."""
         level = logging.WARNING if isinstance(fault, MalformedAnswer) else logging.ERROR
-        bounded.log(level, "answer of %s: %.200r", self.address, fault)
+        rate_limited_log.log(level, "answer of %s: %.200r", self.address, fault)
         self.exchange = None
-        self.drop(Close.SPOILT)
+        self.drop(CloseReason.UNUSABLE_ANSWER)
         exchange.finish(Status.ERROR)
 
-    def stop_expiry(self) -> None:
-        if self.expiry is not None:
-            self.expiry.cancel()
-            self.expiry = None
+    def cancel_answer_timer(self) -> None:
+        if self.answer_timer is not None:
+            self.answer_timer.cancel()
+            self.answer_timer = None
 
     def eof_received(self) -> None:
         """The server closes in good order, which ends an answer that gives no length; a reset does not."""
@@ -329,22 +337,22 @@
         try:
             answer = self.decode_end()
         except Exception as e:
-            self._spoilt(exchange, e)
+            self._reject_answer(exchange, e)
             return
         if answer is not None:
             self.exchange = None
-            self.drop(Close.PEER_CLOSED)
+            self.drop(CloseReason.PEER_CLOSED)
             exchange.finish(*answer)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.pool.forget(self)
+        self.pool.remove(self)
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
-            requests_log.closed("server", self.address, Close.PEER_CLOSED, 1)
+            requests_log.connection_closed("server", self.address, CloseReason.PEER_CLOSED, 1)
             exchange.finish(Status.RESET if self.written else Status.CONNECT_FAILED)
 
-    def drop(self, why: Close) -> None:
+    def drop(self, why: CloseReason) -> None:
         """Close at once, without sending what is still held back."""
-        requests_log.closed("server", self.address, why, int(self.exchange is not None))
-        self.pool.forget(self)
+        requests_log.connection_closed("server", self.address, why, int(self.exchange is not None))
+        self.pool.remove(self)
         self.transport.abort()
--- a/myrtlecourse/net/window.py
+++ b/myrtlecourse/net/flow_control.py
@@ -8,51 +8,51 @@
 from collections import deque
 from typing import Protocol
 
-BUDGET = 16 * 1024 * 1024  # bytes, unless the configuration tells the memory that there is
-PART = 1 / 5  # of a process's memory, for each direction
-LARGEST = 64 * 1024  # bytes of one flow in each of its two places: as much as is read at once
-SMALLEST = 4 * 1024
+DEFAULT_BUDGET = 16 * 1024 * 1024  # bytes, unless the configuration tells the memory that there is
+MEMORY_SHARE = 1 / 5  # of a process's memory, for each direction
+MAX_WINDOW = 64 * 1024  # bytes of one flow in each of its two places: as much as is read at once
+MIN_WINDOW = 4 * 1024
 
 
-class Windows:
+class StreamWindows:
     """The answers that flow to clients, and what each may hold at a time."""
 
-    def __init__(self, budget: int = BUDGET) -> None:
+    def __init__(self, budget: int = DEFAULT_BUDGET) -> None:
         """Takes the bytes for all flows together."""
         self.budget = budget
-        self.flows = 0
+        self.streams = 0
 
     def size(self) -> int:
         """Bytes that one flow may read ahead, and as many again that its client has not taken."""
-        return max(SMALLEST, min(LARGEST, self.budget // (2 * max(1, self.flows))))
+        return max(MIN_WINDOW, min(MAX_WINDOW, self.budget // (2 * max(1, self.streams))))
 
 
-class Waiting(Protocol):
+class ReservationWaiter(Protocol):
     """A client that announced a long value, and is not read until there is room for it."""
 
-    def admitted(self) -> None:
+    def on_reserved(self) -> None:
         """There is room; it has been reserved."""
 
 
-class Room:
-    """Room for the long values that clients send, reserved whole before they are read.
+class UploadMemory:
+    """UploadMemory for the long values that clients send, reserved whole before they are read.
 
     In the order of asking: one that holds half a value has reserved the other half, so that none of them
     waits for what another holds.
     """
 
-    def __init__(self, budget: int = BUDGET) -> None:
+    def __init__(self, budget: int = DEFAULT_BUDGET) -> None:
         """Takes the bytes for all values together; one value alone always fits."""
         self.budget = budget
         self.reserved = 0
-        self.queue: deque[tuple[Waiting, int]] = deque()
+        self.waiting: deque[tuple[ReservationWaiter, int]] = deque()
 
-    def reserve(self, client: Waiting, size: int) -> bool:
+    def reserve(self, client: ReservationWaiter, size: int) -> bool:
         """Reserve room, or wait for it: then the client is told once it is there."""
-        if not self.queue and self._fits(size):
+        if not self.waiting and self._fits(size):
             self.reserved += size
             return True
-        self.queue.append((client, size))
+        self.waiting.append((client, size))
         return False
 
     def _fits(self, size: int) -> bool:
@@ -61,15 +61,15 @@
     def release(self, size: int) -> None:
         """What was reserved is free again."""
         self.reserved -= size
-        self._admit()
+        self._grant_waiting()
 
-    def give_up(self, client: Waiting) -> None:
+    def stop_waiting(self, client: ReservationWaiter) -> None:
         """A client waits no more."""
-        self.queue = deque(each for each in self.queue if each[0] is not client)
-        self._admit()  # it may have stood before smaller ones
+        self.waiting = deque(each for each in self.waiting if each[0] is not client)
+        self._grant_waiting()  # it may have stood before smaller ones
 
-    def _admit(self) -> None:
-        while self.queue and self._fits(self.queue[0][1]):
-            client, size = self.queue.popleft()
+    def _grant_waiting(self) -> None:
+        while self.waiting and self._fits(self.waiting[0][1]):
+            client, size = self.waiting.popleft()
             self.reserved += size
-            client.admitted()
+            client.on_reserved()
--- a/myrtlecourse/net/hangup.py
+++ b/myrtlecourse/net/hangup.py
@@ -11,16 +11,16 @@
 import select
 from typing import Protocol
 
-LOOK = 0.02  # seconds between looks; attempts ask anew just before they begin
-GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
+POLL_INTERVAL = 0.02  # seconds between looks; attempts ask anew just before they begin
+HANG_UP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
-class Unread(Protocol):
+class UnreadConnection(Protocol):
     """A connection that is not read for now."""
 
     descriptor: int
 
-    def hung_up(self) -> None:
+    def on_hang_up(self) -> None:
         """Its client has closed it."""
 
 
@@ -29,45 +29,45 @@
     poll = select.poll()
     poll.register(descriptor, select.POLLRDHUP)
     try:
-        return any(events & GONE for _, events in poll.poll(0))
+        return any(events & HANG_UP_EVENTS for _, events in poll.poll(0))
     except OSError:  # no memory for a look: nothing is known
         return False
 
 
-class HangUps:
+class HangUpMonitor:
     """Looks after the connections that are not read; costs nothing while there are none."""
 
     def __init__(self) -> None:
-        self.poll = select.poll()
-        self.unread: dict[int, Unread] = {}  # by descriptor
+        self.poller = select.poll()
+        self.connections: dict[int, UnreadConnection] = {}  # by descriptor
         self.timer: asyncio.TimerHandle | None = None
 
-    def add(self, connection: Unread) -> None:
+    def add(self, connection: UnreadConnection) -> None:
         """A connection is not read from now on."""
-        self.unread[connection.descriptor] = connection
-        self.poll.register(connection.descriptor, select.POLLRDHUP)
+        self.connections[connection.descriptor] = connection
+        self.poller.register(connection.descriptor, select.POLLRDHUP)
         if self.timer is None:
-            self.timer = asyncio.get_running_loop().call_later(LOOK, self._look)
+            self.timer = asyncio.get_running_loop().call_later(POLL_INTERVAL, self._poll)
 
-    def remove(self, connection: Unread) -> None:
+    def remove(self, connection: UnreadConnection) -> None:
         """It is read again, or has ended; to be called before its descriptor is closed."""
         descriptor = connection.descriptor
-        if self.unread.get(descriptor) is connection:
-            del self.unread[descriptor]
-            self.poll.unregister(descriptor)
+        if self.connections.get(descriptor) is connection:
+            del self.connections[descriptor]
+            self.poller.unregister(descriptor)
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         self.timer = None
         try:
-            found = self.poll.poll(0)
+            found = self.poller.poll(0)
         except OSError:  # no memory for a look: the next one comes soon
             found = []
         for descriptor, events in found:
-            connection = self.unread.get(descriptor)
-            if connection is not None and events & GONE:
-                connection.hung_up()
-        if self.unread:
-            self.timer = asyncio.get_running_loop().call_later(LOOK, self._look)
+            connection = self.connections.get(descriptor)
+            if connection is not None and events & HANG_UP_EVENTS:
+                connection.on_hang_up()
+        if self.connections:
+            self.timer = asyncio.get_running_loop().call_later(POLL_INTERVAL, self._poll)
 
     def close(self) -> None:
         """Look no more."""
--- a/myrtlecourse/net/http.py
+++ b/myrtlecourse/net/http.py
@@ -9,12 +9,14 @@
 
 MAX_HEAD = 16 * 1024
 # the plainest responses, read without the state machine, whose cost was that of three requests
-HEAD = re.compile(rb"HTTP/1\.1 ([1-5][0-9]{2})(?: [ -~]*)?\r\n((?:[!#-'*+.0-9A-Z^-z|~-]+:[\t -~]*\r\n)*)\r\n")
-VALUE = re.compile(rb"[!-~]+(?: [!-~]+)*")
-FRAMING = (b"transfer-encoding", b"connection", b"upgrade")
-KEPT = (b"connection", b"keep-alive")
-BODILESS = (204, 304)
-REPORT = re.compile(rb"\r\nserver-load:.*?(?=\r\n)", re.IGNORECASE | re.DOTALL)
+RESPONSE_HEAD = re.compile(
+    rb"HTTP/1\.1 ([1-5][0-9]{2})(?: [ -~]*)?\r\n((?:[!#-'*+.0-9A-Z^-z|~-]+:[\t -~]*\r\n)*)\r\n"
+)
+HEADER_VALUE = re.compile(rb"[!-~]+(?: [!-~]+)*")
+FRAMING_HEADERS = (b"transfer-encoding", b"connection", b"upgrade")
+KEEP_ALIVE = (b"connection", b"keep-alive")
+BODILESS_STATUSES = (204, 304)
+LOAD_REPORT = re.compile(rb"\r\nserver-load:.*?(?=\r\n)", re.IGNORECASE | re.DOTALL)
 
 
 class HttpError(Exception):
@@ -40,46 +42,46 @@
     def __init__(self, address: str, max_body: int, max_passed: int = 0) -> None:
         self.address = address
         self.max_body = max_body
-        self.max_passed = max_passed
+        self.max_streamed = max_passed
         self.connection = h11.Connection(h11.CLIENT)
         # what the state machine has not been told of, and need not if all that comes is plain
-        self.asked: tuple[str, str, list[tuple[bytes, bytes]], bytes | None] | None = None
-        self.plain: Response | None = None  # the head of a response that is read without it
-        self.left = 0  # bytes of its body that are still to come
-        self.extra = False  # whether more came than that
-        self.unread = bytearray()  # the beginning of a head
-        self.heads = True  # whether one is still to come
+        self.sent_request: tuple[str, str, list[tuple[bytes, bytes]], bytes | None] | None = None
+        self.plain_response: Response | None = None  # the head of a response that is read without it
+        self.body_left = 0  # bytes of its body that are still to come
+        self.has_extra_bytes = False  # whether more came than that
+        self.head_buffer = bytearray()  # the beginning of a head
+        self.head_expected = True  # whether one is still to come
         self.head: h11.Response | None = None
         self.body = bytearray()
-        self.passing = 0  # the length of a body that is handed out
-        self.pieces: list[bytes] = []
+        self.streamed_length = 0  # the length of a body that is handed out
+        self.chunks: list[bytes] = []
 
     def request(
         self, method: str, target: str, headers: list[tuple[bytes, bytes]], body: bytes | None = None
     ) -> bytes:
         """The bytes of a request."""
-        self.plain = self.head = None
-        self.heads = True
-        self.extra = False
-        self.unread.clear()
+        self.plain_response = self.head = None
+        self.head_expected = True
+        self.has_extra_bytes = False
+        self.head_buffer.clear()
         self.body.clear()
-        self.passing = 0
-        self.pieces.clear()
+        self.streamed_length = 0
+        self.chunks.clear()
         fields = [(b"Host", self.address.encode()), *headers]
         if body is not None:
             fields.append((b"Content-Length", str(len(body)).encode()))
-        self.asked = (method, target, fields, body)
-        if not all(VALUE.fullmatch(value) for _, value in fields):
-            return self._tell()
+        self.sent_request = (method, target, fields, body)
+        if not all(HEADER_VALUE.fullmatch(value) for _, value in fields):
+            return self._send_to_h11()
         head = [f"{method} {target} HTTP/1.1\r\n".encode()]
         head += [b"%b: %b\r\n" % field for field in fields]
         return b"".join([*head, b"\r\n", body or b""])
 
-    def _tell(self) -> bytes:
+    def _send_to_h11(self) -> bytes:
         """Tell the state machine what was asked; answers with the request's bytes."""
-        if self.asked is None:
+        if self.sent_request is None:
             return b""
-        (method, target, fields, body), self.asked = self.asked, None
+        (method, target, fields, body), self.sent_request = self.sent_request, None
         if self.connection.our_state is not h11.IDLE:
             self.connection = h11.Connection(h11.CLIENT)
         events: list[h11.Event] = [h11.Request(method=method, target=target, headers=fields)]
@@ -88,99 +90,104 @@
         events.append(h11.EndOfMessage())
         return b"".join(self.connection.send(e) or b"" for e in events)
 
-    def _plain_head(self, data: bytes) -> tuple[Response, int, int] | None:
+    def _parse_plain_head(self, data: bytes) -> tuple[Response, int, int] | None:
         """A whole head of the plainest form, its body's length and where that begins, else None."""
-        if (head := HEAD.match(data)) is None:
+        if (head := RESPONSE_HEAD.match(data)) is None:
             return None
         headers: dict[bytes, bytes] = {}
         for line in head[2].split(b"\r\n")[:-1]:
             name, _, value = line.partition(b":")
             name, value = name.lower(), value.strip()
-            if name in headers or (name in FRAMING and (name, value.lower()) != KEPT):
+            if name in headers or (name in FRAMING_HEADERS and (name, value.lower()) != KEEP_ALIVE):
                 return None
             headers[name] = value
         length = headers.get(b"content-length", b"")
-        if not length.isdigit() or len(length) > 9 or (status := int(head[1])) < 200 or status in BODILESS:
+        if (
+            not length.isdigit()
+            or len(length) > 9
+            or (status := int(head[1])) < 200
+            or status in BODILESS_STATUSES
+        ):
             return None
         return Response(status, headers, b""), int(length), head.end()
 
-    def _cleaned(self, data: bytes) -> bytes:
+    def _without_load_report(self, data: bytes) -> bytes:
         """Heads once they are whole, without the load report, and what follows them.
 
         Nobody asks for the report, and one that can't be read would spoil a good answer.
         """
-        if not self.heads:
+        if not self.head_expected:
             return data
-        self.unread += data
+        self.head_buffer += data
         out = b""
-        while self.heads and (end := self.unread.find(b"\r\n\r\n") + 4) > 3:
-            out += REPORT.sub(b"", bytes(self.unread[:end]))
-            self.heads = self.unread[9:10] == b"1"  # another follows after one like 100 Continue
-            del self.unread[:end]
-        if not self.heads:
-            out += bytes(self.unread)
-        elif len(self.unread) > MAX_HEAD or not b"HTTP/".startswith(self.unread[:5]):
-            raise HttpError(f"no head: {bytes(self.unread[:40])!r}")
+        while self.head_expected and (end := self.head_buffer.find(b"\r\n\r\n") + 4) > 3:
+            out += LOAD_REPORT.sub(b"", bytes(self.head_buffer[:end]))
+            self.head_expected = self.head_buffer[9:10] == b"1"  # another follows after one like 100 Continue
+            del self.head_buffer[:end]
+        if not self.head_expected:
+            out += bytes(self.head_buffer)
+        elif len(self.head_buffer) > MAX_HEAD or not b"HTTP/".startswith(self.head_buffer[:5]):
+            raise HttpError(f"no head: {bytes(self.head_buffer[:40])!r}")
         return out
 
     def receive(self, data: bytes) -> Response | None:
         """Take bytes, none at the connection's end, and answer with the response once it is whole."""
-        if self.plain is not None:
-            return self._plain_body(data)
-        if self.asked is None:
-            return self._by_state(data)
-        self.unread += data
-        if data and b"\r\n\r\n" not in self.unread and len(self.unread) <= MAX_HEAD:
-            if not b"HTTP/1.1 "[: len(self.unread)] == self.unread[:9]:
-                raise HttpError(f"no head: {bytes(self.unread[:40])!r}")
+        if self.plain_response is not None:
+            return self._receive_plain_body(data)
+        if self.sent_request is None:
+            return self._receive_with_h11(data)
+        self.head_buffer += data
+        if data and b"\r\n\r\n" not in self.head_buffer and len(self.head_buffer) <= MAX_HEAD:
+            if not b"HTTP/1.1 "[: len(self.head_buffer)] == self.head_buffer[:9]:
+                raise HttpError(f"no head: {bytes(self.head_buffer[:40])!r}")
             return None
-        data = bytes(self.unread)
-        self.unread.clear()
-        if (found := self._plain_head(data)) is None:
-            self._tell()
-            return self._by_state(data)
-        self.asked = None
-        self.plain, self.left, start = found
-        self._begin_body(self.plain.status, self.left)
-        return self._plain_body(data[start:])
-
-    def _plain_body(self, data: bytes) -> Response | None:
-        assert self.plain is not None
-        if not data and self.left:
-            if self.heads:  # the head came alone
-                self.heads = False
+        data = bytes(self.head_buffer)
+        self.head_buffer.clear()
+        if (found := self._parse_plain_head(data)) is None:
+            self._send_to_h11()
+            return self._receive_with_h11(data)
+        self.sent_request = None
+        self.plain_response, self.body_left, start = found
+        self._begin_body(self.plain_response.status, self.body_left)
+        return self._receive_plain_body(data[start:])
+
+    def _receive_plain_body(self, data: bytes) -> Response | None:
+        assert self.plain_response is not None
+        if not data and self.body_left:
+            if self.head_expected:  # the head came alone
+                self.head_expected = False
                 return None
             raise HttpError("ended within its body")
-        self.heads = False
-        self.extra = len(data) > self.left
-        part = data[: self.left]
-        self.left -= len(part)
-        self._take_body(part)
-        if self.left:
+        self.head_expected = False
+        self.has_extra_bytes = len(data) > self.body_left
+        part = data[: self.body_left]
+        self.body_left -= len(part)
+        self._add_body(part)
+        if self.body_left:
             return None
-        return Response(self.plain.status, self.plain.headers, bytes(self.body))
+        return Response(self.plain_response.status, self.plain_response.headers, bytes(self.body))
 
     def _begin_body(self, status: int, length: int) -> None:
         if length <= self.max_body:
             return
         # guards memory: a body said to be too long is refused before it comes
-        if status != 200 or length > self.max_passed:
+        if status != 200 or length > self.max_streamed:
             raise HttpError(f"body of {length} bytes")
-        self.passing = length
+        self.streamed_length = length
 
-    def _take_body(self, data: bytes) -> None:
-        if self.passing:
-            self.pieces.append(data)
+    def _add_body(self, data: bytes) -> None:
+        if self.streamed_length:
+            self.chunks.append(data)
             return
         self.body += data
         if len(self.body) > self.max_body:
             raise HttpError(f"body of over {self.max_body} bytes")
 
-    def _by_state(self, data: bytes) -> Response | None:
+    def _receive_with_h11(self, data: bytes) -> Response | None:
         try:
             if not data:
                 self.connection.receive_data(b"")
-            elif cleaned := self._cleaned(data):
+            elif cleaned := self._without_load_report(data):
                 self.connection.receive_data(cleaned)
             while True:
                 event = self.connection.next_event()
@@ -191,7 +198,7 @@
                     headers = dict(event.headers)
                     self._begin_body(event.status_code, int(headers.get(b"content-length", b"0")))
                 elif isinstance(event, h11.Data):
-                    self._take_body(bytes(event.data))
+                    self._add_body(bytes(event.data))
                 elif isinstance(event, h11.EndOfMessage) and self.head is not None:
                     return Response(self.head.status_code, dict(self.head.headers), bytes(self.body))
                 elif not isinstance(event, h11.InformationalResponse):
@@ -199,13 +206,17 @@
         except h11.RemoteProtocolError as e:
             raise HttpError(str(e)) from e
 
-    def more_came(self) -> bool:
+    def has_trailing_bytes(self) -> bool:
         """Whether bytes came behind the response."""
-        return self.extra if self.plain is not None else bool(self.connection.trailing_data[0])
+        return (
+            self.has_extra_bytes
+            if self.plain_response is not None
+            else bool(self.connection.trailing_data[0])
+        )
 
     def reusable(self) -> bool:
         """Whether another request may follow."""
-        if self.plain is not None:
-            return not self.more_came() and not self.left
+        if self.plain_response is not None:
+            return not self.has_trailing_bytes() and not self.body_left
         ended = self.connection.our_state is self.connection.their_state is h11.DONE
-        return ended and not self.more_came()
+        return ended and not self.has_trailing_bytes()
--- a/myrtlecourse/net/list_updates.py
+++ b/myrtlecourse/net/list_updates.py
@@ -13,18 +13,18 @@
 from myrtlecourse import interface as api
 from myrtlecourse.net.members import Member
 
-BATCH = 32  # entries taken in one turn of the event loop
+BATCH_SIZE = 32  # entries taken in one turn of the event loop
 
 
 @dataclass(slots=True, frozen=True)
-class ListNews:
+class ListUpdate:
     """A whole list, or changes of one, as discovery told it."""
 
     kind: api.ListKind
     members: list[Member]
 
 
-def changed(held: Mapping[str, Member], news: ListNews) -> list[Member]:
+def changed_members(held: Mapping[str, Member], news: ListUpdate) -> list[Member]:
     """What news changes of the list that is held; what may not be sent to any more comes first.
 
     Of a server that is named more than once the last entry holds.
@@ -32,12 +32,12 @@
     named = {m.entry.server: m for m in news.members}
     found = [m for name, m in named.items() if held.get(name) != m]
     if news.kind is not api.ListKind.DELTA:
-        found += [gone(m) for name, m in held.items() if name not in named]
+        found += [as_gone(m) for name, m in held.items() if name not in named]
     found.sort(key=lambda m: m.entry.ready)
     return found
 
 
-def gone(member: Member) -> Member:
+def as_gone(member: Member) -> Member:
     """The entry of a server that a whole list does not name any more."""
     entry = member.entry
     left = api.ServerEntry(
@@ -46,41 +46,41 @@
     return Member(left, member.address)
 
 
-class ListUpdates:
+class ListUpdateQueue:
     """Lists that have come and are not taken yet."""
 
-    def __init__(self, held: Callable[[], Mapping[str, Member]], take: Callable[[ListNews], None]) -> None:
+    def __init__(self, held: Callable[[], Mapping[str, Member]], take: Callable[[ListUpdate], None]) -> None:
         """`held` gives the list as it stands, `take` enters news into it."""
-        self.held = held
-        self.take = take
-        self.waiting: deque[ListNews] = deque()
+        self.current_members = held
+        self.apply = take
+        self.queue: deque[ListUpdate] = deque()
         self.batches: deque[list[Member]] = deque()  # of the one in hand
 
     @property
     def pending(self) -> bool:
         """Whether there is more to take."""
-        return bool(self.batches or self.waiting)
+        return bool(self.batches or self.queue)
 
-    def put(self, news: ListNews) -> None:
+    def submit(self, news: ListUpdate) -> None:
         """Take news at once if it is short and nothing stands before it; else `step` takes it in its turn."""
         entries = len(news.members)
         if news.kind is not api.ListKind.DELTA:
-            entries += len(self.held())  # each of which it may end
-        if self.pending or entries > BATCH:
-            self.waiting.append(news)
+            entries += len(self.current_members())  # each of which it may end
+        if self.pending or entries > BATCH_SIZE:
+            self.queue.append(news)
         else:
-            self.take(news)
+            self.apply(news)
 
-    def step(self) -> None:
+    def apply_next_batch(self) -> None:
         """Take the next batch."""
         if not self.batches:
-            members = changed(self.held(), self.waiting.popleft())
+            members = changed_members(self.current_members(), self.queue.popleft())
             # one without entries, too: it tells that discovery has answered
-            starts = range(0, max(1, len(members)), BATCH)
-            self.batches.extend(members[start : start + BATCH] for start in starts)
-        self.take(ListNews(api.ListKind.DELTA, self.batches.popleft()))
+            starts = range(0, max(1, len(members)), BATCH_SIZE)
+            self.batches.extend(members[start : start + BATCH_SIZE] for start in starts)
+        self.apply(ListUpdate(api.ListKind.DELTA, self.batches.popleft()))
 
-    def drain(self) -> None:
+    def apply_all(self) -> None:
         """Take all that is left."""
         while self.pending:
-            self.step()
+            self.apply_next_batch()
--- a/myrtlecourse/net/request_log.py
+++ b/myrtlecourse/net/request_log.py
@@ -11,11 +11,11 @@
 from enum import Enum
 
 VARIABLE = "MYRTLECOURSE_LOG"
-REQUESTS = "requests"
+REQUESTS_VALUE = "requests"
 log = logging.getLogger("myrtlecourse.requests")
 
 
-class Close(Enum):
+class CloseReason(Enum):
     """Why a connection is closed by this router, or found closed."""
 
     CLIENT_LEFT = "client left"
@@ -23,13 +23,13 @@
     NO_ROOM = "descriptors are wanted for others"
     ENDING = "this process ends or is emptied"
     AFTER_ERROR = "after an error"
-    CUT_ANSWER = "a long answer can't be finished"
-    UNWANTED_BYTES = "bytes that nobody asked for"
-    TAKES_NOTHING = "its client takes nothing"
-    LINGERED = "closed before, and read for long enough"
-    FAULT = "a fault in this router"
+    INCOMPLETE_ANSWER = "a long answer can't be finished"
+    UNEXPECTED_BYTES = "bytes that nobody asked for"
+    ANSWER_NOT_READ = "its client takes nothing"
+    LINGER_ENDED = "closed before, and read for long enough"
+    INTERNAL_ERROR = "a fault in this router"
     ABANDONED = "its attempt is given up"
-    SPOILT = "its answer can't be used"
+    UNUSABLE_ANSWER = "its answer can't be used"
     PEER_CLOSED = "its server closed it, or was found to have"
     OTHER_PROCESS = "another process is at its address"
     NOT_WRITTEN = "its request could not be written in time"
@@ -39,23 +39,23 @@
     """Writes one line an event."""
 
     def __init__(self) -> None:
-        self.on = os.environ.get(VARIABLE, "") == REQUESTS
+        self.enabled = os.environ.get(VARIABLE, "") == REQUESTS_VALUE
 
     def event(self, request: str, event: str, **more: object) -> None:
         """Something happened to a request; to be called only while the log is on."""
-        told = "".join(f" {name}={_spelled(value)}" for name, value in more.items())
+        told = "".join(f" {name}={_format_value(value)}" for name, value in more.items())
         log.info("id=%s event=%s%s", request, event, told)
 
-    def closed(self, peer: str, address: object, why: Close, owed: int) -> None:
+    def connection_closed(self, peer: str, address: object, why: CloseReason, owed: int) -> None:
         """A connection to a client or server is closed, and `owed` answers were still to come on it."""
-        if self.on:
+        if self.enabled:
             log.info("id=- event=closed peer=%s at=%s why=%r owed=%d", peer, address, why.value, owed)
 
 
 requests_log = RequestLog()  # of this process
 
 
-def _spelled(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, float):
         return f"{value:.4f}"
     return str(value.value) if isinstance(value, Enum) else str(value)
--- a/myrtlecourse/net/resp.py
+++ b/myrtlecourse/net/resp.py
@@ -11,7 +11,7 @@
 MAX_LINE = 1024  # bytes, of error lines and simple strings
 MAX_NUMBER = 20  # bytes of a number or length
 MAX_DEPTH = 4
-MAX_SPLIT = 8  # parts of a command that is read the short way
+MAX_FAST_PATH_PARTS = 8  # parts of a command that is read the short way
 INTEGER = re.compile(rb"-?[0-9]{1,19}")
 LENGTH = re.compile(rb"-1|[0-9]{1,10}")
 
@@ -21,10 +21,10 @@
 
 
 class Sentinel(Enum):
-    NOT_YET = auto()
+    INCOMPLETE = auto()
 
 
-NOT_YET: Final = Sentinel.NOT_YET  # the next message is not whole
+INCOMPLETE: Final = Sentinel.INCOMPLETE  # the next message is not whole
 
 
 @dataclass(slots=True, frozen=True)
@@ -37,7 +37,7 @@
 Message = None | int | str | bytes | ErrorLine | list["Message"]
 
 
-def pack(parts: Sequence[bytes]) -> bytes:
+def encode_command(parts: Sequence[bytes]) -> bytes:
     """A command: an array of bulk strings."""
     return b"".join([b"*%d\r\n" % len(parts), *(b"$%d\r\n%b\r\n" % (len(p), p) for p in parts)])
 
@@ -47,7 +47,7 @@
 
     Nearly all commands are. What this does not know is not wrong: it is for a `Reader`, which is slower.
     """
-    lines = data.split(b"\r\n", 2 * MAX_SPLIT + 2)
+    lines = data.split(b"\r\n", 2 * MAX_FAST_PATH_PARTS + 2)
     count = len(lines)
     if count < 4 or count % 2 or lines[-1] or lines[0] != b"*%d" % (count // 2 - 1):
         return None
@@ -65,20 +65,20 @@
         self.max_bulk = max_bulk
         self.max_message = max_message
         self.buffer = bytearray()
-        self.announced = 0  # bytes that a message which is not whole has at least
+        self.announced_size = 0  # bytes that a message which is not whole has at least
 
     def feed(self, data: bytes | memoryview) -> None:
         self.buffer += data
 
-    def next(self) -> Message | Literal[Sentinel.NOT_YET]:
+    def next_message(self) -> Message | Literal[Sentinel.INCOMPLETE]:
         """The next whole message; it is read from its start each time, as nearly all come in one piece."""
         if not self.buffer:
-            return NOT_YET
+            return INCOMPLETE
         try:
             message, end = self._read(0, 0)
         except IndexError:
-            return NOT_YET
-        self.announced = 0
+            return INCOMPLETE
+        self.announced_size = 0
         del self.buffer[:end]
         return message
 
@@ -123,7 +123,7 @@
         # guards memory: what is said to be too long is refused before it comes, whether it comes or not
         if length > self.max_bulk or end > self.max_message:
             raise RespError("string is too long")
-        self.announced = end + 2
+        self.announced_size = end + 2
         tail = self.buffer[end : end + 2]
         # guards against a length that does not fit: the value would be another, and what follows it noise
         if tail != b"\r\n"[: len(tail)]:
--- a/myrtlecourse/ops/server.py
+++ b/myrtlecourse/ops/server.py
@@ -13,7 +13,7 @@
 from itertools import chain
 from typing import cast
 
-from myrtlecourse.net.logs import BoundedLog
+from myrtlecourse.net.rate_limited_log import RateLimitedLog
 from myrtlecourse.net.transport import Transport
 from myrtlecourse.ops.calls import Answer, Call, Exchange
 
@@ -21,7 +21,7 @@
 HEAD_TIME = 2.0  # seconds for a whole call to come
 LINGER = 1.0  # seconds for a caller to take its answer, and to close
 log = logging.getLogger(__name__)
-bounded = BoundedLog(log)
+bounded = RateLimitedLog(log)
 
 
 class OpsServer:
--- a/myrtlecourse/peers/end.py
+++ b/myrtlecourse/peers/end.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 from typing import Any, Generic, TypeVar
 
-from myrtlecourse.net.logs import BoundedLog
+from myrtlecourse.net.rate_limited_log import RateLimitedLog
 from myrtlecourse.peers.seal import Dropped
 from myrtlecourse.peers.wire import Sign, Wire
 
-bounded = BoundedLog(logging.getLogger(__name__))
+bounded = RateLimitedLog(logging.getLogger(__name__))
 Endpoint = tuple[str, int]
 Message = TypeVar("Message")
 
--- a/myrtlecourse/peers/speaker.py
+++ b/myrtlecourse/peers/speaker.py
@@ -10,14 +10,14 @@
 
 from myrtlecourse import interface as api
 from myrtlecourse.net.clock import Clock
-from myrtlecourse.net.logs import BoundedLog
+from myrtlecourse.net.rate_limited_log import RateLimitedLog
 from myrtlecourse.peers.gossip import PACE
 from myrtlecourse.peers.seal import Dropped
 from myrtlecourse.zones.agent import Agent, Part
 
 AGAIN = 0.2  # seconds until listening is tried again, where the process before this one still does
 log = logging.getLogger(__name__)
-bounded = BoundedLog(log)
+bounded = RateLimitedLog(log)
 Endpoint = tuple[str, int]
 
 
--- a/myrtlecourse/scale/hollow.py
+++ b/myrtlecourse/scale/hollow.py
@@ -22,9 +22,9 @@
 from myrtlecourse import interface as api
 from myrtlecourse.config import Config, ConfigError, read_config
 from myrtlecourse.fleet.operators import held
-from myrtlecourse.net.discovery import Discovery, Patience
+from myrtlecourse.net.discovery import Discovery, WatchTimeouts
 from myrtlecourse.net.host import Host
-from myrtlecourse.net.list_updates import ListNews
+from myrtlecourse.net.list_updates import ListUpdate
 from myrtlecourse.net.members import Member as Listed
 from myrtlecourse.net.origin import OriginConnection
 from myrtlecourse.net.pool import Pool
@@ -102,11 +102,11 @@
         self.discovery = Discovery(
             config.discovery,
             config.known_index,
-            self.host.list_told,
-            self.host.list_failed,
-            Patience.of(settings),
+            self.host.submit_list,
+            self.host.discovery_failed,
+            WatchTimeouts.from_settings(settings),
         )
-        self.host.updates.take = self._take_list
+        self.host.list_updates.apply = self._take_list
         self.speaker: CountingSpeaker | None = None
         if job.operators is not None:
             self.speaker = self._speaker(config, job.operators)
@@ -130,7 +130,7 @@
         agent = Agent(taken, clock(), time.time(), config.seed)
         speaker = CountingSpeaker(agent, bind, peers, clock, self.host.post)
         speaker.counts = self.counts
-        self.host.watch(agent)
+        self.host.set_watch(agent)
         return speaker
 
     def _subscribe(self) -> None:
@@ -138,16 +138,16 @@
 
     async def start(self, again: bool) -> None:
         """Begin with the list first given; `again`: its own former life may still be listening."""
-        self.host.list_told(api.ListKind.SAVED, self.config.known)
+        self.host.submit_list(api.ListKind.SAVED, self.config.known)
         if not self.config.settings.subscribe:
             self.discovery.subscribe()
         if self.speaker is not None:
             await self.speaker.start(shared=again)
 
-    def _take_list(self, news: ListNews) -> None:
+    def _take_list(self, news: ListUpdate) -> None:
         """Note what is in force once its decisions have it."""
         before = dict(self.host.members)
-        self.host.take_list(news)
+        self.host.apply_list(news)
         now, after = time.monotonic(), self.host.members
         for name, new in after.items():
             old = before.get(name)
@@ -173,8 +173,8 @@
         self.discovery.close()
         if self.speaker is not None:
             self.speaker.close()
-        if self.host.timers.armed is not None:
-            self.host.timers.armed.cancel()
+        if self.host.timers.loop_timer is not None:
+            self.host.timers.loop_timer.cancel()
 
 
 class HollowProcess:
--- a/myrtlecourse/scale/slopes.py
+++ b/myrtlecourse/scale/slopes.py
@@ -21,7 +21,7 @@
 from myrtlecourse import policy
 from myrtlecourse.net import discovery
 from myrtlecourse.net.host import Host
-from myrtlecourse.net.list_updates import ListNews
+from myrtlecourse.net.list_updates import ListUpdate
 from myrtlecourse.net.members import Member
 from myrtlecourse.net.origin import OriginConnection
 from myrtlecourse.net.pool import Pool
@@ -90,8 +90,8 @@
 def told(to: Host, body: bytes) -> None:
     """An answer of discovery's is read, and taken by host and module, in as many turns as that takes."""
     whole, members = parse(body)
-    to.updates.put(ListNews(api.ListKind.FULL if whole else api.ListKind.DELTA, members))
-    to.updates.drain()
+    to.list_updates.submit(ListUpdate(api.ListKind.FULL if whole else api.ListKind.DELTA, members))
+    to.list_updates.apply_all()
 
 
 def longest_turn(to: Host, body: bytes) -> float:
@@ -105,15 +105,15 @@
         turns.append(now - before)
         before = now
 
-    head = discovery.read_head(orjson.loads(body))
+    head = discovery.read_header(orjson.loads(body))
     members: list[Member] = []
-    for start in range(0, max(1, len(head.lines)), discovery.READ_AT_ONCE):
-        members += head.read(start, start + discovery.READ_AT_ONCE)
+    for start in range(0, max(1, len(head.entries)), discovery.ENTRIES_PER_ITERATION):
+        members += head.read_members(start, start + discovery.ENTRIES_PER_ITERATION)
         turn_ends()
-    to.updates.put(ListNews(api.ListKind.FULL if head.whole else api.ListKind.DELTA, members))
+    to.list_updates.submit(ListUpdate(api.ListKind.FULL if head.is_full else api.ListKind.DELTA, members))
     turn_ends()
-    while to.updates.pending:
-        to.updates.step()
+    while to.list_updates.pending:
+        to.list_updates.apply_next_batch()
         turn_ends()
     return max(turns)
 
--- a/myrtlecourse/service.py
+++ b/myrtlecourse/service.py
@@ -15,16 +15,16 @@
 from myrtlecourse import interface as api
 from myrtlecourse.beyond import ABSENT, Beyond
 from myrtlecourse.config import Config, ConfigError, read_file, read_reload
-from myrtlecourse.net.descriptors import Descriptors
-from myrtlecourse.net.discovery import Discovery, Patience
+from myrtlecourse.net.descriptors import DescriptorBudget
+from myrtlecourse.net.discovery import Discovery, WatchTimeouts
+from myrtlecourse.net.flow_control import MEMORY_SHARE, StreamWindows, UploadMemory
 from myrtlecourse.net.host import Host
-from myrtlecourse.net.listener import NOTICE, Listener
-from myrtlecourse.net.logs import BoundedLog
+from myrtlecourse.net.listener import FRONT_REACTION_TIME, Listener
 from myrtlecourse.net.members import Member
 from myrtlecourse.net.origin import OriginConnection
 from myrtlecourse.net.pool import Pool
+from myrtlecourse.net.rate_limited_log import RateLimitedLog
 from myrtlecourse.net.servers import CacheConnection
-from myrtlecourse.net.window import PART, Room, Windows
 from myrtlecourse.ops.calls import Answer, Call, Kind
 from myrtlecourse.ops.lives import Claim, Lives, share
 from myrtlecourse.ops.orders import Listed, Orders, OrdersError, changes
@@ -42,7 +42,7 @@
 LOOK = 0.1  # seconds between looks for what another process of an upgrade was told
 FIRST_LIST = 1.0  # seconds to wait for a fresh list at an upgrade, before the one held has to do
 END_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-bounded = BoundedLog(logging.getLogger(__name__))
+bounded = RateLimitedLog(logging.getLogger(__name__))
 
 
 def ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
@@ -72,17 +72,19 @@
         settings = config.settings
         room = config.sockets - RESERVE
         dial, idle = settings.dial_timeout, settings.connection_idle
-        self.descriptors = descriptors = Descriptors(room)
+        self.descriptors = descriptors = DescriptorBudget(room)
         longest = config.longest_answer
-        self.windows, self.room = Windows(), Room()
+        self.windows, self.room = StreamWindows(), UploadMemory()
         windows = self.windows
         self.servers = Pool(CacheConnection, room * 3 // 8, dial, idle, longest, descriptors, windows)
         self.origin = Pool(OriginConnection, room // 8, dial, idle, longest, descriptors, windows)
         self.door = CoreControl(settings)
         self.host = Host(settings, config.seed, self.servers, self.origin, self._subscribe, self.door)
         index = config.known_index if inherited is None else None  # at an upgrade the whole list, at once
-        patience = Patience.of(settings)
-        self.discovery = Discovery(config.discovery, index, self._list_told, self.host.list_failed, patience)
+        patience = WatchTimeouts.from_settings(settings)
+        self.discovery = Discovery(
+            config.discovery, index, self._list_told, self.host.discovery_failed, patience
+        )
         self.listener = Listener(self.host, room // 2, descriptors, windows, self.room)
         self.listed = Listed()
         self.store = Store(folder)
@@ -110,7 +112,7 @@
     def _list_told(self, kind: api.ListKind, members: list[Member]) -> None:
         origin = self.host.settings.origin_kind if self.host.settings.aside else None
         self.listed.note((m.entry.server, m.entry.kind != origin) for m in members)
-        self.host.list_told(kind, members)
+        self.host.submit_list(kind, members)
         if kind is not api.ListKind.SAVED:
             self.fresh.set()
 
@@ -161,25 +163,29 @@
                 self.lives.end()
             except OSError as e:
                 logging.error("its claim on descriptors was not taken back: %s", e)
-        logging.info("ended; the longest turn of the event loop took %.1f ms", 1000 * self.host.turns.longest)
+        logging.info(
+            "ended; the longest turn of the event loop took %.1f ms", 1000 * self.host.loop_lag.longest
+        )
         ignore_signals(loop)
 
     async def _end(self) -> None:
         """End what was taken, and give up what is held for the fleet, both by when SIGKILL may come."""
         loop = asyncio.get_running_loop()
         inherited = self.inherited is not None
-        logging.info("ending: no new connections %s", "from now on" if inherited else f"in {NOTICE:g} s")
+        logging.info(
+            "ending: no new connections %s", "from now on" if inherited else f"in {FRONT_REACTION_TIME:g} s"
+        )
         self.ending = True
         longest = min(LONGEST_END, self.host.settings.longest_deadline) + KILLED - END_MARGIN
         over = loop.time() + longest
         # guards what is taken from here on: giving up a duty may take longer than a request has
-        self.host.end_by(longest)
+        self.host.refuse_beyond(longest)
         beyond = self.beyond
         closing = asyncio.create_task(beyond.close()) if beyond is not None else None
         if closing is not None and not inherited:
             # until the service address is elsewhere clients still come here
-            await asyncio.wait([closing], timeout=longest - NOTICE)
-        await self.listener.stop(NOTICE, over - loop.time())
+            await asyncio.wait([closing], timeout=longest - FRONT_REACTION_TIME)
+        await self.listener.stop(FRONT_REACTION_TIME, over - loop.time())
         if closing is not None:
             await asyncio.wait([closing], timeout=max(0.0, over - loop.time()))
             if not closing.done():
@@ -200,9 +206,9 @@
         """Do what an operator calls for, or say why not."""
         now = time.time()
         if call.kind is Kind.READY:
-            if self.host.ready():
+            if self.host.accepts_clients():
                 return Answer(HTTPStatus.OK, "ready")
-            if self.host.may_serve():
+            if self.host.has_usable_server():
                 return Answer(HTTPStatus.SERVICE_UNAVAILABLE, "the service address is elsewhere")
             why = "no cache server is known" if self.host.in_service else "out of service"
             return Answer(HTTPStatus.SERVICE_UNAVAILABLE, why)
@@ -230,18 +236,18 @@
         before, self.orders = self.orders, self.store.orders
         for event in changes(before, self.orders):
             if isinstance(event, api.Offline):
-                self.host.offline(event.server)
+                self.host.take_offline(event.server)
             else:
-                self.host.online(event.server, event.since)
+                self.host.bring_online(event.server, event.since)
         if before.out_of_service is not self.orders.out_of_service:
             self.host.in_service = not self.orders.out_of_service
             if self.orders.out_of_service:
                 logging.info("out of service: clients go as they fall idle")
-                self.listener.empty()
+                self.listener.start_drain()
             else:
                 logging.info("in service")
-                if self.host.addressed:
-                    self.listener.refill()
+                if self.host.holds_service_address:
+                    self.listener.stop_drain()
 
     async def _watch_others(self) -> None:
         """What is told to one process of an upgrade binds both, and they share one router's limits."""
@@ -274,12 +280,14 @@
                 pool.close_all_idle()
         descriptors = self.descriptors
         if self.lives is not None:
-            descriptors.total = share(total, descriptors.used(), self.ending, self.lives.born, others)
+            descriptors.total = share(
+                total, descriptors.descriptors_used(), self.ending, self.lives.born, others
+            )
             try:
                 self.lives.claim(descriptors.total)
             except OSError as e:
                 bounded.log(logging.ERROR, "telling another process of its descriptors: %s", e)
-        self.windows.budget = self.room.budget = int(self.config.memory * PART / (1 + len(others)))
+        self.windows.budget = self.room.budget = int(self.config.memory * MEMORY_SHARE / (1 + len(others)))
 
     # Reloads
 
@@ -313,8 +321,8 @@
             self._retune(config.settings)
         if config.discovery != before.discovery:
             logging.info("discovery is now %s", config.discovery)
-            self.discovery.move(config.discovery)
-            self.host.list_moved()
+            self.discovery.change_address(config.discovery)
+            self.host.discovery_moved()
             if not config.settings.subscribe:
                 self.discovery.subscribe()
         if self.beyond is not None:
@@ -327,14 +335,14 @@
         dropped = {name: c for name, c in before.items() if name not in settings.classes}
         added = [name for name in settings.classes if name not in before]
         logging.info("new settings: classes added %s, dropped %s", added or "none", [*dropped] or "none")
-        self.host.retune(replace(settings, classes={**dropped, **settings.classes}))
-        self.discovery.patience = Patience.of(settings)
+        self.host.change_settings(replace(settings, classes={**dropped, **settings.classes}))
+        self.discovery.timeouts = WatchTimeouts.from_settings(settings)
         if dropped:
             asyncio.get_running_loop().call_later(FORMER, self._drop_former, settings)
 
     def _drop_former(self, settings: api.Settings) -> None:
         if self.config.settings == settings:  # else a later reload has its own
-            self.host.retune(settings)
+            self.host.change_settings(settings)
 
 
 def inherited_socket() -> int | None:
--- a/myrtlecourse/spread/keeper.py
+++ b/myrtlecourse/spread/keeper.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from myrtlecourse.net.logs import BoundedLog
+from myrtlecourse.net.rate_limited_log import RateLimitedLog
 from myrtlecourse.peers.end import End, Endpoint
 from myrtlecourse.peers.wire import Wire
 from myrtlecourse.spread import head_events as of_head
@@ -25,7 +25,7 @@
 AGAIN = 0.2  # seconds until listening is tried again, where the process before this one still does
 MOST_TICKETS = 1000  # entries that are proposed here and not answered
 log = logging.getLogger(__name__)
-bounded = BoundedLog(log)
+bounded = RateLimitedLog(log)
 Answered = Callable[[of_head.Acknowledge | of_head.Refuse], None]
 
 
--- a/myrtlecourse/spread/setup.py
+++ b/myrtlecourse/spread/setup.py
@@ -7,7 +7,7 @@
 
 from myrtlecourse.address.setup import read_key
 from myrtlecourse.config import ConfigError
-from myrtlecourse.net.pool import address_of
+from myrtlecourse.net.pool import parse_address
 from myrtlecourse.peers.end import Endpoint
 from myrtlecourse.spread.keeper import Keeper
 
@@ -17,7 +17,7 @@
 
 def peers(table: Spread) -> dict[str, Endpoint]:
     """Where each member hears the others."""
-    return {p.name: address_of(p.at) for p in table.members()}
+    return {p.name: parse_address(p.at) for p in table.members()}
 
 
 def keys(table: Spread) -> tuple[bytes, tuple[bytes, ...]]:
@@ -40,4 +40,4 @@
 
 def own(table: Spread) -> Endpoint:
     """Where this process listens."""
-    return address_of(table.listen) if table.listen is not None else peers(table)[table.name]
+    return parse_address(table.listen) if table.listen is not None else peers(table)[table.name]
--- a/myrtlecourse/zones/setup.py
+++ b/myrtlecourse/zones/setup.py
@@ -11,7 +11,7 @@
 from myrtlecourse import interface as api
 from myrtlecourse.address.setup import read_key
 from myrtlecourse.config import Config, ConfigError
-from myrtlecourse.net.pool import address_of
+from myrtlecourse.net.pool import parse_address
 from myrtlecourse.peers.speaker import Endpoint, Speaker
 from myrtlecourse.zones.agent import Agent, Part
 from myrtlecourse.zones.tiers import Tiers
@@ -33,9 +33,9 @@
         ConfigError: a file that is named can't be used.
     """
     if table.peers:
-        peers = {p.name: address_of(p.at) for p in table.peers}
+        peers = {p.name: parse_address(p.at) for p in table.peers}
         name, zone = table.name or "", table.zone or ""
-        bind = address_of(table.listen) if table.listen is not None else peers[name]
+        bind = parse_address(table.listen) if table.listen is not None else peers[name]
     elif config.settings.peers and config.peer_listen is not None and config.peers:
         # by their numbers in the settings: the platform names them no other way
         peers = {str(i): at for i, at in enumerate(config.peers)}
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -229,7 +229,7 @@
     def list(self, *names: str) -> None:
         members = [member(n, self.caches[n].address) for n in names]
         origin = member("o", self.origin.address, "origin")
-        self.host.list_told(api.ListKind.FULL, [*members, origin])
+        self.host.submit_list(api.ListKind.FULL, [*members, origin])
 
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
--- a/tests/soak_wrong.py
+++ b/tests/soak_wrong.py
@@ -27,13 +27,13 @@
 
 def forgets_drains() -> None:
     """Takes servers that drain for ready ones."""
-    told = host.Host.take_list
+    told = host.Host.apply_list
 
     def take(self: Any, news: Any) -> None:
         ready = [m for m in news.members if m.entry.ready]
         told(self, type(news)(news.kind, ready))
 
-    host.Host.take_list = take  # type: ignore[method-assign]
+    host.Host.apply_list = take  # type: ignore[method-assign]
 
 
 WAYS = (ends_at_once, misses_deadlines, forgets_drains)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from myrtlecourse.net.clock import MOST_STEPS, STEP, Clock
+from myrtlecourse.net.clock import MAX_OFFSETS, MIN_STEP, Clock
 
 
 class Machine:
@@ -24,7 +24,7 @@
 
 steps = st.lists(
     st.tuples(st.floats(0.1, 20.0), st.sampled_from([-3600.0, -5.0, 0.0, 2.0, 3600.0])),
-    max_size=MOST_STEPS // 2,
+    max_size=MAX_OFFSETS // 2,
 )
 
 
@@ -42,18 +42,18 @@
         passed += seconds
         starts.append((clock.now(), machine.wall()))
         machine.offset += step
-        assert abs(clock.look() - step) < STEP
+        assert abs(clock.detect_step() - step) < MIN_STEP
         starts.append((clock.now(), machine.wall()))
     assert abs(clock.now() - began - passed) < 1e-5
     for started, since in starts:
-        assert started - 1e-3 <= clock.start_of(since) <= clock.now() + 1e-6
+        assert started - 1e-3 <= clock.start_on_this_clock(since) <= clock.now() + 1e-6
 
 
 def test_without_a_step_a_start_is_what_is_told() -> None:
     machine = Machine()
     clock = machine.clock()
     machine.steady += 30.0
-    assert clock.look() == 0.0 and not clock.stepped
-    assert abs(clock.start_of(machine.wall() - 7.0) - (clock.now() - 7.0)) < 1e-6
-    assert clock.start_of(0.0) == 0.0
-    assert clock.start_of(machine.wall() + 9.0) == clock.now()
+    assert clock.detect_step() == 0.0 and not clock.stepped
+    assert abs(clock.start_on_this_clock(machine.wall() - 7.0) - (clock.now() - 7.0)) < 1e-6
+    assert clock.start_on_this_clock(0.0) == 0.0
+    assert clock.start_on_this_clock(machine.wall() + 9.0) == clock.now()
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -20,7 +20,7 @@
 import orjson
 import pytest
 
-from myrtlecourse.net.pool import address_of
+from myrtlecourse.net.pool import parse_address
 from tests.loopback import Link, Peer, http, read, run
 from tests.test_main import GOOD
 from tests.test_net_discovery import LINE
@@ -166,7 +166,7 @@
         while b"listening on " not in (text := log.read_bytes()):
             assert process.returncode is None, text.decode()[-2000:]
             await asyncio.sleep(0.02)
-        yield process.pid, address_of(text.split(b"listening on ")[1].split()[0].decode())
+        yield process.pid, parse_address(text.split(b"listening on ")[1].split()[0].decode())
     finally:
         with suppress(ProcessLookupError):
             os.kill(process.pid, signal.SIGCONT)
--- a/tests/test_list_updates.py
+++ b/tests/test_list_updates.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from myrtlecourse import interface as api
-from myrtlecourse.net.list_updates import BATCH, ListNews, ListUpdates
+from myrtlecourse.net.list_updates import BATCH_SIZE, ListUpdate, ListUpdateQueue
 from myrtlecourse.net.members import Member
 from tests.loopback import member
 
@@ -20,13 +20,13 @@
 
 
 news = st.builds(
-    ListNews,
+    ListUpdate,
     st.sampled_from([api.ListKind.DELTA, api.ListKind.FULL]),
     st.lists(entries, max_size=130),  # a server may be named again: the last entry holds
 )
 
 
-def applied(held: dict[str, Member], told: ListNews) -> dict[str, Member]:
+def applied(held: dict[str, Member], told: ListUpdate) -> dict[str, Member]:
     """A list after news, the plain way."""
     after = dict(held) if told.kind is api.ListKind.DELTA else {}
     for each in told.members:
@@ -42,42 +42,42 @@
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
-        self.steps: list[ListNews] = []
-        self.updates = ListUpdates(lambda: self.members, self.take)
+        self.steps: list[ListUpdate] = []
+        self.updates = ListUpdateQueue(lambda: self.members, self.take)
 
-    def take(self, told: ListNews) -> None:
+    def take(self, told: ListUpdate) -> None:
         self.steps.append(told)
         self.members = applied(self.members, told)
 
 
 @given(st.lists(news, max_size=5), st.integers(0, 3))
 def test_the_list_is_the_one_that_came_and_no_step_takes_more_than_a_batch(
-    lists: list[ListNews], steps_between: int
+    lists: list[ListUpdate], steps_between: int
 ) -> None:
     taker = Taker()
     plain: dict[str, Member] = {}
     for told in lists:
         plain = applied(plain, told)
-        taker.updates.put(told)
+        taker.updates.submit(told)
         for _ in range(steps_between):
             if taker.updates.pending:
-                taker.updates.step()
-    taker.updates.drain()
+                taker.updates.apply_next_batch()
+    taker.updates.apply_all()
     assert taker.members == plain
-    assert all(len(step.members) <= BATCH for step in taker.steps)
+    assert all(len(step.members) <= BATCH_SIZE for step in taker.steps)
     assert len(taker.steps) >= len(lists)  # each tells that discovery has answered
 
 
 def test_a_long_list_ends_servers_before_it_brings_new_ones() -> None:
     taker = Taker()
     before = [member(f"old{n}", "127.0.0.1:1") for n in range(100)]
-    taker.updates.put(ListNews(api.ListKind.FULL, before))
-    taker.updates.drain()
+    taker.updates.submit(ListUpdate(api.ListKind.FULL, before))
+    taker.updates.apply_all()
     after = [member(f"new{n}", "127.0.0.1:1") for n in range(100)]
     after += [member("old7", "127.0.0.1:1", state=api.State.DRAINING), before[8]]
     taker.steps.clear()
-    taker.updates.put(ListNews(api.ListKind.FULL, after))
-    taker.updates.drain()
+    taker.updates.submit(ListUpdate(api.ListKind.FULL, after))
+    taker.updates.apply_all()
     order = [m.entry for step in taker.steps for m in step.members]
     readiness = [entry.ready for entry in order]
     assert readiness == sorted(readiness) and len(order) == 199
@@ -87,9 +87,9 @@
 def test_of_a_server_named_twice_in_a_long_list_the_last_entry_holds() -> None:
     """Drains came first in the order of batches, and an older entry of the same server after them."""
     taker = Taker()
-    many = [member(f"s{n}", "127.0.0.1:1") for n in range(2 * BATCH)]
+    many = [member(f"s{n}", "127.0.0.1:1") for n in range(2 * BATCH_SIZE)]
     drains = [member(m.entry.server, "127.0.0.1:1", state=api.State.DRAINING) for m in many]
-    taker.updates.put(ListNews(api.ListKind.DELTA, [*many, *drains, many[3]]))
-    taker.updates.drain()
+    taker.updates.submit(ListUpdate(api.ListKind.DELTA, [*many, *drains, many[3]]))
+    taker.updates.apply_all()
     ready = {name for name, each in taker.members.items() if each.entry.ready}
     assert ready == {"s3"} and len(taker.members) == len(many)
--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -20,7 +20,7 @@
 from myrtlecourse.load.page import page
 from myrtlecourse.load.profile import Clients, Piece, Profile, RequestClass
 from myrtlecourse.load.requests import planned
-from myrtlecourse.net.resp import NOT_YET, Reader
+from myrtlecourse.net.resp import INCOMPLETE, Reader
 from tests.loopback import run
 from tests.virtual_time import VirtualTimeLoop
 
@@ -41,7 +41,7 @@
 
     def data_received(self, data: bytes) -> None:
         self.reader.feed(data)
-        while (parts := self.reader.next()) is not NOT_YET:
+        while (parts := self.reader.next_message()) is not INCOMPLETE:
             self.answer(self, parts, self.transport)  # type: ignore[arg-type]
 
     def say(self, data: bytes) -> None:
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -18,7 +18,7 @@
 
 from myrtlecourse import __main__ as program
 from myrtlecourse.config import read_config
-from myrtlecourse.net.pool import address_of
+from myrtlecourse.net.pool import parse_address
 from tests.loopback import HIT, PATIENCE, Link, Peer, command, http, read, run, spelled
 from tests.test_net_discovery import LINE, message
 from tests.test_wirehost import CONF
@@ -111,7 +111,7 @@
     assert log is not None
     while (found := re.search(rb"listening on ([0-9.]+:\d+)", await log.readline())) is None:
         assert not log.at_eof()
-    return address_of(found[1].decode())
+    return parse_address(found[1].decode())
 
 
 @asynccontextmanager
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -13,12 +13,12 @@
 
 from myrtlecourse import interface as api
 from myrtlecourse.net import discovery as discoveries
-from myrtlecourse.net.discovery import TOLD, Discovery, ListError, Patience, read_list
+from myrtlecourse.net.discovery import ASSUMED_DELIVERY, Discovery, ListError, WatchTimeouts, read_list
 from myrtlecourse.net.members import Member
 from myrtlecourse.policy import Router
 from tests.loopback import Link, Peer, http, run
 
-ASKED = Patience.of(api.Settings({}, subscribe=True))
+ASKED = WatchTimeouts.from_settings(api.Settings({}, subscribe=True))
 LINE: dict[str, Any] = {
     "name": "s-1",
     "address": "127.0.0.9:6379",
@@ -38,7 +38,7 @@
 class Told:
     """What a watch tells its router, in order; a failure is None."""
 
-    def __init__(self, peer: Peer, patience: Patience = ASKED) -> None:
+    def __init__(self, peer: Peer, patience: WatchTimeouts = ASKED) -> None:
         self.news: asyncio.Queue[tuple[api.ListKind, list[Member]] | None] = asyncio.Queue()
         self.watch = Discovery(
             peer.address,
@@ -159,7 +159,7 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer, Patience(0.05, 0.05, 0.05))
+            told = Told(peer, WatchTimeouts(0.05, 0.05, 0.05))
             _, link = await call(peer)
             assert await told.news.get() is None
             assert await link.ended()
@@ -173,7 +173,7 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer, Patience(0.05, 0.05, 2.0))
+            told = Told(peer, WatchTimeouts(0.05, 0.05, 2.0))
             _, link = await call(peer)
             link.write(http("200 OK", message(42, False)))
             await told.news.get()
@@ -202,16 +202,16 @@
     conf = replace(conf, fall_window=window)
     for pushed in (False, True):
         settings = replace(conf, subscribe=not pushed)
-        patience = Patience.of(settings)
+        patience = WatchTimeouts.from_settings(settings)
         router = Router(settings, failures, 0.0)
         for _ in range(failures):
             actions = router.handle(0.0, api.ServerList(api.ListKind.FAILED))
         (pause,) = [a.delay for a in actions if isinstance(a, api.SetTimer)]
-        silent = patience.wait + patience.margin
+        silent = patience.poll_time + patience.answer_margin
         if pushed:  # what the agent has counts at once
-            assert silent + pause <= max(grace, 2 * discoveries.LEAST + grace / 8)
+            assert silent + pause <= max(grace, 2 * discoveries.MIN_TIMEOUT + grace / 8)
         else:
-            assert silent + pause + patience.turn < TOLD
+            assert silent + pause + patience.queue_time < ASSUMED_DELIVERY
 
 
 def test_a_fault_in_taking_a_list_is_told_as_a_failed_call() -> None:
@@ -224,10 +224,10 @@
             def faulty(kind: api.ListKind, members: list[Member]) -> None:
                 raise RuntimeError("a fault")
 
-            told.watch.told = faulty
+            told.watch.on_list = faulty
             _, link = await call(peer)
             link.write(http("200 OK", message(42, False, LINE)))
-            assert await told.news.get() is None and told.watch.watch is None
+            assert await told.news.get() is None and told.watch.watch_task is None
             told.watch.subscribe()
             assert "after=41&" in (await call(peer))[0]  # it has to be told again
             told.watch.close()
@@ -242,7 +242,7 @@
         async with Peer() as old, Peer() as new:
             told = Told(old)
             _, link = await call(old)
-            told.watch.move(new.address)
+            told.watch.change_address(new.address)
             assert await link.ended()
             told.watch.subscribe()
             first, link = await call(new)
--- a/tests/test_net_errors.py
+++ b/tests/test_net_errors.py
@@ -13,8 +13,8 @@
 
 from myrtlecourse import interface as api
 from myrtlecourse.net import listener as listeners
-from myrtlecourse.net.listener import OF_ONE_CLIENT
-from myrtlecourse.net.pool import OWN_SHORTAGE
+from myrtlecourse.net.listener import SINGLE_CLIENT_ERRORS
+from myrtlecourse.net.pool import LOCAL_SHORTAGE_ERRORS
 from myrtlecourse.net.request_log import requests_log
 from tests.loopback import HIT, Router, command, read, run, spelled
 
@@ -65,7 +65,9 @@
     return bool(await client.resp() == b"PONG")
 
 
-@pytest.mark.parametrize("code", sorted({*OF_ONE_CLIENT, *SHORTAGES}), ids=lambda c: errno.errorcode[c])
+@pytest.mark.parametrize(
+    "code", sorted({*SINGLE_CLIENT_ERRORS, *SHORTAGES}), ids=lambda c: errno.errorcode[c]
+)
 def test_a_failed_accept_leaves_the_others_let_in_and_does_not_spin(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -116,7 +118,7 @@
             router.listener.socket = failing
             client = await router.client()
             await asyncio.sleep(0.2)
-            assert 0 < failing.calls <= 12 * listeners.ACCEPTS
+            assert 0 < failing.calls <= 12 * listeners.MAX_ACCEPTS
             failing.errors.clear()
             client.write(command("PING"))
             assert await client.resp() == b"PONG"
@@ -133,7 +135,7 @@
             gone = await router.client()
             assert await gone.ended()
             assert await ping(router)
-            assert len(router.listener.connections) + len(router.listener.coming) <= 1
+            assert len(router.listener.connections) + len(router.listener.setup_tasks) <= 1
 
     run(scenario)
 
@@ -163,13 +165,15 @@
     return next(n for n, p in router.caches.items() if p.address == failed[0])
 
 
-@pytest.mark.parametrize("code", sorted({*OWN_SHORTAGE, *UNREACHED}), ids=lambda c: errno.errorcode[c])
+@pytest.mark.parametrize(
+    "code", sorted({*LOCAL_SHORTAGE_ERRORS, *UNREACHED}), ids=lambda c: errno.errorcode[c]
+)
 def test_a_dial_that_fails_is_made_elsewhere_and_own_shortages_count_against_no_server(
     code: int, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(requests_log, "on", True)
+    monkeypatch.setattr(requests_log, "enabled", True)
     caplog.set_level(logging.INFO, "myrtlecourse.requests")
-    own = code in OWN_SHORTAGE
+    own = code in LOCAL_SHORTAGE_ERRORS
 
     async def scenario() -> None:
         async with Router() as router:
--- a/tests/test_net_window.py
+++ b/tests/test_net_flow_control.py
@@ -9,29 +9,29 @@
 from hypothesis import strategies as st
 
 from myrtlecourse.net import clients
-from myrtlecourse.net.window import LARGEST, SMALLEST, Room, Windows
+from myrtlecourse.net.flow_control import MAX_WINDOW, MIN_WINDOW, StreamWindows, UploadMemory
 from tests.loopback import Router, book, command, http, needs_sources, run
 
 
 @given(st.integers(1 << 20, 1 << 26), st.integers(0, 5000))
 def test_flows_share_the_budget(budget: int, flows: int) -> None:
-    windows = Windows(budget)
-    windows.flows = flows
-    assert SMALLEST <= windows.size() <= LARGEST
-    assert windows.size() == SMALLEST or 2 * flows * windows.size() <= budget
+    windows = StreamWindows(budget)
+    windows.streams = flows
+    assert MIN_WINDOW <= windows.size() <= MAX_WINDOW
+    assert windows.size() == MIN_WINDOW or 2 * flows * windows.size() <= budget
 
 
 class Client:
     def __init__(self) -> None:
         self.told = 0
 
-    def admitted(self) -> None:
+    def on_reserved(self) -> None:
         self.told += 1
 
 
 @given(st.lists(st.tuples(st.integers(1, 80), st.booleans()), max_size=30))
 def test_room_is_given_in_order_and_never_twice(asked: list[tuple[int, bool]]) -> None:
-    room = Room(100)
+    room = UploadMemory(100)
     waiting: list[tuple[Client, int]] = []
     held: list[int] = []
     for size, end in asked:
@@ -51,10 +51,10 @@
 
 
 def test_who_gives_up_lets_those_behind_go_on() -> None:
-    room, big, small = Room(100), Client(), Client()
+    room, big, small = UploadMemory(100), Client(), Client()
     assert room.reserve(Client(), 60)
     assert not room.reserve(big, 80) and not room.reserve(small, 30)
-    room.give_up(big)
+    room.stop_waiting(big)
     assert small.told == 1 and room.reserved == 90
 
 
@@ -74,7 +74,7 @@
             assert first == "PUT /k HTTP/1.1" and body == value
             origin.write(http("200 OK", b"receipt"))
             assert await client.resp() == b"receipt"
-            assert router.listener.room.reserved == 0
+            assert router.listener.upload_memory.reserved == 0
 
     run(scenario)
 
@@ -84,10 +84,10 @@
         async with Router() as router:
             client = await router.client()
             client.write(book("r1", value=b"x" * 1_000_000)[:500_000])
-            while not router.listener.room.reserved:
+            while not router.listener.upload_memory.reserved:
                 await asyncio.sleep(0.001)
             client.close()
-            while router.listener.room.reserved:
+            while router.listener.upload_memory.reserved:
                 await asyncio.sleep(0.001)
 
     run(scenario)
@@ -98,13 +98,13 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            router.listener.room.budget = 3_000_000
+            router.listener.upload_memory.budget = 3_000_000
             one, other = await router.client(), await router.client()
             one.write(book("r1", value=b"x" * 1_000_000)[:-1])
-            while not router.listener.room.reserved:
+            while not router.listener.upload_memory.reserved:
                 await asyncio.sleep(0.001)
             other.write(book("r2", value=b"y" * 1_000_000))
-            while not router.listener.room.queue:
+            while not router.listener.upload_memory.waiting:
                 await asyncio.sleep(0.001)
             held = sum(len(c.reader.buffer) for c in router.listener.connections)
             assert held < 1_500_000
@@ -123,12 +123,12 @@
 @needs_sources
 def test_who_waits_for_room_too_long_is_refused_and_may_come_again(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(clients, "STARVED_TIME", 0.05)
+        monkeypatch.setattr(clients, "RESERVATION_TIMEOUT", 0.05)
         async with Router() as router:
-            router.listener.room.budget = 3_000_000
+            router.listener.upload_memory.budget = 3_000_000
             one, other = await router.client(), await router.client()
             one.write(book("r1", value=b"x" * 1_000_000)[:-1])
-            while not router.listener.room.reserved:
+            while not router.listener.upload_memory.reserved:
                 await asyncio.sleep(0.001)
             other.write(book("r2", value=b"y" * 1_000_000))
             assert str(await other.resp()) == "BUSY 2000"
--- a/tests/test_net_hangup.py
+++ b/tests/test_net_hangup.py
@@ -55,7 +55,7 @@
             close(client)
             await until(lambda: not router.host.requests and not router.listener.connections)
             assert not router.host.router.held
-            assert router.host.used == taken
+            assert router.host.recent_ids == taken
 
     run(scenario)
 
@@ -70,10 +70,10 @@
             client.write(command("C.NONE", "k") + read("r1", info=LONG))
             await unread(router)
             (connection,) = router.listener.connections
-            router.listener.hang_ups.remove(connection)  # the pause is over before the next look
+            router.listener.hang_up_monitor.remove(connection)  # the pause is over before the next look
             client.close()
             await until(lambda: not router.listener.connections)
-            assert not router.host.used and not router.host.requests
+            assert not router.host.recent_ids and not router.host.requests
 
     run(scenario)
 
@@ -109,11 +109,11 @@
             assert isinstance(await client.resp(), Exception)
             await unread(router)
             (connection,) = router.listener.connections
-            slot = clients.Slot(connection)
-            assert slot.there()
+            slot = clients.AnswerSlot(connection)
+            assert slot.client_connected()
             client.close()
-            await until(lambda: not slot.there())
-            assert connection.gone and not router.host.requests
+            await until(lambda: not slot.client_connected())
+            assert connection.client_left and not router.host.requests
 
     run(scenario)
 
@@ -123,17 +123,17 @@
     settings: api.Settings, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """In a long turn a retry began for a client whose end lay in its socket."""
-    monkeypatch.setattr(clients, "FRESH", 0.0)
+    monkeypatch.setattr(clients, "RECENT_READ", 0.0)
 
     async def scenario() -> None:
         async with Router(settings) as router:
             client, _ = await router.begun(info=LONG)
             (connection,) = router.listener.connections
             (slot,) = connection.slots
-            assert slot.there() and connection.reading
+            assert slot.client_connected() and connection.reading
             end = client.writer.get_extra_info("socket")
             end.shutdown(socket.SHUT_RDWR)
-            assert not slot.there()  # in this very turn
+            assert not slot.client_connected()  # in this very turn
             await until(lambda: not router.listener.connections)
             assert not router.host.router.held
 
@@ -175,7 +175,7 @@
 
     def tell(router: Router, names: str) -> None:
         members = [member(n, router.caches[n].address) for n in names]
-        router.host.list_told(api.ListKind.FULL, members)
+        router.host.submit_list(api.ListKind.FULL, members)
 
     async def scenario() -> None:
         async with Router(settings) as router:
@@ -194,7 +194,7 @@
                 if change == "drained":
                     tell(router, "ab".replace(dialled, ""))
                 elif change == "offline":
-                    router.host.offline(dialled)
+                    router.host.take_offline(dialled)
                 else:
                     router.host.clock.offset += window  # as if that had passed meanwhile
                 dials.release()
--- a/tests/test_net_host.py
+++ b/tests/test_net_host.py
@@ -225,8 +225,8 @@
     """Connections that never send a whole command would fill the budget: nobody could connect any more."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(listener, "COMMAND_TIME", 0.5)
-        monkeypatch.setattr(listener, "SWEEP", 0.01)
+        monkeypatch.setattr(listener, "COMMAND_TIMEOUT", 0.5)
+        monkeypatch.setattr(listener, "SWEEP_INTERVAL", 0.01)
         async with Router() as router:
             usual, silent, half = [await router.client() for _ in range(3)]
             usual.write(command("PING"))
@@ -321,7 +321,7 @@
             while len(connection.slots) < MAX_PIPELINED:
                 await asyncio.sleep(0)
             connection.transport.abort()
-            router.host._close("r0", b"-ERR failed\r\n")
+            router.host._answer("r0", b"-ERR failed\r\n")
             while router.listener.connections:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)
@@ -380,7 +380,7 @@
             other = await router.client()
             first, cache = await router.begun()
             with monkeypatch.context() as patch:
-                patch.setattr(router.host, "take", None)
+                patch.setattr(router.host, "accept", None)
                 first.write(read("r2"))
                 assert await first.ended()
             assert await cache.ended() and not router.host.router.held
@@ -435,7 +435,7 @@
     """Silent clients by hundreds would drive out the usual ones, which ask on connections that they keep."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(listener, "GRACE", 0.0)
+        monkeypatch.setattr(listener, "FIRST_COMMAND_GRACE", 0.0)
         async with Router(clients=3) as router:
             usual = await asks(router, 1)
             silent, half = await router.client(), await router.client()
@@ -497,7 +497,7 @@
     """Clients that ask once and stay for good would take memory and descriptors without end."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(listener, "IDLE_TIME", 1.0)
+        monkeypatch.setattr(listener, "IDLE_TIMEOUT", 1.0)
         async with Router(clients=4) as router:
             usual = [await asks(router, 2) for _ in range(3)]
             once = await asks(router, 1)
@@ -568,7 +568,7 @@
             members = [Member(told[change], connection.address)]
             if change == "replaced":
                 members.append(Member(replace(entry, server="new"), connection.address))
-            router.host.list_told(api.ListKind.DELTA, members)
+            router.host.submit_list(api.ListKind.DELTA, members)
             assert await cache.ended()
 
     run(scenario)
@@ -587,7 +587,7 @@
             other.write(command("PING"))
             assert await other.resp() == b"PONG"
             (left,) = router.listener.connections
-            assert list(router.listener.idle) == [left] and not router.listener.awaited
+            assert list(router.listener.idle) == [left] and not router.listener.awaiting_command
 
     run(scenario)
 
@@ -759,7 +759,7 @@
             for client in clients:
                 client.write(command("PING"))
             assert {bytes(await client.resp()) for client in clients} == {b"PONG"}
-            assert len(router.listener.connections) == 150 and not router.listener.coming
+            assert len(router.listener.connections) == 150 and not router.listener.setup_tasks
             for client in clients:
                 client.close()
 
@@ -775,7 +775,7 @@
             while not router.listener.connections:
                 await asyncio.sleep(0.001)
             stopping = asyncio.create_task(router.listener.stop(0.0, 5.0))
-            await asyncio.sleep(4 * listener.GRACE)
+            await asyncio.sleep(4 * listener.FIRST_COMMAND_GRACE)
             client.write(read("r1"))
             cache = await router.cache()
             await cache.resp()
@@ -804,8 +804,8 @@
             monkeypatch.setattr(host.router, "handle", failing)
             many = [member(f"m{n}", "127.0.0.1:1") for n in range(60)]
             drains = member("a", router.caches["a"].address, state=api.State.DRAINING)
-            host.list_told(api.ListKind.DELTA, [*many, drains])
-            await until(lambda: bool(failed) and not host.updating)
+            host.submit_list(api.ListKind.DELTA, [*many, drains])
+            await until(lambda: bool(failed) and not host.batch_scheduled)
             await until(lambda: "a" not in host.router.caches)
             assert set(host.router.caches) == {"b", *(f"m{n}" for n in range(60))}
 
--- a/tests/test_net_http.py
+++ b/tests/test_net_http.py
@@ -37,7 +37,7 @@
 
 def by_state(data: bytes) -> Response | None | str:
     client = asked()
-    client._tell()
+    client._send_to_h11()
     try:
         return client.receive(data)
     except HttpError as e:
@@ -53,7 +53,7 @@
     except HttpError as e:
         response = str(e)
     expected = by_state(data)
-    if client.plain is not None and isinstance(expected, Response):
+    if client.plain_response is not None and isinstance(expected, Response):
         assert response == expected
     assert isinstance(response, Response) == isinstance(expected, Response)
 
@@ -68,16 +68,16 @@
             assert response is None
             response = client.receive(part)
     assert response is not None and response.body == b"value"
-    assert client.plain is not None and client.reusable()
+    assert client.plain_response is not None and client.reusable()
 
 
 def test_a_long_body_is_handed_out_in_pieces() -> None:
     client = HttpClient("127.0.0.1:1", 10, 20)
     client.request("GET", "/k", FIELDS)
     assert client.receive(b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n" + b"a" * 12) is None
-    assert client.passing == 20 and client.pieces == [b"a" * 12]
+    assert client.streamed_length == 20 and client.chunks == [b"a" * 12]
     response = client.receive(b"b" * 8)
-    assert response is not None and not response.body and client.pieces == [b"a" * 12, b"b" * 8]
+    assert response is not None and not response.body and client.chunks == [b"a" * 12, b"b" * 8]
     client.request("GET", "/k", FIELDS)
     with pytest.raises(HttpError):
         client.receive(b"HTTP/1.1 200 OK\r\nContent-Length: 21\r\n\r\n")
@@ -87,7 +87,7 @@
     client = asked()
     plain = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue"
     assert client.receive(plain) == Response(200, {b"content-length": b"5"}, b"value")
-    assert client.plain is not None and client.reusable()
+    assert client.plain_response is not None and client.reusable()
     client.request("PUT", "/k", FIELDS, b"slot")
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nva\r\n0\r\n\r\n"
     response = client.receive(chunked)
@@ -98,4 +98,4 @@
     client, told = HttpClient("127.0.0.1:1", 100), HttpClient("127.0.0.1:1", 100)
     short = client.request("GET", "/k", FIELDS)
     told.request("GET", "/k", FIELDS)
-    assert short == told._tell()
+    assert short == told._send_to_h11()
--- a/tests/test_net_lingering.py
+++ b/tests/test_net_lingering.py
@@ -11,8 +11,8 @@
 
 from myrtlecourse.net import clients, host, listener
 from myrtlecourse.net.clients import ClientConnection
-from myrtlecourse.net.connection import readable
-from myrtlecourse.net.request_log import Close
+from myrtlecourse.net.connection import has_unread_input
+from myrtlecourse.net.request_log import CloseReason
 from myrtlecourse.net.transport import Transport
 from tests.loopback import HIT, PATIENCE, Router, book, command, needs_sources, read, run, until
 
@@ -65,7 +65,7 @@
 
 
 async def emptied(router: Router) -> None:
-    router.listener.empty(0.0)
+    router.listener.start_drain(0.0)
 
 
 async def ended(router: Router) -> None:
@@ -78,8 +78,8 @@
     path: Callable[[Router], Coroutine[None, None, None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The close reset the connection over the unread command, and its client lost more than the command."""
-    monkeypatch.setattr(listener, "IDLE_TIME", 0.01)
-    monkeypatch.setattr(listener, "ONCE_TIME", 0.01)
+    monkeypatch.setattr(listener, "IDLE_TIMEOUT", 0.01)
+    monkeypatch.setattr(listener, "SINGLE_COMMAND_IDLE_TIMEOUT", 0.01)
 
     async def scenario() -> None:
         async with Router(clients=1 if path is evicted else 4) as router:
@@ -89,30 +89,30 @@
 
             def look(transport: Transport) -> bool:
                 """The look before the close, which the command comes just after."""
-                there = readable(transport)
+                there = has_unread_input(transport)
                 if transport is connection.transport and not there and not crossed:
                     crossed.append(True)
                     client.send(read("crossing"))
                 return there
 
-            monkeypatch.setattr(clients, "readable", look)
+            monkeypatch.setattr(clients, "has_unread_input", look)
             await path(router)
             assert await client.rest() == VALUE and crossed
             client.socket.close()
             await until(lambda: connection not in router.listener.connections)
-            assert router.host.used == {"r1"} and not router.host.requests
+            assert router.host.recent_ids == {"r1"} and not router.host.requests
 
     run(scenario)
 
 
 def test_a_client_that_rests_after_the_shutdown_is_closed_soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "LINGER", 0.05)
+    monkeypatch.setattr(clients, "LINGER_TIME", 0.05)
 
     async def scenario() -> None:
         async with Router() as router:
             client = await Raw(router).connect()
             connection = await client.answered()
-            connection.close(Close.ENDING)
+            connection.close(CloseReason.ENDING)
             assert await client.rest() == VALUE
             assert connection in router.listener.lingering
             await until(lambda: not router.listener.connections)
@@ -123,16 +123,16 @@
 def test_a_client_that_sends_on_at_full_speed_is_read_no_further_than_a_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(clients, "LINGER", 600.0)
-    monkeypatch.setattr(clients, "DISCARDED", 1000)
+    monkeypatch.setattr(clients, "LINGER_TIME", 600.0)
+    monkeypatch.setattr(clients, "MAX_DISCARDED", 1000)
 
     async def scenario() -> None:
         async with Router() as router:
             client = await Raw(router).connect()
             connection = await client.answered()
-            connection.close(Close.ENDING)
+            connection.close(CloseReason.ENDING)
             client.send(b"x" * 600)
-            await until(lambda: connection.discarded == 600)
+            await until(lambda: connection.discarded_bytes == 600)
             client.send(b"x" * 600)
             await until(lambda: not router.listener.connections)
 
@@ -150,7 +150,7 @@
             client.send(read("behind"))
             got = await client.rest()
             assert got.startswith(b"-ERR") and got.count(b"\r\n") == 1
-            assert not router.host.used and not router.host.requests
+            assert not router.host.recent_ids and not router.host.requests
 
     run(scenario)
 
@@ -176,7 +176,7 @@
 
 def test_a_long_answer_that_ends_behind_another_costs_neither(monkeypatch: pytest.MonkeyPatch) -> None:
     """Nothing of it had been passed on, so that an error can tell."""
-    monkeypatch.setattr(host, "LONGEST_FLOW", 0.01)
+    monkeypatch.setattr(host, "MAX_STREAM_OVERRUN", 0.01)
 
     async def scenario() -> None:
         async with Router() as router:
@@ -200,18 +200,18 @@
 
 def test_many_closes_at_once_hold_no_more_descriptors_than_are_spare(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clients that rest after the shutdown would keep all others out for as long."""
-    monkeypatch.setattr(clients, "LINGER", 600.0)
-    monkeypatch.setattr(listener, "GRACE", 0.0)
+    monkeypatch.setattr(clients, "LINGER_TIME", 600.0)
+    monkeypatch.setattr(listener, "FIRST_COMMAND_GRACE", 0.0)
 
     async def scenario() -> None:
         async with Router(clients=4) as router:
-            crowd = [await Raw(router).connect() for _ in range(5 * listener.SPARE)]
+            crowd = [await Raw(router).connect() for _ in range(5 * listener.LINGERING_ALLOWANCE)]
             last = await router.client()
             last.write(command("PING"))
             assert await last.resp() == b"PONG"
             held = router.listener
-            assert len(held.lingering) == listener.SPARE
-            assert len(held.connections) <= held.budget + listener.SPARE
+            assert len(held.lingering) == listener.LINGERING_ALLOWANCE
+            assert len(held.connections) <= held.budget + listener.LINGERING_ALLOWANCE
             assert crowd
 
     run(scenario)
@@ -244,7 +244,7 @@
             much = b"x" * 8_000_000
             connection.transport.write(much)
             assert connection.transport.get_write_buffer_size()
-            connection.close(Close.ENDING)
+            connection.close(CloseReason.ENDING)
             assert await client.rest() == VALUE + much
 
     run(scenario)
@@ -271,6 +271,6 @@
             assert await client.reader.read() == b""
             client.close()
             await stopping
-            assert router.host.used == {"r1", "short"}
+            assert router.host.recent_ids == {"r1", "short"}
 
     run(scenario)
--- a/tests/test_net_turns.py
+++ b/tests/test_net_loop_lag.py
@@ -10,7 +10,7 @@
 
 from myrtlecourse.net import clients
 from myrtlecourse.net.clients import data_age
-from myrtlecourse.net.turns import Turns
+from myrtlecourse.net.loop_lag import LoopLag
 from tests.loopback import HIT, Router, read, run
 
 STOP = 0.25  # seconds for which the event loop is held up
@@ -78,12 +78,12 @@
 ) -> None:
     now = [100.0]
     monkeypatch.setattr(time, "monotonic", lambda: now[0])
-    turns = Turns()
-    assert not turns.held_up()
-    turns.expect(0.1)
+    turns = LoopLag()
+    assert not turns.may_have_stalled()
+    turns.expect_heartbeat(0.1)
     now[0] += 0.1
-    assert not turns.held_up()
+    assert not turns.may_have_stalled()
     now[0] += 0.4
-    assert turns.held_up() and turns.most_waited() == pytest.approx(0.4)
-    assert turns.beat() == pytest.approx(0.4)
-    assert not turns.held_up() and turns.longest == pytest.approx(0.4)
+    assert turns.may_have_stalled() and turns.max_wait() == pytest.approx(0.4)
+    assert turns.heartbeat() == pytest.approx(0.4)
+    assert not turns.may_have_stalled() and turns.longest == pytest.approx(0.4)
--- a/tests/test_net_passing.py
+++ b/tests/test_net_passing.py
@@ -143,14 +143,14 @@
     """Cut at the deadline it was lost, although its first bytes were in time and its server still gave it."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(hosts, "LONGEST_FLOW", longest)
+        monkeypatch.setattr(hosts, "MAX_STREAM_OVERRUN", longest)
         async with Router() as router:
             client, cache = await router.begun(info="c=read,t=x,d=1000")
             taken = router.host.requests["r1"]
             cache.write(LONG[:100_000])
             got = await least(client, 60_000)
             sent = 100_000
-            await until(lambda: taken.overdue)
+            await until(lambda: taken.deadline_passed)
             for _ in range(20):
                 cache.write(LONG[sent : sent + 100])
                 sent += 100
@@ -192,7 +192,7 @@
             await least(client, 60_000)
             client.reset()
             assert await cache.ended()
-            assert not router.host.requests and not router.listener.holding
+            assert not router.host.requests and not router.listener.stalled_answers
 
     run(scenario)
 
@@ -205,14 +205,14 @@
             second = await router.cache()
             assert (await second.resp())[2] == b"r2"
             second.write(LONG)  # comes first, and waits
-            while not router.listener.holding:
+            while not router.listener.stalled_answers:
                 await asyncio.sleep(0.001)
-            held = sum(len(p) for slot in router.listener.holding for p in slot.pieces)
+            held = sum(len(p) for slot in router.listener.stalled_answers for p in slot.chunks)
             assert held <= 3 * 65536
             first.write(HIT)
             assert await least(client, 11) == b"$5\r\nvalue\r\n"
             assert await least(client, len(VALUE) + 11) == b"$307200\r\n" + VALUE + b"\r\n"
-            assert not router.listener.holding
+            assert not router.listener.stalled_answers
 
     run(scenario)
 
@@ -249,9 +249,9 @@
                 await loop.sock_connect(client, address)
                 await loop.sock_sendall(client, read(f"s{n}", key=f"k{n}", info="c=read,t=x,d=9000"))
                 slow.append(client)
-                await until(lambda: len(router.listener.holding) == len(slow))
+                await until(lambda: len(router.listener.stalled_answers) == len(slow))
             held = sum(c.transport.get_write_buffer_size() for c in router.listener.connections)
-            held += sum(len(p) for slot in router.listener.holding for p in slot.pieces)
+            held += sum(len(p) for slot in router.listener.stalled_answers for p in slot.chunks)
             assert held <= SLOW * 2 * 65536
             usual = await router.client()
             usual.write(read("usual"))
@@ -323,7 +323,7 @@
     """Its server's connection would be held for good."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(listener, "HOLDING_TIME", 0.2)
+        monkeypatch.setattr(listener, "STALLED_ANSWER_TIMEOUT", 0.2)
         async with Router() as router:
             client, first = await router.begun("r1")
             client.write(read("r2", key="k"))
@@ -331,7 +331,7 @@
             await cache.resp()
             cache.write(LONG)  # behind one that has no answer yet: it is held
             assert await client.ended() and await first.ended()
-            assert router.listener.windows.flows == 0
+            assert router.listener.windows.streams == 0
 
     run(scenario)
 
--- a/tests/test_net_pool.py
+++ b/tests/test_net_pool.py
@@ -13,7 +13,7 @@
 from myrtlecourse.net import pool as pools
 from myrtlecourse.net.command import Command
 from myrtlecourse.net.connection import Connection, Exchange
-from myrtlecourse.net.descriptors import Descriptors
+from myrtlecourse.net.descriptors import DescriptorBudget
 from myrtlecourse.net.origin import OriginConnection
 from myrtlecourse.net.pool import Pool
 from myrtlecourse.net.servers import CacheConnection
@@ -39,7 +39,7 @@
         return link
 
     def start(self, address: str, command: Command = GET) -> Exchange:
-        return self.pool.start(address, command, 0.5, lambda s, v: self.results.put_nowait((s, v)))
+        return self.pool.start_attempt(address, command, 0.5, lambda s, v: self.results.put_nowait((s, v)))
 
     async def end(self) -> tuple[Status, bytes]:
         return await self.results.get()
@@ -115,7 +115,7 @@
     """Said to be longer than it is, it would hold its request to the deadline, on a connection of no use."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(connections, "ANSWER_TIME", 0.02)
+        monkeypatch.setattr(connections, "ANSWER_TIMEOUT", 0.02)
         async with Peer() as peer:
             ends = Ends(Pool(kind, 8, 1.0, 60.0))
             ends.start(peer.address)
@@ -158,7 +158,7 @@
             link = await ends.begun(peer)
             link.write(HIT)
             await ends.end()
-            ends.pool.start(peer.address, GET, 0.5, lambda s, v: None, process="another")
+            ends.pool.start_attempt(peer.address, GET, 0.5, lambda s, v: None, process="another")
             assert await link.ended()
             assert (await (await peer.link()).resp())[2] == b"r1"
             ends.pool.close()
@@ -462,16 +462,16 @@
     async def scenario() -> None:
         ends = caches(budget=64)
         async with Peer() as peer:
-            for _ in range(pools.MOST_DIALS + 5):
+            for _ in range(pools.MAX_DIALS_PER_ADDRESS + 5):
                 ends.start(peer.address)
-            assert ends.pool.used() == pools.MOST_DIALS
-            for _ in range(pools.MOST_DIALS + 5):
+            assert ends.pool.descriptors_used() == pools.MAX_DIALS_PER_ADDRESS
+            for _ in range(pools.MAX_DIALS_PER_ADDRESS + 5):
                 link = await peer.link()
                 assert (await link.resp())[2] == b"r1"
                 link.write(HIT)
-            for _ in range(pools.MOST_DIALS + 5):
+            for _ in range(pools.MAX_DIALS_PER_ADDRESS + 5):
                 assert await ends.end() == (Status.OK, b"value")
-            assert not ends.pool.waiting and not ends.pool.dialling
+            assert not ends.pool.wait_queues and not ends.pool.dial_counts
         ends.pool.close()
 
     run(scenario)
@@ -482,13 +482,13 @@
         ends = caches(budget=64)
         async with Peer() as peer:
             address = peer.address
-        for _ in range(pools.MOST_DIALS + 5):
+        for _ in range(pools.MAX_DIALS_PER_ADDRESS + 5):
             ends.start(address)
         ends.start(address).abandon()
-        for _ in range(pools.MOST_DIALS + 5):
+        for _ in range(pools.MAX_DIALS_PER_ADDRESS + 5):
             assert (await ends.end())[0] is Status.CONNECT_FAILED
         await asyncio.sleep(0)
-        assert not ends.pool.waiting and not ends.pool.dialling and ends.results.empty()
+        assert not ends.pool.wait_queues and not ends.pool.dial_counts and ends.results.empty()
 
     run(scenario)
 
@@ -501,27 +501,27 @@
         def __init__(self, budget: int, count: int, idle: int = 0) -> None:
             self.budget, self.count, self.idle = budget, count, idle
 
-        def used(self) -> int:
+        def descriptors_used(self) -> int:
             return self.count
 
-        def give_back(self) -> bool:
+        def close_one_idle(self) -> bool:
             if not self.idle:
                 return False
             self.idle -= 1
             self.count -= 1
             return True
 
-    descriptors = Descriptors(80)
+    descriptors = DescriptorBudget(80)
     clients, servers, origin = Held(40, 4), Held(30, 10), Held(10, 10, idle=3 if borrowed else 0)
     for side in (clients, servers, origin):
         descriptors.add(side)
-    while descriptors.may_take(origin):
+    while descriptors.may_open(origin):
         origin.count += 1
     # the others keep half of their own: 20 and 15
     assert origin.count == 80 - 20 - 15
-    while descriptors.may_take(clients) and clients.count < 100:
+    while descriptors.may_open(clients) and clients.count < 100:
         clients.count += 1
-    assert descriptors.used() <= 80 and clients.count == (28 if borrowed else 25)
+    assert descriptors.descriptors_used() <= 80 and clients.count == (28 if borrowed else 25)
 
 
 @pytest.mark.parametrize("head", [b"HTTP/1.1 200 OK\r\n\r\n", b"HTTP/1.0 200 OK\r\nX: y\r\n\r\n"])
@@ -533,7 +533,7 @@
             link, *_ = await asked(peer, ends)
             link.write(head + b"value")
             (connection,) = ends.pool.connections
-            while not connection.expiry:  # it has come
+            while not connection.answer_timer:  # it has come
                 await asyncio.sleep(0.001)
             if end == "in good order":
                 link.close()
@@ -562,7 +562,7 @@
         peer = self.link.writer.get_extra_info("socket")
         with socket.socket(fileno=socket.dup(peer.fileno())) as own:
             own.send(self.data)
-        while not self.connection.poll.poll(0):
+        while not self.connection.input_poll.poll(0):
             pass
         self.transport.write(data)
 
@@ -642,7 +642,7 @@
             link.write(HIT)
             assert await ends.end() == (Status.OK, b"value")
             assert ends.pool.idle
-            ends.pool.retune(1.0, pools.IDLE_MARGIN + 0.01)
+            ends.pool.set_timeouts(1.0, pools.IDLE_MARGIN + 0.01)
             assert await link.ended() and not ends.pool.idle
 
     run(scenario)
--- a/tests/test_net_logs.py
+++ b/tests/test_net_rate_limited_log.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from myrtlecourse.net import logs
+from myrtlecourse.net import rate_limited_log
 
 
 def test_lines_are_bounded_by_kind_and_the_rest_counted(
@@ -15,12 +15,14 @@
 ) -> None:
     now = [100.0]
     monkeypatch.setattr(time, "monotonic", lambda: now[0])
-    bounded = logs.BoundedLog(logging.getLogger("bounded"))
+    bounded = rate_limited_log.RateLimitedLog(logging.getLogger("bounded"))
     with caplog.at_level(logging.INFO):
-        for i in range(logs.LINES + 7):
+        for i in range(rate_limited_log.LINES_PER_PERIOD + 7):
             bounded.log(logging.INFO, "spoilt %d", i)
         bounded.log(logging.INFO, "another")
-        assert caplog.messages == [f"spoilt {i}" for i in range(logs.LINES)] + ["another"]
-        now[0] += logs.PERIOD
+        assert caplog.messages == [f"spoilt {i}" for i in range(rate_limited_log.LINES_PER_PERIOD)] + [
+            "another"
+        ]
+        now[0] += rate_limited_log.PERIOD
         bounded.log(logging.INFO, "spoilt %d", 99)
     assert caplog.messages[-2:] == ["7 more left out like: spoilt %d", "spoilt 99"]
--- a/tests/test_net_resp.py
+++ b/tests/test_net_resp.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from myrtlecourse.net.resp import NOT_YET, ErrorLine, Reader, RespError, pack, split_command
+from myrtlecourse.net.resp import INCOMPLETE, ErrorLine, Reader, RespError, encode_command, split_command
 
 MESSAGES = [
     (b"*3\r\n$5\r\nva\r\nl\r\n$3\r\nhit\r\n$-1\r\n", [b"va\r\nl", b"hit", None]),
@@ -27,15 +27,15 @@
     got = reader()
     for start in range(0, len(stream), step):
         got.feed(stream[start : start + step])
-        while (message := got.next()) is not NOT_YET:
+        while (message := got.next_message()) is not INCOMPLETE:
             read.append(message)
     assert read == [m[1] for m in MESSAGES] and not got.buffer
 
 
 def test_what_is_packed_is_read() -> None:
     got = reader()
-    got.feed(pack([b"C.GET", b"", b"\r\n"]))
-    assert got.next() == [b"C.GET", b"", b"\r\n"]
+    got.feed(encode_command([b"C.GET", b"", b"\r\n"]))
+    assert got.next_message() == [b"C.GET", b"", b"\r\n"]
 
 
 @pytest.mark.parametrize(
@@ -69,12 +69,12 @@
     got = reader()
     got.feed(data)
     with pytest.raises(RespError):
-        got.next()
+        got.next_message()
 
 
 @given(
     st.one_of(
-        st.lists(st.binary(max_size=12), max_size=9).map(pack),
+        st.lists(st.binary(max_size=12), max_size=9).map(encode_command),
         st.lists(
             st.sampled_from(
                 [b"*4\r\n", b"*1\r\n", b"$1\r\n", b"$4\r\nPING\r\n", b"a", b"\r\n", b"\n", b"$-1"]
@@ -87,10 +87,15 @@
     if parts is not None:
         whole = Reader(max_items=16, max_bulk=100, max_message=2000)
         whole.feed(data)
-        assert whole.next() == parts and not whole.buffer
+        assert whole.next_message() == parts and not whole.buffer
 
 
 def test_the_short_way_knows_usual_commands() -> None:
-    assert split_command(pack([b"C.GET", b"k", b"r1", b"c=read"])) == [b"C.GET", b"k", b"r1", b"c=read"]
-    assert split_command(pack([b"PING"])) == [b"PING"]
-    assert split_command(pack([b"PING"]) * 2) is None  # two: the reader's
+    assert split_command(encode_command([b"C.GET", b"k", b"r1", b"c=read"])) == [
+        b"C.GET",
+        b"k",
+        b"r1",
+        b"c=read",
+    ]
+    assert split_command(encode_command([b"PING"])) == [b"PING"]
+    assert split_command(encode_command([b"PING"]) * 2) is None  # two: the reader's
--- a/tests/test_request_log.py
+++ b/tests/test_request_log.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from myrtlecourse.net.request_log import Close, requests_log
+from myrtlecourse.net.request_log import CloseReason, requests_log
 from tests.loopback import HIT, MISS, Router, http, read, run, until
 
 
 @pytest.fixture
 def lines(caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch) -> pytest.LogCaptureFixture:
-    monkeypatch.setattr(requests_log, "on", True)
+    monkeypatch.setattr(requests_log, "enabled", True)
     caplog.set_level(logging.INFO, "myrtlecourse.requests")
     return caplog
 
@@ -64,7 +64,7 @@
     assert told(lines, "r2")[-1] == "answered no-time"
     assert "client-gone" in told(lines, "r3")
     closes = [r.getMessage() for r in lines.records if "event=closed" in r.getMessage()]
-    assert any(Close.ABANDONED.value in line and "peer=server" in line for line in closes)
+    assert any(CloseReason.ABANDONED.value in line and "peer=server" in line for line in closes)
 
 
 def test_it_is_off_unless_it_is_turned_on(caplog: pytest.LogCaptureFixture) -> None:
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -412,8 +412,8 @@
             stand.ground.discovery.notice(0.0, entry)
             await stand.until(lambda: len(counts.in_force) == 3)
             place, job, former = stand.members.pop(0)
-            former.host.timers.after(3600.0, lambda _: None, None)
-            armed = former.host.timers.armed
+            former.host.timers.call_later(3600.0, lambda _: None, None)
+            armed = former.host.timers.loop_timer
             former.close()
             again = HollowMember(place, job, counts)
             stand.members.append((place, job, again))
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -18,7 +18,7 @@
 import pytest
 
 from myrtlecourse.config import read_config
-from myrtlecourse.net.pool import address_of
+from myrtlecourse.net.pool import parse_address
 from myrtlecourse.service import Service
 from tests.loopback import HIT, PATIENCE, Link, Peer, command, http, read, run, spelled
 from tests.test_main import GOOD
@@ -64,7 +64,7 @@
 
     async def call(self, method: str, path: str) -> tuple[int, str]:
         """An operator's call."""
-        ops = address_of((await self.logged(r"operators call (\S+)\n"))[1])
+        ops = parse_address((await self.logged(r"operators call (\S+)\n"))[1])
         link = Link(*await asyncio.open_connection(*ops))
         link.write(f"{method} /control/{path} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
         answer = (await link.reader.read()).decode()
@@ -152,7 +152,7 @@
         if self.inherit:
             return Link(*await asyncio.open_connection(*self.socket.getsockname()))
         process = process or self.processes[0]
-        address = address_of((await process.logged(r"listening on (\S+)\n"))[1])
+        address = parse_address((await process.logged(r"listening on (\S+)\n"))[1])
         return Link(*await asyncio.open_connection(*address))
 
 
@@ -215,7 +215,7 @@
     async def scenario() -> None:
         async with site(tmp_path) as here:
             router = await here.start()
-            ops = address_of((await router.logged(r"operators call (\S+)\n"))[1])
+            ops = parse_address((await router.logged(r"operators call (\S+)\n"))[1])
             held = [Link(*await asyncio.open_connection(*ops)) for _ in range(40)]
             for link in held:
                 link.write(b"GET /control/ready HT")
@@ -467,7 +467,7 @@
         async with site(tmp_path) as here:
             here.path.write_bytes(orjson.dumps({**here.config(), "limits": {"sockets": 64}}))
             away = here.discovery
-            port = address_of(away.address)
+            port = parse_address(away.address)
             away.server.close()
             router = await here.start(descriptors=64)
             await router.logged("list out of reach, 2 in a row")
--- a/tests/wrong_router.py
+++ b/tests/wrong_router.py
@@ -10,7 +10,7 @@
 from typing import cast
 
 from myrtlecourse.fleet.stand_in import Fleet
-from myrtlecourse.net.resp import NOT_YET, Message, Reader, pack
+from myrtlecourse.net.resp import INCOMPLETE, Message, Reader, encode_command
 
 Parts = list[bytes]
 
@@ -43,7 +43,7 @@
         with suppress(ConnectionError):  # its client goes away as it likes
             while data := await reader.read(65536):
                 commands.feed(data)
-                while (message := commands.next()) is not NOT_YET:
+                while (message := commands.next_message()) is not INCOMPLETE:
                     assert isinstance(message, list)
                     await self.way([p for p in message if isinstance(p, bytes)], writer)
         writer.close()
@@ -54,9 +54,9 @@
             "127.0.0.1", self.fleet.boxes[box].ports[self.name].number
         )
         try:
-            writer.write(pack(parts))
+            writer.write(encode_command(parts))
             answers = Reader(16, 1 << 20, 1 << 21)
-            while (message := answers.next()) is NOT_YET:
+            while (message := answers.next_message()) is INCOMPLETE:
                 data = await reader.read(65536)
                 if not data:
                     raise ConnectionError("the box ended it")
