--- a/myrtlecourse/net/__init__.py
+++ b/myrtlecourse/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real router's sockets, round the decision module."""
+"""The network I/O of the router, around the decision module in `policy`."""
--- a/myrtlecourse/net/clock.py
+++ b/myrtlecourse/net/clock.py
@@ -1,7 +1,7 @@
-"""The router's clock: Unix time read once at the start, which then only advances.
+"""The router's clock: Unix time read once at the start, which then advances with the monotonic clock.
 
-Spans are measured on the monotonic clock. The wall clock may be stepped while the router runs; it is compared
-only with times that others wrote.
+Durations are measured on the monotonic clock. The wall clock may be stepped while the router runs; it is only
+used for comparison with timestamps written by other machines.
 """
 
 from __future__ import annotations
@@ -11,29 +11,29 @@
 from collections.abc import Callable
 
 MIN_STEP = (
-    0.05  # seconds between wall and monotonic clock from which on the wall clock was stepped, not slewed
+    0.05  # seconds; a smaller change of the wall clock against the monotonic one is slewing, not a step
 )
-MAX_OFFSETS = 16  # remembered
+MAX_OFFSETS = 16  # kept
 
 
 class Clock:
-    """Unix time as of the start, going on evenly."""
+    """Unix time as read at the start, advancing steadily since then."""
 
     def __init__(
-        self, wall: Callable[[], float] = time.time, steady: Callable[[], float] = time.monotonic
+        self, wall_time: Callable[[], float] = time.time, monotonic_time: Callable[[], float] = time.monotonic
     ) -> None:
-        self.wall_time = wall
-        self.monotonic_time = steady
-        self.offset = wall() - steady()
-        # of the wall clock against the monotonic one, before and after each step; the latest last
+        self.wall_time = wall_time
+        self.monotonic_time = monotonic_time
+        self.offset = wall_time() - monotonic_time()
+        # of the wall clock from the monotonic clock, before and after each step; the latest is the last
         self.offsets: deque[float] = deque([self.offset], MAX_OFFSETS)
 
     def now(self) -> float:
-        """Seconds; never goes back."""
+        """Return the time in seconds, which never goes back."""
         return self.offset + self.monotonic_time()
 
     def detect_step(self) -> float:
-        """Notice a step of the wall clock; answers with its seconds, 0 if there was none."""
+        """Record a step of the wall clock, if there was one; return its size in seconds, else 0."""
         offset = self.wall_time() - self.monotonic_time()
         step = offset - self.offsets[-1]
         if abs(step) < MIN_STEP:
@@ -47,10 +47,11 @@
         return len(self.offsets) > 1
 
     def start_on_this_clock(self, since: float) -> float:
-        """When something started on this clock that another machine says started at `since` (Unix time, s).
+        """Return when something started on this clock that by another machine started at `since`.
 
-        The latest that this may mean, and now if it lies ahead: whether `since` was read before a step or
-        after it is not known, and what started later than believed would be taken for warm. 0 is long ago.
+        `since` is Unix time in seconds; 0 means long ago and stays 0. Whether it was read before or after a
+        step is not known, so the latest possible time is returned, but not a time in the future. A server
+        that started later than believed would be taken for warm.
         """
         if since <= 0:
             return 0.0
--- a/myrtlecourse/net/connection.py
+++ b/myrtlecourse/net/connection.py
@@ -1,4 +1,4 @@
-"""One connection that carries one attempt at a time, and what became of each attempt."""
+"""A connection to a server, which carries one attempt at a time, and the outcome of each attempt."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 if TYPE_CHECKING:
     from myrtlecourse.net.pool import Pool
 
-ANSWER_TIMEOUT = 0.1  # seconds for the rest of an answer once it has begun: it is sent in one go
-STREAM_START_TIMEOUT = (
-    0.3  # seconds without a byte of a long answer of which nothing has been passed on: another may do
-)
-STREAM_STALL_TIMEOUT = 3.0  # the same once its client has the first bytes, and only a cut could end it
-READ_SIZE = 64 * 1024  # bytes read at once: what a client that takes none makes a long answer hold
-MIN_STREAM_START = 16 * 1024  # bytes of a long answer that must have come before any is passed on
+ANSWER_TIMEOUT = 0.1  # seconds for the rest of an answer that has begun; servers send an answer at once
+# seconds without data of a long answer of which nothing has been forwarded: another server may still answer
+STREAM_START_TIMEOUT = 0.3
+# the same once the client has its first bytes, when the only alternative is an incomplete answer
+STREAM_STALL_TIMEOUT = 3.0
+READ_SIZE = 64 * 1024  # bytes read at once, and so held for a client that does not read its long answer
+MIN_STREAM_START = 16 * 1024  # bytes of a long answer that must have arrived before any is forwarded
 log = logging.getLogger(__name__)
 rate_limited_log = RateLimitedLog(log)
 
@@ -33,37 +33,37 @@
 
 
 class MalformedAnswer(Exception):
-    """Bytes that are no answer; what they answer may have run."""
+    """Bytes that are no valid answer; the request may have been executed."""
 
 
 def has_unread_input(transport: Transport) -> bool:
-    """Whether bytes or an end wait on a socket that the event loop has not looked at yet."""
+    """Return whether a socket holds bytes, or the end of the connection, that have not been read yet."""
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
     return bool(poll.poll(0))
 
 
 class AnswerReceiver(Protocol):
-    """Whom an attempt is for; takes a long answer piece by piece, in place of its value at the end."""
+    """The owner of an attempt, which receives a long answer in chunks instead of as a whole value."""
 
     def may_start(self) -> bool:
-        """Whether the request may still be written, asked where that comes later than the decision."""
+        """Return whether the request may still be sent; asked if it is sent later than decided."""
 
     def time_left(self) -> float:
-        """Seconds for which its router will wait from now on."""
+        """Return the seconds for which the router will wait from now on."""
 
     def write_time_left(self) -> float:
-        """Seconds from now within which its last byte has to be written; a later one never runs."""
+        """Return the seconds within which the last byte of the request has to be written."""
 
     def begin_stream(self, length: int, source: Exchange) -> bool:
-        """A value of so many bytes begins; False when it is not wanted any more."""
+        """Begin a streamed value of `length` bytes; return False if it is no longer wanted."""
 
     def write_chunk(self, data: bytes) -> None:
-        """The next bytes of it."""
+        """Receive the next bytes of the streamed value."""
 
 
 class Exchange:
-    """One attempt: it ends once, by `done` or by being abandoned."""
+    """An attempt on the network; it ends once, by calling `on_finished` or by being abandoned."""
 
     __slots__ = ("command", "connection", "on_finished", "open", "receiver", "time_left")
 
@@ -71,21 +71,21 @@
         self,
         command: Command,
         time_left: float,
-        done: Callable[[Status, bytes], None],
+        on_finished: Callable[[Status, bytes], None],
         receiver: AnswerReceiver | None = None,
     ) -> None:
         self.command = command
         self.time_left = time_left
-        self.on_finished = done
+        self.on_finished = on_finished
         self.receiver = receiver
         self.open = True
         self.connection: Connection | None = None
 
     def check_still_wanted(self) -> bool:
-        """Whether it is still wanted, now that there is a connection for it; if not, it is over.
+        """Return whether the attempt is still wanted, now that it has a connection; finish it if not.
 
-        Guards the rules on what is sent late: its client may have hung up meanwhile, its server begun to
-        drain, or the time in which the server drops its repeat have run out.
+        Meanwhile its client may have hung up, its server may have begun to drain, or the period in which the
+        server recognises a repeated request may have ended.
         """
         if self.open and self.receiver is not None and not self.receiver.may_start():
             self.finish(Status.MOOT)
@@ -94,12 +94,12 @@
         return self.open
 
     def pause(self) -> None:
-        """Read no more of the answer for now: nobody takes it."""
+        """Stop reading the answer, which its client does not read at present."""
         if self.open and self.connection is not None:
             self.connection.pause()
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue reading the answer."""
         if self.open and self.connection is not None:
             self.connection.resume()
 
@@ -109,9 +109,11 @@
             self.on_finished(status, value)
 
     def abandon(self) -> None:
-        """Stop waiting. Closing tells the server to stop work, and an answer can't meet a later request.
+        """Stop waiting and close the connection.
 
-        A dial goes on: the server has paid for it, and the next attempt finds the connection up.
+        Closing tells the server to stop its work, and ensures that the answer is not read as that of a later
+        request. A dial continues: the server has already spent the work on it, and the next attempt can use
+        the connection.
         """
         if not self.open:
             return
@@ -120,59 +122,63 @@
             self.connection.drop(CloseReason.ABANDONED)
 
 
-# all connections read into one place: what came is taken out before the next one reads
+# shared by all connections: what one has read is copied out before the next one reads
 read_buffer = memoryview(bytearray(READ_SIZE))
 
 
 class Connection(asyncio.BufferedProtocol):
-    """A connection to one address."""
+    """A connection to the server at one address."""
 
     def __init__(self, pool: Pool, address: str) -> None:
         self.pool = pool
         self.address = address
         self.exchange: Exchange | None = None
-        self.written = False  # whether the request's last byte is
-        self.server_process: object = None  # that it was made to: another may come to its address
-        self.first_exchange: Exchange | None = None
+        self.written = False  # whether the last byte of the request has been written
+        self.server_process: object = None  # the process connected to; another one may take over the address
+        self.first_exchange: Exchange | None = None  # the one for which the connection was dialled
         self.connected = False
-        self.answer_timer: asyncio.TimerHandle | None = None  # of an answer begun
+        self.answer_timer: asyncio.TimerHandle | None = None  # limits the time of an answer that has begun
         self.idle_since = 0.0
-        self.stream_length = 0  # of a long value that has begun; its decoder sets it and fills `pieces`
+        self.stream_length = 0  # of a long value that has begun; `decode` sets it and fills `chunks`
         self.chunks: list[bytes] = []
-        self.streaming = False  # whether the client has had the first of them
-        self.progressed = False  # whether any of it has come since the expiry was looked at
+        self.streaming = False  # whether chunks have been forwarded to the client
+        self.progressed = False  # whether data has arrived since the answer timer was last checked
         self.paused = False
 
     @abstractmethod
     def encode(self, command: Command, time_left: float) -> bytes:
-        """A request's bytes."""
+        """Encode a request."""
 
     @abstractmethod
     def decode(self, data: bytes) -> Answer | None:
-        """Take bytes of the answer; None until it is whole.
+        """Decode bytes of the answer; return None until it is complete.
 
-        A value longer than is gathered sets `length` and comes in `pieces`; its answer is then empty.
+        A value too long to be buffered sets `stream_length` and is appended to `chunks`; its answer is then
+        empty.
+
+        Raises:
+            MalformedAnswer: the bytes are no valid answer.
         """
 
     def decode_end(self) -> Answer | None:
-        """Take the end of what the server sends; None unless it is the end of a whole answer."""
+        """Handle that the server has stopped sending; return the answer if that completes it, else None."""
         return None
 
     @abstractmethod
     def reusable(self) -> bool:
-        """Whether nothing is left over after an answer."""
+        """Return whether the connection may carry another request: no bytes are left after the answer."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(Transport, transport)
-        # so that `resume_writing` comes just when the last byte has gone to the kernel
+        # so that `resume_writing` is called when the last byte has been passed to the kernel
         self.transport.set_write_buffer_limits(high=0)
         self.connected = True
         self.pool.connections.add(self)
         self.pool.dial_ended(self.address)
         self.input_poll = select.poll()
         self.input_poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
-        # here, and not once the dial returns: one cancelled in between would leave a connection that nobody
-        # knows, and with enough of those the budget is gone
+        # here, and not after the dial returns: a dial cancelled in between would leave a connection without
+        # an owner, and enough of those would exhaust the budget
         exchange, self.first_exchange = self.first_exchange, None
         if exchange is None or not exchange.check_still_wanted():
             self.pool.release(self)
@@ -180,16 +186,16 @@
             exchange.finish(Status.CONNECT_FAILED)
 
     def start_exchange(self, exchange: Exchange) -> bool:
-        """Write a request, unless bytes lie there that nobody asked for: then nothing of it is sent.
+        """Write a request; return False and send nothing if the connection has unexpected input.
 
-        The look comes last before the write. What came since the event loop's own would be taken for this
-        request's answer, and a close that came since would lose the request.
+        The socket is polled immediately before the write. Bytes that arrived since the event loop last polled
+        it would be taken for this request's answer, and a close that arrived since would lose the request.
         """
         try:
             data = self.encode(exchange.command, exchange.time_left)
         except Exception:
-            # guards the router: what can't be sent costs its connection, and the attempt ends at once
-            log.exception("request to %s", self.address)
+            # protects the router: a request that can't be encoded ends its connection and attempt only
+            log.exception("could not encode a request to %s", self.address)
             self.drop(CloseReason.INTERNAL_ERROR)
             exchange.finish(Status.CONNECT_FAILED)
             return True
@@ -200,16 +206,16 @@
         self.exchange = exchange
         self.written = False
         self.transport.write(data)
-        # guards against a second effect: `write` returns also when bytes are kept back or the write failed
+        # prevents a second effect: `write` also returns if bytes were buffered or the write failed
         self.written = not self.transport.is_closing() and not self.transport.get_write_buffer_size()
         if not self.written and exchange.receiver is not None:
             self._limit_write_time(exchange, exchange.receiver.write_time_left())
         return True
 
-    def _limit_write_time(self, exchange: Exchange, latest: float) -> None:
-        """Guards against a second effect: a repeat whose last byte comes too late is not dropped any more."""
-        if latest < math.inf:
-            asyncio.get_running_loop().call_later(max(0.0, latest), self._drop_late_write, exchange)
+    def _limit_write_time(self, exchange: Exchange, seconds: float) -> None:
+        """Limit the time for writing a request: if it ends too late, servers no longer recognise a repeat."""
+        if seconds < math.inf:
+            asyncio.get_running_loop().call_later(max(0.0, seconds), self._drop_late_write, exchange)
 
     def _drop_late_write(self, exchange: Exchange) -> None:
         receiver = exchange.receiver
@@ -225,14 +231,14 @@
         self.written = True
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        # guards memory: what is read of a long answer is held until its client takes it
+        # bounds memory: what has been read of a long answer is held until its client reads it
         return read_buffer[: self.pool.windows.size()] if self.stream_length else read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
         self.data_received(bytes(read_buffer[:nbytes]))
 
     def pause(self) -> None:
-        """Leave the rest of a long answer where it is; the server's own connection slows it down."""
+        """Stop reading a long answer; TCP flow control slows the server down."""
         if not self.paused and not self.transport.is_closing():
             self.paused = True
             self.cancel_answer_timer()
@@ -246,31 +252,31 @@
                 self._arm_answer_timer(self.exchange)
 
     def _forward_chunks(self, exchange: Exchange) -> bool:
-        """Hand on what has come of a long value; False when that is the end of it.
+        """Forward the received chunks of a long value; return False if it is no longer wanted.
 
-        Nothing before a good part is there: a length that lies would cost the client's connection, and what
-        has not begun can still be asked of another server.
+        Nothing is forwarded before `MIN_STREAM_START` bytes have arrived: a wrong length would cost the
+        client's connection, and until then another server may be asked.
         """
         receiver = exchange.receiver
         if not self.streaming:
             if sum(map(len, self.chunks)) < MIN_STREAM_START:
                 return True
             if receiver is None:
-                raise MalformedAnswer(f"value of {self.stream_length} bytes")
+                raise MalformedAnswer(f"value of {self.stream_length} bytes can't be streamed here")
             self.streaming = receiver.begin_stream(self.stream_length, exchange)
             if not self.streaming:
                 exchange.abandon()
-        pieces, self.chunks = self.chunks, []
-        for piece in pieces:
+        chunks, self.chunks = self.chunks, []
+        for chunk in chunks:
             if receiver is not None and exchange.open:
-                receiver.write_chunk(piece)
+                receiver.write_chunk(chunk)
         return exchange.open
 
     def _arm_answer_timer(self, exchange: Exchange) -> None:
-        """Guards the request: an answer said to be longer than it is never ends."""
+        """Limit the time for the rest of an answer: one announced as longer than it is would never end."""
         self.progressed = True
         if self.answer_timer is None and not self.paused:
-            pause = (
+            timeout = (
                 STREAM_STALL_TIMEOUT
                 if self.streaming
                 else STREAM_START_TIMEOUT
@@ -278,7 +284,7 @@
                 else ANSWER_TIMEOUT
             )
             self.answer_timer = asyncio.get_running_loop().call_later(
-                pause, self._on_answer_timeout, exchange
+                timeout, self._on_answer_timeout, exchange
             )
 
     def _on_answer_timeout(self, exchange: Exchange) -> None:
@@ -287,11 +293,11 @@
             self._arm_answer_timer(exchange)
             self.progressed = False
         else:
-            self._reject_answer(exchange, MalformedAnswer("begun and not ended"))
+            self._reject_answer(exchange, MalformedAnswer("incomplete when its time limit was reached"))
 
     def data_received(self, data: bytes) -> None:
         exchange = self.exchange
-        if exchange is None:  # bytes that nobody asked for: the next answer could not be told from them
+        if exchange is None:  # unexpected bytes: the next answer could not be told apart from them
             self.drop(CloseReason.UNEXPECTED_BYTES)
             return
         try:
@@ -299,7 +305,7 @@
             if self.stream_length and not self._forward_chunks(exchange):
                 return
         except Exception as e:
-            # guards the router: whatever a server sends costs its connection and no more
+            # protects the router: whatever a server sends ends its connection only
             self._reject_answer(exchange, e)
             return
         if answer is None:
@@ -316,10 +322,13 @@
                 self.drop(CloseReason.UNUSABLE_ANSWER)
             exchange.finish(*answer)
 
-    def _reject_answer(self, exchange: Exchange, fault: Exception) -> None:
-        """An answer that can't be used: the request may have run, and what follows belongs to nobody."""
-        level = logging.WARNING if isinstance(fault, MalformedAnswer) else logging.ERROR
-        rate_limited_log.log(level, "answer of %s: %.200r", self.address, fault)
+    def _reject_answer(self, exchange: Exchange, error: Exception) -> None:
+        """Finish the exchange with an error after a bad answer, and close the connection.
+
+        The request may have been executed, and bytes that follow could not be attributed to a request.
+        """
+        level = logging.WARNING if isinstance(error, MalformedAnswer) else logging.ERROR
+        rate_limited_log.log(level, "unusable answer from %s: %.200r", self.address, error)
         self.exchange = None
         self.drop(CloseReason.UNUSABLE_ANSWER)
         exchange.finish(Status.ERROR)
@@ -330,7 +339,7 @@
             self.answer_timer = None
 
     def eof_received(self) -> None:
-        """The server closes in good order, which ends an answer that gives no length; a reset does not."""
+        """Handle an orderly close by the server, which ends an answer without a length; a reset does not."""
         exchange = self.exchange
         if exchange is None or not self.written:
             return
@@ -351,8 +360,8 @@
             requests_log.connection_closed("server", self.address, CloseReason.PEER_CLOSED, 1)
             exchange.finish(Status.RESET if self.written else Status.CONNECT_FAILED)
 
-    def drop(self, why: CloseReason) -> None:
-        """Close at once, without sending what is still held back."""
-        requests_log.connection_closed("server", self.address, why, int(self.exchange is not None))
+    def drop(self, reason: CloseReason) -> None:
+        """Close the connection at once, without sending buffered bytes."""
+        requests_log.connection_closed("server", self.address, reason, int(self.exchange is not None))
         self.pool.remove(self)
         self.transport.abort()
--- a/myrtlecourse/net/descriptors.py
+++ b/myrtlecourse/net/descriptors.py
@@ -1,4 +1,4 @@
-"""The descriptors of a router, dealt to its sides, which lend to one another what they don't use."""
+"""The file descriptors of a router, shared by its holders, which lend one another what they do not use."""
 
 from __future__ import annotations
 
@@ -6,46 +6,46 @@
 
 
 class DescriptorHolder(Protocol):
-    """Clients, cache servers or the origin."""
+    """The connections of clients, to cache servers or to the origin."""
 
-    budget: int  # its own part
+    budget: int  # descriptors reserved for this holder
 
     def descriptors_used(self) -> int:
-        """DescriptorBudget that it holds, dials and connections not yet welcomed included."""
+        """Return the descriptors in use, including dials and connections not yet set up."""
 
     def close_one_idle(self) -> bool:
-        """Close one connection on which nothing is owed; False when there is none."""
+        """Close one connection without an open request; return False if there is none."""
 
 
 class DescriptorBudget:
-    """What all sides may hold together.
+    """The descriptors that all holders may use together.
 
-    Half of a side's own part is never lent, so that it can begin at once when it is needed; for the other
-    half it waits until a borrower closes what it keeps idle.
+    Half of a holder's own budget is never lent, so that it can start at once when it needs descriptors. For
+    the other half it waits until a borrower closes its idle connections.
     """
 
     def __init__(self, total: int) -> None:
         self.total = total
         self.holders: list[DescriptorHolder] = []
 
-    def add(self, side: DescriptorHolder) -> None:
-        self.holders.append(side)
+    def add(self, holder: DescriptorHolder) -> None:
+        self.holders.append(holder)
 
-    def may_open(self, side: DescriptorHolder) -> bool:
-        """Whether a side may open one more."""
-        if side.descriptors_used() < side.budget:
-            return self.descriptors_used() < self.total or self._reclaim(side)
-        kept = sum(max(0, s.budget // 2 - s.descriptors_used()) for s in self.holders if s is not side)
+    def may_open(self, holder: DescriptorHolder) -> bool:
+        """Return whether a holder may open one more descriptor, after reclaiming one if need be."""
+        if holder.descriptors_used() < holder.budget:
+            return self.descriptors_used() < self.total or self._reclaim(holder)
+        kept = sum(max(0, h.budget // 2 - h.descriptors_used()) for h in self.holders if h is not holder)
         return self.descriptors_used() + kept < self.total
 
-    def fits_after_open(self, side: DescriptorHolder) -> bool:
-        """Whether all is within the total, after a side has opened one more of its own part."""
-        return self.descriptors_used() <= self.total or self._reclaim(side)
+    def fits_after_open(self, holder: DescriptorHolder) -> bool:
+        """Return whether all holders are within the total after one of them opened one of its own budget."""
+        return self.descriptors_used() <= self.total or self._reclaim(holder)
 
     def descriptors_used(self) -> int:
-        return sum(s.descriptors_used() for s in self.holders)
+        return sum(h.descriptors_used() for h in self.holders)
 
-    def _reclaim(self, side: DescriptorHolder) -> bool:
+    def _reclaim(self, holder: DescriptorHolder) -> bool:
         return any(
-            s.descriptors_used() > s.budget and s.close_one_idle() for s in self.holders if s is not side
+            h.descriptors_used() > h.budget and h.close_one_idle() for h in self.holders if h is not holder
         )
--- a/myrtlecourse/net/flow_control.py
+++ b/myrtlecourse/net/flow_control.py
@@ -1,6 +1,7 @@
-"""How much of long values may be held: one budget over the whole process, dealt evenly to what flows.
+"""Limits the memory that long values take: a budget for the whole process in each direction.
 
-A peer that takes or gives slowly holds its own part and stops its other side; nothing is cut for room.
+Streamed answers share their budget evenly. A peer that reads or sends slowly fills only its own window, which
+pauses the other side of its stream; no stream is aborted for lack of memory.
 """
 
 from __future__ import annotations
@@ -8,47 +9,47 @@
 from collections import deque
 from typing import Protocol
 
-DEFAULT_BUDGET = 16 * 1024 * 1024  # bytes, unless the configuration tells the memory that there is
+DEFAULT_BUDGET = 16 * 1024 * 1024  # bytes, unless the configuration gives the available memory
 MEMORY_SHARE = 1 / 5  # of a process's memory, for each direction
-MAX_WINDOW = 64 * 1024  # bytes of one flow in each of its two places: as much as is read at once
+MAX_WINDOW = 64 * 1024  # bytes of one stream in each of its two buffers; as much as is read at once
 MIN_WINDOW = 4 * 1024
 
 
 class StreamWindows:
-    """The answers that flow to clients, and what each may hold at a time."""
+    """Counts the answers that are streamed to clients and sizes the buffers of each."""
 
     def __init__(self, budget: int = DEFAULT_BUDGET) -> None:
-        """Takes the bytes for all flows together."""
+        """Create windows that share `budget` bytes."""
         self.budget = budget
         self.streams = 0
 
     def size(self) -> int:
-        """Bytes that one flow may read ahead, and as many again that its client has not taken."""
+        """Return the bytes that one stream may read ahead; its client's write buffer may hold as many."""
         return max(MIN_WINDOW, min(MAX_WINDOW, self.budget // (2 * max(1, self.streams))))
 
 
 class ReservationWaiter(Protocol):
-    """A client that announced a long value, and is not read until there is room for it."""
+    """A client that announced a long value and is not read until memory for it is reserved."""
 
     def on_reserved(self) -> None:
-        """There is room; it has been reserved."""
+        """Handle that the memory has been reserved."""
 
 
 class UploadMemory:
-    """UploadMemory for the long values that clients send, reserved whole before they are read.
+    """The memory for long values that clients send; all of a value is reserved before it is read.
 
-    In the order of asking: one that holds half a value has reserved the other half, so that none of them
-    waits for what another holds.
+    Reservations are made in the order of the requests. A client that has sent half of a value has reserved
+    the other half, so that no client waits for memory that another one holds while it waits itself.
     """
 
     def __init__(self, budget: int = DEFAULT_BUDGET) -> None:
-        """Takes the bytes for all values together; one value alone always fits."""
+        """Create a budget of `budget` bytes for all values together; a single value always fits."""
         self.budget = budget
         self.reserved = 0
         self.waiting: deque[tuple[ReservationWaiter, int]] = deque()
 
     def reserve(self, client: ReservationWaiter, size: int) -> bool:
-        """Reserve room, or wait for it: then the client is told once it is there."""
+        """Reserve memory and return True, or return False and call `on_reserved` once it is reserved."""
         if not self.waiting and self._fits(size):
             self.reserved += size
             return True
@@ -59,14 +60,14 @@
         return not self.reserved or self.reserved + size <= self.budget
 
     def release(self, size: int) -> None:
-        """What was reserved is free again."""
+        """Free reserved memory."""
         self.reserved -= size
         self._grant_waiting()
 
     def stop_waiting(self, client: ReservationWaiter) -> None:
-        """A client waits no more."""
+        """Remove a client from the queue."""
         self.waiting = deque(each for each in self.waiting if each[0] is not client)
-        self._grant_waiting()  # it may have stood before smaller ones
+        self._grant_waiting()  # it may have been ahead of smaller values
 
     def _grant_waiting(self) -> None:
         while self.waiting and self._fits(self.waiting[0][1]):
--- a/myrtlecourse/net/hangup.py
+++ b/myrtlecourse/net/hangup.py
@@ -1,8 +1,8 @@
-"""Clients that have hung up, also while they are not read: the end of a connection lies behind unread bytes.
+"""Detects clients that hang up while their connection is not read.
 
-The event loop tells of an end only where it reads. A client that is not read (its pipeline is full, a long
-value waits for room, it takes its answers slowly, or it has sent an error) could be gone for seconds, and
-attempts would begin for nobody.
+The event loop reports the end of a connection only where it reads, and the end lies behind all unread bytes.
+A client that is not read (its pipeline is full, a long value waits for memory, it takes its answers slowly,
+or it has sent an error) could be gone for seconds, while attempts would begin for nobody.
 """
 
 from __future__ import annotations
@@ -11,31 +11,31 @@
 import select
 from typing import Protocol
 
-POLL_INTERVAL = 0.02  # seconds between looks; attempts ask anew just before they begin
+POLL_INTERVAL = 0.02  # seconds; each attempt checks again just before it begins
 HANG_UP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
 class UnreadConnection(Protocol):
-    """A connection that is not read for now."""
+    """A connection that is not read at present."""
 
     descriptor: int
 
     def on_hang_up(self) -> None:
-        """Its client has closed it."""
+        """Handle that the client has closed the connection."""
 
 
 def has_hung_up(descriptor: int) -> bool:
-    """Whether the other side has closed a connection, whatever lies unread before its end."""
+    """Return whether the other side has closed a connection, even behind unread bytes."""
     poll = select.poll()
     poll.register(descriptor, select.POLLRDHUP)
     try:
         return any(events & HANG_UP_EVENTS for _, events in poll.poll(0))
-    except OSError:  # no memory for a look: nothing is known
+    except OSError:  # the kernel lacks memory for the poll: nothing is known
         return False
 
 
 class HangUpMonitor:
-    """Looks after the connections that are not read; costs nothing while there are none."""
+    """Polls the connections that are not read; has no overhead while there are none."""
 
     def __init__(self) -> None:
         self.poller = select.poll()
@@ -43,14 +43,14 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def add(self, connection: UnreadConnection) -> None:
-        """A connection is not read from now on."""
+        """Monitor a connection that is no longer read."""
         self.connections[connection.descriptor] = connection
         self.poller.register(connection.descriptor, select.POLLRDHUP)
         if self.timer is None:
             self.timer = asyncio.get_running_loop().call_later(POLL_INTERVAL, self._poll)
 
     def remove(self, connection: UnreadConnection) -> None:
-        """It is read again, or has ended; to be called before its descriptor is closed."""
+        """Stop monitoring a connection that is read again or has ended, before its descriptor is closed."""
         descriptor = connection.descriptor
         if self.connections.get(descriptor) is connection:
             del self.connections[descriptor]
@@ -60,7 +60,7 @@
         self.timer = None
         try:
             found = self.poller.poll(0)
-        except OSError:  # no memory for a look: the next one comes soon
+        except OSError:  # the kernel lacks memory for the poll: the next one comes soon
             found = []
         for descriptor, events in found:
             connection = self.connections.get(descriptor)
@@ -70,7 +70,7 @@
             self.timer = asyncio.get_running_loop().call_later(POLL_INTERVAL, self._poll)
 
     def close(self) -> None:
-        """Look no more."""
+        """Stop polling."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- a/myrtlecourse/net/host.py
+++ b/myrtlecourse/net/host.py
@@ -1,6 +1,7 @@
-"""Hosts the decision module: its clock and timers, and the table of requests and attempts.
+"""Hosts the decision module: provides its clock and timers and keeps the table of requests and attempts.
 
-LoopLag what happens on sockets into events, carries out the actions in order, and decides nothing.
+Turns what happens on sockets into events and carries out the resulting actions in order. All decisions are
+made in `policy.Router`.
 """
 
 from __future__ import annotations
@@ -26,26 +27,27 @@
 from myrtlecourse.net.timers import Timers
 from myrtlecourse.policy import Router
 
-# before the client's deadline, which counts from its send: measured, the way takes 1.3 ms at most in each
-# direction and this process 1.4 ms at the 99th percentile; the rest is for a core that others keep busy
+# seconds before the client's deadline, which counts from its send: the network takes at most 1.3 ms in each
+# direction and this process 1.4 ms at the 99th percentile; the rest allows for a core busy with other
+# processes
 DEADLINE_MARGIN = 0.02
-MIN_ID_MEMORY = 2.0  # seconds at least for which the id of an ended request is not taken again
-MAX_STREAM_OVERRUN = 60.0  # seconds after its deadline for which a long answer may flow on, however slowly
-MAX_DIGITS = 12  # digits
+MIN_ID_MEMORY = 2.0  # seconds; the id of an ended request is not accepted again for at least this long
+MAX_STREAM_OVERRUN = 60.0  # seconds after the deadline for which a streamed answer may go on, however slowly
+MAX_DIGITS = 12  # of a number in a command's names and values
 FAILED_ANSWER = b"-ERR failed\r\n"
-LATE_ANSWER_LOGGED = 0.1  # seconds after its deadline from which on a final answer is worth a line in the log
+LATE_ANSWER_LOGGED = 0.1  # seconds after its deadline from which on a final answer is logged as late
 log = logging.getLogger(__name__)
 rate_limited_log = RateLimitedLog(log)
 
 
 def busy_answer(come_back: float) -> bytes:
-    """A refusal, with the time to come back if there is one (seconds)."""
+    """Encode a refusal, with the time in seconds after which to retry unless that is 0."""
     pause = math.ceil(come_back * 1000)
     return b"-BUSY %d\r\n" % pause if pause else b"-BUSY\r\n"
 
 
 class Host:
-    """One router and what it has going on."""
+    """A router with its members, requests and timers."""
 
     def __init__(
         self,
@@ -54,34 +56,34 @@
         servers: Pool,
         origin: Pool,
         subscribe: Callable[[], None],
-        door: api.Door | None = None,
+        admission: api.Door | None = None,
     ) -> None:
         self.settings = settings
         self.servers = servers
         self.origin = origin
-        self.request_list = subscribe
+        self.subscribe = subscribe
         self.clock = Clock()
-        self.in_service = True  # as operators have it
-        self.holds_service_address = True  # the service address is here, where it may move
-        self.last_answer_at = math.inf  # by then all that is taken has its answer, as this process ends
-        self.router = Router(settings, seed, self.clock.now(), door)
+        self.in_service = True  # unless operators take the router out of service
+        self.holds_service_address = True  # false while the movable service address is at another router
+        self.last_answer_at = math.inf  # when this process ends: every accepted request is answered by then
+        self.router = Router(settings, seed, self.clock.now(), admission)
         self.members: dict[str, Member] = {}
-        self.offlined: set[str] = set()  # by operators
+        self.offlined: set[str] = set()  # servers that operators took offline
         self.requests: dict[str, RequestInFlight] = {}
-        self.recent_ids: set[str] = set()  # ids of ended requests
-        self.older_ids: set[str] = set()
+        self.recent_ids: set[str] = set()  # of ended requests
+        self.older_ids: set[str] = set()  # the generation before
         self.id_generation_started_at = self.clock.now()
-        self.ended_requests: list[str] = []  # names of requests that may be forgotten
+        self.ended_requests: list[str] = []  # ids of requests that may be removable
         self.pending_events: deque[api.Event] = deque()
         self.handling = False
         self.timers = Timers()
         self.loop_lag = LoopLag()
         self.list_updates = ListUpdateQueue(lambda: self.members, self.apply_list)
         self.request_log = requests_log
-        self.batch_scheduled = False  # a turn of the loop is asked for, to take the next batch
+        self.batch_scheduled = False  # whether a call to apply the next batch is scheduled
 
     def post(self, event: api.Event) -> None:
-        """Hand an event to the module; one that comes while actions are carried out waits its turn."""
+        """Pass an event to the decision module; while actions are carried out, events are queued."""
         if self.handling:
             self.pending_events.append(event)
             return
@@ -94,9 +96,10 @@
                     self._carry_out(action)
         finally:
             self.handling = False
-            # not before: the module may still send for a request that it has just ended, which is moot
-            for name in self.ended_requests:
-                self._remove_ended(name)
+            # not earlier: the module may still ask for an attempt of a request that it has just ended; that
+            # attempt is cancelled before sending
+            for request_id in self.ended_requests:
+                self._remove_ended(request_id)
             self.ended_requests.clear()
 
     def _carry_out(self, action: api.Action) -> None:
@@ -115,39 +118,39 @@
             case api.SetTimer():
                 self.timers.call_later(action.delay, self.post, api.TimerFired(action.token))
             case api.Subscribe():
-                self.request_list()
+                self.subscribe()
             case api.Log():
                 log.info("%s", action.text)
 
-    # The list
+    # The list of servers
 
     def accepts_clients(self) -> bool:
-        """Whether clients are wanted: in service, at the service address, and with a cache server."""
+        """Return whether clients are welcome: the router can serve them and holds the service address."""
         return self.holds_service_address and self.has_usable_server()
 
     def has_usable_server(self) -> bool:
-        """Whether it is in service and some cache server may be sent to."""
+        """Return whether the router is in service and requests may be sent to some cache server."""
         return self.in_service and any(
             m.entry.ready and not self._is_origin(m) for m in self.members.values()
         )
 
     def discovery_moved(self) -> None:
-        """The list is told elsewhere from now on."""
+        """Handle that the list comes from another discovery from now on."""
         self.post(api.ListMoved())
 
     def discovery_failed(self) -> None:
         self.post(api.ServerList(api.ListKind.FAILED))
 
     def submit_list(self, kind: api.ListKind, members: list[Member]) -> None:
-        """Take a list or its changes, the longer ones a batch in each turn of the event loop.
+        """Apply a list or its changes, longer ones one batch per iteration of the event loop.
 
-        The list of the configuration is taken at once: no request waits for it.
+        The list in the configuration is applied at once, as no request is waiting yet.
         """
-        news = ListUpdate(kind, members)
+        update = ListUpdate(kind, members)
         if kind is api.ListKind.SAVED:
-            self.apply_list(news)
+            self.apply_list(update)
             return
-        self.list_updates.submit(news)
+        self.list_updates.submit(update)
         if self.list_updates.pending and not self.batch_scheduled:
             self.batch_scheduled = True
             asyncio.get_running_loop().call_soon(self._apply_next_batch)
@@ -158,55 +161,56 @@
         try:
             self.list_updates.apply_next_batch()
         except Exception:
-            # guards drains: what the decisions could not take in part they are told again as a whole
-            log.exception("a batch of the list")
+            # protects drains: the decision module, which may have applied only a part, gets the full list
+            # again
+            log.exception("could not apply a batch of the server list; sending the full list again")
             loop.call_soon(self._resend_list)
         self.batch_scheduled = self.list_updates.pending
         if self.batch_scheduled:
             loop.call_soon(self._apply_next_batch)
 
     def _resend_list(self) -> None:
-        """Tell the decisions the list as it is held."""
+        """Pass the full current list to the decision module."""
         self.post(
             api.ServerList(
                 api.ListKind.FULL, tuple(self._entry_on_host_clock(m) for m in self.members.values())
             )
         )
 
-    def apply_list(self, news: ListUpdate) -> None:
-        """Enter news; costs what it names, and for a whole list what it ends."""
-        if news.kind is not api.ListKind.DELTA:
-            named = {m.entry.server for m in news.members}
+    def apply_list(self, update: ListUpdate) -> None:
+        """Apply an update; takes time for its entries and, if it is a full list, for removed members."""
+        if update.kind is not api.ListKind.DELTA:
+            named = {m.entry.server for m in update.members}
             for name in self.members.keys() - named:
                 self._replace_member(name, None)
-        for member in news.members:
+        for member in update.members:
             self._replace_member(
                 member.entry.server, None if member.entry.state is api.State.GONE else member
             )
         if not self.list_updates.pending:
             self._report_zones()
         if self.request_log.enabled:
-            kind, entries, listed = news.kind.value, len(news.members), len(self.members)
+            kind, entries, listed = update.kind.value, len(update.members), len(self.members)
             self.request_log.event("-", "list", kind=kind, entries=entries, listed=listed)
-        self.post(api.ServerList(news.kind, tuple(self._entry_on_host_clock(m) for m in news.members)))
+        self.post(api.ServerList(update.kind, tuple(self._entry_on_host_clock(m) for m in update.members)))
 
     def _entry_on_host_clock(self, member: Member) -> api.ServerEntry:
-        """A member as the module is told of it: its start on this clock, once the wall clock was stepped."""
+        """Return a member's entry, with its start on the host's clock if the wall clock has been stepped."""
         entry = member.entry
         if not self.clock.stepped:
             return entry
         return replace(entry, started=self.clock.start_on_this_clock(entry.since))
 
     def check_wall_clock(self) -> None:
-        """Notice a step of the wall clock, by which others tell when servers started."""
+        """Detect a step of the wall clock, to which the start times of servers refer."""
         if step := self.clock.detect_step():
             log.warning("the wall clock was stepped by %+.3f s", step)
 
     def _replace_member(self, name: str, new: Member | None) -> None:
-        """List a server as it is told now, or no more.
+        """Replace a member of the list, or remove it if `new` is None.
 
-        Guards the descriptors, and the next process at an address: nothing more is sent to one that ends, and
-        a machine that vanished never closes what was kept to it.
+        Closes the idle connections to a process that ends. Nothing more is sent to it, and a machine that
+        vanished never closes them: they would waste descriptors and reach the next process at the address.
         """
         old = self.members.pop(name, None)
         if new is not None:
@@ -217,28 +221,28 @@
     # Operators
 
     def take_offline(self, server: str) -> None:
-        """Nothing new goes to a cache server; what it has ends there."""
+        """Start no new attempts at a cache server; its open attempts finish there."""
         self.offlined.add(server)
         self.post(api.Offline(server))
         if (member := self.members.get(server)) is not None:
             self._pool_of(member).stop_using(member.address)
 
     def bring_online(self, server: str, since: float) -> None:
-        """A cache server is back, cold; nothing kept to it is used again."""
+        """Use a cache server again, as a cold one; connections kept from before are not used."""
         if (member := self.members.get(server)) is not None:
             self._pool_of(member).stop_using(member.address)
         self.offlined.discard(server)
         self.post(api.Online(server, self.clock.start_on_this_clock(since)))
 
     def change_settings(self, settings: api.Settings) -> None:
-        """Other settings from now on; open requests end under those that they began with."""
+        """Apply new settings; open requests finish under the settings that they began with."""
         self.settings = settings
         for pool in (self.servers, self.origin):
             pool.set_timeouts(settings.dial_timeout, settings.connection_idle)
         self.post(api.Retuned(settings))
 
     def set_watch(self, watch: api.Watch) -> None:
-        """Let somebody hear what attempts prove, and which zones lists name."""
+        """Report to `watch` what attempts prove, and the zones in the list."""
         self.router.watch = watch
         self._report_zones()
 
@@ -256,13 +260,13 @@
     # Requests
 
     def refuse_beyond(self, seconds: float) -> None:
-        """Take no request from now on that could be unanswered in so many seconds."""
+        """Refuse from now on requests whose deadline is more than `seconds` away."""
         self.last_answer_at = self.clock.now() + seconds
 
     def refuse_early(self, info: bytes, waited: float) -> bytes | None:
-        """The refusal of a command that the module does not even want read; `info` as its client sent it.
+        """Return the refusal of a command that need not be parsed, or None; `info` is as its client sent it.
 
-        What can't be made out here is left to the whole look at it.
+        What can't be recognised here is left to the full parser.
         """
         if self.router.door is None and self.router.wanted and self.last_answer_at == math.inf:
             return None
@@ -289,109 +293,113 @@
         pause = self.router.turn_away(now, request_class, tenant, repeated, keyed, time_left, waited)
         return None if pause is None else busy_answer(pause)
 
-    def accept(self, command: Command, reply: AnswerSink, waited: float = 0.0) -> None:
-        """Take a request that is owed one answer to `reply`, or say why it can't be taken.
+    def accept(self, command: Command, answer_sink: AnswerSink, waited: float = 0.0) -> None:
+        """Accept a request, whose single answer goes to `answer_sink`.
 
-        It has lain in its socket for `waited` seconds, which are of the time its client waits.
+        The request has lain unread for `waited` seconds, which count against its deadline.
+
+        Raises:
+            CommandError: the request can't be accepted.
         """
-        name = command.request_id.decode()
-        # guards the table: two requests under one id would get each other's answers; and a client against
-        # another that repeats its id, just ended, to be served with what was its own
-        if name in self.requests or name in self.recent_ids or name in self.older_ids:
+        request_id = command.request_id.decode()
+        # two requests with one id would get each other's answers; and a client that repeats the id of a
+        # request that has just ended could be served with the answer of another client
+        if request_id in self.requests or request_id in self.recent_ids or request_id in self.older_ids:
             raise CommandError("this request id is in use")
         request_class = self.settings.classes.get(command.info.get("c", ""))
         if request_class is None:
             raise CommandError("class is unknown")
-        # guards against a second effect: no server could tell a repeat of it
+        # prevents a second effect: servers recognise a repeated request by its idempotency key
         if request_class.effect is api.Effect.KEYED and not command.info.get("k"):
             raise CommandError("k is missing")
         time_left = max(0.0, command.deadline_ms / 1000 - DEADLINE_MARGIN - waited)
         deadline = self.clock.now() + time_left
-        request = self.requests[name] = RequestInFlight(name, command, self.settings, deadline, reply)
-        request.deadline_timer = self.timers.call_later(time_left, self._on_deadline, name)
+        request = self.requests[request_id] = RequestInFlight(
+            request_id, command, self.settings, deadline, answer_sink
+        )
+        request.deadline_timer = self.timers.call_later(time_left, self._on_deadline, request_id)
         if self.request_log.enabled:
             self.request_log.event(
-                name, "taken", request_class=request_class.name, left=time_left, waited=waited
+                request_id, "taken", request_class=request_class.name, left=time_left, waited=waited
             )
         hint = command.info.get("h", "")
         event = api.Request(
-            name,
+            request_id,
             request_class.name,
             time_left,
             command.key.decode("latin-1"),
-            # guards against a number too large for a float
+            # a longer number could be too large for a float
             int(hint) / 1e6 if hint.isdigit() and len(hint) <= MAX_DIGITS else None,
             command.is_write,
             waited,
         )
         self.post(event)
 
-    def client_gone(self, name: str) -> None:
-        """The client of a request closed its connection."""
-        request = self.requests.get(name)
+    def client_gone(self, request_id: str) -> None:
+        """Handle that the client of a request has disconnected."""
+        request = self.requests.get(request_id)
         if request is not None and not request.closed:
-            self._mark_answered(request, name)
+            self._mark_answered(request, request_id)
             if self.request_log.enabled:
-                self.request_log.event(name, "client-gone")
-            self.post(api.ClientGone(name))
-
-    def _on_deadline(self, name: str) -> None:
-        """The deadline: attempts still out time out."""
-        request = self.requests[name]
-        # guards a long answer: its first bytes were in time, and the rest comes as fast as its server gives
-        # it and its client takes it; but not for good
-        flows = None if request.deadline_passed else request.streaming
+                self.request_log.event(request_id, "client-gone")
+            self.post(api.ClientGone(request_id))
+
+    def _on_deadline(self, request_id: str) -> None:
+        """Time out the open attempts of a request at its deadline."""
+        request = self.requests[request_id]
+        # a streamed answer whose first bytes were in time goes on as fast as its server sends and its client
+        # reads, but only for a limited time
+        streaming = None if request.deadline_passed else request.streaming
         request.deadline_passed = True
-        if flows is not None:
-            request.deadline_timer = self.timers.call_later(MAX_STREAM_OVERRUN, self._on_deadline, name)
-        for attempt in list(
-            request.open_attempts.values()
-        ):  # the module may answer, and so end it, on the way
-            if attempt is not flows:
+        if streaming is not None:
+            request.deadline_timer = self.timers.call_later(MAX_STREAM_OVERRUN, self._on_deadline, request_id)
+        # a copy: the decision module may answer the request, and so end its attempts, meanwhile
+        for attempt in list(request.open_attempts.values()):
+            if attempt is not streaming:
                 self._time_out(attempt)
 
-    def _answer(self, name: str, answer: bytes, reason: api.Reason = api.Reason.UNKNOWN) -> None:
-        """Give a request its one answer."""
-        request = self.requests.get(name)
+    def _answer(self, request_id: str, answer: bytes, reason: api.Reason = api.Reason.UNKNOWN) -> None:
+        """Send a request its final answer, unless it has been answered."""
+        request = self.requests.get(request_id)
         if request is not None and not request.closed:
-            self._mark_answered(request, name)
+            self._mark_answered(request, request_id)
             self._log_answer(request, answer, reason)
             if request.streaming is None:
                 request.answer_sink.send(answer)
             else:
-                # guards the client: in the midst of a value an answer would be taken for part of it
+                # in the middle of a value, an answer would be read as a part of it
                 request.answer_sink.abort_stream()
 
     def _log_answer(self, request: RequestInFlight, answer: bytes, reason: api.Reason) -> None:
-        """Log a final answer that comes late and, while requests are logged, any other."""
-        late = self.clock.now() - request.deadline - DEADLINE_MARGIN
-        if late > LATE_ANSWER_LOGGED and answer[:1] != b"$":
+        """Log a late final answer and, while the request log is enabled, every answer."""
+        lateness = self.clock.now() - request.deadline - DEADLINE_MARGIN
+        if lateness > LATE_ANSWER_LOGGED and answer[:1] != b"$":
             rate_limited_log.log(
-                logging.WARNING, "final answers late: %s by %.3f s", request.request_id, late
+                logging.WARNING, "final answers late: %s by %.3f s", request.request_id, lateness
             )
         if self.request_log.enabled:
             kind = answer[:5].decode("latin-1").strip() if answer[:1] != b"$" else "served"
-            self.request_log.event(request.request_id, "answered", answer=kind, reason=reason, left=-late)
+            self.request_log.event(request.request_id, "answered", answer=kind, reason=reason, left=-lateness)
 
-    def _mark_answered(self, request: RequestInFlight, name: str) -> None:
-        """Nothing is owed any more; kept only for what is still out."""
+    def _mark_answered(self, request: RequestInFlight, request_id: str) -> None:
+        """Mark a request as answered; it is kept until its open attempts have ended."""
         request.closed = True
-        self.ended_requests.append(name)
+        self.ended_requests.append(request_id)
 
-    def _remove_ended(self, name: str) -> None:
-        """Guards memory: a request with its value is not kept until a deadline far off."""
-        request = self.requests.get(name)
+    def _remove_ended(self, request_id: str) -> None:
+        """Remove a request without open attempts, so that its value is not held until a distant deadline."""
+        request = self.requests.get(request_id)
         if request is not None and request.closed and not request.open_attempts:
-            del self.requests[name]
+            del self.requests[request_id]
             now = self.clock.now()
             if now - self.id_generation_started_at > MIN_ID_MEMORY:
                 self.older_ids, self.recent_ids, self.id_generation_started_at = self.recent_ids, set(), now
-            self.recent_ids.add(name)
+            self.recent_ids.add(request_id)
             if request.deadline_timer is not None:
                 request.deadline_timer.cancel()
 
     def _refuse(self, action: api.Refuse) -> None:
-        """A refusal at once, that tells the client when to come back if the module has advice."""
+        """Refuse a request, with the time after which to retry if the decision module gives one."""
         self._answer(action.request, busy_answer(action.come_back), action.reason)
 
     # Attempts
@@ -399,21 +407,21 @@
     def _start_attempt(self, action: api.Send) -> None:
         request = self.requests.get(action.request)
         if request is None:
-            log.error("a send for %s, which is long over", action.request)
+            log.error("attempt requested for %s, which is no longer known", action.request)
             return
         now = self.clock.now()
         attempt = Attempt(self, request, now, action.server, action.within)
         request.attempts_started += 1
         request.open_attempts[attempt.number] = attempt
-        over = request.closed or request.deadline_passed or attempt.number >= request.settings.max_attempts
+        ended = request.closed or request.deadline_passed or attempt.number >= request.settings.max_attempts
         member = self.members.get(action.server)
         if self.request_log.enabled:
             number, left = attempt.number, request.deadline - now
             self.request_log.event(
                 request.request_id, "sent", no=number, server=action.server, reason=action.reason, left=left
             )
-        if over or member is None or not request.answer_sink.client_connected():
-            failed = not over and member is None
+        if ended or member is None or not request.answer_sink.client_connected():
+            failed = not ended and member is None
             self.finish_attempt(request, attempt, api.Status.CONNECT_FAILED if failed else api.Status.MOOT)
             return
         time_left = request.deadline - now
@@ -426,17 +434,16 @@
         )
 
     def may_start(self, attempt: Attempt) -> bool:
-        """Whether an attempt that has waited for its connection may still be written."""
+        """Return whether an attempt that has waited for its connection may still be sent."""
         request, member = attempt.request, self.members.get(attempt.server)
         if request.closed or request.deadline_passed or member is None or not member.entry.ready:
             return False
-        late = (
-            request.attempts_started > 1 and self.clock.now() >= attempt.write_deadline
-        )  # a first one repeats nothing
+        # the first attempt repeats nothing and so is never too late for duplicate detection
+        late = request.attempts_started > 1 and self.clock.now() >= attempt.write_deadline
         return not late and attempt.server not in self.offlined and request.answer_sink.client_connected()
 
     def begin_stream(self, request: RequestInFlight, attempt: Attempt, length: int, source: Exchange) -> bool:
-        """A long answer begins to come; the first of a request's is passed on, any other is not wanted."""
+        """Stream an attempt's long answer to the client, unless another answer has begun or been sent."""
         if request.closed or request.streaming is not None:
             self.finish_attempt(request, attempt, api.Status.CANCELLED)
             return False
@@ -465,30 +472,30 @@
     def finish_attempt(
         self, request: RequestInFlight, attempt: Attempt, status: api.Status, value: bytes = b""
     ) -> None:
-        """Give an attempt its one outcome; the first that served answers the client."""
+        """Record the outcome of an attempt; the first one that succeeds answers the client."""
         if request.open_attempts.pop(attempt.number, None) is None:
             return
         if attempt.timeout_timer is not None:
             attempt.timeout_timer.cancel()
-        attempt.exchange = None  # guards memory: each would hold the other until the collector comes
-        name = request.request_id
+        attempt.exchange = None  # breaks a reference cycle, which would keep both until a garbage collection
+        request_id = request.request_id
         if request.streaming is attempt:
             if not request.closed:
-                self._mark_answered(request, name)
+                self._mark_answered(request, request_id)
                 (
                     request.answer_sink.end_stream
                     if status is api.Status.OK
                     else request.answer_sink.abort_stream
                 )()
         elif status is api.Status.OK:
-            self._answer(name, b"$%d\r\n%b\r\n" % (len(value), value))
-        self.ended_requests.append(name)
-        # guards against a core that is full: the wait for it would count as the server's, and cut its limit
-        # and a client that takes a long answer slowly, in the same way
+            self._answer(request_id, b"$%d\r\n%b\r\n" % (len(value), value))
+        self.ended_requests.append(request_id)
+        # excludes the wait for a saturated core, and for a client that reads a long answer slowly: they would
+        # count as the server's latency and lower its concurrency limit
         ended_at = attempt.stream_started_at or self.clock.now()
         latency = max(0.0, ended_at - attempt.sent_at - self.loop_lag.estimated_wait())
         if self.request_log.enabled:
             self.request_log.event(
-                name, "ended", no=attempt.number, status=status, took=ended_at - attempt.sent_at
+                request_id, "ended", no=attempt.number, status=status, took=ended_at - attempt.sent_at
             )
-        self.post(api.Outcome(name, attempt.number, status, request.closed, latency))
+        self.post(api.Outcome(request_id, attempt.number, status, request.closed, latency))
--- a/myrtlecourse/net/in_flight.py
+++ b/myrtlecourse/net/in_flight.py
@@ -1,4 +1,4 @@
-"""A request that was taken, its attempts, and where its one answer goes."""
+"""Requests in flight, their attempts, and the destination of each request's single answer."""
 
 from __future__ import annotations
 
@@ -15,39 +15,39 @@
 
 
 class AnswerSink(Protocol):
-    """Where a request's one answer goes: whole, or a long value as it comes."""
+    """The destination of a request's answer, which is either sent whole or streamed in chunks."""
 
     def send(self, answer: bytes) -> None:
-        """The whole answer."""
+        """Send a whole answer."""
 
     def begin_stream(self, length: int, source: Exchange) -> None:
-        """A value of so many bytes begins; its source can be paused."""
+        """Begin a streamed value of `length` bytes; `source` can be paused and resumed."""
 
     def write_chunk(self, data: bytes) -> None:
-        """The next bytes of it."""
+        """Send the next bytes of the streamed value."""
 
     def end_stream(self) -> None:
-        """It is whole."""
+        """End the streamed value, which is complete."""
 
     def abort_stream(self) -> None:
-        """It will never be whole, and the client must be able to tell."""
+        """End the streamed value, which stays incomplete, so that the client can tell."""
 
     def client_connected(self) -> bool:
-        """Whether its client has not hung up, also while it is not read."""
+        """Return whether the client has not hung up, even while its connection is not read."""
 
 
 class Attempt:
-    """One send of a request that has had no outcome yet."""
+    """An attempt of a request that has no outcome yet."""
 
     __slots__ = (
-        "stream_started_at",
         "deadline",
         "exchange",
         "host",
         "number",
+        "request",
         "sent_at",
         "server",
-        "request",
+        "stream_started_at",
         "timeout_timer",
         "write_deadline",
     )
@@ -60,11 +60,10 @@
         self.number = request.attempts_started
         self.sent_at = sent_at
         self.server = server
-        self.write_deadline = (
-            math.inf if write_deadline is None else write_deadline
-        )  # by then it is written (the host's clock)
-        self.deadline = request.deadline  # its router waits no longer
-        self.stream_started_at = 0.0  # of a long answer
+        # on the host's clock; the request has to be written by then
+        self.write_deadline = math.inf if write_deadline is None else write_deadline
+        self.deadline = request.deadline  # the router does not wait for an answer after this
+        self.stream_started_at = 0.0  # when a streamed answer began; 0 if none has
         self.exchange: Exchange | None = None
         self.timeout_timer: Timer | None = None
 
@@ -89,33 +88,38 @@
 
 
 class RequestInFlight:
-    """A request, kept until nothing is owed for it and nothing of it is out."""
+    """A request, kept until it has been answered and all its attempts have ended."""
 
     __slots__ = (
-        "open_attempts",
+        "answer_sink",
+        "attempts_started",
         "closed",
         "command",
         "deadline",
+        "deadline_passed",
         "deadline_timer",
+        "open_attempts",
         "request_id",
-        "deadline_passed",
-        "answer_sink",
-        "attempts_started",
         "settings",
         "streaming",
     )
 
     def __init__(
-        self, name: str, command: Command, settings: api.Settings, deadline: float, reply: AnswerSink
+        self,
+        request_id: str,
+        command: Command,
+        settings: api.Settings,
+        deadline: float,
+        answer_sink: AnswerSink,
     ) -> None:
-        self.request_id = name
-        self.settings = settings  # that it began under
+        self.request_id = request_id
+        self.settings = settings  # those in force when the request began
         self.command = command
         self.deadline = deadline
-        self.answer_sink = reply
+        self.answer_sink = answer_sink
         self.deadline_timer: Timer | None = None
-        self.attempts_started = 0  # attempts, whatever became of them
-        self.closed = False  # answered, or its client is gone
+        self.attempts_started = 0  # including those that have ended
+        self.closed = False  # answered, or the client has disconnected
         self.deadline_passed = False
-        self.streaming: Attempt | None = None  # whose answer is passed on as it comes
+        self.streaming: Attempt | None = None  # the attempt whose answer is streamed to the client
         self.open_attempts: dict[int, Attempt] = {}
--- a/myrtlecourse/net/list_updates.py
+++ b/myrtlecourse/net/list_updates.py
@@ -1,7 +1,8 @@
-"""Takes lists of cache servers a few entries at a time; no I/O and no clock.
+"""Applies lists of cache servers a few entries at a time; does no I/O and uses no clock.
 
-A list of thousands that is taken in one turn of the event loop stops it: nothing is read meanwhile, and no
-deadline is kept. The host takes a batch a turn, in the order in which lists came.
+A list of thousands of entries that is applied in one iteration of the event loop blocks it: nothing is read
+meanwhile, and no deadline is kept. The host applies one batch per iteration, in the order in which lists
+came.
 """
 
 from __future__ import annotations
@@ -13,74 +14,76 @@
 from myrtlecourse import interface as api
 from myrtlecourse.net.members import Member
 
-BATCH_SIZE = 32  # entries taken in one turn of the event loop
+BATCH_SIZE = 32  # entries applied in one iteration of the event loop
 
 
 @dataclass(slots=True, frozen=True)
 class ListUpdate:
-    """A whole list, or changes of one, as discovery told it."""
+    """A full list, or the changes of one, as discovery sent it."""
 
     kind: api.ListKind
     members: list[Member]
 
 
-def changed_members(held: Mapping[str, Member], news: ListUpdate) -> list[Member]:
-    """What news changes of the list that is held; what may not be sent to any more comes first.
+def changed_members(current: Mapping[str, Member], update: ListUpdate) -> list[Member]:
+    """Return what an update changes in the current list; servers that may no longer be used come first.
 
-    Of a server that is named more than once the last entry holds.
+    If the update names a server more than once, the last entry counts.
     """
-    named = {m.entry.server: m for m in news.members}
-    found = [m for name, m in named.items() if held.get(name) != m]
-    if news.kind is not api.ListKind.DELTA:
-        found += [as_gone(m) for name, m in held.items() if name not in named]
-    found.sort(key=lambda m: m.entry.ready)
-    return found
+    named = {m.entry.server: m for m in update.members}
+    changed = [m for name, m in named.items() if current.get(name) != m]
+    if update.kind is not api.ListKind.DELTA:
+        changed += [as_gone(m) for name, m in current.items() if name not in named]
+    changed.sort(key=lambda m: m.entry.ready)
+    return changed
 
 
 def as_gone(member: Member) -> Member:
-    """The entry of a server that a whole list does not name any more."""
+    """Return the entry of a server that a full list no longer names."""
     entry = member.entry
-    left = api.ServerEntry(
+    gone = api.ServerEntry(
         entry.server, api.State.GONE, entry.kind, entry.zone, entry.cell, entry.weight, entry.since
     )
-    return Member(left, member.address)
+    return Member(gone, member.address)
 
 
 class ListUpdateQueue:
-    """Lists that have come and are not taken yet."""
-
-    def __init__(self, held: Callable[[], Mapping[str, Member]], take: Callable[[ListUpdate], None]) -> None:
-        """`held` gives the list as it stands, `take` enters news into it."""
-        self.current_members = held
-        self.apply = take
+    """Updates that have arrived and have not been applied yet."""
+
+    def __init__(
+        self, current_members: Callable[[], Mapping[str, Member]], apply: Callable[[ListUpdate], None]
+    ) -> None:
+        """Create a queue; `current_members` returns the list as it is, `apply` applies an update to it."""
+        self.current_members = current_members
+        self.apply = apply
         self.queue: deque[ListUpdate] = deque()
-        self.batches: deque[list[Member]] = deque()  # of the one in hand
+        self.batches: deque[list[Member]] = deque()  # of the update that is being applied
 
     @property
     def pending(self) -> bool:
-        """Whether there is more to take."""
+        """Whether there is more to apply."""
         return bool(self.batches or self.queue)
 
-    def submit(self, news: ListUpdate) -> None:
-        """Take news at once if it is short and nothing stands before it; else `step` takes it in its turn."""
-        entries = len(news.members)
-        if news.kind is not api.ListKind.DELTA:
-            entries += len(self.current_members())  # each of which it may end
+    def submit(self, update: ListUpdate) -> None:
+        """Apply a short update at once if none is pending; else queue it for `apply_next_batch`."""
+        entries = len(update.members)
+        if update.kind is not api.ListKind.DELTA:
+            entries += len(self.current_members())  # a full list may end each of these
         if self.pending or entries > BATCH_SIZE:
-            self.queue.append(news)
+            self.queue.append(update)
         else:
-            self.apply(news)
+            self.apply(update)
 
     def apply_next_batch(self) -> None:
-        """Take the next batch."""
+        """Apply the next batch of a pending update."""
         if not self.batches:
             members = changed_members(self.current_members(), self.queue.popleft())
-            # one without entries, too: it tells that discovery has answered
+            # an update without entries is applied too: it shows that discovery has answered
             starts = range(0, max(1, len(members)), BATCH_SIZE)
             self.batches.extend(members[start : start + BATCH_SIZE] for start in starts)
         self.apply(ListUpdate(api.ListKind.DELTA, self.batches.popleft()))
 
     def apply_all(self) -> None:
-        """Take all that is left."""
+        """Apply everything that is pending."""
         while self.pending:
             self.apply_next_batch()
--- a/myrtlecourse/net/loop_lag.py
+++ b/myrtlecourse/net/loop_lag.py
@@ -1,7 +1,8 @@
-"""How long what has come waits for this process: the length of the event loop's turns.
+"""Event loop lag: how long input waits in its socket because this process is busy.
 
-What arrives while a turn runs is not looked at before the next one, and then waits behind what came with it.
-Without this figure a full core looks like slow servers.
+Input that arrives during one iteration of the event loop is read in the next one at the earliest, and then
+waits behind other input that arrived with it. The duration of the iterations therefore gives the waiting
+time. Without this figure, a saturated core looks like slow servers.
 """
 
 from __future__ import annotations
@@ -11,23 +12,23 @@
 import time
 
 LONG_ITERATION = (
-    0.005  # seconds; after a longer one it is looked up how long commands have lain in their sockets
+    0.005  # seconds; after a longer one the kernel is asked how long commands lay in their sockets
 )
 
 
 class LoopLag:
-    """Clocks the turns in which something comes; a quiet loop costs nothing."""
+    """Measures the iterations of the event loop in which input arrives; an idle loop has no overhead."""
 
     def __init__(self) -> None:
-        self.iteration_started_at = 0.0  # of the turn that runs
-        self.previous_duration = 0.0  # seconds that the one before took
-        self.longest = 0.0
+        self.iteration_started_at = 0.0
+        self.previous_duration = 0.0  # seconds
+        self.longest = 0.0  # seconds
         self.in_iteration = False
-        self.heartbeat_due_at = math.inf  # when the loop should be heard of again
+        self.heartbeat_due_at = math.inf
         self.loop: asyncio.AbstractEventLoop | None = None
 
     def note_input(self) -> None:
-        """Something has come; to be called first."""
+        """Record that input has arrived; to be called before the input is processed."""
         if not self.in_iteration:
             self.in_iteration = True
             self.iteration_started_at = time.monotonic()
@@ -41,38 +42,42 @@
         self.longest = max(self.longest, self.previous_duration)
 
     def expect_heartbeat(self, seconds: float) -> None:
-        """The loop is to be heard of again after so long: `beat` comes then, unless something holds it up."""
+        """Announce that `heartbeat` is called in so many seconds, unless the event loop is blocked."""
         self.heartbeat_due_at = time.monotonic() + seconds
 
     def heartbeat(self) -> float:
-        """The loop is heard of, as expected; answers with how late that is (seconds)."""
+        """Record an announced heartbeat and return by how many seconds it is late."""
         late = max(0.0, time.monotonic() - self.heartbeat_due_at)
         self.heartbeat_due_at = math.inf
         self.longest = max(self.longest, late)
         return late
 
     def may_have_stalled(self) -> bool:
-        """Whether something may have lain unread: the turn before was long, or the process stood still."""
+        """Return whether input may have lain unread: the loop was busy for long, or the process stopped."""
         return (
             self.previous_duration > LONG_ITERATION
             or time.monotonic() - self.heartbeat_due_at > LONG_ITERATION
         )
 
     def max_wait(self) -> float:
-        """Seconds for which what is in hand has waited at most, as far as this clock knows of stops.
+        """Return the longest time in seconds that the current input may have waited, as far as is known.
 
-        Guards deadlines where nothing tells more: counted too short, servers are told of time that is over.
+        Protects deadlines where nothing more precise is known: an underestimate would tell servers of time
+        that has already passed.
         """
         now = time.monotonic()
-        turns = (
+        iterations = (
             now - self.iteration_started_at + self.previous_duration
             if self.in_iteration
             else self.previous_duration
         )
-        return max(0.0, turns, now - self.heartbeat_due_at)
+        return max(0.0, iterations, now - self.heartbeat_due_at)
 
     def estimated_wait(self) -> float:
-        """Seconds for which what is in hand has likely waited: half the turn before, and this one so far."""
+        """Return the likely time in seconds that the current input has waited.
+
+        That is half of the previous iteration and all of the current one so far.
+        """
         if not self.in_iteration:
             return 0.0
         return time.monotonic() - self.iteration_started_at + self.previous_duration / 2
--- a/myrtlecourse/net/members.py
+++ b/myrtlecourse/net/members.py
@@ -1,4 +1,4 @@
-"""Cache servers and origins as lists name them, with their addresses."""
+"""Cache servers and origins as discovery lists them, with their addresses."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Member:
-    """A cache server or origin of this router's own list."""
+    """A cache server or origin in this router's list."""
 
     entry: api.ServerEntry
     address: str
 
     @property
     def process(self) -> tuple[str, float]:
-        """What tells it from another at the same address, and from itself before a restart."""
+        """The identity of the process: differs between servers at one address, and after a restart."""
         return self.entry.server, self.entry.since
--- a/myrtlecourse/net/origin.py
+++ b/myrtlecourse/net/origin.py
@@ -1,4 +1,4 @@
-"""Attempts on the origin, which speaks HTTP/1.1."""
+"""Connections to the origin, which speaks HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 class OriginConnection(Connection):
     """A connection to the origin.
 
-    It gives the length of what it sends, or ends a short answer by closing in good order. One that ends by a
-    reset may be cut short, and counts as broken.
+    The origin sends the length of an answer, or ends a short answer with an orderly close. An answer that
+    ends with a reset may be incomplete and counts as failed.
     """
 
     def __init__(self, pool: Pool, address: str) -> None:
@@ -23,7 +23,7 @@
         self.http_client = HttpClient(address, MAX_BUFFERED_ANSWER, pool.max_streamed)
 
     def encode(self, command: Command, time_left: float) -> bytes:
-        # guards against a key that spells another path or a query: all but unreserved letters is escaped
+        # all but unreserved characters are escaped, so that no key can form another path or a query
         target = "/" + quote_from_bytes(command.key, safe="")
         headers = [(b"Request-Id", command.request_id), (b"Request-Info", command.encode_info(time_left))]
         return self.http_client.request("PUT" if command.is_write else "GET", target, headers, command.value)
@@ -43,13 +43,13 @@
         try:
             response = self.http_client.receive(b"")
         except HttpError:
-            return None  # within a length that was given: the connection's end tells of it
+            return None  # within an announced length: `connection_lost` handles it
         return None if response is None else self._answer_of(response)
 
     def _answer_of(self, response: Response) -> Answer:
         if response.status == 200:
             return Status.OK, response.body
-        # guards against a second effect: with more behind it, which of the two answers this can't be told
+        # prevents a second effect: if more bytes follow, it is unclear which of them answer this request
         not_started = (
             not self.http_client.has_trailing_bytes()
             and response.status in (503, 504)
--- a/myrtlecourse/net/pool.py
+++ b/myrtlecourse/net/pool.py
@@ -1,4 +1,4 @@
-"""The kept connections to servers that speak one protocol, and the dials of new ones."""
+"""A pool of connections to the servers that speak one protocol: reuses idle ones and dials new ones."""
 
 from __future__ import annotations
 
@@ -15,56 +15,57 @@
 from myrtlecourse.net.flow_control import StreamWindows
 from myrtlecourse.net.request_log import CloseReason
 
-IDLE_MARGIN = 0.5  # seconds before the peer may close an idle connection at which it is no longer used
-# errors of socket() and connect() that say nothing of the server: this machine lacks room, ports or memory
+IDLE_MARGIN = 0.5  # seconds before the server may close an idle connection from which on it is not used
+# errors of socket() and connect() that say nothing about the server: this machine lacks descriptors, ports or
+# memory
 LOCAL_SHORTAGE_ERRORS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EAGAIN}
 )
-MAX_DIALS_PER_ADDRESS = (
-    16  # to one address at a time: opening them is work for a server, most for one just started
-)
-MAX_STREAMED_ANSWER = 4 * 1024 * 1024  # bytes of a long answer, unless the configuration tells
+MAX_DIALS_PER_ADDRESS = 16  # concurrent; handshakes are work for a server, above all one just started
+MAX_STREAMED_ANSWER = 4 * 1024 * 1024  # bytes of a long answer, unless configured
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Split `host:port`."""
+    """Split `host:port` into its parts."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 class Pool:
-    """The connections to servers that speak one protocol."""
+    """The connections to all servers that speak one protocol."""
 
     def __init__(
         self,
-        make: Callable[[Pool, str], Connection],
+        make_connection: Callable[[Pool, str], Connection],
         budget: int,
         dial_timeout: float,
-        idle: float,
-        max_passed: int = MAX_STREAMED_ANSWER,
+        server_idle_timeout: float,
+        max_streamed: int = MAX_STREAMED_ANSWER,
         descriptors: DescriptorBudget | None = None,
         windows: StreamWindows | None = None,
     ) -> None:
-        self.make_connection = make
-        self.max_streamed = max_passed  # bytes of a long answer
+        self.make_connection = make_connection
+        self.max_streamed = max_streamed  # bytes of a long answer; a longer one is rejected
         self.windows = windows or StreamWindows()
-        self.budget = budget  # of descriptors, to which others may lend
+        self.budget = budget  # descriptors of its own; it may borrow more
         self.descriptors = descriptors or DescriptorBudget(budget)
         self.descriptors.add(self)
         self.connections: set[Connection] = set()
         self.dials: set[asyncio.Task[None]] = set()
-        self.dial_counts: dict[str, int] = {}  # of those, the ones to each address whose connection is not up
-        self.wait_queues: dict[str, deque[tuple[object, Exchange]]] = {}  # for a connection to each address
-        self.idle: dict[Connection, None] = {}  # of all addresses, longest first
-        self.idle_by_address: dict[str, dict[Connection, None]] = {}  # of each
-        self.idle_timer: asyncio.TimerHandle | None = None  # of connections idle for too long
-        self.set_timeouts(dial_timeout, idle)
-
-    def set_timeouts(self, dial_timeout: float, idle: float) -> None:
-        """How long a dial may take, and for how long the peers keep an idle connection (seconds)."""
+        self.dial_counts: dict[str, int] = {}  # by address: the dials that have not connected yet
+        # by address: the exchanges that wait for a connection, each with the server process it is for
+        self.wait_queues: dict[str, deque[tuple[object, Exchange]]] = {}
+        self.idle: dict[Connection, None] = {}  # the longest idle first
+        self.idle_by_address: dict[str, dict[Connection, None]] = {}  # the same, for each address
+        self.idle_timer: asyncio.TimerHandle | None = None  # closes connections that are idle for too long
+        self.set_timeouts(dial_timeout, server_idle_timeout)
+
+    def set_timeouts(self, dial_timeout: float, server_idle_timeout: float) -> None:
+        """Set how long a dial may take, and how long servers keep an idle connection (in seconds)."""
         self.dial_timeout = dial_timeout
-        self.idle_time = max(0.0, idle - IDLE_MARGIN)
-        if self.idle_timer is not None:  # by the time before it could come after the peers have closed them
+        self.idle_time = max(0.0, server_idle_timeout - IDLE_MARGIN)
+        # the timer was set with the previous time and could fire after the servers have closed connections
+        if self.idle_timer is not None:
             self.idle_timer.cancel()
             self._close_expired()
 
@@ -73,20 +74,20 @@
         address: str,
         command: Command,
         time_left: float,
-        done: Callable[[Status, bytes], None],
+        on_finished: Callable[[Status, bytes], None],
         process: object = None,
         receiver: AnswerReceiver | None = None,
     ) -> Exchange:
-        """Start an attempt on the process that is at an address now.
+        """Start an attempt at the process that is listed at an address.
 
-        A long answer goes to the receiver; without one it is spoilt.
+        A long answer is streamed to `receiver`; without a receiver it is rejected.
         """
-        exchange = Exchange(command, time_left, done, receiver)
-        while (kept := self._acquire_idle(address, process)) is not None:
-            if kept.start_exchange(exchange):
+        exchange = Exchange(command, time_left, on_finished, receiver)
+        while (connection := self._acquire_idle(address, process)) is not None:
+            if connection.start_exchange(exchange):
                 return exchange
         if self.dial_counts.get(address, 0) >= MAX_DIALS_PER_ADDRESS:
-            # guards a server against a storm of handshakes: a dial or an answer frees a connection soon
+            # protects the server from a burst of handshakes: a dial or an answer frees a connection soon
             self.wait_queues.setdefault(address, deque()).append((process, exchange))
         else:
             self._start_dial(address, process, exchange)
@@ -94,8 +95,8 @@
 
     def _start_dial(self, address: str, process: object, exchange: Exchange) -> None:
         if not self._has_room():
-            # guards against running out of descriptors, which would stop new clients as well
-            exchange.finish(Status.MOOT)  # not the server's fault
+            # without descriptors, no new clients could be accepted either; this is not the server's fault
+            exchange.finish(Status.MOOT)
             return
         dial = asyncio.create_task(self._dial(address, process, exchange))
         self.dial_counts[address] = self.dial_counts.get(address, 0) + 1
@@ -103,7 +104,7 @@
         dial.add_done_callback(self.dials.discard)
 
     def dial_ended(self, address: str) -> None:
-        """A dial is over, whatever came of it."""
+        """Handle that a dial has succeeded or failed, and start the next one if an exchange waits."""
         left = self.dial_counts[address] - 1
         if left:
             self.dial_counts[address] = left
@@ -114,18 +115,21 @@
             self._start_dial(address, *waiting)
 
     def _next_waiting(self, address: str) -> tuple[object, Exchange] | None:
-        """The first that still waits for a connection to an address."""
-        queue = self.wait_queues.get(address)
-        while queue:
-            process, exchange = queue.popleft()
-            if not queue:
+        """Remove and return the first exchange that is wanted and waits for a connection to an address."""
+        wait_queue = self.wait_queues.get(address)
+        while wait_queue:
+            process, exchange = wait_queue.popleft()
+            if not wait_queue:
                 del self.wait_queues[address]
             if exchange.check_still_wanted():
                 return process, exchange
         return None
 
     def _fail_waiting(self, address: str, status: Status) -> None:
-        """Nothing of them was sent: they need not each wait for a dial that fails as this one has."""
+        """Finish the exchanges that wait for an address, so that each need not wait for its own failing dial.
+
+        Nothing of them has been sent.
+        """
         while (waiting := self._next_waiting(address)) is not None:
             waiting[1].finish(status)
 
@@ -138,8 +142,8 @@
                 await asyncio.get_running_loop().create_connection(
                     lambda: connection, *parse_address(address)
                 )
-        except OSError as e:  # a time-out is one
-            # once it is made the request may be on its way, and the connection's end tells what became of it
+        except OSError as e:  # including a timeout
+            # if connected, the request may have been sent, and the end of the connection decides its outcome
             if not connection.connected:
                 status = Status.MOOT if e.errno in LOCAL_SHORTAGE_ERRORS else Status.CONNECT_FAILED
                 self._fail_waiting(address, status)
@@ -149,10 +153,10 @@
                 self.dial_ended(address)
 
     def _acquire_idle(self, address: str, process: object) -> Connection | None:
-        """The kept connection idle for longest, if there is one.
+        """Remove and return the connection to a process that is idle for longest, if there is one.
 
-        Guards against what follows a good answer after a while: on the one used last it would more likely
-        come behind the next request, and be taken for its answer.
+        Stray bytes that arrive some time after a good answer are then found while the connection is idle. On
+        the most recently used one they would more likely follow the next request and be taken for its answer.
         """
         while (connection := next(iter(self.idle_by_address.get(address, ())), None)) is not None:
             self._remove_idle(connection)
@@ -162,11 +166,11 @@
         return None
 
     def descriptors_used(self) -> int:
-        """DescriptorBudget held."""
+        """Return the descriptors in use, including dials."""
         return len(self.connections) + sum(self.dial_counts.values())
 
     def close_one_idle(self) -> bool:
-        """Close the connection that is idle for longest, if any is."""
+        """Close the connection that is idle for longest; return False if none is idle."""
         for connection in self.idle:
             connection.drop(CloseReason.NO_ROOM)
             return True
@@ -176,7 +180,7 @@
         return self.descriptors.may_open(self) or self.close_one_idle()
 
     def release(self, connection: Connection) -> None:
-        """Hold a connection for the next attempt until the server would close it."""
+        """Use a free connection for a waiting exchange, or keep it until the server would close it."""
         if self.wait_queues and (waiting := self._next_waiting(connection.address)) is not None:
             process, exchange = waiting
             if connection.server_process == process and connection.start_exchange(exchange):
@@ -186,15 +190,15 @@
                 return
         connection.idle_since = time.monotonic()
         self.idle[connection] = None
-        at = self.idle_by_address.get(connection.address)
-        if at is None:
-            at = self.idle_by_address[connection.address] = {}
-        at[connection] = None
+        idle_here = self.idle_by_address.get(connection.address)
+        if idle_here is None:
+            idle_here = self.idle_by_address[connection.address] = {}
+        idle_here[connection] = None
         if self.idle_timer is None:
             self.idle_timer = asyncio.get_running_loop().call_later(self.idle_time, self._close_expired)
 
     def _close_expired(self) -> None:
-        """Close what has been idle for too long: one timer for all, as nearly all are used again."""
+        """Close connections that are idle for too long; one timer serves all, as nearly all are reused."""
         self.idle_timer = None
         now = time.monotonic()
         for connection in list(self.idle):
@@ -207,34 +211,34 @@
     def _remove_idle(self, connection: Connection) -> None:
         if connection in self.idle:
             del self.idle[connection]
-            at = self.idle_by_address[connection.address]
-            del at[connection]
-            if not at:
+            idle_here = self.idle_by_address[connection.address]
+            del idle_here[connection]
+            if not idle_here:
                 del self.idle_by_address[connection.address]
 
     def remove(self, connection: Connection) -> None:
-        """Note that a connection is closed."""
+        """Remove a closed connection."""
         connection.cancel_answer_timer()
         self.connections.discard(connection)
         self._remove_idle(connection)
 
     def close_idle(self, address: str) -> None:
-        """Close the kept connections to one address."""
+        """Close the idle connections to an address."""
         for connection in list(self.idle_by_address.get(address, ())):
             connection.drop(CloseReason.OTHER_PROCESS)
 
     def close_all_idle(self) -> None:
-        """Close all kept connections: what is sent from now on is little."""
+        """Close all idle connections; little is sent from now on."""
         while self.close_one_idle():
             pass
 
     def stop_using(self, address: str) -> None:
-        """Nothing more goes to an address: not on a kept connection, nor when a dial is over."""
+        """Close the idle connections to an address and cancel the exchanges that wait for one."""
         self.close_idle(address)
         self._fail_waiting(address, Status.MOOT)
 
     def close(self) -> None:
-        """Close everything."""
+        """Close all connections and cancel all dials."""
         if self.idle_timer is not None:
             self.idle_timer.cancel()
         self.wait_queues.clear()
--- a/myrtlecourse/net/rate_limited_log.py
+++ b/myrtlecourse/net/rate_limited_log.py
@@ -1,24 +1,24 @@
-"""Bounds what is logged: a few lines of each kind a second, and then how many were left out."""
+"""Rate-limited logging: a few lines of each kind per second, followed by the number of lines left out."""
 
 from __future__ import annotations
 
 import logging
 import time
 
-LINES_PER_PERIOD = 5  # of a kind in a second
-PERIOD = 1.0
+LINES_PER_PERIOD = 5  # of each kind
+PERIOD = 1.0  # seconds
 
 
 class RateLimitedLog:
-    """A logger for what outsiders can cause at any rate: each line costs as much as a refusal."""
+    """A logger for events that outsiders can cause at any rate; writing a line costs as much as a refusal."""
 
     def __init__(self, logger: logging.Logger) -> None:
         self.logger = logger
-        self.counts: dict[str, int] = {}  # in this second, by kind
+        self.counts: dict[str, int] = {}  # lines in this period, by kind
         self.period_end = 0.0
 
     def log(self, level: int, kind: str, *arguments: object) -> None:
-        """Log `kind % arguments`, unless that kind has had its lines for this second."""
+        """Log `kind % arguments`, unless the lines of that kind in this period are used up."""
         now = time.monotonic()
         if now >= self.period_end:
             for each, count in self.counts.items():
--- a/myrtlecourse/net/request_log.py
+++ b/myrtlecourse/net/request_log.py
@@ -1,7 +1,8 @@
-"""The log of requests: what became of each by its id, and why; off unless operators turn it on.
+"""The request log: what happened to each request, by its id, and why; off by default.
 
-`MYRTLECOURSE_LOG=requests` in the environment turns it on. Each line is `id=... event=...` and further names
-and values, so that one id can be followed through the logs of all routers. Off, it costs a look at a flag.
+`MYRTLECOURSE_LOG=requests` in the environment turns it on. Each line consists of `id=... event=...` and
+further names and values, so that one id can be followed through the logs of all routers. While it is off, it
+costs one check of a flag.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class CloseReason(Enum):
-    """Why a connection is closed by this router, or found closed."""
+    """Why this router closes a connection, or finds it closed."""
 
     CLIENT_LEFT = "client left"
     IDLE = "idle for too long"
@@ -36,23 +37,25 @@
 
 
 class RequestLog:
-    """Writes one line an event."""
+    """Writes one line per event."""
 
     def __init__(self) -> None:
         self.enabled = os.environ.get(VARIABLE, "") == REQUESTS_VALUE
 
-    def event(self, request: str, event: str, **more: object) -> None:
-        """Something happened to a request; to be called only while the log is on."""
-        told = "".join(f" {name}={_format_value(value)}" for name, value in more.items())
-        log.info("id=%s event=%s%s", request, event, told)
+    def event(self, request_id: str, event: str, **fields: object) -> None:
+        """Log an event of a request; to be called only while the log is enabled."""
+        text = "".join(f" {name}={_format_value(value)}" for name, value in fields.items())
+        log.info("id=%s event=%s%s", request_id, event, text)
 
-    def connection_closed(self, peer: str, address: object, why: CloseReason, owed: int) -> None:
-        """A connection to a client or server is closed, and `owed` answers were still to come on it."""
+    def connection_closed(self, peer: str, address: object, reason: CloseReason, open_answers: int) -> None:
+        """Log that a connection is closed while `open_answers` answers are still due on it."""
         if self.enabled:
-            log.info("id=- event=closed peer=%s at=%s why=%r owed=%d", peer, address, why.value, owed)
+            log.info(
+                "id=- event=closed peer=%s at=%s why=%r owed=%d", peer, address, reason.value, open_answers
+            )
 
 
-requests_log = RequestLog()  # of this process
+requests_log = RequestLog()
 
 
 def _format_value(value: object) -> str:
--- a/myrtlecourse/net/timers.py
+++ b/myrtlecourse/net/timers.py
@@ -1,7 +1,7 @@
-"""Timers in slots of a few milliseconds, all on one timer of the event loop.
+"""Timers grouped in slots of a few milliseconds, all driven by one timer of the event loop.
 
-A request needs three, and nearly all are cancelled: each on a timer of the loop's own cost more than its
-answer.
+A request needs three timers, and nearly all of them are cancelled. With one event loop timer each, they cost
+more than answering the request.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 
 class Timer:
-    """Something to be done later, until it is cancelled."""
+    """A callback that is due later, unless it is cancelled."""
 
-    __slots__ = ("callback", "argument")
+    __slots__ = ("argument", "callback")
 
-    def __init__(self, callback: Callable[[Any], None], what: object) -> None:
+    def __init__(self, callback: Callable[[Any], None], argument: object) -> None:
         self.callback: Callable[[Any], None] | None = callback
-        self.argument = what
+        self.argument = argument
 
     def cancel(self) -> None:
-        """Forget it, and what it holds: its slot may be far off."""
+        """Drop the callback and its argument at once, as the slot may be due much later."""
         self.callback = None
         self.argument = None
 
@@ -34,20 +34,20 @@
     """The timers of one event loop."""
 
     def __init__(self) -> None:
-        self.slots: dict[int, list[Timer]] = {}
-        self.slot_heap: list[int] = []  # a heap of the slots' numbers
+        self.slots: dict[int, list[Timer]] = {}  # by slot number
+        self.slot_heap: list[int] = []  # the slot numbers
         self.loop_timer: asyncio.TimerHandle | None = None
-        self.armed_slot = 0
-        # asked for once: asyncio looks up the process's number each time, which took 4% of a full core
+        self.armed_slot = 0  # the slot for which `loop_timer` is set
+        # looked up once: each look-up in asyncio asks for the process id, which took 4% of a saturated core
         self.loop: asyncio.AbstractEventLoop | None = None
 
-    def call_later(self, delay: float, callback: Callable[[Any], None], what: object) -> Timer:
-        """Call back with `what` once `delay` seconds have passed."""
+    def call_later(self, delay: float, callback: Callable[[Any], None], argument: object) -> Timer:
+        """Call `callback(argument)` after `delay` seconds."""
         loop = self.loop
         if loop is None:
             loop = self.loop = asyncio.get_running_loop()
         number = math.ceil((loop.time() + delay) / SLOT_LENGTH)
-        timer = Timer(callback, what)
+        timer = Timer(callback, argument)
         slot = self.slots.get(number)
         if slot is not None:
             slot.append(timer)
@@ -65,7 +65,7 @@
         self.loop_timer = loop.call_at(self.armed_slot * SLOT_LENGTH, self._fire)
 
     def _fire(self) -> None:
-        assert self.loop is not None  # it was armed
+        assert self.loop is not None  # set by `call_later`
         loop = self.loop
         self.loop_timer = None
         now = loop.time()
@@ -78,12 +78,12 @@
 
     def _fire_slot(self, loop: asyncio.AbstractEventLoop, slot: list[Timer]) -> None:
         for timer in slot:
-            callback, what = timer.callback, timer.argument
+            callback, argument = timer.callback, timer.argument
             if callback is None:
                 continue
             timer.cancel()
             try:
-                callback(what)
+                callback(argument)
             except Exception as e:
-                # guards the others of its slot: requests would pass their deadlines unanswered
+                # protects the other timers of the slot: requests would pass their deadlines unanswered
                 loop.call_exception_handler({"message": "in a timer", "exception": e})
