--- a/myrtlecourse/net/clients.py
+++ b/myrtlecourse/net/clients.py
@@ -20,39 +20,42 @@
 if TYPE_CHECKING:
     from myrtlecourse.net.listener import Listener
 
-MAX_COMMAND = MAX_VALUE + MAX_KEY + MAX_INFO + 4096  # bytes held for a command that is not whole
-UNRESERVED_COMMAND = 64 * 1024 + MAX_KEY + MAX_INFO + 4096  # bytes of a command that needs no room reserved
-RESERVATION_TIMEOUT = 1.0  # seconds for which a long value may wait for room
-MAX_PARTS = 16
-MAX_PIPELINED = 32  # commands of one connection that wait for their answers
-MAX_FAST_PATH = 4096  # bytes of what is read the short way
-LINGER_TIME = 0.5  # seconds for which a closed connection is still read, so that its last answer arrives
-MAX_DISCARDED = 256 * 1024  # bytes read in that time at the most: a bad client would send on at full speed
+MAX_COMMAND = MAX_VALUE + MAX_KEY + MAX_INFO + 4096  # bytes buffered for an incomplete command
+UNRESERVED_COMMAND = 64 * 1024 + MAX_KEY + MAX_INFO + 4096  # bytes; a longer command needs reserved memory
+RESERVATION_TIMEOUT = 1.0  # seconds for which a long value may wait for memory
+MAX_PARTS = 16  # of a command
+MAX_PIPELINED = 32  # unanswered commands per connection
+MAX_FAST_PATH = 4096  # bytes that are parsed on the fast path
+LINGER_TIME = 0.5  # seconds for which a half-closed connection is still read, so that its last answer arrives
+MAX_DISCARDED = 256 * 1024  # bytes read in that time, as a faulty client could go on sending at full speed
 ERROR_PAUSE = 0.1  # seconds for which a connection is not read after an error
-RECENT_READ = 0.05  # seconds after which a hang-up may lie in the socket though it is read: turns can be long
-# offsets in tcp_info (Linux) of numbers of 32 bits
-RTO_OFFSET = 8  # microseconds after which it sends again
-LAST_DATA_OFFSET = 52  # milliseconds since data came
+RECENT_READ = (
+    0.05  # seconds after a read from which on the client may have hung up unnoticed, as the loop lags
+)
+# offsets of 32-bit fields in Linux's tcp_info
+RTO_OFFSET = 8  # retransmission timeout in microseconds
+LAST_DATA_OFFSET = 52  # milliseconds since data was last received
 FIELD_SIZE = 4  # bytes
 log = logging.getLogger(__name__)
 
 
 def data_age(client: socket.socket) -> float | None:
-    """Seconds since the last bytes came in on a connection, as its kernel tells (tcp_info, Linux).
+    """Return the seconds since data was last received on a connection, from tcp_info (Linux).
 
-    None when it does not tell: no connection is without a time-out, so that 0 is a field that was not filled.
+    Return None if the kernel does not say: the retransmission timeout is never 0, so that 0 there means that
+    the fields were not filled in.
     """
     try:
         info = client.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_OFFSET + FIELD_SIZE)
     except OSError:
-        return None  # it has just ended
+        return None  # the connection has just ended
     if not any(info[RTO_OFFSET : RTO_OFFSET + FIELD_SIZE]):
         return None
     return int.from_bytes(info[LAST_DATA_OFFSET:], sys.byteorder) / 1000
 
 
 class AnswerSlot:
-    """A command's place in the order of answers."""
+    """A command's place in the order of the answers on its connection."""
 
     __slots__ = (
         "answer",
@@ -70,17 +73,17 @@
         self.arrived_at = connection.listener.loop.time() - connection.socket_wait
         self.request_id: str | None = None
         self.answer: bytes | None = None
-        self.source: Exchange | None = None  # of a long answer
-        self.chunks: list[bytes] = []  # of it, that wait for the answers before it
-        self.counted_in_windows = False  # whether it is counted among those that share the budget
-        self.reserved_bytes = 0  # bytes of room that its command takes
+        self.source: Exchange | None = None  # of a streamed answer
+        self.chunks: list[bytes] = []  # of the streamed answer, while it waits for the answers before it
+        self.counted_in_windows = False  # whether `StreamWindows` counts its stream
+        self.reserved_bytes = 0  # memory reserved for its command
 
     def send(self, answer: bytes) -> None:
-        """Give the command its answer."""
+        """Answer the command."""
         self.connection.complete(self, answer)
 
     def begin_stream(self, length: int, source: Exchange) -> None:
-        """A long answer begins."""
+        """Begin a streamed answer."""
         self.source = source
         self.counted_in_windows = True
         windows = self.connection.listener.windows
@@ -89,7 +92,7 @@
         self.write_chunk(b"$%d\r\n" % length)
 
     def write_chunk(self, data: bytes) -> None:
-        """Pass on a piece of it, or hold it, and stop its source, until that can be done."""
+        """Forward a chunk of the streamed answer; pause its source if the chunk can't be sent yet."""
         self.chunks.append(data)
         connection = self.connection
         if connection.slots and connection.slots[0] is self:
@@ -98,7 +101,7 @@
             self.pause_source()
 
     def pause_source(self) -> None:
-        """Read no more of it until its client takes what there is."""
+        """Stop reading the streamed answer until its client has read what there is."""
         if self.source is not None and not self.connection.transport.is_closing():
             self.source.pause()
             self.connection.listener.mark_stalled(self)
@@ -109,14 +112,15 @@
             self.source.resume()
 
     def end_stream(self) -> None:
-        """The long answer is whole."""
+        """Complete the streamed answer."""
         self.release()
         self.connection.complete(self, b"\r\n")
 
     def abort_stream(self) -> None:
-        """It will not be whole: only a close tells, as the client counts what it was promised.
+        """End an incomplete streamed answer by closing the connection, as its length has been announced.
 
-        Of one that waits behind others nothing has been passed on: an error tells, and the others stand.
+        If it is still behind other answers, nothing of it has been sent: an error takes its place, and the
+        other answers are not affected.
         """
         self.release()
         connection = self.connection
@@ -128,12 +132,12 @@
         connection.cancel_requests()
 
     def client_connected(self) -> bool:
-        """Whether the client still waits; asked just before an attempt begins."""
+        """Return whether the client is still connected; asked just before an attempt begins."""
         connection = self.connection
         return connection.check_connected(connection.listener.loop.time() - self.arrived_at < RECENT_READ)
 
     def release(self) -> None:
-        """Nothing more comes for it; gives back what it held. May be called again."""
+        """Release what the slot holds, as its answer is complete or given up. May be called again."""
         listener = self.connection.listener
         self.source = None
         listener.stalled_answers.pop(self, None)
@@ -146,7 +150,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection."""
+    """A client's connection."""
 
     def __init__(self, host: Host, listener: Listener, client: socket.socket) -> None:
         self.host = host
@@ -155,18 +159,18 @@
         self.listener = listener
         self.reader = Reader(MAX_PARTS, MAX_VALUE, MAX_COMMAND)
         self.slots: deque[AnswerSlot] = deque()
-        self.command_count = 0  # whole ones that have come
-        self.socket_wait = 0.0  # seconds for which the last bytes lay in the socket
+        self.command_count = 0  # complete ones that have arrived
+        self.socket_wait = 0.0  # seconds for which the latest bytes lay in the socket
         self.reading = True
         self.writable = True
-        self.paused_after_error = False  # after an error
-        self.ending = False  # no command is taken any more
-        self.half_closed = False  # its sending side is shut down; what comes is read and discarded
-        self.discarded_bytes = 0  # bytes
-        self.client_left = False  # the client has hung up, or the connection is over
-        self.reserved_bytes = 0  # bytes of room for a long value that comes in
-        self.awaiting_reservation = False  # it waits for that room
-        self.last_data_at = 0.0  # when the last bytes did (the loop's clock)
+        self.paused_after_error = False
+        self.no_more_commands = False  # whether further commands are ignored
+        self.half_closed = False  # whether the sending side is shut down; input is read and discarded
+        self.discarded_bytes = 0
+        self.client_left = False  # whether the client has hung up or the connection has ended
+        self.reserved_bytes = 0  # memory for the long value that is being received
+        self.awaiting_reservation = False
+        self.last_data_at = 0.0  # on the event loop's clock
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(Transport, transport)
@@ -175,24 +179,24 @@
 
     def data_received(self, data: bytes) -> None:
         if self.half_closed:
-            # never executed: nobody could be answered, and its client asks again elsewhere
+            # never executed: the client can't be answered and retries elsewhere
             self.discarded_bytes += len(data)
             if self.discarded_bytes > MAX_DISCARDED:
                 self.abort(CloseReason.UNEXPECTED_BYTES)
             return
-        turns = self.host.loop_lag
-        turns.note_input()
+        loop_lag = self.host.loop_lag
+        loop_lag.note_input()
         self.last_data_at = self.listener.loop.time()
-        # the first may have lain in the backlog, and any while the loop was held up
-        if not self.command_count or turns.may_have_stalled():
+        # the first bytes may have waited in the backlog, and any while the event loop was blocked
+        if not self.command_count or loop_lag.may_have_stalled():
             age = data_age(self.socket)
-            self.socket_wait = turns.max_wait() if age is None else age
+            self.socket_wait = loop_lag.max_wait() if age is None else age
         else:
-            self.socket_wait = turns.estimated_wait()
+            self.socket_wait = loop_lag.estimated_wait()
         self.listener.idle.pop(self, None)
-        # a closing one takes nothing more: nobody would hear that its client is gone
-        takes = self._may_process() and not self.transport.is_closing()
-        if takes and not self.reader.buffer and len(data) < MAX_FAST_PATH:
+        # a closing connection accepts nothing: its client's hang-up would go unnoticed
+        accepts = self._may_process() and not self.transport.is_closing()
+        if accepts and not self.reader.buffer and len(data) < MAX_FAST_PATH:
             parts = split_command(data)
             if parts is not None:
                 self.command_count += 1
@@ -208,43 +212,43 @@
 
     def _process_buffer(self) -> None:
         try:
-            # guards the cache servers: what a client left behind in the buffer nobody waits for
+            # protects the cache servers: nobody waits for what a client that has hung up left in the buffer
             if self.check_connected():
                 self._process_whole_commands()
         except Exception:
             self._abort_on_fault()
 
     def _abort_on_fault(self) -> None:
-        """Guards the router: a fault here ends this connection alone, and its requests are settled."""
-        log.exception("connection of a client")
+        """Protect the router from an internal error: only this connection ends, and its requests with it."""
+        log.exception("internal error on a client connection, which is closed")
         self.abort(CloseReason.INTERNAL_ERROR)
 
     def _process_whole_commands(self) -> None:
-        # a closing connection takes nothing more: nobody would hear that its client is gone
+        # a closing connection accepts nothing: its client's hang-up would go unnoticed
         while self._may_process() and not self.transport.is_closing():
             try:
                 parts = self.reader.next_message()
             except RespError as e:
-                self.end_with(f"-ERR {e}")
+                self.close_with_error(f"-ERR {e}")
                 return
             if parts is INCOMPLETE:
-                self._reserve(self.reader.announced_size)
+                self._reserve_memory(self.reader.announced_size)
                 break
             self.command_count += 1
             self._process_command(parts)
         self._update_reading()
         self.listener.update_state(self)
 
-    def _reserve(self, announced: int) -> None:
-        """Guards memory: a long value is read once there is room for it and for its copy going out."""
+    def _reserve_memory(self, announced_size: int) -> None:
+        """Reserve memory for a long value and for its forwarded copy; until then it is not read."""
         if (
-            announced <= UNRESERVED_COMMAND
+            announced_size <= UNRESERVED_COMMAND
             or self.reserved_bytes
             or self.awaiting_reservation
             or self.transport.is_closing()
         ):
             return
-        size = 2 * announced
+        size = 2 * announced_size
         if self.listener.upload_memory.reserve(self, size):
             self.reserved_bytes = size
             return
@@ -252,17 +256,20 @@
         asyncio.get_running_loop().call_later(RESERVATION_TIMEOUT, self._refuse_unreserved)
 
     def on_reserved(self) -> None:
-        """There is room for the long value."""
+        """Continue reading the long value, for which memory has been reserved."""
         self.awaiting_reservation = False
         self.reserved_bytes = 2 * self.reader.announced_size
-        self.last_data_at = asyncio.get_running_loop().time()  # it could not go on before
+        self.last_data_at = asyncio.get_running_loop().time()  # the client could not send before
         self._update_reading()
 
     def _refuse_unreserved(self) -> None:
-        """No room in time: what has not come whole is not taken, so that a refusal is harmless."""
+        """Refuse a long value for which memory has not become free in time.
+
+        A command that has not arrived completely has not been accepted, so that repeating it is harmless.
+        """
         if self.awaiting_reservation and not self.transport.is_closing():
             self._release_reservation()
-            self.end_with(busy_answer(self.host.settings.max_retry_after).decode().rstrip())
+            self.close_with_error(busy_answer(self.host.settings.max_retry_after).decode().rstrip())
 
     def _release_reservation(self) -> None:
         if self.awaiting_reservation:
@@ -276,8 +283,8 @@
         refusal = None
         if isinstance(parts, list) and 4 <= len(parts) <= 5 and isinstance(info := parts[3], bytes):
             refusal = self.host.refuse_early(info, self.socket_wait)
-            # guards a full core: what a refusal costs is lost to the others, and most are asked for again
-            if refusal is not None and not self.slots and self.reading and not self.ending:
+            # the fast path for a saturated core, which refusals take from other requests; most are retried
+            if refusal is not None and not self.slots and self.reading and not self.no_more_commands:
                 self._release_reservation()
                 self.transport.write(refusal)
                 if self.listener.closes_when_idle(self):
@@ -298,7 +305,7 @@
             self.host.accept(command, slot, self.socket_wait)
         except CommandError as e:
             slot.request_id = None
-            # guards the other clients: one that sends errors at full speed would take the core for itself
+            # protects the other clients: one that sends errors at full speed would occupy the core
             self.paused_after_error = True
             self.listener.paused_after_error[self] = None
             asyncio.get_running_loop().call_later(ERROR_PAUSE, self._end_error_pause)
@@ -310,37 +317,37 @@
         self._process_buffer()
 
     def complete(self, slot: AnswerSlot, answer: bytes) -> None:
-        """Pass on what is at the head of the order of answers."""
+        """Set the answer of a slot and send all answers that are next in order."""
         slot.answer = answer
         while self.slots:
-            head = self.slots[0]
-            if head.chunks:
-                self.flush(head)
-            if head.answer is None:
+            first = self.slots[0]
+            if first.chunks:
+                self.flush(first)
+            if first.answer is None:
                 break
             self.slots.popleft()
-            head.release()
-            if head.answer:
-                self.transport.write(head.answer)
+            first.release()
+            if first.answer:
+                self.transport.write(first.answer)
         if not self.slots:
             self.listener.update_state(self)
         elif self.writable:
             self.slots[0].resume_source()
-        if not self.slots and (self.ending or self.listener.closes_when_idle(self)):
-            self.close(CloseReason.AFTER_ERROR if self.ending else CloseReason.ENDING)
-        elif not self.reading and not self.ending:
+        if not self.slots and (self.no_more_commands or self.listener.closes_when_idle(self)):
+            self.close(CloseReason.AFTER_ERROR if self.no_more_commands else CloseReason.ENDING)
+        elif not self.reading and not self.no_more_commands:
             self.listener.loop.call_soon(self._process_buffer)
 
     def flush(self, slot: AnswerSlot) -> None:
-        """Pass on what has come of the long answer that is at the head."""
-        pieces, slot.chunks = slot.chunks, []
-        for piece in pieces:
-            self.transport.write(piece)
-
-    def end_with(self, error: str) -> None:
-        """Answer with an error and close: where the next command begins can't be told any more."""
-        self.ending = True
-        # guards memory: what comes while earlier answers are owed would be kept for nobody
+        """Send the received chunks of the streamed answer that is next in order."""
+        chunks, slot.chunks = slot.chunks, []
+        for chunk in chunks:
+            self.transport.write(chunk)
+
+    def close_with_error(self, error: str) -> None:
+        """Answer with an error and close, as the beginning of the next command is unknown."""
+        self.no_more_commands = True
+        # bounds memory: input that arrives before the earlier answers are sent is of no use
         self._update_reading()
         self.reader.buffer.clear()
         self._release_reservation()
@@ -348,55 +355,55 @@
         self.slots.append(slot)
         self.complete(slot, error.encode("ascii", "replace") + b"\r\n")
 
-    def abort(self, why: CloseReason) -> None:
-        """Close at once."""
-        requests_log.connection_closed("client", self.descriptor, why, len(self.slots))
+    def abort(self, reason: CloseReason) -> None:
+        """Close the connection at once."""
+        requests_log.connection_closed("client", self.descriptor, reason, len(self.slots))
         self.transport.abort()
 
-    def close(self, why: CloseReason) -> None:
-        """Lingering close: shut down the sending side, read and discard for a while, then close.
+    def close(self, reason: CloseReason) -> None:
+        """Close with lingering: shut down the sending side, read and discard for a while, then close.
 
-        Guards the last answer: a close over bytes that came unread resets the connection, and what the client
-        has not taken yet is gone. May be called again.
+        A close while received bytes are unread resets the connection, and the client loses the answers that
+        it has not read yet. May be called again.
         """
         if self.half_closed or self.client_left or self.transport.is_closing():
             return
-        requests_log.connection_closed("client", self.descriptor, why, len(self.slots))
-        self.ending = self.half_closed = True
+        requests_log.connection_closed("client", self.descriptor, reason, len(self.slots))
+        self.no_more_commands = self.half_closed = True
         self.reader.buffer.clear()
         self._release_reservation()
         self.listener.linger(self)
         try:
             self.transport.write_eof()
-        except OSError:  # its client has just reset it
+        except OSError:  # the client has just reset the connection
             self.transport.abort()
             return
         self._update_reading()
-        # guards the descriptors: a client that takes no answers, or rests, would keep its connection for good
+        # a client that reads no answers, or does nothing, would otherwise hold its descriptor for ever
         self.listener.loop.call_later(LINGER_TIME, self.transport.abort)
 
     def eof_received(self) -> None:
-        """The client has hung up: nothing more begins for it. What is written goes out, for a while."""
+        """Cancel the requests of a client that has hung up; written bytes are still sent for a while."""
         self.cancel_requests()
         if not self.half_closed:
             self.listener.loop.call_later(LINGER_TIME, self.transport.abort)
 
-    def check_connected(self, fresh: bool = True) -> bool:
-        """Whether the client has not hung up; the kernel is asked while unread, and once time has passed.
+    def check_connected(self, recently_read: bool = True) -> bool:
+        """Return whether the client has not hung up, as the event loop reports that only at its next poll.
 
-        The event loop tells of an end at its next look only.
+        Asks the kernel if the connection is not being read, or has not been read recently.
         """
-        if not self.client_left and not (fresh and self.reading) and has_hung_up(self.descriptor):
+        if not self.client_left and not (recently_read and self.reading) and has_hung_up(self.descriptor):
             self.on_hang_up()
         return not self.client_left
 
     def on_hang_up(self) -> None:
-        """The client has hung up, behind what lies unread."""
+        """Handle that the client has hung up, which was found behind unread input."""
         self.cancel_requests()
         self.abort(CloseReason.CLIENT_LEFT)
 
     def cancel_requests(self) -> None:
-        """No answer reaches the client any more: its requests end, and nothing more is sent for them."""
+        """Cancel the requests of this connection, as no answer can reach the client any more."""
         self.client_left = True
         self._release_reservation()
         slots, self.slots = self.slots, deque()
@@ -406,15 +413,17 @@
                 self.host.client_gone(slot.request_id)
 
     def _may_process(self) -> bool:
-        held_up = self.ending or self.paused_after_error or self.awaiting_reservation or not self.writable
-        return not held_up and len(self.slots) < MAX_PIPELINED
+        blocked = (
+            self.no_more_commands or self.paused_after_error or self.awaiting_reservation or not self.writable
+        )
+        return not blocked and len(self.slots) < MAX_PIPELINED
 
     def _update_reading(self) -> None:
-        """Bounds what a client can make the router hold: no reading while too much is unanswered."""
-        wanted = self.half_closed or self._may_process()
-        if wanted != self.reading and not self.transport.is_closing():
-            self.reading = wanted
-            if wanted:
+        """Start or stop reading; a client that has too many unanswered commands is not read."""
+        should_read = self.half_closed or self._may_process()
+        if should_read != self.reading and not self.transport.is_closing():
+            self.reading = should_read
+            if should_read:
                 self.listener.hang_up_monitor.remove(self)
                 self.transport.resume_reading()
             else:
@@ -434,7 +443,7 @@
         self._process_buffer()
 
     def has_unread_input(self) -> bool:
-        """Whether a command may wait in the socket."""
+        """Return whether a command may be waiting in the socket."""
         return has_unread_input(self.transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/myrtlecourse/net/discovery.py
+++ b/myrtlecourse/net/discovery.py
@@ -1,4 +1,4 @@
-"""The list of cache servers: its entries, and the watch on its changes."""
+"""Reads the list of cache servers from discovery and watches its changes with long polling."""
 
 from __future__ import annotations
 
@@ -17,58 +17,65 @@
 from myrtlecourse.net.pool import parse_address
 
 STATES = {"in_service": api.State.READY, "terminating": api.State.DRAINING, "terminated": api.State.GONE}
-MAX_LIST = 4 * 1024 * 1024
-ASSUMED_DELIVERY = (
-    6.0  # seconds after which what discovery has counts as told, whether or not it arrived (the protocol)
-)
-QUEUE_TIME = 2.0  # seconds for which a new call may wait in turn behind those of other routers
-MIN_TIMEOUT = 0.1  # seconds: a busy core answers itself no sooner
-# after an answer with no news, so that an agent that never waits is not asked in a spin; a call more than
-# 200 ms after the last answer would be a new watch, in turn with all others
+MAX_LIST = 4 * 1024 * 1024  # bytes
+# seconds after which the protocol takes changes at discovery as known to routers, whether or not they arrived
+ASSUMED_DELIVERY = 6.0
+QUEUE_TIME = 2.0  # seconds for which discovery may queue a new watch behind those of other routers
+MIN_TIMEOUT = 0.1  # seconds; on a busy core even an agent on the same machine answers no sooner
+# seconds after an answer without changes, so that an agent that never waits is not polled in a busy loop; a
+# request more than 200 ms after the last answer would be a new watch, which is queued
 EMPTY_PAUSE = 0.05
-ENTRIES_PER_ITERATION = 64  # entries of a list, about a millisecond's work
+ENTRIES_PER_ITERATION = 64  # of a list, which take about a millisecond
 log = logging.getLogger(__name__)
 
 
 class ListError(ValueError):
-    """A list that can't be used; the message names the field."""
+    """A list that can't be used; the message names the malformed field."""
 
 
-def required_field(table: dict[str, Any], name: str, kind: type | tuple[type, ...], where: str) -> Any:
-    """A field of the right type."""
+def required_field(table: dict[str, Any], name: str, kind: type | tuple[type, ...], path: str) -> Any:
+    """Return a field of the given type.
+
+    Raises:
+        ListError: it is missing or has another type.
+    """
     value = table.get(name)
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise ListError(f"{where}{name} is missing or malformed: {str(value)[:40]}")
+        raise ListError(f"{path}{name} is missing or malformed: {str(value)[:40]}")
     return value
 
 
-def read_member(line: Any, where: str) -> Member:
-    """One entry."""
-    if not isinstance(line, dict):
-        raise ListError(f"{where} is not an object")
-    where += "."
-    state = required_field(line, "status", str, where)
+def read_member(entry: Any, path: str) -> Member:
+    """Parse an entry of a list.
+
+    Raises:
+        ListError: it is malformed.
+    """
+    if not isinstance(entry, dict):
+        raise ListError(f"{path} is not an object")
+    path += "."
+    state = required_field(entry, "status", str, path)
     if state not in STATES:
-        raise ListError(f"{where}status is unknown: {state[:40]}")
-    address = required_field(line, "address", str, where)
+        raise ListError(f"{path}status is unknown: {state[:40]}")
+    address = required_field(entry, "address", str, path)
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ListError(f"{where}address is not host:port: {address[:40]}")
-    entry = api.ServerEntry(
-        server=required_field(line, "name", str, where),
+        raise ListError(f"{path}address is not host:port: {address[:40]}")
+    server_entry = api.ServerEntry(
+        server=required_field(entry, "name", str, path),
         state=STATES[state],
-        kind=required_field(line, "type", str, where),
-        zone=required_field(line, "zone", str, where),
-        cell=required_field(line, "group", int, where),
-        weight=max(0.0, required_field(line, "weight", (int, float), where)),
-        since=required_field(line, "since_ms", (int, float), where) / 1000,  # Unix time, as the host's clock
+        kind=required_field(entry, "type", str, path),
+        zone=required_field(entry, "zone", str, path),
+        cell=required_field(entry, "group", int, path),
+        weight=max(0.0, required_field(entry, "weight", (int, float), path)),
+        since=required_field(entry, "since_ms", (int, float), path) / 1000,  # Unix time in seconds
     )
-    return Member(entry, address)
+    return Member(server_entry, address)
 
 
 @dataclass(slots=True, frozen=True)
 class UnparsedList:
-    """What a list tells of itself, and its entries as they came."""
+    """The header of a list, and its entries, which are not parsed yet."""
 
     index: int
     is_full: bool
@@ -76,61 +83,70 @@
     path: str
 
     def read_members(self, start: int, end: int) -> list[Member]:
-        """Some of the entries."""
+        """Parse a range of the entries."""
         return [
-            read_member(line, f"{self.path}endpoints[{start + i}]")
-            for i, line in enumerate(self.entries[start:end])
+            read_member(entry, f"{self.path}endpoints[{start + i}]")
+            for i, entry in enumerate(self.entries[start:end])
         ]
 
 
-def read_header(message: Any, where: str = "") -> UnparsedList:
-    """A list whose entries are not read yet."""
+def read_header(message: Any, path: str = "") -> UnparsedList:
+    """Parse the header of a list, but not its entries.
+
+    Raises:
+        ListError: it is malformed.
+    """
     if not isinstance(message, dict):
-        raise ListError(f"{where or 'list'} is not an object")
-    where += "." if where else ""
-    lines = required_field(message, "endpoints", list, where)
+        raise ListError(f"{path or 'list'} is not an object")
+    path += "." if path else ""
+    entries = required_field(message, "endpoints", list, path)
     return UnparsedList(
-        required_field(message, "index", int, where),
-        required_field(message, "snapshot", bool, where),
-        lines,
-        where,
+        required_field(message, "index", int, path),
+        required_field(message, "snapshot", bool, path),
+        entries,
+        path,
     )
 
 
-def read_list(message: Any, where: str = "") -> tuple[int, bool, list[Member]]:
-    """The version of a list, whether it is whole, and its entries."""
-    head = read_header(message, where)
-    return head.index, head.is_full, head.read_members(0, len(head.entries))
+def read_list(message: Any, path: str = "") -> tuple[int, bool, list[Member]]:
+    """Return the index of a list, whether it is a full one, and its entries.
+
+    Raises:
+        ListError: it is malformed.
+    """
+    header = read_header(message, path)
+    return header.index, header.is_full, header.read_members(0, len(header.entries))
 
 
-async def read_list_in_steps(message: Any, where: str = "") -> tuple[int, bool, list[Member]]:
-    """The same, a few entries in each turn of the event loop: requests are read and answered in between."""
-    head = read_header(message, where)
-    members = head.read_members(0, ENTRIES_PER_ITERATION)
-    for start in range(ENTRIES_PER_ITERATION, len(head.entries), ENTRIES_PER_ITERATION):
+async def read_list_in_steps(message: Any, path: str = "") -> tuple[int, bool, list[Member]]:
+    """Do the same with a few entries in each iteration of the event loop, which serves requests in between."""
+    header = read_header(message, path)
+    members = header.read_members(0, ENTRIES_PER_ITERATION)
+    for start in range(ENTRIES_PER_ITERATION, len(header.entries), ENTRIES_PER_ITERATION):
         await asyncio.sleep(0)
-        members += head.read_members(start, start + ENTRIES_PER_ITERATION)
-    return head.index, head.is_full, members
+        members += header.read_members(start, start + ENTRIES_PER_ITERATION)
+    return header.index, header.is_full, members
 
 
 @dataclass(slots=True, frozen=True)
 class WatchTimeouts:
-    """For how long a call may go without an answer (seconds).
+    """How long a request to discovery may go without an answer, in seconds.
 
-    Guards against a watch that has fallen silent: what it misses counts as told soon after, so that it has to
-    be given up, and another opened and answered, well before.
+    Changes that a silent watch misses are soon assumed to be known. The watch therefore has to be given up,
+    and another one opened and answered, well before `ASSUMED_DELIVERY` has passed.
     """
 
-    poll_time: float  # for which discovery may hold a call that has no news
-    answer_margin: float  # after that
-    queue_time: float  # before it, where the call begins a watch
+    poll_time: float  # for which discovery may hold a request while there are no changes
+    answer_margin: float  # in addition
+    queue_time: float  # in addition, for the first request of a watch
 
     @classmethod
     def from_settings(cls, settings: api.Settings) -> WatchTimeouts:
-        """What the settings leave: two tries before news counts as told, and the grace after it untouched.
+        """Return timeouts that allow two tries before changes are assumed to be known.
 
-        Where lists are pushed, what the agent has counts at once; it is on this machine and answers as soon,
-        so that it is given up, and asked again, within the grace.
+        The grace period after that is not used up. If lists are pushed, changes are assumed to be known as
+        soon as the local agent has them. The agent answers at once, so that a failed request can be given up
+        and repeated within the grace period.
         """
         if settings.subscribe:
             return cls(ASSUMED_DELIVERY / 4, ASSUMED_DELIVERY / 8, QUEUE_TIME)
@@ -143,68 +159,68 @@
 
 
 class Discovery:
-    """Watches the list when asked to; a call that fails ends the watch."""
+    """Watches the list when asked to; a failed request ends the watch."""
 
     def __init__(
         self,
         address: str,
         index: int | None,
-        told: Callable[[api.ListKind, list[Member]], None],
-        failed: Callable[[], None],
-        patience: WatchTimeouts,
+        on_list: Callable[[api.ListKind, list[Member]], None],
+        on_failure: Callable[[], None],
+        timeouts: WatchTimeouts,
     ) -> None:
         self.address = address
-        self.index = index  # of the list held; None: from another discovery, or none
-        self.on_list = told
-        self.on_failure = failed
-        self.timeouts = patience
+        self.index = index  # of the current list; None if there is none, or from another discovery
+        self.on_list = on_list
+        self.on_failure = on_failure
+        self.timeouts = timeouts
         self.watch_task: asyncio.Task[None] | None = None
-        self.last_answer_at = time.monotonic()  # when it last answered
+        self.last_answer_at = time.monotonic()  # on the monotonic clock
 
     def subscribe(self) -> None:
-        """Begin a watch, unless one is on."""
+        """Begin a watch, unless one is running."""
         if self.watch_task is None:
             self.watch_task = asyncio.create_task(self._watch())
 
     def change_address(self, address: str) -> None:
-        """End the watch; the next asks another discovery, whose index is its own, for the whole list."""
+        """End the watch; the next one asks another discovery, which has its own index, for the full list."""
         self.close()
         self.address = address
         self.index = None
         self.watch_task = None
 
     async def _watch(self) -> None:
-        turn = self.timeouts.queue_time
+        queue_time = self.timeouts.queue_time
         try:
             while True:
-                began = time.monotonic()
-                index, whole, members = await self._request_list(turn)
+                started_at = time.monotonic()
+                index, is_full, members = await self._request_list(queue_time)
                 self.last_answer_at = time.monotonic()
-                self.on_list(api.ListKind.FULL if whole else api.ListKind.DELTA, members)
-                self.index = index  # not before: what could not be taken has to be told again
-                turn = 0.0
+                self.on_list(api.ListKind.FULL if is_full else api.ListKind.DELTA, members)
+                self.index = index  # only now: a list that could not be applied has to be sent again
+                queue_time = 0.0
                 if not members:
                     await asyncio.sleep(EMPTY_PAUSE)
         except Exception as e:
-            # guards the list: whatever went wrong, the module must hear of it, or it would never ask again
+            # whatever went wrong is reported to the decision module, which would otherwise never ask again
             known = isinstance(e, (OSError, HttpError, ListError, orjson.JSONDecodeError))
-            level, waited = logging.WARNING if known else logging.ERROR, time.monotonic() - began
-            log.log(level, "discovery, after %.3f s: %s", waited, repr(e)[:200])
-        # a watch that was cancelled ends above and tells nothing: another may have begun
+            level, elapsed = logging.WARNING if known else logging.ERROR, time.monotonic() - started_at
+            log.log(level, "discovery request failed after %.3f s: %s", elapsed, repr(e)[:200])
+        # a cancelled watch ends above and reports nothing, as another one may have begun
         self.watch_task = None
         self.on_failure()
 
-    async def _request_list(self, turn: float) -> tuple[int, bool, list[Member]]:
-        patience = self.timeouts
-        wait = 0.0 if self.index is None else patience.poll_time
-        # guards against a discovery that has gone silent: what it has to tell counts as told soon after
-        async with asyncio.timeout(turn + wait + patience.answer_margin):
+    async def _request_list(self, queue_time: float) -> tuple[int, bool, list[Member]]:
+        timeouts = self.timeouts
+        poll_time = 0.0 if self.index is None else timeouts.poll_time
+        # a silent discovery has to be noticed soon: its changes are assumed to be known after a while
+        async with asyncio.timeout(queue_time + poll_time + timeouts.answer_margin):
             reader, writer = await asyncio.open_connection(*parse_address(self.address))
             try:
                 client = HttpClient(self.address, MAX_LIST)
                 target = "/registry/instances"
                 if self.index is not None:
-                    target += f"?after={self.index}&wait_ms={int(wait * 1000)}"
+                    target += f"?after={self.index}&wait_ms={int(poll_time * 1000)}"
                 writer.write(client.request("GET", target, [(b"Connection", b"close")]))
                 response = None
                 while response is None:
@@ -212,7 +228,7 @@
             finally:
                 writer.close()
         if response.status != 200:
-            raise ListError(f"answered {response.status}")
+            raise ListError(f"discovery answered with status {response.status}")
         return await read_list_in_steps(orjson.loads(response.body))
 
     def close(self) -> None:
--- a/myrtlecourse/net/host.py
+++ b/myrtlecourse/net/host.py
@@ -65,10 +65,10 @@
         self.clock = Clock()
         self.in_service = True  # unless operators take the router out of service
         self.holds_service_address = True  # false while the movable service address is at another router
-        self.last_answer_at = math.inf  # when this process ends: every accepted request is answered by then
+        self.answer_deadline = math.inf  # when this process ends: every accepted request is answered by then
         self.router = Router(settings, seed, self.clock.now(), admission)
         self.members: dict[str, Member] = {}
-        self.offlined: set[str] = set()  # servers that operators took offline
+        self.offline_servers: set[str] = set()  # servers that operators took offline
         self.requests: dict[str, RequestInFlight] = {}
         self.recent_ids: set[str] = set()  # of ended requests
         self.older_ids: set[str] = set()  # the generation before
@@ -222,7 +222,7 @@
 
     def take_offline(self, server: str) -> None:
         """Start no new attempts at a cache server; its open attempts finish there."""
-        self.offlined.add(server)
+        self.offline_servers.add(server)
         self.post(api.Offline(server))
         if (member := self.members.get(server)) is not None:
             self._pool_of(member).stop_using(member.address)
@@ -231,7 +231,7 @@
         """Use a cache server again, as a cold one; connections kept from before are not used."""
         if (member := self.members.get(server)) is not None:
             self._pool_of(member).stop_using(member.address)
-        self.offlined.discard(server)
+        self.offline_servers.discard(server)
         self.post(api.Online(server, self.clock.start_on_this_clock(since)))
 
     def change_settings(self, settings: api.Settings) -> None:
@@ -259,16 +259,16 @@
 
     # Requests
 
-    def refuse_beyond(self, seconds: float) -> None:
+    def set_answer_deadline(self, seconds: float) -> None:
         """Refuse from now on requests whose deadline is more than `seconds` away."""
-        self.last_answer_at = self.clock.now() + seconds
+        self.answer_deadline = self.clock.now() + seconds
 
     def refuse_early(self, info: bytes, waited: float) -> bytes | None:
         """Return the refusal of a command that need not be parsed, or None; `info` is as its client sent it.
 
         What can't be recognised here is left to the full parser.
         """
-        if self.router.door is None and self.router.wanted and self.last_answer_at == math.inf:
+        if self.router.door is None and self.router.wanted and self.answer_deadline == math.inf:
             return None
         request_class = tenant = ""
         repeated = keyed = False
@@ -288,7 +288,7 @@
         if request_class not in self.settings.classes:
             return None
         now = self.clock.now()
-        if math.inf > now + time_left > self.last_answer_at:
+        if math.inf > now + time_left > self.answer_deadline:
             return busy_answer(0.0)
         pause = self.router.turn_away(now, request_class, tenant, repeated, keyed, time_left, waited)
         return None if pause is None else busy_answer(pause)
@@ -440,7 +440,9 @@
             return False
         # the first attempt repeats nothing and so is never too late for duplicate detection
         late = request.attempts_started > 1 and self.clock.now() >= attempt.write_deadline
-        return not late and attempt.server not in self.offlined and request.answer_sink.client_connected()
+        return (
+            not late and attempt.server not in self.offline_servers and request.answer_sink.client_connected()
+        )
 
     def begin_stream(self, request: RequestInFlight, attempt: Attempt, length: int, source: Exchange) -> bool:
         """Stream an attempt's long answer to the client, unless another answer has begun or been sent."""
@@ -459,12 +461,12 @@
         request = self.requests.get(action.request)
         attempt = request.open_attempts.get(action.attempt) if request is not None else None
         if request is not None and attempt is not None:
-            self._give_up(request, attempt, api.Status.CANCELLED)
+            self._abandon_attempt(request, attempt, api.Status.CANCELLED)
 
     def _time_out(self, attempt: Attempt) -> None:
-        self._give_up(attempt.request, attempt, api.Status.TIMEOUT)
+        self._abandon_attempt(attempt.request, attempt, api.Status.TIMEOUT)
 
-    def _give_up(self, request: RequestInFlight, attempt: Attempt, status: api.Status) -> None:
+    def _abandon_attempt(self, request: RequestInFlight, attempt: Attempt, status: api.Status) -> None:
         if attempt.exchange is not None:
             attempt.exchange.abandon()
         self.finish_attempt(request, attempt, status)
--- a/myrtlecourse/net/http.py
+++ b/myrtlecourse/net/http.py
@@ -1,4 +1,7 @@
-"""One HTTP/1.1 request and its response at a time, as bytes in and out."""
+"""The client side of HTTP/1.1 without I/O, for one request and its response at a time.
+
+Plain responses are parsed by a regular expression; any other goes through the h11 state machine.
+"""
 
 from __future__ import annotations
 
@@ -7,8 +10,8 @@
 
 import h11
 
-MAX_HEAD = 16 * 1024
-# the plainest responses, read without the state machine, whose cost was that of three requests
+MAX_HEAD = 16 * 1024  # bytes
+# matches plain responses, which are parsed without h11, as that took as long as three requests otherwise do
 RESPONSE_HEAD = re.compile(
     rb"HTTP/1\.1 ([1-5][0-9]{2})(?: [ -~]*)?\r\n((?:[!#-'*+.0-9A-Z^-z|~-]+:[\t -~]*\r\n)*)\r\n"
 )
@@ -20,12 +23,12 @@
 
 
 class HttpError(Exception):
-    """A response that breaks the protocol, the bound on its size, or off."""
+    """A response that violates the protocol, is too long, or ends early."""
 
 
 @dataclass(slots=True, frozen=True)
 class Response:
-    """A whole response; header names are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -33,33 +36,34 @@
 
 
 class HttpClient:
-    """The client's side of one connection.
+    """The client side of one connection.
 
-    A body said to be longer than `max_body` bytes is not gathered: up to `max_passed` its `pieces` are handed
-    out as they come, and the response ends with an empty body. What is longer still is refused at its head.
+    A body announced as longer than `max_body` bytes is not buffered: up to `max_streamed` bytes it is
+    appended to `chunks` as it arrives, and the response has an empty body. A longer one is rejected when its
+    head arrives.
     """
 
-    def __init__(self, address: str, max_body: int, max_passed: int = 0) -> None:
+    def __init__(self, address: str, max_body: int, max_streamed: int = 0) -> None:
         self.address = address
         self.max_body = max_body
-        self.max_streamed = max_passed
+        self.max_streamed = max_streamed
         self.connection = h11.Connection(h11.CLIENT)
-        # what the state machine has not been told of, and need not if all that comes is plain
+        # the request, until it is passed to h11, which is not necessary if the response is plain
         self.sent_request: tuple[str, str, list[tuple[bytes, bytes]], bytes | None] | None = None
-        self.plain_response: Response | None = None  # the head of a response that is read without it
-        self.body_left = 0  # bytes of its body that are still to come
-        self.has_extra_bytes = False  # whether more came than that
-        self.head_buffer = bytearray()  # the beginning of a head
-        self.head_expected = True  # whether one is still to come
+        self.plain_response: Response | None = None  # the head of a response that is parsed without h11
+        self.body_left = 0  # bytes of its body that have not arrived yet
+        self.has_extra_bytes = False  # whether bytes follow the body
+        self.head_buffer = bytearray()  # an incomplete head
+        self.head_expected = True
         self.head: h11.Response | None = None
         self.body = bytearray()
-        self.streamed_length = 0  # the length of a body that is handed out
+        self.streamed_length = 0  # of a body that is appended to `chunks`
         self.chunks: list[bytes] = []
 
     def request(
         self, method: str, target: str, headers: list[tuple[bytes, bytes]], body: bytes | None = None
     ) -> bytes:
-        """The bytes of a request."""
+        """Begin a request and return its bytes."""
         self.plain_response = self.head = None
         self.head_expected = True
         self.has_extra_bytes = False
@@ -78,7 +82,7 @@
         return b"".join([*head, b"\r\n", body or b""])
 
     def _send_to_h11(self) -> bytes:
-        """Tell the state machine what was asked; answers with the request's bytes."""
+        """Pass the request to h11 and return its bytes."""
         if self.sent_request is None:
             return b""
         (method, target, fields, body), self.sent_request = self.sent_request, None
@@ -91,11 +95,11 @@
         return b"".join(self.connection.send(e) or b"" for e in events)
 
     def _parse_plain_head(self, data: bytes) -> tuple[Response, int, int] | None:
-        """A whole head of the plainest form, its body's length and where that begins, else None."""
-        if (head := RESPONSE_HEAD.match(data)) is None:
+        """Parse a complete plain head; return it, the length of its body and its offset, else None."""
+        if (match := RESPONSE_HEAD.match(data)) is None:
             return None
         headers: dict[bytes, bytes] = {}
-        for line in head[2].split(b"\r\n")[:-1]:
+        for line in match[2].split(b"\r\n")[:-1]:
             name, _, value = line.partition(b":")
             name, value = name.lower(), value.strip()
             if name in headers or (name in FRAMING_HEADERS and (name, value.lower()) != KEEP_ALIVE):
@@ -105,33 +109,39 @@
         if (
             not length.isdigit()
             or len(length) > 9
-            or (status := int(head[1])) < 200
+            or (status := int(match[1])) < 200
             or status in BODILESS_STATUSES
         ):
             return None
-        return Response(status, headers, b""), int(length), head.end()
+        return Response(status, headers, b""), int(length), match.end()
 
     def _without_load_report(self, data: bytes) -> bytes:
-        """Heads once they are whole, without the load report, and what follows them.
+        """Return complete heads without their load reports, and what follows them.
 
-        Nobody asks for the report, and one that can't be read would spoil a good answer.
+        The load report is not used, and a malformed one would invalidate a good answer.
         """
         if not self.head_expected:
             return data
         self.head_buffer += data
-        out = b""
+        output = b""
         while self.head_expected and (end := self.head_buffer.find(b"\r\n\r\n") + 4) > 3:
-            out += LOAD_REPORT.sub(b"", bytes(self.head_buffer[:end]))
-            self.head_expected = self.head_buffer[9:10] == b"1"  # another follows after one like 100 Continue
+            output += LOAD_REPORT.sub(b"", bytes(self.head_buffer[:end]))
+            self.head_expected = (
+                self.head_buffer[9:10] == b"1"
+            )  # another one follows a head such as 100 Continue
             del self.head_buffer[:end]
         if not self.head_expected:
-            out += bytes(self.head_buffer)
+            output += bytes(self.head_buffer)
         elif len(self.head_buffer) > MAX_HEAD or not b"HTTP/".startswith(self.head_buffer[:5]):
-            raise HttpError(f"no head: {bytes(self.head_buffer[:40])!r}")
-        return out
+            raise HttpError(f"not a response head: {bytes(self.head_buffer[:40])!r}")
+        return output
 
     def receive(self, data: bytes) -> Response | None:
-        """Take bytes, none at the connection's end, and answer with the response once it is whole."""
+        """Receive bytes, none at the end of the connection; return the response once it is complete.
+
+        Raises:
+            HttpError: the response violates the protocol, is too long, or ends early.
+        """
         if self.plain_response is not None:
             return self._receive_plain_body(data)
         if self.sent_request is None:
@@ -139,30 +149,30 @@
         self.head_buffer += data
         if data and b"\r\n\r\n" not in self.head_buffer and len(self.head_buffer) <= MAX_HEAD:
             if not b"HTTP/1.1 "[: len(self.head_buffer)] == self.head_buffer[:9]:
-                raise HttpError(f"no head: {bytes(self.head_buffer[:40])!r}")
+                raise HttpError(f"not a response head: {bytes(self.head_buffer[:40])!r}")
             return None
         data = bytes(self.head_buffer)
         self.head_buffer.clear()
-        if (found := self._parse_plain_head(data)) is None:
+        if (parsed := self._parse_plain_head(data)) is None:
             self._send_to_h11()
             return self._receive_with_h11(data)
         self.sent_request = None
-        self.plain_response, self.body_left, start = found
+        self.plain_response, self.body_left, start = parsed
         self._begin_body(self.plain_response.status, self.body_left)
         return self._receive_plain_body(data[start:])
 
     def _receive_plain_body(self, data: bytes) -> Response | None:
         assert self.plain_response is not None
         if not data and self.body_left:
-            if self.head_expected:  # the head came alone
+            if self.head_expected:  # the head arrived without any of the body
                 self.head_expected = False
                 return None
-            raise HttpError("ended within its body")
+            raise HttpError("connection ended within the body")
         self.head_expected = False
         self.has_extra_bytes = len(data) > self.body_left
-        part = data[: self.body_left]
-        self.body_left -= len(part)
-        self._add_body(part)
+        body_part = data[: self.body_left]
+        self.body_left -= len(body_part)
+        self._add_body(body_part)
         if self.body_left:
             return None
         return Response(self.plain_response.status, self.plain_response.headers, bytes(self.body))
@@ -170,9 +180,9 @@
     def _begin_body(self, status: int, length: int) -> None:
         if length <= self.max_body:
             return
-        # guards memory: a body said to be too long is refused before it comes
+        # bounds memory: a body announced as too long is rejected before it arrives
         if status != 200 or length > self.max_streamed:
-            raise HttpError(f"body of {length} bytes")
+            raise HttpError(f"body of {length} bytes is too long")
         self.streamed_length = length
 
     def _add_body(self, data: bytes) -> None:
@@ -181,7 +191,7 @@
             return
         self.body += data
         if len(self.body) > self.max_body:
-            raise HttpError(f"body of over {self.max_body} bytes")
+            raise HttpError(f"body is longer than {self.max_body} bytes")
 
     def _receive_with_h11(self, data: bytes) -> Response | None:
         try:
@@ -202,12 +212,12 @@
                 elif isinstance(event, h11.EndOfMessage) and self.head is not None:
                     return Response(self.head.status_code, dict(self.head.headers), bytes(self.body))
                 elif not isinstance(event, h11.InformationalResponse):
-                    raise HttpError(f"no response but {event!r}")
+                    raise HttpError(f"expected a response, got {event!r}")
         except h11.RemoteProtocolError as e:
             raise HttpError(str(e)) from e
 
     def has_trailing_bytes(self) -> bool:
-        """Whether bytes came behind the response."""
+        """Return whether bytes followed the response."""
         return (
             self.has_extra_bytes
             if self.plain_response is not None
@@ -215,7 +225,7 @@
         )
 
     def reusable(self) -> bool:
-        """Whether another request may follow."""
+        """Return whether the connection may carry another request."""
         if self.plain_response is not None:
             return not self.has_trailing_bytes() and not self.body_left
         ended = self.connection.our_state is self.connection.their_state is h11.DONE
--- a/myrtlecourse/net/listener.py
+++ b/myrtlecourse/net/listener.py
@@ -1,4 +1,4 @@
-"""The listener: which clients are let in, and which go when there are too many."""
+"""Accepts clients, and closes connections when there are too many."""
 
 from __future__ import annotations
 
@@ -20,11 +20,9 @@
 from myrtlecourse.net.request_log import CloseReason
 
 BACKLOG = 512
-MAX_CANDIDATES = 16  # connections looked at for one that may go, in each place where they are found
-MAX_ACCEPTS = (
-    32  # connections taken in at most in a turn of the event loop, so that those already up have theirs
-)
-# errors of accept() that are those of one connection, which was on its way: the next may be well (accept(2))
+MAX_CANDIDATES = 16  # connections of each kind that are checked for one to close
+MAX_ACCEPTS = 32  # per iteration of the event loop, so that open connections are served in between
+# errors of accept() that concern a single pending connection; the next may be fine (see accept(2))
 SINGLE_CLIENT_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
@@ -41,31 +39,31 @@
         errno.ETIMEDOUT,
     }
 )
-ACCEPT_PAUSE = 0.1  # after a failed accept, so that running out of descriptors does not spin
-COMMAND_TIMEOUT = (
-    2.6  # seconds for a head to come: an honest one may take 2, a bad one is owed a word within 3
-)
-VALUE_STALL_TIMEOUT = 1.0  # seconds in which some of a value must come after that
+ACCEPT_PAUSE = 0.1  # seconds after a failed accept, so that a lack of descriptors causes no busy loop
+# seconds for a command to arrive: a good client may take 2, and a faulty one has to be answered within 3
+COMMAND_TIMEOUT = 2.6
+VALUE_STALL_TIMEOUT = 1.0  # seconds within which more of a value must arrive after that
 IDLE_TIMEOUT = 2.0  # seconds after which an idle connection may be closed
-SINGLE_COMMAND_IDLE_TIMEOUT = 0.1  # the same for one that has asked once only, while there are many
-FIRST_COMMAND_GRACE = 0.05  # seconds that a new client has to send its first command, however crowded it is
-DRAIN_FIRST_COMMAND_GRACE = 0.5  # seconds that a new client has for it while this process ends or is emptied
-SWEEP_INTERVAL = 0.1  # seconds between looks for connections that are overdue
-LOGGED_LOOP_LAG = 0.05  # seconds by which such a look comes late, that are worth a line in the log
-FRONT_REACTION_TIME = (
-    0.5  # seconds for which clients go on coming after an end that the front must notice: 0.2 to 0.4
-)
-DRAIN_REFUSAL_DELAY = (
-    1.5  # seconds after which a router that is emptied takes no command of those that stay, of 2
+SINGLE_COMMAND_IDLE_TIMEOUT = (
+    0.1  # the same for a client that has sent a single command, while there are many
 )
-LINGERING_ALLOWANCE = 8  # closed connections, still read, that hold descriptors beside the budget
-STALLED_ANSWER_TIMEOUT = 10.0  # seconds for which a client may take nothing of a long answer
+FIRST_COMMAND_GRACE = 0.05  # seconds for a new client's first command, however many connections there are
+DRAIN_FIRST_COMMAND_GRACE = 0.5  # the same while this process ends or is drained
+SWEEP_INTERVAL = 0.1  # seconds between checks of the time limits
+LOGGED_LOOP_LAG = 0.05  # seconds of event loop lag, found at such a check, from which on it is logged
+# seconds for which clients still connect after the router goes out of service, which the front proxy notices
+# after 0.2 to 0.4
+FRONT_REACTION_TIME = 0.5
+# seconds, of the 2 that a drain may take, after which commands of the remaining clients are refused
+DRAIN_REFUSAL_DELAY = 1.5
+LINGERING_ALLOWANCE = 8  # half-closed connections whose descriptors do not count against the budget
+STALLED_ANSWER_TIMEOUT = 10.0  # seconds for which a client may read nothing of a long answer
 log = logging.getLogger(__name__)
 rate_limited_log = RateLimitedLog(log)
 
 
 class Listener:
-    """Accepts clients, within a budget of descriptors."""
+    """Accepts clients within a budget of descriptors."""
 
     def __init__(
         self,
@@ -73,40 +71,41 @@
         budget: int,
         descriptors: DescriptorBudget | None = None,
         windows: StreamWindows | None = None,
-        room: UploadMemory | None = None,
+        upload_memory: UploadMemory | None = None,
     ) -> None:
         self.host = host
         self.windows = windows or StreamWindows()
-        self.upload_memory = room or UploadMemory()
+        self.upload_memory = upload_memory or UploadMemory()
         self.budget = budget
         self.descriptors = descriptors or DescriptorBudget(budget)
         self.descriptors.add(self)
         self.connections: dict[ClientConnection, None] = {}
-        self.lingering: dict[ClientConnection, None] = {}  # of those, closed and still read, longest first
-        self.evicted: set[ClientConnection] = set()  # aborted, whose descriptors are free in a moment
-        self.hang_up_monitor = HangUpMonitor()  # of those that are not read
-        self.stopping = False  # this process ends: clients go as soon as nothing is owed to them
-        self.setup_tasks: set[asyncio.Task[None]] = set()  # accepted, and not yet among those
-        # long answers that their clients don't take, each since when, longest first
+        self.lingering: dict[ClientConnection, None] = {}  # those that are half-closed, the oldest first
+        self.evicted: set[ClientConnection] = (
+            set()
+        )  # aborted ones, whose descriptors are about to become free
+        self.hang_up_monitor = HangUpMonitor()  # for connections that are not read
+        self.stopping = False  # this process ends: connections without open requests are closed
+        self.setup_tasks: set[asyncio.Task[None]] = set()  # for accepted connections
+        # streamed answers that their clients don't read, each with the time since when, the longest first
         self.stalled_answers: dict[AnswerSlot, float] = {}
-        self.paused_after_error: dict[ClientConnection, None] = {}  # that are not read, having sent an error
-        # connections on which nothing is owed, each since when, longest first
-        self.awaiting_command: dict[ClientConnection, float] = {}  # a first command, or the rest of one
+        self.paused_after_error: dict[ClientConnection, None] = {}  # not read for a while
+        # connections without open requests, each with the time since when, the longest first
+        self.awaiting_command: dict[ClientConnection, float] = {}  # for a first command or the rest of one
         self.idle: dict[ClientConnection, float] = {}
-        self.accept_ready = asyncio.Event()  # clients, to be accepted
-        self.consecutive_accept_failures = 0  # in a row
-        self.changed = asyncio.Event()  # a connection has ended or fallen idle
+        self.accept_ready = asyncio.Event()  # set when clients wait to be accepted
+        self.consecutive_accept_failures = 0
+        self.state_changed = asyncio.Event()  # set when a connection has ended or become idle
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.tasks: list[asyncio.Task[None]] = []
-        self.drain_task: asyncio.Task[None] | None = None  # while operators have it out of service
-        self.inherited = False  # the socket, which others hold as well
-        self.holds_address: Callable[[], bool] | None = (
-            None  # whether the service address is here, where it may move
-        )
-        self.loop: asyncio.AbstractEventLoop  # from the start on
+        self.drain_task: asyncio.Task[None] | None = None  # while the router is out of service
+        self.inherited = False  # whether the socket is inherited, so that other processes hold it as well
+        # whether this process holds the service address; None if the address does not move
+        self.holds_address: Callable[[], bool] | None = None
+        self.loop: asyncio.AbstractEventLoop  # set by `start`
 
     def start(self, address: tuple[str, int], inherited: int | None = None) -> None:
-        """Listen and accept, on a socket that is inherited listening if its descriptor is given."""
+        """Listen and accept clients; `inherited` is the descriptor of an inherited listening socket."""
         self.loop = asyncio.get_running_loop()
         if inherited is None:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -118,13 +117,13 @@
             self.socket = socket.socket(fileno=inherited)
             self.socket.setblocking(False)
             self.inherited = True
-        self.tasks = [asyncio.create_task(self._accept()), asyncio.create_task(self._sweep())]
+        self.tasks = [asyncio.create_task(self._accept()), asyncio.create_task(self._enforce_time_limits())]
 
     async def _accept(self) -> None:
-        """Take in all that wait, a few in each turn of the loop.
+        """Accept all waiting clients, up to `MAX_ACCEPTS` in each iteration of the event loop.
 
-        One a turn left clients in the backlog while turns grew long, until they had gone away: what was read
-        from them then was spent for nobody, and each came again on a new connection.
+        With one per iteration, clients waited in the backlog while iterations grew long, until they had given
+        up: their commands were then processed for nobody, and each client retried on a new connection.
         """
         while True:
             try:
@@ -133,12 +132,12 @@
                     if not await self._accept_one():
                         break
             except OSError as e:
-                # guards the router: without this task no client would ever be let in again
-                rate_limited_log.log(logging.WARNING, "accept: %s", e)
+                # protects the router: without this task no client would ever be accepted again
+                rate_limited_log.log(logging.WARNING, "could not accept a client: %s", e)
                 await asyncio.sleep(ACCEPT_PAUSE)
 
     async def _wait_for_clients(self) -> None:
-        """Wait for the backlog, which is not looked at else: the loop would spin while there is no room."""
+        """Wait for a client in the backlog; watched all the time, a full router would run a busy loop."""
         self.accept_ready.clear()
         self.loop.add_reader(self.socket.fileno(), self.accept_ready.set)
         try:
@@ -148,10 +147,10 @@
                 self.loop.remove_reader(self.socket.fileno())
 
     async def _accept_one(self) -> bool:
-        """Take in a client, and make room for it; False when there is none.
+        """Accept a client and make room for it; return False if none is waiting.
 
         Raises:
-            OSError: the system has no room for one, and will have none in the next instant either.
+            OSError: the system lacks the resources, and an immediate retry would fail as well.
         """
         try:
             client, _ = self.socket.accept()
@@ -159,20 +158,20 @@
             return False
         except OSError as e:
             self.consecutive_accept_failures += 1
-            # guards the core: one that fails for good would be called again and again
+            # prevents a busy loop if the error turns out to be permanent
             if e.errno not in SINGLE_CLIENT_ERRORS or self.consecutive_accept_failures % MAX_ACCEPTS == 0:
                 raise
             rate_limited_log.log(logging.INFO, "a client's connection ended before it was accepted: %s", e)
             return True
         self.consecutive_accept_failures = 0
         if self.holds_address is not None and not self.holds_address():
-            # guards against a process that was stopped: what waits came for the holder that it was
+            # this process was suspended and has lost the service address: the client came for its holder
             client.close()
             return True
         try:
             client.setblocking(False)
-            # guards small answers: the system held them back until the one before was acknowledged; event
-            # loops see to it only for sockets that name their protocol
+            # otherwise the system delays small answers until the one before is acknowledged; event loops set
+            # this option only on sockets created with an explicit protocol
             client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except OSError as e:
             rate_limited_log.log(logging.INFO, "a client's connection ended as it was accepted: %s", e)
@@ -193,13 +192,14 @@
             rate_limited_log.log(logging.INFO, "a client's connection ended as it began: %s", e)
 
     async def _make_room(self) -> None:
-        """Guards the descriptors: a client too many costs one that owes a command, or one that is idle.
+        """Close connections until the descriptors are within the budget, waiting if none can be closed.
 
-        One that has just sent an error goes first, whatever it has sent behind it, and one that asked once
-        and stays before one that asks again and again. While all have requests open, others wait outside.
+        Closed first are connections that have just sent an error, whatever followed it, then those that have
+        not sent a complete command in time, then idle ones that sent a single command, then other idle ones.
+        While all connections have open requests, new clients wait in the backlog.
         """
         while self.descriptors_used() > self.budget or not self.descriptors.fits_after_open(self):
-            self.changed.clear()
+            self.state_changed.clear()
             now = asyncio.get_running_loop().time()
             if self.evicted:
                 await asyncio.sleep(0)
@@ -207,198 +207,196 @@
             if len(self.lingering) > LINGERING_ALLOWANCE:
                 self._evict(next(iter(self.lingering)))
                 continue
-            erring = (c for c in self.paused_after_error if not c.slots and not c.ending)
-            # a look at a few: to ask the kernel about each, for each that comes, took a tenth of a full core
-            late = (
+            erring = (c for c in self.paused_after_error if not c.slots and not c.no_more_commands)
+            # only a few are checked: asking the kernel about each, for each new client, took 10% of a core
+            late_first = (
                 c
                 for c, since in islice(self.awaiting_command.items(), MAX_CANDIDATES)
                 if now - since > FIRST_COMMAND_GRACE
             )
             once = (c for c in islice(self.idle, MAX_CANDIDATES) if c.command_count == 1)
             idle = islice(self.idle, MAX_CANDIDATES)
-            victim = next(erring, None)
-            if victim is None:
-                victim = next((c for c in chain(late, once, idle) if not c.has_unread_input()), None)
-            if victim is not None:
-                victim.close(CloseReason.NO_ROOM)
+            candidate = next(erring, None)
+            if candidate is None:
+                candidate = next((c for c in chain(late_first, once, idle) if not c.has_unread_input()), None)
+            if candidate is not None:
+                candidate.close(CloseReason.NO_ROOM)
                 continue
             with suppress(TimeoutError):
                 async with asyncio.timeout(FIRST_COMMAND_GRACE):
-                    await self.changed.wait()
+                    await self.state_changed.wait()
 
     def descriptors_used(self) -> int:
-        """DescriptorBudget held, but for those of a few closed connections: the reserve has room for them."""
+        """Return the descriptors in use, without a few of half-closed connections, which the reserve covers."""
         return len(self.connections) + len(self.setup_tasks) - min(LINGERING_ALLOWANCE, len(self.lingering))
 
     def close_one_idle(self) -> bool:
-        """Clients lend what they don't use, and borrow nothing: there is nothing to return."""
+        """Return False: clients lend descriptors but borrow none, so that none can be returned."""
         return False
 
-    async def _sweep(self) -> None:
-        """Guards against clients that say nothing, or half a command, and those that stay for good."""
-        turns = self.host.loop_lag
+    async def _enforce_time_limits(self) -> None:
+        """Close connections that exceed a time limit: for a command, for reading an answer or for idling."""
+        loop_lag = self.host.loop_lag
         while True:
-            turns.expect_heartbeat(SWEEP_INTERVAL)
+            loop_lag.expect_heartbeat(SWEEP_INTERVAL)
             await asyncio.sleep(SWEEP_INTERVAL)
-            if (late := turns.heartbeat()) > LOGGED_LOOP_LAG:
-                rate_limited_log.log(logging.WARNING, "the event loop was held up for %.3f s", late)
+            if (lag := loop_lag.heartbeat()) > LOGGED_LOOP_LAG:
+                rate_limited_log.log(logging.WARNING, "the event loop was blocked for %.3f s", lag)
             self.host.check_wall_clock()
             now = asyncio.get_running_loop().time()
             for connection, since in list(self.awaiting_command.items()):
                 if now - since < COMMAND_TIMEOUT:
                     break
-                comes = (
+                progressing = (
                     connection.reader.announced_size and now - connection.last_data_at < VALUE_STALL_TIMEOUT
                 )
-                if not (connection.ending or comes or connection.awaiting_reservation):
-                    connection.end_with("-ERR no whole command came")
+                if not (connection.no_more_commands or progressing or connection.awaiting_reservation):
+                    connection.close_with_error("-ERR no whole command came")
             for slot, since in list(self.stalled_answers.items()):
                 if now - since < STALLED_ANSWER_TIMEOUT:
                     break
-                # guards the server's connection, and the budget, against a client that is not there any more
+                # frees the server's connection and the memory if the client no longer exists
                 slot.connection.abort(CloseReason.ANSWER_NOT_READ)
             surplus = len(self.connections) - len(self.lingering) - self.budget // 2
             for connection, since in list(self.idle.items()):
                 if surplus <= 0:
                     break
-                longest = IDLE_TIMEOUT if connection.command_count > 1 else SINGLE_COMMAND_IDLE_TIMEOUT
-                if now - since > longest and not connection.has_unread_input():
+                idle_limit = IDLE_TIMEOUT if connection.command_count > 1 else SINGLE_COMMAND_IDLE_TIMEOUT
+                if now - since > idle_limit and not connection.has_unread_input():
                     connection.close(CloseReason.IDLE)
                     surplus -= 1
 
     def _evict(self, connection: ClientConnection) -> None:
-        """Guards new clients: one that was closed some time ago holds a descriptor that they want."""
+        """Abort a half-closed connection, whose descriptor a new client needs."""
         del self.lingering[connection]
         self.evicted.add(connection)
         connection.abort(CloseReason.LINGER_ENDED)
 
     def linger(self, connection: ClientConnection) -> None:
-        """A connection is closed but for what is still read from it."""
+        """Record that a connection is half-closed and only read until it is closed."""
         self._clear_state(connection)
         self.lingering[connection] = None
-        self.changed.set()
+        self.state_changed.set()
 
     def closes_when_idle(self, connection: ClientConnection) -> bool:
-        """Whether a connection on which nothing is owed any more is closed at once, as this process ends.
+        """Return whether a connection without open requests is to be closed at once, as this process ends.
 
-        Not over what has come in: that is answered first, if only with a refusal.
+        Input that has arrived is answered first, if only with a refusal.
         """
         return self.stopping and not connection.reader.buffer and not connection.has_unread_input()
 
     def mark_stalled(self, slot: AnswerSlot) -> None:
-        """A client takes nothing of a long answer for now, or it waits behind others."""
+        """Record that a client does not read its streamed answer, or that it waits behind other answers."""
         self.stalled_answers.setdefault(slot, self.loop.time())
 
     def update_state(self, connection: ClientConnection) -> None:
-        """Keep the books on a connection that may have begun to owe a command, or fallen idle."""
-        # guards the listener: one that has ended would stay in the books, without a socket to look at
+        """Update whether a connection is idle, awaits a command or has open requests."""
+        # a connection that has ended must not be entered: it has no socket to poll
         if connection not in self.connections:
             return
-        owing = (
+        busy = (
             bool(connection.slots)
-            or connection.ending
+            or connection.no_more_commands
             or connection.client_left
             or connection.paused_after_error
         )
-        if owing:
+        if busy:
             self.awaiting_command.pop(connection, None)
             self.idle.pop(connection, None)
             return
-        books, others = self.idle, self.awaiting_command
+        book, other_book = self.idle, self.awaiting_command
         if connection.reader.buffer or not connection.command_count:
-            books, others = others, books
-        others.pop(connection, None)
-        if connection not in books:
-            books[connection] = self.loop.time()
-            self.changed.set()
+            book, other_book = other_book, book
+        other_book.pop(connection, None)
+        if connection not in book:
+            book[connection] = self.loop.time()
+            self.state_changed.set()
 
     def remove(self, connection: ClientConnection) -> None:
-        """Note that a connection is closed."""
+        """Remove a closed connection."""
         self.connections.pop(connection, None)
         self.lingering.pop(connection, None)
         self.evicted.discard(connection)
         self._clear_state(connection)
-        self.changed.set()
+        self.state_changed.set()
 
     def _clear_state(self, connection: ClientConnection) -> None:
         self.paused_after_error.pop(connection, None)
         self.awaiting_command.pop(connection, None)
         self.idle.pop(connection, None)
 
-    def start_drain(self, notice: float = FRONT_REACTION_TIME) -> None:
-        """Out of service: clients go as they fall idle. The listener stays, for whoever asks how it is."""
+    def start_drain(self, delay: float = FRONT_REACTION_TIME) -> None:
+        """Drain the router: close connections as they become idle, but keep listening for health checks."""
         if self.drain_task is None:
-            self.drain_task = asyncio.create_task(self._drain(notice))
+            self.drain_task = asyncio.create_task(self._drain(delay))
 
     async def wait_drained(self) -> None:
-        """Wait until no client is connected any more, while it is being emptied."""
+        """Wait until no client is connected any more, during a drain."""
         while self.connections or self.setup_tasks:
-            self.changed.clear()
-            await self.changed.wait()
+            self.state_changed.clear()
+            await self.state_changed.wait()
 
     def stop_drain(self) -> None:
-        """In service again, also in the middle of being emptied."""
+        """End a drain, complete or not, and serve clients again."""
         if self.drain_task is not None:
             self.drain_task.cancel()
             self.drain_task = None
             self.host.post(api.Serving(True))
 
-    async def _drain(self, notice: float) -> None:
-        """Those that are still sent here are served; then none is kept that is owed nothing.
+    async def _drain(self, delay: float) -> None:
+        """Serve clients that still arrive for `delay` seconds, then close connections without open requests.
 
-        A client that goes on asking on an open connection gets a refusal in the end: closing it with a
-        command unread would lose that.
+        A client that keeps sending commands on an open connection is refused in the end: closing it with an
+        unread command would lose that command.
         """
         loop = asyncio.get_running_loop()
         began = loop.time()
-        await asyncio.sleep(notice)
+        await asyncio.sleep(delay)
         while True:
             if self.host.router.wanted and loop.time() - began >= DRAIN_REFUSAL_DELAY:
                 self.host.post(api.Serving(False))
             self._close_idle()
-            self.changed.clear()
+            self.state_changed.clear()
             with suppress(TimeoutError):
                 async with asyncio.timeout(SWEEP_INTERVAL):
-                    await self.changed.wait()
+                    await self.state_changed.wait()
 
     def _close_idle(self) -> None:
-        """Close between requests; one that has begun to come in is waited for.
+        """Close connections that are between requests, but not those with a partially received command.
 
-        So is the first of a client that has just come: it came to ask, and would ask a closed connection.
+        A client that has just connected gets time for its first command, which it would otherwise send on a
+        closed connection.
         """
         now = asyncio.get_running_loop().time()
         for connection, since in [*self.idle.items(), *self.awaiting_command.items()]:
-            new = not connection.command_count and now - since < DRAIN_FIRST_COMMAND_GRACE
-            if not new and not connection.reader.buffer and not connection.has_unread_input():
+            may_send_first = not connection.command_count and now - since < DRAIN_FIRST_COMMAND_GRACE
+            if not may_send_first and not connection.reader.buffer and not connection.has_unread_input():
                 connection.close(CloseReason.ENDING)
 
-    async def stop(self, still_coming: float, longest: float) -> None:
-        """Accept for `still_coming` seconds, then no more; end when nothing is owed to any client.
-
-        After `longest` seconds from now at the latest.
+    async def stop(self, accept_time: float, time_limit: float) -> None:
+        """Accept clients for `accept_time` seconds more, then return when no client has an open request.
 
-        A socket that is inherited is left at once to the process that follows, which accepts on it already,
-        or will: what waits there is not this one's.
+        Returns after `time_limit` seconds from now at the latest. An inherited socket is not accepted on any
+        more, as the following process accepts on it already or soon will.
         """
         began = asyncio.get_running_loop().time()
         if not self.inherited:
-            await asyncio.sleep(still_coming)
+            await asyncio.sleep(accept_time)
         for task in self.tasks if self.drain_task is None else [*self.tasks, self.drain_task]:
             task.cancel()
-        if self.socket.fileno() >= 0:  # else it has been stopped before
+        if self.socket.fileno() >= 0:  # otherwise `stop` has been called before
             asyncio.get_running_loop().remove_reader(self.socket.fileno())
         self.socket.close()
         loop = asyncio.get_running_loop()
-        # guards what clients go on sending on connections that stay open: it would be unanswered when the
-        # process is killed
+        # refuses what clients still send on open connections, as the process could be killed before answering
         self.stopping = True
-        self.host.refuse_beyond(longest - (loop.time() - began))
+        self.host.set_answer_deadline(time_limit - (loop.time() - began))
         with suppress(TimeoutError):
-            async with asyncio.timeout(longest - (loop.time() - began)):
+            async with asyncio.timeout(time_limit - (loop.time() - began)):
                 while self.connections or self.setup_tasks:
-                    self.changed.clear()
+                    self.state_changed.clear()
                     self._close_idle()
                     with suppress(TimeoutError):
                         async with asyncio.timeout(SWEEP_INTERVAL):
-                            await self.changed.wait()
+                            await self.state_changed.wait()
         self.hang_up_monitor.close()
--- a/myrtlecourse/net/resp.py
+++ b/myrtlecourse/net/resp.py
@@ -1,4 +1,4 @@
-"""RESP2 as bytes in and out: a strict reader that refuses at the header what it would not hold."""
+"""RESP2 without I/O: an encoder, and a strict parser that rejects a message as soon as its header exceeds limits."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from enum import Enum, auto
 from typing import Final, Literal
 
-MAX_LINE = 1024  # bytes, of error lines and simple strings
+MAX_LINE = 1024  # bytes of an error line or simple string
 MAX_NUMBER = 20  # bytes of a number or length
-MAX_DEPTH = 4
-MAX_FAST_PATH_PARTS = 8  # parts of a command that is read the short way
+MAX_DEPTH = 4  # of nested arrays
+MAX_FAST_PATH_PARTS = 8  # of a command that is parsed on the fast path
 INTEGER = re.compile(rb"-?[0-9]{1,19}")
 LENGTH = re.compile(rb"-1|[0-9]{1,10}")
 
 
 class RespError(ValueError):
-    """Bytes that are no RESP2, or announce more than is held: where the next message begins is lost."""
+    """Bytes that are not RESP2, or exceed a limit; the beginning of the next message is unknown."""
 
 
 class Sentinel(Enum):
     INCOMPLETE = auto()
 
 
-INCOMPLETE: Final = Sentinel.INCOMPLETE  # the next message is not whole
+INCOMPLETE: Final = Sentinel.INCOMPLETE  # the next message has not arrived completely
 
 
 @dataclass(slots=True, frozen=True)
 class ErrorLine:
-    """A reply that begins with `-`."""
+    """An error reply, which begins with `-`."""
 
     text: str
 
@@ -38,14 +38,14 @@
 
 
 def encode_command(parts: Sequence[bytes]) -> bytes:
-    """A command: an array of bulk strings."""
-    return b"".join([b"*%d\r\n" % len(parts), *(b"$%d\r\n%b\r\n" % (len(p), p) for p in parts)])
+    """Encode a command as an array of bulk strings."""
+    return b"".join([b"*%d\r\n" % len(parts), *(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)])
 
 
 def split_command(data: bytes) -> list[bytes] | None:
-    """The parts of `data` if it is one whole array of bulk strings with no line end in any, else None.
+    """Return the parts of `data` if it is one complete array of bulk strings without line ends, else None.
 
-    Nearly all commands are. What this does not know is not wrong: it is for a `Reader`, which is slower.
+    Nearly all commands are. Any other data may still be valid and is left to a `Reader`, which is slower.
     """
     lines = data.split(b"\r\n", 2 * MAX_FAST_PATH_PARTS + 2)
     count = len(lines)
@@ -58,20 +58,26 @@
 
 
 class Reader:
-    """Takes bytes as they come and gives whole messages: bulk strings as bytes, simple ones as text."""
+    """Parses bytes into messages as they arrive; bulk strings become bytes, simple strings become text."""
 
     def __init__(self, max_items: int, max_bulk: int, max_message: int) -> None:
         self.max_items = max_items
         self.max_bulk = max_bulk
         self.max_message = max_message
         self.buffer = bytearray()
-        self.announced_size = 0  # bytes that a message which is not whole has at least
+        self.announced_size = 0  # the least size in bytes of the incomplete message
 
     def feed(self, data: bytes | memoryview) -> None:
         self.buffer += data
 
     def next_message(self) -> Message | Literal[Sentinel.INCOMPLETE]:
-        """The next whole message; it is read from its start each time, as nearly all come in one piece."""
+        """Return the next complete message, or INCOMPLETE.
+
+        An incomplete message is parsed from its start each time, as nearly all messages arrive at once.
+
+        Raises:
+            RespError: the bytes are not RESP2 or exceed a limit.
+        """
         if not self.buffer:
             return INCOMPLETE
         try:
@@ -82,23 +88,23 @@
         del self.buffer[:end]
         return message
 
-    def _line(self, start: int, longest: int) -> tuple[bytes, int]:
-        """The line that begins there, and where the next thing does."""
-        end = self.buffer.find(b"\r\n", start, start + longest + 2)
+    def _line(self, start: int, max_length: int) -> tuple[bytes, int]:
+        """Return the line at an offset, and the offset after it; raise IndexError if it is incomplete."""
+        end = self.buffer.find(b"\r\n", start, start + max_length + 2)
         if end < 0:
-            if len(self.buffer) - start > longest + 1:
+            if len(self.buffer) - start > max_length + 1:
                 raise RespError("line is too long")
             raise IndexError
         return bytes(self.buffer[start:end]), end + 2
 
-    def _number(self, form: re.Pattern[bytes], start: int) -> tuple[int, int]:
+    def _number(self, pattern: re.Pattern[bytes], start: int) -> tuple[int, int]:
         line, end = self._line(start, MAX_NUMBER)
-        if not form.fullmatch(line):
+        if not pattern.fullmatch(line):
             raise RespError("number can't be read")
         return int(line), end
 
     def _read(self, start: int, depth: int) -> tuple[Message, int]:
-        """The message that begins there and its end; an IndexError if it is not whole."""
+        """Return the message at an offset, and the offset after it; raise IndexError if it is incomplete."""
         kind = self.buffer[start]
         start += 1
         if kind == 0x24:  # $
@@ -120,15 +126,15 @@
         if length < 0:
             return None, start
         end = start + length
-        # guards memory: what is said to be too long is refused before it comes, whether it comes or not
+        # bounds memory: a string announced as too long is rejected before it arrives
         if length > self.max_bulk or end > self.max_message:
             raise RespError("string is too long")
         self.announced_size = end + 2
-        tail = self.buffer[end : end + 2]
-        # guards against a length that does not fit: the value would be another, and what follows it noise
-        if tail != b"\r\n"[: len(tail)]:
+        terminator = self.buffer[end : end + 2]
+        # a wrong length would give another value, and the bytes after it would not be a message
+        if terminator != b"\r\n"[: len(terminator)]:
             raise RespError("length does not fit")
-        if len(tail) < 2:
+        if len(terminator) < 2:
             raise IndexError
         return bytes(self.buffer[start:end]), end + 2
 
@@ -136,7 +142,7 @@
         count, start = self._number(LENGTH, start)
         if count < 0:
             return None, start
-        # guards memory and stack against arrays that are announced and never come
+        # bounds memory and stack depth for arrays that are announced but never arrive
         if count > self.max_items or depth >= MAX_DEPTH:
             raise RespError("array is too long or too deep")
         items: list[Message] = []
--- a/myrtlecourse/net/servers.py
+++ b/myrtlecourse/net/servers.py
@@ -99,7 +99,7 @@
                 return Status.MISS, b""
         if message is INCOMPLETE:
             return None
-        raise MalformedAnswer(f"not an answer: {repr(reply)[:80]}")
+        raise MalformedAnswer(f"not a valid answer: {repr(message)[:80]}")
 
     def reusable(self) -> bool:
         return not self.reader.buffer
--- a/myrtlecourse/net/transport.py
+++ b/myrtlecourse/net/transport.py
@@ -1,8 +1,9 @@
-"""What a connection needs of its transport: asyncio's own, and those of an event loop in C, have all of it.
+"""The methods that connections need of a transport, which asyncio and an event loop in C (uvloop) both provide.
 
-Such a loop's transports are no `asyncio.Transport`, so they are known by what they do. Two habits that the
-protocols rely on hold for both and are tested on both: with a write limit of 0, `write` hands the bytes to
-the kernel before it returns unless the kernel takes no more, and a write that failed is seen in `is_closing`.
+The transports of uvloop are not subclasses of `asyncio.Transport`, hence a protocol. The connections rely on
+two properties that hold for both event loops and are tested on both: with a write limit of 0, `write` passes
+the bytes to the kernel before it returns unless the kernel accepts no more, and `is_closing` reveals a failed
+write.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 class Transport(Protocol):
-    """A stream's transport."""
+    """A stream transport."""
 
     def write(self, data: bytes, /) -> None: ...
     def write_eof(self) -> None: ...
--- a/myrtlecourse/service.py
+++ b/myrtlecourse/service.py
@@ -179,7 +179,7 @@
         longest = min(LONGEST_END, self.host.settings.longest_deadline) + KILLED - END_MARGIN
         over = loop.time() + longest
         # guards what is taken from here on: giving up a duty may take longer than a request has
-        self.host.refuse_beyond(longest)
+        self.host.set_answer_deadline(longest)
         beyond = self.beyond
         closing = asyncio.create_task(beyond.close()) if beyond is not None else None
         if closing is not None and not inherited:
--- a/tests/soak_wrong.py
+++ b/tests/soak_wrong.py
@@ -29,9 +29,9 @@
     """Takes servers that drain for ready ones."""
     told = host.Host.apply_list
 
-    def take(self: Any, news: Any) -> None:
-        ready = [m for m in news.members if m.entry.ready]
-        told(self, type(news)(news.kind, ready))
+    def take(self: Any, update: Any) -> None:
+        ready = [m for m in update.members if m.entry.ready]
+        told(self, type(update)(update.kind, ready))
 
     host.Host.apply_list = take  # type: ignore[method-assign]
 
--- a/tests/test_net_host.py
+++ b/tests/test_net_host.py
@@ -248,7 +248,7 @@
             client, cache = await router.begun()
             client.write(b"noise\r\n" + b"x" * 100_000)
             (connection,) = router.listener.connections
-            while not connection.ending:
+            while not connection.no_more_commands:
                 await asyncio.sleep(0)
             assert not connection.transport.is_reading() and not connection.reader.buffer
             cache.write(HIT)
