--- a/myrtlecourse/net/clients.py
+++ b/myrtlecourse/net/clients.py
@@ -283,7 +283,7 @@
         refusal = None
         if isinstance(parts, list) and 4 <= len(parts) <= 5 and isinstance(info := parts[3], bytes):
             refusal = self.host.refuse_early(info, self.socket_wait)
-            # the fast path for a saturated core, which refusals take from other requests; most are retried
+            # a fast path, as refusals take time of a saturated core from other requests, and most are retried
             if refusal is not None and not self.slots and self.reading and not self.no_more_commands:
                 self._release_reservation()
                 self.transport.write(refusal)
--- a/myrtlecourse/net/discovery.py
+++ b/myrtlecourse/net/discovery.py
@@ -119,7 +119,7 @@
 
 
 async def read_list_in_steps(message: Any, path: str = "") -> tuple[int, bool, list[Member]]:
-    """Do the same with a few entries in each iteration of the event loop, which serves requests in between."""
+    """Do the same with a few entries per iteration of the event loop, which serves requests in between."""
     header = read_header(message, path)
     members = header.read_members(0, ENTRIES_PER_ITERATION)
     for start in range(ENTRIES_PER_ITERATION, len(header.entries), ENTRIES_PER_ITERATION):
--- a/myrtlecourse/net/list_updates.py
+++ b/myrtlecourse/net/list_updates.py
@@ -1,8 +1,7 @@
 """Applies lists of cache servers a few entries at a time; does no I/O and uses no clock.
 
 A list of thousands of entries that is applied in one iteration of the event loop blocks it: nothing is read
-meanwhile, and no deadline is kept. The host applies one batch per iteration, in the order in which lists
-came.
+meanwhile, and no deadline is kept. The host applies one batch per iteration, in the order of arrival.
 """
 
 from __future__ import annotations
--- a/myrtlecourse/net/listener.py
+++ b/myrtlecourse/net/listener.py
@@ -227,7 +227,7 @@
                     await self.state_changed.wait()
 
     def descriptors_used(self) -> int:
-        """Return the descriptors in use, without a few of half-closed connections, which the reserve covers."""
+        """Return the descriptors in use; a reserve covers those of a few half-closed connections."""
         return len(self.connections) + len(self.setup_tasks) - min(LINGERING_ALLOWANCE, len(self.lingering))
 
     def close_one_idle(self) -> bool:
@@ -304,12 +304,12 @@
             self.awaiting_command.pop(connection, None)
             self.idle.pop(connection, None)
             return
-        book, other_book = self.idle, self.awaiting_command
+        group, other_group = self.idle, self.awaiting_command
         if connection.reader.buffer or not connection.command_count:
-            book, other_book = other_book, book
-        other_book.pop(connection, None)
-        if connection not in book:
-            book[connection] = self.loop.time()
+            group, other_group = other_group, group
+        other_group.pop(connection, None)
+        if connection not in group:
+            group[connection] = self.loop.time()
             self.state_changed.set()
 
     def remove(self, connection: ClientConnection) -> None:
--- a/myrtlecourse/net/loop_lag.py
+++ b/myrtlecourse/net/loop_lag.py
@@ -11,9 +11,8 @@
 import math
 import time
 
-LONG_ITERATION = (
-    0.005  # seconds; after a longer one the kernel is asked how long commands lay in their sockets
-)
+# seconds; after a longer iteration the kernel is asked how long commands lay in their sockets
+LONG_ITERATION = 0.005
 
 
 class LoopLag:
--- a/myrtlecourse/net/resp.py
+++ b/myrtlecourse/net/resp.py
@@ -1,4 +1,7 @@
-"""RESP2 without I/O: an encoder, and a strict parser that rejects a message as soon as its header exceeds limits."""
+"""RESP2 without I/O: an encoder, and a strict parser with limits.
+
+A message that is too long is rejected as soon as its header has arrived.
+"""
 
 from __future__ import annotations
 
--- a/myrtlecourse/net/transport.py
+++ b/myrtlecourse/net/transport.py
@@ -1,4 +1,4 @@
-"""The methods that connections need of a transport, which asyncio and an event loop in C (uvloop) both provide.
+"""The transport methods that connections need, which both asyncio and an event loop in C (uvloop) provide.
 
 The transports of uvloop are not subclasses of `asyncio.Transport`, hence a protocol. The connections rely on
 two properties that hold for both event loops and are tested on both: with a write limit of 0, `write` passes
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -25,7 +25,7 @@
 needs_sources = pytest.mark.skipif(
     not str(policy.__file__).endswith(".py"), reason="replaces a method, which compiled classes don't allow"
 )
-PATIENCE = 10.0  # seconds until a test that waits for an event fails
+TIMEOUT = 10.0  # seconds until a test that waits for an event fails
 HIT = b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
 READ = api.RequestClass("read", aim=1.0)
@@ -44,7 +44,7 @@
 def run(
     scenario: Callable[[], Awaitable[None]],
     make_loop: Callable[[], asyncio.AbstractEventLoop] | None = None,
-    patience: float = PATIENCE,
+    patience: float = TIMEOUT,
 ) -> None:
     """Play a test to its end; it fails when it waits for what never comes, or a callback raises."""
     faults: list[dict[str, Any]] = []
@@ -65,7 +65,7 @@
         await asyncio.sleep(0.001)
 
 
-def spelled(address: tuple[str, int]) -> str:
+def format_address(address: tuple[str, int]) -> str:
     return f"{address[0]}:{address[1]}"
 
 
@@ -136,7 +136,7 @@
 
     async def __aenter__(self) -> Self:
         self.server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
-        self.address = spelled(self.server.sockets[0].getsockname())
+        self.address = format_address(self.server.sockets[0].getsockname())
         return self
 
     async def __aexit__(
@@ -152,7 +152,7 @@
         return await self.links.get()
 
 
-class HeldDials:
+class DelayedDials:
     """Holds a router's connections to caches back just before they are made, until they are released."""
 
     def __init__(self, router: Router) -> None:
@@ -160,31 +160,31 @@
 
     async def __aenter__(self) -> Self:
         self.loop: Any = asyncio.get_running_loop()
-        self.make: Any = self.loop.create_connection
-        self.waiting: asyncio.Queue[str] = asyncio.Queue()
+        self.create_connection: Any = self.loop.create_connection
+        self.held: asyncio.Queue[str] = asyncio.Queue()
         self.released = asyncio.Event()
-        self._make_with(self._held_back)
+        self._replace_create_connection(self._hold)
         return self
 
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         self.released.set()
-        self._make_with(self.make)
+        self._replace_create_connection(self.create_connection)
 
-    def _make_with(self, make: Any) -> None:
+    def _replace_create_connection(self, make: Any) -> None:
         self.loop.create_connection = make
 
-    async def _held_back(self, factory: Callable[[], Any], host: str, port: int, **more: Any) -> Any:
-        name = self.names.get(spelled((host, port)))
+    async def _hold(self, factory: Callable[[], Any], host: str, port: int, **more: Any) -> Any:
+        name = self.names.get(format_address((host, port)))
         if name is not None and not self.released.is_set():
-            self.waiting.put_nowait(name)
+            self.held.put_nowait(name)
             await self.released.wait()
-        return await self.make(factory, host, port, **more)
+        return await self.create_connection(factory, host, port, **more)
 
-    async def held(self) -> str:
+    async def next_dial(self) -> str:
         """Wait for the next dial, and say to which cache it is."""
-        return await self.waiting.get()
+        return await self.held.get()
 
     def release(self) -> None:
         """Let all go on, from now on."""
@@ -234,11 +234,11 @@
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        await self.stopped()
+        await self.stop()
         for peer in (*self.caches.values(), self.origin):
             await peer.__aexit__(kind, error, trace)
 
-    async def stopped(self) -> None:
+    async def stop(self) -> None:
         """End it; may be called before its own end."""
         for connection in list(self.listener.connections):
             connection.transport.abort()
@@ -258,7 +258,7 @@
             other.cancel()
         return done.pop().result()
 
-    async def begun(self, request: str = "r1", info: str = "c=read,t=x,d=2000") -> tuple[Link, Link]:
+    async def open_request(self, request: str = "r1", info: str = "c=read,t=x,d=2000") -> tuple[Link, Link]:
         """A client's read that a cache has in hand: the ends of both."""
         client = await self.client()
         client.write(read(request, info=info))
--- a/tests/spread_fleet.py
+++ b/tests/spread_fleet.py
@@ -18,7 +18,7 @@
 
 from myrtlecourse.fleet.reserved_ports import free
 from myrtlecourse.fleet.ways import Relay, Relays, Ways
-from tests.loopback import spelled
+from tests.loopback import format_address
 from tests.test_service import Process, Site, site
 
 HARD_END = 60.0  # seconds for what a test waits for; nothing is judged by how soon it comes
@@ -151,7 +151,7 @@
         """What all members of a group have; each other is heard at the end of a way."""
 
         def peers(names: tuple[str, ...]) -> list[dict[str, str]]:
-            return [{"name": n, "at": spelled(self.relays.at[group, n])} for n in names]
+            return [{"name": n, "at": format_address(self.relays.at[group, n])} for n in names]
 
         sites = [
             {"name": "east-1", "region": "east", "routers": peers(EAST), "parts": peers(PARTS)},
@@ -166,7 +166,7 @@
     async def start(self, name: str) -> None:
         """Start a router, or start it again."""
         group = "control" if name in CONTROL else "east"
-        table = self.table(group) | {"name": name, "listen": spelled(self.heard_at[name])}
+        table = self.table(group) | {"name": name, "listen": format_address(self.heard_at[name])}
         table |= {"applied_file": str(self.applied(name))}
         tables: dict[str, Any] = {"spread": table}
         if group == "control":
@@ -174,7 +174,7 @@
             table |= {"duty": "log", "folder": str(self.folder / f"{name}.log")}
             tables["duties"] = {
                 "name": name,
-                "peers": [{"name": n, "at": spelled(at)} for n, at in self.duties_at.items()],
+                "peers": [{"name": n, "at": format_address(at)} for n, at in self.duties_at.items()],
                 "voters": list(CONTROL),
                 "key_file": str(self.folder / "key"),
                 "memory_file": str(self.folder / f"{name}.memory"),
@@ -193,7 +193,7 @@
         await self.processes[name].logged(r"operators call (\S+)\n")
 
     async def start_hollow(self, group: str) -> None:
-        listen = {name: spelled(self.heard_at[name]) for name in GROUPS[group]}
+        listen = {name: format_address(self.heard_at[name]) for name in GROUPS[group]}
         job = self.folder / f"{group}.json"
         job.write_bytes(
             orjson.dumps({"spread": self.table(group), "members": listen, "folder": str(self.folder)})
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -29,7 +29,7 @@
 from myrtlecourse.operators import read_operators
 from myrtlecourse.peers.seal import LONGEST, WINDOW, Dropped
 from myrtlecourse.peers.wire import Sign, Wire
-from tests.loopback import PATIENCE, Link, read, run, spelled
+from tests.loopback import TIMEOUT, Link, format_address, read, run
 from tests.test_service import Process, Site, ask, ping, site
 
 KEY = b"a common key of voters"
@@ -336,14 +336,14 @@
     ) -> Path:
         """A router's operators' file."""
         peers = [
-            {"name": n, "at": spelled(self.switch.relays.at.get((name, n), self.switch.voters[n]))}
+            {"name": n, "at": format_address(self.switch.relays.at.get((name, n), self.switch.voters[n]))}
             for n in voters
         ]
         lines = ", ".join(f'{{name = "{p["name"]}", at = "{p["at"]}"}}' for p in peers)
         file = self.folder / f"{name}.toml"
         if self.duty:
             file.write_text(
-                f'[address]\nswitch = "{spelled(self.switch.told_at)}"\n[duties]\nname = "{name}"\n'
+                f'[address]\nswitch = "{format_address(self.switch.told_at)}"\n[duties]\nname = "{name}"\n'
                 f"peers = [{lines}]\nvoters = {orjson.dumps(voters).decode()}\nunheard = 1.5\n"
                 f'key_file = "{self.folder / key}"\nmemory_file = "{self.folder / name}.memory"\n'
                 f"heartbeat = 0.1\nlease = 0.5\nsettle = 0.2\nunwell = 0.3\n{more}"
@@ -352,7 +352,7 @@
         file.write_text(
             f'[address]\nname = "{name}"\npeers = [{lines}]\nkey_file = "{self.folder / key}"\n'
             f'votes_file = "{self.folder / name}.votes"\n'
-            f'switch = "{told_at or spelled(self.switch.told_at)}"\n'
+            f'switch = "{told_at or format_address(self.switch.told_at)}"\n'
             f"heartbeat = 0.1\nlease = 0.5\nsettle = 0.2\nunwell = 0.3\n{more}"
         )
         return file
@@ -361,7 +361,9 @@
         """Start one, or start it again."""
         file = self.write(name)
         config = self.folder / f"{name}.json"
-        config.write_bytes(orjson.dumps({**self.here.config(), "listen": spelled(self.switch.routers[name])}))
+        config.write_bytes(
+            orjson.dumps({**self.here.config(), "listen": format_address(self.switch.routers[name])})
+        )
         self.routers[name] = await self.here.start(RELAY_CONFIG=str(config), MYRTLECOURSE_FILE=str(file))
         return self.routers[name]
 
@@ -466,7 +468,7 @@
             client = await there.client()
             assert await ping(client) and await ask(client, "r", "k") == b"value"
             there.routers[third].process.send_signal(signal.SIGTERM)
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT):
                 assert await there.routers[third].process.wait() == 0
                 await there.holder(third)
 
@@ -574,7 +576,7 @@
             (tmp_path / "new").write_bytes(b"another common key of voters")
             other = Switch(there.switch.routers)
             await other.start()
-            at = spelled(other.told_at)
+            at = format_address(other.told_at)
             also = 'also_key_files = ["{}"]\n'
             for number, (key, taken) in enumerate((("key", "new"), ("new", "key"), ("new", ""))):
                 for name in THREE:
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -23,7 +23,7 @@
 from myrtlecourse.net.pool import parse_address
 from tests.loopback import Link, Peer, http, read, run
 from tests.test_main import GOOD
-from tests.test_net_discovery import LINE
+from tests.test_net_discovery import ENTRY
 from tests.test_wirehost import CONF
 
 LISTED = 3200  # cache servers: sixteen times the usual fleet
@@ -42,12 +42,12 @@
 
 
 @dataclass
-class Asked:
+class SentRequest:
     """One request, by the client's clock and the servers'."""
 
     sent_at: float
     answered_at: float | None = None
-    told: list[float] = field(default_factory=list)  # when servers would stop waiting
+    server_deadlines: list[float] = field(default_factory=list)  # when servers would stop waiting
 
 
 class LargeFleet:
@@ -56,25 +56,25 @@
     def __init__(self) -> None:
         self.peers = [Peer() for _ in range(ADDRESSES)]
         self.discovery = Peer()
-        self.asked: dict[str, Asked] = {}
+        self.requests: dict[str, SentRequest] = {}
         self.index = 1
         self.changes: list[bytes] = []  # that discovery has told, the latest last
         self.changed = asyncio.Event()
         self.names = [f"s-{n:04}" for n in range(LISTED)]
         self.tasks: set[asyncio.Task[None]] = set()
-        self.rested: list[Link] = []  # clients' connections on which nothing is owed
+        self.idle_links: list[Link] = []  # clients' connections on which nothing is owed
 
     def start(self, work: Any) -> None:
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
 
-    def line(self, name: str, status: str = "in_service", since_ms: int = 0) -> dict[str, Any]:
+    def entry(self, name: str, status: str = "in_service", since_ms: int = 0) -> dict[str, Any]:
         address = self.peers[int(name.rpartition("-")[2]) % ADDRESSES].address
         told = {"name": name, "address": address, "type": "std", "status": status, "since_ms": since_ms}
-        return {**LINE, **told, "weight": 1.0 + 0.1 * (int(name[-4:]) % 7)}
+        return {**ENTRY, **told, "weight": 1.0 + 0.1 * (int(name[-4:]) % 7)}
 
-    def whole(self) -> dict[str, Any]:
-        return {"index": self.index, "snapshot": True, "endpoints": [self.line(n) for n in self.names]}
+    def full_list(self) -> dict[str, Any]:
+        return {"index": self.index, "snapshot": True, "endpoints": [self.entry(n) for n in self.names]}
 
     def replace(self, number: int) -> None:
         """A change: some servers leave the list, and as many new ones join it."""
@@ -82,20 +82,20 @@
         joins = [f"n{number}-{n:04}" for n in range(CHANGED)]
         self.names += joins
         self.index += 1
-        lines = [self.line(n, "terminated") for n in ends] + [self.line(n) for n in joins]
+        lines = [self.entry(n, "terminated") for n in ends] + [self.entry(n) for n in joins]
         change = {"index": self.index, "snapshot": False, "endpoints": lines}
         self.changes.append(http("200 OK", orjson.dumps(change)))
         self.changed.set()
 
     async def serve_discovery(self) -> None:
         while True:
-            self.start(self._tell(await self.discovery.link()))
+            self.start(self._answer_discovery(await self.discovery.link()))
 
-    async def _tell(self, link: Link) -> None:
+    async def _answer_discovery(self, link: Link) -> None:
         with suppress(asyncio.IncompleteReadError, ConnectionError):
             target = (await link.http())[0]
             if "after=" not in target:
-                link.write(http("200 OK", orjson.dumps(self.whole())))
+                link.write(http("200 OK", orjson.dumps(self.full_list())))
                 return
             known = int(target.partition("after=")[2].partition("&")[0])
             while known >= self.index:
@@ -105,31 +105,31 @@
 
     async def serve_silently(self, peer: Peer) -> None:
         while True:
-            self.start(self._note(await peer.link()))
+            self.start(self._record_deadlines(await peer.link()))
 
-    async def _note(self, link: Link) -> None:
+    async def _record_deadlines(self, link: Link) -> None:
         """Note what each request tells of its deadline, and never answer."""
         with suppress(AssertionError, ConnectionError):
             while True:
                 parts = await link.resp()
                 told = int(parts[3].partition(b"d=")[2].partition(b",")[0]) / 1000
-                self.asked[parts[2].decode()].told.append(time.monotonic() + told)
+                self.requests[parts[2].decode()].server_deadlines.append(time.monotonic() + told)
 
     async def ask(self, address: tuple[str, int], name: str) -> None:
         """One request, on a connection that has carried others if there is one."""
-        link = self.rested.pop() if self.rested else Link(*await asyncio.open_connection(*address))
-        asked = self.asked[name] = Asked(time.monotonic())
+        link = self.idle_links.pop() if self.idle_links else Link(*await asyncio.open_connection(*address))
+        asked = self.requests[name] = SentRequest(time.monotonic())
         link.write(read(name, f"key-{name}", f"c=read,t=x,d={DEADLINE * 1000:.0f}"))
         with suppress(TimeoutError, AssertionError, ConnectionError):
             async with asyncio.timeout(DEADLINE + 4 * LOST):
                 await link.resp()
                 asked.answered_at = time.monotonic()
-                self.rested.append(link)
+                self.idle_links.append(link)
                 return
         link.close()
 
 
-async def deal_out(pid: int) -> None:
+async def throttle_process(pid: int) -> None:
     """Let a process run for its share of each cycle."""
     with suppress(ProcessLookupError):
         while True:
@@ -150,7 +150,7 @@
         "listen": "127.0.0.1:0",
         "discovery": fleet.discovery.address,
         "settings": settings,
-        "known": fleet.whole(),
+        "known": fleet.full_list(),
     }
     path.write_bytes(orjson.dumps(config))
     with log.open("wb") as out:
@@ -178,7 +178,7 @@
     """Ask evenly while the list changes; ends when nothing is owed any more."""
     async with started(fleet, folder) as (pid, address):
         await asyncio.sleep(PAUSE)
-        throttle = asyncio.create_task(deal_out(pid))
+        throttle = asyncio.create_task(throttle_process(pid))
         began, asking, count = time.monotonic(), set(), 0
         for number in range(CHANGES):
             while time.monotonic() < began + (number + 1) * PAUSE:
@@ -209,9 +209,13 @@
                 await peer.__aexit__(None, None, None)
         late = {
             name: (asked.answered_at or time.monotonic()) - asked.sent_at - DEADLINE
-            for name, asked in fleet.asked.items()
+            for name, asked in fleet.requests.items()
         }
-        over = [told - asked.sent_at - DEADLINE for asked in fleet.asked.values() for told in asked.told]
+        over = [
+            told - asked.sent_at - DEADLINE
+            for asked in fleet.requests.values()
+            for told in asked.server_deadlines
+        ]
         summary = f"latest answer {max(late.values()):.3f} s late, deadline told {max(over):.3f} s too long"
         print(f"{len(late)} requests, {len(over)} attempts: {summary}")
         assert len(over) >= len(late) / 2, "most requests reach a server"
--- a/tests/test_list_updates.py
+++ b/tests/test_list_updates.py
@@ -26,7 +26,7 @@
 )
 
 
-def applied(held: dict[str, Member], told: ListUpdate) -> dict[str, Member]:
+def apply_simply(held: dict[str, Member], told: ListUpdate) -> dict[str, Member]:
     """A list after news, the plain way."""
     after = dict(held) if told.kind is api.ListKind.DELTA else {}
     for each in told.members:
@@ -37,48 +37,48 @@
     return after
 
 
-class Taker:
+class Recorder:
     """Holds a list, and counts what each step enters."""
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
-        self.steps: list[ListUpdate] = []
-        self.updates = ListUpdateQueue(lambda: self.members, self.take)
+        self.applied: list[ListUpdate] = []
+        self.updates = ListUpdateQueue(lambda: self.members, self.apply)
 
-    def take(self, told: ListUpdate) -> None:
-        self.steps.append(told)
-        self.members = applied(self.members, told)
+    def apply(self, told: ListUpdate) -> None:
+        self.applied.append(told)
+        self.members = apply_simply(self.members, told)
 
 
 @given(st.lists(news, max_size=5), st.integers(0, 3))
 def test_the_list_is_the_one_that_came_and_no_step_takes_more_than_a_batch(
     lists: list[ListUpdate], steps_between: int
 ) -> None:
-    taker = Taker()
+    taker = Recorder()
     plain: dict[str, Member] = {}
     for told in lists:
-        plain = applied(plain, told)
+        plain = apply_simply(plain, told)
         taker.updates.submit(told)
         for _ in range(steps_between):
             if taker.updates.pending:
                 taker.updates.apply_next_batch()
     taker.updates.apply_all()
     assert taker.members == plain
-    assert all(len(step.members) <= BATCH_SIZE for step in taker.steps)
-    assert len(taker.steps) >= len(lists)  # each tells that discovery has answered
+    assert all(len(step.members) <= BATCH_SIZE for step in taker.applied)
+    assert len(taker.applied) >= len(lists)  # each tells that discovery has answered
 
 
 def test_a_long_list_ends_servers_before_it_brings_new_ones() -> None:
-    taker = Taker()
+    taker = Recorder()
     before = [member(f"old{n}", "127.0.0.1:1") for n in range(100)]
     taker.updates.submit(ListUpdate(api.ListKind.FULL, before))
     taker.updates.apply_all()
     after = [member(f"new{n}", "127.0.0.1:1") for n in range(100)]
     after += [member("old7", "127.0.0.1:1", state=api.State.DRAINING), before[8]]
-    taker.steps.clear()
+    taker.applied.clear()
     taker.updates.submit(ListUpdate(api.ListKind.FULL, after))
     taker.updates.apply_all()
-    order = [m.entry for step in taker.steps for m in step.members]
+    order = [m.entry for step in taker.applied for m in step.members]
     readiness = [entry.ready for entry in order]
     assert readiness == sorted(readiness) and len(order) == 199
     assert "old8" not in {entry.server for entry in order}  # it has not changed
@@ -86,7 +86,7 @@
 
 def test_of_a_server_named_twice_in_a_long_list_the_last_entry_holds() -> None:
     """Drains came first in the order of batches, and an older entry of the same server after them."""
-    taker = Taker()
+    taker = Recorder()
     many = [member(f"s{n}", "127.0.0.1:1") for n in range(2 * BATCH_SIZE)]
     drains = [member(m.entry.server, "127.0.0.1:1", state=api.State.DRAINING) for m in many]
     taker.updates.submit(ListUpdate(api.ListKind.DELTA, [*many, *drains, many[3]]))
--- a/tests/test_long_answers.py
+++ b/tests/test_long_answers.py
@@ -13,7 +13,7 @@
 from tests.driver import Driver, entry, settings
 
 OK, TIMEOUT, CANCELLED = api.Status.OK, api.Status.TIMEOUT, api.Status.CANCELLED
-FLOW = 60.0  # seconds: as long as a client may take
+STREAM_TIME = 60.0  # seconds: as long as a client may take
 ASIDE: dict[str, Any] = {"aside": True, "origin_kind": "origin"}
 
 
@@ -23,10 +23,10 @@
     return d
 
 
-def flows(d: Driver, *names: str) -> None:
+def start_streams(d: Driver, *names: str) -> None:
     """Reads of slow clients, each of which gets its first bytes within 50 ms, and the last for long not."""
     for name in names:
-        assert d.request(name, time_left=FLOW) == "a"
+        assert d.request(name, time_left=STREAM_TIME) == "a"
         d.now += 0.05
         d.feed(api.Streaming(name, 0))
 
@@ -34,7 +34,7 @@
 def test_a_server_whose_long_answers_flow_is_not_silent() -> None:
     """After the shortest aim it counted as silent, and all else for it was refused until a flow ended."""
     d = one_cache()
-    flows(d, "slow")
+    start_streams(d, "slow")
     d.wait(1.5)
     assert d.request("usual") == "a"
 
@@ -43,7 +43,7 @@
     """As many slow clients as the first limit kept all others from a server that had answered in time."""
     d = one_cache()
     limit = d.router.servers["a"].limit
-    flows(d, *(f"slow{n}" for n in range(3 * int(limit))))
+    start_streams(d, *(f"slow{n}" for n in range(3 * int(limit))))
     assert d.router.servers["a"].load == 0 and d.router.servers["a"].limit == limit
     assert d.request("usual") == "a"
     d.ok("usual")
@@ -56,7 +56,7 @@
 def test_a_silent_server_gets_its_trial_although_an_answer_flows() -> None:
     """The flow counted as a trial that is out, for as long as its client took."""
     d = one_cache()
-    flows(d, "slow")
+    start_streams(d, "slow")
     assert d.request("lost") == "a"
     d.wait(2.5)
     assert d.request("trial") == "a"
@@ -65,7 +65,7 @@
 def test_a_flow_does_not_hide_a_server_that_is_silent() -> None:
     """Its bytes may have lain on the way for long: only what begins to come is news of the server."""
     d = one_cache()
-    flows(d, "slow")
+    start_streams(d, "slow")
     assert d.request("first") == "a"
     d.now += 1.1
     d.ok("slow")
@@ -78,7 +78,7 @@
     d.list(entry("a"), entry("o", kind="origin"))
     d.router.servers["o"].limit = 1.0
     for n in "12":
-        d.request(f"r{n}", key=f"k{n}", time_left=FLOW)
+        d.request(f"r{n}", key=f"k{n}", time_left=STREAM_TIME)
         d.end(f"r{n}", api.Status.MISS)
     assert d.sends["r1"] == ["a", "o"] and d.sends["r2"] == ["a"]
     d.now += 0.05
@@ -95,7 +95,7 @@
     server = d.router.servers["a"]
     server.limit = 50.0
     d.now += 100.0  # each server is met seldom
-    assert d.request("slow", key=key, time_left=FLOW) == "a"
+    assert d.request("slow", key=key, time_left=STREAM_TIME) == "a"
     d.now += 0.05
     d.feed(api.Streaming("slow", 0))
     d.now += 5.0
@@ -107,7 +107,7 @@
 
 
 @given(
-    st.lists(st.tuples(st.floats(0.02, 0.05), st.floats(0.0, FLOW)), min_size=2, max_size=30),
+    st.lists(st.tuples(st.floats(0.02, 0.05), st.floats(0.0, STREAM_TIME)), min_size=2, max_size=30),
     st.sampled_from([OK, CANCELLED, TIMEOUT]),
 )
 def test_how_long_answers_flow_changes_nothing_that_is_known_of_pace(
@@ -118,7 +118,7 @@
     ends = []
     for n, (latency, flow) in enumerate(answers):
         for d in (whole, drawn_out):
-            assert d.request(f"r{n}", time_left=3 * FLOW) == "a"
+            assert d.request(f"r{n}", time_left=3 * STREAM_TIME) == "a"
             d.now += latency
         whole.end(f"r{n}", OK, latency=latency)
         drawn_out.feed(api.Streaming(f"r{n}", 0))
@@ -140,7 +140,7 @@
 
 def test_what_lay_unread_in_the_own_process_is_not_of_the_latency() -> None:
     d = one_cache()
-    d.request("r", time_left=FLOW)
+    d.request("r", time_left=STREAM_TIME)
     d.now += 0.5
     d.feed(api.Streaming("r", 0, waited=0.4))
     assert d.router.servers["a"].slowness == pytest.approx(0.2 * 0.1 / (tuning.CACHE_TARGET * 1.0))
@@ -149,11 +149,11 @@
 
 def test_a_flow_that_breaks_off_counts_as_a_failure_of_its_server() -> None:
     d = one_cache()
-    flows(d, "slow")
+    start_streams(d, "slow")
     d.end("slow", api.Status.RESET)
     assert d.router.servers["a"].failures == 0  # alone it is let back in: half of the fleet would be out
     d.list(entry("a"), entry("b"), entry("c"), kind=api.ListKind.DELTA)
-    name = next(n for n in map(str, range(50)) if d.request(n, key=n, time_left=FLOW) == "a")
+    name = next(n for n in map(str, range(50)) if d.request(n, key=n, time_left=STREAM_TIME) == "a")
     d.feed(api.Streaming(name, 0))
     d.end(name, api.Status.RESET)
     assert d.router.servers["a"].failures == 1
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -19,11 +19,11 @@
 from myrtlecourse import __main__ as program
 from myrtlecourse.config import read_config
 from myrtlecourse.net.pool import parse_address
-from tests.loopback import HIT, PATIENCE, Link, Peer, command, http, read, run, spelled
-from tests.test_net_discovery import LINE, message
+from tests.loopback import HIT, TIMEOUT, Link, Peer, command, format_address, http, read, run
+from tests.test_net_discovery import ENTRY, list_message
 from tests.test_wirehost import CONF
 
-KNOWN = {"index": 41, "snapshot": True, "endpoints": [LINE]}
+KNOWN = {"index": 41, "snapshot": True, "endpoints": [ENTRY]}
 GOOD: dict[str, Any] = {
     "name": "n3",
     "listen": "127.0.0.1:6379",
@@ -92,7 +92,7 @@
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = tmp_path / "config.json"
-        path.write_bytes(orjson.dumps({**GOOD, "listen": spelled(taken.getsockname())}))
+        path.write_bytes(orjson.dumps({**GOOD, "listen": format_address(taken.getsockname())}))
         monkeypatch.setenv("RELAY_CONFIG", str(path))
         assert program.main() == 2
     assert capsys.readouterr().err.splitlines()[-1].startswith("myrtlecourse: listen: ")
@@ -135,7 +135,7 @@
 
 def configured(cache: Peer, discovery: Peer, mode: str) -> dict[str, Any]:
     """A configuration with one cache server known."""
-    line = {**LINE, "address": cache.address, "type": "std", "since_ms": 0}
+    line = {**ENTRY, "address": cache.address, "type": "std", "since_ms": 0}
     return {
         **GOOD,
         "listen": "127.0.0.1:0",
@@ -158,7 +158,7 @@
         ):
             watch = await discovery.link()
             assert "after=1&" in (await watch.http())[0]
-            watch.write(http("200 OK", message(2, False)))
+            watch.write(http("200 OK", list_message(2, False)))
             address = await listening(process.stderr)
             client = await ready(address)
             client.write(read("r1"))
@@ -169,7 +169,7 @@
             assert await late.ended()
             served.write(HIT)
             assert await client.resp() == b"value"
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT):
                 assert await process.wait() == 0
 
     run(scenario)
@@ -197,7 +197,7 @@
                     watch = await discovery.link()
                     assert (await watch.http())[0] == "GET /registry/instances HTTP/1.1"
                     assert await old.ended()
-                    watch.write(http("200 OK", message(7, True, *config["known"]["endpoints"])))
+                    watch.write(http("200 OK", list_message(7, True, *config["known"]["endpoints"])))
                     old = await discovery.link()
                     assert "after=7&" in (await old.http())[0]
                     served.write(HIT)
@@ -211,7 +211,7 @@
                 await served.resp()
                 served.write(HIT)
                 assert await client.resp() == b"value"
-                old.write(http("200 OK", message(8, False)))
+                old.write(http("200 OK", list_message(8, False)))
                 assert "after=8&" in (await (await third.link()).http())[0]
 
     run(scenario)
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -18,8 +18,8 @@
 from myrtlecourse.policy import Router
 from tests.loopback import Link, Peer, http, run
 
-ASKED = WatchTimeouts.from_settings(api.Settings({}, subscribe=True))
-LINE: dict[str, Any] = {
+DEFAULT_TIMEOUTS = WatchTimeouts.from_settings(api.Settings({}, subscribe=True))
+ENTRY: dict[str, Any] = {
     "name": "s-1",
     "address": "127.0.0.9:6379",
     "zone": "a",
@@ -31,36 +31,36 @@
 }
 
 
-def message(index: int, whole: bool, *lines: dict[str, Any]) -> bytes:
+def list_message(index: int, whole: bool, *lines: dict[str, Any]) -> bytes:
     return orjson.dumps({"index": index, "snapshot": whole, "endpoints": lines})
 
 
-class Told:
+class WatchRecorder:
     """What a watch tells its router, in order; a failure is None."""
 
-    def __init__(self, peer: Peer, patience: WatchTimeouts = ASKED) -> None:
-        self.news: asyncio.Queue[tuple[api.ListKind, list[Member]] | None] = asyncio.Queue()
+    def __init__(self, peer: Peer, patience: WatchTimeouts = DEFAULT_TIMEOUTS) -> None:
+        self.updates: asyncio.Queue[tuple[api.ListKind, list[Member]] | None] = asyncio.Queue()
         self.watch = Discovery(
             peer.address,
             41,
-            lambda kind, members: self.news.put_nowait((kind, members)),
-            lambda: self.news.put_nowait(None),
+            lambda kind, members: self.updates.put_nowait((kind, members)),
+            lambda: self.updates.put_nowait(None),
             patience,
         )
         self.watch.subscribe()
 
 
-async def call(peer: Peer) -> tuple[str, Link]:
+async def next_request(peer: Peer) -> tuple[str, Link]:
     link = await peer.link()
     return (await link.http())[0], link
 
 
 def test_an_entry_is_read() -> None:
-    index, whole, (member,) = read_list(orjson.loads(message(7, True, LINE)))
+    index, whole, (member,) = read_list(orjson.loads(list_message(7, True, ENTRY)))
     assert (index, whole, member.address) == (7, True, "127.0.0.9:6379")
     entry = api.ServerEntry("s-1", api.State.READY, "m2", "a", 3, 1.5, 1_790_000_000.25)
     assert member.entry == entry  # named as at every router, since on the host's own clock
-    _, _, (old,) = read_list(orjson.loads(message(7, True, {**LINE, "since_ms": 0})))
+    _, _, (old,) = read_list(orjson.loads(list_message(7, True, {**ENTRY, "since_ms": 0})))
     assert old.entry.since == 0
 
 
@@ -78,23 +78,23 @@
 )
 def test_a_malformed_entry_is_named(change: dict[str, Any], named: str) -> None:
     with pytest.raises(ListError, match=rf"^known\.endpoints\[1\]\.{named}"):
-        read_list({"index": 1, "snapshot": True, "endpoints": [LINE, {**LINE, **change}]}, "known")
+        read_list({"index": 1, "snapshot": True, "endpoints": [ENTRY, {**ENTRY, **change}]}, "known")
 
 
 def test_a_watch_goes_on_from_what_it_was_told() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer)
-            first, link = await call(peer)
+            told = WatchRecorder(peer)
+            first, link = await next_request(peer)
             assert first == "GET /registry/instances?after=41&wait_ms=1500 HTTP/1.1"
-            link.write(http("200 OK", message(43, False, {**LINE, "status": "terminating"})))
-            kind, (member,) = await told.news.get() or pytest.fail()
+            link.write(http("200 OK", list_message(43, False, {**ENTRY, "status": "terminating"})))
+            kind, (member,) = await told.updates.get() or pytest.fail()
             assert kind is api.ListKind.DELTA and member.entry.state is api.State.DRAINING
-            first, link = await call(peer)
+            first, link = await next_request(peer)
             assert "after=43&" in first
-            link.write(http("200 OK", message(50, True, LINE)))
-            assert (await told.news.get() or pytest.fail())[0] is api.ListKind.FULL
-            assert "after=50&" in (await call(peer))[0]
+            link.write(http("200 OK", list_message(50, True, ENTRY)))
+            assert (await told.updates.get() or pytest.fail())[0] is api.ListKind.FULL
+            assert "after=50&" in (await next_request(peer))[0]
             told.watch.close()
 
     run(scenario)
@@ -103,12 +103,12 @@
 def test_asking_again_while_a_watch_is_on_makes_no_second_call() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer)
+            told = WatchRecorder(peer)
             told.watch.subscribe()
-            _, link = await call(peer)
-            link.write(http("200 OK", message(42, False)))
-            await told.news.get()
-            assert "after=42&" in (await call(peer))[0]  # and none with 41 before it
+            _, link = await next_request(peer)
+            link.write(http("200 OK", list_message(42, False)))
+            await told.updates.get()
+            assert "after=42&" in (await next_request(peer))[0]  # and none with 41 before it
             told.watch.close()
 
     run(scenario)
@@ -121,7 +121,7 @@
         http("200 OK", b"not json"),
         http("200 OK", b"[]"),
         http("200 OK", b'{"index":42,"snapshot":false}'),
-        http("200 OK", message(42, False, {**LINE, "address": ""})),
+        http("200 OK", list_message(42, False, {**ENTRY, "address": ""})),
         b"hello\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{",
         b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (discoveries.MAX_LIST + 1) + b" " * 65536,
@@ -133,13 +133,13 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer)
-            _, link = await call(peer)
+            told = WatchRecorder(peer)
+            _, link = await next_request(peer)
             link.write(answer)
             link.close()
-            assert await told.news.get() is None
+            assert await told.updates.get() is None
             told.watch.subscribe()
-            assert "after=41&" in (await call(peer))[0]
+            assert "after=41&" in (await next_request(peer))[0]
             told.watch.close()
 
     run(scenario)
@@ -149,7 +149,7 @@
     async def scenario() -> None:
         async with Peer() as peer:
             pass
-        assert await Told(peer).news.get() is None
+        assert await WatchRecorder(peer).updates.get() is None
 
     run(scenario)
 
@@ -159,9 +159,9 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer, WatchTimeouts(0.05, 0.05, 0.05))
-            _, link = await call(peer)
-            assert await told.news.get() is None
+            told = WatchRecorder(peer, WatchTimeouts(0.05, 0.05, 0.05))
+            _, link = await next_request(peer)
+            assert await told.updates.get() is None
             assert await link.ended()
 
     run(scenario)
@@ -173,22 +173,22 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer, WatchTimeouts(0.05, 0.05, 2.0))
-            _, link = await call(peer)
-            link.write(http("200 OK", message(42, False)))
-            await told.news.get()
-            _, link = await call(peer)
+            told = WatchRecorder(peer, WatchTimeouts(0.05, 0.05, 2.0))
+            _, link = await next_request(peer)
+            link.write(http("200 OK", list_message(42, False)))
+            await told.updates.get()
+            _, link = await next_request(peer)
             if went == "reset":
                 link.reset()
             elif went == "closed within":
-                link.write(http("200 OK", message(43, False, LINE))[:-9])
+                link.write(http("200 OK", list_message(43, False, ENTRY))[:-9])
                 link.close()
-            assert await told.news.get() is None
+            assert await told.updates.get() is None
             told.watch.subscribe()  # as the decisions ask for, a little later
-            first, link = await call(peer)
+            first, link = await next_request(peer)
             assert "after=42&" in first
-            link.write(http("200 OK", message(43, False, {**LINE, "status": "terminating"})))
-            _, (member,) = await told.news.get() or pytest.fail()
+            link.write(http("200 OK", list_message(43, False, {**ENTRY, "status": "terminating"})))
+            _, (member,) = await told.updates.get() or pytest.fail()
             assert member.entry.state is api.State.DRAINING
             told.watch.close()
 
@@ -219,17 +219,17 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            told = Told(peer)
+            told = WatchRecorder(peer)
 
             def faulty(kind: api.ListKind, members: list[Member]) -> None:
                 raise RuntimeError("a fault")
 
             told.watch.on_list = faulty
-            _, link = await call(peer)
-            link.write(http("200 OK", message(42, False, LINE)))
-            assert await told.news.get() is None and told.watch.watch_task is None
+            _, link = await next_request(peer)
+            link.write(http("200 OK", list_message(42, False, ENTRY)))
+            assert await told.updates.get() is None and told.watch.watch_task is None
             told.watch.subscribe()
-            assert "after=41&" in (await call(peer))[0]  # it has to be told again
+            assert "after=41&" in (await next_request(peer))[0]  # it has to be told again
             told.watch.close()
 
     run(scenario)
@@ -240,17 +240,17 @@
 
     async def scenario() -> None:
         async with Peer() as old, Peer() as new:
-            told = Told(old)
-            _, link = await call(old)
+            told = WatchRecorder(old)
+            _, link = await next_request(old)
             told.watch.change_address(new.address)
             assert await link.ended()
             told.watch.subscribe()
-            first, link = await call(new)
+            first, link = await next_request(new)
             assert first == "GET /registry/instances HTTP/1.1"
-            link.write(http("200 OK", message(3, True, LINE)))
-            assert (await told.news.get() or pytest.fail())[0] is api.ListKind.FULL
-            assert "after=3&" in (await call(new))[0]
-            assert told.news.empty()
+            link.write(http("200 OK", list_message(3, True, ENTRY)))
+            assert (await told.updates.get() or pytest.fail())[0] is api.ListKind.FULL
+            assert "after=3&" in (await next_request(new))[0]
+            assert told.updates.empty()
             told.watch.close()
 
     run(scenario)
--- a/tests/test_net_errors.py
+++ b/tests/test_net_errors.py
@@ -16,10 +16,10 @@
 from myrtlecourse.net.listener import SINGLE_CLIENT_ERRORS
 from myrtlecourse.net.pool import LOCAL_SHORTAGE_ERRORS
 from myrtlecourse.net.request_log import requests_log
-from tests.loopback import HIT, Router, command, read, run, spelled
+from tests.loopback import HIT, Router, command, format_address, read, run
 
 SHORTAGES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-UNREACHED = (errno.ECONNREFUSED, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EACCES)
+CONNECT_ERRORS = (errno.ECONNREFUSED, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EACCES)
 
 
 class FailingSocket:
@@ -148,7 +148,7 @@
 
     async def dial(factory: Any, host: str, port: int, **more: Any) -> Any:
         if not failed:
-            failed.append(spelled((host, port)))
+            failed.append(format_address((host, port)))
             raise OSError(code, os.strerror(code))
         return await make(factory, host, port, **more)
 
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize(
-    "code", sorted({*LOCAL_SHORTAGE_ERRORS, *UNREACHED}), ids=lambda c: errno.errorcode[c]
+    "code", sorted({*LOCAL_SHORTAGE_ERRORS, *CONNECT_ERRORS}), ids=lambda c: errno.errorcode[c]
 )
 def test_a_dial_that_fails_is_made_elsewhere_and_own_shortages_count_against_no_server(
     code: int, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
--- a/tests/test_net_hangup.py
+++ b/tests/test_net_hangup.py
@@ -14,7 +14,7 @@
     HIT,
     MISS,
     SETTINGS,
-    HeldDials,
+    DelayedDials,
     Link,
     Router,
     command,
@@ -26,13 +26,15 @@
 )
 
 CLOSES: list[Callable[[Link], None]] = [Link.close, Link.reset]
-KEPT = replace(SETTINGS, may_cancel=False)  # where attempts may not be cancelled, those not begun still go
+NOT_CANCELLABLE = replace(
+    SETTINGS, may_cancel=False
+)  # where attempts may not be cancelled, those not begun still go
 
 
 LONG = "c=read,t=x,d=600000"  # so that nothing but the hang-up ends it
 
 
-async def unread(router: Router) -> None:
+async def until_unread(router: Router) -> None:
     """Wait until the one client is not read any more."""
     await until(lambda: any(not c.reading for c in router.listener.connections))
 
@@ -49,7 +51,7 @@
             client = await router.client()
             asked = [read(f"r{n}", f"k{n}", LONG) for n in range(3)]
             client.write(b"".join(asked) + command("C.NONE", "k") + read("behind", info=LONG))
-            await unread(router)
+            await until_unread(router)
             taken = set(router.host.requests)
             assert len(taken) == 3
             close(client)
@@ -68,7 +70,7 @@
         async with Router() as router:
             client = await router.client()
             client.write(command("C.NONE", "k") + read("r1", info=LONG))
-            await unread(router)
+            await until_unread(router)
             (connection,) = router.listener.connections
             router.listener.hang_up_monitor.remove(connection)  # the pause is over before the next look
             client.close()
@@ -78,13 +80,13 @@
     run(scenario)
 
 
-@pytest.mark.parametrize("settings", [SETTINGS, KEPT])
+@pytest.mark.parametrize("settings", [SETTINGS, NOT_CANCELLABLE])
 def test_a_dial_that_comes_up_for_nobody_sends_nothing(settings: api.Settings) -> None:
     async def scenario() -> None:
-        async with Router(settings) as router, HeldDials(router) as dials:
+        async with Router(settings) as router, DelayedDials(router) as dials:
             client = await router.client()
             client.write(read("r1"))
-            await dials.held()
+            await dials.next_dial()
             client.close()
             await until(lambda: not router.listener.connections)
             dials.release()
@@ -98,7 +100,7 @@
     run(scenario)
 
 
-@pytest.mark.parametrize("settings", [SETTINGS, KEPT])
+@pytest.mark.parametrize("settings", [SETTINGS, NOT_CANCELLABLE])
 def test_an_unread_client_is_asked_again_before_its_next_attempt(settings: api.Settings) -> None:
     """The look comes every so often; an attempt that would begin between two must not."""
 
@@ -107,7 +109,7 @@
             client = await router.client()
             client.write(command("C.NONE", "k"))
             assert isinstance(await client.resp(), Exception)
-            await unread(router)
+            await until_unread(router)
             (connection,) = router.listener.connections
             slot = clients.AnswerSlot(connection)
             assert slot.client_connected()
@@ -118,7 +120,7 @@
     run(scenario)
 
 
-@pytest.mark.parametrize("settings", [SETTINGS, KEPT])
+@pytest.mark.parametrize("settings", [SETTINGS, NOT_CANCELLABLE])
 def test_a_hang_up_is_seen_before_the_event_loop_looks(
     settings: api.Settings, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -127,7 +129,7 @@
 
     async def scenario() -> None:
         async with Router(settings) as router:
-            client, _ = await router.begun(info=LONG)
+            client, _ = await router.open_request(info=LONG)
             (connection,) = router.listener.connections
             (slot,) = connection.slots
             assert slot.client_connected() and connection.reading
@@ -145,7 +147,7 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            first, cache = await router.begun("r1")
+            first, cache = await router.open_request("r1")
             cache.write(MISS)
             origin = await router.origin.link()
             await origin.http()
@@ -185,12 +187,12 @@
                 client.write(late_book)
                 cache = await router.cache()
                 assert (await cache.resp())[2] == b"r1"
-            async with HeldDials(router) as dials:
+            async with DelayedDials(router) as dials:
                 if change == "window over":
                     cache.reset()  # it may have run
                 else:
                     client.write(read("r1"))
-                dialled = await dials.held()
+                dialled = await dials.next_dial()
                 if change == "drained":
                     tell(router, "ab".replace(dialled, ""))
                 elif change == "offline":
@@ -206,7 +208,7 @@
                     assert (await other.resp())[2] == b"r1"
                     other.write(HIT)
                     assert await client.resp() == b"value"
-            await router.stopped()
+            await router.stop()
             assert await late.reader.read() == b""  # not a byte ever came on it
 
     run(scenario)
--- a/tests/test_net_host.py
+++ b/tests/test_net_host.py
@@ -31,7 +31,7 @@
 )
 
 
-def error(message: object) -> str:
+def error_text(message: object) -> str:
     assert isinstance(message, Exception), message
     return str(message)
 
@@ -56,7 +56,7 @@
 def test_a_miss_is_fetched_from_the_origin() -> None:
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.open_request()
             cache.write(MISS)
             origin = await router.origin.link()
             first, headers, _ = await origin.http()
@@ -106,7 +106,7 @@
 def test_a_busy_server_is_left_for_another() -> None:
     async def scenario() -> None:
         async with Router() as router:
-            client, first = await router.begun()
+            client, first = await router.open_request()
             first.reset()
             second = await router.cache()
             assert (await second.resp())[2] == b"r1"
@@ -121,7 +121,7 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.open_request()
             client.close()
             assert await cache.ended()
             assert not router.host.router.held and not router.host.router.attempts
@@ -136,8 +136,8 @@
         async with Router() as router:
             loop = asyncio.get_running_loop()
             sent = loop.time()
-            client, cache = await router.begun(info="c=read,t=x,d=800")
-            assert error(await client.resp()).startswith("BUSY")
+            client, cache = await router.open_request(info="c=read,t=x,d=800")
+            assert error_text(await client.resp()).startswith("BUSY")
             assert loop.time() - sent >= 0.8 - hosts.DEADLINE_MARGIN - 0.001
             assert await cache.ended() and not router.host.requests
 
@@ -181,7 +181,7 @@
         async with Router() as router:
             client = await router.client()
             client.write(sent + command("PING"))
-            assert said in error(await client.resp())
+            assert said in error_text(await client.resp())
             assert await client.resp() == b"PONG"
             assert not router.host.requests
 
@@ -213,7 +213,7 @@
         async with Router() as router:
             client, other = await router.client(), await router.client()
             client.write(sent)
-            assert error(await client.resp()).startswith("ERR")
+            assert error_text(await client.resp()).startswith("ERR")
             assert await client.ended()
             other.write(command("PING"))
             assert await other.resp() == b"PONG"
@@ -232,8 +232,8 @@
             usual.write(command("PING"))
             half.write(command("PING") + b"*4\r\n$5\r\nC.G")
             assert await usual.resp() == await half.resp() == b"PONG"
-            assert "no whole command" in error(await half.resp()) and await half.ended()
-            assert "no whole command" in error(await silent.resp()) and await silent.ended()
+            assert "no whole command" in error_text(await half.resp()) and await half.ended()
+            assert "no whole command" in error_text(await silent.resp()) and await silent.ended()
             usual.write(command("PING"))
             assert await usual.resp() == b"PONG"
 
@@ -245,7 +245,7 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.open_request()
             client.write(b"noise\r\n" + b"x" * 100_000)
             (connection,) = router.listener.connections
             while not connection.no_more_commands:
@@ -253,7 +253,7 @@
             assert not connection.transport.is_reading() and not connection.reader.buffer
             cache.write(HIT)
             assert await client.resp() == b"value"
-            assert error(await client.resp()).startswith("ERR")
+            assert error_text(await client.resp()).startswith("ERR")
             assert await client.ended()
 
     run(scenario)
@@ -269,7 +269,7 @@
             began = loop.time()
             client.write(read("r1", info="c=unheard-of,d=900") * 3)
             for _ in range(3):
-                error(await client.resp())
+                error_text(await client.resp())
             assert loop.time() - began >= 2 * clients.ERROR_PAUSE - 0.01
 
     run(scenario)
@@ -285,7 +285,7 @@
             assert (await cache.resp())[2] == b"last"
             cache.write(HIT)
             for _ in names:
-                error(await client.resp())
+                error_text(await client.resp())
             assert await client.resp() == b"value"
 
     run(scenario)
@@ -334,13 +334,13 @@
     async def scenario() -> None:
         async with Router() as router:
             other = await router.client()
-            client, cache = await router.begun()
+            client, cache = await router.open_request()
             other.write(read("r1"))
-            assert "in use" in error(await other.resp())
+            assert "in use" in error_text(await other.resp())
             cache.write(HIT)
             assert await client.resp() == b"value"
             other.write(read("r1"))  # nor right after: it would be served with what another asked for
-            assert "in use" in error(await other.resp())
+            assert "in use" in error_text(await other.resp())
 
     run(scenario)
 
@@ -350,7 +350,7 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun(info="c=read,t=x,d=600000,h=" + "9" * 400)
+            client, cache = await router.open_request(info="c=read,t=x,d=600000,h=" + "9" * 400)
             cache.write(HIT)
             assert await client.resp() == b"value"
             assert not router.host.requests
@@ -363,7 +363,7 @@
         async with Router(listed=False) as router:
             client = await router.client()
             client.write(command("PING"))
-            assert "no cache server" in error(await client.resp())
+            assert "no cache server" in error_text(await client.resp())
             router.list("a")
             client.write(command("PING"))
             assert await client.resp() == b"PONG"
@@ -378,7 +378,7 @@
     async def scenario() -> None:
         async with Router() as router:
             other = await router.client()
-            first, cache = await router.begun()
+            first, cache = await router.open_request()
             with monkeypatch.context() as patch:
                 patch.setattr(router.host, "accept", None)
                 first.write(read("r2"))
@@ -396,7 +396,7 @@
     async def scenario() -> None:
         async with Router(clients=2) as router:
             idle = await router.client()
-            busy, cache = await router.begun()
+            busy, cache = await router.open_request()
             third = await router.client()
             assert await idle.ended()
             third.write(command("PING"))
@@ -412,7 +412,7 @@
 
     async def scenario() -> None:
         async with Router(clients=1) as router:
-            busy, cache = await router.begun()
+            busy, cache = await router.open_request()
             newest = await router.client()
             newest.write(command("PING"))
             assert await newest.resp() == b"PONG"
@@ -422,7 +422,7 @@
     run(scenario)
 
 
-async def asks(router: Router, times: int) -> Link:
+async def client_after_pings(router: Router, times: int) -> Link:
     """A client that has asked so often and stays."""
     client = await router.client()
     for _ in range(times):
@@ -437,12 +437,12 @@
     async def scenario() -> None:
         monkeypatch.setattr(listener, "FIRST_COMMAND_GRACE", 0.0)
         async with Router(clients=3) as router:
-            usual = await asks(router, 1)
+            usual = await client_after_pings(router, 1)
             silent, half = await router.client(), await router.client()
             half.write(b"*4\r\n$5\r\nC.G")
             newer = []  # kept, or they would close
             for gone in (silent, half):
-                newer.append(await asks(router, 1))
+                newer.append(await client_after_pings(router, 1))
                 assert await gone.ended()
             usual.write(command("PING"))
             assert await usual.resp() == b"PONG"
@@ -455,10 +455,10 @@
 
     async def scenario() -> None:
         async with Router(clients=2) as router:
-            usual, wrong = await asks(router, 1), await asks(router, 2)
+            usual, wrong = await client_after_pings(router, 1), await client_after_pings(router, 2)
             wrong.write(read("r1", info="c=unheard-of,d=900") * 100)
-            error(await wrong.resp())
-            _newest = await asks(router, 1)
+            error_text(await wrong.resp())
+            _newest = await client_after_pings(router, 1)
             with suppress(ConnectionResetError):
                 await wrong.reader.read()  # to its end
             usual.write(command("PING"))
@@ -472,8 +472,8 @@
 
     async def scenario() -> None:
         async with Router(clients=2) as router:
-            usual, once = await asks(router, 2), await asks(router, 1)
-            _newest = await asks(router, 1)
+            usual, once = await client_after_pings(router, 2), await client_after_pings(router, 1)
+            _newest = await client_after_pings(router, 1)
             assert await once.ended()
             usual.write(command("PING"))
             assert await usual.resp() == b"PONG"
@@ -488,7 +488,10 @@
         async with Router(clients=4) as router:
             crowd = []
             for _ in range(20):
-                crowd += [await router.client(), await asks(router, 1)]  # the first says nothing
+                crowd += [
+                    await router.client(),
+                    await client_after_pings(router, 1),
+                ]  # the first says nothing
 
     run(scenario)
 
@@ -499,8 +502,8 @@
     async def scenario() -> None:
         monkeypatch.setattr(listener, "IDLE_TIMEOUT", 1.0)
         async with Router(clients=4) as router:
-            usual = [await asks(router, 2) for _ in range(3)]
-            once = await asks(router, 1)
+            usual = [await client_after_pings(router, 2) for _ in range(3)]
+            once = await client_after_pings(router, 1)
             assert await once.ended()
             assert len(router.listener.connections.keys() - router.listener.lingering.keys()) == 3
             assert await usual[0].ended()
@@ -531,7 +534,7 @@
     async def scenario() -> None:
         async with Router() as router:
             idle = await router.client()
-            busy, cache = await router.begun()
+            busy, cache = await router.open_request()
             stop = asyncio.create_task(router.listener.stop(0.05, 5.0))
             late = await router.client()  # connections still come
             late.write(command("PING"))
@@ -553,7 +556,7 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.open_request()
             cache.write(HIT)
             assert await client.resp() == b"value"
             (connection,) = router.servers.idle
@@ -581,7 +584,7 @@
         async with Router() as router:
             client, other = await router.client(), await router.client()
             client.write(read("r1", info="c=unheard-of,d=900"))
-            error(await client.resp())
+            error_text(await client.resp())
             next(iter(router.listener.connections)).transport.abort()
             await asyncio.sleep(2 * clients.ERROR_PAUSE)
             other.write(command("PING"))
@@ -614,7 +617,7 @@
             monkeypatch.setattr(router.host.router, "handle", handle)
             client = await router.client()
             client.write(read("r1"))
-            assert error(await client.resp()) == "ERR failed"
+            assert error_text(await client.resp()) == "ERR failed"
             assert len(depth) == 2
 
     run(scenario)
@@ -638,7 +641,7 @@
             monkeypatch.setattr(router.host.router, "handle", handle)
             client = await router.client()
             client.write(read("r1") + command("PING"))
-            assert error(await client.resp()) == "BUSY 250"
+            assert error_text(await client.resp()) == "BUSY 250"
             assert await client.resp() == b"PONG"
             ends = [(o.attempt, o.status, o.closed) for o in seen]
             moot, cancelled = api.Status.MOOT, api.Status.CANCELLED
@@ -663,23 +666,23 @@
             monkeypatch.setattr(router.host.router, "handle", handle)
             client = await router.client()
             client.write(read("r1"))
-            assert error(await client.resp()) == "ERR failed"
+            assert error_text(await client.resp()) == "ERR failed"
 
     run(scenario)
 
 
-class Shut:
+class AdmissionStub:
     """A door that lets in the classes it is told to."""
 
     def __init__(self, *let_in: str) -> None:
-        self.let_in = let_in
-        self.seen: list[tuple[str, str, bool, bool]] = []
+        self.admitted_classes = let_in
+        self.calls: list[tuple[str, str, bool, bool]] = []
 
     def pause(
         self, now: float, request_class: str, tenant: str, again: bool, keyed: bool, waited: float
     ) -> float | None:
-        self.seen.append((request_class, tenant, again, keyed))
-        return None if request_class in self.let_in else 0.25
+        self.calls.append((request_class, tenant, again, keyed))
+        return None if request_class in self.admitted_classes else 0.25
 
     def retuned(self, settings: api.Settings) -> None:
         raise AssertionError("no new settings here")
@@ -687,7 +690,7 @@
 
 def test_a_command_turned_away_is_refused_at_once_and_nothing_is_sent_for_it() -> None:
     async def scenario() -> None:
-        door = Shut("book")
+        door = AdmissionStub("book")
         async with Router(door=door) as router:
             client = await router.client()
             client.write(read("r1") + read("r2", info="c=read,t=y,d=2000,r=1") + book("r3"))
@@ -698,7 +701,7 @@
             assert (await link.http())[1]["request-id"] == "r3"
             link.write(http("200 OK", b"receipt"))
             assert await client.resp() == b"receipt"
-            assert door.seen == [
+            assert door.calls == [
                 ("read", "x", False, False),
                 ("read", "y", True, False),
                 ("book", "x", False, True),
@@ -710,13 +713,13 @@
 
 def test_a_door_that_shuts_does_not_stand_between_a_booking_and_its_answer() -> None:
     async def scenario() -> None:
-        door = Shut("book")
+        door = AdmissionStub("book")
         async with Router(door=door) as router:
             client, other = await router.client(), await router.client()
             client.write(book("r1"))
             link = await router.origin.link()
             await link.http()
-            door.let_in = ()
+            door.admitted_classes = ()
             other.write(book("r2"))
             assert str(await other.resp()) == "BUSY 250"
             link.write(http("200 OK", b"receipt"))
@@ -727,12 +730,12 @@
 
 def test_a_repeated_booking_is_known_as_such() -> None:
     async def scenario() -> None:
-        door = Shut()
+        door = AdmissionStub()
         async with Router(door=door) as router:
             client = await router.client()
             client.write(command("C.SET", "k", "r1", "c=book,t=x,d=2000,k=5c0f,r=1", b"slot"))
             assert str(await client.resp()) == "BUSY 250"
-            assert door.seen == [("book", "x", True, True)]
+            assert door.calls == [("book", "x", True, True)]
 
     run(scenario)
 
@@ -741,7 +744,7 @@
     """Taken for fresh, a command from a long backlog was sent on when nobody waited for it any more."""
 
     async def scenario() -> None:
-        async with Router(door=Shut("read")) as router:
+        async with Router(door=AdmissionStub("read")) as router:
             client = await router.client()
             router.listener.socket.getsockname()
             client.write(read("r1", info="c=read,t=x,d=100"))
--- a/tests/test_net_http.py
+++ b/tests/test_net_http.py
@@ -29,14 +29,14 @@
 )
 
 
-def asked() -> HttpClient:
+def client_with_request() -> HttpClient:
     client = HttpClient("127.0.0.1:1", 100)
     client.request("GET", "/k", FIELDS)
     return client
 
 
-def by_state(data: bytes) -> Response | None | str:
-    client = asked()
+def receive_with_h11(data: bytes) -> Response | None | str:
+    client = client_with_request()
     client._send_to_h11()
     try:
         return client.receive(data)
@@ -47,12 +47,12 @@
 @given(HEADS, st.lists(LINES, max_size=4), st.sampled_from([b"value", b"val", b"value and more", b""]))
 def test_the_short_way_agrees_with_the_state_machine(head: bytes, lines: list[bytes], body: bytes) -> None:
     data = head + b"".join(lines) + b"\r\n" + body
-    client = asked()
+    client = client_with_request()
     try:
         response: Response | None | str = client.receive(data)
     except HttpError as e:
         response = str(e)
-    expected = by_state(data)
+    expected = receive_with_h11(data)
     if client.plain_response is not None and isinstance(expected, Response):
         assert response == expected
     assert isinstance(response, Response) == isinstance(expected, Response)
@@ -61,7 +61,7 @@
 @given(st.lists(st.integers(1, 40), max_size=6))
 def test_a_response_in_any_pieces_is_the_same(cuts: list[int]) -> None:
     data = b"HTTP/1.1 200 OK\r\nConnection: keep-alive\r\nContent-Length: 5\r\n\r\nvalue"
-    client, response = asked(), None
+    client, response = client_with_request(), None
     for cut in [*cuts, len(data)]:
         part, data = data[:cut], data[cut:]
         if part:
@@ -84,7 +84,7 @@
 
 
 def test_a_plain_response_is_read_the_short_way_and_the_connection_serves_on() -> None:
-    client = asked()
+    client = client_with_request()
     plain = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue"
     assert client.receive(plain) == Response(200, {b"content-length": b"5"}, b"value")
     assert client.plain_response is not None and client.reusable()
--- a/tests/test_net_lingering.py
+++ b/tests/test_net_lingering.py
@@ -14,13 +14,13 @@
 from myrtlecourse.net.connection import has_unread_input
 from myrtlecourse.net.request_log import CloseReason
 from myrtlecourse.net.transport import Transport
-from tests.loopback import HIT, PATIENCE, Router, book, command, needs_sources, read, run, until
+from tests.loopback import HIT, TIMEOUT, Router, book, command, needs_sources, read, run, until
 
-BEGUN = b"*3\r\n$200000\r\n" + b"v" * 150_000  # and no more of it
+LONG_ANSWER_START = b"*3\r\n$200000\r\n" + b"v" * 150_000  # and no more of it
 VALUE = b"$5\r\nvalue\r\n"
 
 
-class Raw:
+class RawClient:
     """A client that takes nothing from its socket but when it is told to."""
 
     def __init__(self, router: Router) -> None:
@@ -28,7 +28,7 @@
         self.socket = socket.socket()
         self.socket.setblocking(False)
 
-    async def connect(self) -> Raw:
+    async def connect(self) -> RawClient:
         await asyncio.get_running_loop().sock_connect(self.socket, self.router.listener.socket.getsockname())
         return self
 
@@ -36,14 +36,14 @@
         """Into the router's socket, before anything else is done."""
         assert self.socket.send(data) == len(data)
 
-    async def rest(self) -> bytes:
+    async def read_to_end(self) -> bytes:
         """All that comes up to the end, which must be one in good order."""
         got = b""
         while data := await asyncio.get_running_loop().sock_recv(self.socket, 65536):
             got += data
         return got
 
-    async def answered(self) -> ClientConnection:
+    async def exchange(self) -> ClientConnection:
         """Ask once; the answer has been written, and lies untaken in the socket."""
         self.send(read("r1"))
         cache = await self.router.cache()
@@ -55,25 +55,25 @@
         return connection
 
 
-async def evicted(router: Router) -> None:
+async def evict(router: Router) -> None:
     await router.client()
 
 
-async def swept(router: Router) -> None:
+async def close_when_idle(router: Router) -> None:
     router.listener.budget = 1
     await until(lambda: bool(router.listener.lingering))
 
 
-async def emptied(router: Router) -> None:
+async def start_drain(router: Router) -> None:
     router.listener.start_drain(0.0)
 
 
-async def ended(router: Router) -> None:
+async def stop(router: Router) -> None:
     asyncio.get_running_loop().create_task(router.listener.stop(0.0, 5.0))
 
 
 @needs_sources
-@pytest.mark.parametrize("path", [evicted, swept, emptied, ended])
+@pytest.mark.parametrize("path", [evict, close_when_idle, start_drain, stop])
 def test_a_command_that_crosses_a_close_is_not_executed_and_the_answer_before_it_stands(
     path: Callable[[Router], Coroutine[None, None, None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -82,9 +82,9 @@
     monkeypatch.setattr(listener, "SINGLE_COMMAND_IDLE_TIMEOUT", 0.01)
 
     async def scenario() -> None:
-        async with Router(clients=1 if path is evicted else 4) as router:
-            client = await Raw(router).connect()
-            connection = await client.answered()
+        async with Router(clients=1 if path is evict else 4) as router:
+            client = await RawClient(router).connect()
+            connection = await client.exchange()
             crossed: list[bool] = []
 
             def look(transport: Transport) -> bool:
@@ -97,7 +97,7 @@
 
             monkeypatch.setattr(clients, "has_unread_input", look)
             await path(router)
-            assert await client.rest() == VALUE and crossed
+            assert await client.read_to_end() == VALUE and crossed
             client.socket.close()
             await until(lambda: connection not in router.listener.connections)
             assert router.host.recent_ids == {"r1"} and not router.host.requests
@@ -110,10 +110,10 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            client = await Raw(router).connect()
-            connection = await client.answered()
+            client = await RawClient(router).connect()
+            connection = await client.exchange()
             connection.close(CloseReason.ENDING)
-            assert await client.rest() == VALUE
+            assert await client.read_to_end() == VALUE
             assert connection in router.listener.lingering
             await until(lambda: not router.listener.connections)
 
@@ -128,8 +128,8 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            client = await Raw(router).connect()
-            connection = await client.answered()
+            client = await RawClient(router).connect()
+            connection = await client.exchange()
             connection.close(CloseReason.ENDING)
             client.send(b"x" * 600)
             await until(lambda: connection.discarded_bytes == 600)
@@ -144,11 +144,11 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            client = await Raw(router).connect()
+            client = await RawClient(router).connect()
             client.send(b"*1\r\n$-7\r\n")
             await until(lambda: any(c.half_closed for c in router.listener.connections))
             client.send(read("behind"))
-            got = await client.rest()
+            got = await client.read_to_end()
             assert got.startswith(b"-ERR") and got.count(b"\r\n") == 1
             assert not router.host.recent_ids and not router.host.requests
 
@@ -160,15 +160,15 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            client = await Raw(router).connect()
+            client = await RawClient(router).connect()
             client.send(command("PING") + read("r1"))
             cache = await router.cache()
             await cache.resp()
-            cache.write(BEGUN)
+            cache.write(LONG_ANSWER_START)
             await until(lambda: any(t.streaming for t in router.host.requests.values()))
             cache.reset()
             await until(lambda: not router.host.requests)
-            got = await client.rest()
+            got = await client.read_to_end()
             assert got.startswith(b"+PONG\r\n$200000\r\n") and len(got) < 200_000
 
     run(scenario)
@@ -180,13 +180,13 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            client = await Raw(router).connect()
+            client = await RawClient(router).connect()
             client.send(read("r1", "k1") + read("r2", "k2", "c=read,t=x,d=800"))
             links = {}
             for _ in range(2):
                 link = await router.cache()
                 links[(await link.resp())[2]] = link
-            links[b"r2"].write(BEGUN)
+            links[b"r2"].write(LONG_ANSWER_START)
             await until(lambda: set(router.host.requests) == {"r1"})
             links[b"r1"].write(HIT)
             want = VALUE + b"-ERR failed\r\n"
@@ -205,7 +205,7 @@
 
     async def scenario() -> None:
         async with Router(clients=4) as router:
-            crowd = [await Raw(router).connect() for _ in range(5 * listener.LINGERING_ALLOWANCE)]
+            crowd = [await RawClient(router).connect() for _ in range(5 * listener.LINGERING_ALLOWANCE)]
             last = await router.client()
             last.write(command("PING"))
             assert await last.resp() == b"PONG"
@@ -239,13 +239,13 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            client = await Raw(router).connect()
-            connection = await client.answered()
+            client = await RawClient(router).connect()
+            connection = await client.exchange()
             much = b"x" * 8_000_000
             connection.transport.write(much)
             assert connection.transport.get_write_buffer_size()
             connection.close(CloseReason.ENDING)
-            assert await client.rest() == VALUE + much
+            assert await client.read_to_end() == VALUE + much
 
     run(scenario)
 
@@ -255,8 +255,8 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            longest = 3 * PATIENCE  # a router that waits for it fails the test
-            client, cache = await router.begun("r1", "c=read,t=x,d=20000")
+            longest = 3 * TIMEOUT  # a router that waits for it fails the test
+            client, cache = await router.open_request("r1", "c=read,t=x,d=20000")
             stopping = asyncio.create_task(router.listener.stop(0.0, longest))
             await until(lambda: router.listener.stopping)
             late = "c=read,t=x,d=60000"
--- a/tests/test_net_loop_lag.py
+++ b/tests/test_net_loop_lag.py
@@ -13,13 +13,13 @@
 from myrtlecourse.net.loop_lag import LoopLag
 from tests.loopback import HIT, Router, read, run
 
-STOP = 0.25  # seconds for which the event loop is held up
+BLOCKED = 0.25  # seconds for which the event loop is held up
 DEADLINE = 2.0
 
 
-async def told_after_a_stop(router: Router) -> float:
+async def deadline_sent_after_a_stall(router: Router) -> float:
     """Seconds that a server is told, by a read on a known connection that comes as a stop begins."""
-    client, cache = await router.begun()
+    client, cache = await router.open_request()
     cache.write(HIT)
     assert await client.resp() == b"value"
     loop = asyncio.get_running_loop()
@@ -29,7 +29,7 @@
 
     def stop() -> None:
         descriptor.send(read("r2", info=f"c=read,t=x,d={DEADLINE * 1000:.0f}"))
-        time.sleep(STOP)
+        time.sleep(BLOCKED)
 
     with descriptor:
         loop.call_soon(stop)
@@ -49,10 +49,10 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            told = await told_after_a_stop(router)
+            told = await deadline_sent_after_a_stall(router)
             # what the clock can't know of is the part of a stop before the look that is overdue
-            assert told <= DEADLINE - STOP + (0.01 if kernel_tells else 0.15)
-            assert told > DEADLINE - 2 * STOP
+            assert told <= DEADLINE - BLOCKED + (0.01 if kernel_tells else 0.15)
+            assert told > DEADLINE - 2 * BLOCKED
 
     run(scenario)
 
--- a/tests/test_net_passing.py
+++ b/tests/test_net_passing.py
@@ -25,7 +25,7 @@
 LONG = HEAD + VALUE + TAIL
 
 
-async def quiet(work: Coroutine[Any, Any, None]) -> None:
+async def ignore_disconnect(work: Coroutine[Any, Any, None]) -> None:
     with suppress(AssertionError, ConnectionError, asyncio.IncompleteReadError):
         await work
 
@@ -34,10 +34,10 @@
     """Deal with each connection to a peer, until cancelled."""
     async with asyncio.TaskGroup() as tasks:
         while True:
-            tasks.create_task(quiet(make(await links.get())))
+            tasks.create_task(ignore_disconnect(make(await links.get())))
 
 
-async def least(client: Link, count: int) -> bytes:
+async def receive(client: Link, count: int) -> bytes:
     """So many bytes of what a client is sent."""
     return await client.reader.readexactly(count)
 
@@ -45,12 +45,12 @@
 def test_a_long_answer_goes_on_before_it_is_whole_and_the_connection_serves_on() -> None:
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.open_request()
             cache.write(LONG[:150_000])
-            got = await least(client, 100_000)
+            got = await receive(client, 100_000)
             assert router.host.requests  # it is not over
             cache.write(LONG[150_000:])
-            got += await least(client, len(VALUE) + 11 - len(got))
+            got += await receive(client, len(VALUE) + 11 - len(got))
             assert got == b"$307200\r\n" + VALUE + b"\r\n"
             assert not router.host.requests and len(router.servers.idle) == 1
             client.write(read("r2"))
@@ -64,16 +64,16 @@
 def test_a_long_answer_of_the_origin_goes_on_too() -> None:
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.open_request()
             cache.write(MISS)
             origin = await router.origin.link()
             for name in ("r1", "r2"):
                 await origin.http()
                 origin.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(VALUE))
                 origin.write(VALUE[:200_000])
-                assert await least(client, 60_000)
+                assert await receive(client, 60_000)
                 origin.write(VALUE[200_000:])
-                assert (await least(client, len(VALUE) + 11 - 60_000)).endswith(VALUE[-1000:] + b"\r\n")
+                assert (await receive(client, len(VALUE) + 11 - 60_000)).endswith(VALUE[-1000:] + b"\r\n")
                 if name == "r1":
                     client.write(read("r2"))
                     assert (await cache.resp())[2] == b"r2"
@@ -94,7 +94,7 @@
 def test_a_length_that_lies_costs_an_attempt_and_no_client(answer: bytes) -> None:
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.open_request()
             cache.write(answer)
             other = await router.cache()
             assert (await other.resp())[2] == b"r1"
@@ -111,10 +111,10 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.open_request()
             if how == "breaks off":
                 cache.write(LONG[:200_000])
-                await least(client, 60_000)
+                await receive(client, 60_000)
                 cache.reset()
             elif how == "stalls":
                 cache.write(LONG[:200_000])
@@ -145,10 +145,10 @@
     async def scenario() -> None:
         monkeypatch.setattr(hosts, "MAX_STREAM_OVERRUN", longest)
         async with Router() as router:
-            client, cache = await router.begun(info="c=read,t=x,d=1000")
+            client, cache = await router.open_request(info="c=read,t=x,d=1000")
             taken = router.host.requests["r1"]
             cache.write(LONG[:100_000])
-            got = await least(client, 60_000)
+            got = await receive(client, 60_000)
             sent = 100_000
             await until(lambda: taken.deadline_passed)
             for _ in range(20):
@@ -160,7 +160,7 @@
                 return
             assert router.host.requests["r1"] is taken and not taken.closed
             cache.write(LONG[sent:])
-            got += await least(client, len(VALUE) + 11 - len(got))
+            got += await receive(client, len(VALUE) + 11 - len(got))
             assert got == b"$307200\r\n" + VALUE + b"\r\n"
 
     run(scenario)
@@ -172,14 +172,14 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.open_request()
             cache.write(LONG[:cut])
             while not any(
                 c.reader.buffer for c in router.servers.connections if isinstance(c, CacheConnection)
             ):
                 await asyncio.sleep(0.001)
             cache.write(LONG[cut:])
-            assert await least(client, len(VALUE) + 11) == b"$307200\r\n" + VALUE + b"\r\n"
+            assert await receive(client, len(VALUE) + 11) == b"$307200\r\n" + VALUE + b"\r\n"
 
     run(scenario)
 
@@ -187,9 +187,9 @@
 def test_a_client_that_leaves_ends_the_attempt() -> None:
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.open_request()
             cache.write(LONG[:200_000])
-            await least(client, 60_000)
+            await receive(client, 60_000)
             client.reset()
             assert await cache.ended()
             assert not router.host.requests and not router.listener.stalled_answers
@@ -200,7 +200,7 @@
 def test_commands_behind_a_long_answer_are_answered_after_it() -> None:
     async def scenario() -> None:
         async with Router() as router:
-            client, first = await router.begun()
+            client, first = await router.open_request()
             client.write(read("r2", key="k"))
             second = await router.cache()
             assert (await second.resp())[2] == b"r2"
@@ -210,8 +210,8 @@
             held = sum(len(p) for slot in router.listener.stalled_answers for p in slot.chunks)
             assert held <= 3 * 65536
             first.write(HIT)
-            assert await least(client, 11) == b"$5\r\nvalue\r\n"
-            assert await least(client, len(VALUE) + 11) == b"$307200\r\n" + VALUE + b"\r\n"
+            assert await receive(client, 11) == b"$5\r\nvalue\r\n"
+            assert await receive(client, len(VALUE) + 11) == b"$307200\r\n" + VALUE + b"\r\n"
             assert not router.listener.stalled_answers
 
     run(scenario)
@@ -325,7 +325,7 @@
     async def scenario() -> None:
         monkeypatch.setattr(listener, "STALLED_ANSWER_TIMEOUT", 0.2)
         async with Router() as router:
-            client, first = await router.begun("r1")
+            client, first = await router.open_request("r1")
             client.write(read("r2", key="k"))
             cache = await router.cache()
             await cache.resp()
@@ -340,16 +340,16 @@
 def test_a_long_answer_that_flows_is_finished(how: str) -> None:
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.open_request()
             cache.write(LONG[:150_000])
-            got = await least(client, 60_000)
+            got = await receive(client, 60_000)
             if how == "the router ends":
                 stopping = asyncio.create_task(router.listener.stop(0.0, 5.0))
                 await asyncio.sleep(0)
             else:
                 router.list()  # neither cache is listed any more
             cache.write(LONG[150_000:])
-            got += await least(client, len(VALUE) + 11 - len(got))
+            got += await receive(client, len(VALUE) + 11 - len(got))
             assert got == b"$307200\r\n" + VALUE + b"\r\n"
             if how == "the router ends":
                 await stopping
--- a/tests/test_net_pool.py
+++ b/tests/test_net_pool.py
@@ -17,21 +17,21 @@
 from myrtlecourse.net.origin import OriginConnection
 from myrtlecourse.net.pool import Pool
 from myrtlecourse.net.servers import CacheConnection
-from tests.loopback import HIT, MISS, Link, Peer, http, run, spelled
+from tests.loopback import HIT, MISS, Link, Peer, format_address, http, run
 
 GET = Command(b"C.GET", b"k", b"r1", {"c": "read", "d": "900"}, 900)
 HUGE = Command(b"C.SET", b"k", b"r1", {"c": "book", "d": "900"}, 900, b"x" * 32_000_000)
 LONG = b"$70000\r\n" + b"x" * 70000
 
 
-class Ends:
+class Attempts:
     """Starts attempts and collects how they end."""
 
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
         self.results: asyncio.Queue[tuple[Status, bytes]] = asyncio.Queue()
 
-    async def begun(self, peer: Peer) -> Link:
+    async def open_attempt(self, peer: Peer) -> Link:
         """An attempt that the peer has in hand."""
         self.start(peer.address)
         link = await peer.link()
@@ -41,12 +41,12 @@
     def start(self, address: str, command: Command = GET) -> Exchange:
         return self.pool.start_attempt(address, command, 0.5, lambda s, v: self.results.put_nowait((s, v)))
 
-    async def end(self) -> tuple[Status, bytes]:
+    async def next_result(self) -> tuple[Status, bytes]:
         return await self.results.get()
 
 
-def caches(budget: int = 8, idle: float = 60.0, dial: float = 1.0) -> Ends:
-    return Ends(Pool(CacheConnection, budget, dial, idle))
+def cache_attempts(budget: int = 8, idle: float = 60.0, dial: float = 1.0) -> Attempts:
+    return Attempts(Pool(CacheConnection, budget, dial, idle))
 
 
 @pytest.mark.parametrize(
@@ -66,12 +66,12 @@
 def test_answers_of_a_cache_server(answer: bytes, status: Status, value: bytes) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
+            ends = cache_attempts()
             ends.start(peer.address)
             link = await peer.link()
             assert await link.resp() == [b"C.GET", b"k", b"r1", b"c=read,d=500"]
             link.write(answer)
-            assert await ends.end() == (status, value)
+            assert await ends.next_result() == (status, value)
             ends.start(peer.address)  # and the connection is kept
             await link.resp()
             ends.pool.close()
@@ -99,10 +99,10 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            link = await ends.begun(peer)
+            ends = cache_attempts()
+            link = await ends.open_attempt(peer)
             link.write(answer)
-            assert await ends.end() == (Status.ERROR, b"")
+            assert await ends.next_result() == (Status.ERROR, b"")
             assert await link.ended() and not ends.pool.connections
 
     run(scenario)
@@ -117,12 +117,12 @@
     async def scenario() -> None:
         monkeypatch.setattr(connections, "ANSWER_TIMEOUT", 0.02)
         async with Peer() as peer:
-            ends = Ends(Pool(kind, 8, 1.0, 60.0))
+            ends = Attempts(Pool(kind, 8, 1.0, 60.0))
             ends.start(peer.address)
             link = await peer.link()
             await (link.resp() if kind is CacheConnection else link.http())
             link.write(b"*3\r\n$9\r\nvalue\r\n" if kind is CacheConnection else http("200 OK", b"value")[:-1])
-            assert await ends.end() == (Status.ERROR, b"")
+            assert await ends.next_result() == (Status.ERROR, b"")
             assert await link.ended() and not ends.pool.connections
 
     run(scenario)
@@ -133,17 +133,17 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            links = [await ends.begun(peer) for _ in range(2)]
+            ends = cache_attempts()
+            links = [await ends.open_attempt(peer) for _ in range(2)]
             for link in links:
                 link.write(HIT)
-                assert await ends.end() == (Status.OK, b"value")
+                assert await ends.next_result() == (Status.OK, b"value")
             links[1].write(HIT)  # a second copy
             ends.start(peer.address)
             await links[0].resp()
             assert await links[1].ended()
             links[0].write(MISS)
-            assert await ends.end() == (Status.MISS, b"")
+            assert await ends.next_result() == (Status.MISS, b"")
             ends.pool.close()
 
     run(scenario)
@@ -154,10 +154,10 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            link = await ends.begun(peer)
+            ends = cache_attempts()
+            link = await ends.open_attempt(peer)
             link.write(HIT)
-            await ends.end()
+            await ends.next_result()
             ends.pool.start_attempt(peer.address, GET, 0.5, lambda s, v: None, process="another")
             assert await link.ended()
             assert (await (await peer.link()).resp())[2] == b"r1"
@@ -171,10 +171,10 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            link = await ends.begun(peer)
+            ends = cache_attempts()
+            link = await ends.open_attempt(peer)
             link.write(HIT + HIT)
-            assert await ends.end() == (Status.OK, b"value")
+            assert await ends.next_result() == (Status.OK, b"value")
             assert await link.ended() and not ends.pool.idle
 
     run(scenario)
@@ -184,10 +184,10 @@
 def test_a_break_after_the_last_byte_may_have_run(how: str) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            link = await ends.begun(peer)
+            ends = cache_attempts()
+            link = await ends.open_attempt(peer)
             getattr(link, how)()
-            assert await ends.end() == (Status.RESET, b"")
+            assert await ends.next_result() == (Status.RESET, b"")
 
     run(scenario)
 
@@ -197,12 +197,12 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
+            ends = cache_attempts()
             ends.start(peer.address, HUGE)
             link = await peer.link()
             await link.reader.read(1)
             link.reset()
-            assert await ends.end() == (Status.CONNECT_FAILED, b"")
+            assert await ends.next_result() == (Status.CONNECT_FAILED, b"")
 
     run(scenario)
 
@@ -210,12 +210,12 @@
 def test_a_request_written_in_pieces_may_have_run_once_all_are() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
+            ends = cache_attempts()
             ends.start(peer.address, HUGE)
             link = await peer.link()
             assert len(await link.resp()) == 5
             link.reset()
-            assert await ends.end() == (Status.RESET, b"")
+            assert await ends.next_result() == (Status.RESET, b"")
 
     run(scenario)
 
@@ -224,9 +224,9 @@
     async def scenario() -> None:
         async with Peer() as peer:
             address = peer.address
-        ends = caches()
+        ends = cache_attempts()
         ends.start(address)
-        assert await ends.end() == (Status.CONNECT_FAILED, b"")
+        assert await ends.next_result() == (Status.CONNECT_FAILED, b"")
         assert not ends.pool.connections
 
     run(scenario)
@@ -240,9 +240,9 @@
             full.bind(("127.0.0.1", 0))
             full.listen(0)  # room for one, which `first` takes; the next gets no answer
             first.connect(full.getsockname())
-            ends = caches(dial=0.05)
-            ends.start(spelled(full.getsockname()))
-            assert await ends.end() == (Status.CONNECT_FAILED, b"")
+            ends = cache_attempts(dial=0.05)
+            ends.start(format_address(full.getsockname()))
+            assert await ends.next_result() == (Status.CONNECT_FAILED, b"")
 
     run(scenario)
 
@@ -254,19 +254,19 @@
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
-            address = spelled(server.getsockname())
-            ends = caches()
+            address = format_address(server.getsockname())
+            ends = cache_attempts()
             ends.start(address)
             first, _ = await loop.sock_accept(server)
             await loop.sock_recv(first, 4096)
             await loop.sock_sendall(first, HIT)
-            await ends.end()
+            await ends.next_result()
             first.close()  # and the loop has not looked since
             ends.start(address)
             second, _ = await loop.sock_accept(server)
             await loop.sock_recv(second, 4096)
             await loop.sock_sendall(second, MISS)
-            assert await ends.end() == (Status.MISS, b"")
+            assert await ends.next_result() == (Status.MISS, b"")
             second.close()
 
     run(scenario)
@@ -277,10 +277,10 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches(idle=pools.IDLE_MARGIN + 0.01)
-            link = await ends.begun(peer)
+            ends = cache_attempts(idle=pools.IDLE_MARGIN + 0.01)
+            link = await ends.open_attempt(peer)
             link.write(HIT)
-            assert await ends.end() == (Status.OK, b"value")
+            assert await ends.next_result() == (Status.OK, b"value")
             assert await link.ended() and not ends.pool.connections
 
     run(scenario)
@@ -291,7 +291,7 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
+            ends = cache_attempts()
             exchange = ends.start(peer.address)
             link = await peer.link()
             await link.resp()
@@ -304,7 +304,7 @@
 def test_giving_up_while_dialling_sends_nothing() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
+            ends = cache_attempts()
             exchange = ends.start(peer.address)
             exchange.abandon()
             await asyncio.wait(ends.pool.dials)
@@ -324,14 +324,17 @@
 
     async def scenario() -> None:
         async with Peer() as one, Peer() as other:
-            ends = caches(budget=1)
+            ends = cache_attempts(budget=1)
             ends.start(one.address)
             link = await one.link()
             await link.resp()
             ends.start(other.address)
-            assert await ends.end() == (Status.MOOT, b"")  # held against the server, it would lose its keys
+            assert await ends.next_result() == (
+                Status.MOOT,
+                b"",
+            )  # held against the server, it would lose its keys
             link.write(HIT)
-            assert await ends.end() == (Status.OK, b"value")
+            assert await ends.next_result() == (Status.OK, b"value")
             ends.start(other.address)  # an idle one makes room
             assert await link.ended()
             await (await other.link()).resp()
@@ -345,11 +348,11 @@
 
     async def scenario() -> None:
         async with Peer() as one, Peer() as two, Peer() as three:
-            ends = caches(budget=2)
-            first, second = await ends.begun(one), await ends.begun(two)
+            ends = cache_attempts(budget=2)
+            first, second = await ends.open_attempt(one), await ends.open_attempt(two)
             for link in (second, first):
                 link.write(HIT)
-                await ends.end()
+                await ends.next_result()
             ends.start(three.address)
             assert await second.ended() and len(ends.pool.idle) == 1
             ends.pool.close()
@@ -357,7 +360,9 @@
     run(scenario)
 
 
-async def asked(peer: Peer, ends: Ends, command: Command = GET) -> tuple[Link, str, dict[str, str], bytes]:
+async def ask_origin(
+    peer: Peer, ends: Attempts, command: Command = GET
+) -> tuple[Link, str, dict[str, str], bytes]:
     ends.start(peer.address, command)
     link = await peer.link()
     return link, *await link.http()
@@ -386,12 +391,12 @@
 def test_answers_of_the_origin(answer: bytes, status: Status, value: bytes) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = Ends(Pool(OriginConnection, 8, 1.0, 60.0))
-            link, first, headers, _ = await asked(peer, ends)
+            ends = Attempts(Pool(OriginConnection, 8, 1.0, 60.0))
+            link, first, headers, _ = await ask_origin(peer, ends)
             assert first == "GET /k HTTP/1.1"
             assert (headers["request-id"], headers["request-info"]) == ("r1", "c=read,d=500")
             link.write(answer)
-            assert await ends.end() == (status, value)
+            assert await ends.next_result() == (status, value)
             ends.start(peer.address)  # and the connection is kept
             await link.http()
             ends.pool.close()
@@ -414,11 +419,11 @@
 def test_malformed_and_broken_answers_of_the_origin(answer: bytes, status: Status) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = Ends(Pool(OriginConnection, 8, 1.0, 60.0))
-            link, *_ = await asked(peer, ends)
+            ends = Attempts(Pool(OriginConnection, 8, 1.0, 60.0))
+            link, *_ = await ask_origin(peer, ends)
             link.write(answer)
             link.close()
-            assert (await ends.end())[0] is status
+            assert (await ends.next_result())[0] is status
             assert await link.ended() and not ends.pool.idle
 
     run(scenario)
@@ -430,9 +435,9 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = Ends(Pool(OriginConnection, 8, 1.0, 60.0))
+            ends = Attempts(Pool(OriginConnection, 8, 1.0, 60.0))
             put = Command(b"C.SET", key, b"r1", {"d": "900"}, 900, b"slot")
-            _, first, _, body = await asked(peer, ends, put)
+            _, first, _, body = await ask_origin(peer, ends, put)
             method, path, _ = first.split(" ")
             assert method == "PUT" and body == b"slot"
             assert not set(path[1:]) & set("/?# ") and path == "/" + "".join(
@@ -448,9 +453,9 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = Ends(Pool(OriginConnection, 8, 1.0, 60.0))
+            ends = Attempts(Pool(OriginConnection, 8, 1.0, 60.0))
             ends.start(peer.address, Command(b"C.GET", b"k", b"r1", {"x": "a\r\nb", "d": "9"}, 9))
-            assert await ends.end() == (Status.CONNECT_FAILED, b"")
+            assert await ends.next_result() == (Status.CONNECT_FAILED, b"")
             assert await (await peer.link()).ended() and not ends.pool.connections
 
     run(scenario)
@@ -460,7 +465,7 @@
     """Thousands of cancelled attempts each dialled anew, and handshakes took what the servers had left."""
 
     async def scenario() -> None:
-        ends = caches(budget=64)
+        ends = cache_attempts(budget=64)
         async with Peer() as peer:
             for _ in range(pools.MAX_DIALS_PER_ADDRESS + 5):
                 ends.start(peer.address)
@@ -470,7 +475,7 @@
                 assert (await link.resp())[2] == b"r1"
                 link.write(HIT)
             for _ in range(pools.MAX_DIALS_PER_ADDRESS + 5):
-                assert await ends.end() == (Status.OK, b"value")
+                assert await ends.next_result() == (Status.OK, b"value")
             assert not ends.pool.wait_queues and not ends.pool.dial_counts
         ends.pool.close()
 
@@ -479,14 +484,14 @@
 
 def test_what_waits_behind_a_refused_dial_ends_with_it() -> None:
     async def scenario() -> None:
-        ends = caches(budget=64)
+        ends = cache_attempts(budget=64)
         async with Peer() as peer:
             address = peer.address
         for _ in range(pools.MAX_DIALS_PER_ADDRESS + 5):
             ends.start(address)
         ends.start(address).abandon()
         for _ in range(pools.MAX_DIALS_PER_ADDRESS + 5):
-            assert (await ends.end())[0] is Status.CONNECT_FAILED
+            assert (await ends.next_result())[0] is Status.CONNECT_FAILED
         await asyncio.sleep(0)
         assert not ends.pool.wait_queues and not ends.pool.dial_counts and ends.results.empty()
 
@@ -529,8 +534,8 @@
 def test_only_an_end_in_good_order_ends_an_answer_without_a_length(head: bytes, end: str) -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = Ends(Pool(OriginConnection, 8, 1.0, 60.0))
-            link, *_ = await asked(peer, ends)
+            ends = Attempts(Pool(OriginConnection, 8, 1.0, 60.0))
+            link, *_ = await ask_origin(peer, ends)
             link.write(head + b"value")
             (connection,) = ends.pool.connections
             while not connection.answer_timer:  # it has come
@@ -540,7 +545,7 @@
             elif end == "by a reset":
                 link.reset()
             status = {"in good order": Status.OK, "by a reset": Status.RESET, "not at all": Status.ERROR}[end]
-            assert await ends.end() == (status, b"value" if status is Status.OK else b"")
+            assert await ends.next_result() == (status, b"value" if status is Status.OK else b"")
             assert not ends.pool.idle
 
     run(scenario)
@@ -589,16 +594,16 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            link = await ends.begun(peer)
+            ends = cache_attempts()
+            link = await ends.open_attempt(peer)
             link.write(HIT)
-            assert await ends.end() == (Status.OK, b"value")
+            assert await ends.next_result() == (Status.OK, b"value")
             (connection,) = ends.pool.idle
             connection.transport = Crossing(connection, link, stale)
             ends.start(peer.address)
             assert (await link.resp())[2] == b"r1"
             link.write(answer)
-            status, value = await ends.end()
+            status, value = await ends.next_result()
             assert status is Status.ERROR and not value
             if answer.startswith(b"*"):  # else what was spoilt is one line, and the next is whole
                 assert not ends.pool.idle and await link.ended()
@@ -612,10 +617,10 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches()
-            link = await ends.begun(peer)
+            ends = cache_attempts()
+            link = await ends.open_attempt(peer)
             link.write(HIT)
-            assert await ends.end() == (Status.OK, b"value")
+            assert await ends.next_result() == (Status.OK, b"value")
             own = link.writer.get_extra_info("socket")
             with socket.socket(fileno=socket.dup(own.fileno())) as end:
                 if stale:
@@ -626,7 +631,7 @@
             other = await peer.link()
             assert (await other.resp())[2] == b"r1"
             other.write(HIT.replace(b"value", b"other"))
-            assert await ends.end() == (Status.OK, b"other")
+            assert await ends.next_result() == (Status.OK, b"other")
             assert await link.ended()
 
     run(scenario)
@@ -637,10 +642,10 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = caches(idle=600.0)
-            link = await ends.begun(peer)
+            ends = cache_attempts(idle=600.0)
+            link = await ends.open_attempt(peer)
             link.write(HIT)
-            assert await ends.end() == (Status.OK, b"value")
+            assert await ends.next_result() == (Status.OK, b"value")
             assert ends.pool.idle
             ends.pool.set_timeouts(1.0, pools.IDLE_MARGIN + 0.01)
             assert await link.ended() and not ends.pool.idle
@@ -655,11 +660,11 @@
 
     async def scenario() -> None:
         async with Peer() as peer:
-            ends = Ends(Pool(OriginConnection, 8, 1.0, 60.0))
-            link, *_ = await asked(peer, ends)
+            ends = Attempts(Pool(OriginConnection, 8, 1.0, 60.0))
+            link, *_ = await ask_origin(peer, ends)
             more = [close] if close else []
             link.write(http("503 Busy", b"", "Not-Started: 1", *more) + behind)
-            assert (await ends.end())[0] is (Status.ERROR if behind else Status.FULL)
+            assert (await ends.next_result())[0] is (Status.ERROR if behind else Status.FULL)
             ends.pool.close()
 
     run(scenario)
--- a/tests/test_request_log.py
+++ b/tests/test_request_log.py
@@ -19,7 +19,7 @@
     return caplog
 
 
-def told(lines: pytest.LogCaptureFixture, request: str) -> list[str]:
+def events_of(lines: pytest.LogCaptureFixture, request: str) -> list[str]:
     """What is told of a request, in its order: events, each with its reason or status."""
     found = []
     for record in lines.records:
@@ -35,7 +35,7 @@
 def test_a_miss_is_followed_from_its_arrival_to_its_answer(lines: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.open_request()
             cache.write(MISS)
             origin = await router.origin.link()
             await origin.http()
@@ -43,26 +43,33 @@
             assert await client.resp() == b"value"
 
     run(scenario)
-    assert told(lines, "r1") == ["taken", "sent first", "ended miss", "sent origin", "answered", "ended ok"]
+    assert events_of(lines, "r1") == [
+        "taken",
+        "sent first",
+        "ended miss",
+        "sent origin",
+        "answered",
+        "ended ok",
+    ]
 
 
 def test_refusals_and_closes_tell_why(lines: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun(info="c=read,t=x,d=150")
+            client, cache = await router.open_request(info="c=read,t=x,d=150")
             await client.resp()
             client.write(read("r2", info="c=read,t=x,d=0"))
             await client.resp()
-            gone, other = await router.begun("r3")
+            gone, other = await router.open_request("r3")
             gone.reset()
             await until(lambda: "r3" not in router.host.requests)
             other.write(HIT)
             await asyncio.sleep(0)
 
     run(scenario)
-    assert "ended timeout" in told(lines, "r1")
-    assert told(lines, "r2")[-1] == "answered no-time"
-    assert "client-gone" in told(lines, "r3")
+    assert "ended timeout" in events_of(lines, "r1")
+    assert events_of(lines, "r2")[-1] == "answered no-time"
+    assert "client-gone" in events_of(lines, "r3")
     closes = [r.getMessage() for r in lines.records if "event=closed" in r.getMessage()]
     assert any(CloseReason.ABANDONED.value in line and "peer=server" in line for line in closes)
 
@@ -72,7 +79,7 @@
 
     async def scenario() -> None:
         async with Router() as router:
-            client, cache = await router.begun()
+            client, cache = await router.open_request()
             cache.write(HIT)
             assert await client.resp() == b"value"
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -20,9 +20,9 @@
 from myrtlecourse.config import read_config
 from myrtlecourse.net.pool import parse_address
 from myrtlecourse.service import Service
-from tests.loopback import HIT, PATIENCE, Link, Peer, command, http, read, run, spelled
+from tests.loopback import HIT, TIMEOUT, Link, Peer, command, format_address, http, read, run
 from tests.test_main import GOOD
-from tests.test_net_discovery import LINE
+from tests.test_net_discovery import ENTRY
 from tests.test_wirehost import CONF
 
 pytestmark = pytest.mark.processes
@@ -89,13 +89,13 @@
 
     def config(self, **settings: Any) -> dict[str, Any]:
         lines = [
-            {**LINE, "name": n, "address": p.address, "type": "std", "since_ms": 0}
+            {**ENTRY, "name": n, "address": p.address, "type": "std", "since_ms": 0}
             for n, p in self.caches.items()
         ]
         self.list = {"index": 1, "snapshot": True, "endpoints": lines}
         return {
             **GOOD,
-            "listen": spelled(self.socket.getsockname()) if self.inherit else "127.0.0.1:0",
+            "listen": format_address(self.socket.getsockname()) if self.inherit else "127.0.0.1:0",
             "ops": "127.0.0.1:0",
             "discovery": self.discovery.address,
             "settings": {**CONF, "rules": RULES, "membershipMode": "automatic", **settings},
@@ -264,7 +264,7 @@
             assert await ping(client) and await ask(client, "r", "k") == b"value"
             assert (await router.call("PUT", "out-of-service"))[0] == 200
             router.process.send_signal(signal.SIGTERM)
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT):
                 assert await router.process.wait() == 0
             assert await client.ended()
 
@@ -318,7 +318,7 @@
             assert await ask(other, "late", "k") == b"value"  # it was under way
             here.slow["open"].set()
             assert await client.resp() == b"value"
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT):
                 while str(await ask(other, f"gone{os.urandom(4).hex()}", "k")) != "ERR class is unknown":
                     await asyncio.sleep(0.05)
             assert await ask(other, "still", "k", "c=new,t=x,d=2000") == b"value"
@@ -405,7 +405,7 @@
                 clients = [asyncio.create_task(load.one(n)) for n in range(8, 11)]
             else:
                 old.process.send_signal(signal.SIGTERM)
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT):
                 code = await old.process.wait()
             assert code == (0 if how == "asked to end" else -signal.SIGKILL)
             asked = load.asked
@@ -430,7 +430,7 @@
             third = await here.start()
             for ended in (first, second):
                 ended.process.send_signal(signal.SIGTERM)
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TIMEOUT):
                     assert await ended.process.wait() == 0
             assert not await ping(await here.client())
             assert (await third.call("PUT", "in-service"))[0] == 200
@@ -556,7 +556,7 @@
         (tmp_path / "key").write_bytes(b"of tests, sixteen bytes and more")
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as found:
             found.bind(("127.0.0.1", 0))
-            at = spelled(found.getsockname())
+            at = format_address(found.getsockname())
         file = tmp_path / "operators.toml"
         file.write_text(
             f'[duties]\nname = "a"\npeers = [{{name = "a", at = "{at}"}}]\nvoters = ["a"]\n'
@@ -574,7 +574,7 @@
             os.kill(pid, 0)  # it is still being left
             os.kill(pid, signal.SIGKILL)
 
-    run(scenario, patience=3 * PATIENCE)
+    run(scenario, patience=3 * TIMEOUT)
 
 
 def test_a_reload_that_is_at_fault_leaves_the_router_open_to_the_next(tmp_path: Path) -> None:
