--- a/myrtlecourse/net/connection.py
+++ b/myrtlecourse/net/connection.py
@@ -88,7 +88,7 @@
         server recognises a repeated request may have ended.
         """
         if self.open and self.receiver is not None and not self.receiver.may_start():
-            self.finish(Status.MOOT)
+            self.finish(Status.NOT_SENT)
         if self.open and self.receiver is not None:
             self.time_left = self.receiver.time_left()
         return self.open
--- a/myrtlecourse/net/discovery.py
+++ b/myrtlecourse/net/discovery.py
@@ -68,7 +68,7 @@
         zone=required_field(entry, "zone", str, path),
         cell=required_field(entry, "group", int, path),
         weight=max(0.0, required_field(entry, "weight", (int, float), path)),
-        since=required_field(entry, "since_ms", (int, float), path) / 1000,  # Unix time in seconds
+        listed_start=required_field(entry, "since_ms", (int, float), path) / 1000,  # Unix time in seconds
     )
     return Member(server_entry, address)
 
--- a/myrtlecourse/net/host.py
+++ b/myrtlecourse/net/host.py
@@ -56,7 +56,7 @@
         servers: Pool,
         origin: Pool,
         subscribe: Callable[[], None],
-        admission: api.Door | None = None,
+        admission: api.AdmissionControl | None = None,
     ) -> None:
         self.settings = settings
         self.servers = servers
@@ -112,11 +112,11 @@
                 self._answer(action.request, FAILED_ANSWER, action.reason)
             case api.Cancel():
                 self._cancel_attempt(action)
-            case api.Close():
+            case api.CloseIdle():
                 if (member := self.members.get(action.server)) is not None:
                     self._pool_of(member).close_idle(member.address)
             case api.SetTimer():
-                self.timers.call_later(action.delay, self.post, api.TimerFired(action.token))
+                self.timers.call_later(action.delay, self.post, api.TimerFired(action.timer))
             case api.Subscribe():
                 self.subscribe()
             case api.Log():
@@ -136,7 +136,7 @@
 
     def discovery_moved(self) -> None:
         """Handle that the list comes from another discovery from now on."""
-        self.post(api.ListMoved())
+        self.post(api.DiscoveryChanged())
 
     def discovery_failed(self) -> None:
         self.post(api.ServerList(api.ListKind.FAILED))
@@ -199,7 +199,7 @@
         entry = member.entry
         if not self.clock.stepped:
             return entry
-        return replace(entry, started=self.clock.start_on_this_clock(entry.since))
+        return replace(entry, local_start=self.clock.start_on_this_clock(entry.listed_start))
 
     def check_wall_clock(self) -> None:
         """Detect a step of the wall clock, to which the start times of servers refer."""
@@ -223,7 +223,7 @@
     def take_offline(self, server: str) -> None:
         """Start no new attempts at a cache server; its open attempts finish there."""
         self.offline_servers.add(server)
-        self.post(api.Offline(server))
+        self.post(api.ServerBanned(server))
         if (member := self.members.get(server)) is not None:
             self._pool_of(member).stop_using(member.address)
 
@@ -232,16 +232,16 @@
         if (member := self.members.get(server)) is not None:
             self._pool_of(member).stop_using(member.address)
         self.offline_servers.discard(server)
-        self.post(api.Online(server, self.clock.start_on_this_clock(since)))
+        self.post(api.BanLifted(server, self.clock.start_on_this_clock(since)))
 
     def change_settings(self, settings: api.Settings) -> None:
         """Apply new settings; open requests finish under the settings that they began with."""
         self.settings = settings
         for pool in (self.servers, self.origin):
             pool.set_timeouts(settings.dial_timeout, settings.connection_idle)
-        self.post(api.Retuned(settings))
+        self.post(api.SettingsChanged(settings))
 
-    def set_watch(self, watch: api.Watch) -> None:
+    def set_watch(self, watch: api.ReachabilityObserver) -> None:
         """Report to `watch` what attempts prove, and the zones in the list."""
         self.router.watch = watch
         self._report_zones()
@@ -249,10 +249,10 @@
     def _report_zones(self) -> None:
         if self.router.watch is not None:
             zones = (m.entry.zone for m in self.members.values() if not self._is_origin(m))
-            self.router.watch.listed(Counter(zones))
+            self.router.watch.servers_listed(Counter(zones))
 
     def _is_origin(self, member: Member) -> bool:
-        return self.settings.aside and member.entry.kind == self.settings.origin_kind
+        return self.settings.cache_aside and member.entry.kind == self.settings.origin_kind
 
     def _pool_of(self, member: Member) -> Pool:
         return self.origin if self._is_origin(member) else self.servers
@@ -400,7 +400,7 @@
 
     def _refuse(self, action: api.Refuse) -> None:
         """Refuse a request, with the time after which to retry if the decision module gives one."""
-        self._answer(action.request, busy_answer(action.come_back), action.reason)
+        self._answer(action.request, busy_answer(action.retry_after), action.reason)
 
     # Attempts
 
@@ -410,7 +410,7 @@
             log.error("attempt requested for %s, which is no longer known", action.request)
             return
         now = self.clock.now()
-        attempt = Attempt(self, request, now, action.server, action.within)
+        attempt = Attempt(self, request, now, action.server, action.write_by)
         request.attempts_started += 1
         request.open_attempts[attempt.number] = attempt
         ended = request.closed or request.deadline_passed or attempt.number >= request.settings.max_attempts
@@ -422,7 +422,9 @@
             )
         if ended or member is None or not request.answer_sink.client_connected():
             failed = not ended and member is None
-            self.finish_attempt(request, attempt, api.Status.CONNECT_FAILED if failed else api.Status.MOOT)
+            self.finish_attempt(
+                request, attempt, api.Status.CONNECT_FAILED if failed else api.Status.NOT_SENT
+            )
             return
         time_left = request.deadline - now
         if action.timeout is not None and action.timeout < time_left:
--- a/myrtlecourse/net/list_updates.py
+++ b/myrtlecourse/net/list_updates.py
@@ -41,7 +41,7 @@
     """Return the entry of a server that a full list no longer names."""
     entry = member.entry
     gone = api.ServerEntry(
-        entry.server, api.State.GONE, entry.kind, entry.zone, entry.cell, entry.weight, entry.since
+        entry.server, api.State.GONE, entry.kind, entry.zone, entry.cell, entry.weight, entry.listed_start
     )
     return Member(gone, member.address)
 
--- a/myrtlecourse/net/members.py
+++ b/myrtlecourse/net/members.py
@@ -17,4 +17,4 @@
     @property
     def process(self) -> tuple[str, float]:
         """The identity of the process: differs between servers at one address, and after a restart."""
-        return self.entry.server, self.entry.since
+        return self.entry.server, self.entry.listed_start
--- a/myrtlecourse/net/pool.py
+++ b/myrtlecourse/net/pool.py
@@ -96,7 +96,7 @@
     def _start_dial(self, address: str, process: object, exchange: Exchange) -> None:
         if not self._has_room():
             # without descriptors, no new clients could be accepted either; this is not the server's fault
-            exchange.finish(Status.MOOT)
+            exchange.finish(Status.NOT_SENT)
             return
         dial = asyncio.create_task(self._dial(address, process, exchange))
         self.dial_counts[address] = self.dial_counts.get(address, 0) + 1
@@ -145,7 +145,7 @@
         except OSError as e:  # including a timeout
             # if connected, the request may have been sent, and the end of the connection decides its outcome
             if not connection.connected:
-                status = Status.MOOT if e.errno in LOCAL_SHORTAGE_ERRORS else Status.CONNECT_FAILED
+                status = Status.NOT_SENT if e.errno in LOCAL_SHORTAGE_ERRORS else Status.CONNECT_FAILED
                 self._fail_waiting(address, status)
                 exchange.finish(status)
         finally:
@@ -235,7 +235,7 @@
     def stop_using(self, address: str) -> None:
         """Close the idle connections to an address and cancel the exchanges that wait for one."""
         self.close_idle(address)
-        self._fail_waiting(address, Status.MOOT)
+        self._fail_waiting(address, Status.NOT_SENT)
 
     def close(self) -> None:
         """Close all connections and cancel all dials."""
--- a/tests/test_net_pool.py
+++ b/tests/test_net_pool.py
@@ -330,7 +330,7 @@
             await link.resp()
             ends.start(other.address)
             assert await ends.next_result() == (
-                Status.MOOT,
+                Status.NOT_SENT,
                 b"",
             )  # held against the server, it would lose its keys
             link.write(HIT)
