--- a/myrtlecourse/net/host.py
+++ b/myrtlecourse/net/host.py
@@ -263,7 +263,7 @@
         """Refuse from now on requests whose deadline is more than `seconds` away."""
         self.answer_deadline = self.clock.now() + seconds
 
-    def refuse_early(self, info: bytes, waited: float) -> bytes | None:
+    def refuse_early(self, info: bytes, read_delay: float) -> bytes | None:
         """Return the refusal of a command that need not be parsed, or None; `info` is as its client sent it.
 
         What can't be recognised here is left to the full parser.
@@ -271,7 +271,7 @@
         if self.router.door is None and self.router.wanted and self.answer_deadline == math.inf:
             return None
         request_class = tenant = ""
-        repeated = keyed = False
+        is_retry = has_idempotency_key = False
         time_left = math.inf
         for pair in info.split(b","):
             name = pair[:2]
@@ -280,23 +280,25 @@
             elif name == b"t=":
                 tenant = pair[2:].decode("latin-1")
             elif name == b"d=" and pair[2:].isdigit() and len(pair) <= MAX_DIGITS:
-                time_left = int(pair[2:]) / 1000 - DEADLINE_MARGIN - waited
+                time_left = int(pair[2:]) / 1000 - DEADLINE_MARGIN - read_delay
             elif name == b"k=":
-                keyed = True
+                has_idempotency_key = True
             elif pair == b"r=1":
-                repeated = True
+                is_retry = True
         if request_class not in self.settings.classes:
             return None
         now = self.clock.now()
         if math.inf > now + time_left > self.answer_deadline:
             return busy_answer(0.0)
-        pause = self.router.turn_away(now, request_class, tenant, repeated, keyed, time_left, waited)
+        pause = self.router.turn_away(
+            now, request_class, tenant, is_retry, has_idempotency_key, time_left, read_delay
+        )
         return None if pause is None else busy_answer(pause)
 
-    def accept(self, command: Command, answer_sink: AnswerSink, waited: float = 0.0) -> None:
+    def accept(self, command: Command, answer_sink: AnswerSink, read_delay: float = 0.0) -> None:
         """Accept a request, whose single answer goes to `answer_sink`.
 
-        The request has lain unread for `waited` seconds, which count against its deadline.
+        The request has lain unread for `read_delay` seconds, which count against its deadline.
 
         Raises:
             CommandError: the request can't be accepted.
@@ -312,7 +314,7 @@
         # prevents a second effect: servers recognise a repeated request by its idempotency key
         if request_class.effect is api.Effect.KEYED and not command.info.get("k"):
             raise CommandError("k is missing")
-        time_left = max(0.0, command.deadline_ms / 1000 - DEADLINE_MARGIN - waited)
+        time_left = max(0.0, command.deadline_ms / 1000 - DEADLINE_MARGIN - read_delay)
         deadline = self.clock.now() + time_left
         request = self.requests[request_id] = RequestInFlight(
             request_id, command, self.settings, deadline, answer_sink
@@ -320,7 +322,7 @@
         request.deadline_timer = self.timers.call_later(time_left, self._on_deadline, request_id)
         if self.request_log.enabled:
             self.request_log.event(
-                request_id, "taken", request_class=request_class.name, left=time_left, waited=waited
+                request_id, "taken", request_class=request_class.name, left=time_left, waited=read_delay
             )
         hint = command.info.get("h", "")
         event = api.Request(
@@ -331,7 +333,7 @@
             # a longer number could be too large for a float
             int(hint) / 1e6 if hint.isdigit() and len(hint) <= MAX_DIGITS else None,
             command.is_write,
-            waited,
+            read_delay,
         )
         self.post(event)
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback: a test takes what the router sent and says what goes back."""
+"""Scripted peers on loopback: a test receives what the router sends and decides what is answered."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from myrtlecourse.net.pool import Pool
 from myrtlecourse.net.servers import CacheConnection
 
-new_event_loop = asyncio.new_event_loop  # which the tests are run on
+new_event_loop = asyncio.new_event_loop  # the event loop that tests run on
 needs_sources = pytest.mark.skipif(
     not str(policy.__file__).endswith(".py"), reason="replaces a method, which compiled classes don't allow"
 )
-TIMEOUT = 10.0  # seconds until a test that waits for an event fails
+TIMEOUT = 10.0  # seconds after which a test that waits for an event fails
 HIT = b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
 READ = api.RequestClass("read", aim=1.0)
@@ -44,24 +44,24 @@
 def run(
     scenario: Callable[[], Awaitable[None]],
     make_loop: Callable[[], asyncio.AbstractEventLoop] | None = None,
-    patience: float = TIMEOUT,
+    timeout: float = TIMEOUT,
 ) -> None:
-    """Play a test to its end; it fails when it waits for what never comes, or a callback raises."""
-    faults: list[dict[str, Any]] = []
+    """Run a test; it fails on a timeout, or if a callback raises an exception."""
+    errors: list[dict[str, Any]] = []
 
-    async def bounded() -> None:
-        asyncio.get_running_loop().set_exception_handler(lambda _, fault: faults.append(fault))
-        async with asyncio.timeout(patience):
+    async def with_timeout() -> None:
+        asyncio.get_running_loop().set_exception_handler(lambda _, error: errors.append(error))
+        async with asyncio.timeout(timeout):
             await scenario()
 
     with asyncio.Runner(loop_factory=make_loop or new_event_loop) as runner:
-        runner.run(bounded())
-    assert not faults, faults
+        runner.run(with_timeout())
+    assert not errors, errors
 
 
-async def until(true: Callable[[], bool]) -> None:
-    """Wait for what other turns of the event loop bring about."""
-    while not true():
+async def until(condition: Callable[[], bool]) -> None:
+    """Wait until a condition is true, polling it between iterations of the event loop."""
+    while not condition():
         await asyncio.sleep(0.001)
 
 
@@ -87,7 +87,7 @@
 
 
 class Link:
-    """One connection, seen from the test's end."""
+    """The test's end of a connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -98,7 +98,7 @@
         self.writer.write(data)
 
     async def resp(self) -> Any:
-        """The next RESP message."""
+        """Receive the next RESP message."""
         while (message := self.parser.gets()) is Ellipsis:
             data = await self.reader.read(65536)
             assert data, "the connection ended"
@@ -106,13 +106,13 @@
         return message
 
     async def http(self) -> tuple[str, dict[str, str], bytes]:
-        """The next HTTP request: its first line, headers and body."""
+        """Receive the next HTTP request; return its first line, headers and body."""
         first, *rest = (await self.reader.readuntil(b"\r\n\r\n")).decode().strip().split("\r\n")
         headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in rest)}
         return first, headers, await self.reader.readexactly(int(headers.get("content-length", 0)))
 
     async def ended(self) -> bool:
-        """Wait for the other side to close."""
+        """Wait for the other side to close; return False if it sends bytes before that."""
         try:
             return await self.reader.read() == b""
         except ConnectionResetError:
@@ -122,14 +122,14 @@
         self.writer.close()
 
     def reset(self) -> None:
-        """End with a reset."""
+        """Close with a reset."""
         peer = self.writer.get_extra_info("socket")
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
 
 class Peer:
-    """A server whose every connection the test takes in hand."""
+    """A server whose connections are handed to the test."""
 
     def __init__(self) -> None:
         self.links: asyncio.Queue[Link] = asyncio.Queue()
@@ -148,12 +148,12 @@
         self.links.put_nowait(Link(reader, writer))
 
     async def link(self) -> Link:
-        """The next connection made to it."""
+        """Return the next connection made to the server."""
         return await self.links.get()
 
 
 class DelayedDials:
-    """Holds a router's connections to caches back just before they are made, until they are released."""
+    """Delays a router's connections to caches just before they are made, until they are released."""
 
     def __init__(self, router: Router) -> None:
         self.names = {peer.address: name for name, peer in router.caches.items()}
@@ -183,11 +183,11 @@
         return await self.create_connection(factory, host, port, **more)
 
     async def next_dial(self) -> str:
-        """Wait for the next dial, and say to which cache it is."""
+        """Wait for the next dial and return the name of its cache."""
         return await self.held.get()
 
     def release(self) -> None:
-        """Let all go on, from now on."""
+        """Release the held dials, and delay no further ones."""
         self.released.set()
 
 
@@ -203,7 +203,7 @@
         settings: api.Settings = SETTINGS,
         listed: bool = True,
         clients: int = 16,
-        door: api.AdmissionControl | None = None,
+        admission: api.AdmissionControl | None = None,
         connections: int = 16,
     ) -> None:
         self.listed = listed
@@ -212,7 +212,7 @@
         self.origin = Peer()
         self.servers = Pool(CacheConnection, connections, 1.0, 60.0)
         self.origins = Pool(OriginConnection, connections, 1.0, 60.0)
-        self.host = Host(settings, 1, self.servers, self.origins, self._subscribe, door)
+        self.host = Host(settings, 1, self.servers, self.origins, self._subscribe, admission)
         self.listener = Listener(self.host, clients)
 
     def _subscribe(self) -> None:
@@ -239,7 +239,7 @@
             await peer.__aexit__(kind, error, trace)
 
     async def stop(self) -> None:
-        """End it; may be called before its own end."""
+        """Stop the router; may be called more than once."""
         for connection in list(self.listener.connections):
             connection.transport.abort()
         await self.listener.stop(0.0, 1.0)
@@ -247,11 +247,11 @@
         self.origins.close()
 
     async def client(self) -> Link:
-        """A new client's connection."""
+        """Connect a new client."""
         return Link(*await asyncio.open_connection(*self.listener.socket.getsockname()))
 
     async def cache(self) -> Link:
-        """The next connection to either cache."""
+        """Return the next connection to either cache."""
         waits = [asyncio.create_task(p.link()) for p in self.caches.values()]
         done, others = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         for other in others:
@@ -259,7 +259,7 @@
         return done.pop().result()
 
     async def open_request(self, request: str = "r1", info: str = "c=read,t=x,d=2000") -> tuple[Link, Link]:
-        """A client's read that a cache has in hand: the ends of both."""
+        """Send a read; return the client's end and the end of the cache that has received it."""
         client = await self.client()
         client.write(read(request, info=info))
         cache = await self.cache()
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""The wall clock is stepped: spans go on evenly, and no server is taken for warmer than it is."""
+"""When the wall clock is stepped, durations stay right, and no server is taken for warmer than it is."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
     """A machine's two clocks."""
 
     def __init__(self) -> None:
-        self.steady = 50.0
+        self.monotonic = 50.0
         self.offset = 1_790_000_000.0
 
-    def wall(self) -> float:
-        return self.offset + self.steady
+    def wall_time(self) -> float:
+        return self.offset + self.monotonic
 
     def clock(self) -> Clock:
-        return Clock(self.wall, lambda: self.steady)
+        return Clock(self.wall_time, lambda: self.monotonic)
 
 
 steps = st.lists(
@@ -34,17 +34,19 @@
 ) -> None:
     machine = Machine()
     clock = machine.clock()
-    began = clock.now()
-    starts = [(clock.now() - before, machine.wall() - before)]  # on the clock, and as its machine tells it
+    start = clock.now()
+    starts = [
+        (clock.now() - before, machine.wall_time() - before)
+    ]  # on the clock, and as its machine reports it
     passed = 0.0
     for seconds, step in changes:
-        machine.steady += seconds
+        machine.monotonic += seconds
         passed += seconds
-        starts.append((clock.now(), machine.wall()))
+        starts.append((clock.now(), machine.wall_time()))
         machine.offset += step
         assert abs(clock.detect_step() - step) < MIN_STEP
-        starts.append((clock.now(), machine.wall()))
-    assert abs(clock.now() - began - passed) < 1e-5
+        starts.append((clock.now(), machine.wall_time()))
+    assert abs(clock.now() - start - passed) < 1e-5
     for started, since in starts:
         assert started - 1e-3 <= clock.start_on_this_clock(since) <= clock.now() + 1e-6
 
@@ -52,8 +54,8 @@
 def test_without_a_step_a_start_is_what_is_told() -> None:
     machine = Machine()
     clock = machine.clock()
-    machine.steady += 30.0
+    machine.monotonic += 30.0
     assert clock.detect_step() == 0.0 and not clock.stepped
-    assert abs(clock.start_on_this_clock(machine.wall() - 7.0) - (clock.now() - 7.0)) < 1e-6
+    assert abs(clock.start_on_this_clock(machine.wall_time() - 7.0) - (clock.now() - 7.0)) < 1e-6
     assert clock.start_on_this_clock(0.0) == 0.0
-    assert clock.start_on_this_clock(machine.wall() + 9.0) == clock.now()
+    assert clock.start_on_this_clock(machine.wall_time() + 9.0) == clock.now()
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -1,7 +1,7 @@
-"""Lists of thousands of cache servers that change under load: no request waits for them (issue 48).
+"""Lists of thousands of cache servers change under load without delaying any request.
 
-A real router, on a share of a core that is dealt out by signals, before silent cache servers: each request
-ends at its deadline or not at all. Discovery tells of changes to hundreds of servers, one after another.
+A router process, limited to a share of a core by stop and continue signals, has silent cache servers, so that
+each request ends at its deadline or not at all. Discovery sends several changes of hundreds of servers.
 """
 
 from __future__ import annotations
@@ -26,43 +26,43 @@
 from tests.test_net_discovery import ENTRY
 from tests.test_wirehost import CONF
 
-LISTED = 3200  # cache servers: sixteen times the usual fleet
-ADDRESSES = 8  # at which all of them listen
+LISTED = 3200  # cache servers, sixteen times as many as usual
+ADDRESSES = 8  # at which the cache servers listen
 CHANGED = 400  # servers that each change replaces
 CHANGES = 6
 PAUSE = 0.7  # seconds between changes
 DEADLINE = 0.6  # seconds that a client waits
 EVERY = 0.02  # seconds between requests
-SHARE = 0.3  # of a core that the router gets
-CYCLE = 0.02  # seconds in which it gets it
-LOST = 0.5  # seconds after its deadline at which an unanswered request is lost (the standing test)
-SLACK = 0.15  # seconds that a server may be told over what is left to the client (the same)
+SHARE = 0.3  # of a core for the router
+CYCLE = 0.02  # seconds, in each of which the router gets its share
+LOST = 0.5  # seconds after its deadline at which an unanswered request counts as lost
+SLACK = 0.15  # seconds by which the time left that a server gets may exceed the client's
 PATIENCE = 60.0
 pytestmark = pytest.mark.processes
 
 
 @dataclass
 class SentRequest:
-    """One request, by the client's clock and the servers'."""
+    """A request as observed by its client and the servers."""
 
     sent_at: float
     answered_at: float | None = None
-    server_deadlines: list[float] = field(default_factory=list)  # when servers would stop waiting
+    server_deadlines: list[float] = field(default_factory=list)  # the deadlines that servers were given
 
 
 class LargeFleet:
-    """Silent cache servers under thousands of names, discovery, and the clients' record."""
+    """Silent cache servers under thousands of names, discovery, and the record of the clients' requests."""
 
     def __init__(self) -> None:
         self.peers = [Peer() for _ in range(ADDRESSES)]
         self.discovery = Peer()
         self.requests: dict[str, SentRequest] = {}
         self.index = 1
-        self.changes: list[bytes] = []  # that discovery has told, the latest last
+        self.changes: list[bytes] = []  # sent by discovery, the latest last
         self.changed = asyncio.Event()
         self.names = [f"s-{n:04}" for n in range(LISTED)]
         self.tasks: set[asyncio.Task[None]] = set()
-        self.idle_links: list[Link] = []  # clients' connections on which nothing is owed
+        self.idle_links: list[Link] = []  # clients' connections without an open request
 
     def start(self, work: Any) -> None:
         task = asyncio.ensure_future(work)
@@ -70,14 +70,14 @@
 
     def entry(self, name: str, status: str = "in_service", since_ms: int = 0) -> dict[str, Any]:
         address = self.peers[int(name.rpartition("-")[2]) % ADDRESSES].address
-        told = {"name": name, "address": address, "type": "std", "status": status, "since_ms": since_ms}
-        return {**ENTRY, **told, "weight": 1.0 + 0.1 * (int(name[-4:]) % 7)}
+        fields = {"name": name, "address": address, "type": "std", "status": status, "since_ms": since_ms}
+        return {**ENTRY, **fields, "weight": 1.0 + 0.1 * (int(name[-4:]) % 7)}
 
     def full_list(self) -> dict[str, Any]:
         return {"index": self.index, "snapshot": True, "endpoints": [self.entry(n) for n in self.names]}
 
     def replace(self, number: int) -> None:
-        """A change: some servers leave the list, and as many new ones join it."""
+        """Change the list: some servers leave, and as many new ones join."""
         ends = [self.names.pop(0) for _ in range(CHANGED)]
         joins = [f"n{number}-{n:04}" for n in range(CHANGED)]
         self.names += joins
@@ -108,29 +108,29 @@
             self.start(self._record_deadlines(await peer.link()))
 
     async def _record_deadlines(self, link: Link) -> None:
-        """Note what each request tells of its deadline, and never answer."""
+        """Record the deadline of each request, and never answer."""
         with suppress(AssertionError, ConnectionError):
             while True:
                 parts = await link.resp()
-                told = int(parts[3].partition(b"d=")[2].partition(b",")[0]) / 1000
-                self.requests[parts[2].decode()].server_deadlines.append(time.monotonic() + told)
+                time_left = int(parts[3].partition(b"d=")[2].partition(b",")[0]) / 1000
+                self.requests[parts[2].decode()].server_deadlines.append(time.monotonic() + time_left)
 
     async def ask(self, address: tuple[str, int], name: str) -> None:
-        """One request, on a connection that has carried others if there is one."""
+        """Send a request, on a connection that has carried others if there is one."""
         link = self.idle_links.pop() if self.idle_links else Link(*await asyncio.open_connection(*address))
-        asked = self.requests[name] = SentRequest(time.monotonic())
+        request = self.requests[name] = SentRequest(time.monotonic())
         link.write(read(name, f"key-{name}", f"c=read,t=x,d={DEADLINE * 1000:.0f}"))
         with suppress(TimeoutError, AssertionError, ConnectionError):
             async with asyncio.timeout(DEADLINE + 4 * LOST):
                 await link.resp()
-                asked.answered_at = time.monotonic()
+                request.answered_at = time.monotonic()
                 self.idle_links.append(link)
                 return
         link.close()
 
 
 async def throttle_process(pid: int) -> None:
-    """Let a process run for its share of each cycle."""
+    """Stop and continue a process so that it runs for its share of each cycle."""
     with suppress(ProcessLookupError):
         while True:
             os.kill(pid, signal.SIGSTOP)
@@ -141,7 +141,7 @@
 
 @asynccontextmanager
 async def started(fleet: LargeFleet, folder: Path) -> AsyncIterator[tuple[int, tuple[str, int]]]:
-    """A router with the whole list; gives its process id and its address."""
+    """Start a router with the full list; yields its process id and its address."""
     path, log = folder / "config.json", folder / "router.log"
     rules = {**CONF["rules"], "stopSendingWithin": 2.0}
     settings = {**CONF, "rules": rules, "siblings": 200}
@@ -175,7 +175,7 @@
 
 
 async def play(fleet: LargeFleet, folder: Path) -> None:
-    """Ask evenly while the list changes; ends when nothing is owed any more."""
+    """Send requests at a steady rate while the list changes; return when all have ended."""
     async with started(fleet, folder) as (pid, address):
         await asyncio.sleep(PAUSE)
         throttle = asyncio.create_task(throttle_process(pid))
@@ -208,17 +208,17 @@
             for peer in fleet.peers:
                 await peer.__aexit__(None, None, None)
         late = {
-            name: (asked.answered_at or time.monotonic()) - asked.sent_at - DEADLINE
-            for name, asked in fleet.requests.items()
+            name: (request.answered_at or time.monotonic()) - request.sent_at - DEADLINE
+            for name, request in fleet.requests.items()
         }
-        over = [
-            told - asked.sent_at - DEADLINE
-            for asked in fleet.requests.values()
-            for told in asked.server_deadlines
+        overshoots = [
+            deadline - request.sent_at - DEADLINE
+            for request in fleet.requests.values()
+            for deadline in request.server_deadlines
         ]
-        summary = f"latest answer {max(late.values()):.3f} s late, deadline told {max(over):.3f} s too long"
-        print(f"{len(late)} requests, {len(over)} attempts: {summary}")
-        assert len(over) >= len(late) / 2, "most requests reach a server"
-        assert max(late.values()) < LOST and max(over) < SLACK, summary
+        summary = f"latest answer {max(late.values()):.3f} s late, deadline {max(overshoots):.3f} s too long"
+        print(f"{len(late)} requests, {len(overshoots)} attempts: {summary}")
+        assert len(overshoots) >= len(late) / 2, "most requests reach a server"
+        assert max(late.values()) < LOST and max(overshoots) < SLACK, summary
 
-    run(scenario, patience=PATIENCE)
+    run(scenario, timeout=PATIENCE)
--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -319,7 +319,7 @@
         assert code == 0 and json.loads(out)["served"] == [figures["served"]] * 2
         server.close()
 
-    run(scenario, patience=STARTED)
+    run(scenario, timeout=STARTED)
 
 
 @pytest.mark.processes
@@ -339,7 +339,7 @@
         found, _, err = await finished(command(*arguments.format(tmp_path).split()))
         assert found == code and said in err, (arguments, err)
 
-    run(scenario, patience=STARTED)
+    run(scenario, timeout=STARTED)
 
 
 @pytest.mark.processes
@@ -360,7 +360,7 @@
         assert code == 0 and "class read" in out, err
         server.close()
 
-    run(scenario, patience=STARTED)
+    run(scenario, timeout=STARTED)
 
 
 def test_the_page_is_the_same_for_the_same_run_and_escapes_names() -> None:
@@ -405,7 +405,7 @@
         assert b"ran out of descriptors" in out and b"failed" in out
         server.close()
 
-    run(scenario, patience=STARTED)
+    run(scenario, timeout=STARTED)
 
 
 def test_a_clock_that_steps_changes_no_latency(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_long_answers.py
+++ b/tests/test_long_answers.py
@@ -1,4 +1,4 @@
-"""A long answer that flows to a slow client says nothing against its server and keeps nobody else from it."""
+"""A long answer streamed to a slow client does not count against its server and occupies no place there."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def start_streams(d: Driver, *names: str) -> None:
-    """Reads of slow clients, each of which gets its first bytes within 50 ms, and the last for long not."""
+    """Start reads of slow clients, which get their first bytes within 50 ms but the last ones much later."""
     for name in names:
         assert d.request(name, time_left=STREAM_TIME) == "a"
         d.now += 0.05
@@ -32,7 +32,7 @@
 
 
 def test_a_server_whose_long_answers_flow_is_not_silent() -> None:
-    """After the shortest aim it counted as silent, and all else for it was refused until a flow ended."""
+    """Counted as silent after the shortest latency target, the server would get no requests until the end."""
     d = one_cache()
     start_streams(d, "slow")
     d.wait(1.5)
@@ -40,7 +40,7 @@
 
 
 def test_flows_hold_no_places_at_their_server() -> None:
-    """As many slow clients as the first limit kept all others from a server that had answered in time."""
+    """As many slow clients as the initial limit must not keep others from a server that answers in time."""
     d = one_cache()
     limit = d.router.servers["a"].limit
     start_streams(d, *(f"slow{n}" for n in range(3 * int(limit))))
@@ -54,7 +54,7 @@
 
 
 def test_a_silent_server_gets_its_trial_although_an_answer_flows() -> None:
-    """The flow counted as a trial that is out, for as long as its client took."""
+    """The stream must not count as an open trial for as long as its client takes."""
     d = one_cache()
     start_streams(d, "slow")
     assert d.request("lost") == "a"
@@ -63,7 +63,7 @@
 
 
 def test_a_flow_does_not_hide_a_server_that_is_silent() -> None:
-    """Its bytes may have lain on the way for long: only what begins to come is news of the server."""
+    """Streamed bytes may have been sent long ago; only a new answer proves that a server responds."""
     d = one_cache()
     start_streams(d, "slow")
     assert d.request("first") == "a"
@@ -88,13 +88,13 @@
 
 @pytest.mark.parametrize("status", [TIMEOUT, CANCELLED])
 def test_a_flow_that_is_given_up_takes_no_server_out(status: api.Status) -> None:
-    """In a large fleet a client that left a long answer took its server out, its limit back at the start."""
+    """In a large fleet, a client that left a long answer took its server out and reset its limit."""
     d = Driver(settings(router_count=40))
     d.list(*map(entry, "abcd"))
     key = next(f"k{n}" for n in range(50) if d.request(f"r{n}", key=f"k{n}", finish=True) == "a")
     server = d.router.servers["a"]
     server.limit = 50.0
-    d.now += 100.0  # each server is met seldom
+    d.now += 100.0  # each server is used rarely
     assert d.request("slow", key=key, time_left=STREAM_TIME) == "a"
     d.now += 0.05
     d.feed(api.Streaming("slow", 0))
@@ -113,16 +113,16 @@
 def test_how_long_answers_flow_changes_nothing_that_is_known_of_pace(
     answers: list[tuple[float, float]], last: api.Status
 ) -> None:
-    """The same answers, once whole at once and once drawn out by their clients, and ended in any way."""
-    whole, drawn_out = one_cache(), one_cache()
+    """Compares the same answers received at once and streamed slowly, with any end of the stream."""
+    whole, streamed = one_cache(), one_cache()
     ends = []
     for n, (latency, flow) in enumerate(answers):
-        for d in (whole, drawn_out):
+        for d in (whole, streamed):
             assert d.request(f"r{n}", time_left=3 * STREAM_TIME) == "a"
             d.now += latency
         whole.end(f"r{n}", OK, latency=latency)
-        drawn_out.feed(api.Streaming(f"r{n}", 0))
-        ends.append((drawn_out.now + flow, f"r{n}"))
+        streamed.feed(api.Streaming(f"r{n}", 0))
+        ends.append((streamed.now + flow, f"r{n}"))
 
     def learned(d: Driver) -> list[float]:
         server = d.router.servers["a"]
@@ -130,12 +130,12 @@
         pace = known.usual, server.slowness, d.router.wait, known.quiet_since, known.latest_sent
         return [*known.latencies.counts, *pace, server.limit, server.load]
 
-    before = learned(drawn_out)
+    before = learned(streamed)
     assert before == pytest.approx(learned(whole)) and before[-1] == 0
     for at, name in sorted(ends):
-        drawn_out.now = max(drawn_out.now, at)
-        drawn_out.end(name, last, latency=drawn_out.now - 100.0)
-    assert learned(drawn_out) == before
+        streamed.now = max(streamed.now, at)
+        streamed.end(name, last, latency=streamed.now - 100.0)
+    assert learned(streamed) == before
 
 
 def test_what_lay_unread_in_the_own_process_is_not_of_the_latency() -> None:
@@ -151,7 +151,9 @@
     d = one_cache()
     start_streams(d, "slow")
     d.end("slow", api.Status.RESET)
-    assert d.router.servers["a"].failures == 0  # alone it is let back in: half of the fleet would be out
+    assert (
+        d.router.servers["a"].failures == 0
+    )  # the only server is not taken out, as half of the fleet would be out
     d.list(entry("a"), entry("b"), entry("c"), kind=api.ListKind.DELTA)
     name = next(n for n in map(str, range(50)) if d.request(n, key=n, time_left=STREAM_TIME) == "a")
     d.feed(api.Streaming(name, 0))
--- a/tests/test_net_errors.py
+++ b/tests/test_net_errors.py
@@ -1,4 +1,4 @@
-"""System calls fail as Linux documents: clients are let in, and what is owed is answered (issue 48)."""
+"""System calls fail in the ways that Linux documents: clients are still accepted and requests answered."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 class FailingSocket:
-    """A listening socket whose first calls of accept() fail."""
+    """A listening socket whose first calls of accept() fail with given errors."""
 
     def __init__(self, listening: socket.socket, errors: list[int]) -> None:
         self.listening = listening
         self.errors = errors
         self.calls = 0
-        self.options_fail = 0  # of the sockets accepted next
+        self.options_fail = 0  # number of the next accepted sockets that refuse options
 
     def accept(self) -> tuple[Any, object]:
         self.calls += 1
@@ -47,7 +47,7 @@
 
 
 class RefusesOptions:
-    """An accepted socket whose connection is over before its options are set."""
+    """An accepted socket whose connection has ended before its options are set."""
 
     def __init__(self, client: socket.socket) -> None:
         self.client = client
@@ -71,7 +71,7 @@
 def test_a_failed_accept_leaves_the_others_let_in_and_does_not_spin(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Out of descriptors, a loop that ended would leave the router deaf, and one that spun would stop it."""
+    """Without descriptors, the accept loop must neither end nor become a busy loop."""
     monkeypatch.setattr(listeners, "ACCEPT_PAUSE", 0.01)
 
     async def scenario() -> None:
@@ -82,14 +82,14 @@
             assert not failing.errors
             assert (
                 failing.calls <= 2 + 2 * 2
-            )  # the failed ones, and for each client one that finds none behind it
+            )  # the failed calls, and for each client one that finds no further client
 
     run(scenario)
 
 
 @pytest.mark.parametrize("code", SHORTAGES, ids=lambda c: errno.errorcode[c])
 def test_a_shortage_is_waited_out(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    pause = 0.0123  # like no other
+    pause = 0.0123  # a value that no other pause has
     monkeypatch.setattr(listeners, "ACCEPT_PAUSE", pause)
     pauses: list[float] = []
     sleep = asyncio.sleep
@@ -141,7 +141,7 @@
 
 
 async def with_failed_dial(router: Router, code: int) -> str:
-    """A read whose first dial fails: the server that it was for."""
+    """Send a read whose first dial fails; return the server that was dialled."""
     loop: Any = asyncio.get_running_loop()
     make = loop.create_connection
     failed: list[str] = []
--- a/tests/test_net_flow_control.py
+++ b/tests/test_net_flow_control.py
@@ -1,4 +1,4 @@
-"""One budget for long values: what flows to clients, and what they send."""
+"""The memory budgets for long values, which are streamed to clients or sent by them."""
 
 from __future__ import annotations
 
@@ -23,43 +23,43 @@
 
 class Client:
     def __init__(self) -> None:
-        self.told = 0
+        self.notified = 0
 
     def on_reserved(self) -> None:
-        self.told += 1
+        self.notified += 1
 
 
 @given(st.lists(st.tuples(st.integers(1, 80), st.booleans()), max_size=30))
 def test_room_is_given_in_order_and_never_twice(asked: list[tuple[int, bool]]) -> None:
-    room = UploadMemory(100)
+    memory = UploadMemory(100)
     waiting: list[tuple[Client, int]] = []
     held: list[int] = []
     for size, end in asked:
         client = Client()
-        if room.reserve(client, size):
+        if memory.reserve(client, size):
             assert not waiting
             held.append(size)
         else:
             waiting.append((client, size))
         if end and held:
-            room.release(held.pop(0))
-        while waiting and waiting[0][0].told:
+            memory.release(held.pop(0))
+        while waiting and waiting[0][0].notified:
             held.append(waiting.pop(0)[1])
-        assert room.reserved == sum(held) and (room.reserved <= 100 or len(held) == 1)
-        assert not any(client.told for client, _ in waiting)
-        assert held or not waiting  # nobody waits for nothing
+        assert memory.reserved == sum(held) and (memory.reserved <= 100 or len(held) == 1)
+        assert not any(client.notified for client, _ in waiting)
+        assert held or not waiting  # a client waits only while memory is reserved for others
 
 
 def test_who_gives_up_lets_those_behind_go_on() -> None:
-    room, big, small = UploadMemory(100), Client(), Client()
-    assert room.reserve(Client(), 60)
-    assert not room.reserve(big, 80) and not room.reserve(small, 30)
-    room.stop_waiting(big)
-    assert small.told == 1 and room.reserved == 90
+    memory, big, small = UploadMemory(100), Client(), Client()
+    assert memory.reserve(Client(), 60)
+    assert not memory.reserve(big, 80) and not memory.reserve(small, 30)
+    memory.stop_waiting(big)
+    assert small.notified == 1 and memory.reserved == 90
 
 
 def test_a_long_value_in_pieces_goes_to_the_origin_whole() -> None:
-    """Refused at its length it would never have been booked."""
+    """Its length alone must not cause a refusal."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -94,7 +94,7 @@
 
 
 def test_without_room_a_client_is_not_read_and_goes_on_when_there_is_some() -> None:
-    """All read at once they would take the memory many times over."""
+    """All values together could exceed the memory many times over."""
 
     async def scenario() -> None:
         async with Router() as router:
--- a/tests/test_net_hangup.py
+++ b/tests/test_net_hangup.py
@@ -1,4 +1,4 @@
-"""Clients that hang up while they are not read, or while their request waits: nothing is sent for them."""
+"""Nothing is sent for a client that hangs up while it is not read or while its request waits."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 CLOSES: list[Callable[[Link], None]] = [Link.close, Link.reset]
 NOT_CANCELLABLE = replace(
     SETTINGS, may_cancel=False
-)  # where attempts may not be cancelled, those not begun still go
+)  # running attempts are not cancelled, but waiting ones are
 
 
-LONG = "c=read,t=x,d=600000"  # so that nothing but the hang-up ends it
+LONG = "c=read,t=x,d=600000"  # so that only the hang-up ends the request
 
 
 async def until_unread(router: Router) -> None:
-    """Wait until the one client is not read any more."""
+    """Wait until the router has stopped reading its only client."""
     await until(lambda: any(not c.reading for c in router.listener.connections))
 
 
@@ -43,7 +43,7 @@
 def test_an_unread_client_that_hangs_up_takes_its_attempts_along(
     close: Callable[[Link], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its end lay behind unread bytes: what it had asked for went on, and the rest began for nobody."""
+    """The hang-up lay behind unread bytes, so that open requests continued and further ones were started."""
     monkeypatch.setattr(clients, "ERROR_PAUSE", 60.0)
 
     async def scenario() -> None:
@@ -52,18 +52,18 @@
             asked = [read(f"r{n}", f"k{n}", LONG) for n in range(3)]
             client.write(b"".join(asked) + command("C.NONE", "k") + read("behind", info=LONG))
             await until_unread(router)
-            taken = set(router.host.requests)
-            assert len(taken) == 3
+            open_ids = set(router.host.requests)
+            assert len(open_ids) == 3
             close(client)
             await until(lambda: not router.host.requests and not router.listener.connections)
             assert not router.host.router.held
-            assert router.host.recent_ids == taken
+            assert router.host.recent_ids == open_ids
 
     run(scenario)
 
 
 def test_what_a_client_left_behind_after_an_error_is_not_begun(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It is not read for a while after an error, and was gone when that was over."""
+    """A client is not read for a while after an error, and may hang up during that pause."""
     monkeypatch.setattr(clients, "ERROR_PAUSE", 0.05)
 
     async def scenario() -> None:
@@ -72,7 +72,7 @@
             client.write(command("C.NONE", "k") + read("r1", info=LONG))
             await until_unread(router)
             (connection,) = router.listener.connections
-            router.listener.hang_up_monitor.remove(connection)  # the pause is over before the next look
+            router.listener.hang_up_monitor.remove(connection)  # the pause ends before the next poll
             client.close()
             await until(lambda: not router.listener.connections)
             assert not router.host.recent_ids and not router.host.requests
@@ -93,7 +93,7 @@
             cache = await router.cache()
             other = await router.client()
             other.write(read("r2"))
-            assert (await cache.resp())[2] == b"r2"  # the first that came on it
+            assert (await cache.resp())[2] == b"r2"  # the first request on this connection
             cache.write(HIT)
             assert await other.resp() == b"value"
 
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("settings", [SETTINGS, NOT_CANCELLABLE])
 def test_an_unread_client_is_asked_again_before_its_next_attempt(settings: api.Settings) -> None:
-    """The look comes every so often; an attempt that would begin between two must not."""
+    """Hang-ups are polled at intervals; an attempt between two polls must not begin either."""
 
     async def scenario() -> None:
         async with Router(settings) as router:
@@ -124,7 +124,7 @@
 def test_a_hang_up_is_seen_before_the_event_loop_looks(
     settings: api.Settings, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """In a long turn a retry began for a client whose end lay in its socket."""
+    """In a long iteration of the event loop, a retry began although the hang-up lay in the socket."""
     monkeypatch.setattr(clients, "RECENT_READ", 0.0)
 
     async def scenario() -> None:
@@ -135,7 +135,7 @@
             assert slot.client_connected() and connection.reading
             end = client.writer.get_extra_info("socket")
             end.shutdown(socket.SHUT_RDWR)
-            assert not slot.client_connected()  # in this very turn
+            assert not slot.client_connected()  # in the same iteration of the event loop
             await until(lambda: not router.listener.connections)
             assert not router.host.router.held
 
@@ -143,7 +143,7 @@
 
 
 def test_a_fetch_is_not_begun_for_a_client_that_hung_up_in_the_line() -> None:
-    """It waited behind another fetch of its key, which took too long."""
+    """The fetch waited behind a slow fetch of the same key."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -169,19 +169,19 @@
 
 @pytest.mark.parametrize("change", ["drained", "offline", "window over"])
 def test_a_late_dial_sends_nothing_that_must_not_go_any_more(change: str) -> None:
-    """After the decision the server began to drain, or its memory of what it would repeat ran out."""
+    """During a dial, the server may begin to drain, or the period in which it drops repeats may end."""
     window = 30.0
     keyed = replace(SETTINGS.classes["book"], repeat_window=window, aim=3 * window)
     late_book = command("C.SET", "k", "r1", "c=book,t=x,d=90000,k=5c0f", b"slot")
     settings = replace(SETTINGS, cache_aside=False, classes={**SETTINGS.classes, "book": keyed})
 
-    def tell(router: Router, names: str) -> None:
+    def list_caches(router: Router, names: str) -> None:
         members = [member(n, router.caches[n].address) for n in names]
         router.host.submit_list(api.ListKind.FULL, members)
 
     async def scenario() -> None:
         async with Router(settings) as router:
-            tell(router, "ab")
+            list_caches(router, "ab")
             client = await router.client()
             if change == "window over":
                 client.write(late_book)
@@ -189,26 +189,28 @@
                 assert (await cache.resp())[2] == b"r1"
             async with DelayedDials(router) as dials:
                 if change == "window over":
-                    cache.reset()  # it may have run
+                    cache.reset()  # the request may have been executed
                 else:
                     client.write(read("r1"))
                 dialled = await dials.next_dial()
                 if change == "drained":
-                    tell(router, "ab".replace(dialled, ""))
+                    list_caches(router, "ab".replace(dialled, ""))
                 elif change == "offline":
                     router.host.take_offline(dialled)
                 else:
-                    router.host.clock.offset += window  # as if that had passed meanwhile
+                    router.host.clock.offset += window  # as if that time had passed
                 dials.release()
                 late = await router.caches[dialled].link()
                 if change == "window over":
-                    assert str(await client.resp()).startswith("BUSY")  # as all drop its repeat
+                    assert str(await client.resp()).startswith(
+                        "BUSY"
+                    )  # as no server would recognise a repeat
                 else:
                     other = await router.caches["ab".replace(dialled, "")].link()
                     assert (await other.resp())[2] == b"r1"
                     other.write(HIT)
                     assert await client.resp() == b"value"
             await router.stop()
-            assert await late.reader.read() == b""  # not a byte ever came on it
+            assert await late.reader.read() == b""  # nothing was sent on this connection
 
     run(scenario)
--- a/tests/test_net_host.py
+++ b/tests/test_net_host.py
@@ -46,7 +46,7 @@
             assert (verb, key, request) == (b"C.GET", b"key", b"r1")
             named = dict(pair.split("=") for pair in info.decode().split(","))
             assert list(named) == ["c", "t", "d", "h", "size"] and named["size"] == "7"
-            assert 0 < int(named["d"]) < 2000  # what is left
+            assert 0 < int(named["d"]) < 2000  # the remaining time
             cache.write(HIT)
             assert await client.resp() == b"value"
 
@@ -83,7 +83,7 @@
 
 
 def test_answers_come_in_the_order_of_the_commands() -> None:
-    """Answered in another order, each client would take another request's value for its own."""
+    """In another order, clients would take the values of other requests for their own."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -117,7 +117,7 @@
 
 
 def test_a_client_that_leaves_takes_its_attempts_along() -> None:
-    """Cache servers would go on working for nobody."""
+    """Cache servers would otherwise continue work for which nobody waits."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -130,7 +130,7 @@
 
 
 def test_the_deadline_ends_what_is_silent() -> None:
-    """A client that is not answered in time counts its request as lost."""
+    """A client that gets no answer in time considers its request lost."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -147,7 +147,7 @@
 BAD_COMMANDS = [
     (command("GET", "k"), "unknown command"),
     (command("CLIENT", "LIST"), "unknown command"),
-    (command("A\r\n+PONG"), "unknown command"),  # said back as it came, it would be a second answer
+    (command("A\r\n+PONG"), "unknown command"),  # quoted unescaped, it would form a second answer
     (command("C.GET", "k", "r1"), "wrong number"),
     (command("C.SET", "k", "r1", "c=book,d=900"), "wrong number"),
     (command("C.GET", "", "r1", "c=read,d=900"), "key"),
@@ -194,20 +194,20 @@
         b"PING\r\n",
         b"\x00\xff",
         b"*x\r\n",
-        b"*100000000\r\n",  # refused at the header: the list for it would be made, and gone through, whole
+        b"*100000000\r\n",  # rejected at the header, before a list of that size is allocated
         b"*4\r\n$-5\r\n",
-        b"*4\r\n$62914560\r\n",  # before the value comes
+        b"*4\r\n$62914560\r\n",  # before the value arrives
         b"*5\r\n"
         + b"$2500000\r\n%b\r\n" % (b"x" * 2_500_000)
-        + b"$2500000\r\n",  # more than any whole command
+        + b"$2500000\r\n",  # more than any valid command
         b"*1\r\n$4\r\nPINGPONG\r\n",
-        b"*1\r\n$" + b"0" * 40,  # lines without end
+        b"*1\r\n$" + b"0" * 40,  # endless lines
         b"+" + b"x" * 2000,
         b"*1\r\n" * 9,
     ],
 )
 def test_lost_framing_ends_the_connection(sent: bytes) -> None:
-    """Anything read after it might be a part of a value, carried out as a command."""
+    """Anything after it could be a part of a value that would be executed as a command."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -222,7 +222,7 @@
 
 
 def test_half_a_command_is_ended_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Connections that never send a whole command would fill the budget: nobody could connect any more."""
+    """Connections that never send a complete command could exhaust the budget for new clients."""
 
     async def scenario() -> None:
         monkeypatch.setattr(listener, "COMMAND_TIMEOUT", 0.5)
@@ -241,7 +241,7 @@
 
 
 def test_nothing_is_read_behind_lost_framing() -> None:
-    """While an earlier answer is owed, all that such a client goes on sending would be kept in memory."""
+    """Until its earlier answers are sent, such a client could fill the memory with further input."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -260,7 +260,7 @@
 
 
 def test_errors_slow_their_connection_down() -> None:
-    """A client that sends the same again as soon as it is turned away would take the core for itself."""
+    """A client that repeats its error at once after each reply would occupy the core."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -292,7 +292,7 @@
 
 
 def test_what_waits_unread_is_bounded() -> None:
-    """One client could make the router hold requests without end."""
+    """Otherwise a single client could make the router hold any number of requests."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -309,7 +309,7 @@
 
 
 def test_nothing_is_taken_from_a_connection_that_is_closing() -> None:
-    """Its client is gone, and what is taken after that would be worked on to its deadline for nobody."""
+    """Its client has gone, and a command accepted after that would be processed until its deadline."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -325,7 +325,9 @@
             while router.listener.connections:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)
-            assert set(router.host.requests) == {"r0"}  # whose end the module was not told here
+            assert set(router.host.requests) == {
+                "r0"
+            }  # whose end this test did not report to the decision module
 
     run(scenario)
 
@@ -339,14 +341,14 @@
             assert "in use" in error_text(await other.resp())
             cache.write(HIT)
             assert await client.resp() == b"value"
-            other.write(read("r1"))  # nor right after: it would be served with what another asked for
+            other.write(read("r1"))  # nor right after it: the client would get the answer of another request
             assert "in use" in error_text(await other.resp())
 
     run(scenario)
 
 
 def test_an_ended_request_is_forgotten_at_once() -> None:
-    """Kept until its deadline, each would hold its id and value in memory for up to ten minutes."""
+    """Kept until its deadline, each request would hold its value in memory for up to ten minutes."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -373,7 +375,7 @@
 
 @needs_sources
 def test_a_fault_ends_its_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One request that the code can't handle would take the whole router, and all it has taken, along."""
+    """A single request that causes an internal error must not end the whole router."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -391,7 +393,7 @@
 
 
 def test_clients_stay_within_their_budget() -> None:
-    """Past the limit on descriptors nothing works: no attempt and no list. Idle clients make room."""
+    """Without free descriptors neither attempts nor lists work; idle clients are closed to free some."""
 
     async def scenario() -> None:
         async with Router(clients=2) as router:
@@ -408,7 +410,7 @@
 
 
 def test_a_new_client_waits_while_all_others_are_busy() -> None:
-    """Closed for its own sake, it would take its first request along."""
+    """Closed as the newest connection, it would lose its first request."""
 
     async def scenario() -> None:
         async with Router(clients=1) as router:
@@ -423,7 +425,7 @@
 
 
 async def client_after_pings(router: Router, times: int) -> Link:
-    """A client that has asked so often and stays."""
+    """Return a connected client that has sent `times` commands."""
     client = await router.client()
     for _ in range(times):
         client.write(command("PING"))
@@ -432,7 +434,7 @@
 
 
 def test_clients_that_owe_a_command_make_room_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Silent clients by hundreds would drive out the usual ones, which ask on connections that they keep."""
+    """Hundreds of silent clients could displace the usual ones, which keep their connections."""
 
     async def scenario() -> None:
         monkeypatch.setattr(listener, "FIRST_COMMAND_GRACE", 0.0)
@@ -440,7 +442,7 @@
             usual = await client_after_pings(router, 1)
             silent, half = await router.client(), await router.client()
             half.write(b"*4\r\n$5\r\nC.G")
-            newer = []  # kept, or they would close
+            newer = []  # referenced, as they would be closed otherwise
             for gone in (silent, half):
                 newer.append(await client_after_pings(router, 1))
                 assert await gone.ended()
@@ -451,7 +453,7 @@
 
 
 def test_clients_that_send_errors_make_room_first() -> None:
-    """Never idle, as the next error waits behind the last, they would hold their places for good."""
+    """They are never idle, as further errors are queued, and would otherwise never be closed."""
 
     async def scenario() -> None:
         async with Router(clients=2) as router:
@@ -460,7 +462,7 @@
             error_text(await wrong.resp())
             _newest = await client_after_pings(router, 1)
             with suppress(ConnectionResetError):
-                await wrong.reader.read()  # to its end
+                await wrong.reader.read()  # until the connection ends
             usual.write(command("PING"))
             assert await usual.resp() == b"PONG"
 
@@ -468,7 +470,7 @@
 
 
 def test_clients_that_asked_once_make_room_before_the_usual_ones() -> None:
-    """A crowd that asks once and stays would cost the usual clients a connection for every request."""
+    """Many clients that send one command and stay would cost the usual clients a connection per request."""
 
     async def scenario() -> None:
         async with Router(clients=2) as router:
@@ -482,7 +484,7 @@
 
 
 def test_a_crowd_that_asks_once_and_stays_is_let_in_at_once() -> None:
-    """Let in only as others had been idle for long, usual clients waited in the backlog past deadlines."""
+    """If only connections idle for long were closed, new clients would wait past their deadlines."""
 
     async def scenario() -> None:
         async with Router(clients=4) as router:
@@ -491,13 +493,13 @@
                 crowd += [
                     await router.client(),
                     await client_after_pings(router, 1),
-                ]  # the first says nothing
+                ]  # the first one sends nothing
 
     run(scenario)
 
 
 def test_idle_clients_go_when_half_the_room_is_taken(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Clients that ask once and stay for good would take memory and descriptors without end."""
+    """Clients that send one command and stay for ever would use up memory and descriptors."""
 
     async def scenario() -> None:
         monkeypatch.setattr(listener, "IDLE_TIMEOUT", 1.0)
@@ -514,7 +516,7 @@
 
 
 def test_half_a_command_does_not_hold_up_the_end() -> None:
-    """The router would be killed while it waits for a client that never goes on."""
+    """The router would be killed while it waits for a client that never continues."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -529,14 +531,14 @@
 
 
 def test_stopping_serves_what_was_taken() -> None:
-    """What a router had taken and not answered when it ended is lost."""
+    """Accepted requests that are unanswered when a router ends would be lost."""
 
     async def scenario() -> None:
         async with Router() as router:
             idle = await router.client()
             busy, cache = await router.open_request()
             stop = asyncio.create_task(router.listener.stop(0.05, 5.0))
-            late = await router.client()  # connections still come
+            late = await router.client()  # new connections are still accepted
             late.write(command("PING"))
             assert await late.resp() == b"PONG"
             assert await idle.ended() and await late.ended() and not stop.done()
@@ -552,7 +554,7 @@
 
 @pytest.mark.parametrize("change", ["gone", "draining", "restarted", "replaced"])
 def test_connections_to_a_process_that_ends_are_closed(change: str) -> None:
-    """Those to a machine that vanished never close, and another process may come to its address."""
+    """Connections to a vanished machine never close, and another process may take over its address."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -578,7 +580,7 @@
 
 
 def test_a_connection_that_ended_leaves_the_books() -> None:
-    """Looked at again, one without a socket stopped the listener: nobody could connect any more."""
+    """Polling a connection that has no socket any more stopped the listener for all clients."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -595,12 +597,12 @@
     run(scenario)
 
 
-# The host alone: what the simulator does for the module
+# The host alone, with a scripted decision module
 
 
 @needs_sources
 def test_events_that_come_while_actions_run_wait_their_turn(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Entered again, the module would go on with a state that the first call has not finished."""
+    """Called recursively, the decision module would work on a state that the first call has not completed."""
 
     async def scenario() -> None:
         async with Router(listed=False) as router:
@@ -672,16 +674,22 @@
 
 
 class AdmissionStub:
-    """A door that lets in the classes it is told to."""
+    """Admission control that admits given classes."""
 
-    def __init__(self, *let_in: str) -> None:
-        self.admitted_classes = let_in
+    def __init__(self, *admitted_classes: str) -> None:
+        self.admitted_classes = admitted_classes
         self.calls: list[tuple[str, str, bool, bool]] = []
 
     def retry_delay(
-        self, now: float, request_class: str, tenant: str, again: bool, keyed: bool, waited: float
+        self,
+        now: float,
+        request_class: str,
+        tenant: str,
+        is_retry: bool,
+        has_idempotency_key: bool,
+        read_delay: float,
     ) -> float | None:
-        self.calls.append((request_class, tenant, again, keyed))
+        self.calls.append((request_class, tenant, is_retry, has_idempotency_key))
         return None if request_class in self.admitted_classes else 0.25
 
     def settings_changed(self, settings: api.Settings) -> None:
@@ -690,8 +698,8 @@
 
 def test_a_command_turned_away_is_refused_at_once_and_nothing_is_sent_for_it() -> None:
     async def scenario() -> None:
-        door = AdmissionStub("book")
-        async with Router(door=door) as router:
+        admission = AdmissionStub("book")
+        async with Router(admission=admission) as router:
             client = await router.client()
             client.write(read("r1") + read("r2", info="c=read,t=y,d=2000,r=1") + book("r3"))
             for _ in range(2):
@@ -701,7 +709,7 @@
             assert (await link.http())[1]["request-id"] == "r3"
             link.write(http("200 OK", b"receipt"))
             assert await client.resp() == b"receipt"
-            assert door.calls == [
+            assert admission.calls == [
                 ("read", "x", False, False),
                 ("read", "y", True, False),
                 ("book", "x", False, True),
@@ -713,13 +721,13 @@
 
 def test_a_door_that_shuts_does_not_stand_between_a_booking_and_its_answer() -> None:
     async def scenario() -> None:
-        door = AdmissionStub("book")
-        async with Router(door=door) as router:
+        admission = AdmissionStub("book")
+        async with Router(admission=admission) as router:
             client, other = await router.client(), await router.client()
             client.write(book("r1"))
             link = await router.origin.link()
             await link.http()
-            door.admitted_classes = ()
+            admission.admitted_classes = ()
             other.write(book("r2"))
             assert str(await other.resp()) == "BUSY 250"
             link.write(http("200 OK", b"receipt"))
@@ -730,25 +738,25 @@
 
 def test_a_repeated_booking_is_known_as_such() -> None:
     async def scenario() -> None:
-        door = AdmissionStub()
-        async with Router(door=door) as router:
+        admission = AdmissionStub()
+        async with Router(admission=admission) as router:
             client = await router.client()
             client.write(command("C.SET", "k", "r1", "c=book,t=x,d=2000,k=5c0f,r=1", b"slot"))
             assert str(await client.resp()) == "BUSY 250"
-            assert door.calls == [("book", "x", True, True)]
+            assert admission.calls == [("book", "x", True, True)]
 
     run(scenario)
 
 
 def test_time_in_the_socket_is_of_the_time_a_client_waits() -> None:
-    """Taken for fresh, a command from a long backlog was sent on when nobody waited for it any more."""
+    """Without this, a command from a long backlog would be sent on when nobody waits for it any more."""
 
     async def scenario() -> None:
-        async with Router(door=AdmissionStub("read")) as router:
+        async with Router(admission=AdmissionStub("read")) as router:
             client = await router.client()
             router.listener.socket.getsockname()
             client.write(read("r1", info="c=read,t=x,d=100"))
-            time.sleep(0.2)  # the loop stands still, and the bytes lie in the socket
+            time.sleep(0.2)  # the event loop is blocked while the bytes lie in the socket
             assert str(await client.resp()).startswith("BUSY")
             assert all(peer.links.empty() for peer in router.caches.values())
 
@@ -770,7 +778,7 @@
 
 
 def test_a_client_that_has_just_come_is_heard_out_when_the_router_ends() -> None:
-    """Closed before its first command came, it asked a connection that was gone."""
+    """Closed before its first command arrived, it would send the command on a closed connection."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -791,7 +799,7 @@
 
 @needs_sources
 def test_a_batch_that_the_decisions_could_not_take_is_told_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A server that drains would be sent to for as long as its entry does not change."""
+    """Otherwise a draining server would be used until its entry changes again."""
 
     async def scenario() -> None:
         async with Router() as router:
--- a/tests/test_net_http.py
+++ b/tests/test_net_http.py
@@ -1,4 +1,4 @@
-"""Responses read the short way are just what the state machine makes of them."""
+"""Responses parsed on the fast path are the same as those parsed by h11."""
 
 from __future__ import annotations
 
@@ -95,7 +95,7 @@
 
 
 def test_the_request_is_the_same_either_way() -> None:
-    client, told = HttpClient("127.0.0.1:1", 100), HttpClient("127.0.0.1:1", 100)
-    short = client.request("GET", "/k", FIELDS)
-    told.request("GET", "/k", FIELDS)
-    assert short == told._send_to_h11()
+    client, with_h11 = HttpClient("127.0.0.1:1", 100), HttpClient("127.0.0.1:1", 100)
+    fast = client.request("GET", "/k", FIELDS)
+    with_h11.request("GET", "/k", FIELDS)
+    assert fast == with_h11._send_to_h11()
--- a/tests/test_net_lingering.py
+++ b/tests/test_net_lingering.py
@@ -1,5 +1,5 @@
-"""Closing clients' connections in the very moment in which bytes arrive: the last answer stands, and what
-comes after the shutdown is read and never executed."""
+"""A client connection is closed while bytes arrive: the last answer is delivered, and input after the
+shutdown is read but never executed."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from myrtlecourse.net.transport import Transport
 from tests.loopback import HIT, TIMEOUT, Router, book, command, needs_sources, read, run, until
 
-LONG_ANSWER_START = b"*3\r\n$200000\r\n" + b"v" * 150_000  # and no more of it
+LONG_ANSWER_START = b"*3\r\n$200000\r\n" + b"v" * 150_000  # the rest is not sent
 VALUE = b"$5\r\nvalue\r\n"
 
 
 class RawClient:
-    """A client that takes nothing from its socket but when it is told to."""
+    """A client that reads from its socket only when the test calls for it."""
 
     def __init__(self, router: Router) -> None:
         self.router = router
@@ -33,18 +33,18 @@
         return self
 
     def send(self, data: bytes) -> None:
-        """Into the router's socket, before anything else is done."""
+        """Send to the router's socket at once."""
         assert self.socket.send(data) == len(data)
 
     async def read_to_end(self) -> bytes:
-        """All that comes up to the end, which must be one in good order."""
+        """Read up to the end, which must be an orderly close."""
         got = b""
         while data := await asyncio.get_running_loop().sock_recv(self.socket, 65536):
             got += data
         return got
 
     async def exchange(self) -> ClientConnection:
-        """Ask once; the answer has been written, and lies untaken in the socket."""
+        """Send a request; return the connection once its answer lies unread in the client's socket."""
         self.send(read("r1"))
         cache = await self.router.cache()
         await cache.resp()
@@ -77,7 +77,7 @@
 def test_a_command_that_crosses_a_close_is_not_executed_and_the_answer_before_it_stands(
     path: Callable[[Router], Coroutine[None, None, None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The close reset the connection over the unread command, and its client lost more than the command."""
+    """A close with unread input resets the connection, and the client loses answers sent before it."""
     monkeypatch.setattr(listener, "IDLE_TIMEOUT", 0.01)
     monkeypatch.setattr(listener, "SINGLE_COMMAND_IDLE_TIMEOUT", 0.01)
 
@@ -87,15 +87,15 @@
             connection = await client.exchange()
             crossed: list[bool] = []
 
-            def look(transport: Transport) -> bool:
-                """The look before the close, which the command comes just after."""
-                there = has_unread_input(transport)
-                if transport is connection.transport and not there and not crossed:
+            def poll(transport: Transport) -> bool:
+                """Poll before the close, and let the command arrive just afterwards."""
+                unread = has_unread_input(transport)
+                if transport is connection.transport and not unread and not crossed:
                     crossed.append(True)
                     client.send(read("crossing"))
-                return there
+                return unread
 
-            monkeypatch.setattr(clients, "has_unread_input", look)
+            monkeypatch.setattr(clients, "has_unread_input", poll)
             await path(router)
             assert await client.read_to_end() == VALUE and crossed
             client.socket.close()
@@ -140,7 +140,7 @@
 
 
 def test_an_error_reaches_a_client_that_goes_on_sending() -> None:
-    """The reset over what it had sent behind took the word that it is owed."""
+    """A reset because of input after the malformed command would lose the error reply."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -156,7 +156,7 @@
 
 
 def test_a_long_answer_that_is_cut_leaves_the_answers_before_it_whole() -> None:
-    """It ended by a reset, and what its client had not taken yet went with it."""
+    """If the connection ended with a reset, the client would lose the answers that it had not read yet."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -175,7 +175,7 @@
 
 
 def test_a_long_answer_that_ends_behind_another_costs_neither(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nothing of it had been passed on, so that an error can tell."""
+    """Nothing of it has been forwarded, so that an error can be sent instead."""
     monkeypatch.setattr(host, "MAX_STREAM_OVERRUN", 0.01)
 
     async def scenario() -> None:
@@ -199,7 +199,7 @@
 
 
 def test_many_closes_at_once_hold_no_more_descriptors_than_are_spare(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Clients that rest after the shutdown would keep all others out for as long."""
+    """Half-closed connections whose clients stay idle would otherwise keep new clients out."""
     monkeypatch.setattr(clients, "LINGER_TIME", 600.0)
     monkeypatch.setattr(listener, "FIRST_COMMAND_GRACE", 0.0)
 
@@ -218,7 +218,7 @@
 
 
 def test_small_writes_leave_at_once() -> None:
-    """What the system holds back goes with a close over unread bytes."""
+    """Bytes that the kernel holds back (Nagle's algorithm) are lost when a close with unread input resets."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -235,7 +235,7 @@
 
 
 def test_what_was_written_goes_out_before_the_shutdown() -> None:
-    """Also what the kernel did not take at once."""
+    """This includes bytes that the kernel did not accept at once."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -251,13 +251,13 @@
 
 
 def test_a_router_that_ends_takes_nothing_that_it_could_not_answer_in_time() -> None:
-    """A client went on asking on its connection; killed, the router left its last request unanswered."""
+    """A client keeps sending requests on an open connection; the last would be unanswered at the kill."""
 
     async def scenario() -> None:
         async with Router() as router:
-            longest = 3 * TIMEOUT  # a router that waits for it fails the test
+            time_limit = 3 * TIMEOUT  # a router that waits for this long fails the test
             client, cache = await router.open_request("r1", "c=read,t=x,d=20000")
-            stopping = asyncio.create_task(router.listener.stop(0.0, longest))
+            stopping = asyncio.create_task(router.listener.stop(0.0, time_limit))
             await until(lambda: router.listener.stopping)
             late = "c=read,t=x,d=60000"
             client.write(
--- a/tests/test_net_loop_lag.py
+++ b/tests/test_net_loop_lag.py
@@ -1,4 +1,4 @@
-"""How long what comes has lain unread: known after any stop, whether or not the kernel tells."""
+"""The time that input has lain unread is known after a stall of the event loop, also without tcp_info."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 from myrtlecourse.net.loop_lag import LoopLag
 from tests.loopback import HIT, Router, read, run
 
-BLOCKED = 0.25  # seconds for which the event loop is held up
+BLOCKED = 0.25  # seconds for which the event loop is blocked
 DEADLINE = 2.0
 
 
 async def deadline_sent_after_a_stall(router: Router) -> float:
-    """Seconds that a server is told, by a read on a known connection that comes as a stop begins."""
+    """Return the time left, in seconds, that a server gets with a read that arrives as a stall begins."""
     client, cache = await router.open_request()
     cache.write(HIT)
     assert await client.resp() == b"value"
     loop = asyncio.get_running_loop()
-    await asyncio.sleep(0.15)  # the listener's look has been, and the next is due
+    await asyncio.sleep(0.15)  # the listener's check has run, and the next one is due
     raw = client.writer.get_extra_info("socket")
     descriptor = socket.socket(fileno=socket.dup(raw.fileno()))
 
-    def stop() -> None:
+    def block() -> None:
         descriptor.send(read("r2", info=f"c=read,t=x,d={DEADLINE * 1000:.0f}"))
         time.sleep(BLOCKED)
 
     with descriptor:
-        loop.call_soon(stop)
+        loop.call_soon(block)
         message = await cache.resp()
     cache.write(HIT)
     assert await client.resp() == b"value"
@@ -43,16 +43,16 @@
 def test_a_stop_of_the_loop_is_taken_off_the_deadline(
     kernel_tells: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Only turns in which a client was heard were clocked: other stops were told to servers as time left."""
+    """Stalls in iterations without client input must count too, or servers get too long deadlines."""
     if not kernel_tells:
         monkeypatch.setattr(clients, "data_age", lambda _: None)
 
     async def scenario() -> None:
         async with Router() as router:
-            told = await deadline_sent_after_a_stall(router)
-            # what the clock can't know of is the part of a stop before the look that is overdue
-            assert told <= DEADLINE - BLOCKED + (0.01 if kernel_tells else 0.15)
-            assert told > DEADLINE - 2 * BLOCKED
+            time_left = await deadline_sent_after_a_stall(router)
+            # without tcp_info, the part of a stall before the next check is due can't be known
+            assert time_left <= DEADLINE - BLOCKED + (0.01 if kernel_tells else 0.15)
+            assert time_left > DEADLINE - 2 * BLOCKED
 
     run(scenario)
 
@@ -78,12 +78,12 @@
 ) -> None:
     now = [100.0]
     monkeypatch.setattr(time, "monotonic", lambda: now[0])
-    turns = LoopLag()
-    assert not turns.may_have_stalled()
-    turns.expect_heartbeat(0.1)
+    loop_lag = LoopLag()
+    assert not loop_lag.may_have_stalled()
+    loop_lag.expect_heartbeat(0.1)
     now[0] += 0.1
-    assert not turns.may_have_stalled()
+    assert not loop_lag.may_have_stalled()
     now[0] += 0.4
-    assert turns.may_have_stalled() and turns.max_wait() == pytest.approx(0.4)
-    assert turns.heartbeat() == pytest.approx(0.4)
-    assert not turns.may_have_stalled() and turns.longest == pytest.approx(0.4)
+    assert loop_lag.may_have_stalled() and loop_lag.max_wait() == pytest.approx(0.4)
+    assert loop_lag.heartbeat() == pytest.approx(0.4)
+    assert not loop_lag.may_have_stalled() and loop_lag.longest == pytest.approx(0.4)
--- a/tests/test_net_passing.py
+++ b/tests/test_net_passing.py
@@ -1,4 +1,4 @@
-"""Long answers go on as they come: nothing is gathered, and a client can tell what is not whole."""
+"""Long answers are streamed without buffering them whole, and a client can tell if one is incomplete."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 
 async def serve(links: asyncio.Queue[Link], make: Callable[[Link], Coroutine[Any, Any, None]]) -> None:
-    """Deal with each connection to a peer, until cancelled."""
+    """Handle each connection to a peer, until cancelled."""
     async with asyncio.TaskGroup() as tasks:
         while True:
             tasks.create_task(ignore_disconnect(make(await links.get())))
 
 
 async def receive(client: Link, count: int) -> bytes:
-    """So many bytes of what a client is sent."""
+    """Receive `count` bytes at a client."""
     return await client.reader.readexactly(count)
 
 
@@ -48,7 +48,7 @@
             client, cache = await router.open_request()
             cache.write(LONG[:150_000])
             got = await receive(client, 100_000)
-            assert router.host.requests  # it is not over
+            assert router.host.requests  # the request is still open
             cache.write(LONG[150_000:])
             got += await receive(client, len(VALUE) + 11 - len(got))
             assert got == b"$307200\r\n" + VALUE + b"\r\n"
@@ -87,7 +87,7 @@
     [
         b"*3\r\n$3000000000\r\n" + b"x" * 1000,
         b"*3\r\n$4194305\r\n" + b"x" * 1000,
-        HEAD + VALUE[:1000],  # and no more
+        HEAD + VALUE[:1000],  # incomplete
         HEAD + VALUE[:1000] + TAIL,
     ],
 )
@@ -107,7 +107,7 @@
 
 @pytest.mark.parametrize("how", ["breaks off", "stalls", "is longer than said", "is no value"])
 def test_what_has_begun_and_does_not_end_well_closes_the_client(how: str) -> None:
-    """Nothing else would be honest: the client counts the bytes that it was promised."""
+    """The length has been announced to the client, so that only a close can report the failure."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -130,7 +130,9 @@
                 pass
             assert len(got) < len(VALUE) + 11
             assert not router.host.requests and not router.host.router.held
-            assert router.caches["a"].links.empty() and router.caches["b"].links.empty()  # no second attempt
+            assert (
+                router.caches["a"].links.empty() and router.caches["b"].links.empty()
+            )  # there is no second attempt
 
     run(scenario)
 
@@ -138,27 +140,27 @@
 @needs_sources
 @pytest.mark.parametrize("longest", [60.0, 0.2])
 def test_a_value_that_flows_passes_its_deadline_but_does_not_flow_for_good(
-    longest: float, monkeypatch: pytest.MonkeyPatch
+    max_overrun: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Cut at the deadline it was lost, although its first bytes were in time and its server still gave it."""
+    """Aborted at the deadline, it would be lost although it began in time and its server is still sending."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(hosts, "MAX_STREAM_OVERRUN", longest)
+        monkeypatch.setattr(hosts, "MAX_STREAM_OVERRUN", max_overrun)
         async with Router() as router:
             client, cache = await router.open_request(info="c=read,t=x,d=1000")
-            taken = router.host.requests["r1"]
+            request = router.host.requests["r1"]
             cache.write(LONG[:100_000])
             got = await receive(client, 60_000)
             sent = 100_000
-            await until(lambda: taken.deadline_passed)
+            await until(lambda: request.deadline_passed)
             for _ in range(20):
                 cache.write(LONG[sent : sent + 100])
                 sent += 100
                 await asyncio.sleep(0)
-            if longest < 1.0:
+            if max_overrun < 1.0:
                 assert await cache.ended()
                 return
-            assert router.host.requests["r1"] is taken and not taken.closed
+            assert router.host.requests["r1"] is request and not request.closed
             cache.write(LONG[sent:])
             got += await receive(client, len(VALUE) + 11 - len(got))
             assert got == b"$307200\r\n" + VALUE + b"\r\n"
@@ -168,7 +170,7 @@
 
 @pytest.mark.parametrize("cut", [1, 5, 9, 12])
 def test_the_head_of_a_long_answer_may_come_in_pieces(cut: int) -> None:
-    """Cut anywhere it was taken for a string that is too long."""
+    """Split at any place, the header must not be taken for that of a string that is too long."""
 
     async def scenario() -> None:
         async with Router() as router:
@@ -204,7 +206,7 @@
             client.write(read("r2", key="k"))
             second = await router.cache()
             assert (await second.resp())[2] == b"r2"
-            second.write(LONG)  # comes first, and waits
+            second.write(LONG)  # arrives first and waits
             while not router.listener.stalled_answers:
                 await asyncio.sleep(0.001)
             held = sum(len(p) for slot in router.listener.stalled_answers for p in slot.chunks)
@@ -222,7 +224,7 @@
 
 
 def test_200_slow_clients_hold_what_is_stated_and_others_are_served() -> None:
-    """Gathered whole, 200 values of 400 KB are 80 MB, more than a router has on its tightest day."""
+    """Buffered whole, 200 values of 400 KB take 80 MB, more than a router has under its tightest limits."""
 
     async def pour(cache: Link) -> None:
         while (await cache.resp())[2] == b"usual":
@@ -235,11 +237,11 @@
 
     async def scenario() -> None:
         async with Router(clients=SLOW + 32, connections=SLOW + 32) as router:
-            # the kernel's own buffers would take all of it
+            # with their default size, the kernel's buffers would hold all of the value
             router.listener.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
             router.host.router.servers["a"].limit = router.host.router.servers["b"].limit = 1e6
             address, loop = router.listener.socket.getsockname(), asyncio.get_running_loop()
-            # each connection: what is slow to begin on a busy machine is asked for again
+            # serves every connection, as an answer that begins late on a busy machine is retried elsewhere
             servers = [asyncio.create_task(serve(peer.links, pour)) for peer in router.caches.values()]
             slow = []
             for n in range(SLOW):
@@ -257,7 +259,7 @@
             usual.write(read("usual"))
             assert await usual.resp() == b"value"
             got = b""
-            while len(got) < LENGTH + 11:  # and one that reads after all gets all of it
+            while len(got) < LENGTH + 11:  # a client that reads after all gets the whole value
                 got += await loop.sock_recv(slow[0], 65536)
             assert got == b"$%d\r\n" % LENGTH + b"x" * LENGTH + b"\r\n"
             for client in slow:
@@ -269,7 +271,7 @@
 
 
 def test_an_origin_that_loses_answers_costs_its_requests_nothing() -> None:
-    """Eight lost fetches a second of 400 cut the limit, and each held a place for its whole time."""
+    """Eight lost fetches per second out of 400 reduced the limit, and each held a place until its timeout."""
 
     async def cache(link: Link) -> None:
         while True:
@@ -281,13 +283,13 @@
             await link.http()
             await asyncio.sleep(0.02)
             if next(count) % 50 == 49:
-                await asyncio.sleep(60.0)  # it says nothing more on this connection
+                await asyncio.sleep(60.0)  # sends nothing more on this connection
             link.write(http("200 OK", b"value"))
 
     async def scenario() -> None:
-        # an aim that no machine misses on the way: one that is kept waiting for its whole time ends the test
-        patient = replace(SETTINGS, classes={"read": api.RequestClass("read", aim=9.0)})
-        async with Router(patient, connections=256, clients=256) as router:
+        # a latency target that no machine misses: a request kept waiting that long would fail the test
+        long_target = replace(SETTINGS, classes={"read": api.RequestClass("read", aim=9.0)})
+        async with Router(long_target, connections=256, clients=256) as router:
             count = itertools.count()
             servers = [asyncio.create_task(serve(peer.links, cache)) for peer in router.caches.values()] + [
                 asyncio.create_task(serve(router.origin.links, lambda link: origin(link, count)))
@@ -320,7 +322,7 @@
 
 @needs_sources
 def test_a_client_that_takes_nothing_is_ended_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its server's connection would be held for good."""
+    """Otherwise it would hold its server's connection for ever."""
 
     async def scenario() -> None:
         monkeypatch.setattr(listener, "STALLED_ANSWER_TIMEOUT", 0.2)
@@ -329,7 +331,7 @@
             client.write(read("r2", key="k"))
             cache = await router.cache()
             await cache.resp()
-            cache.write(LONG)  # behind one that has no answer yet: it is held
+            cache.write(LONG)  # behind a request without an answer, so that it is held
             assert await client.ended() and await first.ended()
             assert router.listener.windows.streams == 0
 
--- a/tests/test_net_resp.py
+++ b/tests/test_net_resp.py
@@ -1,4 +1,4 @@
-"""The RESP reader: whole messages however they come, and nothing held that is not wanted."""
+"""The RESP reader returns complete messages however they are split, and buffers nothing beyond its limits."""
 
 from __future__ import annotations
 
@@ -52,9 +52,9 @@
         b"$1_0\r\n",
         b"$\r\n",
         b":1.5\r\n",
-        b"$3\r\nvalu",  # longer than said
+        b"$3\r\nvalu",  # longer than announced
         b"$3\r\nval\n",
-        b"$5\r\nval\r\n$-1\r\n",  # shorter than said
+        b"$5\r\nval\r\n$-1\r\n",  # shorter than announced
         b"*1\r\n" * 6,
         b"-" + b"x" * 1026,
         b"$" + b"1" * 22,
@@ -65,7 +65,7 @@
     ],
 )
 def test_what_is_malformed_or_too_large_is_refused_at_once(data: bytes) -> None:
-    """Waited for, it would hold memory, or its request to the deadline."""
+    """Waiting for the rest would hold memory, or the request until its deadline."""
     got = reader()
     got.feed(data)
     with pytest.raises(RespError):
@@ -98,4 +98,4 @@
         b"c=read",
     ]
     assert split_command(encode_command([b"PING"])) == [b"PING"]
-    assert split_command(encode_command([b"PING"]) * 2) is None  # two: the reader's
+    assert split_command(encode_command([b"PING"]) * 2) is None  # two commands are left to the reader
--- a/tests/test_net_timers.py
+++ b/tests/test_net_timers.py
@@ -1,4 +1,4 @@
-"""Timers in slots: in time, never early, and none stops another."""
+"""Timers grouped in slots fire in time and never early, and an error in one does not stop others."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
             timers.call_later(delay, lambda d: fired.put_nowait((d, loop.time())), due)
         order = [await fired.get() for _ in range(4)]
         assert order == sorted(order)
-        # a loop's own clock may stand still by a millisecond
+        # the clock of an event loop may lag by a millisecond
         assert all(at >= due - 0.001 for due, at in order)
         assert not timers.slots and not timers.slot_heap and timers.loop_timer is None
 
@@ -39,7 +39,7 @@
 
 
 def test_a_fault_in_one_leaves_the_others_of_its_slot() -> None:
-    """Requests would pass their deadlines unanswered."""
+    """Otherwise requests would pass their deadlines unanswered."""
 
     async def scenario() -> None:
         faults: list[dict[str, Any]] = []
--- a/tests/test_reload_signal.py
+++ b/tests/test_reload_signal.py
@@ -71,7 +71,7 @@
                 router.kill()
                 await router.wait()
 
-    run(scenario, patience=30.0)
+    run(scenario, timeout=30.0)
 
 
 @pytest.mark.processes
--- a/tests/test_request_log.py
+++ b/tests/test_request_log.py
@@ -1,4 +1,4 @@
-"""The log of requests: one id can be followed from its arrival to its answer, with reasons."""
+"""The request log: a request can be followed by its id from arrival to answer, with reasons."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 
 def events_of(lines: pytest.LogCaptureFixture, request: str) -> list[str]:
-    """What is told of a request, in its order: events, each with its reason or status."""
-    found = []
+    """Return the logged events of a request in order, each with its reason or status."""
+    events = []
     for record in lines.records:
         line = record.getMessage()
         if line.startswith(f"id={request} "):
             event = re.search(r"event=(\S+)", line)
-            why = re.search(r"(?:reason|status)=(\S+)", line)
+            reason = re.search(r"(?:reason|status)=(\S+)", line)
             assert event is not None
-            found.append(event[1] + (f" {why[1]}" if why is not None else ""))
-    return found
+            events.append(event[1] + (f" {reason[1]}" if reason is not None else ""))
+    return events
 
 
 def test_a_miss_is_followed_from_its_arrival_to_its_answer(lines: pytest.LogCaptureFixture) -> None:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -574,7 +574,7 @@
             os.kill(pid, 0)  # it is still being left
             os.kill(pid, signal.SIGKILL)
 
-    run(scenario, patience=3 * TIMEOUT)
+    run(scenario, timeout=3 * TIMEOUT)
 
 
 def test_a_reload_that_is_at_fault_leaves_the_router_open_to_the_next(tmp_path: Path) -> None:
