--- a/tests/test_net_passing.py
+++ b/tests/test_net_passing.py
@@ -138,7 +138,7 @@
 
 
 @needs_sources
-@pytest.mark.parametrize("longest", [60.0, 0.2])
+@pytest.mark.parametrize("max_overrun", [60.0, 0.2])
 def test_a_value_that_flows_passes_its_deadline_but_does_not_flow_for_good(
     max_overrun: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
