--- a/myrtlecourse/election/ballot.py
+++ b/myrtlecourse/election/ballot.py
@@ -1,4 +1,4 @@
-"""One question of a candidate to all voters, on trial or for their votes, and the answers; no I/O."""
+"""The votes for one question of a candidate, either a trial question or a request for votes; no I/O."""
 
 from __future__ import annotations
 
@@ -9,36 +9,37 @@
 
 @dataclass(slots=True)
 class Ballot:
-    """The question that was asked last."""
+    """The question that a candidate asked last, and the answers to it."""
 
     term: int = -1
     number: int = 0
     trial: bool = False
     asked_at: float = 0.0
-    again: bool = False  # as the term before was too low for a majority
+    is_retry: bool = False  # asked once more because the previous term was too low for a majority
     granted: set[str] = field(default_factory=set)
     denied: set[str] = field(default_factory=set)
-    highest_denial: int = -1  # the highest term of those that denied
+    highest_denier_term: int = -1  # highest term reported by a voter that denied
 
-    def grant(self, sender: str, grant: Grant, settings: Settings) -> bool:
-        """Count a yes to this question; whether a majority has said so."""
+    def count_grant(self, sender: str, grant: Grant, settings: Settings) -> bool:
+        """Counts a grant of this question and returns whether a majority has granted it."""
         if (grant.number, grant.trial) != (self.number, self.trial) or sender not in settings.voters:
             return False
         self.granted.add(sender)
         return len(self.granted) >= settings.majority
 
-    def deny(self, sender: str, term: int, settings: Settings) -> bool:
-        """Count a no; whether no majority is left that could say yes.
+    def count_denial(self, sender: str, term: int, settings: Settings) -> bool:
+        """Counts a denial and returns whether a majority can no longer be reached.
 
-        One voter ahead of a majority says nothing: whoever held in its term had the word of one of them.
+        A single voter in a higher term proves nothing: a holder elected in that term would have the promise
+        of at least one voter of every majority.
         """
         if sender not in settings.voters:
             return False
         self.denied.add(sender)
-        self.highest_denial = max(term, self.highest_denial)
+        self.highest_denier_term = max(term, self.highest_denier_term)
         return len(self.denied) > len(settings.voters) - settings.majority
 
     @property
-    def too_low(self) -> bool:
-        """Whether its term may be all that was wrong with it."""
-        return self.highest_denial >= self.term and not self.again
+    def term_too_low(self) -> bool:
+        """Whether a majority may have denied only because the term was too low."""
+        return self.highest_denier_term >= self.term and not self.is_retry
--- a/myrtlecourse/net/host.py
+++ b/myrtlecourse/net/host.py
@@ -243,13 +243,13 @@
 
     def set_watch(self, watch: api.ReachabilityObserver) -> None:
         """Report to `watch` what attempts prove, and the zones in the list."""
-        self.router.watch = watch
+        self.router.observer = watch
         self._report_zones()
 
     def _report_zones(self) -> None:
-        if self.router.watch is not None:
+        if self.router.observer is not None:
             zones = (m.entry.zone for m in self.members.values() if not self._is_origin(m))
-            self.router.watch.servers_listed(Counter(zones))
+            self.router.observer.servers_listed(Counter(zones))
 
     def _is_origin(self, member: Member) -> bool:
         return self.settings.cache_aside and member.entry.kind == self.settings.origin_kind
@@ -268,7 +268,7 @@
 
         What can't be recognised here is left to the full parser.
         """
-        if self.router.door is None and self.router.wanted and self.answer_deadline == math.inf:
+        if self.router.admission is None and self.router.accepting and self.answer_deadline == math.inf:
             return None
         request_class = tenant = ""
         is_retry = has_idempotency_key = False
@@ -290,7 +290,7 @@
         now = self.clock.now()
         if math.inf > now + time_left > self.answer_deadline:
             return busy_answer(0.0)
-        pause = self.router.turn_away(
+        pause = self.router.admission_retry_delay(
             now, request_class, tenant, is_retry, has_idempotency_key, time_left, read_delay
         )
         return None if pause is None else busy_answer(pause)
--- a/myrtlecourse/net/listener.py
+++ b/myrtlecourse/net/listener.py
@@ -353,7 +353,7 @@
         began = loop.time()
         await asyncio.sleep(delay)
         while True:
-            if self.host.router.wanted and loop.time() - began >= DRAIN_REFUSAL_DELAY:
+            if self.host.router.accepting and loop.time() - began >= DRAIN_REFUSAL_DELAY:
                 self.host.post(api.Serving(False))
             self._close_idle()
             self.state_changed.clear()
