--- a/myrtlecourse/beyond.py
+++ b/myrtlecourse/beyond.py
@@ -118,7 +118,7 @@
         if self.speaker is None:
             logging.warning("fleet: the settings allow no talk between routers, and the file names no peers")
             return
-        self.service.host.set_watch(self.speaker.agent)
+        self.service.host.set_observer(self.speaker.agent)
         try:
             await self.speaker.start(shared=self.service.inherited is not None)
         except OSError as e:
--- a/myrtlecourse/net/command.py
+++ b/myrtlecourse/net/command.py
@@ -6,9 +6,7 @@
 from dataclasses import dataclass
 
 MAX_VALUE = 4 * 1024 * 1024  # bytes of a value that a client sends
-MAX_BUFFERED_ANSWER = (
-    64 * 1024
-)  # bytes of an answer that is buffered until complete; longer ones are streamed
+MAX_BUFFERED_ANSWER = 64 * 1024  # bytes of an answer that is buffered whole; longer ones are streamed
 MAX_KEY = 1024
 MAX_INFO = 1024
 MAX_DEADLINE_MS = 600_000
--- a/myrtlecourse/net/host.py
+++ b/myrtlecourse/net/host.py
@@ -40,10 +40,10 @@
 rate_limited_log = RateLimitedLog(log)
 
 
-def busy_answer(come_back: float) -> bytes:
+def busy_answer(retry_after: float) -> bytes:
     """Encode a refusal, with the time in seconds after which to retry unless that is 0."""
-    pause = math.ceil(come_back * 1000)
-    return b"-BUSY %d\r\n" % pause if pause else b"-BUSY\r\n"
+    milliseconds = math.ceil(retry_after * 1000)
+    return b"-BUSY %d\r\n" % milliseconds if milliseconds else b"-BUSY\r\n"
 
 
 class Host:
@@ -241,9 +241,9 @@
             pool.set_timeouts(settings.dial_timeout, settings.connection_idle)
         self.post(api.SettingsChanged(settings))
 
-    def set_watch(self, watch: api.ReachabilityObserver) -> None:
-        """Report to `watch` what attempts prove, and the zones in the list."""
-        self.router.observer = watch
+    def set_observer(self, observer: api.ReachabilityObserver) -> None:
+        """Report to `observer` what attempts prove, and the zones in the list."""
+        self.router.observer = observer
         self._report_zones()
 
     def _report_zones(self) -> None:
@@ -290,10 +290,10 @@
         now = self.clock.now()
         if math.inf > now + time_left > self.answer_deadline:
             return busy_answer(0.0)
-        pause = self.router.admission_retry_delay(
+        retry_after = self.router.admission_retry_delay(
             now, request_class, tenant, is_retry, has_idempotency_key, time_left, read_delay
         )
-        return None if pause is None else busy_answer(pause)
+        return None if retry_after is None else busy_answer(retry_after)
 
     def accept(self, command: Command, answer_sink: AnswerSink, read_delay: float = 0.0) -> None:
         """Accept a request, whose single answer goes to `answer_sink`.
--- a/myrtlecourse/net/http.py
+++ b/myrtlecourse/net/http.py
@@ -126,9 +126,8 @@
         output = b""
         while self.head_expected and (end := self.head_buffer.find(b"\r\n\r\n") + 4) > 3:
             output += LOAD_REPORT.sub(b"", bytes(self.head_buffer[:end]))
-            self.head_expected = (
-                self.head_buffer[9:10] == b"1"
-            )  # another one follows a head such as 100 Continue
+            # another head follows one such as 100 Continue
+            self.head_expected = self.head_buffer[9:10] == b"1"
             del self.head_buffer[:end]
         if not self.head_expected:
             output += bytes(self.head_buffer)
--- a/myrtlecourse/net/listener.py
+++ b/myrtlecourse/net/listener.py
@@ -81,9 +81,7 @@
         self.descriptors.add(self)
         self.connections: dict[ClientConnection, None] = {}
         self.lingering: dict[ClientConnection, None] = {}  # those that are half-closed, the oldest first
-        self.evicted: set[ClientConnection] = (
-            set()
-        )  # aborted ones, whose descriptors are about to become free
+        self.evicted: set[ClientConnection] = set()  # aborted; their descriptors are about to become free
         self.hang_up_monitor = HangUpMonitor()  # for connections that are not read
         self.stopping = False  # this process ends: connections without open requests are closed
         self.setup_tasks: set[asyncio.Task[None]] = set()  # for accepted connections
--- a/myrtlecourse/scale/hollow.py
+++ b/myrtlecourse/scale/hollow.py
@@ -130,7 +130,7 @@
         agent = Agent(taken, clock(), time.time(), config.seed)
         speaker = CountingSpeaker(agent, bind, peers, clock, self.host.post)
         speaker.counts = self.counts
-        self.host.set_watch(agent)
+        self.host.set_observer(agent)
         return speaker
 
     def _subscribe(self) -> None:
--- a/tests/test_long_answers.py
+++ b/tests/test_long_answers.py
@@ -157,9 +157,8 @@
     d = one_cache()
     start_streams(d, "slow")
     d.end("slow", api.Status.RESET)
-    assert (
-        d.router.servers["a"].consecutive_failures == 0
-    )  # the only server is not taken out, as half of the fleet would be out
+    # the only server is not taken out, as at least half of the fleet would be out
+    assert d.router.servers["a"].consecutive_failures == 0
     d.list(entry("a"), entry("b"), entry("c"), kind=api.ListKind.DELTA)
     name = next(n for n in map(str, range(50)) if d.request(n, key=n, time_left=STREAM_TIME) == "a")
     d.feed(api.Streaming(name, 0))
--- a/tests/test_net_errors.py
+++ b/tests/test_net_errors.py
@@ -80,9 +80,8 @@
             router.listener.socket = failing
             assert await ping(router) and await ping(router)
             assert not failing.errors
-            assert (
-                failing.calls <= 2 + 2 * 2
-            )  # the failed calls, and for each client one that finds no further client
+            # the failed calls, and for each client one that finds no further client
+            assert failing.calls <= 2 + 2 * 2
 
     run(scenario)
 
--- a/tests/test_net_hangup.py
+++ b/tests/test_net_hangup.py
@@ -26,11 +26,8 @@
 )
 
 CLOSES: list[Callable[[Link], None]] = [Link.close, Link.reset]
-NOT_CANCELLABLE = replace(
-    SETTINGS, may_cancel=False
-)  # running attempts are not cancelled, but waiting ones are
-
-
+# running attempts are not cancelled, but waiting ones are
+NOT_CANCELLABLE = replace(SETTINGS, may_cancel=False)
 LONG = "c=read,t=x,d=600000"  # so that only the hang-up ends the request
 
 
@@ -202,9 +199,8 @@
                 dials.release()
                 late = await router.caches[dialled].link()
                 if change == "window over":
-                    assert str(await client.resp()).startswith(
-                        "BUSY"
-                    )  # as no server would recognise a repeat
+                    # no server would recognise a repeat
+                    assert str(await client.resp()).startswith("BUSY")
                 else:
                     other = await router.caches["ab".replace(dialled, "")].link()
                     assert (await other.resp())[2] == b"r1"
--- a/tests/test_net_passing.py
+++ b/tests/test_net_passing.py
@@ -130,9 +130,8 @@
                 pass
             assert len(got) < len(VALUE) + 11
             assert not router.host.requests and not router.host.router.requests
-            assert (
-                router.caches["a"].links.empty() and router.caches["b"].links.empty()
-            )  # there is no second attempt
+            # there is no second attempt
+            assert router.caches["a"].links.empty() and router.caches["b"].links.empty()
 
     run(scenario)
 
