--- a/myrtlecourse/net/listener.py
+++ b/myrtlecourse/net/listener.py
@@ -135,7 +135,10 @@
                 await asyncio.sleep(ACCEPT_PAUSE)
 
     async def _wait_for_clients(self) -> None:
-        """Wait for a client in the backlog; watched all the time, a full router would run a busy loop."""
+        """Wait for a client in the backlog.
+
+        The socket is polled only here: a full router that watched it all the time would run a busy loop.
+        """
         self.accept_ready.clear()
         self.loop.add_reader(self.socket.fileno(), self.accept_ready.set)
         try:
@@ -205,18 +208,20 @@
             if len(self.lingering) > LINGERING_ALLOWANCE:
                 self._evict(next(iter(self.lingering)))
                 continue
-            erring = (c for c in self.paused_after_error if not c.slots and not c.no_more_commands)
+            after_error = (c for c in self.paused_after_error if not c.slots and not c.no_more_commands)
             # only a few are checked: asking the kernel about each, for each new client, took 10% of a core
             late_first = (
                 c
                 for c, since in islice(self.awaiting_command.items(), MAX_CANDIDATES)
                 if now - since > FIRST_COMMAND_GRACE
             )
-            once = (c for c in islice(self.idle, MAX_CANDIDATES) if c.command_count == 1)
+            single_command = (c for c in islice(self.idle, MAX_CANDIDATES) if c.command_count == 1)
             idle = islice(self.idle, MAX_CANDIDATES)
-            candidate = next(erring, None)
+            candidate = next(after_error, None)
             if candidate is None:
-                candidate = next((c for c in chain(late_first, once, idle) if not c.has_unread_input()), None)
+                candidate = next(
+                    (c for c in chain(late_first, single_command, idle) if not c.has_unread_input()), None
+                )
             if candidate is not None:
                 candidate.close(CloseReason.NO_ROOM)
                 continue
@@ -348,10 +353,10 @@
         unread command would lose that command.
         """
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         await asyncio.sleep(delay)
         while True:
-            if self.host.router.accepting and loop.time() - began >= DRAIN_REFUSAL_DELAY:
+            if self.host.router.accepting and loop.time() - started_at >= DRAIN_REFUSAL_DELAY:
                 self.host.post(api.Serving(False))
             self._close_idle()
             self.state_changed.clear()
@@ -377,7 +382,7 @@
         Returns after `time_limit` seconds from now at the latest. An inherited socket is not accepted on any
         more, as the following process accepts on it already or soon will.
         """
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         if not self.inherited:
             await asyncio.sleep(accept_time)
         for task in self.tasks if self.drain_task is None else [*self.tasks, self.drain_task]:
@@ -388,9 +393,9 @@
         loop = asyncio.get_running_loop()
         # refuses what clients still send on open connections, as the process could be killed before answering
         self.stopping = True
-        self.host.set_answer_deadline(time_limit - (loop.time() - began))
+        self.host.set_answer_deadline(time_limit - (loop.time() - started_at))
         with suppress(TimeoutError):
-            async with asyncio.timeout(time_limit - (loop.time() - began)):
+            async with asyncio.timeout(time_limit - (loop.time() - started_at)):
                 while self.connections or self.setup_tasks:
                     self.state_changed.clear()
                     self._close_idle()
