--- a/myrtlecourse/duties/driver.py
+++ b/myrtlecourse/duties/driver.py
@@ -16,7 +16,7 @@
 from myrtlecourse.duties.memory import write_memories
 from myrtlecourse.duties.message_log import MessageLog
 from myrtlecourse.election import messages as election
-from myrtlecourse.net.logs import BoundedLog
+from myrtlecourse.net.rate_limited_log import RateLimitedLog
 from myrtlecourse.peers.end import End, Endpoint
 from myrtlecourse.peers.records import started
 from myrtlecourse.peers.wire import Wire
@@ -28,7 +28,7 @@
 # messages that promise a vote or an accepted order; a promised lease relies on the wait after a start
 PROMISES = (election.Ask, election.Grant, messages.Known, messages.Taken)
 log = logging.getLogger(__name__)
-bounded = BoundedLog(log)
+bounded = RateLimitedLog(log)
 
 
 class Work(Protocol):
--- a/myrtlecourse/load/client.py
+++ b/myrtlecourse/load/client.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from myrtlecourse.net.resp import NOT_YET, Message, Reader, RespError
+from myrtlecourse.net.resp import INCOMPLETE, Message, Reader, RespError
 
 MAX_ANSWER = 16 * 1024 * 1024  # bytes; an answer that announces more is rejected before it is read
 MAX_ITEMS = 16  # of an answer that is an array
@@ -52,12 +52,12 @@
             return
         self.reader.feed(data)
         try:
-            message = self.reader.next()
+            message = self.reader.next_message()
         except RespError as e:
             self._end(ConnectionBroken(str(e)))
             self.transport.abort()
             return
-        if message is not NOT_YET:
+        if message is not INCOMPLETE:
             on_reply, self.on_reply = self.on_reply, None
             reused, self.reused = self.reused, True
             # Bytes beyond the answer would be taken for the answer to the next request.
--- a/myrtlecourse/load/generator.py
+++ b/myrtlecourse/load/generator.py
@@ -19,7 +19,7 @@
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.load.record import Record
 from myrtlecourse.load.requests import PlannedRequest, repeatable, retry_delay
-from myrtlecourse.net.resp import ErrorLine, Message, pack
+from myrtlecourse.net.resp import ErrorLine, Message, encode_command
 
 # Seconds after its deadline for which an observed client still listens: is the answer late, or lost?
 LINGER = 1.0
@@ -153,7 +153,7 @@
         router = (self.number + self.tries - 1) % len(generator.pools)
         self.current_try = current = Try(self, name, router, time_left)
         current.command = generator.pools[router].submit(
-            name, pack(parts), current.on_reply, current.written, fresh
+            name, encode_command(parts), current.on_reply, current.written, fresh
         )
 
     def on_reply(self, answer: Message | BaseException, reused: bool) -> None:
--- /dev/null
+++ b/myrtlecourse/net/flow_control.py
@@ -0,0 +1,76 @@
+"""Limits the memory that long values take: a budget for the whole process in each direction.
+
+Streamed answers share their budget evenly. A peer that reads or sends slowly fills only its own window, which
+pauses the other side of its stream; no stream is aborted for lack of memory.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from typing import Protocol
+
+DEFAULT_BUDGET = 16 * 1024 * 1024  # bytes, unless the configuration gives the available memory
+MEMORY_SHARE = 1 / 5  # of a process's memory, for each direction
+MAX_WINDOW = 64 * 1024  # bytes of one stream in each of its two buffers; as much as is read at once
+MIN_WINDOW = 4 * 1024
+
+
+class StreamWindows:
+    """Counts the answers that are streamed to clients and sizes the buffers of each."""
+
+    def __init__(self, budget: int = DEFAULT_BUDGET) -> None:
+        """Create windows that share `budget` bytes."""
+        self.budget = budget
+        self.streams = 0
+
+    def size(self) -> int:
+        """Return the bytes that one stream may read ahead; its client's write buffer may hold as many."""
+        return max(MIN_WINDOW, min(MAX_WINDOW, self.budget // (2 * max(1, self.streams))))
+
+
+class ReservationWaiter(Protocol):
+    """A client that announced a long value and is not read until memory for it is reserved."""
+
+    def on_reserved(self) -> None:
+        """Handle that the memory has been reserved."""
+
+
+class UploadMemory:
+    """The memory for long values that clients send; all of a value is reserved before it is read.
+
+    Reservations are made in the order of the requests. A client that has sent half of a value has reserved
+    the other half, so that no client waits for memory that another one holds while it waits itself.
+    """
+
+    def __init__(self, budget: int = DEFAULT_BUDGET) -> None:
+        """Create a budget of `budget` bytes for all values together; a single value always fits."""
+        self.budget = budget
+        self.reserved = 0
+        self.waiting: deque[tuple[ReservationWaiter, int]] = deque()
+
+    def reserve(self, client: ReservationWaiter, size: int) -> bool:
+        """Reserve memory and return True, or return False and call `on_reserved` once it is reserved."""
+        if not self.waiting and self._fits(size):
+            self.reserved += size
+            return True
+        self.waiting.append((client, size))
+        return False
+
+    def _fits(self, size: int) -> bool:
+        return not self.reserved or self.reserved + size <= self.budget
+
+    def release(self, size: int) -> None:
+        """Free reserved memory."""
+        self.reserved -= size
+        self._grant_waiting()
+
+    def stop_waiting(self, client: ReservationWaiter) -> None:
+        """Remove a client from the queue."""
+        self.waiting = deque(each for each in self.waiting if each[0] is not client)
+        self._grant_waiting()  # it may have been ahead of smaller values
+
+    def _grant_waiting(self) -> None:
+        while self.waiting and self._fits(self.waiting[0][1]):
+            client, size = self.waiting.popleft()
+            self.reserved += size
+            client.on_reserved()
--- a/myrtlecourse/net/hangup.py
+++ b/myrtlecourse/net/hangup.py
@@ -1,8 +1,8 @@
-"""Clients that have hung up, also while they are not read: the end of a connection lies behind unread bytes.
+"""Detects clients that hang up while their connection is not read.
 
-The event loop tells of an end only where it reads. A client that is not read (its pipeline is full, a long
-value waits for room, it takes its answers slowly, or it has sent an error) could be gone for seconds, and
-attempts would begin for nobody.
+The event loop reports the end of a connection only where it reads, and the end lies behind all unread bytes.
+A client that is not read (its pipeline is full, a long value waits for memory, it takes its answers slowly,
+or it has sent an error) could be gone for seconds, while attempts would begin for nobody.
 """
 
 from __future__ import annotations
@@ -11,66 +11,66 @@
 import select
 from typing import Protocol
 
-LOOK = 0.02  # seconds between looks; attempts ask anew just before they begin
-GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
+POLL_INTERVAL = 0.02  # seconds; each attempt checks again just before it begins
+HANG_UP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
-class Unread(Protocol):
-    """A connection that is not read for now."""
+class UnreadConnection(Protocol):
+    """A connection that is not read at present."""
 
     descriptor: int
 
-    def hung_up(self) -> None:
-        """Its client has closed it."""
+    def on_hang_up(self) -> None:
+        """Handle that the client has closed the connection."""
 
 
 def has_hung_up(descriptor: int) -> bool:
-    """Whether the other side has closed a connection, whatever lies unread before its end."""
+    """Return whether the other side has closed a connection, even behind unread bytes."""
     poll = select.poll()
     poll.register(descriptor, select.POLLRDHUP)
     try:
-        return any(events & GONE for _, events in poll.poll(0))
-    except OSError:  # no memory for a look: nothing is known
+        return any(events & HANG_UP_EVENTS for _, events in poll.poll(0))
+    except OSError:  # the kernel lacks memory for the poll: nothing is known
         return False
 
 
-class HangUps:
-    """Looks after the connections that are not read; costs nothing while there are none."""
+class HangUpMonitor:
+    """Polls the connections that are not read; has no overhead while there are none."""
 
     def __init__(self) -> None:
-        self.poll = select.poll()
-        self.unread: dict[int, Unread] = {}  # by descriptor
+        self.poller = select.poll()
+        self.connections: dict[int, UnreadConnection] = {}  # by descriptor
         self.timer: asyncio.TimerHandle | None = None
 
-    def add(self, connection: Unread) -> None:
-        """A connection is not read from now on."""
-        self.unread[connection.descriptor] = connection
-        self.poll.register(connection.descriptor, select.POLLRDHUP)
+    def add(self, connection: UnreadConnection) -> None:
+        """Monitor a connection that is no longer read."""
+        self.connections[connection.descriptor] = connection
+        self.poller.register(connection.descriptor, select.POLLRDHUP)
         if self.timer is None:
-            self.timer = asyncio.get_running_loop().call_later(LOOK, self._look)
+            self.timer = asyncio.get_running_loop().call_later(POLL_INTERVAL, self._poll)
 
-    def remove(self, connection: Unread) -> None:
-        """It is read again, or has ended; to be called before its descriptor is closed."""
+    def remove(self, connection: UnreadConnection) -> None:
+        """Stop monitoring a connection that is read again or has ended, before its descriptor is closed."""
         descriptor = connection.descriptor
-        if self.unread.get(descriptor) is connection:
-            del self.unread[descriptor]
-            self.poll.unregister(descriptor)
+        if self.connections.get(descriptor) is connection:
+            del self.connections[descriptor]
+            self.poller.unregister(descriptor)
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         self.timer = None
         try:
-            found = self.poll.poll(0)
-        except OSError:  # no memory for a look: the next one comes soon
+            found = self.poller.poll(0)
+        except OSError:  # the kernel lacks memory for the poll: the next one comes soon
             found = []
         for descriptor, events in found:
-            connection = self.unread.get(descriptor)
-            if connection is not None and events & GONE:
-                connection.hung_up()
-        if self.unread:
-            self.timer = asyncio.get_running_loop().call_later(LOOK, self._look)
+            connection = self.connections.get(descriptor)
+            if connection is not None and events & HANG_UP_EVENTS:
+                connection.on_hang_up()
+        if self.connections:
+            self.timer = asyncio.get_running_loop().call_later(POLL_INTERVAL, self._poll)
 
     def close(self) -> None:
-        """Look no more."""
+        """Stop polling."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- a/myrtlecourse/net/host.py
+++ b/myrtlecourse/net/host.py
@@ -1,6 +1,7 @@
-"""Hosts the decision module: its clock and timers, and the table of requests and attempts.
+"""Hosts the decision module: provides its clock and timers and keeps the table of requests and attempts.
 
-Turns what happens on sockets into events, carries out the actions in order, and decides nothing.
+Turns what happens on sockets into events and carries out the resulting actions in order. All decisions are
+made in `policy.Router`.
 """
 
 from __future__ import annotations
@@ -16,36 +17,37 @@
 from myrtlecourse.net.clock import Clock
 from myrtlecourse.net.command import Command, CommandError
 from myrtlecourse.net.connection import Exchange
-from myrtlecourse.net.list_updates import ListNews, ListUpdates
-from myrtlecourse.net.logs import BoundedLog
+from myrtlecourse.net.in_flight import AnswerSink, Attempt, RequestInFlight
+from myrtlecourse.net.list_updates import ListUpdate, ListUpdateQueue
+from myrtlecourse.net.loop_lag import LoopLag
 from myrtlecourse.net.members import Member
 from myrtlecourse.net.pool import Pool
+from myrtlecourse.net.rate_limited_log import RateLimitedLog
 from myrtlecourse.net.request_log import requests_log
-from myrtlecourse.net.taken import Attempt, Reply, Taken
 from myrtlecourse.net.timers import Timers
-from myrtlecourse.net.turns import Turns
 from myrtlecourse.policy import Router
 
-# before the client's deadline, which counts from its send: measured, the way takes 1.3 ms at most in each
-# direction and this process 1.4 ms at the 99th percentile; the rest is for a core that others keep busy
+# seconds before the client's deadline, which counts from its send: the network takes at most 1.3 ms in each
+# direction and this process 1.4 ms at the 99th percentile; the rest allows for a core busy with other
+# processes
 DEADLINE_MARGIN = 0.02
-REMEMBER = 2.0  # seconds at least for which the id of an ended request is not taken again
-LONGEST_FLOW = 60.0  # seconds after its deadline for which a long answer may flow on, however slowly
-MAX_HINT = 12  # digits
-FAILED = b"-ERR failed\r\n"
-LATE = 0.1  # seconds after its deadline from which on a final answer is worth a line in the log
+MIN_ID_MEMORY = 2.0  # seconds; the id of an ended request is not accepted again for at least this long
+MAX_STREAM_OVERRUN = 60.0  # seconds after the deadline for which a streamed answer may go on, however slowly
+MAX_DIGITS = 12  # of a number in a command's names and values
+FAILED_ANSWER = b"-ERR failed\r\n"
+LATE_ANSWER_LOGGED = 0.1  # seconds after its deadline from which on a final answer is logged as late
 log = logging.getLogger(__name__)
-bounded = BoundedLog(log)
+rate_limited_log = RateLimitedLog(log)
 
 
-def busy(come_back: float) -> bytes:
-    """A refusal, with the time to come back if there is one (seconds)."""
-    pause = math.ceil(come_back * 1000)
-    return b"-BUSY %d\r\n" % pause if pause else b"-BUSY\r\n"
+def busy_answer(retry_after: float) -> bytes:
+    """Encode a refusal, with the time in seconds after which to retry unless that is 0."""
+    milliseconds = math.ceil(retry_after * 1000)
+    return b"-BUSY %d\r\n" % milliseconds if milliseconds else b"-BUSY\r\n"
 
 
 class Host:
-    """One router and what it has going on."""
+    """A router with its members, requests and timers."""
 
     def __init__(
         self,
@@ -54,189 +56,197 @@
         servers: Pool,
         origin: Pool,
         subscribe: Callable[[], None],
-        door: api.AdmissionControl | None = None,
+        admission: api.AdmissionControl | None = None,
     ) -> None:
         self.settings = settings
         self.servers = servers
         self.origin = origin
         self.subscribe = subscribe
         self.clock = Clock()
-        self.in_service = True  # as operators have it
-        self.addressed = True  # the service address is here, where it may move
-        self.last_answer = math.inf  # by then all that is taken has its answer, as this process ends
-        self.router = Router(settings, seed, self.clock.now(), door)
+        self.in_service = True  # unless operators take the router out of service
+        self.holds_service_address = True  # false while the movable service address is at another router
+        self.answer_deadline = math.inf  # when this process ends: every accepted request is answered by then
+        self.router = Router(settings, seed, self.clock.now(), admission)
         self.members: dict[str, Member] = {}
-        self.offlined: set[str] = set()  # by operators
-        self.requests: dict[str, Taken] = {}
-        self.used: set[str] = set()  # ids of ended requests
-        self.used_before: set[str] = set()
-        self.used_since = self.clock.now()
-        self.over: list[str] = []  # names of requests that may be forgotten
-        self.events: deque[api.Event] = deque()
+        self.offline_servers: set[str] = set()  # servers that operators took offline
+        self.requests: dict[str, RequestInFlight] = {}
+        self.recent_ids: set[str] = set()  # of ended requests
+        self.older_ids: set[str] = set()  # the generation before
+        self.id_generation_started_at = self.clock.now()
+        self.ended_requests: list[str] = []  # ids of requests that may be removable
+        self.pending_events: deque[api.Event] = deque()
         self.handling = False
         self.timers = Timers()
-        self.turns = Turns()
-        self.updates = ListUpdates(lambda: self.members, self.take_list)
-        self.log = requests_log
-        self.updating = False  # a turn of the loop is asked for, to take the next batch
+        self.loop_lag = LoopLag()
+        self.list_updates = ListUpdateQueue(lambda: self.members, self.apply_list)
+        self.request_log = requests_log
+        self.batch_scheduled = False  # whether a call to apply the next batch is scheduled
 
     def post(self, event: api.Event) -> None:
-        """Hand an event to the module; one that comes while actions are carried out waits its turn."""
+        """Pass an event to the decision module; while actions are carried out, events are queued."""
         if self.handling:
-            self.events.append(event)
+            self.pending_events.append(event)
             return
         self.handling = True
         try:
             for action in self.router.handle(self.clock.now(), event):
                 self._carry_out(action)
-            while self.events:
-                for action in self.router.handle(self.clock.now(), self.events.popleft()):
+            while self.pending_events:
+                for action in self.router.handle(self.clock.now(), self.pending_events.popleft()):
                     self._carry_out(action)
         finally:
             self.handling = False
-            # not before: the module may still send for a request that it has just ended, which is moot
-            for name in self.over:
-                self._forget(name)
-            self.over.clear()
+            # not earlier: the module may still ask for an attempt of a request that it has just ended; that
+            # attempt is cancelled before sending
+            for request_id in self.ended_requests:
+                self._remove_ended(request_id)
+            self.ended_requests.clear()
 
     def _carry_out(self, action: api.Action) -> None:
         match action:
             case api.Send():
-                self._send(action)
+                self._start_attempt(action)
             case api.Refuse():
                 self._refuse(action)
             case api.Fail():
-                self._close(action.request, FAILED, action.reason)
+                self._answer(action.request, FAILED_ANSWER, action.reason)
             case api.Cancel():
-                self._cancel(action)
+                self._cancel_attempt(action)
             case api.CloseIdle():
                 if (member := self.members.get(action.server)) is not None:
-                    self._pool(member).close_idle(member.address)
+                    self._pool_of(member).close_idle(member.address)
             case api.SetTimer():
-                self.timers.after(action.delay, self.post, api.TimerFired(action.timer))
+                self.timers.call_later(action.delay, self.post, api.TimerFired(action.timer))
             case api.Subscribe():
                 self.subscribe()
             case api.Log():
                 log.info("%s", action.text)
 
-    # The list
+    # The list of servers
 
-    def ready(self) -> bool:
-        """Whether clients are wanted: in service, at the service address, and with a cache server."""
-        return self.addressed and self.may_serve()
+    def accepts_clients(self) -> bool:
+        """Return whether clients are welcome: the router can serve them and holds the service address."""
+        return self.holds_service_address and self.has_usable_server()
 
-    def may_serve(self) -> bool:
-        """Whether it is in service and some cache server may be sent to."""
+    def has_usable_server(self) -> bool:
+        """Return whether the router is in service and requests may be sent to some cache server."""
         return self.in_service and any(
             m.entry.ready and not self._is_origin(m) for m in self.members.values()
         )
 
-    def list_moved(self) -> None:
-        """The list is told elsewhere from now on."""
+    def discovery_moved(self) -> None:
+        """Handle that the list comes from another discovery from now on."""
         self.post(api.DiscoveryChanged())
 
-    def list_failed(self) -> None:
+    def discovery_failed(self) -> None:
         self.post(api.ServerList(api.ListKind.FAILED))
 
-    def list_told(self, kind: api.ListKind, members: list[Member]) -> None:
-        """Take a list or its changes, the longer ones a batch in each turn of the event loop.
+    def submit_list(self, kind: api.ListKind, members: list[Member]) -> None:
+        """Apply a list or its changes, longer ones one batch per iteration of the event loop.
 
-        The list of the configuration is taken at once: no request waits for it.
+        The list in the configuration is applied at once, as no request is waiting yet.
         """
-        news = ListNews(kind, members)
+        update = ListUpdate(kind, members)
         if kind is api.ListKind.SAVED:
-            self.take_list(news)
+            self.apply_list(update)
             return
-        self.updates.put(news)
-        if self.updates.pending and not self.updating:
-            self.updating = True
-            asyncio.get_running_loop().call_soon(self._take_batch)
+        self.list_updates.submit(update)
+        if self.list_updates.pending and not self.batch_scheduled:
+            self.batch_scheduled = True
+            asyncio.get_running_loop().call_soon(self._apply_next_batch)
 
-    def _take_batch(self) -> None:
-        self.turns.note()
+    def _apply_next_batch(self) -> None:
+        self.loop_lag.note_input()
         loop = asyncio.get_running_loop()
         try:
-            self.updates.step()
+            self.list_updates.apply_next_batch()
         except Exception:
-            # guards drains: what the decisions could not take in part they are told again as a whole
-            log.exception("a batch of the list")
-            loop.call_soon(self._tell_again)
-        self.updating = self.updates.pending
-        if self.updating:
-            loop.call_soon(self._take_batch)
-
-    def _tell_again(self) -> None:
-        """Tell the decisions the list as it is held."""
-        self.post(api.ServerList(api.ListKind.FULL, tuple(self._entry(m) for m in self.members.values())))
-
-    def take_list(self, news: ListNews) -> None:
-        """Enter news; costs what it names, and for a whole list what it ends."""
-        if news.kind is not api.ListKind.DELTA:
-            named = {m.entry.server for m in news.members}
+            # protects drains: the decision module, which may have applied only a part, gets the full list
+            # again
+            log.exception("could not apply a batch of the server list; sending the full list again")
+            loop.call_soon(self._resend_list)
+        self.batch_scheduled = self.list_updates.pending
+        if self.batch_scheduled:
+            loop.call_soon(self._apply_next_batch)
+
+    def _resend_list(self) -> None:
+        """Pass the full current list to the decision module."""
+        self.post(
+            api.ServerList(
+                api.ListKind.FULL, tuple(self._entry_on_host_clock(m) for m in self.members.values())
+            )
+        )
+
+    def apply_list(self, update: ListUpdate) -> None:
+        """Apply an update; takes time for its entries and, if it is a full list, for removed members."""
+        if update.kind is not api.ListKind.DELTA:
+            named = {m.entry.server for m in update.members}
             for name in self.members.keys() - named:
-                self._replace(name, None)
-        for member in news.members:
-            self._replace(member.entry.server, None if member.entry.state is api.State.GONE else member)
-        if not self.updates.pending:
-            self._tell_zones()
-        if self.log.on:
-            kind, entries, listed = news.kind.value, len(news.members), len(self.members)
-            self.log.event("-", "list", kind=kind, entries=entries, listed=listed)
-        self.post(api.ServerList(news.kind, tuple(self._entry(m) for m in news.members)))
-
-    def _entry(self, member: Member) -> api.ServerEntry:
-        """A member as the module is told of it: its start on this clock, once the wall clock was stepped."""
+                self._replace_member(name, None)
+        for member in update.members:
+            self._replace_member(
+                member.entry.server, None if member.entry.state is api.State.GONE else member
+            )
+        if not self.list_updates.pending:
+            self._report_zones()
+        if self.request_log.enabled:
+            kind, entries, listed = update.kind.value, len(update.members), len(self.members)
+            self.request_log.event("-", "list", kind=kind, entries=entries, listed=listed)
+        self.post(api.ServerList(update.kind, tuple(self._entry_on_host_clock(m) for m in update.members)))
+
+    def _entry_on_host_clock(self, member: Member) -> api.ServerEntry:
+        """Return a member's entry, with its start on the host's clock if the wall clock has been stepped."""
         entry = member.entry
         if not self.clock.stepped:
             return entry
-        return replace(entry, local_start=self.clock.start_of(entry.listed_start))
+        return replace(entry, local_start=self.clock.start_on_this_clock(entry.listed_start))
 
-    def look_at_clock(self) -> None:
-        """Notice a step of the wall clock, by which others tell when servers started."""
-        if step := self.clock.look():
+    def check_wall_clock(self) -> None:
+        """Detect a step of the wall clock, to which the start times of servers refer."""
+        if step := self.clock.detect_step():
             log.warning("the wall clock was stepped by %+.3f s", step)
 
-    def _replace(self, name: str, new: Member | None) -> None:
-        """List a server as it is told now, or no more.
+    def _replace_member(self, name: str, new: Member | None) -> None:
+        """Replace a member of the list, or remove it if `new` is None.
 
-        Guards the descriptors, and the next process at an address: nothing more is sent to one that ends, and
-        a machine that vanished never closes what was kept to it.
+        Closes the idle connections to a process that ends. Nothing more is sent to it, and a machine that
+        vanished never closes them: they would waste descriptors and reach the next process at the address.
         """
         old = self.members.pop(name, None)
         if new is not None:
             self.members[name] = new
         if old is not None and (new is None or not new.entry.ready or new.process != old.process):
-            self._pool(old).close_idle(old.address)
+            self._pool_of(old).close_idle(old.address)
 
     # Operators
 
-    def offline(self, server: str) -> None:
-        """Nothing new goes to a cache server; what it has ends there."""
-        self.offlined.add(server)
+    def take_offline(self, server: str) -> None:
+        """Start no new attempts at a cache server; its open attempts finish there."""
+        self.offline_servers.add(server)
         self.post(api.ServerBanned(server))
         if (member := self.members.get(server)) is not None:
-            self._pool(member).leave(member.address)
+            self._pool_of(member).stop_using(member.address)
 
-    def online(self, server: str, since: float) -> None:
-        """A cache server is back, cold; nothing kept to it is used again."""
+    def bring_online(self, server: str, since: float) -> None:
+        """Use a cache server again, as a cold one; connections kept from before are not used."""
         if (member := self.members.get(server)) is not None:
-            self._pool(member).leave(member.address)
-        self.offlined.discard(server)
-        self.post(api.BanLifted(server, self.clock.start_of(since)))
+            self._pool_of(member).stop_using(member.address)
+        self.offline_servers.discard(server)
+        self.post(api.BanLifted(server, self.clock.start_on_this_clock(since)))
 
-    def retune(self, settings: api.Settings) -> None:
-        """Other settings from now on; open requests end under those that they began with."""
+    def change_settings(self, settings: api.Settings) -> None:
+        """Apply new settings; open requests finish under the settings that they began with."""
         self.settings = settings
         for pool in (self.servers, self.origin):
-            pool.retune(settings.dial_timeout, settings.connection_idle)
+            pool.set_timeouts(settings.dial_timeout, settings.connection_idle)
         self.post(api.SettingsChanged(settings))
 
-    def watch(self, watch: api.ReachabilityObserver) -> None:
-        """Let somebody hear what attempts prove, and which zones lists name."""
-        self.router.observer = watch
-        self._tell_zones()
+    def set_observer(self, observer: api.ReachabilityObserver) -> None:
+        """Report to `observer` what attempts prove, and the zones in the list."""
+        self.router.observer = observer
+        self._report_zones()
 
-    def _tell_zones(self) -> None:
+    def _report_zones(self) -> None:
         if self.router.observer is not None:
             zones = (m.entry.zone for m in self.members.values() if not self._is_origin(m))
             self.router.observer.servers_listed(Counter(zones))
@@ -244,24 +254,24 @@
     def _is_origin(self, member: Member) -> bool:
         return self.settings.cache_aside and member.entry.kind == self.settings.origin_kind
 
-    def _pool(self, member: Member) -> Pool:
+    def _pool_of(self, member: Member) -> Pool:
         return self.origin if self._is_origin(member) else self.servers
 
     # Requests
 
-    def end_by(self, seconds: float) -> None:
-        """Take no request from now on that could be unanswered in so many seconds."""
-        self.last_answer = self.clock.now() + seconds
+    def set_answer_deadline(self, seconds: float) -> None:
+        """Refuse from now on requests whose deadline is more than `seconds` away."""
+        self.answer_deadline = self.clock.now() + seconds
 
-    def turn_away(self, info: bytes, waited: float) -> bytes | None:
-        """The refusal of a command that the module does not even want read; `info` as its client sent it.
+    def refuse_early(self, info: bytes, read_delay: float) -> bytes | None:
+        """Return the refusal of a command that need not be parsed, or None; `info` is as its client sent it.
 
-        What can't be made out here is left to the whole look at it.
+        What can't be recognised here is left to the full parser.
         """
-        if self.router.admission is None and self.router.accepting and self.last_answer == math.inf:
+        if self.router.admission is None and self.router.accepting and self.answer_deadline == math.inf:
             return None
         request_class = tenant = ""
-        repeated = keyed = False
+        is_retry = has_idempotency_key = False
         time_left = math.inf
         for pair in info.split(b","):
             name = pair[:2]
@@ -269,206 +279,229 @@
                 request_class = pair[2:].decode("latin-1")
             elif name == b"t=":
                 tenant = pair[2:].decode("latin-1")
-            elif name == b"d=" and pair[2:].isdigit() and len(pair) <= MAX_HINT:
-                time_left = int(pair[2:]) / 1000 - DEADLINE_MARGIN - waited
+            elif name == b"d=" and pair[2:].isdigit() and len(pair) <= MAX_DIGITS:
+                time_left = int(pair[2:]) / 1000 - DEADLINE_MARGIN - read_delay
             elif name == b"k=":
-                keyed = True
+                has_idempotency_key = True
             elif pair == b"r=1":
-                repeated = True
+                is_retry = True
         if request_class not in self.settings.classes:
             return None
         now = self.clock.now()
-        if math.inf > now + time_left > self.last_answer:
-            return busy(0.0)
-        pause = self.router.admission_retry_delay(
-            now, request_class, tenant, repeated, keyed, time_left, waited
+        if math.inf > now + time_left > self.answer_deadline:
+            return busy_answer(0.0)
+        retry_after = self.router.admission_retry_delay(
+            now, request_class, tenant, is_retry, has_idempotency_key, time_left, read_delay
         )
-        return None if pause is None else busy(pause)
+        return None if retry_after is None else busy_answer(retry_after)
+
+    def accept(self, command: Command, answer_sink: AnswerSink, read_delay: float = 0.0) -> None:
+        """Accept a request, whose single answer goes to `answer_sink`.
 
-    def take(self, command: Command, reply: Reply, waited: float = 0.0) -> None:
-        """Take a request that is owed one answer to `reply`, or say why it can't be taken.
+        The request has lain unread for `read_delay` seconds, which count against its deadline.
 
-        It has lain in its socket for `waited` seconds, which are of the time its client waits.
+        Raises:
+            CommandError: the request can't be accepted.
         """
-        name = command.request.decode()
-        # guards the table: two requests under one id would get each other's answers; and a client against
-        # another that repeats its id, just ended, to be served with what was its own
-        if name in self.requests or name in self.used or name in self.used_before:
+        request_id = command.request_id.decode()
+        # two requests with one id would get each other's answers; and a client that repeats the id of a
+        # request that has just ended could be served with the answer of another client
+        if request_id in self.requests or request_id in self.recent_ids or request_id in self.older_ids:
             raise CommandError("this request id is in use")
         request_class = self.settings.classes.get(command.info.get("c", ""))
         if request_class is None:
             raise CommandError("class is unknown")
-        # guards against a second effect: no server could tell a repeat of it
+        # prevents a second effect: servers recognise a repeated request by its idempotency key
         if request_class.effect is api.Effect.KEYED and not command.info.get("k"):
             raise CommandError("k is missing")
-        time_left = max(0.0, command.deadline_ms / 1000 - DEADLINE_MARGIN - waited)
+        time_left = max(0.0, command.deadline_ms / 1000 - DEADLINE_MARGIN - read_delay)
         deadline = self.clock.now() + time_left
-        taken = self.requests[name] = Taken(name, command, self.settings, deadline, reply)
-        taken.expiry = self.timers.after(time_left, self._overdue, name)
-        if self.log.on:
-            self.log.event(name, "taken", request_class=request_class.name, left=time_left, waited=waited)
+        request = self.requests[request_id] = RequestInFlight(
+            request_id, command, self.settings, deadline, answer_sink
+        )
+        request.deadline_timer = self.timers.call_later(time_left, self._on_deadline, request_id)
+        if self.request_log.enabled:
+            self.request_log.event(
+                request_id, "taken", request_class=request_class.name, left=time_left, waited=read_delay
+            )
         hint = command.info.get("h", "")
-        request = api.Request(
-            name,
+        event = api.Request(
+            request_id,
             request_class.name,
             time_left,
             command.key.decode("latin-1"),
-            # guards against a number too large for a float
-            int(hint) / 1e6 if hint.isdigit() and len(hint) <= MAX_HINT else None,
-            command.write,
-            waited,
+            # a longer number could be too large for a float
+            int(hint) / 1e6 if hint.isdigit() and len(hint) <= MAX_DIGITS else None,
+            command.is_write,
+            read_delay,
         )
-        self.post(request)
-
-    def client_gone(self, name: str) -> None:
-        """The client of a request closed its connection."""
-        taken = self.requests.get(name)
-        if taken is not None and not taken.closed:
-            self._settle(taken, name)
-            if self.log.on:
-                self.log.event(name, "client-gone")
-            self.post(api.ClientGone(name))
-
-    def _overdue(self, name: str) -> None:
-        """The deadline: attempts still out time out."""
-        taken = self.requests[name]
-        # guards a long answer: its first bytes were in time, and the rest comes as fast as its server gives
-        # it and its client takes it; but not for good
-        flows = None if taken.overdue else taken.streaming
-        taken.overdue = True
-        if flows is not None:
-            taken.expiry = self.timers.after(LONGEST_FLOW, self._overdue, name)
-        for attempt in list(taken.attempts.values()):  # the module may answer, and so end it, on the way
-            if attempt is not flows:
+        self.post(event)
+
+    def client_gone(self, request_id: str) -> None:
+        """Handle that the client of a request has disconnected."""
+        request = self.requests.get(request_id)
+        if request is not None and not request.closed:
+            self._mark_answered(request, request_id)
+            if self.request_log.enabled:
+                self.request_log.event(request_id, "client-gone")
+            self.post(api.ClientGone(request_id))
+
+    def _on_deadline(self, request_id: str) -> None:
+        """Time out the open attempts of a request at its deadline."""
+        request = self.requests[request_id]
+        # a streamed answer whose first bytes were in time goes on as fast as its server sends and its client
+        # reads, but only for a limited time
+        streaming = None if request.deadline_passed else request.streaming
+        request.deadline_passed = True
+        if streaming is not None:
+            request.deadline_timer = self.timers.call_later(MAX_STREAM_OVERRUN, self._on_deadline, request_id)
+        # a copy: the decision module may answer the request, and so end its attempts, meanwhile
+        for attempt in list(request.open_attempts.values()):
+            if attempt is not streaming:
                 self._time_out(attempt)
 
-    def _close(self, name: str, answer: bytes, reason: api.Reason = api.Reason.UNKNOWN) -> None:
-        """Give a request its one answer."""
-        taken = self.requests.get(name)
-        if taken is not None and not taken.closed:
-            self._settle(taken, name)
-            self._note_answer(taken, answer, reason)
-            if taken.streaming is None:
-                taken.reply.fill(answer)
+    def _answer(self, request_id: str, answer: bytes, reason: api.Reason = api.Reason.UNKNOWN) -> None:
+        """Send a request its final answer, unless it has been answered."""
+        request = self.requests.get(request_id)
+        if request is not None and not request.closed:
+            self._mark_answered(request, request_id)
+            self._log_answer(request, answer, reason)
+            if request.streaming is None:
+                request.answer_sink.send(answer)
             else:
-                # guards the client: in the midst of a value an answer would be taken for part of it
-                taken.reply.cut()
-
-    def _note_answer(self, taken: Taken, answer: bytes, reason: api.Reason) -> None:
-        """Log a final answer that comes late and, while requests are logged, any other."""
-        late = self.clock.now() - taken.deadline - DEADLINE_MARGIN
-        if late > LATE and answer[:1] != b"$":
-            bounded.log(logging.WARNING, "final answers late: %s by %.3f s", taken.name, late)
-        if self.log.on:
+                # in the middle of a value, an answer would be read as a part of it
+                request.answer_sink.abort_stream()
+
+    def _log_answer(self, request: RequestInFlight, answer: bytes, reason: api.Reason) -> None:
+        """Log a late final answer and, while the request log is enabled, every answer."""
+        lateness = self.clock.now() - request.deadline - DEADLINE_MARGIN
+        if lateness > LATE_ANSWER_LOGGED and answer[:1] != b"$":
+            rate_limited_log.log(
+                logging.WARNING, "final answers late: %s by %.3f s", request.request_id, lateness
+            )
+        if self.request_log.enabled:
             kind = answer[:5].decode("latin-1").strip() if answer[:1] != b"$" else "served"
-            self.log.event(taken.name, "answered", answer=kind, reason=reason, left=-late)
-
-    def _settle(self, taken: Taken, name: str) -> None:
-        """Nothing is owed any more; kept only for what is still out."""
-        taken.closed = True
-        self.over.append(name)
-
-    def _forget(self, name: str) -> None:
-        """Guards memory: a request with its value is not kept until a deadline far off."""
-        taken = self.requests.get(name)
-        if taken is not None and taken.closed and not taken.attempts:
-            del self.requests[name]
+            self.request_log.event(request.request_id, "answered", answer=kind, reason=reason, left=-lateness)
+
+    def _mark_answered(self, request: RequestInFlight, request_id: str) -> None:
+        """Mark a request as answered; it is kept until its open attempts have ended."""
+        request.closed = True
+        self.ended_requests.append(request_id)
+
+    def _remove_ended(self, request_id: str) -> None:
+        """Remove a request without open attempts, so that its value is not held until a distant deadline."""
+        request = self.requests.get(request_id)
+        if request is not None and request.closed and not request.open_attempts:
+            del self.requests[request_id]
             now = self.clock.now()
-            if now - self.used_since > REMEMBER:
-                self.used_before, self.used, self.used_since = self.used, set(), now
-            self.used.add(name)
-            if taken.expiry is not None:
-                taken.expiry.cancel()
+            if now - self.id_generation_started_at > MIN_ID_MEMORY:
+                self.older_ids, self.recent_ids, self.id_generation_started_at = self.recent_ids, set(), now
+            self.recent_ids.add(request_id)
+            if request.deadline_timer is not None:
+                request.deadline_timer.cancel()
 
     def _refuse(self, action: api.Refuse) -> None:
-        """A refusal at once, that tells the client when to come back if the module has advice."""
-        self._close(action.request, busy(action.retry_after), action.reason)
+        """Refuse a request, with the time after which to retry if the decision module gives one."""
+        self._answer(action.request, busy_answer(action.retry_after), action.reason)
 
     # Attempts
 
-    def _send(self, action: api.Send) -> None:
-        taken = self.requests.get(action.request)
-        if taken is None:
-            log.error("a send for %s, which is long over", action.request)
+    def _start_attempt(self, action: api.Send) -> None:
+        request = self.requests.get(action.request)
+        if request is None:
+            log.error("attempt requested for %s, which is no longer known", action.request)
             return
         now = self.clock.now()
-        attempt = Attempt(self, taken, now, action.server, action.write_by)
-        taken.sent += 1
-        taken.attempts[attempt.number] = attempt
-        over = taken.closed or taken.overdue or attempt.number >= taken.settings.max_attempts
+        attempt = Attempt(self, request, now, action.server, action.write_by)
+        request.attempts_started += 1
+        request.open_attempts[attempt.number] = attempt
+        ended = request.closed or request.deadline_passed or attempt.number >= request.settings.max_attempts
         member = self.members.get(action.server)
-        if self.log.on:
-            number, left = attempt.number, taken.deadline - now
-            self.log.event(
-                taken.name, "sent", no=number, server=action.server, reason=action.reason, left=left
+        if self.request_log.enabled:
+            number, left = attempt.number, request.deadline - now
+            self.request_log.event(
+                request.request_id, "sent", no=number, server=action.server, reason=action.reason, left=left
+            )
+        if ended or member is None or not request.answer_sink.client_connected():
+            failed = not ended and member is None
+            self.finish_attempt(
+                request, attempt, api.Status.CONNECT_FAILED if failed else api.Status.NOT_SENT
             )
-        if over or member is None or not taken.reply.there():
-            failed = not over and member is None
-            self.finish(taken, attempt, api.Status.CONNECT_FAILED if failed else api.Status.NOT_SENT)
             return
-        time_left = taken.deadline - now
+        time_left = request.deadline - now
         if action.timeout is not None and action.timeout < time_left:
             time_left = action.timeout
-            attempt.ends_at = now + time_left
-            attempt.timer = self.timers.after(time_left, self._time_out, attempt)
-        attempt.exchange = self._pool(member).start(
-            member.address, taken.command, time_left, attempt.done, member.process, attempt
+            attempt.deadline = now + time_left
+            attempt.timeout_timer = self.timers.call_later(time_left, self._time_out, attempt)
+        attempt.exchange = self._pool_of(member).start_attempt(
+            member.address, request.command, time_left, attempt.finish, member.process, attempt
         )
 
-    def may_begin(self, attempt: Attempt) -> bool:
-        """Whether an attempt that has waited for its connection may still be written."""
-        taken, member = attempt.taken, self.members.get(attempt.server)
-        if taken.closed or taken.overdue or member is None or not member.entry.ready:
+    def may_start(self, attempt: Attempt) -> bool:
+        """Return whether an attempt that has waited for its connection may still be sent."""
+        request, member = attempt.request, self.members.get(attempt.server)
+        if request.closed or request.deadline_passed or member is None or not member.entry.ready:
             return False
-        late = taken.sent > 1 and self.clock.now() >= attempt.within  # a first one repeats nothing
-        return not late and attempt.server not in self.offlined and taken.reply.there()
+        # the first attempt repeats nothing and so is never too late for duplicate detection
+        late = request.attempts_started > 1 and self.clock.now() >= attempt.write_deadline
+        return (
+            not late and attempt.server not in self.offline_servers and request.answer_sink.client_connected()
+        )
 
-    def begin(self, taken: Taken, attempt: Attempt, length: int, source: Exchange) -> bool:
-        """A long answer begins to come; the first of a request's is passed on, any other is not wanted."""
-        if taken.closed or taken.streaming is not None:
-            self.finish(taken, attempt, api.Status.CANCELLED)
+    def begin_stream(self, request: RequestInFlight, attempt: Attempt, length: int, source: Exchange) -> bool:
+        """Stream an attempt's long answer to the client, unless another answer has begun or been sent."""
+        if request.closed or request.streaming is not None:
+            self.finish_attempt(request, attempt, api.Status.CANCELLED)
             return False
-        attempt.begun_at = self.clock.now()
-        if attempt.timer is not None:
-            attempt.timer.cancel()
-        taken.streaming = attempt
-        taken.reply.begin(length, source)
-        self.post(api.Streaming(taken.name, attempt.number, self.turns.waited()))
+        attempt.stream_started_at = self.clock.now()
+        if attempt.timeout_timer is not None:
+            attempt.timeout_timer.cancel()
+        request.streaming = attempt
+        request.answer_sink.begin_stream(length, source)
+        self.post(api.Streaming(request.request_id, attempt.number, self.loop_lag.estimated_wait()))
         return True
 
-    def _cancel(self, action: api.Cancel) -> None:
-        taken = self.requests.get(action.request)
-        attempt = taken.attempts.get(action.attempt) if taken is not None else None
-        if taken is not None and attempt is not None:
-            self._give_up(taken, attempt, api.Status.CANCELLED)
+    def _cancel_attempt(self, action: api.Cancel) -> None:
+        request = self.requests.get(action.request)
+        attempt = request.open_attempts.get(action.attempt) if request is not None else None
+        if request is not None and attempt is not None:
+            self._abandon_attempt(request, attempt, api.Status.CANCELLED)
 
     def _time_out(self, attempt: Attempt) -> None:
-        self._give_up(attempt.taken, attempt, api.Status.TIMEOUT)
+        self._abandon_attempt(attempt.request, attempt, api.Status.TIMEOUT)
 
-    def _give_up(self, taken: Taken, attempt: Attempt, status: api.Status) -> None:
+    def _abandon_attempt(self, request: RequestInFlight, attempt: Attempt, status: api.Status) -> None:
         if attempt.exchange is not None:
             attempt.exchange.abandon()
-        self.finish(taken, attempt, status)
+        self.finish_attempt(request, attempt, status)
 
-    def finish(self, taken: Taken, attempt: Attempt, status: api.Status, value: bytes = b"") -> None:
-        """Give an attempt its one outcome; the first that served answers the client."""
-        if taken.attempts.pop(attempt.number, None) is None:
+    def finish_attempt(
+        self, request: RequestInFlight, attempt: Attempt, status: api.Status, value: bytes = b""
+    ) -> None:
+        """Record the outcome of an attempt; the first one that succeeds answers the client."""
+        if request.open_attempts.pop(attempt.number, None) is None:
             return
-        if attempt.timer is not None:
-            attempt.timer.cancel()
-        attempt.exchange = None  # guards memory: each would hold the other until the collector comes
-        name = taken.name
-        if taken.streaming is attempt:
-            if not taken.closed:
-                self._settle(taken, name)
-                (taken.reply.end if status is api.Status.OK else taken.reply.cut)()
+        if attempt.timeout_timer is not None:
+            attempt.timeout_timer.cancel()
+        attempt.exchange = None  # breaks a reference cycle, which would keep both until a garbage collection
+        request_id = request.request_id
+        if request.streaming is attempt:
+            if not request.closed:
+                self._mark_answered(request, request_id)
+                (
+                    request.answer_sink.end_stream
+                    if status is api.Status.OK
+                    else request.answer_sink.abort_stream
+                )()
         elif status is api.Status.OK:
-            self._close(name, b"$%d\r\n%b\r\n" % (len(value), value))
-        self.over.append(name)
-        # guards against a core that is full: the wait for it would count as the server's, and cut its limit
-        # and a client that takes a long answer slowly, in the same way
-        ended_at = attempt.begun_at or self.clock.now()
-        latency = max(0.0, ended_at - attempt.sent_at - self.turns.waited())
-        if self.log.on:
-            self.log.event(name, "ended", no=attempt.number, status=status, took=ended_at - attempt.sent_at)
-        self.post(api.Outcome(name, attempt.number, status, taken.closed, latency))
+            self._answer(request_id, b"$%d\r\n%b\r\n" % (len(value), value))
+        self.ended_requests.append(request_id)
+        # excludes the wait for a saturated core, and for a client that reads a long answer slowly: they would
+        # count as the server's latency and lower its concurrency limit
+        ended_at = attempt.stream_started_at or self.clock.now()
+        latency = max(0.0, ended_at - attempt.sent_at - self.loop_lag.estimated_wait())
+        if self.request_log.enabled:
+            self.request_log.event(
+                request_id, "ended", no=attempt.number, status=status, took=ended_at - attempt.sent_at
+            )
+        self.post(api.Outcome(request_id, attempt.number, status, request.closed, latency))
--- a/myrtlecourse/spread/driver.py
+++ b/myrtlecourse/spread/driver.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from myrtlecourse.net.logs import BoundedLog
+from myrtlecourse.net.rate_limited_log import RateLimitedLog
 from myrtlecourse.peers.end import End, Endpoint
 from myrtlecourse.peers.wire import Wire
 from myrtlecourse.spread import messages as msg
@@ -26,7 +26,7 @@
 LISTEN_RETRY = 0.2  # seconds between attempts to listen while the predecessor of this process still does
 MAX_PROPOSALS = 1000  # entries proposed here that are not answered yet
 log = logging.getLogger(__name__)
-bounded = BoundedLog(log)
+bounded = RateLimitedLog(log)
 ProposalCallback = Callable[[events.Acknowledge | events.Refuse], None]
 
 
--- a/myrtlecourse/spread/setup.py
+++ b/myrtlecourse/spread/setup.py
@@ -7,7 +7,7 @@
 
 from myrtlecourse.address.setup import read_key
 from myrtlecourse.config import ConfigError
-from myrtlecourse.net.pool import address_of
+from myrtlecourse.net.pool import parse_address
 from myrtlecourse.peers.end import Endpoint
 from myrtlecourse.spread.driver import Driver
 
@@ -17,7 +17,7 @@
 
 def peer_addresses(table: Spread) -> dict[str, Endpoint]:
     """Return the address of each member."""
-    return {p.name: address_of(p.at) for p in table.members()}
+    return {p.name: parse_address(p.at) for p in table.members()}
 
 
 def read_keys(table: Spread) -> tuple[bytes, tuple[bytes, ...]]:
@@ -43,4 +43,4 @@
 
 def listen_address(table: Spread) -> Endpoint:
     """Return the address to listen on."""
-    return address_of(table.listen) if table.listen is not None else peer_addresses(table)[table.name]
+    return parse_address(table.listen) if table.listen is not None else peer_addresses(table)[table.name]
--- a/tests/soak_wrong.py
+++ b/tests/soak_wrong.py
@@ -27,13 +27,13 @@
 
 def forgets_drains() -> None:
     """Ignores drains: leaves servers that are not ready out of each list update."""
-    original_take_list = host.Host.take_list
+    original_apply_list = host.Host.apply_list
 
     def take_ready(self: Any, news: Any) -> None:
         ready = [m for m in news.members if m.entry.ready]
-        original_take_list(self, type(news)(news.kind, ready))
+        original_apply_list(self, type(news)(news.kind, ready))
 
-    host.Host.take_list = take_ready  # type: ignore[method-assign]
+    host.Host.apply_list = take_ready  # type: ignore[method-assign]
 
 
 VARIANTS = (ends_at_once, misses_deadlines, forgets_drains)
--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -20,7 +20,7 @@
 from myrtlecourse.load.page import page
 from myrtlecourse.load.profile import Clients, Piece, Profile, RequestClass
 from myrtlecourse.load.requests import plan_requests
-from myrtlecourse.net.resp import NOT_YET, Reader
+from myrtlecourse.net.resp import INCOMPLETE, Reader
 from tests.loopback import run
 from tests.virtual_time import VirtualTimeLoop
 
@@ -42,7 +42,7 @@
 
     def data_received(self, data: bytes) -> None:
         self.reader.feed(data)
-        while (parts := self.reader.next()) is not NOT_YET:
+        while (parts := self.reader.next_message()) is not INCOMPLETE:
             self.answer(self, parts, self.transport)  # type: ignore[arg-type]
 
     def send(self, data: bytes) -> None:
@@ -324,7 +324,7 @@
         assert code == 0 and json.loads(out)["served"] == [figures["served"]] * 2
         server.close()
 
-    run(scenario, patience=PROCESS_TIMEOUT)
+    run(scenario, timeout=PROCESS_TIMEOUT)
 
 
 @pytest.mark.processes
@@ -346,7 +346,7 @@
         found, _, err = await finished(command(*arguments.format(tmp_path).split()))
         assert found == code and message in err, (arguments, err)
 
-    run(scenario, patience=PROCESS_TIMEOUT)
+    run(scenario, timeout=PROCESS_TIMEOUT)
 
 
 @pytest.mark.processes
@@ -367,7 +367,7 @@
         assert code == 0 and "class read" in out, err
         server.close()
 
-    run(scenario, patience=PROCESS_TIMEOUT)
+    run(scenario, timeout=PROCESS_TIMEOUT)
 
 
 def test_the_page_is_the_same_for_the_same_run_and_escapes_names() -> None:
@@ -412,7 +412,7 @@
         assert b"ran out of descriptors" in out and b"failed" in out
         server.close()
 
-    run(scenario, patience=PROCESS_TIMEOUT)
+    run(scenario, timeout=PROCESS_TIMEOUT)
 
 
 def test_a_clock_that_steps_changes_no_latency(monkeypatch: pytest.MonkeyPatch) -> None:
