--- a/myrtlecourse/duties/setup.py
+++ b/myrtlecourse/duties/setup.py
@@ -11,7 +11,7 @@
 from myrtlecourse.duties.command_work import CommandRunner, HoldWork, StepWork
 from myrtlecourse.duties.driver import DutyDriver
 from myrtlecourse.duties.memory import MemoryFileError, read_memories
-from myrtlecourse.net.pool import address_of
+from myrtlecourse.net.pool import parse_address
 from myrtlecourse.peers.peer_socket import Endpoint
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
 
 def peers(table: Duties) -> dict[str, Endpoint]:
     """Returns the address on which each member receives messages."""
-    return {p.name: address_of(p.at) for p in table.peers}
+    return {p.name: parse_address(p.at) for p in table.peers}
 
 
 def keys(table: Duties) -> tuple[bytes, tuple[bytes, ...]]:
--- a/myrtlecourse/net/clients.py
+++ b/myrtlecourse/net/clients.py
@@ -10,134 +10,147 @@
 from typing import TYPE_CHECKING, cast
 
 from myrtlecourse.net.command import MAX_INFO, MAX_KEY, MAX_VALUE, CommandError, read_command
-from myrtlecourse.net.connection import Exchange, readable
+from myrtlecourse.net.connection import Exchange, has_unread_input
 from myrtlecourse.net.hangup import has_hung_up
-from myrtlecourse.net.host import FAILED, Host, busy
-from myrtlecourse.net.request_log import Close, requests_log
-from myrtlecourse.net.resp import NOT_YET, Message, Reader, RespError, split_command
+from myrtlecourse.net.host import FAILED_ANSWER, Host, busy_answer
+from myrtlecourse.net.request_log import CloseReason, requests_log
+from myrtlecourse.net.resp import INCOMPLETE, Message, Reader, RespError, split_command
 from myrtlecourse.net.transport import Transport
 
 if TYPE_CHECKING:
     from myrtlecourse.net.listener import Listener
 
-MAX_COMMAND = MAX_VALUE + MAX_KEY + MAX_INFO + 4096  # bytes held for a command that is not whole
-SHORT_COMMAND = 64 * 1024 + MAX_KEY + MAX_INFO + 4096  # bytes of a command that needs no room reserved
-STARVED_TIME = 1.0  # seconds for which a long value may wait for room
-MAX_PARTS = 16
-MAX_PIPELINED = 32  # commands of one connection that wait for their answers
-MAX_SHORT = 4096  # bytes of what is read the short way
-LINGER = 0.5  # seconds for which a closed connection is still read, so that its last answer arrives
-DISCARDED = 256 * 1024  # bytes read in that time at the most: a bad client would send on at full speed
+MAX_COMMAND = MAX_VALUE + MAX_KEY + MAX_INFO + 4096  # bytes buffered for an incomplete command
+UNRESERVED_COMMAND = 64 * 1024 + MAX_KEY + MAX_INFO + 4096  # bytes; a longer command needs reserved memory
+RESERVATION_TIMEOUT = 1.0  # seconds for which a long value may wait for memory
+MAX_PARTS = 16  # of a command
+MAX_PIPELINED = 32  # unanswered commands per connection
+MAX_FAST_PATH = 4096  # bytes that are parsed on the fast path
+LINGER_TIME = 0.5  # seconds for which a half-closed connection is still read, so that its last answer arrives
+MAX_DISCARDED = 256 * 1024  # bytes read in that time, as a faulty client could go on sending at full speed
 ERROR_PAUSE = 0.1  # seconds for which a connection is not read after an error
-FRESH = 0.05  # seconds after which a hang-up may lie in the socket though it is read: turns can be long
-# offsets in tcp_info (Linux) of numbers of 32 bits
-RETRANSMISSION_TIMEOUT = 8  # microseconds after which it sends again
-LAST_DATA_RECEIVED = 52  # milliseconds since data came
-NUMBER = 4  # bytes
+RECENT_READ = (
+    0.05  # seconds after a read from which on the client may have hung up unnoticed, as the loop lags
+)
+# offsets of 32-bit fields in Linux's tcp_info
+RTO_OFFSET = 8  # retransmission timeout in microseconds
+LAST_DATA_OFFSET = 52  # milliseconds since data was last received
+FIELD_SIZE = 4  # bytes
 log = logging.getLogger(__name__)
 
 
 def data_age(client: socket.socket) -> float | None:
-    """Seconds since the last bytes came in on a connection, as its kernel tells (tcp_info, Linux).
+    """Return the seconds since data was last received on a connection, from tcp_info (Linux).
 
-    None when it does not tell: no connection is without a time-out, so that 0 is a field that was not filled.
+    Return None if the kernel does not say: the retransmission timeout is never 0, so that 0 there means that
+    the fields were not filled in.
     """
     try:
-        info = client.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED + NUMBER)
+        info = client.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_OFFSET + FIELD_SIZE)
     except OSError:
-        return None  # it has just ended
-    if not any(info[RETRANSMISSION_TIMEOUT : RETRANSMISSION_TIMEOUT + NUMBER]):
+        return None  # the connection has just ended
+    if not any(info[RTO_OFFSET : RTO_OFFSET + FIELD_SIZE]):
         return None
-    return int.from_bytes(info[LAST_DATA_RECEIVED:], sys.byteorder) / 1000
+    return int.from_bytes(info[LAST_DATA_OFFSET:], sys.byteorder) / 1000
 
 
-class Slot:
-    """A command's place in the order of answers."""
+class AnswerSlot:
+    """A command's place in the order of the answers on its connection."""
 
-    __slots__ = ("answer", "came_at", "connection", "flows", "pieces", "request", "reserved", "source")
+    __slots__ = (
+        "answer",
+        "arrived_at",
+        "connection",
+        "counted_in_windows",
+        "chunks",
+        "request_id",
+        "reserved_bytes",
+        "source",
+    )
 
     def __init__(self, connection: ClientConnection) -> None:
         self.connection = connection
-        self.came_at = connection.listener.loop.time() - connection.waited
-        self.request: str | None = None
+        self.arrived_at = connection.listener.loop.time() - connection.socket_wait
+        self.request_id: str | None = None
         self.answer: bytes | None = None
-        self.source: Exchange | None = None  # of a long answer
-        self.pieces: list[bytes] = []  # of it, that wait for the answers before it
-        self.flows = False  # whether it is counted among those that share the budget
-        self.reserved = 0  # bytes of room that its command takes
+        self.source: Exchange | None = None  # of a streamed answer
+        self.chunks: list[bytes] = []  # of the streamed answer, while it waits for the answers before it
+        self.counted_in_windows = False  # whether `StreamWindows` counts its stream
+        self.reserved_bytes = 0  # memory reserved for its command
 
-    def fill(self, answer: bytes) -> None:
-        """Give the command its answer."""
-        self.connection.answered(self, answer)
+    def send(self, answer: bytes) -> None:
+        """Answer the command."""
+        self.connection.complete(self, answer)
 
-    def begin(self, length: int, source: Exchange) -> None:
-        """A long answer begins."""
+    def begin_stream(self, length: int, source: Exchange) -> None:
+        """Begin a streamed answer."""
         self.source = source
-        self.flows = True
+        self.counted_in_windows = True
         windows = self.connection.listener.windows
-        windows.flows += 1
+        windows.streams += 1
         self.connection.transport.set_write_buffer_limits(high=windows.size())
-        self.piece(b"$%d\r\n" % length)
+        self.write_chunk(b"$%d\r\n" % length)
 
-    def piece(self, data: bytes) -> None:
-        """Pass on a piece of it, or hold it, and stop its source, until that can be done."""
-        self.pieces.append(data)
+    def write_chunk(self, data: bytes) -> None:
+        """Forward a chunk of the streamed answer; pause its source if the chunk can't be sent yet."""
+        self.chunks.append(data)
         connection = self.connection
         if connection.slots and connection.slots[0] is self:
             connection.flush(self)
-        if not connection.writable or self.pieces:
-            self.hold()
+        if not connection.writable or self.chunks:
+            self.pause_source()
 
-    def hold(self) -> None:
-        """Read no more of it until its client takes what there is."""
+    def pause_source(self) -> None:
+        """Stop reading the streamed answer until its client has read what there is."""
         if self.source is not None and not self.connection.transport.is_closing():
             self.source.pause()
-            self.connection.listener.hold(self)
+            self.connection.listener.mark_stalled(self)
 
-    def go_on(self) -> None:
+    def resume_source(self) -> None:
         if self.source is not None:
-            self.connection.listener.holding.pop(self, None)
+            self.connection.listener.stalled_answers.pop(self, None)
             self.source.resume()
 
-    def end(self) -> None:
-        """The long answer is whole."""
-        self.over()
-        self.connection.answered(self, b"\r\n")
+    def end_stream(self) -> None:
+        """Complete the streamed answer."""
+        self.release()
+        self.connection.complete(self, b"\r\n")
 
-    def cut(self) -> None:
-        """It will not be whole: only a close tells, as the client counts what it was promised.
+    def abort_stream(self) -> None:
+        """End an incomplete streamed answer by closing the connection, as its length has been announced.
 
-        Of one that waits behind others nothing has been passed on: an error tells, and the others stand.
+        If it is still behind other answers, nothing of it has been sent: an error takes its place, and the
+        other answers are not affected.
         """
-        self.over()
+        self.release()
         connection = self.connection
         if connection.slots and connection.slots[0] is not self:
-            self.pieces.clear()
-            connection.answered(self, FAILED)
+            self.chunks.clear()
+            connection.complete(self, FAILED_ANSWER)
             return
-        connection.close(Close.CUT_ANSWER)
-        connection.settle()
+        connection.close(CloseReason.INCOMPLETE_ANSWER)
+        connection.cancel_requests()
 
-    def there(self) -> bool:
-        """Whether the client still waits; asked just before an attempt begins."""
+    def client_connected(self) -> bool:
+        """Return whether the client is still connected; asked just before an attempt begins."""
         connection = self.connection
-        return connection.there(connection.listener.loop.time() - self.came_at < FRESH)
+        return connection.check_connected(connection.listener.loop.time() - self.arrived_at < RECENT_READ)
 
-    def over(self) -> None:
-        """Nothing more comes for it; gives back what it held. May be called again."""
+    def release(self) -> None:
+        """Release what the slot holds, as its answer is complete or given up. May be called again."""
         listener = self.connection.listener
         self.source = None
-        listener.holding.pop(self, None)
-        if self.flows:
-            self.flows = False
-            listener.windows.flows -= 1
-        if self.reserved:
-            reserved, self.reserved = self.reserved, 0
-            listener.room.release(reserved)
+        listener.stalled_answers.pop(self, None)
+        if self.counted_in_windows:
+            self.counted_in_windows = False
+            listener.windows.streams -= 1
+        if self.reserved_bytes:
+            reserved, self.reserved_bytes = self.reserved_bytes, 0
+            listener.upload_memory.release(reserved)
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection."""
+    """A client's connection."""
 
     def __init__(self, host: Host, listener: Listener, client: socket.socket) -> None:
         self.host = host
@@ -145,285 +158,295 @@
         self.descriptor = client.fileno()
         self.listener = listener
         self.reader = Reader(MAX_PARTS, MAX_VALUE, MAX_COMMAND)
-        self.slots: deque[Slot] = deque()
-        self.commands = 0  # whole ones that have come
-        self.waited = 0.0  # seconds for which the last bytes lay in the socket
+        self.slots: deque[AnswerSlot] = deque()
+        self.command_count = 0  # complete ones that have arrived
+        self.socket_wait = 0.0  # seconds for which the latest bytes lay in the socket
         self.reading = True
         self.writable = True
-        self.paused = False  # after an error
-        self.ending = False  # no command is taken any more
-        self.half_closed = False  # its sending side is shut down; what comes is read and discarded
-        self.discarded = 0  # bytes
-        self.gone = False  # the client has hung up, or the connection is over
-        self.reserved = 0  # bytes of room for a long value that comes in
-        self.starved = False  # it waits for that room
-        self.came_at = 0.0  # when the last bytes did (the loop's clock)
+        self.paused_after_error = False
+        self.no_more_commands = False  # whether further commands are ignored
+        self.half_closed = False  # whether the sending side is shut down; input is read and discarded
+        self.discarded_bytes = 0
+        self.client_left = False  # whether the client has hung up or the connection has ended
+        self.reserved_bytes = 0  # memory for the long value that is being received
+        self.awaiting_reservation = False
+        self.last_data_at = 0.0  # on the event loop's clock
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(Transport, transport)
         self.listener.connections[self] = None
-        self.listener.note(self)
+        self.listener.update_state(self)
 
     def data_received(self, data: bytes) -> None:
         if self.half_closed:
-            # never executed: nobody could be answered, and its client asks again elsewhere
-            self.discarded += len(data)
-            if self.discarded > DISCARDED:
-                self.abort(Close.UNWANTED_BYTES)
+            # never executed: the client can't be answered and retries elsewhere
+            self.discarded_bytes += len(data)
+            if self.discarded_bytes > MAX_DISCARDED:
+                self.abort(CloseReason.UNEXPECTED_BYTES)
             return
-        turns = self.host.turns
-        turns.note()
-        self.came_at = self.listener.loop.time()
-        # the first may have lain in the backlog, and any while the loop was held up
-        if not self.commands or turns.held_up():
+        loop_lag = self.host.loop_lag
+        loop_lag.note_input()
+        self.last_data_at = self.listener.loop.time()
+        # the first bytes may have waited in the backlog, and any while the event loop was blocked
+        if not self.command_count or loop_lag.may_have_stalled():
             age = data_age(self.socket)
-            self.waited = turns.most_waited() if age is None else age
+            self.socket_wait = loop_lag.max_wait() if age is None else age
         else:
-            self.waited = turns.waited()
+            self.socket_wait = loop_lag.estimated_wait()
         self.listener.idle.pop(self, None)
-        # a closing one takes nothing more: nobody would hear that its client is gone
-        takes = self._wanted() and not self.transport.is_closing()
-        if takes and not self.reader.buffer and len(data) < MAX_SHORT:
+        # a closing connection accepts nothing: its client's hang-up would go unnoticed
+        accepts = self._may_process() and not self.transport.is_closing()
+        if accepts and not self.reader.buffer and len(data) < MAX_FAST_PATH:
             parts = split_command(data)
             if parts is not None:
-                self.commands += 1
+                self.command_count += 1
                 try:
-                    self._take(parts)
+                    self._process_command(parts)
                 except Exception:
-                    self._fault()
-                self._read_or_not()
-                self.listener.note(self)
+                    self._abort_on_fault()
+                self._update_reading()
+                self.listener.update_state(self)
                 return
         self.reader.feed(data)
-        self._take_commands()
+        self._process_buffer()
 
-    def _take_commands(self) -> None:
+    def _process_buffer(self) -> None:
         try:
-            # guards the cache servers: what a client left behind in the buffer nobody waits for
-            if self.there():
-                self._take_whole_ones()
+            # protects the cache servers: nobody waits for what a client that has hung up left in the buffer
+            if self.check_connected():
+                self._process_whole_commands()
         except Exception:
-            self._fault()
+            self._abort_on_fault()
 
-    def _fault(self) -> None:
-        """Guards the router: a fault here ends this connection alone, and its requests are settled."""
-        log.exception("connection of a client")
-        self.abort(Close.FAULT)
+    def _abort_on_fault(self) -> None:
+        """Protect the router from an internal error: only this connection ends, and its requests with it."""
+        log.exception("internal error on a client connection, which is closed")
+        self.abort(CloseReason.INTERNAL_ERROR)
 
-    def _take_whole_ones(self) -> None:
-        # a closing connection takes nothing more: nobody would hear that its client is gone
-        while self._wanted() and not self.transport.is_closing():
+    def _process_whole_commands(self) -> None:
+        # a closing connection accepts nothing: its client's hang-up would go unnoticed
+        while self._may_process() and not self.transport.is_closing():
             try:
-                parts = self.reader.next()
+                parts = self.reader.next_message()
             except RespError as e:
-                self.end_with(f"-ERR {e}")
+                self.close_with_error(f"-ERR {e}")
                 return
-            if parts is NOT_YET:
-                self._reserve(self.reader.announced)
+            if parts is INCOMPLETE:
+                self._reserve_memory(self.reader.announced_size)
                 break
-            self.commands += 1
-            self._take(parts)
-        self._read_or_not()
-        self.listener.note(self)
-
-    def _reserve(self, announced: int) -> None:
-        """Guards memory: a long value is read once there is room for it and for its copy going out."""
-        if announced <= SHORT_COMMAND or self.reserved or self.starved or self.transport.is_closing():
+            self.command_count += 1
+            self._process_command(parts)
+        self._update_reading()
+        self.listener.update_state(self)
+
+    def _reserve_memory(self, announced_size: int) -> None:
+        """Reserve memory for a long value and for its forwarded copy; until then it is not read."""
+        if (
+            announced_size <= UNRESERVED_COMMAND
+            or self.reserved_bytes
+            or self.awaiting_reservation
+            or self.transport.is_closing()
+        ):
             return
-        size = 2 * announced
-        if self.listener.room.reserve(self, size):
-            self.reserved = size
+        size = 2 * announced_size
+        if self.listener.upload_memory.reserve(self, size):
+            self.reserved_bytes = size
             return
-        self.starved = True
-        asyncio.get_running_loop().call_later(STARVED_TIME, self._starve)
-
-    def admitted(self) -> None:
-        """There is room for the long value."""
-        self.starved = False
-        self.reserved = 2 * self.reader.announced
-        self.came_at = asyncio.get_running_loop().time()  # it could not go on before
-        self._read_or_not()
-
-    def _starve(self) -> None:
-        """No room in time: what has not come whole is not taken, so that a refusal is harmless."""
-        if self.starved and not self.transport.is_closing():
-            self._reserve_no_more()
-            self.end_with(busy(self.host.settings.max_retry_after).decode().rstrip())
-
-    def _reserve_no_more(self) -> None:
-        if self.starved:
-            self.starved = False
-            self.listener.room.give_up(self)
-        if self.reserved:
-            reserved, self.reserved = self.reserved, 0
-            self.listener.room.release(reserved)
-
-    def _take(self, parts: Message | list[bytes]) -> None:
+        self.awaiting_reservation = True
+        asyncio.get_running_loop().call_later(RESERVATION_TIMEOUT, self._refuse_unreserved)
+
+    def on_reserved(self) -> None:
+        """Continue reading the long value, for which memory has been reserved."""
+        self.awaiting_reservation = False
+        self.reserved_bytes = 2 * self.reader.announced_size
+        self.last_data_at = asyncio.get_running_loop().time()  # the client could not send before
+        self._update_reading()
+
+    def _refuse_unreserved(self) -> None:
+        """Refuse a long value for which memory has not become free in time.
+
+        A command that has not arrived completely has not been accepted, so that repeating it is harmless.
+        """
+        if self.awaiting_reservation and not self.transport.is_closing():
+            self._release_reservation()
+            self.close_with_error(busy_answer(self.host.settings.max_retry_after).decode().rstrip())
+
+    def _release_reservation(self) -> None:
+        if self.awaiting_reservation:
+            self.awaiting_reservation = False
+            self.listener.upload_memory.stop_waiting(self)
+        if self.reserved_bytes:
+            reserved, self.reserved_bytes = self.reserved_bytes, 0
+            self.listener.upload_memory.release(reserved)
+
+    def _process_command(self, parts: Message | list[bytes]) -> None:
         refusal = None
         if isinstance(parts, list) and 4 <= len(parts) <= 5 and isinstance(info := parts[3], bytes):
-            refusal = self.host.turn_away(info, self.waited)
-            # guards a full core: what a refusal costs is lost to the others, and most are asked for again
-            if refusal is not None and not self.slots and self.reading and not self.ending:
-                self._reserve_no_more()
+            refusal = self.host.refuse_early(info, self.socket_wait)
+            # a fast path, as refusals take time of a saturated core from other requests, and most are retried
+            if refusal is not None and not self.slots and self.reading and not self.no_more_commands:
+                self._release_reservation()
                 self.transport.write(refusal)
-                if self.listener.leaves(self):
-                    self.close(Close.ENDING)
+                if self.listener.closes_when_idle(self):
+                    self.close(CloseReason.ENDING)
                 return
-        slot = Slot(self)
-        slot.reserved, self.reserved = self.reserved, 0
+        slot = AnswerSlot(self)
+        slot.reserved_bytes, self.reserved_bytes = self.reserved_bytes, 0
         self.slots.append(slot)
         if refusal is not None:
-            slot.fill(refusal)
+            slot.send(refusal)
             return
         if isinstance(parts, list) and len(parts) == 1 and parts[0] in (b"PING", b"ping"):
-            slot.fill(b"+PONG\r\n" if self.host.ready() else b"-ERR no cache server is known\r\n")
+            slot.send(b"+PONG\r\n" if self.host.accepts_clients() else b"-ERR no cache server is known\r\n")
             return
         try:
             command = read_command(parts)
-            slot.request = command.request.decode()
-            self.host.take(command, slot, self.waited)
+            slot.request_id = command.request_id.decode()
+            self.host.accept(command, slot, self.socket_wait)
         except CommandError as e:
-            slot.request = None
-            # guards the other clients: one that sends errors at full speed would take the core for itself
-            self.paused = True
-            self.listener.erring[self] = None
-            asyncio.get_running_loop().call_later(ERROR_PAUSE, self._go_on)
-            slot.fill(b"-ERR %b\r\n" % str(e).encode("ascii", "replace"))
-
-    def _go_on(self) -> None:
-        self.paused = False
-        self.listener.erring.pop(self, None)
-        self._take_commands()
-
-    def answered(self, slot: Slot, answer: bytes) -> None:
-        """Pass on what is at the head of the order of answers."""
+            slot.request_id = None
+            # protects the other clients: one that sends errors at full speed would occupy the core
+            self.paused_after_error = True
+            self.listener.paused_after_error[self] = None
+            asyncio.get_running_loop().call_later(ERROR_PAUSE, self._end_error_pause)
+            slot.send(b"-ERR %b\r\n" % str(e).encode("ascii", "replace"))
+
+    def _end_error_pause(self) -> None:
+        self.paused_after_error = False
+        self.listener.paused_after_error.pop(self, None)
+        self._process_buffer()
+
+    def complete(self, slot: AnswerSlot, answer: bytes) -> None:
+        """Set the answer of a slot and send all answers that are next in order."""
         slot.answer = answer
         while self.slots:
-            head = self.slots[0]
-            if head.pieces:
-                self.flush(head)
-            if head.answer is None:
+            first = self.slots[0]
+            if first.chunks:
+                self.flush(first)
+            if first.answer is None:
                 break
             self.slots.popleft()
-            head.over()
-            if head.answer:
-                self.transport.write(head.answer)
+            first.release()
+            if first.answer:
+                self.transport.write(first.answer)
         if not self.slots:
-            self.listener.note(self)
+            self.listener.update_state(self)
         elif self.writable:
-            self.slots[0].go_on()
-        if not self.slots and (self.ending or self.listener.leaves(self)):
-            self.close(Close.AFTER_ERROR if self.ending else Close.ENDING)
-        elif not self.reading and not self.ending:
-            self.listener.loop.call_soon(self._take_commands)
-
-    def flush(self, slot: Slot) -> None:
-        """Pass on what has come of the long answer that is at the head."""
-        pieces, slot.pieces = slot.pieces, []
-        for piece in pieces:
-            self.transport.write(piece)
-
-    def end_with(self, error: str) -> None:
-        """Answer with an error and close: where the next command begins can't be told any more."""
-        self.ending = True
-        # guards memory: what comes while earlier answers are owed would be kept for nobody
-        self._read_or_not()
+            self.slots[0].resume_source()
+        if not self.slots and (self.no_more_commands or self.listener.closes_when_idle(self)):
+            self.close(CloseReason.AFTER_ERROR if self.no_more_commands else CloseReason.ENDING)
+        elif not self.reading and not self.no_more_commands:
+            self.listener.loop.call_soon(self._process_buffer)
+
+    def flush(self, slot: AnswerSlot) -> None:
+        """Send the received chunks of the streamed answer that is next in order."""
+        chunks, slot.chunks = slot.chunks, []
+        for chunk in chunks:
+            self.transport.write(chunk)
+
+    def close_with_error(self, error: str) -> None:
+        """Answer with an error and close, as the beginning of the next command is unknown."""
+        self.no_more_commands = True
+        # bounds memory: input that arrives before the earlier answers are sent is of no use
+        self._update_reading()
         self.reader.buffer.clear()
-        self._reserve_no_more()
-        slot = Slot(self)
+        self._release_reservation()
+        slot = AnswerSlot(self)
         self.slots.append(slot)
-        self.answered(slot, error.encode("ascii", "replace") + b"\r\n")
+        self.complete(slot, error.encode("ascii", "replace") + b"\r\n")
 
-    def abort(self, why: Close) -> None:
-        """Close at once."""
-        requests_log.closed("client", self.descriptor, why, len(self.slots))
+    def abort(self, reason: CloseReason) -> None:
+        """Close the connection at once."""
+        requests_log.connection_closed("client", self.descriptor, reason, len(self.slots))
         self.transport.abort()
 
-    def close(self, why: Close) -> None:
-        """Lingering close: shut down the sending side, read and discard for a while, then close.
+    def close(self, reason: CloseReason) -> None:
+        """Close with lingering: shut down the sending side, read and discard for a while, then close.
 
-        Guards the last answer: a close over bytes that came unread resets the connection, and what the client
-        has not taken yet is gone. May be called again.
+        A close while received bytes are unread resets the connection, and the client loses the answers that
+        it has not read yet. May be called again.
         """
-        if self.half_closed or self.gone or self.transport.is_closing():
+        if self.half_closed or self.client_left or self.transport.is_closing():
             return
-        requests_log.closed("client", self.descriptor, why, len(self.slots))
-        self.ending = self.half_closed = True
+        requests_log.connection_closed("client", self.descriptor, reason, len(self.slots))
+        self.no_more_commands = self.half_closed = True
         self.reader.buffer.clear()
-        self._reserve_no_more()
+        self._release_reservation()
         self.listener.linger(self)
         try:
             self.transport.write_eof()
-        except OSError:  # its client has just reset it
+        except OSError:  # the client has just reset the connection
             self.transport.abort()
             return
-        self._read_or_not()
-        # guards the descriptors: a client that takes no answers, or rests, would keep its connection for good
-        self.listener.loop.call_later(LINGER, self.transport.abort)
+        self._update_reading()
+        # a client that reads no answers, or does nothing, would otherwise hold its descriptor for ever
+        self.listener.loop.call_later(LINGER_TIME, self.transport.abort)
 
     def eof_received(self) -> None:
-        """The client has hung up: nothing more begins for it. What is written goes out, for a while."""
-        self.settle()
+        """Cancel the requests of a client that has hung up; written bytes are still sent for a while."""
+        self.cancel_requests()
         if not self.half_closed:
-            self.listener.loop.call_later(LINGER, self.transport.abort)
+            self.listener.loop.call_later(LINGER_TIME, self.transport.abort)
 
-    def there(self, fresh: bool = True) -> bool:
-        """Whether the client has not hung up; the kernel is asked while unread, and once time has passed.
+    def check_connected(self, recently_read: bool = True) -> bool:
+        """Return whether the client has not hung up, as the event loop reports that only at its next poll.
 
-        The event loop tells of an end at its next look only.
+        Asks the kernel if the connection is not being read, or has not been read recently.
         """
-        if not self.gone and not (fresh and self.reading) and has_hung_up(self.descriptor):
-            self.hung_up()
-        return not self.gone
-
-    def hung_up(self) -> None:
-        """The client has hung up, behind what lies unread."""
-        self.settle()
-        self.abort(Close.CLIENT_LEFT)
-
-    def settle(self) -> None:
-        """No answer reaches the client any more: its requests end, and nothing more is sent for them."""
-        self.gone = True
-        self._reserve_no_more()
+        if not self.client_left and not (recently_read and self.reading) and has_hung_up(self.descriptor):
+            self.on_hang_up()
+        return not self.client_left
+
+    def on_hang_up(self) -> None:
+        """Handle that the client has hung up, which was found behind unread input."""
+        self.cancel_requests()
+        self.abort(CloseReason.CLIENT_LEFT)
+
+    def cancel_requests(self) -> None:
+        """Cancel the requests of this connection, as no answer can reach the client any more."""
+        self.client_left = True
+        self._release_reservation()
         slots, self.slots = self.slots, deque()
         for slot in slots:
-            slot.over()
-            if slot.answer is None and slot.request is not None:
-                self.host.client_gone(slot.request)
-
-    def _wanted(self) -> bool:
-        held_up = self.ending or self.paused or self.starved or not self.writable
-        return not held_up and len(self.slots) < MAX_PIPELINED
-
-    def _read_or_not(self) -> None:
-        """Bounds what a client can make the router hold: no reading while too much is unanswered."""
-        wanted = self.half_closed or self._wanted()
-        if wanted != self.reading and not self.transport.is_closing():
-            self.reading = wanted
-            if wanted:
-                self.listener.hang_ups.remove(self)
+            slot.release()
+            if slot.answer is None and slot.request_id is not None:
+                self.host.client_gone(slot.request_id)
+
+    def _may_process(self) -> bool:
+        blocked = (
+            self.no_more_commands or self.paused_after_error or self.awaiting_reservation or not self.writable
+        )
+        return not blocked and len(self.slots) < MAX_PIPELINED
+
+    def _update_reading(self) -> None:
+        """Start or stop reading; a client that has too many unanswered commands is not read."""
+        should_read = self.half_closed or self._may_process()
+        if should_read != self.reading and not self.transport.is_closing():
+            self.reading = should_read
+            if should_read:
+                self.listener.hang_up_monitor.remove(self)
                 self.transport.resume_reading()
             else:
                 self.transport.pause_reading()
-                self.listener.hang_ups.add(self)
+                self.listener.hang_up_monitor.add(self)
 
     def pause_writing(self) -> None:
         self.writable = False
-        self._read_or_not()
+        self._update_reading()
         if self.slots:
-            self.slots[0].hold()
+            self.slots[0].pause_source()
 
     def resume_writing(self) -> None:
         self.writable = True
         if self.slots:
-            self.slots[0].go_on()
-        self._take_commands()
+            self.slots[0].resume_source()
+        self._process_buffer()
 
-    def unread(self) -> bool:
-        """Whether a command may wait in the socket."""
-        return readable(self.transport)
+    def has_unread_input(self) -> bool:
+        """Return whether a command may be waiting in the socket."""
+        return has_unread_input(self.transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.listener.hang_ups.remove(self)
-        self.listener.forget(self)
-        self.settle()
+        self.listener.hang_up_monitor.remove(self)
+        self.listener.remove(self)
+        self.cancel_requests()
--- a/myrtlecourse/peers/gossip_socket.py
+++ b/myrtlecourse/peers/gossip_socket.py
@@ -10,14 +10,14 @@
 
 from myrtlecourse import interface as api
 from myrtlecourse.net.clock import Clock
-from myrtlecourse.net.logs import BoundedLog
+from myrtlecourse.net.rate_limited_log import RateLimitedLog
 from myrtlecourse.peers.gossip import TICK_INTERVAL
 from myrtlecourse.peers.seal import Dropped
 from myrtlecourse.zones.agent import Agent, AgentSettings
 
 LISTEN_RETRY = 0.2  # seconds between attempts to listen while the previous process still does
 log = logging.getLogger(__name__)
-bounded = BoundedLog(log)
+bounded = RateLimitedLog(log)
 Endpoint = tuple[str, int]
 
 
--- a/tests/test_net_errors.py
+++ b/tests/test_net_errors.py
@@ -1,4 +1,4 @@
-"""System calls fail as Linux documents: clients are let in, and what is owed is answered (issue 48)."""
+"""System calls fail in the ways that Linux documents: clients are still accepted and requests answered."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 from myrtlecourse import interface as api
 from myrtlecourse.net import listener as listeners
-from myrtlecourse.net.listener import OF_ONE_CLIENT
-from myrtlecourse.net.pool import OWN_SHORTAGE
+from myrtlecourse.net.listener import SINGLE_CLIENT_ERRORS
+from myrtlecourse.net.pool import LOCAL_SHORTAGE_ERRORS
 from myrtlecourse.net.request_log import requests_log
-from tests.loopback import HIT, Router, command, read, run, spelled
+from tests.loopback import HIT, Router, command, format_address, read, run
 
 SHORTAGES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-UNREACHED = (errno.ECONNREFUSED, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EACCES)
+CONNECT_ERRORS = (errno.ECONNREFUSED, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EACCES)
 
 
 class FailingSocket:
-    """A listening socket whose first calls of accept() fail."""
+    """A listening socket whose first calls of accept() fail with given errors."""
 
     def __init__(self, listening: socket.socket, errors: list[int]) -> None:
         self.listening = listening
         self.errors = errors
         self.calls = 0
-        self.options_fail = 0  # of the sockets accepted next
+        self.options_fail = 0  # number of the next accepted sockets that refuse options
 
     def accept(self) -> tuple[Any, object]:
         self.calls += 1
@@ -47,7 +47,7 @@
 
 
 class RefusesOptions:
-    """An accepted socket whose connection is over before its options are set."""
+    """An accepted socket whose connection has ended before its options are set."""
 
     def __init__(self, client: socket.socket) -> None:
         self.client = client
@@ -65,11 +65,13 @@
     return bool(await client.resp() == b"PONG")
 
 
-@pytest.mark.parametrize("code", sorted({*OF_ONE_CLIENT, *SHORTAGES}), ids=lambda c: errno.errorcode[c])
+@pytest.mark.parametrize(
+    "code", sorted({*SINGLE_CLIENT_ERRORS, *SHORTAGES}), ids=lambda c: errno.errorcode[c]
+)
 def test_a_failed_accept_leaves_the_others_let_in_and_does_not_spin(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Out of descriptors, a loop that ended would leave the router deaf, and one that spun would stop it."""
+    """Without descriptors, the accept loop must neither end nor become a busy loop."""
     monkeypatch.setattr(listeners, "ACCEPT_PAUSE", 0.01)
 
     async def scenario() -> None:
@@ -78,16 +80,15 @@
             router.listener.socket = failing
             assert await ping(router) and await ping(router)
             assert not failing.errors
-            assert (
-                failing.calls <= 2 + 2 * 2
-            )  # the failed ones, and for each client one that finds none behind it
+            # the failed calls, and for each client one that finds no further client
+            assert failing.calls <= 2 + 2 * 2
 
     run(scenario)
 
 
 @pytest.mark.parametrize("code", SHORTAGES, ids=lambda c: errno.errorcode[c])
 def test_a_shortage_is_waited_out(code: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    pause = 0.0123  # like no other
+    pause = 0.0123  # a value that no other pause has
     monkeypatch.setattr(listeners, "ACCEPT_PAUSE", pause)
     pauses: list[float] = []
     sleep = asyncio.sleep
@@ -116,7 +117,7 @@
             router.listener.socket = failing
             client = await router.client()
             await asyncio.sleep(0.2)
-            assert 0 < failing.calls <= 12 * listeners.ACCEPTS
+            assert 0 < failing.calls <= 12 * listeners.MAX_ACCEPTS
             failing.errors.clear()
             client.write(command("PING"))
             assert await client.resp() == b"PONG"
@@ -133,20 +134,20 @@
             gone = await router.client()
             assert await gone.ended()
             assert await ping(router)
-            assert len(router.listener.connections) + len(router.listener.coming) <= 1
+            assert len(router.listener.connections) + len(router.listener.setup_tasks) <= 1
 
     run(scenario)
 
 
 async def with_failed_dial(router: Router, code: int) -> str:
-    """A read whose first dial fails: the server that it was for."""
+    """Send a read whose first dial fails; return the server that was dialled."""
     loop: Any = asyncio.get_running_loop()
     make = loop.create_connection
     failed: list[str] = []
 
     async def dial(factory: Any, host: str, port: int, **more: Any) -> Any:
         if not failed:
-            failed.append(spelled((host, port)))
+            failed.append(format_address((host, port)))
             raise OSError(code, os.strerror(code))
         return await make(factory, host, port, **more)
 
@@ -163,13 +164,15 @@
     return next(n for n, p in router.caches.items() if p.address == failed[0])
 
 
-@pytest.mark.parametrize("code", sorted({*OWN_SHORTAGE, *UNREACHED}), ids=lambda c: errno.errorcode[c])
+@pytest.mark.parametrize(
+    "code", sorted({*LOCAL_SHORTAGE_ERRORS, *CONNECT_ERRORS}), ids=lambda c: errno.errorcode[c]
+)
 def test_a_dial_that_fails_is_made_elsewhere_and_own_shortages_count_against_no_server(
     code: int, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(requests_log, "on", True)
+    monkeypatch.setattr(requests_log, "enabled", True)
     caplog.set_level(logging.INFO, "myrtlecourse.requests")
-    own = code in OWN_SHORTAGE
+    own = code in LOCAL_SHORTAGE_ERRORS
 
     async def scenario() -> None:
         async with Router() as router:
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -342,7 +342,7 @@
     def __init__(self, folder: Path, **told: Any) -> None:
         self.folder = folder
         self.scenario = msgspec.convert({"hollow": 3, "per_process": 2} | told, Scenario)
-        self.log = seen.Log(folder / "fleet.jsonl")
+        self.log = seen.ObservationLog(folder / "fleet.jsonl")
         self.counts = Counts()
 
     async def __aenter__(self) -> Stand:
@@ -399,7 +399,7 @@
 
     asyncio.run(play())
     kinds = {type(each) for each in seen.read_log(tmp_path / "fleet.jsonl")}
-    assert seen.Listed in kinds and not kinds & {seen.Calls, seen.Told}
+    assert seen.ListChanged in kinds and not kinds & {seen.DiscoveryCall, seen.ListEntrySent}
 
 
 def test_a_hollow_member_that_begins_anew_has_the_list_first_given_and_then_the_change(
@@ -412,8 +412,8 @@
             stand.ground.discovery.notice(0.0, entry)
             await stand.until(lambda: len(counts.in_force) == 3)
             place, job, former = stand.members.pop(0)
-            former.host.timers.after(3600.0, lambda _: None, None)
-            armed = former.host.timers.armed
+            former.host.timers.call_later(3600.0, lambda _: None, None)
+            armed = former.host.timers.loop_timer
             former.close()
             again = HollowMember(place, job, counts)
             stand.members.append((place, job, again))
