--- a/tests/soak_wrong.py
+++ b/tests/soak_wrong.py
@@ -29,9 +29,9 @@
     """Ignores drains: leaves servers that are not ready out of each list update."""
     original_apply_list = host.Host.apply_list
 
-    def take_ready(self: Any, news: Any) -> None:
-        ready = [m for m in news.members if m.entry.ready]
-        original_apply_list(self, type(news)(news.kind, ready))
+    def take_ready(self: Any, update: Any) -> None:
+        ready = [m for m in update.members if m.entry.ready]
+        original_apply_list(self, type(update)(update.kind, ready))
 
     host.Host.apply_list = take_ready  # type: ignore[method-assign]
 
