--- a/myrtlecourse/address/driver.py
+++ b/myrtlecourse/address/driver.py
@@ -16,18 +16,18 @@
 from myrtlecourse.address.votes import write_votes
 from myrtlecourse.election import messages
 from myrtlecourse.election.core import Election, Role
-from myrtlecourse.net.logs import BoundedLog
-from myrtlecourse.peers.end import End, Endpoint
+from myrtlecourse.net.rate_limited_log import RateLimitedLog
+from myrtlecourse.peers.peer_socket import Endpoint, PeerSocket
 from myrtlecourse.peers.wire import Wire
 
 # seconds for accepted requests to end before the address is withdrawn, while the lease lasts
 DRAIN_TIMEOUT = 1.0
 POLL_INTERVAL = 0.1  # seconds between checks of whether this router can serve
 log = logging.getLogger(__name__)
-bounded = BoundedLog(log)
+bounded = RateLimitedLog(log)
 
 
-class AddressDriver(End[messages.Message]):
+class AddressDriver(PeerSocket[messages.Message]):
     """Drives the election of one router."""
 
     def __init__(
@@ -87,7 +87,7 @@
             self.post(messages.AbilityReported(self.able() and not stalled))
             await asyncio.sleep(POLL_INTERVAL)
 
-    def heard(self, sender: str, message: messages.Message) -> None:
+    def message_received(self, sender: str, message: messages.Message) -> None:
         self.post(messages.MessageReceived(sender, message))
 
     def post(self, event: messages.Event) -> None:
@@ -152,7 +152,7 @@
             raise messages.ElectionError("name: a change of the name or the own address needs a restart")
         self.post(messages.SettingsChanged(settings))
         self.settings, self.peers = settings, peers
-        self.wire.members(settings.voters)
+        self.wire.set_members(settings.voters)
 
     def move(self, to: str) -> str:
         """Starts to hand the address over. Returns why that is refused, or an empty text."""
@@ -193,4 +193,4 @@
             await self.withdrawal  # sends the release and withdraws the address
             await asyncio.sleep(0)
         self.link_updater.close()
-        self.leave()
+        self.close_socket()
--- a/myrtlecourse/address/setup.py
+++ b/myrtlecourse/address/setup.py
@@ -12,7 +12,7 @@
 from myrtlecourse.address.votes import VotesError, read_votes
 from myrtlecourse.config import ConfigError
 from myrtlecourse.election.messages import Saved
-from myrtlecourse.net.pool import address_of
+from myrtlecourse.net.pool import parse_address
 
 if TYPE_CHECKING:
     from myrtlecourse.operators import Address
@@ -41,7 +41,7 @@
 def make_link(table: Address, name: str) -> Link:
     """Returns the link that announces the address as that of the router `name`."""
     if table.switch is not None:
-        return SwitchLink(address_of(table.switch), name, table.link_timeout)
+        return SwitchLink(parse_address(table.switch), name, table.link_timeout)
     return CommandLink(table.command, table.link_timeout)
 
 
@@ -66,7 +66,7 @@
             raise ConfigError(
                 f"address.votes_file: {e}; remove it to start without it, a lease's time after the last start"
             ) from e
-    peers = {p.name: address_of(p.at) for p in table.peers}
+    peers = {p.name: parse_address(p.at) for p in table.peers}
     key, further_keys = read_keys(table)
     try:
         return AddressDriver(
--- a/myrtlecourse/fleet/box_server.py
+++ b/myrtlecourse/fleet/box_server.py
@@ -15,7 +15,7 @@
 from myrtlecourse.fleet.scenario import RequestClass, Scenario
 from myrtlecourse.fleet.station import Piece
 from myrtlecourse.net.command import MAX_VALUE, Command, CommandError, read_command
-from myrtlecourse.net.resp import NOT_YET, Message, Reader, RespError, split_command
+from myrtlecourse.net.resp import INCOMPLETE, Message, Reader, RespError, split_command
 
 MAX_ITEMS = 16
 SWEEP = 0.25  # seconds between looks for idle connections
@@ -35,21 +35,21 @@
     if kind is None:
         raise CommandError(f"unknown class {command.info.get('c')!r}")
     return Request(
-        id=command.request.decode(),
+        id=command.request_id.decode(),
         key=command.key.decode("latin-1"),
         request_class=kind,
         router=router,
-        write=command.write,
+        write=command.is_write,
         idempotency=command.info.get("k", ""),
         time_left=command.deadline_ms / 1000,
         fresh=fresh,
     )
 
 
-def sent(request: Request, box: str, began: float, group: str) -> seen.Sent:
+def sent(request: Request, box: str, began: float, group: str) -> seen.AttemptReceived:
     """What the auditor is told of an attempt."""
     kind = request.request_class
-    return seen.Sent(
+    return seen.AttemptReceived(
         time.monotonic(),
         request.id,
         box,
@@ -86,7 +86,7 @@
                 return
         self.reader.feed(data)
         try:
-            while (message := self.reader.next()) is not NOT_YET:
+            while (message := self.reader.next_message()) is not INCOMPLETE:
                 self.commands.append((message, self.began))
                 self.began = began
         except RespError:
@@ -164,7 +164,7 @@
         self.observe(sent(request, self.box.name, began, self.group(request.request_class)))
         piece = self.box.arrive(now, request)
         if self.box.fallen is not None:
-            self.observe(seen.Fell(now, self.box.name, self.box.fallen))
+            self.observe(seen.ColdServerOverloaded(now, self.box.name, self.box.fallen))
             self.end()
             self.fell(self)
             return None
@@ -198,7 +198,9 @@
         while (ended := self.box.ended(now)) is not None:
             connection = self.senders.pop(ended.request, None)
             if ended.ran:
-                self.observe(seen.Ran(now, ended.request.id, self.box.name, ended.request.idempotency))
+                self.observe(
+                    seen.WriteExecuted(now, ended.request.id, self.box.name, ended.request.idempotency)
+                )
             if ended.how in (How.MISS, How.BUSY):
                 self.observe(seen.NeverRan(now, ended.request.id, self.box.name))
             if ended.how is How.MISS:
@@ -270,7 +272,7 @@
         if self.up or self.box.fallen is not None:
             return self.box.started
         self.box.start(now)
-        self.observe(seen.Started(now, self.box.name))
+        self.observe(seen.ServerStarted(now, self.box.name))
         self.up = True
         for port in self.ports.values():
             await port.listen()
--- a/myrtlecourse/net/descriptors.py
+++ b/myrtlecourse/net/descriptors.py
@@ -1,49 +1,51 @@
-"""The descriptors of a router, dealt to its sides, which lend to one another what they don't use."""
+"""The file descriptors of a router, shared by its holders, which lend one another what they do not use."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
 
-class Side(Protocol):
-    """Clients, cache servers or the origin."""
+class DescriptorHolder(Protocol):
+    """The connections of clients, to cache servers or to the origin."""
 
-    budget: int  # its own part
+    budget: int  # descriptors reserved for this holder
 
-    def used(self) -> int:
-        """Descriptors that it holds, dials and connections not yet welcomed included."""
+    def descriptors_used(self) -> int:
+        """Return the descriptors in use, including dials and connections not yet set up."""
 
-    def give_back(self) -> bool:
-        """Close one connection on which nothing is owed; False when there is none."""
+    def close_one_idle(self) -> bool:
+        """Close one connection without an open request; return False if there is none."""
 
 
-class Descriptors:
-    """What all sides may hold together.
+class DescriptorBudget:
+    """The descriptors that all holders may use together.
 
-    Half of a side's own part is never lent, so that it can begin at once when it is needed; for the other
-    half it waits until a borrower closes what it keeps idle.
+    Half of a holder's own budget is never lent, so that it can start at once when it needs descriptors. For
+    the other half it waits until a borrower closes its idle connections.
     """
 
     def __init__(self, total: int) -> None:
         self.total = total
-        self.sides: list[Side] = []
+        self.holders: list[DescriptorHolder] = []
 
-    def add(self, side: Side) -> None:
-        self.sides.append(side)
+    def add(self, holder: DescriptorHolder) -> None:
+        self.holders.append(holder)
 
-    def may_take(self, side: Side) -> bool:
-        """Whether a side may open one more."""
-        if side.used() < side.budget:
-            return self.used() < self.total or self._reclaim(side)
-        kept = sum(max(0, s.budget // 2 - s.used()) for s in self.sides if s is not side)
-        return self.used() + kept < self.total
+    def may_open(self, holder: DescriptorHolder) -> bool:
+        """Return whether a holder may open one more descriptor, after reclaiming one if need be."""
+        if holder.descriptors_used() < holder.budget:
+            return self.descriptors_used() < self.total or self._reclaim(holder)
+        kept = sum(max(0, h.budget // 2 - h.descriptors_used()) for h in self.holders if h is not holder)
+        return self.descriptors_used() + kept < self.total
 
-    def settle(self, side: Side) -> bool:
-        """Whether all is within the total, after a side has opened one more of its own part."""
-        return self.used() <= self.total or self._reclaim(side)
+    def fits_after_open(self, holder: DescriptorHolder) -> bool:
+        """Return whether all holders are within the total after one of them opened one of its own budget."""
+        return self.descriptors_used() <= self.total or self._reclaim(holder)
 
-    def used(self) -> int:
-        return sum(s.used() for s in self.sides)
+    def descriptors_used(self) -> int:
+        return sum(h.descriptors_used() for h in self.holders)
 
-    def _reclaim(self, side: Side) -> bool:
-        return any(s.used() > s.budget and s.give_back() for s in self.sides if s is not side)
+    def _reclaim(self, holder: DescriptorHolder) -> bool:
+        return any(
+            h.descriptors_used() > h.budget and h.close_one_idle() for h in self.holders if h is not holder
+        )
--- a/myrtlecourse/ops/server.py
+++ b/myrtlecourse/ops/server.py
@@ -13,7 +13,7 @@
 from itertools import chain
 from typing import cast
 
-from myrtlecourse.net.logs import BoundedLog
+from myrtlecourse.net.rate_limited_log import RateLimitedLog
 from myrtlecourse.net.transport import Transport
 from myrtlecourse.ops.calls import Call, Exchange, Response
 
@@ -22,7 +22,7 @@
 CALL_TIMEOUT = 2.0  # seconds from the start of a connection in which the call must arrive completely
 LINGER_TIMEOUT = 1.0  # seconds for a caller to read the response and close the connection
 log = logging.getLogger(__name__)
-bounded = BoundedLog(log)
+bounded = RateLimitedLog(log)
 
 
 class OpsServer:
--- a/myrtlecourse/service.py
+++ b/myrtlecourse/service.py
@@ -18,16 +18,16 @@
 
 from myrtlecourse import interface as api
 from myrtlecourse.config import Config, ConfigError, read_file, read_reload
-from myrtlecourse.net.descriptors import Descriptors
-from myrtlecourse.net.discovery import Discovery, Patience
+from myrtlecourse.net.descriptors import DescriptorBudget
+from myrtlecourse.net.discovery import Discovery, WatchTimeouts
+from myrtlecourse.net.flow_control import MEMORY_SHARE, StreamWindows, UploadMemory
 from myrtlecourse.net.host import Host
-from myrtlecourse.net.listener import NOTICE, Listener
-from myrtlecourse.net.logs import BoundedLog
+from myrtlecourse.net.listener import FRONT_REACTION_TIME, Listener
 from myrtlecourse.net.members import Member
 from myrtlecourse.net.origin import OriginConnection
 from myrtlecourse.net.pool import Pool
+from myrtlecourse.net.rate_limited_log import RateLimitedLog
 from myrtlecourse.net.servers import CacheConnection
-from myrtlecourse.net.window import PART, Room, Windows
 from myrtlecourse.ops.calls import Call, Kind, Response
 from myrtlecourse.ops.descriptor_claims import Claim, DescriptorClaims, descriptor_share
 from myrtlecourse.ops.orders import ListedServers, Orders, OrdersError, events_between
@@ -47,7 +47,7 @@
 POLL_INTERVAL = 0.1  # seconds between polls of the orders and claims of other processes of this router
 FIRST_LIST_TIMEOUT = 1.0  # seconds to wait for a fresh list at an upgrade, before the saved one is used
 END_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-bounded = BoundedLog(logging.getLogger(__name__))
+bounded = RateLimitedLog(logging.getLogger(__name__))
 
 
 def ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
@@ -77,9 +77,9 @@
         settings = config.settings
         available = config.sockets - RESERVED_DESCRIPTORS
         dial, idle = settings.dial_timeout, settings.connection_idle
-        self.descriptors = descriptors = Descriptors(available)
+        self.descriptors = descriptors = DescriptorBudget(available)
         longest = config.longest_answer
-        self.windows, self.room = Windows(), Room()
+        self.windows, self.upload_memory = StreamWindows(), UploadMemory()
         windows = self.windows
         self.servers = Pool(CacheConnection, available * 3 // 8, dial, idle, longest, descriptors, windows)
         self.origin = Pool(OriginConnection, available // 8, dial, idle, longest, descriptors, windows)
@@ -87,9 +87,11 @@
         self.host = Host(settings, config.seed, self.servers, self.origin, self._subscribe, self.admission)
         # at an upgrade the first request is for the full list, which is answered at once
         index = config.known_index if inherited is None else None
-        patience = Patience.of(settings)
-        self.discovery = Discovery(config.discovery, index, self._on_list, self.host.list_failed, patience)
-        self.listener = Listener(self.host, available // 2, descriptors, windows, self.room)
+        timeouts = WatchTimeouts.from_settings(settings)
+        self.discovery = Discovery(
+            config.discovery, index, self._on_list, self.host.discovery_failed, timeouts
+        )
+        self.listener = Listener(self.host, available // 2, descriptors, windows, self.upload_memory)
         self.listed_servers = ListedServers()
         self.store = OrderStore(folder)
         self.claims = None
@@ -116,7 +118,7 @@
     def _on_list(self, kind: api.ListKind, members: list[Member]) -> None:
         origin = self.host.settings.origin_kind if self.host.settings.cache_aside else None
         self.listed_servers.record((m.entry.server, m.entry.kind != origin) for m in members)
-        self.host.list_told(kind, members)
+        self.host.submit_list(kind, members)
         if kind is not api.ListKind.SAVED:
             self.list_received.set()
 
@@ -169,7 +171,7 @@
             except OSError as e:
                 logging.error("the claim on descriptors could not be released: %s", e)
         logging.info(
-            "ended; the longest iteration of the event loop took %.1f ms", 1000 * self.host.turns.longest
+            "ended; the longest iteration of the event loop took %.1f ms", 1000 * self.host.loop_lag.longest
         )
         ignore_signals(loop)
 
@@ -178,7 +180,8 @@
         loop = asyncio.get_running_loop()
         inherited = self.inherited is not None
         logging.info(
-            "shutting down: no new connections %s", "from now on" if inherited else f"in {NOTICE:g} s"
+            "shutting down: no new connections %s",
+            "from now on" if inherited else f"in {FRONT_REACTION_TIME:g} s",
         )
         self.shutting_down = True
         longest = (
@@ -187,13 +190,13 @@
         ends_at = loop.time() + longest
         # guards requests that are accepted from here on: to hand over a duty may take longer than their
         # deadlines
-        self.host.end_by(longest)
+        self.host.set_answer_deadline(longest)
         subsystems = self.subsystems
         closing = asyncio.create_task(subsystems.close()) if subsystems is not None else None
         if closing is not None and not inherited:
             # clients still connect here until another router has the service address
-            await asyncio.wait([closing], timeout=longest - NOTICE)
-        await self.listener.stop(NOTICE, ends_at - loop.time())
+            await asyncio.wait([closing], timeout=longest - FRONT_REACTION_TIME)
+        await self.listener.stop(FRONT_REACTION_TIME, ends_at - loop.time())
         if closing is not None:
             await asyncio.wait([closing], timeout=max(0.0, ends_at - loop.time()))
             if not closing.done():
@@ -217,9 +220,9 @@
         """Carries out an operator's call, or returns why it is refused."""
         now = time.time()
         if call.kind is Kind.READY:
-            if self.host.ready():
+            if self.host.accepts_clients():
                 return Response(HTTPStatus.OK, "ready")
-            if self.host.may_serve():
+            if self.host.has_usable_server():
                 return Response(HTTPStatus.SERVICE_UNAVAILABLE, "the service address is elsewhere")
             reason = "no cache server is known" if self.host.in_service else "out of service"
             return Response(HTTPStatus.SERVICE_UNAVAILABLE, reason)
@@ -251,18 +254,18 @@
         before, self.orders = self.orders, self.store.orders
         for event in events_between(before, self.orders):
             if isinstance(event, api.ServerBanned):
-                self.host.offline(event.server)
+                self.host.take_offline(event.server)
             else:
-                self.host.online(event.server, event.returned_at)
+                self.host.bring_online(event.server, event.returned_at)
         if before.out_of_service is not self.orders.out_of_service:
             self.host.in_service = not self.orders.out_of_service
             if self.orders.out_of_service:
                 logging.info("out of service: connections of clients are closed as they become idle")
-                self.listener.empty()
+                self.listener.start_drain()
             else:
                 logging.info("in service")
-                if self.host.addressed:
-                    self.listener.refill()
+                if self.host.holds_service_address:
+                    self.listener.stop_drain()
 
     async def _poll_other_processes(self) -> None:
         """Applies orders that were given to another process of an upgrade, and shares the limits with it."""
@@ -298,13 +301,15 @@
         descriptors = self.descriptors
         if self.claims is not None:
             descriptors.total = descriptor_share(
-                total, descriptors.used(), self.shutting_down, self.claims.started_ns, others
+                total, descriptors.descriptors_used(), self.shutting_down, self.claims.started_ns, others
             )
             try:
                 self.claims.claim(descriptors.total)
             except OSError as e:
                 bounded.log(logging.ERROR, "the claim on descriptors can't be written: %s", e)
-        self.windows.budget = self.room.budget = int(self.config.memory * PART / (1 + len(others)))
+        self.windows.budget = self.upload_memory.budget = int(
+            self.config.memory * MEMORY_SHARE / (1 + len(others))
+        )
 
     # Reloads
 
@@ -338,8 +343,8 @@
             self._apply_settings(config.settings)
         if config.discovery != before.discovery:
             logging.info("discovery is now %s", config.discovery)
-            self.discovery.move(config.discovery)
-            self.host.list_moved()
+            self.discovery.change_address(config.discovery)
+            self.host.discovery_moved()
             if not config.settings.subscribe:
                 self.discovery.subscribe()
         if self.subsystems is not None:
@@ -352,14 +357,14 @@
         dropped = {name: c for name, c in before.items() if name not in settings.classes}
         added = [name for name in settings.classes if name not in before]
         logging.info("new settings: classes added %s, dropped %s", added or "none", [*dropped] or "none")
-        self.host.retune(replace(settings, classes={**dropped, **settings.classes}))
-        self.discovery.patience = Patience.of(settings)
+        self.host.change_settings(replace(settings, classes={**dropped, **settings.classes}))
+        self.discovery.timeouts = WatchTimeouts.from_settings(settings)
         if dropped:
             asyncio.get_running_loop().call_later(REMOVED_CLASS_TIME, self._drop_removed_classes, settings)
 
     def _drop_removed_classes(self, settings: api.Settings) -> None:
         if self.config.settings == settings:  # otherwise a later reload has started a timer of its own
-            self.host.retune(settings)
+            self.host.change_settings(settings)
 
 
 def inherited_socket() -> int | None:
--- a/myrtlecourse/spread/leader.py
+++ b/myrtlecourse/spread/leader.py
@@ -18,7 +18,7 @@
 from enum import Enum
 from typing import Any
 
-from myrtlecourse.peers.seal import LONGEST
+from myrtlecourse.peers.seal import MAX_DATAGRAM
 from myrtlecourse.spread import replica_events as events
 from myrtlecourse.spread.messages import (
     Append,
@@ -67,7 +67,7 @@
 
     def spend(self) -> None:
         """Charge one datagram of maximum size."""
-        self.available = max(-self.capacity, self.available - LONGEST)
+        self.available = max(-self.capacity, self.available - MAX_DATAGRAM)
 
 
 class Phase(Enum):
--- a/myrtlecourse/spread/node.py
+++ b/myrtlecourse/spread/node.py
@@ -11,8 +11,8 @@
 from dataclasses import asdict
 from typing import Any
 
-from myrtlecourse.peers.seal import SEAL
-from myrtlecourse.peers.wire import HEAD as FRAME
+from myrtlecourse.peers.seal import SEAL_SIZE
+from myrtlecourse.peers.wire import HEADER_SIZE as FRAME
 from myrtlecourse.spread import messages as msg
 from myrtlecourse.spread.applied_ranges import AppliedRanges
 from myrtlecourse.spread.change_table import ChangeTable
@@ -152,7 +152,7 @@
 
     def _send(self, to: str, *messages: Message) -> bool:
         """Send messages if the send window allows it; return whether it did."""
-        size = SEAL + FRAME + len(self.name.encode()) + CODEC.size(messages)
+        size = SEAL_SIZE + FRAME + len(self.name.encode()) + CODEC.size(messages)
         if not self.send_window.try_spend(self.now, size):
             return False
         self.counts.bytes_out += size
--- a/myrtlecourse/subsystems.py
+++ b/myrtlecourse/subsystems.py
@@ -17,7 +17,7 @@
 import orjson
 
 from myrtlecourse.config import ConfigError
-from myrtlecourse.net.pool import address_of
+from myrtlecourse.net.pool import parse_address
 from myrtlecourse.ops.calls import SPREAD_CALLS, ZONE_CALLS, Call, Kind, Response
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
     from myrtlecourse.address.duty import AddressWork
     from myrtlecourse.duties.driver import DutyDriver
     from myrtlecourse.operators import Address, Duties, Fleet, OperatorsFile, Spread
-    from myrtlecourse.peers.speaker import Speaker
+    from myrtlecourse.peers.gossip_socket import GossipSocket
     from myrtlecourse.service import Service
     from myrtlecourse.spread.driver import Driver as SpreadDriver
 
@@ -49,7 +49,7 @@
         self.service = service
         self.path = path
         self.address_driver: AddressDriver | None = None  # if the service address has an election of its own
-        self.speaker: Speaker | None = None  # communication with other routers about zones
+        self.gossip_socket: GossipSocket | None = None  # communication with other routers about zones
         self.address_work: AddressWork | None = None  # if the service address is one of the duties
         self.duty_driver: DutyDriver | None = None
         self.spread_driver: SpreadDriver | None = None  # distribution of changes and purges
@@ -78,8 +78,8 @@
 
     async def close(self) -> None:
         """Hands over or releases all that this router holds, and stops communicating."""
-        if self.speaker is not None:
-            self.speaker.close()
+        if self.gossip_socket is not None:
+            self.gossip_socket.close()
         if self.address_driver is not None:
             await self.address_driver.close()
         if self.duty_driver is not None:
@@ -115,33 +115,33 @@
 
     async def _join_fleet(self, table: Fleet) -> None:
         """Starts to leave and rejoin zones together with the other routers, if they may communicate."""
-        from myrtlecourse.zones.setup import speaker  # noqa: PLC0415  (an optional dependency)
+        from myrtlecourse.zones.setup import make_gossip_socket  # noqa: PLC0415  (an optional dependency)
 
-        self.speaker = speaker(
+        self.gossip_socket = make_gossip_socket(
             table, self.service.config, self.service.host.clock.now, self.service.host.post
         )
-        if self.speaker is None:
+        if self.gossip_socket is None:
             logging.warning(
                 "fleet: the settings don't allow routers to communicate, and the file names no peers"
             )
             return
-        self.service.host.watch(self.speaker.agent)
+        self.service.host.set_observer(self.gossip_socket.agent)
         try:
-            await self.speaker.start(shared=self.service.inherited is not None)
+            await self.gossip_socket.start(shared=self.service.inherited is not None)
         except OSError as e:
             raise ConfigError(f"{self.path}: fleet: {e}") from e
 
     def _handle_fleet_call(self, call: Call) -> Response:
-        if self.speaker is None:
+        if self.gossip_socket is None:
             return Response(HTTPStatus.NOT_FOUND, DISABLED_MESSAGES[call.kind])
-        from myrtlecourse.zones.verdict import Order  # noqa: PLC0415  (an optional dependency)
+        from myrtlecourse.zones.exit_rule import ZoneMode  # noqa: PLC0415  (an optional dependency)
 
-        agent, now = self.speaker.agent, self.service.host.clock.now()
+        agent, now = self.gossip_socket.agent, self.service.host.clock.now()
         if call.kind is Kind.FLEET:
             return Response(HTTPStatus.OK, orjson.dumps(agent.status(now)).decode())
         try:
-            order = Order[call.kind.name.replace("ZONE_", "ORDERED_")]
-            agent.order(now, call.server, order, call.seconds)
+            order = ZoneMode[call.kind.name.replace("ZONE_", "ORDERED_")]
+            agent.order_zone(now, call.server, order, call.seconds)
         except ValueError as e:
             return Response(HTTPStatus.NOT_FOUND, str(e))
         return Response(HTTPStatus.OK, f"{call.server} is ordered {call.kind.value} for {call.seconds:g} s")
@@ -149,11 +149,11 @@
     def _can_serve(self, table: Address) -> bool:
         """Returns whether this router may hold the service address: it is neither drained nor overloaded, and
         its list of servers is recent."""
-        list_is_recent = time.monotonic() - self.service.discovery.heard_at < table.list_age
+        list_is_recent = time.monotonic() - self.service.discovery.last_answer_at < table.list_age
         return (
             list_is_recent
             and self.service.admission.admitted_share >= table.least_share
-            and self.service.host.may_serve()
+            and self.service.host.has_usable_server()
         )
 
     async def _start_address(self, table: Address) -> None:
@@ -161,15 +161,15 @@
         from myrtlecourse.address.setup import make_driver  # noqa: PLC0415  (an optional dependency)
 
         self.address_driver = make_driver(
-            table, lambda: self._can_serve(table), self._on_address_change, self.service.listener.emptied
+            table, lambda: self._can_serve(table), self._on_address_change, self.service.listener.wait_drained
         )
-        self.service.listener.holds = self.address_driver.holds
+        self.service.listener.holds_address = self.address_driver.holds
         self._on_address_change(False)
         own = next(p.at for p in table.peers if p.name == table.name)
         try:
             logging.info(
                 "election of the service address: UDP socket on %s:%d",
-                *await self.address_driver.start(address_of(own)),
+                *await self.address_driver.start(parse_address(own)),
             )
         except OSError as e:
             raise ConfigError(f"{self.path}: address.peers: {own}: {e}") from e
@@ -181,10 +181,12 @@
         from myrtlecourse.duties.messages import ADDRESS  # noqa: PLC0415
 
         link = make_link(table, driver.settings.name)
-        self.address_work = AddressWork(driver, link, self._on_address_change, self.service.listener.emptied)
+        self.address_work = AddressWork(
+            driver, link, self._on_address_change, self.service.listener.wait_drained
+        )
         driver.works[ADDRESS] = self.address_work
         driver.abilities[ADDRESS] = lambda: self._can_serve(table)
-        self.service.listener.holds = self.address_work.holds
+        self.service.listener.holds_address = self.address_work.holds
         self._on_address_change(False)
 
     async def _start_duties(self, file: OperatorsFile, table: Duties) -> None:
@@ -206,7 +208,7 @@
             work = LogDuty(file.spread.duty, self.duty_driver, self.spread_driver)
             self.duty_driver.works[file.spread.duty] = work
             self.duty_driver.abilities[file.spread.duty] = work.able
-        own = address_of(table.listen) if table.listen is not None else peers(table)[table.name]
+        own = parse_address(table.listen) if table.listen is not None else peers(table)[table.name]
         try:
             await self.duty_driver.start(own, shared=self.service.inherited is not None)
         except OSError as e:
@@ -259,11 +261,11 @@
     def _on_address_change(self, here: bool) -> None:
         """Starts to serve clients when this router has acquired the service address; when it has lost it,
         accepts nothing new and drains at once."""
-        self.service.host.addressed = here
+        self.service.host.holds_service_address = here
         if not here:
-            self.service.listener.empty(0.0)
+            self.service.listener.start_drain(0.0)
         elif not self.service.orders.out_of_service:
-            self.service.listener.refill()
+            self.service.listener.stop_drain()
 
     def reload(self) -> None:
         """Applies changes of the operators' file: each table completely or not at all."""
@@ -274,8 +276,8 @@
             return
         if (address_driver := self.address_driver) is not None:
             self._reload_table("address", lambda: self._reload_address(address_driver, file.address))
-        if (speaker := self.speaker) is not None:
-            self._reload_table("fleet", lambda: self._reload_fleet(speaker, file.fleet))
+        if (gossip_socket := self.gossip_socket) is not None:
+            self._reload_table("fleet", lambda: self._reload_fleet(gossip_socket, file.fleet))
         if (duty_driver := self.duty_driver) is not None:
             self._reload_table("duties", lambda: self._reload_duties(duty_driver, file))
         if (spread_driver := self.spread_driver) is not None:
@@ -298,9 +300,9 @@
         keys = read_keys(table)
         settings = table.election_settings()
         if settings != driver.settings:
-            driver.change(settings, {p.name: address_of(p.at) for p in table.peers})
+            driver.change(settings, {p.name: parse_address(p.at) for p in table.peers})
             logging.info("voters for the service address: %s", ", ".join(settings.voters))
-        driver.wire.seal.change(*keys)
+        driver.wire.seal.set_keys(*keys)
         driver.link_updater.link = make_link(table, table.name or "")
         logging.info("service address: keys and link reloaded")
 
@@ -332,17 +334,17 @@
         if table.settings() != driver.settings:
             raise ConfigError("spread: members and parameters can't change while the process runs")
         keys = read_keys(table)
-        driver.wire.seal.change(*keys)
+        driver.wire.seal.set_keys(*keys)
         driver.peers = peer_addresses(table)
 
-    def _reload_fleet(self, speaker: Speaker, table: Fleet | None) -> None:
+    def _reload_fleet(self, gossip_socket: GossipSocket, table: Fleet | None) -> None:
         """Applies all changes but those of this router's name, zone and address. Raises ValueError."""
-        from myrtlecourse.zones.setup import part  # noqa: PLC0415  (an optional dependency)
+        from myrtlecourse.zones.setup import agent_settings  # noqa: PLC0415  (an optional dependency)
 
-        configured = part(table, self.service.config) if table is not None else None
+        configured = agent_settings(table, self.service.config) if table is not None else None
         if configured is None:
             raise ConfigError("the table `fleet` is missing, but was present at the start")
-        new_part, peers, _ = configured
-        if new_part != speaker.agent.part or peers != speaker.peers:
-            speaker.change(new_part, peers)
+        new_settings, peers, _ = configured
+        if new_settings != gossip_socket.agent.settings or peers != gossip_socket.peers:
+            gossip_socket.reconfigure(new_settings, peers)
             logging.info("new settings of the fleet: %d routers", len(peers))
--- a/myrtlecourse/zones/setup.py
+++ b/myrtlecourse/zones/setup.py
@@ -1,4 +1,4 @@
-"""Makes a router's part in the fleet of what the operators' file and the platform say."""
+"""Builds a router's agent and its socket from the operators' file and the platform's configuration."""
 
 from __future__ import annotations
 
@@ -11,38 +11,41 @@
 from myrtlecourse import interface as api
 from myrtlecourse.address.setup import read_key
 from myrtlecourse.config import Config, ConfigError
-from myrtlecourse.net.pool import address_of
-from myrtlecourse.peers.speaker import Endpoint, Speaker
-from myrtlecourse.zones.agent import Agent, Part
+from myrtlecourse.net.pool import parse_address
+from myrtlecourse.peers.gossip_socket import Endpoint, GossipSocket
+from myrtlecourse.zones.agent import Agent, AgentSettings
 from myrtlecourse.zones.tiers import Tiers
 
 if TYPE_CHECKING:
     from myrtlecourse.operators import Fleet
 
 
-def tiers_of(regions: Mapping[str, tuple[str, ...]], own_region: float, elsewhere: float) -> Tiers:
-    """The tiers of preference."""
+def make_tiers(regions: Mapping[str, tuple[str, ...]], own_region: float, elsewhere: float) -> Tiers:
+    """Return the tiers of preference."""
     return Tiers({name: frozenset(zones) for name, zones in regions.items()}, own_region, elsewhere)
 
 
-def part(table: Fleet, config: Config) -> tuple[Part, dict[str, Endpoint], Endpoint] | None:
-    """A router's part, where each router is heard, and where it listens; None where neither the platform nor
-    the file lets routers talk.
+def agent_settings(
+    table: Fleet, config: Config
+) -> tuple[AgentSettings, dict[str, Endpoint], Endpoint] | None:
+    """Return a router's settings, the address of each router, and the address to listen on.
+
+    Returns None where neither the platform nor the file enables gossip.
 
     Raises:
         ConfigError: a file that is named can't be used.
     """
     if table.peers:
-        peers = {p.name: address_of(p.at) for p in table.peers}
+        peers = {p.name: parse_address(p.at) for p in table.peers}
         name, zone = table.name or "", table.zone or ""
-        bind = address_of(table.listen) if table.listen is not None else peers[name]
+        bind = parse_address(table.listen) if table.listen is not None else peers[name]
     elif config.settings.peers and config.peer_listen is not None and config.peers:
-        # by their numbers in the settings: the platform names them no other way
+        # The platform identifies routers only by their numbers in the settings.
         peers = {str(i): at for i, at in enumerate(config.peers)}
         name, zone, bind = str(config.router_number), config.settings.zone, config.peer_listen
     else:
         return None
-    taken = Part(
+    settings = AgentSettings(
         name,
         tuple(peers),
         zone,
@@ -52,26 +55,26 @@
         table.interval,
         table.bytes_a_second,
         tuple(read_key(Path(file), "fleet.also_key_files") for file in table.also_key_files),
-        tiers_of(table.regions, table.own_region, table.elsewhere),
+        make_tiers(table.regions, table.own_region, table.elsewhere),
         table.paced,
         table.origin_rate,
     )
-    return taken, peers, bind
+    return settings, peers, bind
 
 
-def speaker(
+def make_gossip_socket(
     table: Fleet, config: Config, clock: Callable[[], float], post: Callable[[api.Event], None]
-) -> Speaker | None:
-    """A router's end, or None where neither the platform nor the file lets routers talk.
+) -> GossipSocket | None:
+    """Return a router's gossip socket, or None where neither the platform nor the file enables gossip.
 
     Raises:
-        ConfigError: a file that is named can't be used, or what is said can't be so.
+        ConfigError: a file that is named can't be used, or the settings are not valid.
     """
-    if (told := part(table, config)) is None:
+    if (configured := agent_settings(table, config)) is None:
         return None
-    taken, peers, bind = told
+    settings, peers, bind = configured
     try:
-        agent = Agent(taken, clock(), time.time(), random.SystemRandom().getrandbits(32))
+        agent = Agent(settings, clock(), time.time(), random.SystemRandom().getrandbits(32))
     except ValueError as e:
         raise ConfigError(f"fleet: {e}") from e
-    return Speaker(agent, bind, peers, clock, post)
+    return GossipSocket(agent, bind, peers, clock, post)
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -27,9 +27,9 @@
 from myrtlecourse.fleet.reserved_ports import free
 from myrtlecourse.fleet.switch import Switch
 from myrtlecourse.operators import read_operators
-from myrtlecourse.peers.seal import LONGEST, WINDOW, Dropped
-from myrtlecourse.peers.wire import Sign, Wire
-from tests.loopback import PATIENCE, Link, read, run, spelled
+from myrtlecourse.peers.seal import MAX_DATAGRAM, REPLAY_WINDOW, Dropped
+from myrtlecourse.peers.wire import Control, Wire
+from tests.loopback import TIMEOUT, Link, format_address, read, run
 from tests.test_service import Process, Site, ask, ping, site
 
 KEY = b"a common key of voters"
@@ -53,8 +53,8 @@
 def pair() -> tuple[Wire[messages.Message], Wire[messages.Message]]:
     """Returns the ends of two voters that have greeted each other."""
     a, b = end("a", THREE, KEY, 11), end("b", THREE, KEY, 22)
-    assert b.open(a.hello("b")) == ("a", Sign.GREETING)
-    assert a.open(b.hello("a")) == ("b", Sign.GREETING)
+    assert b.open(a.hello("b")) == ("a", Control.GREETING)
+    assert a.open(b.hello("a")) == ("b", Control.GREETING)
     return a, b
 
 
@@ -62,7 +62,7 @@
 def test_a_message_comes_as_it_went_and_once(message: messages.Message) -> None:
     a, b = pair()
     data = a.pack("b", message)
-    assert len(data) <= LONGEST
+    assert len(data) <= MAX_DATAGRAM
     assert b.open(data) == ("a", message)
     with pytest.raises(Dropped, match="replayed"):
         b.open(data)
@@ -71,8 +71,8 @@
 
 def test_messages_may_pass_one_another_within_the_window() -> None:
     a, b = pair()
-    sent = [a.pack("b", messages.Beat(1, n)) for n in range(WINDOW + 1)]
-    assert b.open(sent[-1])[1] == messages.Beat(1, WINDOW)
+    sent = [a.pack("b", messages.Beat(1, n)) for n in range(REPLAY_WINDOW + 1)]
+    assert b.open(sent[-1])[1] == messages.Beat(1, REPLAY_WINDOW)
     for data in reversed(sent[1:-1]):
         b.open(data)
     with pytest.raises(Dropped, match="replayed"):
@@ -113,8 +113,8 @@
     a, _ = pair()
     old = a.pack("b", messages.Renew(1, 1))
     again = end("b", THREE, KEY, 23)
-    assert again.open(old) == ("a", Sign.STALE)
-    assert a.open(again.hello("a")) == ("b", Sign.GREETING)
+    assert again.open(old) == ("a", Control.STALE)
+    assert a.open(again.hello("a")) == ("b", Control.GREETING)
     assert again.open(a.pack("b", messages.Renew(1, 2))) == ("a", messages.Renew(1, 2))
 
 
@@ -336,14 +336,14 @@
     ) -> Path:
         """Writes the operators' file of a router and returns its path."""
         peers = [
-            {"name": n, "at": spelled(self.switch.relays.at.get((name, n), self.switch.voters[n]))}
+            {"name": n, "at": format_address(self.switch.relays.at.get((name, n), self.switch.voters[n]))}
             for n in voters
         ]
         lines = ", ".join(f'{{name = "{p["name"]}", at = "{p["at"]}"}}' for p in peers)
         file = self.folder / f"{name}.toml"
         if self.duty:
             file.write_text(
-                f'[address]\nswitch = "{spelled(self.switch.told_at)}"\n[duties]\nname = "{name}"\n'
+                f'[address]\nswitch = "{format_address(self.switch.told_at)}"\n[duties]\nname = "{name}"\n'
                 f"peers = [{lines}]\nvoters = {orjson.dumps(voters).decode()}\nunheard = 1.5\n"
                 f'key_file = "{self.folder / key}"\nmemory_file = "{self.folder / name}.memory"\n'
                 f"heartbeat = 0.1\nlease = 0.5\nsettle = 0.2\nunwell = 0.3\n{more}"
@@ -352,7 +352,7 @@
         file.write_text(
             f'[address]\nname = "{name}"\npeers = [{lines}]\nkey_file = "{self.folder / key}"\n'
             f'votes_file = "{self.folder / name}.votes"\n'
-            f'switch = "{told_at or spelled(self.switch.told_at)}"\n'
+            f'switch = "{told_at or format_address(self.switch.told_at)}"\n'
             f"heartbeat = 0.1\nlease = 0.5\nsettle = 0.2\nunwell = 0.3\n{more}"
         )
         return file
@@ -361,7 +361,9 @@
         """Starts or restarts a router."""
         file = self.write(name)
         config = self.folder / f"{name}.json"
-        config.write_bytes(orjson.dumps({**self.here.config(), "listen": spelled(self.switch.routers[name])}))
+        config.write_bytes(
+            orjson.dumps({**self.here.config(), "listen": format_address(self.switch.routers[name])})
+        )
         self.routers[name] = await self.here.start(RELAY_CONFIG=str(config), MYRTLECOURSE_FILE=str(file))
         return self.routers[name]
 
@@ -468,7 +470,7 @@
             client = await there.client()
             assert await ping(client) and await ask(client, "r", "k") == b"value"
             there.routers[third].process.send_signal(signal.SIGTERM)
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT):
                 assert await there.routers[third].process.wait() == 0
                 await there.holder(third)
 
@@ -577,7 +579,7 @@
             (tmp_path / "new").write_bytes(b"another common key of voters")
             other = Switch(there.switch.routers)
             await other.start()
-            at = spelled(other.told_at)
+            at = format_address(other.told_at)
             also = 'also_key_files = ["{}"]\n'
             for number, (key, taken) in enumerate((("key", "new"), ("new", "key"), ("new", ""))):
                 for name in THREE:
--- a/tests/test_duty_parts.py
+++ b/tests/test_duty_parts.py
@@ -24,7 +24,7 @@
 from myrtlecourse.duties.steps import StepAction, Steps
 from myrtlecourse.election import messages as election
 from myrtlecourse.operators import read_operators
-from myrtlecourse.peers.seal import LONGEST, Dropped
+from myrtlecourse.peers.seal import MAX_DATAGRAM, Dropped
 from myrtlecourse.peers.wire import Wire
 from tests.loopback import run
 
@@ -47,10 +47,10 @@
 def test_words_come_as_they_were_said_in_datagrams_that_hold_them(each: tuple[Item, ...]) -> None:
     names = ("a" * 64, "b")
     wire = Wire(names[0], names, b"k" * 16, 2**62, DutyCodec())
-    wire.senders["b"].start, wire.number = 2**62, 2**31
+    wire.senders["b"].start, wire.sent_number = 2**62, 2**31
     decoded: list[Item] = []
-    for part in split(each, wire.room):
-        assert len(wire.pack("b", part)) <= LONGEST
+    for part in split(each, wire.max_message_size):
+        assert len(wire.pack("b", part)) <= MAX_DATAGRAM
         decoded += DutyCodec().read(msgspec.msgpack.decode(msgspec.msgpack.encode(DutyCodec().parts(part))))
     assert sorted(map(repr, decoded)) == sorted(map(repr, each))
 
@@ -68,7 +68,9 @@
 
 def test_a_heartbeat_for_sixteen_duties_is_one_datagram() -> None:
     beats = tuple((60_000 + i, election.Beat(2**31, 2**48)) for i in range(16))
-    assert len(list(split(beats, Wire("a" * 16, ("a" * 16,), b"k" * 16, 1, DutyCodec()).room))) == 1
+    assert (
+        len(list(split(beats, Wire("a" * 16, ("a" * 16,), b"k" * 16, 1, DutyCodec()).max_message_size))) == 1
+    )
 
 
 memories = st.builds(Memory, numbers, st.text(max_size=9), numbers, numbers, numbers, values)
@@ -191,21 +193,21 @@
 
 def test_the_auditor_judges_duties() -> None:
     observations: list[seen.Observation] = [
-        seen.Holds(1.0, "a", "x", 5),
-        seen.Obeys(1.0, "a", "x", 5),
-        seen.Obeys(1.1, "b", "x", 5),
-        seen.Did(1.2, "a", "x", 1, 5),
-        seen.Holds(2.0, "a", "x", 0),
-        seen.Rests(2.0, "a", "x"),
-        seen.Holds(2.5, "c", "x", 6),
-        seen.Obeys(2.5, "c", "x", 6),  # while b obeys token 5
+        seen.HoldsDuty(1.0, "a", "x", 5),
+        seen.FollowsHolder(1.0, "a", "x", 5),
+        seen.FollowsHolder(1.1, "b", "x", 5),
+        seen.StepDone(1.2, "a", "x", 1, 5),
+        seen.HoldsDuty(2.0, "a", "x", 0),
+        seen.FollowsNobody(2.0, "a", "x"),
+        seen.HoldsDuty(2.5, "c", "x", 6),
+        seen.FollowsHolder(2.5, "c", "x", 6),  # while b obeys token 5
         seen.RouterDown(2.6, "b", True),
-        seen.Obeys(2.7, "a", "x", 4),
-        seen.Did(2.8, "c", "x", 1, 6),
+        seen.FollowsHolder(2.7, "a", "x", 4),
+        seen.StepDone(2.8, "c", "x", 1, 6),
     ]
     auditor = Auditor(Rules(duty_gap=0.4))
     for what in observations:
-        auditor.take(what)
+        auditor.judge(what)
     found = auditor.verdict()["breaches"]
     kinds = ("two_obeyed", "stale_obeyed", "done_twice", "nobody_too_long")
     assert [found[kind] for kind in kinds] == [2, 1, 1, 1]
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -342,7 +342,7 @@
     def __init__(self, folder: Path, **told: Any) -> None:
         self.folder = folder
         self.scenario = msgspec.convert({"hollow": 3, "per_process": 2} | told, Scenario)
-        self.log = seen.Log(folder / "fleet.jsonl")
+        self.log = seen.ObservationLog(folder / "fleet.jsonl")
         self.counts = Counts()
 
     async def __aenter__(self) -> Stand:
@@ -399,7 +399,7 @@
 
     asyncio.run(play())
     kinds = {type(each) for each in seen.read_log(tmp_path / "fleet.jsonl")}
-    assert seen.Listed in kinds and not kinds & {seen.Calls, seen.Told}
+    assert seen.ListChanged in kinds and not kinds & {seen.DiscoveryCall, seen.ListEntrySent}
 
 
 def test_a_hollow_member_that_begins_anew_has_the_list_first_given_and_then_the_change(
@@ -412,8 +412,8 @@
             stand.ground.discovery.notice(0.0, entry)
             await stand.until(lambda: len(counts.in_force) == 3)
             place, job, former = stand.members.pop(0)
-            former.host.timers.after(3600.0, lambda _: None, None)
-            armed = former.host.timers.armed
+            former.host.timers.call_later(3600.0, lambda _: None, None)
+            armed = former.host.timers.loop_timer
             former.close()
             again = HollowMember(place, job, counts)
             stand.members.append((place, job, again))
@@ -433,14 +433,14 @@
         async with Stand(tmp_path, peers={"interval": 0.1}, regions=2, zones=2, sites=2) as stand:
             agents = [m.speaker.agent for _, _, m in stand.members if m.speaker is not None]
             assert len(agents) == 3
-            await stand.until(lambda: all(a.gossip.present(0.0).total() >= 3 for a in agents))
+            await stand.until(lambda: all(a.gossip.member_counts(0.0).total() >= 3 for a in agents))
             assert stand.counts.datagrams_in >= 3
             assert stand.counts.datagram_bytes_in > stand.counts.datagrams_in
             for _, _, member in stand.members:
                 datagrams, size = member.sent()
                 assert 0 < datagrams < size
-            assert {a.part.zone for a in agents} == {"zone-0", "zone-1"}
-            assert all(len(a.part.members) == 4 for a in agents)  # the real router among them
+            assert {a.settings.zone for a in agents} == {"zone-0", "zone-1"}
+            assert all(len(a.settings.members) == 4 for a in agents)  # the real router among them
 
     asyncio.run(play())
 
