--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -112,10 +112,10 @@
     """A renewal sealed for a process before its restart would count for a lease that nobody granted."""
     a, _ = pair()
     old = a.pack("b", messages.Renew(1, 1))
-    again = end("b", THREE, KEY, 23)
-    assert again.open(old) == ("a", Control.STALE)
-    assert a.open(again.hello("a")) == ("b", Control.GREETING)
-    assert again.open(a.pack("b", messages.Renew(1, 2))) == ("a", messages.Renew(1, 2))
+    restarted = end("b", THREE, KEY, 23)
+    assert restarted.open(old) == ("a", Control.STALE)
+    assert a.open(restarted.hello("a")) == ("b", Control.GREETING)
+    assert restarted.open(a.pack("b", messages.Renew(1, 2))) == ("a", messages.Renew(1, 2))
 
 
 def test_a_sender_that_has_restarted_is_not_followed_back() -> None:
@@ -187,32 +187,32 @@
 def test_a_word_that_was_not_heard_is_said_again_and_one_overtaken_is_not() -> None:
     class Flaky:
         def __init__(self) -> None:
-            self.heard: list[int | None] = []
+            self.states: list[int | None] = []
             self.fails = 2
-            self.told = asyncio.Event()
+            self.changed = asyncio.Event()
 
         async def announce(self, term: int) -> None:
             if self.fails:
                 self.fails -= 1
                 raise LinkError("away")
-            self.heard.append(term)
-            self.told.set()
+            self.states.append(term)
+            self.changed.set()
 
         async def withdraw(self) -> None:
-            self.heard.append(None)
-            self.told.set()
+            self.states.append(None)
+            self.changed.set()
 
     async def scenario() -> None:
         link = Flaky()
         updater = LinkUpdater(link)
         updater.request(1)
         updater.request(2)
-        await link.told.wait()
-        assert link.heard == [2]
-        link.told.clear()
+        await link.changed.wait()
+        assert link.states == [2]
+        link.changed.clear()
         updater.request(None)
-        await link.told.wait()
-        assert link.heard == [2, None]
+        await link.changed.wait()
+        assert link.states == [2, None]
         updater.close()
 
     run(scenario)
@@ -254,9 +254,9 @@
     table = read_operators(path).address
     assert table is not None and table.election_settings().majority == 2
     path.write_text(GOOD.replace(old, new))
-    with pytest.raises(ConfigError, match=message) as told:
+    with pytest.raises(ConfigError, match=message) as caught:
         read_operators(path)
-    assert "router.toml" in str(told.value)
+    assert "router.toml" in str(caught.value)
 
 
 @pytest.mark.parametrize("broken", ["no key", "short key", "torn votes"])
@@ -323,10 +323,10 @@
 class AddressFleet:
     """Three real routers behind a switch, all with the cache servers of one site."""
 
-    def __init__(self, folder: Path, here: Site, switch: Switch, duty: bool) -> None:
+    def __init__(self, folder: Path, cluster: Site, switch: Switch, duty: bool) -> None:
         self.duty = duty  # whether the address is one of the duties
         self.folder = folder
-        self.here = here
+        self.cluster = cluster
         self.switch = switch
         self.routers: dict[str, Process] = {}
         (folder / "key").write_bytes(KEY)
@@ -362,9 +362,9 @@
         file = self.write(name)
         config = self.folder / f"{name}.json"
         config.write_bytes(
-            orjson.dumps({**self.here.config(), "listen": format_address(self.switch.routers[name])})
+            orjson.dumps({**self.cluster.config(), "listen": format_address(self.switch.routers[name])})
         )
-        self.routers[name] = await self.here.start(RELAY_CONFIG=str(config), MYRTLECOURSE_FILE=str(file))
+        self.routers[name] = await self.cluster.start(RELAY_CONFIG=str(config), MYRTLECOURSE_FILE=str(file))
         return self.routers[name]
 
     async def holder(self, other_than: str = "") -> str:
@@ -389,14 +389,14 @@
 
 @asynccontextmanager
 async def places(folder: Path, duty: bool = False) -> AsyncIterator[AddressFleet]:
-    async with site(folder) as here:
+    async with site(folder) as cluster:
         switch = Switch({name: free() for name in THREE})
         await switch.start()
         await switch.relays.join({name: free() for name in THREE})
-        made = AddressFleet(folder, here, switch, duty)
+        fleet = AddressFleet(folder, cluster, switch, duty)
         try:
-            await asyncio.gather(*(made.start(name) for name in THREE))
-            yield made
+            await asyncio.gather(*(fleet.start(name) for name in THREE))
+            yield fleet
         finally:
             switch.close()
 
@@ -415,29 +415,29 @@
     how: str, duty: bool, tmp_path: Path
 ) -> None:
     async def scenario() -> None:
-        async with places(tmp_path, duty) as there:
-            first = await there.holder()
-            client = await there.client()
+        async with places(tmp_path, duty) as fleet:
+            first = await fleet.holder()
+            client = await fleet.client()
             assert await ping(client) and await ask(client, "r1", "k") == b"value"
-            old = there.routers[first]
+            old = fleet.routers[first]
             os.kill(old.process.pid, signal.SIGKILL if how == "killed" else signal.SIGSTOP)
-            second = await there.holder(first)
+            second = await fleet.holder(first)
             assert await client.ended()
-            client = await there.client()
+            client = await fleet.client()
             assert await ping(client) and await ask(client, "r2", "k") == b"value"
             if how == "killed":
                 await old.process.wait()
-                old = await there.start(first)
+                old = await fleet.start(first)
             else:
-                late = Link(*await asyncio.open_connection(*there.switch.routers[first]))
+                late = Link(*await asyncio.open_connection(*fleet.switch.routers[first]))
                 late.write(read("late"))  # waits in the backlog of the stopped router
                 os.kill(old.process.pid, signal.SIGCONT)
                 assert await late.ended()
-                assert not any(request == "late" for _, request in there.here.seen)
+                assert not any(request == "late" for _, request in fleet.cluster.seen)
             while (await status(old))["word_given_to"] != second:
                 await asyncio.sleep(0.01)
-            assert there.switch.holder == second
-            assert not (await status(old))["holds"] and (await status(there.routers[second]))["holds"]
+            assert fleet.switch.holder == second
+            assert not (await status(old))["holds"] and (await status(fleet.routers[second]))["holds"]
             assert (await old.call("GET", "ready")) == (503, "the service address is elsewhere")
 
     run(scenario)
@@ -447,32 +447,32 @@
 @pytest.mark.parametrize("duty", [False, True], ids=["by itself", "as a duty"])
 def test_a_move_and_a_drain_hand_the_address_over(duty: bool, tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with places(tmp_path, duty) as there:
-            first = await there.holder()
+        async with places(tmp_path, duty) as fleet:
+            first = await fleet.holder()
             to = next(n for n in THREE if n != first)
-            await there.wait_for_promises(first)
-            busy = await there.client()
-            there.here.slow["long"] = asyncio.Event()
+            await fleet.wait_for_promises(first)
+            busy = await fleet.client()
+            fleet.cluster.slow["long"] = asyncio.Event()
             busy.write(read("long"))
-            while not any(request == "long" for _, request in there.here.seen):
+            while not any(request == "long" for _, request in fleet.cluster.seen):
                 await asyncio.sleep(0.001)
             # it does not hold the address
-            assert (await there.routers[to].call("PUT", "address/move"))[0] == 409
-            assert (await there.routers[first].call("PUT", "address/move/x"))[0] == 409
-            assert (await there.routers[first].call("PUT", f"address/move/{to}"))[0] == 200
+            assert (await fleet.routers[to].call("PUT", "address/move"))[0] == 409
+            assert (await fleet.routers[first].call("PUT", "address/move/x"))[0] == 409
+            assert (await fleet.routers[first].call("PUT", f"address/move/{to}"))[0] == 200
             await asyncio.sleep(0.05)
-            there.here.slow["long"].set()
+            fleet.cluster.slow["long"].set()
             assert await busy.resp() == b"value"  # accepted requests end before the address is withdrawn
-            assert await there.holder(first) == to
-            await there.wait_for_promises(to)
-            assert (await there.routers[to].call("PUT", "out-of-service"))[0] == 200
-            third = await there.holder(to)
-            client = await there.client()
+            assert await fleet.holder(first) == to
+            await fleet.wait_for_promises(to)
+            assert (await fleet.routers[to].call("PUT", "out-of-service"))[0] == 200
+            third = await fleet.holder(to)
+            client = await fleet.client()
             assert await ping(client) and await ask(client, "r", "k") == b"value"
-            there.routers[third].process.send_signal(signal.SIGTERM)
+            fleet.routers[third].process.send_signal(signal.SIGTERM)
             async with asyncio.timeout(TIMEOUT):
-                assert await there.routers[third].process.wait() == 0
-                await there.holder(third)
+                assert await fleet.routers[third].process.wait() == 0
+                await fleet.holder(third)
 
     run(scenario)
 
@@ -480,21 +480,21 @@
 @pytest.mark.processes
 def test_in_a_split_the_minority_lets_go_before_the_majority_elects(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with places(tmp_path) as there:
-            first = await there.holder()
-            there.switch.deaf.add(first)  # the withdrawal is lost, too
-            there.switch.split({first})
-            second = await there.holder(first)
-            assert not (await status(there.routers[first]))["holds"]
-            direct = Link(*await asyncio.open_connection(*there.switch.routers[first]))
+        async with places(tmp_path) as fleet:
+            first = await fleet.holder()
+            fleet.switch.deaf.add(first)  # the withdrawal is lost, too
+            fleet.switch.split({first})
+            second = await fleet.holder(first)
+            assert not (await status(fleet.routers[first]))["holds"]
+            direct = Link(*await asyncio.open_connection(*fleet.switch.routers[first]))
             direct.write(read("split"))
             assert await direct.ended()
-            assert not any(request == "split" for _, request in there.here.seen)
-            there.switch.split(set())
-            there.switch.deaf.clear()
-            while (await status(there.routers[first]))["word_given_to"] != second:
+            assert not any(request == "split" for _, request in fleet.cluster.seen)
+            fleet.switch.split(set())
+            fleet.switch.deaf.clear()
+            while (await status(fleet.routers[first]))["word_given_to"] != second:
                 await asyncio.sleep(0.01)
-            assert there.switch.holder == second
+            assert fleet.switch.holder == second
 
     run(scenario)
 
@@ -502,8 +502,8 @@
 @pytest.mark.processes
 def test_without_the_table_no_call_of_the_address_is_known(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with site(tmp_path) as here:
-            router = await here.start()
+        async with site(tmp_path) as cluster:
+            router = await cluster.start()
             assert (await router.call("GET", "address"))[0] == 404
             assert (await router.call("PUT", "address/move"))[0] == 404
 
@@ -513,9 +513,9 @@
 @pytest.mark.processes
 def test_staff_ask_and_move_by_the_command_line(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with places(tmp_path) as there:
-            first = await there.holder()
-            ops = {n: (await p.logged(r"operators call (\S+)\n"))[1] for n, p in there.routers.items()}
+        async with places(tmp_path) as fleet:
+            first = await fleet.holder()
+            ops = {n: (await p.logged(r"operators call (\S+)\n"))[1] for n, p in fleet.routers.items()}
             at = [f"--at={place}" for place in ops.values()]
 
             async def command(*words: str) -> tuple[int, bytes]:
@@ -526,12 +526,12 @@
                 return process.returncode or 0, out
 
             code, out = await command("status", "--json", *at)
-            told = orjson.loads(out)
-            assert code == 0 and [t["name"] for t in told.values() if t["holds"]] == [first]
+            statuses = orjson.loads(out)
+            assert code == 0 and [s["name"] for s in statuses.values() if s["holds"]] == [first]
             to = next(n for n in THREE if n != first)
             assert (await command("move", to, f"--at={ops[to]}"))[0] == 1  # it does not hold the address
             assert (await command("move", to, f"--at={ops[first]}"))[0] == 0
-            assert await there.holder(first) == to
+            assert await fleet.holder(first) == to
             assert (await command("status", "--at=127.0.0.1:1"))[0] == 2
 
     run(scenario)
@@ -540,31 +540,31 @@
 @pytest.mark.processes
 def test_voters_go_by_a_reload_one_at_a_time(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with places(tmp_path) as there:
-            first = await there.holder()
+        async with places(tmp_path) as fleet:
+            first = await fleet.holder()
             # otherwise the lease may depend on the promise of the removed voter
-            await there.wait_for_promises(first)
+            await fleet.wait_for_promises(first)
             others = tuple(n for n in THREE if n != first)
-            there.write(first, (first,))
-            there.routers[first].process.send_signal(signal.SIGHUP)
-            await there.routers[first].logged("add or remove one at a time")
+            fleet.write(first, (first,))
+            fleet.routers[first].process.send_signal(signal.SIGHUP)
+            await fleet.routers[first].logged("add or remove one at a time")
             two = (first, others[0])
             for name in two:
-                there.write(name, two, "even_voters = true\n")
-                there.routers[name].process.send_signal(signal.SIGHUP)
-                await there.routers[name].logged("voters for the service address")
-            os.kill(there.routers[others[1]].process.pid, signal.SIGKILL)
+                fleet.write(name, two, "even_voters = true\n")
+                fleet.routers[name].process.send_signal(signal.SIGHUP)
+                await fleet.routers[name].logged("voters for the service address")
+            os.kill(fleet.routers[others[1]].process.pid, signal.SIGKILL)
             await asyncio.sleep(1.0)  # two leases
-            told = await status(there.routers[first])
-            assert told["holds"] and told["voters"] == list(two)
+            holder = await status(fleet.routers[first])
+            assert holder["holds"] and holder["voters"] == list(two)
             for text in ("", "[address]", "[other]"):
                 file = tmp_path / f"{first}.toml"
                 file.write_text(text)
-                before = "".join(there.routers[first].lines).count("file not taken")
-                there.routers[first].process.send_signal(signal.SIGHUP)
-                while "".join(there.routers[first].lines).count("file not taken") == before:
+                before = "".join(fleet.routers[first].lines).count("file not taken")
+                fleet.routers[first].process.send_signal(signal.SIGHUP)
+                while "".join(fleet.routers[first].lines).count("file not taken") == before:
                     await asyncio.sleep(0.001)
-            assert (await status(there.routers[first]))["holds"]
+            assert (await status(fleet.routers[first]))["holds"]
 
     run(scenario)
 
@@ -574,28 +574,28 @@
     """No router loses the address during the reloads, and the next holder announces it to the new switch."""
 
     async def scenario() -> None:
-        async with places(tmp_path) as there:
-            first = await there.holder()
+        async with places(tmp_path) as fleet:
+            first = await fleet.holder()
             (tmp_path / "new").write_bytes(b"another common key of voters")
-            other = Switch(there.switch.routers)
+            other = Switch(fleet.switch.routers)
             await other.start()
             at = format_address(other.told_at)
             also = 'also_key_files = ["{}"]\n'
-            for number, (key, taken) in enumerate((("key", "new"), ("new", "key"), ("new", ""))):
+            for number, (key, further_key) in enumerate((("key", "new"), ("new", "key"), ("new", ""))):
                 for name in THREE:
-                    more = also.format(tmp_path / taken) if taken else ""
-                    there.write(name, THREE, more, key, at)
-                    there.routers[name].process.send_signal(signal.SIGHUP)
-                    told = there.routers[name]
-                    while "".join(told.lines).count("service address: keys and link reloaded") <= number:
+                    more = also.format(tmp_path / further_key) if further_key else ""
+                    fleet.write(name, THREE, more, key, at)
+                    fleet.routers[name].process.send_signal(signal.SIGHUP)
+                    router = fleet.routers[name]
+                    while "".join(router.lines).count("service address: keys and link reloaded") <= number:
                         await asyncio.sleep(0.001)
                 await asyncio.sleep(0.3)
-                assert (await status(there.routers[first]))["holds"]
-            code, _ = await there.routers[first].call("PUT", "address/move")
+                assert (await status(fleet.routers[first]))["holds"]
+            code, _ = await fleet.routers[first].call("PUT", "address/move")
             assert code == 200
             while other.holder in ("", first):
                 await asyncio.sleep(0.01)
-            assert sum([(await status(r))["holds"] for r in there.routers.values()]) == 1
+            assert sum([(await status(r))["holds"] for r in fleet.routers.values()]) == 1
             other.close()
 
     run(scenario)
@@ -605,7 +605,7 @@
 @pytest.mark.parametrize("line", ['heartbeat = "x"', "least_share = 2.0", "list_age = 0", "surprise = 1"])
 def test_a_start_with_a_file_that_can_t_hold_ends_with_its_name(line: str, tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with site(tmp_path) as here:
+        async with site(tmp_path) as cluster:
             (tmp_path / "router.toml").write_text(GOOD + line + "\n")
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -613,7 +613,7 @@
                 "myrtlecourse",
                 env={
                     **os.environ,
-                    "RELAY_CONFIG": str(here.path),
+                    "RELAY_CONFIG": str(cluster.path),
                     "MYRTLECOURSE_FILE": str(tmp_path / "router.toml"),
                 },
                 stderr=asyncio.subprocess.PIPE,
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -95,7 +95,7 @@
     return paths
 
 
-# without keys of rows, which are only required if all rows of a list have them, and keys that may be null
+# keys outside rows, as a row may lack keys that not all rows of its list have
 KEYS = [p for p in leaves(GOOD) if "endpoints" not in p and not any(isinstance(step, int) for step in p)]
 
 
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -109,9 +109,9 @@
 async def listening(log: asyncio.StreamReader | None) -> tuple[str, int]:
     """Returns the address on which the program listens, from its log."""
     assert log is not None
-    while (found := re.search(rb"listening on ([0-9.]+:\d+)", await log.readline())) is None:
+    while (match := re.search(rb"listening on ([0-9.]+:\d+)", await log.readline())) is None:
         assert not log.at_eof()
-    return parse_address(found[1].decode())
+    return parse_address(match[1].decode())
 
 
 @asynccontextmanager
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -58,8 +58,8 @@
         """Waits until the log has a match of the pattern, and returns the first one."""
         while True:
             self.line_added.clear()
-            if (found := re.search(pattern, "".join(self.lines))) is not None:
-                return found
+            if (match := re.search(pattern, "".join(self.lines))) is not None:
+                return match
             await self.line_added.wait()
 
     async def call(self, method: str, path: str) -> tuple[int, str]:
@@ -158,23 +158,23 @@
 
 @asynccontextmanager
 async def site(folder: Path, inherit: bool = False) -> AsyncIterator[Site]:
-    made = Site(folder, inherit)
-    with made.socket:
-        made.socket.bind(("127.0.0.1", 0))
-        made.socket.listen(128)
-        async with made.caches["a"], made.caches["b"], made.discovery:
-            made.path.write_bytes(orjson.dumps(made.config()))
-            work = [made._serve_cache(n, p) for n, p in made.caches.items()]
-            made.tasks = [asyncio.create_task(w) for w in (*work, made._serve_discovery())]
+    cluster = Site(folder, inherit)
+    with cluster.socket:
+        cluster.socket.bind(("127.0.0.1", 0))
+        cluster.socket.listen(128)
+        async with cluster.caches["a"], cluster.caches["b"], cluster.discovery:
+            cluster.path.write_bytes(orjson.dumps(cluster.config()))
+            work = [cluster._serve_cache(n, p) for n, p in cluster.caches.items()]
+            cluster.tasks = [asyncio.create_task(w) for w in (*work, cluster._serve_discovery())]
             try:
-                yield made
+                yield cluster
             finally:
-                for process in made.processes:
+                for process in cluster.processes:
                     if process.process.returncode is None:
                         process.process.kill()
                     await process.process.wait()
                     process.reader.cancel()
-                for task in made.tasks:
+                for task in cluster.tasks:
                     task.cancel()
 
 
@@ -190,10 +190,10 @@
 
 def test_nothing_goes_to_a_cache_server_that_operators_took_out(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with site(tmp_path) as here:
-            router = await here.start()
+        async with site(tmp_path) as cluster:
+            router = await cluster.start()
             assert await router.call("GET", "ready") == (200, "ready")
-            client = await here.client()
+            client = await cluster.client()
             for _ in range(2):  # the call may be repeated
                 assert (await router.call("PUT", "cache-servers/a/offline"))[0] == 200
             assert (await router.call("PUT", "cache-servers/z/offline"))[0] == 404
@@ -201,20 +201,20 @@
             assert (await router.call("GET", "elsewhere"))[0] == 404
             for n in range(40):
                 assert await ask(client, f"r{n}", f"k{n}") == b"value"
-            assert {name for name, _ in here.seen} == {"b"}
-            here.seen.clear()
+            assert {name for name, _ in cluster.seen} == {"b"}
+            cluster.seen.clear()
             assert (await router.call("PUT", "cache-servers/a/online"))[0] == 200  # one call ends the ban
             for n in range(40, 120):
                 assert await ask(client, f"r{n}", f"k{n}") == b"value"
-            assert {name for name, _ in here.seen} == {"a", "b"}
+            assert {name for name, _ in cluster.seen} == {"a", "b"}
 
     run(scenario)
 
 
 def test_callers_that_hold_connections_keep_no_operator_waiting(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with site(tmp_path) as here:
-            router = await here.start()
+        async with site(tmp_path) as cluster:
+            router = await cluster.start()
             ops = parse_address((await router.logged(r"operators call (\S+)\n"))[1])
             held = [Link(*await asyncio.open_connection(*ops)) for _ in range(40)]
             for link in held:
@@ -228,26 +228,26 @@
 
 def test_a_router_out_of_service_empties_itself_and_comes_back(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with site(tmp_path) as here:
-            router = await here.start()
-            idle, busy, eager = [await here.client() for _ in range(3)]
+        async with site(tmp_path) as cluster:
+            router = await cluster.start()
+            idle, busy, eager = [await cluster.client() for _ in range(3)]
             assert await ping(idle) and await ask(eager, "e", "k") == b"value"
-            here.slow["long"] = asyncio.Event()
+            cluster.slow["long"] = asyncio.Event()
             busy.write(read("long"))
-            while not any(name == "long" for _, name in here.seen):
+            while not any(name == "long" for _, name in cluster.seen):
                 await asyncio.sleep(0.001)
             for _ in range(2):
                 assert (await router.call("PUT", "out-of-service"))[0] == 200
             assert await router.call("GET", "ready") == (503, "out of service")
-            assert not await ping(await here.client())
+            assert not await ping(await cluster.client())
             assert await ask(eager, "e1", "k") == b"value"  # clients on open connections are still served
             assert await idle.ended() and await eager.ended()
-            here.slow["long"].set()
+            cluster.slow["long"].set()
             assert await busy.resp() == b"value" and await busy.ended()
             # the router still accepts connections, and reports that it is not ready
-            assert not await ping(await here.client())
+            assert not await ping(await cluster.client())
             assert (await router.call("PUT", "in-service"))[0] == 200
-            back = await here.client()
+            back = await cluster.client()
             assert await ping(back) and await ask(back, "b", "k") == b"value"
 
     run(scenario)
@@ -255,9 +255,9 @@
 
 def test_in_service_ends_a_drain_in_the_middle_and_sigterm_wins_over_one(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with site(tmp_path) as here:
-            router = await here.start()
-            client = await here.client()
+        async with site(tmp_path) as cluster:
+            router = await cluster.start()
+            client = await cluster.client()
             assert await ping(client)
             assert (await router.call("PUT", "out-of-service"))[0] == 200
             assert not await ping(client)
@@ -274,9 +274,9 @@
 
 def test_a_client_that_goes_on_asking_is_refused_in_the_end_and_loses_nothing(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with site(tmp_path) as here:
-            router = await here.start()
-            client = await here.client()
+        async with site(tmp_path) as cluster:
+            router = await cluster.start()
+            client = await cluster.client()
             client.write(b"".join(read(f"p{n}", "k") for n in range(3)))
             assert (await router.call("PUT", "out-of-service"))[0] == 200
             answers: list[Any] = [await client.resp() for _ in range(3)]
@@ -295,30 +295,30 @@
 
 def test_settings_change_whole_or_not_at_all_and_open_requests_keep_theirs(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with site(tmp_path) as here:
-            router = await here.start()
-            client, other = await here.client(), await here.client()
-            here.slow["open"] = asyncio.Event()
+        async with site(tmp_path) as cluster:
+            router = await cluster.start()
+            client, other = await cluster.client(), await cluster.client()
+            cluster.slow["open"] = asyncio.Event()
             client.write(read("open"))
-            while not here.seen:
+            while not cluster.seen:
                 await asyncio.sleep(0.001)
-            good = here.config()
+            good = cluster.config()
             for broken in (b"", orjson.dumps(good)[:-9], orjson.dumps({**good, "settings": {}})):
                 before = "".join(router.lines).count("not taken")
-                here.path.write_bytes(broken)
+                cluster.path.write_bytes(broken)
                 router.process.send_signal(signal.SIGHUP)
                 while "".join(router.lines).count("not taken") == before:
                     await asyncio.sleep(0.001)
                 assert await ask(other, f"after{before}", "k") == b"value"
             kinds = CONF["classes"]
             new = {**kinds[0], "name": "new"}
-            here.path.write_bytes(orjson.dumps(here.config(classes=[new, kinds[1]])))
+            cluster.path.write_bytes(orjson.dumps(cluster.config(classes=[new, kinds[1]])))
             router.process.send_signal(signal.SIGHUP)
             await router.logged(r"classes added \['new'\], dropped \['read'\]")
             assert await ask(other, "n", "k", "c=new,t=x,d=2000") == b"value"
             # as if the command had been on its way during the reload
             assert await ask(other, "late", "k") == b"value"
-            here.slow["open"].set()
+            cluster.slow["open"].set()
             assert await client.resp() == b"value"
             async with asyncio.timeout(TIMEOUT):
                 while str(await ask(other, f"gone{os.urandom(4).hex()}", "k")) != "ERR class is unknown":
@@ -332,17 +332,17 @@
     """A class removed by the first reload was accepted forever if the second changed no settings."""
 
     async def scenario() -> None:
-        async with site(tmp_path) as here:
-            router = await here.start()
-            client = await here.client()
+        async with site(tmp_path) as cluster:
+            router = await cluster.start()
+            client = await cluster.client()
             kinds = CONF["classes"]
             new = {**kinds[0], "name": "new"}
-            config = here.config(classes=[new, kinds[1]])
-            here.path.write_bytes(orjson.dumps(config))
+            config = cluster.config(classes=[new, kinds[1]])
+            cluster.path.write_bytes(orjson.dumps(config))
             router.process.send_signal(signal.SIGHUP)
             await router.logged(r"dropped \['read'\]")
             async with Peer() as other:
-                here.path.write_bytes(orjson.dumps({**config, "discovery": other.address}))
+                cluster.path.write_bytes(orjson.dumps({**config, "discovery": other.address}))
                 router.process.send_signal(signal.SIGHUP)
                 await router.logged("discovery is now")
                 assert await ask(client, "under-way", "k") == b"value"
@@ -356,15 +356,15 @@
 class Load:
     """Clients that send one request after the other, each on a connection until that is closed."""
 
-    def __init__(self, here: Site) -> None:
-        self.here = here
+    def __init__(self, cluster: Site) -> None:
+        self.cluster = cluster
         self.answers: list[Any] = []
         self.lost: list[str] = []
         self.asked = 0
         self.running = True
 
     async def run_client(self, number: int) -> None:
-        client, new_connection = await self.here.client(), True
+        client, new_connection = await self.cluster.client(), True
         while self.running:
             self.asked += 1
             name = f"c{number}-{self.asked}"
@@ -373,9 +373,9 @@
                 new_connection = False
             except (AssertionError, ConnectionError):
                 # the router closed the idle connection as the request was sent; it must not have forwarded it
-                if new_connection or any(request == name for _, request in self.here.seen):
+                if new_connection or any(request == name for _, request in self.cluster.seen):
                     self.lost.append(name)
-                client, new_connection = await self.here.client(), True
+                client, new_connection = await self.cluster.client(), True
             await asyncio.sleep(0.01)
 
 
@@ -386,21 +386,21 @@
     """The second process failed because the address was in use, and bans were lost with the first process."""
 
     async def scenario() -> None:
-        async with site(tmp_path, inherit=True) as here:
-            old = await here.start()
+        async with site(tmp_path, inherit=True) as cluster:
+            old = await cluster.start()
             assert (await old.call("PUT", "cache-servers/a/offline"))[0] == 200
-            load = Load(here)
+            load = Load(cluster)
             # as many clients as the initial limit of one server
             clients = [asyncio.create_task(load.run_client(n)) for n in range(3)]
             while load.asked < 100:
                 await asyncio.sleep(0.01)
-            new = await here.start()
+            new = await cluster.start()
             assert await new.call("GET", "ready") == (200, "ready")
             assert (await old.call("PUT", "cache-servers/a/online"))[0] == 200  # applies to both processes
             await asyncio.sleep(0.3)  # three polls of the other process's orders
             assert (await new.call("PUT", "cache-servers/b/offline"))[0] == 200
             await asyncio.sleep(0.3)
-            here.seen.clear()
+            cluster.seen.clear()
             if how == "killed":
                 for client in clients:  # clients may retry, so requests of a killed process are not lost
                     client.cancel()
@@ -418,26 +418,26 @@
             await asyncio.gather(*clients, return_exceptions=True)
             assert not load.lost
             assert {str(a) for a in load.answers} == {"b'value'"}
-            assert {name for name, _ in here.seen} == {"a"}
+            assert {name for name, _ in cluster.seen} == {"a"}
 
     run(scenario)
 
 
 def test_upgrade_upon_upgrade_while_out_of_service(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with site(tmp_path, inherit=True) as here:
-            first = await here.start()
+        async with site(tmp_path, inherit=True) as cluster:
+            first = await cluster.start()
             assert (await first.call("PUT", "out-of-service"))[0] == 200
-            second = await here.start()
+            second = await cluster.start()
             assert (await second.call("GET", "ready"))[0] == 503
-            third = await here.start()
+            third = await cluster.start()
             for ended in (first, second):
                 ended.process.send_signal(signal.SIGTERM)
                 async with asyncio.timeout(TIMEOUT):
                     assert await ended.process.wait() == 0
-            assert not await ping(await here.client())
+            assert not await ping(await cluster.client())
             assert (await third.call("PUT", "in-service"))[0] == 200
-            assert await ping(await here.client())
+            assert await ping(await cluster.client())
             assert [p.name for p in tmp_path.glob("*.alive")] == [
                 p.name for p in tmp_path.glob(f"*-{third.process.pid}.alive")
             ]
@@ -447,18 +447,18 @@
 
 def test_a_new_process_that_can_t_start_leaves_the_old_one_serving(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with site(tmp_path, inherit=True) as here:
-            old = await here.start()
-            here.path.write_bytes(b"{")
+        async with site(tmp_path, inherit=True) as cluster:
+            old = await cluster.start()
+            cluster.path.write_bytes(b"{")
             second = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "myrtlecourse",
-                env={**os.environ, "RELAY_CONFIG": str(here.path), "TMPDIR": str(tmp_path)},
+                env={**os.environ, "RELAY_CONFIG": str(cluster.path), "TMPDIR": str(tmp_path)},
                 stderr=asyncio.subprocess.DEVNULL,
             )
             assert await second.wait() == 2
-            client = await here.client()
+            client = await cluster.client()
             assert await ping(client) and await ask(client, "r", "k") == b"value"
             assert (await old.call("GET", "ready"))[0] == 200
 
@@ -467,14 +467,14 @@
 
 def test_discovery_is_reached_again_though_idle_clients_hold_all_descriptors(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with site(tmp_path) as here:
-            here.path.write_bytes(orjson.dumps({**here.config(), "limits": {"sockets": 64}}))
-            away = here.discovery
+        async with site(tmp_path) as cluster:
+            cluster.path.write_bytes(orjson.dumps({**cluster.config(), "limits": {"sockets": 64}}))
+            away = cluster.discovery
             port = parse_address(away.address)
             away.server.close()
-            router = await here.start(descriptors=64)
+            router = await cluster.start(descriptors=64)
             await router.logged("list unavailable, 2 consecutive failures")
-            crowd = [await here.client() for _ in range(100)]
+            crowd = [await cluster.client() for _ in range(100)]
             for client in crowd[::2]:
                 client.write(command("PING"))
             await router.logged("list unavailable, 4 consecutive failures")
@@ -485,12 +485,12 @@
             async with asyncio.timeout(6.0):  # after this time the router must know of the drain
                 link = await back.links.get()
                 await link.http()
-            (line, _) = here.config()["known"]["endpoints"]
-            one = {**line, "status": "terminating"}
-            link.write(http("200 OK", orjson.dumps({"index": 2, "snapshot": False, "endpoints": [one]})))
+            (line, _) = cluster.config()["known"]["endpoints"]
+            draining = {**line, "status": "terminating"}
+            link.write(http("200 OK", orjson.dumps({"index": 2, "snapshot": False, "endpoints": [draining]})))
             await back.links.get()  # the next request of the watch shows that the change was applied
-            client = await here.client()
-            assert await ask(client, "r", "k") == b"value" and here.seen[-1][0] == "b"
+            client = await cluster.client()
+            assert await ask(client, "r", "k") == b"value" and cluster.seen[-1][0] == "b"
             assert "Too many open files" not in "".join(router.lines)
             back.server.close()
 
@@ -499,11 +499,11 @@
 
 def test_a_restarted_router_is_ready_by_the_list_it_had_while_discovery_is_away(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with site(tmp_path) as here:
-            here.discovery.server.close()
-            router = await here.start()
+        async with site(tmp_path) as cluster:
+            cluster.discovery.server.close()
+            router = await cluster.start()
             assert await router.call("GET", "ready") == (200, "ready")
-            client = await here.client()
+            client = await cluster.client()
             assert await ping(client) and await ask(client, "r", "k") == b"value"
 
     run(scenario)
@@ -513,12 +513,12 @@
     """With short deadlines and clients that kept sending, the router was killed with accepted requests."""
 
     async def scenario() -> None:
-        async with site(tmp_path) as here:
+        async with site(tmp_path) as cluster:
             kinds = [{**kind, "giveUp": 1.0, "aim": 0.8} for kind in CONF["classes"]]
-            here.path.write_bytes(orjson.dumps(here.config(classes=kinds)))
-            router = await here.start()
-            here.slow = NeverAnswered()
-            client = await here.client()
+            cluster.path.write_bytes(orjson.dumps(cluster.config(classes=kinds)))
+            router = await cluster.start()
+            cluster.slow = NeverAnswered()
+            client = await cluster.client()
             answers: list[Any] = []
 
             async def send_requests() -> None:
@@ -533,14 +533,14 @@
                         answers.append(await client.resp())
 
             tasks = [asyncio.create_task(send_requests()), asyncio.create_task(read_answers())]
-            while len(here.seen) < 2:
+            while len(cluster.seen) < 2:
                 await asyncio.sleep(0.001)
             router.process.send_signal(signal.SIGTERM)
             async with asyncio.timeout(1.0 + 0.7):  # after that the platform may send SIGKILL
                 assert await router.process.wait() == 0
             await tasks[1]
             tasks[0].cancel()
-            accepted = len({request for _, request in here.seen})
+            accepted = len({request for _, request in cluster.seen})
             # all accepted requests were answered, and the last ones were refused
             assert len(answers) >= accepted and str(answers[-1]) == "BUSY"
 
@@ -559,19 +559,19 @@
         )
         command.chmod(0o700)
         (tmp_path / "key").write_bytes(b"of tests, sixteen bytes and more")
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as found:
-            found.bind(("127.0.0.1", 0))
-            at = format_address(found.getsockname())
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
+            probe.bind(("127.0.0.1", 0))
+            at = format_address(probe.getsockname())
         file = tmp_path / "operators.toml"
         file.write_text(
             f'[duties]\nname = "a"\npeers = [{{name = "a", at = "{at}"}}]\nvoters = ["a"]\n'
             f'key_file = "{tmp_path / "key"}"\nheartbeat = 0.1\nlease = 0.5\nsettle = 0.1\n'
             f'[[duties.duty]]\nname = "announce"\ncommand = ["{command}"]\ntimeout = 60.0\n'
         )
-        async with site(tmp_path) as here:
-            router = await here.start(MYRTLECOURSE_FILE=str(file))
+        async with site(tmp_path) as cluster:
+            router = await cluster.start(MYRTLECOURSE_FILE=str(file))
             await router.logged(r"duty announce: held here under token (\d+)")
-            client = await here.client()
+            client = await cluster.client()
             assert await ask(client, "r", "k") == b"value"
             router.process.send_signal(signal.SIGTERM)
             await router.logged("ended; ")
