--- a/bench/zone_exit.py
+++ b/bench/zone_exit.py
@@ -199,15 +199,15 @@
     figures["still_sending"] = [
         len({who for at, who in during if s <= at - AT < s + 0.1}) for s in np.arange(0, 4, 0.1)
     ]
-    meeting = world.routers[0].meeting
-    if meeting is not None:
+    peer_network = world.routers[0].peer_network
+    if peer_network is not None:
         left: dict[str, float] = {}
-        for at, who, zones, origin in meeting.orders:
+        for at, who, zones, origin in peer_network.orders:
             if (zones or origin) and at - began >= AT:
                 left.setdefault(who, at - began - AT)
         figures |= times(left, routers)
-        figures["turns"] = turns(meeting.orders)
-        figures["bytes_a_second"] = meeting.bytes / routers / SECONDS
+        figures["turns"] = turns(peer_network.orders)
+        figures["bytes_a_second"] = peer_network.bytes / routers / SECONDS
     return figures
 
 
--- a/bench/zone_return.py
+++ b/bench/zone_return.py
@@ -239,9 +239,9 @@
         "of_zone": [sums.of_zone(s) for s in range(int(SECONDS) - 1)],
         "breaches": {k: v for k, v in result.verdict["breaches"].items() if v},
     }
-    meeting = world.routers[0].meeting
-    if meeting is not None:
-        figures["bytes_a_second"] = meeting.bytes / routers / SECONDS
+    peer_network = world.routers[0].peer_network
+    if peer_network is not None:
+        figures["bytes_a_second"] = peer_network.bytes / routers / SECONDS
     return figures
 
 
--- a/myrtlecourse/sim/meeting.py
+++ b/myrtlecourse/sim/peer_network.py
@@ -1,5 +1,4 @@
-"""Routers that talk to one another in virtual time: the same gossip and zones as on sockets, on the
-same clock."""
+"""The network between routers in virtual time; gossip and the coordination of zones are the real modules."""
 
 from __future__ import annotations
 
@@ -21,37 +20,37 @@
 KEY = b"of the simulator, where nobody listens"
 
 
-class Meeting:
-    """Where the routers of a fleet hear of one another."""
+class PeerNetwork:
+    """Carries the datagrams between the agents of a fleet's routers."""
 
-    def __init__(self, core: Core, ways: Ways, routers: list[SimRouter], told: Peers) -> None:
+    def __init__(self, core: Core, ways: Ways, routers: list[SimRouter], settings: Peers) -> None:
         self.core = core
         self.ways = ways
         self.routers = {r.name: r for r in routers}
-        self.told = told
+        self.settings = settings
         self.chance = core.stream("peers")
         self.datagrams = 0
         self.bytes = 0
-        # when, whose, which zones are left, and whether the origin is
+        # orders to leave zones: the time, the router, the zones left, and whether the origin is left
         self.orders: list[tuple[float, str, frozenset[str], bool]] = []
-        # when, whose, and how much of which zones that come back
+        # the shares of returning zones: the time, the router, and the share by zone
         self.shares: list[tuple[float, str, Mapping[str, float]]] = []
 
     def wall(self) -> float:
-        """The one clock of all machines."""
+        """Return the wall-clock time, which is the same on all machines."""
         return EPOCH + self.core.now
 
     def join(self, router: SimRouter) -> Agent:
-        """A router's process has started."""
+        """Create the agent of a router's new process, and start its ticks."""
         names = tuple(self.routers)
-        told = self.told
-        part = AgentSettings(
-            *(router.name, names, router.zone, KEY, told.spill, told.leave_origin, told.interval),
-            tiers=make_tiers(told.regions, told.own_region, told.elsewhere),
-            paced=told.paced,
-            origin_rate=told.origin_rate,
+        settings = self.settings
+        agent_settings = AgentSettings(
+            *(router.name, names, router.zone, KEY, settings.spill, settings.leave_origin, settings.interval),
+            tiers=make_tiers(settings.regions, settings.own_region, settings.elsewhere),
+            paced=settings.paced,
+            origin_rate=settings.origin_rate,
         )
-        agent = Agent(part, self.core.now, self.wall(), self.chance.getrandbits(32))
+        agent = Agent(agent_settings, self.core.now, self.wall(), self.chance.getrandbits(32))
         self.core.after(TICK_INTERVAL * self.chance.random(), self._tick, router, agent, router.life)
         return agent
 
@@ -61,18 +60,18 @@
         self.core.after(TICK_INTERVAL, self._tick, router, agent, life)
         if router.stalled:
             return
-        done = agent.tick(self.core.now, self.wall())
-        for datagram in done.datagrams:
+        result = agent.tick(self.core.now, self.wall())
+        for datagram in result.datagrams:
             self.datagrams += 1
             self.bytes += len(datagram.data)
-            for pause in self.ways.fate((router.name, datagram.to)):
-                self.core.after(pause, self._arrive, self.routers[datagram.to], datagram.data)
-        if done.zones_left is not None:
+            for delay in self.ways.fate((router.name, datagram.to)):
+                self.core.after(delay, self._arrive, self.routers[datagram.to], datagram.data)
+        if result.zones_left is not None:
             self.orders.append(
-                (self.core.now, router.name, done.zones_left.zones, done.zones_left.origin_unreachable)
+                (self.core.now, router.name, result.zones_left.zones, result.zones_left.origin_unreachable)
             )
-            self.shares.append((self.core.now, router.name, done.zones_left.return_shares))
-        for event in done.events:
+            self.shares.append((self.core.now, router.name, result.zones_left.return_shares))
+        for event in result.events:
             router.post(event)
 
     def _arrive(self, router: SimRouter, data: bytes) -> None:
@@ -81,4 +80,4 @@
         try:
             router.agent.receive(data, self.core.now, self.wall())
         except Dropped:
-            return  # which it counts itself
+            return  # the agent counts dropped datagrams itself
--- a/myrtlecourse/sim/routers.py
+++ b/myrtlecourse/sim/routers.py
@@ -20,7 +20,7 @@
 from myrtlecourse.sim.servers import Node
 
 if TYPE_CHECKING:
-    from myrtlecourse.sim.meeting import Meeting
+    from myrtlecourse.sim.peer_network import PeerNetwork
     from myrtlecourse.zones.agent import Agent
 
 
@@ -122,7 +122,7 @@
         self.ending = False
         self.life = 0  # how often it was started: timers of an earlier life are no more
         self.zone = ""
-        self.meeting: Meeting | None = None  # with the others, where routers talk
+        self.peer_network: PeerNetwork | None = None  # only where routers gossip
         self.agent: Agent | None = None
         self.stalled = False
         # what comes while it stands still
@@ -134,8 +134,8 @@
         self.life += 1
         self.stalled = False
         self.deferred.clear()
-        if self.meeting is not None:
-            self.agent = self.router.observer = self.meeting.join(self)
+        if self.peer_network is not None:
+            self.agent = self.router.observer = self.peer_network.join(self)
         self.up = self.taking = True
         self.ending = False
         self.listed: dict[str, Entry] = {}
--- a/myrtlecourse/sim/world.py
+++ b/myrtlecourse/sim/world.py
@@ -26,7 +26,7 @@
 from myrtlecourse.sim.clients import Clients
 from myrtlecourse.sim.core import Core
 from myrtlecourse.sim.discovery import SimDiscovery
-from myrtlecourse.sim.meeting import Meeting
+from myrtlecourse.sim.peer_network import PeerNetwork
 from myrtlecourse.sim.routers import SimRouter
 from myrtlecourse.sim.servers import Node
 
@@ -108,9 +108,9 @@
         if scenario.peers is not None:
             told, ways = scenario.peers, self.ways
             ways.loss, ways.copies, ways.delay, ways.spread = told.loss, told.copies, told.delay, told.spread
-            met = Meeting(self.core, ways, self.routers, told)
+            network = PeerNetwork(self.core, ways, self.routers, told)
             for i, router in enumerate(self.routers):
-                router.meeting, router.zone = met, zone_of(scenario, i)
+                router.peer_network, router.zone = network, zone_of(scenario, i)
         for router in self.routers:
             self.auditor.judge(seen.RouterUp(self.core.now, router.name))
             router.start(entries)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -582,9 +582,9 @@
 
 
 def last_left(played: World) -> dict[str, frozenset[str]]:
-    meeting = played.routers[0].meeting
-    assert meeting is not None
-    return {who: zones for _, who, zones, _ in meeting.orders}
+    peer_network = played.routers[0].peer_network
+    assert peer_network is not None
+    return {who: zones for _, who, zones, _ in peer_network.orders}
 
 
 def test_two_zones_at_once_are_left_and_one_with_its_routers_and_the_list_s_silence() -> None:
