--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -300,7 +300,7 @@
     receivers = {name: gossip.receive for name, gossip in group.each.items()}
     for name, gossip in group.each.items():
         rate = rates[name]
-        gossip.tick = lambda now, wall, say, t=ticks[name], r=rate: t(now * r, wall, say)  # type: ignore[method-assign,misc]
+        gossip.tick = lambda now, wall, make_payload, t=ticks[name], r=rate: t(now * r, wall, make_payload)  # type: ignore[method-assign,misc]
         gossip.receive = lambda data, now, wall, t=receivers[name], r=rate: t(data, now * r, wall)  # type: ignore[method-assign,misc]
     group.run(300.0)
     for name, gossip in group.each.items():
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -446,7 +446,7 @@
     d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=100.0, trial_interval=1e9))
     d.now += 5.0
     d.list(FOUR[0], FOUR[1], FOUR[2], entry("d", zone="south", listed_start=d.now - 1.0))
-    d.now += 20.0  # warm
+    d.now += 20.0  # past the slow start
     assert sent_to(d, 60) == {"a", "b", "d"}
 
 
