--- a/myrtlecourse/zones/pace.py
+++ b/myrtlecourse/zones/pace.py
@@ -18,9 +18,7 @@
 FIRST_SHARE = 8  # of FULL_SHARE: the first step
 MIN_STEP_TIME = 0.6  # seconds that a step lasts at least, so that the counts are from after it
 RELAXED_PROOF_AFTER = 2.5  # seconds after which the next step needs fewer answers and routers heard
-FORCED_STEP_AFTER = (
-    5.0  # seconds without proof after which the smallest step is taken, except on overload
-)
+FORCED_STEP_AFTER = 5.0  # seconds without proof after which the smallest step is taken, except on overload
 MAX_RETURN_TIME = 60.0  # seconds after which a return ends without proof, leaving the rest to slow start
 MIN_ANSWERS = 5  # answers needed for any conclusion
 MIN_ROUTERS_SHARE = 0.5  # share of the fleet's routers that must have been heard since the step
--- a/tests/test_zone_exit.py
+++ b/tests/test_zone_exit.py
@@ -25,13 +25,13 @@
 
 pytestmark = pytest.mark.processes
 ROUTERS = 6
-AT = 4.0  # seconds after the load begins
+FAULT_AT = 4.0  # seconds after the load begins
 SECONDS = 12.0
-SOON = 4.0  # seconds in which all have left; the targets are a benchmark's, as this machine may be busy
+EXIT_TIME = 4.0  # seconds in which all have left; the targets are a benchmark's, as this machine may be busy
 SOUTH = frozenset({"south"})
 NETWORK = {"loss": 0.3, "copies": 0.2, "spread": 0.02}  # loses 30%, duplicates and reorders others
 ZONES = ("north", "south", "west")
-HOUSE = Path(__file__).parent.parent
+REPOSITORY = Path(__file__).parent.parent
 
 
 def scenario(faults: list[dict[str, Any]], **changes: Any) -> Scenario:
@@ -90,23 +90,23 @@
 
     def left_after(self, router: str, zones: frozenset[str]) -> float:
         """Return how many seconds after the fault a router left exactly these zones."""
-        return next((at - AT for at, left in self.left[router] if left == zones), float("inf"))
+        return next((at - FAULT_AT for at, left in self.left[router] if left == zones), float("inf"))
 
 
-DEAD = [{"what": "crash", "at": AT, "zone": "south", "seconds": 4.0}]
-SILENT = [{"what": "silence", "at": AT, "zone": "south", "seconds": 4.0}]
+CRASHED = [{"what": "crash", "at": FAULT_AT, "zone": "south", "seconds": 4.0}]
+SILENCED = [{"what": "silence", "at": FAULT_AT, "zone": "south", "seconds": 4.0}]
 
 
-WITHOUT_A_LIST = [*DEAD, {"what": "discovery_away", "at": AT - 1.0, "seconds": 7.0}]
+WITHOUT_A_LIST = [*CRASHED, {"what": "discovery_away", "at": FAULT_AT - 1.0, "seconds": 7.0}]
 
 
-@pytest.mark.parametrize("faults", [DEAD, SILENT, WITHOUT_A_LIST], ids=["refused", "silent", "no list"])
+@pytest.mark.parametrize("faults", [CRASHED, SILENCED, WITHOUT_A_LIST], ids=["refused", "silent", "no list"])
 def test_all_leave_a_dead_zone_and_come_back_though_datagrams_are_lost(
     faults: list[dict[str, Any]], tmp_path: Path
 ) -> None:
     played = Played(tmp_path, scenario(faults, seconds=SECONDS + 3.0))
     played.check_rules()
-    assert all(0.0 <= played.left_after(r, SOUTH) <= SOON for r in played.left), played.left
+    assert all(0.0 <= played.left_after(r, SOUTH) <= EXIT_TIME for r in played.left), played.left
     assert all(each[-1][1] == frozenset() for each in played.left.values()), played.left
     counts = played.outcome.record.all.counts
     assert counts["served"] >= 0.9 * counts["scheduled"]
@@ -114,8 +114,8 @@
 
 def test_a_router_that_is_stopped_or_cut_off_alone_takes_nobody_with_it(tmp_path: Path) -> None:
     faults = [
-        {"what": "stall", "at": AT, "router": 1, "seconds": 4.0},
-        {"what": "unreached", "at": AT, "routers": [0], "boxes": "south", "seconds": 7.5},
+        {"what": "stall", "at": FAULT_AT, "router": 1, "seconds": 4.0},
+        {"what": "unreached", "at": FAULT_AT, "routers": [0], "boxes": "south", "seconds": 7.5},
     ]
     played = Played(tmp_path, scenario(faults))
     played.check_rules()
@@ -126,7 +126,7 @@
 
 @pytest.mark.parametrize("fault", ["", "counts_twice", "believes_one"])
 def test_a_fleet_that_goes_by_one_router_s_word_is_caught(fault: str, tmp_path: Path) -> None:
-    faults = [{"what": "unreached", "at": AT, "routers": [0], "boxes": "south", "seconds": 7.5}]
+    faults = [{"what": "unreached", "at": FAULT_AT, "routers": [0], "boxes": "south", "seconds": 7.5}]
 
     def others_left(play: int) -> bool:
         (folder := tmp_path / str(play)).mkdir()
@@ -137,8 +137,8 @@
     assert any(others_left(play) for play in range(3)) if fault else not others_left(0)
 
 
-CUT = [
-    {"what": "unreached", "at": AT, "zone": zone, "seconds": 4.0, **to}
+PARTITION = [
+    {"what": "unreached", "at": FAULT_AT, "zone": zone, "seconds": 4.0, **to}
     for zone in ("south", "west")
     for to in ({"box": "origin"}, {"boxes": "north"})
 ]
@@ -146,7 +146,7 @@
 
 def test_a_cut_is_left_by_the_zones_that_it_cuts_off_and_hits_go_on(tmp_path: Path) -> None:
     """The origin is in the north: routers of the other zones can't reach it, and still get hits."""
-    played = Played(tmp_path, scenario(CUT, peers=NETWORK | {"leave_origin": True}))
+    played = Played(tmp_path, scenario(PARTITION, peers=NETWORK | {"leave_origin": True}))
     played.check_rules()
     cut_off = [f"router-{i}" for i in range(ROUTERS) if ZONES[i % 3] != "north"]
     for router in cut_off:
@@ -165,7 +165,7 @@
     assert not any(played.left.values()), played.left
 
 
-FLAPPING = [{"what": "silence", "at": AT + 2.5 * i, "zone": "south", "seconds": 1.2} for i in range(3)]
+FLAPPING = [{"what": "silence", "at": FAULT_AT + 2.5 * i, "zone": "south", "seconds": 1.2} for i in range(3)]
 
 
 def exits_and_returns(played: Played) -> int:
@@ -186,43 +186,43 @@
 
 
 def test_routers_that_start_in_the_middle_with_nothing_learned_follow_the_others(tmp_path: Path) -> None:
-    faults = [{"what": "crash", "at": AT, "zone": "south", "seconds": 20.0}]
-    faults += [{"what": "restart", "at": AT + 3.0, "router": n, "kill": True} for n in (0, 2, 3, 5)]
+    faults = [{"what": "crash", "at": FAULT_AT, "zone": "south", "seconds": 20.0}]
+    faults += [{"what": "restart", "at": FAULT_AT + 3.0, "router": n, "kill": True} for n in (0, 2, 3, 5)]
     played = Played(tmp_path, scenario(faults))
     played.check_rules()
     for n in (0, 2, 3, 5):
-        after = [at for at, zones in played.left[f"router-{n}"] if at > AT + 3.0 and zones == SOUTH]
-        assert after and after[0] < AT + 3.0 + SOON, played.left
+        after = [at for at, zones in played.left[f"router-{n}"] if at > FAULT_AT + 3.0 and zones == SOUTH]
+        assert after and after[0] < FAULT_AT + 3.0 + EXIT_TIME, played.left
 
 
 def test_a_router_of_another_version_hears_nobody_and_nobody_is_led_by_it(tmp_path: Path) -> None:
-    played = Played(tmp_path, scenario(DEAD, seconds=SECONDS + 3.0), fault="one_of_another_version")
+    played = Played(tmp_path, scenario(CRASHED, seconds=SECONDS + 3.0), fault="one_of_another_version")
     played.check_rules()
     assert "of another version" in played.logs["router-1"]
     assert not played.left["router-1"]  # it acts as a router without peers
     others = [r for r in played.left if r != "router-1"]
-    assert all(0.0 <= played.left_after(r, SOUTH) <= SOON for r in others), played.left
+    assert all(0.0 <= played.left_after(r, SOUTH) <= EXIT_TIME for r in others), played.left
     assert all(played.left[r][-1][1] == frozenset() for r in others), played.left
 
 
 def test_an_upgrade_in_the_middle_goes_on_as_one_router(tmp_path: Path) -> None:
     """The new process hears the others once the old one has ended, and then leaves the zone like them."""
     faults = [
-        {"what": "crash", "at": AT, "zone": "south", "seconds": 20.0},
-        {"what": "upgrade", "at": AT + 2.0, "router": 0},
+        {"what": "crash", "at": FAULT_AT, "zone": "south", "seconds": 20.0},
+        {"what": "upgrade", "at": FAULT_AT + 2.0, "router": 0},
     ]
     played = Played(tmp_path, scenario(faults))
     played.check_rules()
-    after = [at for at, zones in played.left["router-0"] if at > AT + 2.0 and zones == SOUTH]
-    assert len(after) == 1 and after[0] < AT + 2.0 + LONGEST_DEADLINE + KILLED + SOON, played.left
+    after = [at for at, zones in played.left["router-0"] if at > FAULT_AT + 2.0 and zones == SOUTH]
+    assert len(after) == 1 and after[0] < FAULT_AT + 2.0 + LONGEST_DEADLINE + KILLED + EXIT_TIME, played.left
 
 
 TIERS = {"regions": {"coast": ["north", "south"]}, "own_region": 0.3, "elsewhere": 0.1}
-NEAR = {"peers": NETWORK | TIERS, "rules": {"zone_spill": 3.0, "zone_sends": 1000.0}}
+TIERED_FLEET = {"peers": NETWORK | TIERS, "rules": {"zone_spill": 3.0, "zone_sends": 1000.0}}
 
 
 def test_a_router_s_own_zone_is_asked_first_then_its_region(tmp_path: Path) -> None:
-    tiered = scenario([{"what": "crash", "at": AT, "zone": "south", "seconds": 20.0}], **NEAR)
+    tiered = scenario([{"what": "crash", "at": FAULT_AT, "zone": "south", "seconds": 20.0}], **TIERED_FLEET)
     played = Played(tmp_path, tiered)
     played.check_rules()
 
@@ -235,22 +235,22 @@
                     found[ZONES[int(number) % 3]] += 1
         return {zone: found[zone] / sum(found.values()) for zone in ZONES}
 
-    before, after = shares(1.0, AT), shares(AT + SOON, SECONDS - 1.0)
+    before, after = shares(1.0, FAULT_AT), shares(FAULT_AT + EXIT_TIME, SECONDS - 1.0)
     assert before["south"] > 0.5 > before["north"] > before["west"]
     assert after["south"] < 0.05 and after["north"] > 1.3 * after["west"], after
 
 
-LONG = [{"what": "silence", "at": AT, "zone": "south", "seconds": 7.8}]
-LESS = {"peers": {"spill": 1.2}, "zones": ("north", "south"), "rules": {"zone_spill": 1.2}}
+LONG_SILENCE = [{"what": "silence", "at": FAULT_AT, "zone": "south", "seconds": 7.8}]
+LOW_SPILL = {"peers": {"spill": 1.2}, "zones": ("north", "south"), "rules": {"zone_spill": 1.2}}
 
 
 def test_survivors_get_no_more_than_their_bound_and_one_that_sends_all_is_caught(tmp_path: Path) -> None:
     (tmp_path / "right").mkdir()
     (tmp_path / "wrong").mkdir()
-    right = Played(tmp_path / "right", scenario(LONG, **LESS))
+    right = Played(tmp_path / "right", scenario(LONG_SILENCE, **LOW_SPILL))
     right.check_rules()
     assert right.outcome.record.all.counts["refused"] > 0
-    wrong = Played(tmp_path / "wrong", scenario(LONG, **LESS), fault="moves_all")
+    wrong = Played(tmp_path / "wrong", scenario(LONG_SILENCE, **LOW_SPILL), fault="moves_all")
     assert wrong.verdict["breaches"]["spilled"] > 0
 
 
@@ -295,7 +295,7 @@
         at = "{}:{}".format(*routers[1].ops)  # type: ignore[misc]
         child = await asyncio.create_subprocess_exec(
             *(sys.executable, "-m", "myrtlecourse", "fleet-status", at, "--json"),
-            cwd=HOUSE,
+            cwd=REPOSITORY,
             stdout=asyncio.subprocess.PIPE,
         )
         status = json.loads((await child.communicate())[0])[at]
--- a/tests/test_zone_return.py
+++ b/tests/test_zone_return.py
@@ -29,8 +29,8 @@
 from tests.driver import Driver, entry
 from tests.driver import settings as conf
 from tests.loopback import needs_sources
-from tests.test_zone_exit import NETWORK, SOON, SOUTH, Played, scenario
-from tests.test_zones import FOUR, SIX, Fleet
+from tests.test_zone_exit import EXIT_TIME, NETWORK, SOUTH, Played, scenario
+from tests.test_zones import FOUR_SERVERS, SIX_ROUTERS, Fleet
 from tests.test_zones import world as zoned
 
 # The pace
@@ -41,7 +41,9 @@
     ReturnView, counts, counts, counts, counts, counts, counts, rates, counts, counts, st.floats(0, 1), rates
 )
 shares = st.integers(1, FULL_SHARE - 1)
-GOOD = ReturnView(answered=20, others_answered=200, origin_answered=50, routers_share=1.0, full_rate=200.0)
+GOOD_VIEW = ReturnView(
+    answered=20, others_answered=200, origin_answered=50, routers_share=1.0, full_rate=200.0
+)
 
 
 @given(shares, st.floats(0.0, 100.0), views, rates)
@@ -87,8 +89,8 @@
 
 
 def test_what_hurts_goes_a_step_back_and_what_lacks_all_goes_on_slower() -> None:
-    assert pace.next_share(16, 1.0, GOOD, 0.0) == 32
-    assert pace.next_share(32, 1.0, GOOD, 0.0) == FULL_SHARE
+    assert pace.next_share(16, 1.0, GOOD_VIEW, 0.0) == 32
+    assert pace.next_share(32, 1.0, GOOD_VIEW, 0.0) == FULL_SHARE
     slow = ReturnView(answered=20, overloaded=15, others_answered=200, routers_share=1.0)
     assert pace.next_share(16, 1.0, slow, 0.0) == 8 and pace.next_share(1, 1.0, slow, 0.0) == 1
     everywhere = ReturnView(
@@ -155,7 +157,7 @@
 
 
 def test_a_fleet_returns_by_steps_that_all_routers_of_a_zone_take_together() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     leave_and_begin_return(fleet)
     began, steps = fleet.now, {name: [0.0] for name in fleet.each}
     while any(s < 1.0 for s in current_shares(fleet)):
@@ -181,7 +183,7 @@
         return share if len(parts) < 200 else usual(share, age, view, origin_rate)
 
     monkeypatch.setattr(pace, "next_share", step)
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     for zone in ("south", "west"):
         fleet.attempts(zone, Reachability.REFUSED)
     fleet.run(MIN_OUT + 1.0)
@@ -195,7 +197,7 @@
 
 
 def test_a_zone_that_is_back_slow_gets_little_and_all_of_it_when_it_is_well() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     leave_and_begin_return(fleet)
     answer_all(fleet, 8.0, pressed=True)
     assert all(0.0 < s <= pace.FIRST_SHARE / FULL_SHARE for s in current_shares(fleet))
@@ -205,14 +207,14 @@
 
 
 def test_a_return_that_never_goes_well_is_left_to_the_servers_own_warm_up_in_the_end() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     leave_and_begin_return(fleet)
     answer_all(fleet, pace.MAX_RETURN_TIME + 2.0, pressed=True)
     assert set(current_shares(fleet)) == {1.0}
 
 
 def test_one_that_is_gone_again_is_left_at_once_and_returned_to_from_the_first_step() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     leave_and_begin_return(fleet)
     answer_all(fleet, 2.0)
     assert all(s > pace.FIRST_SHARE / FULL_SHARE for s in current_shares(fleet))
@@ -225,7 +227,7 @@
 
 
 def test_an_operator_holds_a_return_and_ends_an_order_out_with_one() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     leave_and_begin_return(fleet)
     fleet.run(0.3)
     fleet.each["r3"].order_zone(fleet.now, "south", ZoneMode.ORDERED_HOLD, 8.0)
@@ -247,7 +249,7 @@
 
 
 def test_a_router_that_reached_it_all_the_time_goes_on_with_all_of_it() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     for _ in range(6):
         fleet.attempts("south", Reachability.REFUSED, "r1", "r2", "r3", "r4", "r5", times=3)
         fleet.attempts("south", Reachability.ANSWERED, "r0", times=1)
@@ -263,7 +265,7 @@
 
 
 def test_a_router_that_stood_still_keeps_to_its_step_until_it_hears_or_a_while_is_over() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     leave_and_begin_return(fleet)
     zones = fleet.each["r2"]
     before = zones.current_order.return_shares
@@ -305,9 +307,9 @@
 
 def test_keys_go_over_once_in_a_return_and_to_where_they_belong() -> None:
     d = Driver(conf())
-    d.list(*FOUR)
+    d.list(*FOUR_SERVERS)
     usual = owners(d, 400, api.ZoneExit())
-    south = {e.server for e in FOUR if e.zone == "south"}
+    south = {e.server for e in FOUR_SERVERS if e.zone == "south"}
     none = owners(d, 400, api.ZoneExit(SOUTH, spill_limit=100.0, trial_interval=1e9, paced_return=True))
     assert not south & set(none)
     before, came = none, 0
@@ -327,10 +329,12 @@
 
 def test_servers_that_started_since_wait_for_the_pace_and_for_their_own_warm_up() -> None:
     d = Driver(conf())
-    d.list(*FOUR)
+    d.list(*FOUR_SERVERS)
     left = api.ZoneExit(SOUTH, spill_limit=100.0, trial_interval=1e9, paced_return=True)
     owners(d, 50, left)
-    again = (entry(s.server, zone=s.zone, listed_start=d.now if s.zone == "south" else 0.0) for s in FOUR)
+    again = (
+        entry(s.server, zone=s.zone, listed_start=d.now if s.zone == "south" else 0.0) for s in FOUR_SERVERS
+    )
     d.list(*again)
     assert not {"c", "d"} & set(owners(d, 50, left))
     back = owners(d, 400, api.ZoneExit(return_shares={"south": 0.9}, spill_limit=100.0, paced_return=True))
@@ -340,7 +344,7 @@
 
 def test_what_goes_past_a_returning_zone_counts_as_moved_and_no_more() -> None:
     d = Driver(conf())
-    d.list(*FOUR)
+    d.list(*FOUR_SERVERS)
     d.feed(api.ZoneExit(return_shares={"south": 0.1}, spill_limit=1.0, paced_return=True))
     sent = refused = 0
     for i in range(300):
@@ -377,7 +381,7 @@
 # Whole fleets in virtual time
 
 
-BACK = {"what": "crash", "zone": "south", "at": 4.0, "seconds": 4.0}
+SHORT_CRASH = {"what": "crash", "zone": "south", "at": 4.0, "seconds": 4.0}
 
 
 def shares_by_router(played: Any) -> dict[str, list[Mapping[str, float]]]:
@@ -388,7 +392,7 @@
 
 
 def test_two_zones_return_at_once_and_share_what_the_origin_bears() -> None:
-    faults = [BACK, {**BACK, "zone": "west", "at": 4.2}]
+    faults = [SHORT_CRASH, {**SHORT_CRASH, "zone": "west", "at": 4.2}]
     played = zoned(faults, seconds=26.0, peers=NETWORK | {"origin_rate": 400.0})
     result = played.run()
     assert result.verdict["kept"], result.verdict["named"]
@@ -412,8 +416,8 @@
     }
 
 
-GONE: dict[str, Any] = {"what": "crash", "at": 4.0, "zone": "south", "seconds": 4.0}
-MIDDLE = 10.5
+SOUTH_CRASH: dict[str, Any] = {"what": "crash", "at": 4.0, "zone": "south", "seconds": 4.0}
+MID_RETURN = 10.5
 
 
 @pytest.mark.processes
@@ -421,9 +425,9 @@
     tmp_path: Path,
 ) -> None:
     faults = [
-        GONE,
-        {"what": "stall", "at": MIDDLE, "router": 1, "seconds": 5.0},
-        {"what": "split", "at": MIDDLE, "routers": [0, 2, 4], "seconds": 4.0},
+        SOUTH_CRASH,
+        {"what": "stall", "at": MID_RETURN, "router": 1, "seconds": 5.0},
+        {"what": "split", "at": MID_RETURN, "routers": [0, 2, 4], "seconds": 4.0},
     ]
     played = Played(tmp_path, scenario(faults, seconds=23.0), rate=300.0)
     played.check_rules()
@@ -431,7 +435,7 @@
         if router != "router-1":  # it forgot everything in its stall, and may have acted alone for a moment
             assert each and each[0][1] <= pace.FIRST_SHARE / FULL_SHARE + 0.001, each
             # Only until the split: then the halves differ, and in the end the later state wins in both.
-            together = [share for at, share in each if at < MIDDLE]
+            together = [share for at, share in each if at < MID_RETURN]
             assert all(b <= 2 * a + 0.001 for a, b in pairwise(together)), each
         assert each[-1][1] == 1.0, each
     assert all(each[-1][1] == frozenset() for each in played.left.values()), played.left
@@ -441,21 +445,21 @@
 def test_a_zone_that_dies_again_is_left_at_once_and_routers_that_start_anew_join_its_return(
     tmp_path: Path,
 ) -> None:
-    faults = [GONE, {"what": "crash", "at": MIDDLE, "zone": "south", "seconds": 5.0}]
-    faults += [{"what": "restart", "at": MIDDLE + 9.5, "router": n, "kill": True} for n in (0, 2, 3, 5)]
+    faults = [SOUTH_CRASH, {"what": "crash", "at": MID_RETURN, "zone": "south", "seconds": 5.0}]
+    faults += [{"what": "restart", "at": MID_RETURN + 9.5, "router": n, "kill": True} for n in (0, 2, 3, 5)]
     played = Played(tmp_path, scenario(faults, seconds=31.0), rate=300.0)
     played.check_rules()
     for router, exits in played.left.items():
-        again = [at for at, zones in exits if at > MIDDLE and zones == SOUTH]
-        assert again and again[0] < MIDDLE + SOON, (router, exits)
+        again = [at for at, zones in exits if at > MID_RETURN and zones == SOUTH]
+        assert again and again[0] < MID_RETURN + EXIT_TIME, (router, exits)
         assert exits[-1][1] == frozenset()
     for each in shares_over_time(played, tmp_path).values():
         assert each[-1][1] == 1.0, each
 
 
-WEAK = {"what": "slow", "at": 8.05, "seconds": 60.0, "factor": 0.25}  # just after it has restarted
-SLOW: list[dict[str, Any]] = [GONE, *(WEAK | {"box": box} for box in ("std-1", "std-4"))]
-WORK: list[dict[str, Any]] = [
+SLOW_SERVER = {"what": "slow", "at": 8.05, "seconds": 60.0, "factor": 0.25}  # just after it has restarted
+SLOW_RETURN: list[dict[str, Any]] = [SOUTH_CRASH, *(SLOW_SERVER | {"box": box} for box in ("std-1", "std-4"))]
+HEAVY_CLASSES: list[dict[str, Any]] = [
     {"name": "read", "work": 0.03, "aim": 0.5, "deadline": 1.5},
     {"name": "book", "work": 0.03, "aim": 0.5, "deadline": 1.5, "effect": "guarded"},
 ]
@@ -466,7 +470,9 @@
 def test_a_zone_that_comes_back_slow_gets_little_and_one_who_needs_no_proof_is_caught(
     fault: str, tmp_path: Path
 ) -> None:
-    played = Played(tmp_path, scenario(SLOW, seconds=16.0, classes=WORK), rate=300.0, fault=fault)
+    played = Played(
+        tmp_path, scenario(SLOW_RETURN, seconds=16.0, classes=HEAVY_CLASSES), rate=300.0, fault=fault
+    )
     each = shares_over_time(played, tmp_path).values()
     # the correct form raises the share, sees the overload, and lowers the share again
     assert (sum(bool(steps) and steps[-1][1] == 1.0 for steps in each) >= 4) is bool(fault), each
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -182,12 +182,12 @@
         return {name: z.current_order.zones for name, z in self.each.items()}
 
 
-SIX = ("north", "north", "south", "south", "west", "west")
+SIX_ROUTERS = ("north", "north", "south", "south", "west", "west")
 
 
 @pytest.mark.parametrize("reach", [Reachability.REFUSED, Reachability.SILENT])
 def test_a_dead_zone_is_left_by_all_also_by_those_that_have_not_met_it(reach: Reachability) -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     fleet.attempts("south", reach, "r0", "r2", "r3")
     fleet.run(0.3)
     assert set(fleet.left().values()) == {frozenset({"south"})}
@@ -195,7 +195,7 @@
 
 
 def test_a_router_that_alone_can_t_reach_a_zone_takes_nobody_with_it_and_is_told_so() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     for _ in range(15):
         fleet.attempts("south", Reachability.SILENT, "r0")
         fleet.attempts("south", Reachability.ANSWERED, "r1", "r2", "r3", "r4", "r5")
@@ -207,7 +207,7 @@
 
 
 def test_a_cut_is_left_by_those_that_it_cuts_off_alone() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     for _ in range(5):
         fleet.attempts(ORIGIN, Reachability.REFUSED, "r2", "r3")
         fleet.attempts("north", Reachability.REFUSED, "r2", "r3")
@@ -222,7 +222,7 @@
 
 
 def test_a_zone_that_is_back_is_returned_to_after_its_hold_and_flapping_makes_that_longer() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     outs = []
     for _ in range(3):
         for _ in range(6):  # counts from before the return must not matter
@@ -239,7 +239,7 @@
 
 
 def test_a_trial_that_comes_through_is_followed_by_more_of_them_soon() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     fleet.attempts("south", Reachability.REFUSED)
     fleet.run(MIN_OUT + 1.0)
     seldom = fleet.each["r0"].current_order.trial_interval
@@ -251,7 +251,7 @@
 
 
 def test_trials_that_fail_keep_it_out_and_what_came_before_brings_nobody_back() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     fleet.attempts("south", Reachability.ANSWERED, times=30)
     fleet.run(0.6)
     for _ in range(20):
@@ -262,7 +262,7 @@
 
 
 def test_a_split_takes_nobody_out_who_can_reach_the_zone() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     for _ in range(10):
         fleet.attempts("south", Reachability.REFUSED, "r0", "r2", "r4")
         fleet.attempts("south", Reachability.ANSWERED, "r1", "r3", "r5")
@@ -277,7 +277,7 @@
 
 
 def test_who_hears_nobody_goes_by_itself_again() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     fleet.attempts("south", Reachability.REFUSED)
     fleet.run(0.3)
     zones = fleet.each["r0"]
@@ -338,7 +338,7 @@
 
 
 def test_an_operator_s_order_holds_everywhere_until_it_ends_and_by_whom_is_known() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     fleet.each["r4"].order_zone(fleet.now, "south", ZoneMode.ORDERED_OUT, 5.0)
     fleet.attempts("south", Reachability.ANSWERED, times=5)
     fleet.run(0.3)
@@ -357,7 +357,9 @@
 
 @given(
     st.lists(
-        st.tuples(st.sampled_from(["north", "south"]), st.sampled_from(Reachability), st.sampled_from(SIX)),
+        st.tuples(
+            st.sampled_from(["north", "south"]), st.sampled_from(Reachability), st.sampled_from(SIX_ROUTERS)
+        ),
         max_size=60,
     ),
     st.randoms(use_true_random=False),
@@ -366,7 +368,7 @@
     ends: list[tuple[str, Reachability, str]], chance: object
 ) -> None:
     """The order and the number of copies of the records make no difference."""
-    senders = [ZoneCoordinator(f"s{i}", home, 1000.0) for i, home in enumerate(SIX)]
+    senders = [ZoneCoordinator(f"s{i}", home, 1000.0) for i, home in enumerate(SIX_ROUTERS)]
     for i, (zone, reach, _) in enumerate(ends):
         senders[i % 6].set_zone_sizes({"north": 2, "south": 2})
         senders[i % 6].attempt_ended(1000.0, zone, reach)
@@ -387,20 +389,20 @@
 # The decision module
 
 
-def fleet_of(**zones: str) -> tuple[api.ServerEntry, ...]:
+def server_entries(**zones: str) -> tuple[api.ServerEntry, ...]:
     return tuple(entry(name, zone=zone) for name, zone in zones.items())
 
 
-FOUR = fleet_of(a="north", b="north", c="south", d="south")
+FOUR_SERVERS = server_entries(a="north", b="north", c="south", d="south")
 
 
 def driver(**changes: object) -> Driver:
     d = Driver(conf(**changes))
-    d.list(*FOUR)
+    d.list(*FOUR_SERVERS)
     return d
 
 
-def sent_to(d: Driver, count: int) -> set[str]:
+def servers_used(d: Driver, count: int) -> set[str]:
     found = set()
     for i in range(count):
         name = f"{len(d.sends)}-{len(d.ended)}"
@@ -413,15 +415,15 @@
 
 def test_nothing_new_goes_to_a_zone_that_is_left_but_trials_and_all_comes_back() -> None:
     d = driver()
-    assert sent_to(d, 40) == {"a", "b", "c", "d"}
+    assert servers_used(d, 40) == {"a", "b", "c", "d"}
     d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=100.0, trial_interval=1e9))
-    assert sent_to(d, 40) == {"a", "b"}
+    assert servers_used(d, 40) == {"a", "b"}
     d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=100.0, trial_interval=0.001))
     d.now += 10.0
-    assert {"c", "d"} & sent_to(d, 40)
+    assert {"c", "d"} & servers_used(d, 40)
     d.feed(api.ZoneExit())
     d.now += 1.0
-    assert sent_to(d, 60) == {"a", "b", "c", "d"}
+    assert servers_used(d, 60) == {"a", "b", "c", "d"}
 
 
 def test_a_forced_zone_gets_no_trial() -> None:
@@ -432,29 +434,31 @@
         )
     )
     d.now += 10.0
-    assert sent_to(d, 60) == {"a", "b"}
+    assert servers_used(d, 60) == {"a", "b"}
 
 
 def test_with_all_zones_left_it_stays_where_it_is() -> None:
     d = driver()
     d.feed(api.ZoneExit(frozenset({"north", "south"}), spill_limit=100.0, trial_interval=1e9))
-    assert sent_to(d, 40) == {"a", "b", "c", "d"}
+    assert servers_used(d, 40) == {"a", "b", "c", "d"}
 
 
 def test_servers_that_have_started_since_are_not_meant() -> None:
     d = driver()
     d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=100.0, trial_interval=1e9))
     d.now += 5.0
-    d.list(FOUR[0], FOUR[1], FOUR[2], entry("d", zone="south", listed_start=d.now - 1.0))
+    d.list(
+        FOUR_SERVERS[0], FOUR_SERVERS[1], FOUR_SERVERS[2], entry("d", zone="south", listed_start=d.now - 1.0)
+    )
     d.now += 20.0  # past the slow start
-    assert sent_to(d, 60) == {"a", "b", "d"}
+    assert servers_used(d, 60) == {"a", "b", "d"}
 
 
 def test_a_router_that_lists_the_zone_only_now_leaves_it_too() -> None:
     d = Driver(conf())
     d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=100.0, trial_interval=1e9))
-    d.list(*FOUR)
-    assert sent_to(d, 40) <= {"a", "b"}
+    d.list(*FOUR_SERVERS)
+    assert servers_used(d, 40) <= {"a", "b"}
 
 
 @given(st.integers(0, 2**16), st.floats(1.0, 4.0), st.integers(50, 400))
@@ -462,7 +466,7 @@
     seed: int, spill: float, count: int
 ) -> None:
     d = Driver(conf(), seed)
-    d.list(*FOUR)
+    d.list(*FOUR_SERVERS)
     d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=spill, trial_interval=1e9))
     stays = moved = 0
     for i in range(count):
@@ -505,7 +509,7 @@
 
 def test_an_origin_out_of_reach_is_asked_by_trials_alone_while_hits_go_on() -> None:
     d = Driver(conf(cache_aside=True, origin_kind="origin"))
-    d.list(*FOUR, entry("o", kind="origin", zone="north"))
+    d.list(*FOUR_SERVERS, entry("o", kind="origin", zone="north"))
     d.feed(api.ZoneExit(origin_unreachable=True, trial_interval=1e9))
     for i in range(10):
         d.request(f"q{i}", key=f"k{i}")
@@ -581,7 +585,7 @@
     return World(scenario, msgspec.convert(load | {"keys": {"count": 200}}, Profile))
 
 
-def last_left(played: World) -> dict[str, frozenset[str]]:
+def last_zones_left(played: World) -> dict[str, frozenset[str]]:
     peer_network = played.routers[0].peer_network
     assert peer_network is not None
     return {who: zones for _, who, zones, _ in peer_network.orders}
@@ -594,7 +598,7 @@
     played = world(faults)
     result = played.run()
     assert result.verdict["kept"], result.verdict["named"]
-    assert set(last_left(played).values()) == {frozenset({"south", "west"})}
+    assert set(last_zones_left(played).values()) == {frozenset({"south", "west"})}
 
 
 def test_half_a_zone_or_a_slow_one_is_left_by_nobody() -> None:
@@ -604,7 +608,7 @@
     played = world(faults)
     result = played.run()
     assert result.verdict["kept"], result.verdict["named"]
-    assert not any(last_left(played).values())
+    assert not any(last_zones_left(played).values())
 
 
 def test_a_fleet_of_one_zone_has_nowhere_to_go_and_stays() -> None:
@@ -614,7 +618,7 @@
     assert result.record.all.counts["served"] > 0.6 * result.record.all.counts["scheduled"]
 
 
-class Deaf(Router):
+class IgnoresOrders(Router):
     """A router with a deliberate fault: it ignores orders to leave zones."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
@@ -628,7 +632,7 @@
     assert played.run().verdict["breaches"]["stayed"] == 0
     wrong = world(faults, rules={"zone_dials": 30.0}, routers=40)
     for router in wrong.routers:
-        router.make = Deaf
+        router.make = IgnoresOrders
         router.start(list(wrong.layout.entries.values()))
     assert wrong.run().verdict["breaches"]["stayed"] > 0
 
@@ -700,22 +704,24 @@
     played = world(faults, peers=peers | {"elsewhere": 0.1}, rules=rules)
     result = played.run()
     assert result.verdict["kept"], result.verdict["named"]
-    assert set(last_left(played).values()) == {frozenset({"south"})}
+    assert set(last_zones_left(played).values()) == {frozenset({"south"})}
     assert result.record.all.counts["served"] > 0.9 * result.record.all.counts["scheduled"]
 
 
-def part_of(**changes: Any) -> AgentSettings:
+def agent_settings(**changes: Any) -> AgentSettings:
     plain = {"name": "a", "members": ("a", "b"), "zone": "north", "key": b"k" * 16}
     return AgentSettings(**(plain | changes))
 
 
 def test_another_part_is_taken_whole_or_not_at_all() -> None:
-    agent = Agent(part_of(), 0.0, 0.0, 1)
+    agent = Agent(agent_settings(), 0.0, 0.0, 1)
     agent.servers_listed({"north": 2, "south": 2})
     assert agent.tick(0.1, 0.1).events == []
     tiers = Tiers({}, 1.0, 0.5)
     agent.reconfigure(
-        part_of(members=("a", "b", "c"), spill=2.0, tiers=tiers, accepted_keys=(b"j" * 16,), interval=2.0)
+        agent_settings(
+            members=("a", "b", "c"), spill=2.0, tiers=tiers, accepted_keys=(b"j" * 16,), interval=2.0
+        )
     )
     assert agent.tick(0.2, 0.2).events == [api.ZonePreferences({"south": 0.5})]
     assert [m["name"] for m in agent.status(0.2)["members"]] == ["a", "b", "c"]
@@ -724,7 +730,7 @@
     wrong = ({"zone": "south"}, {"members": ("b", "c")}, {"key": b"short"}, {"accepted_keys": (b"short",)})
     for change in wrong:
         with pytest.raises(ValueError, match=r"can't change|among|least"):
-            agent.reconfigure(part_of(**change))
+            agent.reconfigure(agent_settings(**change))
         assert agent.settings is before and len(agent.gossip.members) == 3
 
 
@@ -742,7 +748,7 @@
 # The table in the operators' file
 
 
-GOOD = """
+VALID_FILE = """
 [fleet]
 key_file = "KEY"
 name = "a"
@@ -772,10 +778,10 @@
     old: str, new: str, message: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "router.toml"
-    path.write_text(GOOD)
+    path.write_text(VALID_FILE)
     table = read_operators(path).fleet
     assert table is not None and table.spill == 3.0
-    path.write_text(GOOD.replace(old, new))
+    path.write_text(VALID_FILE.replace(old, new))
     with pytest.raises(ConfigError, match=message) as error:
         read_operators(path)
     assert "router.toml" in str(error.value)
@@ -805,7 +811,7 @@
     end = make(config(True, **addresses))
     assert end is not None
     assert (end.agent.settings.name, end.agent.settings.zone, end.bind) == ("1", "north", ("127.0.0.1", 7))
-    path.write_text(GOOD.replace("KEY", str(key)))
+    path.write_text(VALID_FILE.replace("KEY", str(key)))
     table = read_operators(path).fleet
     end = make(config(False))
     assert end is not None and end.bind == ("127.0.0.1", 7001) and set(end.peers) == {"a", "b"}
@@ -816,7 +822,7 @@
         config(True, peer_listen="127.0.0.1:7", peers=["here"])
 
 
-GONE = ("peers", "zones", "operators", "address", "duties", "election", "checked")
+OPTIONAL_PACKAGES = ("peers", "zones", "operators", "address", "duties", "election", "checked")
 
 
 @pytest.mark.processes
@@ -826,4 +832,4 @@
     )
     loaded = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
     assert "policy.router" in loaded
-    assert not any(f"myrtlecourse.{part}" in loaded for part in GONE)
+    assert not any(f"myrtlecourse.{part}" in loaded for part in OPTIONAL_PACKAGES)
