--- a/myrtlecourse/operators.py
+++ b/myrtlecourse/operators.py
@@ -71,9 +71,7 @@
                 raise ValueError("name, key_file and votes_file need `peers`")
             return
         if self.name is None or self.key_file is None or self.preferred:
-            raise ValueError(
-                "`peers` needs `name` and `key_file`, and excludes `preferred`: their order counts"
-            )
+            raise ValueError("`peers` needs `name` and `key_file`, and its order replaces `preferred`")
         if any(not 0 < int(p.at.rpartition(":")[2]) < 65536 for p in self.peers):
             raise ValueError("peers: a port must be between 1 and 65535")
         if len({p.at for p in self.peers}) < len(self.peers):
