--- a/bench/spread_scale.py
+++ b/bench/spread_scale.py
@@ -295,7 +295,7 @@
 
 
 def for_capacity(told: dict[str, Any]) -> dict[str, Any]:
-    """The figures that the capacity page names, in its schema (`scale/results.py`)."""
+    """The figures that the capacity page names, in its schema (`scale/capacity_results.py`)."""
     found: dict[str, dict[str, Any]] = {}
 
     def add(name: str, unit: str, values: tuple[float, float, float], what: str, command: str) -> None:
--- a/myrtlecourse/scale/capacity_commands.py
+++ b/myrtlecourse/scale/capacity_commands.py
@@ -9,10 +9,19 @@
 
 from myrtlecourse.load.commands import EXIT_UNUSABLE
 from myrtlecourse.scale import calibration, measuring
+from myrtlecourse.scale.capacity_results import (
+    Measure,
+    Results,
+    ResultsError,
+    Slope,
+    merged,
+    read,
+    read_folder,
+    write,
+)
 from myrtlecourse.scale.fit import check
 from myrtlecourse.scale.measuring import MeasureError
 from myrtlecourse.scale.page import PICTURE, page
-from myrtlecourse.scale.results import Measure, Results, ResultsError, Slope, merged, read, read_folder, write
 from myrtlecourse.scale.slopes import SPECS
 
 NOT_MEASURED = 1
--- a/myrtlecourse/scale/charts.py
+++ b/myrtlecourse/scale/charts.py
@@ -10,8 +10,8 @@
 from matplotlib.axes import Axes  # noqa: E402
 from matplotlib.figure import Figure  # noqa: E402
 
+from myrtlecourse.scale.capacity_results import Slope  # noqa: E402
 from myrtlecourse.scale.fit import check  # noqa: E402
-from myrtlecourse.scale.results import Slope  # noqa: E402
 
 ACROSS = 4
 
--- a/myrtlecourse/scale/commands.py
+++ b/myrtlecourse/scale/commands.py
@@ -18,10 +18,10 @@
 from myrtlecourse.fleet.routers import COMMAND
 from myrtlecourse.load.commands import EXIT_UNUSABLE, write_json
 from myrtlecourse.scale.capacity_commands import register
-from myrtlecourse.scale.figures import Results
 from myrtlecourse.scale.guard import MB, Guard, GuardError
 from myrtlecourse.scale.plan import Plan, plan
 from myrtlecourse.scale.run import Now, Run, ScaleError
+from myrtlecourse.scale.run_results import Results
 from myrtlecourse.scale.scenario import ScenarioError, read_scenario
 
 PAUSE = 5.0  # seconds between two progress lines where no terminal shows them
--- a/myrtlecourse/scale/book.py
+++ b/myrtlecourse/scale/estimates.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, replace
 
 from myrtlecourse.scale.calibration import shared
+from myrtlecourse.scale.capacity_results import Measure, Results, Slope
 from myrtlecourse.scale.fit import Fit, check, fit, middle
-from myrtlecourse.scale.results import Measure, Results, Slope
 
 SCALES = {  # by unit: what a value is divided by, and what that is called
     "s": ((1.0, "s"), (1e-3, "ms"), (1e-6, "us")),
--- a/myrtlecourse/scale/hollow.py
+++ b/myrtlecourse/scale/hollow.py
@@ -32,7 +32,7 @@
 from myrtlecourse.operators import read_operators
 from myrtlecourse.overload.core import CoreAdmission
 from myrtlecourse.peers.speaker import Speaker
-from myrtlecourse.scale.child import told_to_end
+from myrtlecourse.scale.child_process import told_to_end
 from myrtlecourse.scale.scenario import Place
 from myrtlecourse.zones.agent import Agent
 from myrtlecourse.zones.setup import part
--- a/myrtlecourse/scale/measuring.py
+++ b/myrtlecourse/scale/measuring.py
@@ -19,8 +19,8 @@
 from myrtlecourse import policy
 from myrtlecourse.peers.gossip import PACE, Gossip, State
 from myrtlecourse.scale import calibration
+from myrtlecourse.scale.capacity_results import Form, Measure, Point, Slope, significant
 from myrtlecourse.scale.fit import middle
-from myrtlecourse.scale.results import Form, Measure, Point, Slope, significant
 from myrtlecourse.scale.slopes import KEY, SPECS, WALL, names
 
 ROOT = Path(__file__).resolve().parent.parent.parent
--- a/myrtlecourse/scale/page.py
+++ b/myrtlecourse/scale/page.py
@@ -6,12 +6,12 @@
 from itertools import groupby
 
 from myrtlecourse.net.host import DEADLINE_MARGIN
-from myrtlecourse.scale import roles
-from myrtlecourse.scale.book import Book, Figure, spelled
+from myrtlecourse.scale import role_costs
 from myrtlecourse.scale.calibration import shared
+from myrtlecourse.scale.capacity_results import Measure, Results, Slope
+from myrtlecourse.scale.estimates import Book, Figure, spelled
 from myrtlecourse.scale.fit import check
-from myrtlecourse.scale.results import Measure, Results, Slope
-from myrtlecourse.scale.roles import CHANGES, REGIONS, ROUTERS, SERVERS, SITE, VIEW, Row
+from myrtlecourse.scale.role_costs import CHANGES, REGIONS, ROUTERS, SERVERS, SITE, VIEW, Row
 
 NONE = "not measured"
 PICTURE = "capacity/slopes.png"
@@ -60,7 +60,7 @@
     """What a row may cost, or has to reach."""
     if row.budget is None:
         return "none given"
-    unit = row.figure.unit if row.figure else roles.UNITS[row.budget]
+    unit = row.figure.unit if row.figure else role_costs.UNITS[row.budget]
     return ("at least " if row.least else "") + spelled(row.budget, unit)
 
 
@@ -117,16 +117,16 @@
 def events(book: Book) -> str:
     """The ordinary year: what each event sets off, and what it costs the others."""
     change, stop, octets = (book.at(f"list.{w}", SERVERS) for w in ("change", "stop", "bytes"))
-    after = spelled(roles.forgotten_after(SITE), "s")
+    after = spelled(role_costs.forgotten_after(SITE), "s")
 
     def cost(figure: Figure | None, factor: float, formula: str, unit: str | None = None) -> str:
-        found = roles.per(figure, factor, formula, unit)
+        found = role_costs.per(figure, factor, formula, unit)
         return f"{found} ({found.origin})" if found else NONE
 
     def days(share: int, of: int = 1) -> str:
-        return f"{of * share / roles.MACHINES:,.0f} a day ({of:,} x {share:,} / {roles.MACHINES:,})"
+        return f"{of * share / role_costs.MACHINES:,.0f} a day ({of:,} x {share:,} / {role_costs.MACHINES:,})"
 
-    place, zone = roles.MACHINES / roles.SITES, SERVERS / roles.ZONES
+    place, zone = role_costs.MACHINES / role_costs.SITES, SERVERS / role_costs.ZONES
     apart = CHANGES * 3600
     told = book.of("change.whole.plain")
     # no reader may take the spread's time for that of lists, which discovery brings
@@ -135,48 +135,48 @@
     body = [
         (
             "a cache server fails",
-            days(SERVERS, roles.FAILED),
+            days(SERVERS, role_costs.FAILED),
             each,
             heard,
             cost(change, ROUTERS, f"{ROUTERS:,} x {{}}") + " of the fleet's processors",
         ),
         (
             "a router fails",
-            days(ROUTERS, roles.FAILED),
+            days(ROUTERS, role_costs.FAILED),
             "its site's roster forgets it",
             f"{after} (`Gossip.state` with {SITE} members, arithmetic)",
             "nothing: no list names routers",
         ),
         (
             "a cache server restarts",
-            days(SERVERS, roles.RESTARTED),
+            days(SERVERS, role_costs.RESTARTED),
             "two changes of the list at every router",
             heard,
             cost(change, 2, "2 x {}") + " of each router's loop",
         ),
         (
             "a router restarts",
-            days(ROUTERS, roles.RESTARTED),
+            days(ROUTERS, role_costs.RESTARTED),
             "it asks for the whole list",
             cost(stop, 1, "{}") + " of its own processor",
             cost(
                 octets,
-                roles.RESTARTED * ROUTERS / roles.MACHINES,
-                f"{roles.RESTARTED:,} x {ROUTERS:,} / {roles.MACHINES:,} x {{}}",
+                role_costs.RESTARTED * ROUTERS / role_costs.MACHINES,
+                f"{role_costs.RESTARTED:,} x {ROUTERS:,} / {role_costs.MACHINES:,} x {{}}",
             )
             + " a day from discovery",
         ),
         (
             "a rack or switch goes",
             "once a week",
-            f"at most a site: {place:.3g} machines ({roles.MACHINES:,} / {roles.SITES})",
+            f"at most a site: {place:.3g} machines ({role_costs.MACHINES:,} / {role_costs.SITES})",
             heard,
             cost(change, place, f"at most {place:.3g} x {{}}") + " of each router's loop, told one by one",
         ),
         (
             "a zone goes",
             "once or twice a year",
-            f"{zone:.3g} cache servers at once ({SERVERS:,} / {roles.ZONES})",
+            f"{zone:.3g} cache servers at once ({SERVERS:,} / {role_costs.ZONES})",
             heard,
             cost(change, zone, f"{zone:.3g} x {{}}") + " of each router's loop, told one by one",
         ),
@@ -300,8 +300,8 @@
 def page(results: Results) -> str:
     """The page's text."""
     book = Book(results)
-    rows = roles.rows(book)
-    times_part = [clock(book, "change", roles.CHANGE_TIME), clock(book, "purge", roles.PURGE_TIME)]
+    rows = role_costs.rows(book)
+    times_part = [clock(book, "change", role_costs.CHANGE_TIME), clock(book, "purge", role_costs.PURGE_TIME)]
     parts = [
         INTRO,
         misfits(rows),
--- a/myrtlecourse/scale/roles.py
+++ b/myrtlecourse/scale/role_costs.py
@@ -9,7 +9,7 @@
 from myrtlecourse.net.host import DEADLINE_MARGIN
 from myrtlecourse.peers.gossip import CARRIED, GONE, MOST_MEMBERS, SUSPECT
 from myrtlecourse.peers.seal import LONGEST
-from myrtlecourse.scale.book import Book, Figure, plain
+from myrtlecourse.scale.estimates import Book, Figure, plain
 
 # What the fleet is to be in two years.
 ROUTERS, SITES, REGIONS, ZONES, SERVERS, CONTROL = 16_000, 650, 43, 138, 6_700, 20
--- a/myrtlecourse/scale/run.py
+++ b/myrtlecourse/scale/run.py
@@ -18,9 +18,11 @@
 from myrtlecourse.fleet.session import audit
 from myrtlecourse.load import run as load
 from myrtlecourse.load.record import Record
-from myrtlecourse.scale import ground, hollow
-from myrtlecourse.scale.child import BEGIN, END, Child
-from myrtlecourse.scale.figures import (
+from myrtlecourse.scale import hollow, stand_in_fleet
+from myrtlecourse.scale.child_process import BEGIN, END, Child
+from myrtlecourse.scale.guard import MB, Guard, adopt_orphans, end_all
+from myrtlecourse.scale.machine import LOOPS, Process, Use, calibrate, machine_memory, others_share, processes
+from myrtlecourse.scale.run_results import (
     SCHEMA,
     Calibration,
     InForceTimes,
@@ -29,8 +31,6 @@
     Role,
     in_force_times,
 )
-from myrtlecourse.scale.guard import MB, Guard, adopt_orphans, end_all
-from myrtlecourse.scale.machine import LOOPS, Process, Use, calibrate, machine_memory, others_share, processes
 from myrtlecourse.scale.scenario import Place, Scenario
 
 LOOK = 0.25  # seconds between looks at bounds, kills and signals
@@ -178,11 +178,11 @@
 
     def _play(self) -> Played:
         scenario = self.scenario
-        stand_in = self.start("the fleet", ground.work, scenario, self.folder, self.command)
+        stand_in = self.start("the fleet", stand_in_fleet.work, scenario, self.folder, self.command)
         apart = self.folder / "hollow"  # what is seen there is not judged
         apart.mkdir(exist_ok=True)
         alone = msgspec.structs.replace(scenario, peers=None)
-        lists = self.start("the stand-in of hollow members", ground.work, alone, apart, None)
+        lists = self.start("the stand-in of hollow members", stand_in_fleet.work, alone, apart, None)
         there, listed = self.wait_for([stand_in, lists], "ready", START_TIME)
         members = [
             self.start(
@@ -211,7 +211,7 @@
         memory = self.wait_for(living, "ended", END_TIME)
         for child in (stand_in, lists):
             child.tell(END)
-        seen: list[ground.Ended] = self.wait_for([stand_in, lists], "ended", END_TIME)
+        seen: list[stand_in_fleet.Ended] = self.wait_for([stand_in, lists], "ended", END_TIME)
         self.wait_for([sender], "ended", END_TIME)
         return Played(
             began=began,
@@ -227,7 +227,9 @@
             load=self.said[sender.name, "ended"],
         )
 
-    def _job(self, number: int, group: tuple[Place, ...], there: ground.Ready, discovery: str) -> hollow.Job:
+    def _job(
+        self, number: int, group: tuple[Place, ...], there: stand_in_fleet.Ready, discovery: str
+    ) -> hollow.Job:
         return hollow.Job(
             there.configuration | {"discovery": discovery},
             there.heard_at,
@@ -339,9 +341,9 @@
     use_after: Use
     table: dict[int, Process]
     table_after: dict[int, Process]
-    there: ground.Ready
-    seen: ground.Ended  # by the stand-in of the real routers
-    listed: ground.Ended  # by the one of hollow members
+    there: stand_in_fleet.Ready
+    seen: stand_in_fleet.Ended  # by the stand-in of the real routers
+    listed: stand_in_fleet.Ended  # by the one of hollow members
     stand_ins: tuple[int, ...]  # their processes
     memory: list[float]  # MB of a member, by process
     load: tuple[float, Record]
@@ -354,7 +356,7 @@
 
 def _role(
     unit: float,
-    seen: ground.Ended,
+    seen: stand_in_fleet.Ended,
     role: str,
     *,
     members: int,
--- a/myrtlecourse/scale/figures.py
+++ b/myrtlecourse/scale/run_results.py
@@ -10,8 +10,8 @@
 import msgspec
 from msgspec import Struct
 
-from myrtlecourse.scale.ground import Change
 from myrtlecourse.scale.hollow import GONE, InForce
+from myrtlecourse.scale.stand_in_fleet import Change
 
 SCHEMA = 1
 
--- a/myrtlecourse/scale/ground.py
+++ b/myrtlecourse/scale/stand_in_fleet.py
@@ -22,7 +22,7 @@
 from myrtlecourse.fleet.routers import Routers
 from myrtlecourse.fleet.session import LOG, Standing, operators_file
 from myrtlecourse.fleet.stand_in import Fleet
-from myrtlecourse.scale.child import told_to_end
+from myrtlecourse.scale.child_process import told_to_end
 from myrtlecourse.scale.scenario import Scenario
 
 HOLLOW = "hollow"  # begins the names that discovery knows hollow members by, a process each
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -12,12 +12,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from myrtlecourse.scale import results as kept
-from myrtlecourse.scale import roles
-from myrtlecourse.scale.book import Book, Figure, plain, spelled
+from myrtlecourse.scale import capacity_results, role_costs
 from myrtlecourse.scale.capacity_commands import main
+from myrtlecourse.scale.capacity_results import Measure, Point, Results, ResultsError, Slope
+from myrtlecourse.scale.estimates import Book, Figure, plain, spelled
 from myrtlecourse.scale.page import NONE, misfits, page
-from myrtlecourse.scale.results import Measure, Point, Results, ResultsError, Slope
 from myrtlecourse.scale.slopes import SPECS
 
 DOCS = Path(__file__).parent.parent / "docs"
@@ -41,14 +40,14 @@
 
 
 def test_the_page_is_what_the_results_say() -> None:
-    assert (DOCS / "CAPACITY.md").read_text() == page(kept.read_folder(DOCS / "capacity"))
+    assert (DOCS / "CAPACITY.md").read_text() == page(capacity_results.read_folder(DOCS / "capacity"))
     assert (DOCS / "capacity/slopes.png").read_bytes().startswith(b"\x89PNG")
 
 
 def test_the_command_writes_page_and_picture(tmp_path: Path) -> None:
     (tmp_path / "capacity").mkdir()
     told = Results(1, 8, (slope("list.stop"),), (measure("change.whole.plain", 1.25),))
-    kept.write(tmp_path / "capacity/a.json", told)
+    capacity_results.write(tmp_path / "capacity/a.json", told)
     done = CliRunner().invoke(main, ["page", "--docs", str(tmp_path)])
     assert done.exit_code == 0, done.output
     text = (tmp_path / "CAPACITY.md").read_text()
@@ -57,7 +56,7 @@
 
 
 def test_without_results_every_measured_row_says_so() -> None:
-    for row in roles.rows(Book(EMPTY)):
+    for row in role_costs.rows(Book(EMPTY)):
         assert row.figure is not None or row.named
     text = page(EMPTY)
     assert text.count(f"| {NONE} |") > 40 and "nan" not in text
@@ -86,7 +85,7 @@
 def test_a_rate_that_is_needed_does_not_fit_when_it_is_missed() -> None:
     few = Results(1, 8, (), (measure("router.router_requests", 500.0, "1/s"),))
     many = Results(1, 8, (), (measure("router.router_requests", 2000.0, "1/s"),))
-    rows = {n: [r for r in roles.rows(Book(t)) if r.least] for n, t in (("few", few), ("many", many))}
+    rows = {n: [r for r in role_costs.rows(Book(t)) if r.least] for n, t in (("few", few), ("many", many))}
     assert rows["few"][0].factor == pytest.approx(2.0) and rows["many"][0].factor == pytest.approx(0.5)
     assert "requests a second of one core" in misfits(rows["few"])
     assert "requests a second of one core" not in misfits(rows["many"])
@@ -99,22 +98,28 @@
         for n, v, u in zip(names, (0.01, 9e7, 2e4, 1e4), ("core", "B", "B/s", "B/s"), strict=True)
     )
     told = {
-        r.what: r for r in roles.spread_rows(Book(Results(1, 8, (), tuple(values)))) if r.role == roles.ROUTER
+        r.what: r
+        for r in role_costs.spread_rows(Book(Results(1, 8, (), tuple(values))))
+        if r.role == role_costs.ROUTER
     }
     assert told["processor, measured"].factor == pytest.approx(0.01 / 0.046)
     assert told["memory, measured"].factor == pytest.approx(90 / 64)
     assert told["bytes in and out, measured"].factor == pytest.approx(30 / 27)
-    assert told["messages in, measured"].figure is None and told["messages in, measured"].state == roles.OFF
-    assert {r.state for r in roles.spread_rows(Book(EMPTY))} == {roles.OFF}  # built, whatever was measured
+    assert (
+        told["messages in, measured"].figure is None and told["messages in, measured"].state == role_costs.OFF
+    )
+    assert {r.state for r in role_costs.spread_rows(Book(EMPTY))} == {
+        role_costs.OFF
+    }  # built, whatever was measured
 
 
 def test_a_sum_with_a_part_that_was_not_measured_is_not_measured() -> None:
     book = Book(Results(1, 8, (slope("seal.open"),)))
-    costs = [r.figure for r in roles.relay_rows(book) if r.what == "opening and sealing them"]
+    costs = [r.figure for r in role_costs.relay_rows(book) if r.what == "opening and sealing them"]
     assert costs[0] is not None and costs[1:] == [None] * 4
     assert costs[0].value == pytest.approx(1e-5 * (100 + 62_000 / 86_400))
     one = (measure("spread.router.bytes_in", 1.0, "B/s"),)
-    rows = list(roles.spread_rows(Book(Results(1, 8, (), one))))
+    rows = list(role_costs.spread_rows(Book(Results(1, 8, (), one))))
     assert all(r.figure is None for r in rows if r.what == "bytes in and out, measured")
 
 
@@ -123,7 +128,9 @@
     assert "not foretold |" not in page(Results(1, 8, (slope("agent.second"),)))
     bent = page(Results(1, 8, (slope("agent.second", last=3.0),)))
     assert "**the law does not hold**" in bent and "| **does not hold** |" in bent
-    rows = [r for r in roles.roster_rows(Book(Results(1, 8, (slope("agent.second", last=3.0),)))) if r.figure]
+    rows = [
+        r for r in role_costs.roster_rows(Book(Results(1, 8, (slope("agent.second", last=3.0),)))) if r.figure
+    ]
     foretold = [r for r in rows if r.figure and "foretold" in r.figure.source]
     assert [(str(r.figure), r.factor) for r in foretold] == [("not foretold", None)]
     # what was measured at its size stands, whatever the law
@@ -192,8 +199,8 @@
 
 
 def test_the_time_until_a_router_is_forgotten_is_that_of_its_roster() -> None:
-    assert roles.forgotten_after(25) == pytest.approx(4 * 25 / 8 * 4)
-    assert roles.forgotten_after(2) == pytest.approx(16.0)
+    assert role_costs.forgotten_after(25) == pytest.approx(4 * 25 / 8 * 4)
+    assert role_costs.forgotten_after(2) == pytest.approx(16.0)
 
 
 # Results files
@@ -264,9 +271,9 @@
 
 def test_a_file_that_is_too_large_is_not_read(tmp_path: Path) -> None:
     file = tmp_path / "x.json"
-    file.write_bytes(b" " * (kept.LARGEST + 1))
+    file.write_bytes(b" " * (capacity_results.LARGEST + 1))
     with pytest.raises(ResultsError, match="larger than 2,000,000 bytes"):
-        kept.read(file)
+        capacity_results.read(file)
 
 
 def test_no_folder_no_writing_and_a_name_in_two_files_are_refused(tmp_path: Path) -> None:
@@ -274,7 +281,7 @@
     refused(tmp_path / "none/x.json", "slopes", "list.bytes", "--out", str(tmp_path / "none/x.json"))
     (tmp_path / "capacity").mkdir()
     for name in ("a.json", "b.json"):
-        kept.write(tmp_path / "capacity" / name, Results(1, 8, (), (measure("a.b", 1.0),)))
+        capacity_results.write(tmp_path / "capacity" / name, Results(1, 8, (), (measure("a.b", 1.0),)))
     assert "a.json has it" in refused(tmp_path / "capacity/b.json", "page", "--docs", str(tmp_path))
     (tmp_path / "capacity/b.json").unlink()
     (tmp_path / "CAPACITY.md").mkdir()
@@ -283,22 +290,22 @@
 
 def test_results_come_back_as_they_were_written(tmp_path: Path) -> None:
     told = Results(1, 8, (slope("list.stop"),), (measure("a.b", 1.0),))
-    kept.write(tmp_path / "x.json", told)
-    assert kept.read(tmp_path / "x.json") == told
+    capacity_results.write(tmp_path / "x.json", told)
+    assert capacity_results.read(tmp_path / "x.json") == told
 
 
 def test_new_results_replace_those_of_their_name_alone() -> None:
     old = Results(1, 4, (slope("list.stop"), slope("list.take")), (measure("a.b", 1.0),))
     new = Results(1, 8, (slope("list.take", 2.0),), (measure("c", 3.0),))
-    found = kept.merged(old, new)
+    found = capacity_results.merged(old, new)
     assert found.slopes == (old.slopes[0], new.slopes[0]) and found.cores == 8
-    assert [m.name for m in found.measures] == ["a.b", "c"] and kept.merged(None, new) == new
+    assert [m.name for m in found.measures] == ["a.b", "c"] and capacity_results.merged(None, new) == new
 
 
 @given(st.floats(1e-12, 1e12))
 def test_what_files_keep_differs_by_no_more_than_their_last_digit(value: float) -> None:
-    assert kept.significant(value) == pytest.approx(value, rel=1e-4)
-    assert kept.significant(0.0) == 0.0
+    assert capacity_results.significant(value) == pytest.approx(value, rel=1e-4)
+    assert capacity_results.significant(0.0) == 0.0
 
 
 def test_commands_go_into_any_group() -> None:
--- a/tests/test_scale_processes.py
+++ b/tests/test_scale_processes.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from myrtlecourse.scale.figures import read_results
 from myrtlecourse.scale.machine import processes, tree
+from myrtlecourse.scale.run_results import read_results
 
 pytestmark = pytest.mark.processes
 PATIENCE = 60.0  # seconds until a test that waits for an event fails
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -22,13 +22,13 @@
 from myrtlecourse.scale import plan as planning
 from myrtlecourse.scale import run
 from myrtlecourse.scale.commands import check_writable, scale
-from myrtlecourse.scale.figures import InForceTimes, in_force_times, quantile
-from myrtlecourse.scale.ground import Change, Ground
 from myrtlecourse.scale.guard import MB, MOST_PROCESSES, Guard, GuardError, taken
 from myrtlecourse.scale.hollow import Counts, HollowMember, InForce, Job
 from myrtlecourse.scale.machine import Process, Use, calibrate, machine_memory, others_share, tree
 from myrtlecourse.scale.plan import plan
+from myrtlecourse.scale.run_results import InForceTimes, in_force_times, quantile
 from myrtlecourse.scale.scenario import Place, Scenario, ScenarioError, read_scenario
+from myrtlecourse.scale.stand_in_fleet import Change, Ground
 
 PATIENCE = 60.0  # seconds until a test that waits for an event fails
 
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -18,11 +18,11 @@
 from myrtlecourse.fleet.registry import spelled as fleet_spelled
 from myrtlecourse.peers.gossip import VERSION, Datagram
 from myrtlecourse.peers.seal import LONGEST, Dropped, Seal
-from myrtlecourse.scale import measuring, results, slopes
+from myrtlecourse.scale import capacity_results, measuring, slopes
 from myrtlecourse.scale.capacity_commands import main
+from myrtlecourse.scale.capacity_results import Point
 from myrtlecourse.scale.fit import CHECK, LEAST_SIZES
 from myrtlecourse.scale.measuring import MeasureError
-from myrtlecourse.scale.results import Point
 from myrtlecourse.scale.slopes import SPECS, Spec
 from myrtlecourse.zones.agent import Agent
 
@@ -184,7 +184,7 @@
     assert (
         "list.parse (sources): n, held out 0.0%; at 20 foretold 20" in done.output and "counts" in done.output
     )
-    found = results.read(file)
+    found = capacity_results.read(file)
     assert [s.name for s in found.slopes] == ["list.parse"]
     assert [m.name for m in found.measures] == ["known.share_4", "known.datagrams_4", "known.bytes_4"]
     assert found.slopes[0].repeats[20] == (20.0, 20.0, 20.0)
@@ -194,7 +194,7 @@
     small(monkeypatch, ("sources",) * 5 + ("compiled",))
     done = CliRunner().invoke(main, ["slopes", "list.parse", "--out", str(tmp_path / "x.json")])
     assert done.exit_code == 1 and "list.parse: some sizes ran compiled" in done.output
-    assert results.read(tmp_path / "x.json").slopes == ()
+    assert capacity_results.read(tmp_path / "x.json").slopes == ()
 
 
 def test_a_real_routers_rates_are_those_that_the_bench_wrote(monkeypatch: pytest.MonkeyPatch) -> None:
