--- a/myrtlecourse/scale/calibration.py
+++ b/myrtlecourse/scale/calibration.py
@@ -11,15 +11,15 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-ROUNDS = 20_000  # of the loop: about 2 ms
+LOOP_ROUNDS = 20_000  # of the loop: about 2 ms
 REPEATS = 15
-MOST_OTHERS = 0.1  # share of the machine in other hands, from which a run counts as shared
+MAX_OTHERS_SHARE = 0.1  # share of the machine in other hands, from which a run counts as shared
 
 
-def loop() -> int:
+def run_loop() -> int:
     """The fixed work: integers, a dictionary and a list, as routers' own code has them."""
     table: dict[int, int] = {}
-    for i in range(ROUNDS):
+    for i in range(LOOP_ROUNDS):
         table[i & 255] = table.get(i & 255, 0) + (i ^ 0x5BD1)
     return sum(sorted(table.values()))
 
@@ -29,18 +29,18 @@
     found = []
     for _ in range(REPEATS):
         before = time.thread_time()
-        loop()
+        run_loop()
         found.append(time.thread_time() - before)
     return min(found)
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
+class CpuUsage:
     """Processor seconds spent so far, and the clock."""
 
-    at: float  # seconds, of any clock that only runs forward
-    all: float  # by the whole machine
-    own: float  # by this process and its children that have ended
+    time: float  # seconds, of any clock that only runs forward
+    machine_s: float  # by the whole machine
+    own_s: float  # by this process and its children that have ended
 
 
 def busy_seconds(stat: str, ticks: int) -> float:
@@ -56,22 +56,22 @@
     return (user + nice + system + irq + soft + steal) / ticks
 
 
-def now() -> Use:
+def cpu_usage() -> CpuUsage:
     """The use up to now."""
     own = os.times()
     stat = Path("/proc/stat").read_text()
     mine = own.user + own.system + own.children_user + own.children_system
-    return Use(time.monotonic(), busy_seconds(stat, os.sysconf("SC_CLK_TCK")), mine)
+    return CpuUsage(time.monotonic(), busy_seconds(stat, os.sysconf("SC_CLK_TCK")), mine)
 
 
-def others(before: Use, after: Use, cores: int) -> float:
+def others_share(before: CpuUsage, after: CpuUsage, cores: int) -> float:
     """The share of the machine (0 to 1) that others used between two moments."""
-    capacity = (after.at - before.at) * cores
+    capacity = (after.time - before.time) * cores
     if capacity <= 0:
         return 0.0
-    return min(1.0, max(0.0, (after.all - before.all) - (after.own - before.own)) / capacity)
+    return min(1.0, max(0.0, (after.machine_s - before.machine_s) - (after.own_s - before.own_s)) / capacity)
 
 
-def shared(others_share: float) -> bool:
+def is_shared(others_share: float) -> bool:
     """Whether a run in which others used that share of the machine has to be marked."""
-    return others_share > MOST_OTHERS
+    return others_share > MAX_OTHERS_SHARE
--- a/myrtlecourse/scale/capacity_commands.py
+++ b/myrtlecourse/scale/capacity_commands.py
@@ -14,45 +14,45 @@
     Results,
     ResultsError,
     Slope,
-    merged,
-    read,
+    merge_results,
+    read_file,
     read_folder,
-    write,
+    write_file,
 )
 from myrtlecourse.scale.fit import check
 from myrtlecourse.scale.measuring import MeasureError
-from myrtlecourse.scale.page import PICTURE, page
+from myrtlecourse.scale.page import PICTURE, render_page
 from myrtlecourse.scale.slopes import SPECS
 
-NOT_MEASURED = 1
-OTHERS = (*measuring.ROUTER, "known")  # what is no slope
+EXIT_NOT_MEASURED = 1
+OTHER_MEASURES = (*measuring.ROUTER_MEASURES, "known")  # what is no slope
 
 
-def marked(others: float) -> str:
+def shared_mark(others: float) -> str:
     """The mark of a run that was not alone."""
-    return ", shared machine" if calibration.shared(others) else ""
+    return ", shared machine" if calibration.is_shared(others) else ""
 
 
-def line_of(slope: Slope) -> str:
+def slope_line(slope: Slope) -> str:
     """Its law, what that foretold of a size it had not seen, and what was measured there."""
     law, tried = check(slope.repeats)
-    said = tried.foretold
+    said = tried.predicted
     interval = f"{said.value:.4g} {slope.unit} ({said.low:.4g} to {said.high:.4g})"
-    told = "counts" if tried.counts else "does not hold"
+    told = "counts" if tried.holds else "does not hold"
     return (
         f"{slope.name} ({slope.form}): {law.law.name}, held out {law.held_out:.1%}; "
-        f"at {tried.size:,} foretold {interval}, measured {tried.measured:.4g}: {told}{marked(slope.others)}"
+        f"at {tried.size:,} foretold {interval}, measured {tried.measured:.4g}: {told}{shared_mark(slope.others)}"
     )
 
 
-def line_of_measure(found: Measure) -> str:
+def measure_line(found: Measure) -> str:
     """Its value and interval."""
     interval = f"{found.value:.4g} {found.unit} ({found.low:.4g} to {found.high:.4g})"
-    return f"{found.name} ({found.form}): {interval}{marked(found.others)}"
+    return f"{found.name} ({found.form}): {interval}{shared_mark(found.others)}"
 
 
 @click.command("slopes")
-@click.argument("names", nargs=-1, required=True, type=click.Choice([*SPECS, *OTHERS]))
+@click.argument("names", nargs=-1, required=True, type=click.Choice([*SPECS, *OTHER_MEASURES]))
 @click.option(
     "--compiled",
     type=click.Path(path_type=Path, exists=True, file_okay=False),
@@ -60,9 +60,9 @@
 )
 @click.option(
     "--members",
-    type=click.IntRange(2, measuring.KNOWN[-1]),
+    type=click.IntRange(2, measuring.ROSTER_SIZES[-1]),
     multiple=True,
-    default=measuring.KNOWN,
+    default=measuring.ROSTER_SIZES,
     help="of the rosters of `known`; again for further ones",
 )
 @click.option(
@@ -83,27 +83,27 @@
     """
     slopes, measures = list[Slope](), list[Measure]()
     try:
-        old = read(out) if out.exists() else None
-        write(
+        old = read_file(out) if out.exists() else None
+        write_file(
             out, old or Results(1, measuring.CORES)
         )  # a file that can't be written is found before the runs
         form = str(compiled.resolve()) if compiled is not None else ""
         for name in names:
-            if name in measuring.ROUTER:
-                measures += measuring.router(name, form)
+            if name in measuring.ROUTER_MEASURES:
+                measures += measuring.measure_router(name, form)
             elif name == "known":
-                measures += measuring.known(members)
+                measures += measuring.measure_roster_starts(members)
             else:
-                slopes.append(measuring.slope(name, form, lambda what: click.echo(what, err=True)))
+                slopes.append(measuring.measure_slope(name, form, lambda what: click.echo(what, err=True)))
             found = Results(1, measuring.CORES, tuple(slopes), tuple(measures))
-            write(out, merged(old, found))
+            write_file(out, merge_results(old, found))
     except ResultsError as e:
         click.echo(f"myrtlecourse scale slopes: {e}", err=True)
         sys.exit(EXIT_UNUSABLE)
     except MeasureError as e:
         click.echo(f"myrtlecourse scale slopes: {e}", err=True)
-        sys.exit(NOT_MEASURED)
-    for line in (*map(line_of, slopes), *map(line_of_measure, measures)):
+        sys.exit(EXIT_NOT_MEASURED)
+    for line in (*map(slope_line, slopes), *map(measure_line, measures)):
         click.echo(line)
 
 
@@ -118,7 +118,7 @@
 
     try:
         results = read_folder(docs / "capacity")
-        text = page(results)
+        text = render_page(results)
         write_png(docs / PICTURE, results.slopes)
         (docs / "CAPACITY.md").write_text(text)
     except ResultsError as e:
--- a/myrtlecourse/scale/capacity_results.py
+++ b/myrtlecourse/scale/capacity_results.py
@@ -13,9 +13,9 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from myrtlecourse.scale.fit import CHECK, LEAST_SIZES
+from myrtlecourse.scale.fit import CHECK_FACTOR, MIN_SIZES
 
-LARGEST = 2_000_000  # bytes of a file
+MAX_FILE_BYTES = 2_000_000  # bytes of a file
 Name = Annotated[str, Meta(pattern=r"^[a-z][a-z0-9_]*(\.[a-z0-9_]+)*$", max_length=64)]
 Text = Annotated[str, Meta(min_length=1, max_length=300)]
 Cost = Annotated[float, Meta(gt=0.0, le=1e15)]
@@ -51,8 +51,8 @@
         if len({p.size for p in self.points}) < len(self.points):
             raise ValueError("points: each size stands there once")
         largest = max(p.size for p in self.points)
-        if sum(p.size * CHECK <= largest for p in self.points) < LEAST_SIZES:
-            raise ValueError(f"points: {LEAST_SIZES} sizes at least up to a quarter of the largest")
+        if sum(p.size * CHECK_FACTOR <= largest for p in self.points) < MIN_SIZES:
+            raise ValueError(f"points: {MIN_SIZES} sizes at least up to a quarter of the largest")
 
     @property
     def repeats(self) -> dict[int, tuple[float, ...]]:
@@ -98,11 +98,11 @@
             raise ValueError("slopes, measures: each name stands there once")
 
 
-def read(path: Path) -> Results:
+def read_file(path: Path) -> Results:
     """The results of a file. Raises ResultsError."""
     try:
-        if path.stat().st_size > LARGEST:
-            raise ResultsError(f"{path}: larger than {LARGEST:,} bytes")
+        if path.stat().st_size > MAX_FILE_BYTES:
+            raise ResultsError(f"{path}: larger than {MAX_FILE_BYTES:,} bytes")
         found = msgspec.json.decode(path.read_bytes(), type=Results)
     except OSError as e:
         raise ResultsError(f"{path}: {e.strerror}") from e
@@ -120,7 +120,7 @@
     if not folder.is_dir():
         raise ResultsError(f"{folder}: no such folder")
     for path in sorted(folder.glob("*.json")):
-        found = read(path)
+        found = read_file(path)
         cores = max(cores, found.cores)
         entries: tuple[Slope | Measure, ...] = (*found.slopes, *found.measures)
         for entry in entries:
@@ -134,7 +134,7 @@
     return Results(1, cores, tuple(slopes.values()), tuple(measures.values()))
 
 
-def merged(old: Results | None, new: Results) -> Results:
+def merge_results(old: Results | None, new: Results) -> Results:
     """New results over old ones of the same names; the others of the old stay."""
     if old is None:
         return new
@@ -143,14 +143,14 @@
     return Results(1, new.cores, tuple(slopes.values()), tuple(measures.values()))
 
 
-def significant(value: float, digits: int = 5) -> float:
+def round_significant(value: float, digits: int = 5) -> float:
     """A value as files keep it: digits beyond these are noise."""
     if not value:
         return 0.0
     return round(value, digits - 1 - math.floor(math.log10(abs(value))))
 
 
-def write(path: Path, results: Results) -> None:
+def write_file(path: Path, results: Results) -> None:
     """Write a file. Raises ResultsError when it can't be written."""
     try:
         path.write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1) + b"\n")
--- a/myrtlecourse/scale/child_process.py
+++ b/myrtlecourse/scale/child_process.py
@@ -22,7 +22,7 @@
 END = "end"
 
 
-class Child:
+class ChildProcess:
     """One such process, seen by whoever started it."""
 
     def __init__(self, name: str, log: Path, role: Callable[..., None], *arguments: Any) -> None:
@@ -31,38 +31,38 @@
         What Python says of its end goes to the log, so that whoever started the run reads one clear error.
         """
         self.name = name
-        self.words, theirs = multiprocessing.Pipe()
+        self.connection, theirs = multiprocessing.Pipe()
         with theirs, log.open("ab") as errors:
             self.process = subprocess.Popen(
-                [sys.executable, "-c", f"from {__name__} import main; main({theirs.fileno()})"],
+                [sys.executable, "-c", f"from {__name__} import run_child; run_child({theirs.fileno()})"],
                 pass_fds=(theirs.fileno(),),
                 stdin=subprocess.DEVNULL,
                 stderr=errors,
                 start_new_session=True,
             )
-        self.tell((role, arguments))
+        self.send((role, arguments))
         self.ended = False  # as it was to
 
-    def died(self) -> bool:
+    def has_died(self) -> bool:
         """Whether it has ended before its time, and all that it said is read."""
         if self.ended or self.process.poll() is None:
             return False
-        return self.words.closed or not self.words.poll()
+        return self.connection.closed or not self.connection.poll()
 
-    def tell(self, word: Any) -> None:
+    def send(self, word: Any) -> None:
         """Say something to it; one that is gone is noticed by the end of its words."""
         with suppress(BrokenPipeError, ConnectionResetError):
-            self.words.send(word)
+            self.connection.send(word)
 
     def kill(self) -> None:
         """Kill it, which is no fault."""
         self.ended = True
         self.process.kill()
         self.process.wait()
-        self.words.close()
+        self.connection.close()
 
 
-def main(descriptor: int) -> None:
+def run_child(descriptor: int) -> None:
     """The whole of such a process."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     # guards whoever hears this process: the pipe would not end with it while a router of its own has it too
@@ -78,7 +78,7 @@
             words.send(("fault", f"{type(e).__name__}: {e}"))
 
 
-async def told_to_end(words: Connection, begin: Callable[[], None]) -> None:
+async def wait_for_end(words: Connection, begin: Callable[[], None]) -> None:
     """Wait until it is told to end, or nobody is there to tell; `begin` is called when that is told."""
     loop, over = asyncio.get_running_loop(), asyncio.Event()
 
--- a/myrtlecourse/scale/commands.py
+++ b/myrtlecourse/scale/commands.py
@@ -18,13 +18,13 @@
 from myrtlecourse.fleet.routers import COMMAND
 from myrtlecourse.load.commands import EXIT_UNUSABLE, write_json
 from myrtlecourse.scale.capacity_commands import register
-from myrtlecourse.scale.guard import MB, Guard, GuardError
-from myrtlecourse.scale.plan import Plan, plan
-from myrtlecourse.scale.run import Now, Run, ScaleError
+from myrtlecourse.scale.guard import MB, ResourceLimitError, ResourceLimits
+from myrtlecourse.scale.plan import Plan, make_plan
+from myrtlecourse.scale.run import Run, RunStatus, ScaleError
 from myrtlecourse.scale.run_results import Results
 from myrtlecourse.scale.scenario import ScenarioError, read_scenario
 
-PAUSE = 5.0  # seconds between two progress lines where no terminal shows them
+PROGRESS_INTERVAL = 5.0  # seconds between two progress lines where no terminal shows them
 
 
 @click.group()
@@ -35,14 +35,14 @@
 register(scale)
 
 
-def show_plan(made: Plan, guard: Guard, console: Console) -> None:
+def show_plan(made: Plan, guard: ResourceLimits, console: Console) -> None:
     """Print what would be started."""
     table = Table(title="What is started")
     for name in ("processes of", "processes", "members", "memory, MB", "sockets of one, at most"):
         table.add_column(name, justify="left" if name == "processes of" else "right")
-    for part in made.parts:
+    for part in made.groups:
         counts = (part.processes, part.members, round(part.memory / MB), part.sockets)
-        table.add_row(part.what, *(f"{count:,}" for count in counts))
+        table.add_row(part.name, *(f"{count:,}" for count in counts))
     console.print(table)
     console.print(
         f"{made.processes} processes (bound {guard.processes}), {made.memory / MB:,.0f} MB foretold "
@@ -104,19 +104,19 @@
         self.console = console
         self.quiet = quiet
         self.seconds = seconds
-        self.last = -PAUSE
+        self.last = -PROGRESS_INTERVAL
         self.doing = ""
 
-    def __call__(self, now: Now) -> None:
-        if self.quiet or (now.doing == self.doing and time.monotonic() - self.last < PAUSE):
+    def __call__(self, now: RunStatus) -> None:
+        if self.quiet or (now.phase == self.doing and time.monotonic() - self.last < PROGRESS_INTERVAL):
             return
-        self.last, self.doing = time.monotonic(), now.doing
+        self.last, self.doing = time.monotonic(), now.phase
         told = f"{now.memory / MB:,.0f} MB in {now.processes} processes"
         if now.counts:
             told += "".join(
                 f", {name} {now.counts.get(name, 0):,}" for name in ("served", "refused", "failed")
             )
-        line = f"{now.doing}: {now.at:.0f} of {self.seconds:g} s, {told}"
+        line = f"{now.phase}: {now.elapsed:.0f} of {self.seconds:g} s, {told}"
         self.console.print(line, highlight=False, markup=False, soft_wrap=True)
 
 
@@ -169,18 +169,18 @@
         console.print(f"myrtlecourse scale: {why}", markup=False, highlight=False, soft_wrap=True)
         sys.exit(code)
 
-    guard = Guard.of_machine(None if memory_mb is None else memory_mb * MB)
+    guard = ResourceLimits.of_machine(None if memory_mb is None else memory_mb * MB)
     try:
         told = read_scenario(scenario)
-        made = plan(told)
+        made = make_plan(told)
         if only_plan:
             show_plan(made, guard, Console())
-        made.allow(guard)
+        made.check_limits(guard)
         if only_plan:
             return
         where = folder or Path(tempfile.mkdtemp(prefix="myrtlecourse-"))
         check_writable(where, json_file)
-    except (ScenarioError, GuardError) as e:
+    except (ScenarioError, ResourceLimitError) as e:
         give_up(e, EXIT_UNUSABLE)
     except OSError as e:
         give_up(f"{e.filename}: {e.strerror}", EXIT_UNUSABLE)
@@ -188,10 +188,10 @@
         old.unlink()
     if folder is None:
         console.print(f"observations and logs go to {where}", markup=False, highlight=False, soft_wrap=True)
-    look_on: Callable[[Now], None] = Progress(console, quiet, told.seconds)
+    look_on: Callable[[RunStatus], None] = Progress(console, quiet, told.seconds)
     try:
-        results = Run(told, where, command, guard, look_on).play()
-    except (ScaleError, GuardError, ObservationError) as e:
+        results = Run(told, where, command, guard, look_on).execute()
+    except (ScaleError, ResourceLimitError, ObservationError) as e:
         give_up(e, BROKEN)
     results = msgspec.structs.replace(results, command=["myrtlecourse", *sys.argv[1:]])
     show_results(results, Console())
--- a/myrtlecourse/scale/estimates.py
+++ b/myrtlecourse/scale/estimates.py
@@ -5,22 +5,22 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from myrtlecourse.scale.calibration import shared
+from myrtlecourse.scale.calibration import is_shared
 from myrtlecourse.scale.capacity_results import Measure, Results, Slope
-from myrtlecourse.scale.fit import Fit, check, fit, middle
+from myrtlecourse.scale.fit import Fit, check, fit, median_interval
 
-SCALES = {  # by unit: what a value is divided by, and what that is called
+UNIT_SCALES = {  # by unit: what a value is divided by, and what that is called
     "s": ((1.0, "s"), (1e-3, "ms"), (1e-6, "us")),
     "B": ((1e9, "GB"), (1e6, "MB"), (1e3, "KB"), (1.0, "B")),
     "B/s": ((1e9, "GB/s"), (1e6, "MB/s"), (1e3, "KB/s"), (1.0, "B/s")),
 }
 
 
-def spelled(value: float, unit: str) -> str:
+def format_value(value: float, unit: str) -> str:
     """A value with three digits and a unit of a fitting size."""
     if unit == "core":  # a share of one
         return f"{value:.3g} cores" if value >= 1 else f"{value * 100:.3g}% of a core"
-    scales = SCALES.get(unit)
+    scales = UNIT_SCALES.get(unit)
     if scales is None or not value:
         text = f"{value:,.0f}" if value >= 100 else f"{value:.3g}"
         return (
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figure:
+class Estimate:
     """A value with its interval, and where it comes from."""
 
     value: float
@@ -40,25 +40,25 @@
     high: float
     unit: str
     source: str
-    holds: bool = True  # not foretold by a law that failed its check
-    alone: bool = True  # no other process had a tenth of the machine
+    law_holds: bool = True  # not foretold by a law that failed its check
+    exclusive: bool = True  # no other process had a tenth of the machine
 
     def __str__(self) -> str:
-        if not self.holds:
+        if not self.law_holds:
             return "not foretold"
-        text = spelled(self.value, self.unit)
+        text = format_value(self.value, self.unit)
         if self.low < self.value or self.value < self.high:
-            text += f" ({spelled(self.low, self.unit)} to {spelled(self.high, self.unit)})"
+            text += f" ({format_value(self.low, self.unit)} to {format_value(self.high, self.unit)})"
         return text
 
     @property
-    def origin(self) -> str:
+    def annotated_source(self) -> str:
         """Its source, and what takes from its worth."""
-        doubts = [] if self.holds else ["the law does not hold"]
-        doubts += [] if self.alone else ["shared machine"]
+        doubts = [] if self.law_holds else ["the law does not hold"]
+        doubts += [] if self.exclusive else ["shared machine"]
         return self.source + "".join(f"; **{d}**" for d in doubts)
 
-    def times(self, factor: float, formula: str, unit: str | None = None) -> Figure:
+    def multiplied(self, factor: float, formula: str, unit: str | None = None) -> Estimate:
         """Arithmetic: a multiple of it. In the formula `{}` stands for its own source."""
         values = (self.value * factor, self.low * factor, self.high * factor)
         return replace(
@@ -70,7 +70,7 @@
             source=formula.format(self.source),
         )
 
-    def under(self, formula: str, unit: str, of: Callable[[float], float]) -> Figure:
+    def inverted(self, formula: str, unit: str, of: Callable[[float], float]) -> Estimate:
         """Arithmetic by a function that only falls as the figure rises."""
         return replace(
             self,
@@ -81,7 +81,7 @@
             source=formula.format(self.source),
         )
 
-    def plus(self, other: Figure) -> Figure:
+    def added(self, other: Estimate) -> Estimate:
         """Arithmetic: the sum of two."""
         return replace(
             self,
@@ -89,17 +89,17 @@
             low=self.low + other.low,
             high=self.high + other.high,
             source=f"{self.source} + {other.source}",
-            holds=self.holds and other.holds,
-            alone=self.alone and other.alone,
+            law_holds=self.law_holds and other.law_holds,
+            exclusive=self.exclusive and other.exclusive,
         )
 
 
-def plain(value: float, unit: str, formula: str) -> Figure:
+def calculated(value: float, unit: str, formula: str) -> Estimate:
     """A figure that is arithmetic on what the fleet is to be, and nothing measured."""
-    return Figure(value, value, value, unit, formula)
+    return Estimate(value, value, value, unit, formula)
 
 
-class Book:
+class Estimates:
     """The results of a folder."""
 
     def __init__(self, results: Results) -> None:
@@ -107,7 +107,7 @@
         self.measures: dict[str, Measure] = {m.name: m for m in results.measures}
         self.fits: dict[str, tuple[Fit, bool]] = {}
 
-    def at(self, name: str, size: int) -> Figure | None:
+    def at_size(self, name: str, size: int) -> Estimate | None:
         """A slope's cost at a size: as measured there, else by its law fitted to all sizes.
 
         None when it was not measured.
@@ -118,21 +118,21 @@
         unit = slope.unit
         point = next((p for p in slope.points if p.size == size), None)
         if point is not None:
-            found, alone = middle(point.values), not shared(point.others)
+            found, alone = median_interval(point.values), not is_shared(point.others)
             source = f"`{name}` at {size:,}"
-            return Figure(found.value, found.low, found.high, unit, source, alone=alone)
+            return Estimate(found.value, found.low, found.high, unit, source, exclusive=alone)
         if name not in self.fits:
-            self.fits[name] = fit(slope.repeats), check(slope.repeats)[1].counts
+            self.fits[name] = fit(slope.repeats), check(slope.repeats)[1].holds
         law, holds = self.fits[name]
-        told, alone = law.foretell(size), not shared(slope.others)
+        told, alone = law.predict(size), not is_shared(slope.others)
         source = f"`{name}` foretold at {size:,} ({law.law.name})"
-        return Figure(told.value, told.low, told.high, unit, source, holds, alone)
+        return Estimate(told.value, told.low, told.high, unit, source, holds, alone)
 
-    def of(self, name: str) -> Figure | None:
+    def measure(self, name: str) -> Estimate | None:
         """A measure; None when it was not measured."""
         found = self.measures.get(name)
         if found is None:
             return None
-        return Figure(
-            found.value, found.low, found.high, found.unit, f"`{name}`", alone=not shared(found.others)
+        return Estimate(
+            found.value, found.low, found.high, found.unit, f"`{name}`", exclusive=not is_shared(found.others)
         )
--- a/myrtlecourse/scale/fit.py
+++ b/myrtlecourse/scale/fit.py
@@ -16,12 +16,12 @@
 
 import numpy as np
 
-LEAST_SIZES = 5
-CHECK = 4  # times the largest size seen, at which a law is checked
-WIDEST = 1.0  # of what is foretold: an interval that is wider tells nothing
-SUREST = 0.01  # relative error: no law is believed to be nearer than that
+MIN_SIZES = 5
+CHECK_FACTOR = 4  # times the largest size seen, at which a law is checked
+MAX_INTERVAL_WIDTH = 1.0  # of what is foretold: an interval that is wider tells nothing
+MIN_RELATIVE_ERROR = 0.01  # relative error: no law is believed to be nearer than that
 RESAMPLES = 400
-LOW, HIGH = 2.5, 97.5  # percent
+LOW_PERCENTILE, HIGH_PERCENTILE = 2.5, 97.5  # percent
 SHAPES: dict[str, Callable[[float], float]] = {  # the simplest first: a later one must be nearer by SUREST
     "constant": lambda n: 0.0,
     "log n": math.log,
@@ -64,19 +64,19 @@
 
     law: Law
     held_out: float  # mean relative error at sizes left out
-    worst: float  # the largest of them
+    worst_error: float  # the largest of them
     repeats: Repeats
 
-    def foretell(self, n: float) -> Interval:
+    def predict(self, n: float) -> Interval:
         """The cost at a size, and between what it lies."""
         chance = np.random.Generator(np.random.PCG64(1))
         drawn = {s: chance.choice(list(v), (RESAMPLES, len(v))) for s, v in sorted(self.repeats.items())}
         costs = {s: v.min(axis=1) for s, v in drawn.items()}
         found = [
-            fitted(self.law.name, {s: float(c[i]) for s, c in costs.items()}).at(n) for i in range(RESAMPLES)
+            fit_law(self.law.name, {s: float(c[i]) for s, c in costs.items()}).at(n) for i in range(RESAMPLES)
         ]
-        low, high = np.percentile(found, [LOW, HIGH])
-        value, unsure = self.law.at(n), max(SUREST, self.worst)
+        low, high = np.percentile(found, [LOW_PERCENTILE, HIGH_PERCENTILE])
+        value, unsure = self.law.at(n), max(MIN_RELATIVE_ERROR, self.worst_error)
         return Interval(
             value, min(value, float(low)) * max(0.0, 1 - unsure), max(value, float(high)) * (1 + unsure)
         )
@@ -87,18 +87,18 @@
     """What a law said of a larger size, and what was measured there."""
 
     size: int
-    foretold: Interval
+    predicted: Interval
     measured: float
 
     @property
-    def counts(self) -> bool:
+    def holds(self) -> bool:
         """Whether the law may be used: what was measured lies within an interval that says something."""
-        found = self.foretold
-        narrow = found.high - found.low <= WIDEST * found.value
+        found = self.predicted
+        narrow = found.high - found.low <= MAX_INTERVAL_WIDTH * found.value
         return narrow and found.low <= self.measured <= found.high
 
 
-def fitted(name: str, costs: Mapping[int, float]) -> Law:
+def fit_law(name: str, costs: Mapping[int, float]) -> Law:
     """One law, by least squares of relative errors: a small size counts as much as a large one."""
     sizes = np.array(list(costs), dtype=np.float64)
     values = np.array(list(costs.values()), dtype=np.float64)
@@ -119,7 +119,7 @@
     return min(edges, key=lambda law: sum((law.at(s) / c - 1) ** 2 for s, c in costs.items()))
 
 
-def least_of(repeats: Repeats) -> dict[int, float]:
+def minimum_costs(repeats: Repeats) -> dict[int, float]:
     """The least at each size. Raises FitError for what is no cost."""
     for size, values in repeats.items():
         if size < 1 or not values or not all(0 < v < math.inf for v in values):
@@ -129,19 +129,19 @@
 
 def fit(repeats: Repeats) -> Fit:
     """The best law. Raises FitError with fewer than five sizes, or for what is no cost."""
-    costs = least_of(repeats)
-    if len(costs) < LEAST_SIZES:
-        raise FitError(f"{len(costs)} sizes, {LEAST_SIZES} are the least")
+    costs = minimum_costs(repeats)
+    if len(costs) < MIN_SIZES:
+        raise FitError(f"{len(costs)} sizes, {MIN_SIZES} are the least")
     errors = {}
     for name in SHAPES:
         errors[name] = [
-            abs(fitted(name, {s: c for s, c in costs.items() if s != out}).at(out) / costs[out] - 1)
+            abs(fit_law(name, {s: c for s, c in costs.items() if s != out}).at(out) / costs[out] - 1)
             for out in costs
         ]
     means = {name: sum(found) / len(found) for name, found in errors.items()}
     # guards a constant cost: in noise some steep law is nearer by a hair, and foretells far off
-    best = next(name for name in SHAPES if means[name] <= min(means.values()) + SUREST)
-    return Fit(fitted(best, costs), means[best], max(errors[best]), repeats)
+    best = next(name for name in SHAPES if means[name] <= min(means.values()) + MIN_RELATIVE_ERROR)
+    return Fit(fit_law(best, costs), means[best], max(errors[best]), repeats)
 
 
 def check(repeats: Repeats) -> tuple[Fit, Check]:
@@ -150,14 +150,14 @@
     Raises FitError when there are too few sizes up to it, or for what is no cost.
     """
     largest = max(repeats, default=0)
-    seen = {size: values for size, values in repeats.items() if size * CHECK <= largest}
+    seen = {size: values for size, values in repeats.items() if size * CHECK_FACTOR <= largest}
     found = fit(seen)
-    return found, Check(largest, found.foretell(largest), least_of(repeats)[largest])
+    return found, Check(largest, found.predict(largest), minimum_costs(repeats)[largest])
 
 
-def middle(values: Sequence[float]) -> Interval:
+def median_interval(values: Sequence[float]) -> Interval:
     """The median of repeats, with the bootstrap's interval."""
     chance = np.random.Generator(np.random.PCG64(1))
     found = np.median(chance.choice(list(values), (RESAMPLES, len(values))), axis=1)
-    low, high = np.percentile(found, [LOW, HIGH])
+    low, high = np.percentile(found, [LOW_PERCENTILE, HIGH_PERCENTILE])
     return Interval(float(np.median(list(values))), float(low), float(high))
--- a/myrtlecourse/scale/guard.py
+++ b/myrtlecourse/scale/guard.py
@@ -9,53 +9,53 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from myrtlecourse.scale.machine import Process, machine_memory, processes, tree
+from myrtlecourse.scale.machine import ProcessStat, machine_memory, process_tree, read_processes
 
-MOST_PROCESSES = 200
-SHARE = 0.5  # of the machine's memory
-SUBREAPER = 36  # PR_SET_CHILD_SUBREAPER of prctl(2)
-GRACE = 4.0  # seconds from SIGTERM to SIGKILL: a router's longest deadline and a little more
-END_TIME = 20.0  # seconds until all must be gone
+MAX_PROCESSES = 200
+MEMORY_SHARE = 0.5  # of the machine's memory
+PR_SET_CHILD_SUBREAPER = 36  # PR_SET_CHILD_SUBREAPER of prctl(2)
+SIGKILL_DELAY = 4.0  # seconds from SIGTERM to SIGKILL: a router's longest deadline and a little more
+END_TIMEOUT = 20.0  # seconds until all must be gone
 MB = 1024 * 1024
 
 
-class GuardError(RuntimeError):
+class ResourceLimitError(RuntimeError):
     """A run that takes more than it may; the message names what and the bound."""
 
 
 @dataclass(frozen=True)
-class Guard:
+class ResourceLimits:
     """The bounds of one run."""
 
     memory: int  # bytes, of all its processes; pages that they share count for each
-    processes: int = MOST_PROCESSES
+    processes: int = MAX_PROCESSES
 
     @classmethod
-    def of_machine(cls, memory: int | None = None) -> Guard:
+    def of_machine(cls, memory: int | None = None) -> ResourceLimits:
         """Half of this machine's memory, or less where less is asked for."""
-        most = int(machine_memory() * SHARE)
+        most = int(machine_memory() * MEMORY_SHARE)
         return cls(most if memory is None else min(most, memory))
 
-    def allow(self, memory: int, count: int, what: str) -> None:
+    def require(self, memory: int, count: int, what: str) -> None:
         """Raises GuardError where either is over its bound."""
         if memory > self.memory:
-            raise GuardError(
+            raise ResourceLimitError(
                 f"memory: {what} {memory / MB:,.0f} MB, and the bound is {self.memory / MB:,.0f} MB"
             )
         if count > self.processes:
-            raise GuardError(f"processes: {what} {count}, and the bound is {self.processes}")
+            raise ResourceLimitError(f"processes: {what} {count}, and the bound is {self.processes}")
 
-    def check(self) -> tuple[int, int]:
+    def check_usage(self) -> tuple[int, int]:
         """What this process and its descendants take: bytes and processes. Raises GuardError."""
-        table = processes()
-        memory, count = taken(tree(os.getpid(), table), table)
-        self.allow(memory, count, "the run has taken")
+        table = read_processes()
+        memory, count = usage_of(process_tree(os.getpid(), table), table)
+        self.require(memory, count, "the run has taken")
         return memory, count
 
 
-def taken(pids: set[int], table: dict[int, Process]) -> tuple[int, int]:
+def usage_of(pids: set[int], table: dict[int, ProcessStat]) -> tuple[int, int]:
     """Bytes and processes of a tree."""
-    return sum(table[pid].memory for pid in pids), len(pids)
+    return sum(table[pid].resident for pid in pids), len(pids)
 
 
 def adopt_orphans() -> None:
@@ -64,23 +64,23 @@
     Guards the machine: real routers whose starter was killed would else be out of sight, and run on.
     """
     libc = ctypes.CDLL(None, use_errno=True)
-    if libc.prctl(SUBREAPER, 1, 0, 0, 0):
+    if libc.prctl(PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0):
         raise OSError(ctypes.get_errno(), "prctl")
 
 
-def end_all() -> None:
+def end_descendants() -> None:
     """End all that descend from this process, and wait until they are gone. Raises GuardError.
 
     They are asked first: Python's cleaner of a process's semaphores ends by itself once that one is gone.
     """
     began = time.monotonic()
-    while left := tree(os.getpid(), processes()) - {os.getpid()}:
+    while left := process_tree(os.getpid(), read_processes()) - {os.getpid()}:
         passed = time.monotonic() - began
-        if passed > END_TIME:
-            raise GuardError(f"processes {sorted(left)} were killed and have not ended")
+        if passed > END_TIMEOUT:
+            raise ResourceLimitError(f"processes {sorted(left)} were killed and have not ended")
         for pid in left:
             with suppress(ProcessLookupError):
-                os.kill(pid, signal.SIGTERM if passed < GRACE else signal.SIGKILL)
+                os.kill(pid, signal.SIGTERM if passed < SIGKILL_DELAY else signal.SIGKILL)
             with suppress(ChildProcessError):  # another's; this process's once that one is gone
                 os.waitpid(pid, os.WNOHANG)
         time.sleep(0.05)
--- a/myrtlecourse/scale/hollow.py
+++ b/myrtlecourse/scale/hollow.py
@@ -32,29 +32,29 @@
 from myrtlecourse.operators import read_operators
 from myrtlecourse.overload.core import CoreAdmission
 from myrtlecourse.peers.speaker import Speaker
-from myrtlecourse.scale.child_process import told_to_end
-from myrtlecourse.scale.scenario import Place
+from myrtlecourse.scale.child_process import wait_for_end
+from myrtlecourse.scale.scenario import MemberPlace
 from myrtlecourse.zones.agent import Agent
 from myrtlecourse.zones.setup import part
 
-TELLS = 1.0  # seconds between two words with counts
-GONE = "terminated"
+REPORT_INTERVAL = 1.0  # seconds between two words with counts
+TERMINATED = "terminated"
 
 
 @dataclass(frozen=True)
-class Job:
+class HollowJob:
     """One process of them."""
 
     configuration: dict[str, Any]  # that all share
-    heard_at: tuple[str, ...]  # of all members, by their numbers; none: no gossip
+    gossip_addresses: tuple[str, ...]  # of all members, by their numbers; none: no gossip
     operators: Path | None  # the operators' file
-    members: tuple[Place, ...]
+    members: tuple[MemberPlace, ...]
     restarts: tuple[tuple[float, frozenset[int]], ...]
     log: Path
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
+class InForceRecord:
     """A member's decisions have taken another state of a server."""
 
     at: float  # the machine's monotonic clock
@@ -74,7 +74,7 @@
     datagrams_out: int = 0
     datagram_bytes_in: int = 0
     datagram_bytes_out: int = 0
-    in_force: list[InForce] = field(default_factory=list)  # since it told before
+    in_force: list[InForceRecord] = field(default_factory=list)  # since it told before
 
 
 class CountingSpeaker(Speaker):
@@ -91,10 +91,10 @@
 class HollowMember:
     """One life of one member."""
 
-    def __init__(self, place: Place, job: Job, counts: Counts) -> None:
+    def __init__(self, place: MemberPlace, job: HollowJob, counts: Counts) -> None:
         self.place = place
         self.counts = counts
-        config = self.config = read_config(orjson.dumps(self._told(job)))
+        config = self.config = read_config(orjson.dumps(self._configuration(job)))
         settings = config.settings
         dial, idle = settings.dial_timeout, settings.connection_idle
         pools = Pool(CacheConnection, 1, dial, idle), Pool(OriginConnection, 1, dial, idle)
@@ -106,21 +106,21 @@
             self.host.discovery_failed,
             WatchTimeouts.from_settings(settings),
         )
-        self.host.list_updates.apply = self._take_list
+        self.host.list_updates.apply = self._apply_list
         self.speaker: CountingSpeaker | None = None
         if job.operators is not None:
-            self.speaker = self._speaker(config, job.operators)
+            self.speaker = self._make_speaker(config, job.operators)
 
-    def _told(self, job: Job) -> dict[str, Any]:
+    def _configuration(self, job: HollowJob) -> dict[str, Any]:
         """What the platform tells it."""
         told, number = job.configuration, self.place.number
         settings = told["settings"] | {"me": number, "zone": self.place.zone}
         own: dict[str, Any] = {"seed": f"{number:x}", "settings": settings}
-        if job.heard_at:
-            own |= {"peer_listen": job.heard_at[number], "peers": list(job.heard_at)}
+        if job.gossip_addresses:
+            own |= {"peer_listen": job.gossip_addresses[number], "peers": list(job.gossip_addresses)}
         return told | own
 
-    def _speaker(self, config: Config, operators: Path) -> CountingSpeaker:
+    def _make_speaker(self, config: Config, operators: Path) -> CountingSpeaker:
         table = read_operators(operators).fleet
         told = part(table, config) if table is not None else None
         if told is None:
@@ -144,7 +144,7 @@
         if self.speaker is not None:
             await self.speaker.start(shared=again)
 
-    def _take_list(self, news: ListUpdate) -> None:
+    def _apply_list(self, news: ListUpdate) -> None:
         """Note what is in force once its decisions have it."""
         before = dict(self.host.members)
         self.host.apply_list(news)
@@ -153,17 +153,17 @@
             old = before.get(name)
             if old is None or old.entry != new.entry:
                 status = "in_service" if new.entry.ready else "terminating"
-                self._in_force(now, new, status)
+                self._record_in_force(now, new, status)
         for name, old in before.items():
             if name not in after:
-                self._in_force(now, old, GONE)
+                self._record_in_force(now, old, TERMINATED)
 
-    def _in_force(self, now: float, listed: Listed, status: str) -> None:
+    def _record_in_force(self, now: float, listed: Listed, status: str) -> None:
         since_ms = round(listed.entry.listed_start * 1000)
-        record = InForce(now, self.place.number, listed.entry.server, status, since_ms)
+        record = InForceRecord(now, self.place.number, listed.entry.server, status, since_ms)
         self.counts.in_force.append(record)
 
-    def sent(self) -> tuple[int, int]:
+    def sent_totals(self) -> tuple[int, int]:
         """Datagrams and bytes that it has sent."""
         gossip = self.speaker.agent.gossip if self.speaker is not None else None
         return (0, 0) if gossip is None else (gossip.sent, gossip.bytes_sent)
@@ -180,71 +180,71 @@
 class HollowProcess:
     """All members of one process."""
 
-    def __init__(self, job: Job, words: Any) -> None:
+    def __init__(self, job: HollowJob, words: Any) -> None:
         self.job = job
-        self.words = words
+        self.connection = words
         self.counts = Counts()
-        self.before = held(os.getpid())[0]
+        self.resident_before = held(os.getpid())[0]
         self.members = {p.number: HollowMember(p, job, self.counts) for p in job.members}
-        self.former = [0, 0]  # datagrams and bytes that former lives sent
-        self.cpu = 0.0
-        self.sent = (0, 0)  # before it was told to begin
+        self.former_sent = [0, 0]  # datagrams and bytes that former lives sent
+        self.cpu_before = 0.0
+        self.sent_before = (0, 0)  # before it was told to begin
         self.starting: set[asyncio.Task[None]] = set()
         self.loop = asyncio.get_running_loop()
 
-    async def live(self) -> None:
+    async def run(self) -> None:
         """From the start to the end of all members."""
         for member in self.members.values():
             await member.start(again=False)
-        self.words.send(("ready", self.memory()))
-        await told_to_end(self.words, self._begin)
-        self._tell()
-        self.words.send(("ended", self.memory()))
+        self.connection.send(("ready", self.member_memory()))
+        await wait_for_end(self.connection, self._begin_measuring)
+        self._report()
+        self.connection.send(("ended", self.member_memory()))
         for member in self.members.values():
             member.close()
 
-    def memory(self) -> float:
+    def member_memory(self) -> float:
         """Resident MB for each member, beyond what the process had without any."""
-        return (held(os.getpid())[0] - self.before) / len(self.members)
+        return (held(os.getpid())[0] - self.resident_before) / len(self.members)
 
-    def _begin(self) -> None:
+    def _begin_measuring(self) -> None:
         # what each took to start is no part of what it costs to run
-        self.cpu, self.sent = time.process_time(), self._all_sent()
+        self.cpu_before, self.sent_before = time.process_time(), self._total_sent()
         self.counts.datagrams_in = self.counts.datagram_bytes_in = 0
         self.counts.in_force.clear()
         for at, numbers in self.job.restarts:
-            self.loop.call_later(at, self._restart, numbers)
-        self.loop.call_later(TELLS, self._tell_again)
+            self.loop.call_later(at, self._restart_members, numbers)
+        self.loop.call_later(REPORT_INTERVAL, self._report_periodically)
 
-    def _restart(self, numbers: frozenset[int]) -> None:
+    def _restart_members(self, numbers: frozenset[int]) -> None:
         for number in numbers & self.members.keys():
             former = self.members[number]
             former.close()
-            for i, count in enumerate(former.sent()):
-                self.former[i] += count
+            for i, count in enumerate(former.sent_totals()):
+                self.former_sent[i] += count
             member = self.members[number] = HollowMember(former.place, self.job, self.counts)
             task = self.loop.create_task(member.start(again=True))
             self.starting.add(task)
             task.add_done_callback(self.starting.discard)
 
-    def _all_sent(self) -> tuple[int, int]:
-        each = [member.sent() for member in self.members.values()]
-        return self.former[0] + sum(e[0] for e in each), self.former[1] + sum(e[1] for e in each)
+    def _total_sent(self) -> tuple[int, int]:
+        each = [member.sent_totals() for member in self.members.values()]
+        return self.former_sent[0] + sum(e[0] for e in each), self.former_sent[1] + sum(e[1] for e in each)
 
-    def _tell_again(self) -> None:
-        self._tell()
-        self.loop.call_later(TELLS, self._tell_again)
+    def _report_periodically(self) -> None:
+        self._report()
+        self.loop.call_later(REPORT_INTERVAL, self._report_periodically)
 
-    def _tell(self) -> None:
-        counts, sent = self.counts, self._all_sent()
-        counts.at, counts.cpu = time.monotonic(), time.process_time() - self.cpu
-        counts.datagrams_out = sent[0] - self.sent[0]
-        counts.datagram_bytes_out = sent[1] - self.sent[1]
-        self.words.send(("counts", counts))
+    def _report(self) -> None:
+        counts, sent = self.counts, self._total_sent()
+        counts.at, counts.cpu = time.monotonic(), time.process_time() - self.cpu_before
+        counts.datagrams_out = sent[0] - self.sent_before[0]
+        counts.datagram_bytes_out = sent[1] - self.sent_before[1]
+        self.connection.send(("counts", counts))
         counts.in_force.clear()
 
 
-def work(job: Job, words: Any) -> None:
+def run_process(job: HollowJob, words: Any) -> None:
     """One process of hollow members."""
     gc.set_threshold(10_000, 10, 10)  # as a router has it (`__main__.py`)
     logging.basicConfig(
@@ -252,7 +252,7 @@
     )
 
     async def live() -> None:
-        await HollowProcess(job, words).live()
+        await HollowProcess(job, words).run()
 
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
         runner.run(live())
--- a/myrtlecourse/scale/machine.py
+++ b/myrtlecourse/scale/machine.py
@@ -9,23 +9,23 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-TICK = 1.0 / os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
-LOOPS = 200_000  # of one calibration
-TIMES = 5
+CPU_TICK = 1.0 / os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+CALIBRATION_LOOPS = 200_000  # of one calibration
+CALIBRATION_REPEATS = 5
 
 
 @dataclass(frozen=True, slots=True)
-class Process:
+class ProcessStat:
     """One process: times in seconds of processor, memory in resident bytes."""
 
     parent: int
-    own: float
-    children: float  # that it has waited for
-    memory: int
+    cpu_s: float
+    children_cpu_s: float  # that it has waited for
+    resident: int
 
 
-def processes() -> dict[int, Process]:
+def read_processes() -> dict[int, ProcessStat]:
     """All processes, by their ids."""
     found = {}
     for folder in Path("/proc").iterdir():
@@ -35,16 +35,16 @@
             words = (folder / "stat").read_text().rpartition(")")[2].split()
         except OSError:
             continue  # it has ended meanwhile
-        found[int(folder.name)] = Process(
+        found[int(folder.name)] = ProcessStat(
             parent=int(words[1]),
-            own=(int(words[11]) + int(words[12])) * TICK,
-            children=(int(words[13]) + int(words[14])) * TICK,
-            memory=int(words[21]) * PAGE,
+            cpu_s=(int(words[11]) + int(words[12])) * CPU_TICK,
+            children_cpu_s=(int(words[13]) + int(words[14])) * CPU_TICK,
+            resident=int(words[21]) * PAGE_BYTES,
         )
     return found
 
 
-def tree(root: int, table: dict[int, Process]) -> set[int]:
+def process_tree(root: int, table: dict[int, ProcessStat]) -> set[int]:
     """A process and all that descend from it."""
     children: dict[int, list[int]] = {}
     for pid, process in table.items():
@@ -58,9 +58,9 @@
     return found
 
 
-def used(pids: Iterable[int], table: dict[int, Process]) -> float:
+def cpu_seconds_of(pids: Iterable[int], table: dict[int, ProcessStat]) -> float:
     """Seconds of processor that these have used, with children that ended and were waited for."""
-    return sum(table[pid].own + table[pid].children for pid in pids)
+    return sum(table[pid].cpu_s + table[pid].children_cpu_s for pid in pids)
 
 
 def machine_memory() -> int:
@@ -69,31 +69,33 @@
     return int(text.split("MemTotal:")[1].split()[0]) * 1024
 
 
-def machine_busy() -> float:
+def machine_cpu_seconds() -> float:
     """Seconds of processor that the whole machine has used, in all cores, by anybody (user, nice, system,
     interrupts)."""
     words = Path("/proc/stat").read_text().split("\n", 1)[0].split()
-    return sum(int(words[i]) for i in (1, 2, 3, 6, 7)) * TICK
+    return sum(int(words[i]) for i in (1, 2, 3, 6, 7)) * CPU_TICK
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
+class CpuUsage:
     """What was used up to a time: by the whole machine, and by this process with all that descend from it."""
 
-    at: float
-    machine: float
-    own: float
+    time: float
+    machine_s: float
+    own_s: float
 
     @classmethod
-    def now(cls) -> Use:
-        table = processes()
-        return cls(time.monotonic(), machine_busy(), used(tree(os.getpid(), table), table))
+    def now(cls) -> CpuUsage:
+        table = read_processes()
+        return cls(
+            time.monotonic(), machine_cpu_seconds(), cpu_seconds_of(process_tree(os.getpid(), table), table)
+        )
 
 
-def others_share(before: Use, after: Use) -> float:
+def others_share(before: CpuUsage, after: CpuUsage) -> float:
     """The share of the machine that processes of others used between two times."""
-    room = (after.at - before.at) * (os.cpu_count() or 1)
-    others = (after.machine - before.machine) - (after.own - before.own)
+    room = (after.time - before.time) * (os.cpu_count() or 1)
+    others = (after.machine_s - before.machine_s) - (after.own_s - before.own_s)
     return max(0.0, others / room) if room > 0 else 0.0
 
 
@@ -102,8 +104,8 @@
 
     def once() -> float:
         began, number = time.process_time(), 1
-        for _ in range(LOOPS):
+        for _ in range(CALIBRATION_LOOPS):
             number = (number * 1_103_515_245 + 12_345) & 0x7FFF_FFFF
         return time.process_time() - began
 
-    return statistics.median(once() for _ in range(TIMES))
+    return statistics.median(once() for _ in range(CALIBRATION_REPEATS))
--- a/myrtlecourse/scale/page.py
+++ b/myrtlecourse/scale/page.py
@@ -7,13 +7,21 @@
 
 from myrtlecourse.net.host import DEADLINE_MARGIN
 from myrtlecourse.scale import role_costs
-from myrtlecourse.scale.calibration import shared
+from myrtlecourse.scale.calibration import is_shared
 from myrtlecourse.scale.capacity_results import Measure, Results, Slope
-from myrtlecourse.scale.estimates import Book, Figure, spelled
+from myrtlecourse.scale.estimates import Estimate, Estimates, format_value
 from myrtlecourse.scale.fit import check
-from myrtlecourse.scale.role_costs import CHANGES, REGIONS, ROUTERS, SERVERS, SITE, VIEW, Row
+from myrtlecourse.scale.role_costs import (
+    CHANGE_RATE,
+    REGIONS,
+    ROUTERS,
+    ROUTERS_PER_SITE,
+    SERVERS,
+    SERVERS_PER_REGION,
+    CostRow,
+)
 
-NONE = "not measured"
+NOT_MEASURED = "not measured"
 PICTURE = "capacity/slopes.png"
 HOPS = (
     ("tool", "from the tool to a control machine"),
@@ -37,132 +45,160 @@
 from the results in `docs/capacity/`; nothing here is typed by hand, and a test fails when page and results
 differ. A figure names its slope or measure; brackets hold its 95% interval; one with a formula is arithmetic.
 Processor times are of one thread, on the machine of the results. A stop of a router's loop stands beside the
-{spelled(DEADLINE_MARGIN, "s")} by which routers answer before their clients' deadlines."""
+{format_value(DEADLINE_MARGIN, "s")} by which routers answer before their clients' deadlines."""
 
 
-def table(head: Sequence[str], body: Iterable[Sequence[str]]) -> str:
+def markdown_table(head: Sequence[str], body: Iterable[Sequence[str]]) -> str:
     """A table in Markdown."""
     lines = [head, ["---"] * len(head), *body]
-    return "\n".join(f"| {' | '.join(cell.replace('|', '/') for cell in line)} |" for line in lines)
+    return "\n".join(
+        f"| {' | '.join(estimate_cell.replace('|', '/') for estimate_cell in line)} |" for line in lines
+    )
 
 
-def cell(figure: Figure | None) -> str:
+def estimate_cell(figure: Estimate | None) -> str:
     """A figure, or that there is none."""
-    return NONE if figure is None else str(figure)
+    return NOT_MEASURED if figure is None else str(figure)
 
 
-def times(factor: float | None) -> str:
+def ratio_cell(factor: float | None) -> str:
     """How many times the budget."""
     return "" if factor is None else f"{factor:.2g}" if factor < 100 else f"{factor:,.0f}"
 
 
-def budget(row: Row) -> str:
+def budget_cell(row: CostRow) -> str:
     """What a row may cost, or has to reach."""
     if row.budget is None:
         return "none given"
-    unit = row.figure.unit if row.figure else role_costs.UNITS[row.budget]
-    return ("at least " if row.least else "") + spelled(row.budget, unit)
+    unit = row.estimate.unit if row.estimate else role_costs.BUDGET_UNITS[row.budget]
+    return ("at least " if row.is_minimum else "") + format_value(row.budget, unit)
 
 
-def source(row: Row) -> str:
+def source_cell(row: CostRow) -> str:
     """Where a row's figure is from, or the name under which it is missed."""
-    return row.figure.origin if row.figure else f"`{row.named}`"
+    return row.estimate.annotated_source if row.estimate else f"`{row.missing}`"
 
 
-def misfits(rows: list[Row]) -> str:
+def over_budget_section(rows: list[CostRow]) -> str:
     """What is over its budget, the worst first."""
-    over = [r for r in rows if (r.factor or 0.0) > 1.0]
-    over.sort(key=lambda r: -(r.factor or 0.0))
-    body = [(r.role, r.what, cell(r.figure), budget(r), times(r.factor), source(r), r.state) for r in over]
+    over = [r for r in rows if (r.budget_ratio or 0.0) > 1.0]
+    over.sort(key=lambda r: -(r.budget_ratio or 0.0))
+    body = [
+        (
+            r.role,
+            r.item,
+            estimate_cell(r.estimate),
+            budget_cell(r),
+            ratio_cell(r.budget_ratio),
+            source_cell(r),
+            r.state,
+        )
+        for r in over
+    ]
     head = ("role", "what", "at the size to come", "budget", "times its budget", "from", "state")
-    absent = sum(r.figure is None for r in rows)
-    unsure = sum(r.figure is not None and not r.figure.holds for r in rows)
+    absent = sum(r.estimate is None for r in rows)
+    unsure = sum(r.estimate is not None and not r.estimate.law_holds for r in rows)
     text = (
-        f"{len(over)} of {len(rows)} rows are over their budget; {absent} are {NONE}, "
+        f"{len(over)} of {len(rows)} rows are over their budget; {absent} are {NOT_MEASURED}, "
         f"and {unsure} not foretold, as the law does not hold."
     )
     return (
-        f"## What does not fit\n\n{text}\n\n{table(head, body)}"
+        f"## What does not fit\n\n{text}\n\n{markdown_table(head, body)}"
         if over
         else f"## What does not fit\n\n{text}"
     )
 
 
-def by_role(rows: list[Row]) -> str:
+def role_section(rows: list[CostRow]) -> str:
     """A table for each role."""
     head = ("what", "at the size to come", "budget", "times its budget", "from", "carried by", "state")
     parts = ["## By role"]
     for role, mine in groupby(sorted(rows, key=lambda r: r.role), key=lambda r: r.role):
         body = [
-            (r.what, cell(r.figure), budget(r), times(r.factor), source(r), r.carrier, r.state) for r in mine
+            (
+                r.item,
+                estimate_cell(r.estimate),
+                budget_cell(r),
+                ratio_cell(r.budget_ratio),
+                source_cell(r),
+                r.module,
+                r.state,
+            )
+            for r in mine
         ]
-        parts.append(f"### {role.capitalize()}\n\n{table(head, body)}")
+        parts.append(f"### {role.capitalize()}\n\n{markdown_table(head, body)}")
     return "\n\n".join(parts)
 
 
-def clock(book: Book, kind: str, limit: float) -> str:
+def propagation_section(book: Estimates, kind: str, limit: float) -> str:
     """A change or a purge, hop by hop, by the clock."""
-    body = [[what, *(cell(book.of(f"{kind}.{hop}.{case}")) for case, _ in CASES)] for hop, what in HOPS]
+    body = [
+        [what, *(estimate_cell(book.measure(f"{kind}.{hop}.{case}")) for case, _ in CASES)]
+        for hop, what in HOPS
+    ]
     head = ("hop", *(what for _, what in CASES))
     hops, cases = ("`, `".join(name for name, _ in part) for part in (HOPS, CASES))
     missed = f"Measures named `{kind}.HOP.CASE` (`{hops}`; `{cases}`)."
     force = ""
     if kind == "change":
-        turns = [f"{cell(book.at('list.change', n))} with {n:,} servers listed" for n in (SERVERS, VIEW)]
+        turns = [
+            f"{estimate_cell(book.at_size('list.change', n))} with {n:,} servers listed"
+            for n in (SERVERS, SERVERS_PER_REGION)
+        ]
         least = "(`list.change`, processor time: the least that the clock shows)"
         force = f" Taken at a router: {', '.join(turns)} {least}."
-    return f"### A {kind}, everywhere within {limit:g} s\n\n{table(head, body)}\n\n{missed}{force}"
+    return f"### A {kind}, everywhere within {limit:g} s\n\n{markdown_table(head, body)}\n\n{missed}{force}"
 
 
-def events(book: Book) -> str:
+def event_section(book: Estimates) -> str:
     """The ordinary year: what each event sets off, and what it costs the others."""
-    change, stop, octets = (book.at(f"list.{w}", SERVERS) for w in ("change", "stop", "bytes"))
-    after = spelled(role_costs.forgotten_after(SITE), "s")
+    change, stop, octets = (book.at_size(f"list.{w}", SERVERS) for w in ("change", "stop", "bytes"))
+    after = format_value(role_costs.time_until_forgotten(ROUTERS_PER_SITE), "s")
 
-    def cost(figure: Figure | None, factor: float, formula: str, unit: str | None = None) -> str:
-        found = role_costs.per(figure, factor, formula, unit)
-        return f"{found} ({found.origin})" if found else NONE
+    def cost(figure: Estimate | None, factor: float, formula: str, unit: str | None = None) -> str:
+        found = role_costs.scaled(figure, factor, formula, unit)
+        return f"{found} ({found.annotated_source})" if found else NOT_MEASURED
 
     def days(share: int, of: int = 1) -> str:
         return f"{of * share / role_costs.MACHINES:,.0f} a day ({of:,} x {share:,} / {role_costs.MACHINES:,})"
 
     place, zone = role_costs.MACHINES / role_costs.SITES, SERVERS / role_costs.ZONES
-    apart = CHANGES * 3600
-    told = book.of("change.whole.plain")
+    apart = CHANGE_RATE * 3600
+    told = book.measure("change.whole.plain")
     # no reader may take the spread's time for that of lists, which discovery brings
-    heard = f"{cell(told)} (`change.whole.plain`, were it carried by `spread/`, which it is not)"
+    heard = f"{estimate_cell(told)} (`change.whole.plain`, were it carried by `spread/`, which it is not)"
     each = "one change of the list at every router"
     body = [
         (
             "a cache server fails",
-            days(SERVERS, role_costs.FAILED),
+            days(SERVERS, role_costs.FAILURES_PER_DAY),
             each,
             heard,
             cost(change, ROUTERS, f"{ROUTERS:,} x {{}}") + " of the fleet's processors",
         ),
         (
             "a router fails",
-            days(ROUTERS, role_costs.FAILED),
+            days(ROUTERS, role_costs.FAILURES_PER_DAY),
             "its site's roster forgets it",
-            f"{after} (`Gossip.state` with {SITE} members, arithmetic)",
+            f"{after} (`Gossip.state` with {ROUTERS_PER_SITE} members, arithmetic)",
             "nothing: no list names routers",
         ),
         (
             "a cache server restarts",
-            days(SERVERS, role_costs.RESTARTED),
+            days(SERVERS, role_costs.RESTARTS_PER_DAY),
             "two changes of the list at every router",
             heard,
             cost(change, 2, "2 x {}") + " of each router's loop",
         ),
         (
             "a router restarts",
-            days(ROUTERS, role_costs.RESTARTED),
+            days(ROUTERS, role_costs.RESTARTS_PER_DAY),
             "it asks for the whole list",
             cost(stop, 1, "{}") + " of its own processor",
             cost(
                 octets,
-                role_costs.RESTARTED * ROUTERS / role_costs.MACHINES,
-                f"{role_costs.RESTARTED:,} x {ROUTERS:,} / {role_costs.MACHINES:,} x {{}}",
+                role_costs.RESTARTS_PER_DAY * ROUTERS / role_costs.MACHINES,
+                f"{role_costs.RESTARTS_PER_DAY:,} x {ROUTERS:,} / {role_costs.MACHINES:,} x {{}}",
             )
             + " a day from discovery",
         ),
@@ -193,36 +229,40 @@
         ),
     ]
     head = ("event", "how often", "sets off", "until all is well", "costs the others")
-    return f"## The ordinary year\n\n{table(head, body)}"
+    return f"## The ordinary year\n\n{markdown_table(head, body)}"
 
 
-def views(book: Book) -> str:
+def region_section(book: Estimates) -> str:
     """What grows with the whole fleet at each router, beside a region's view."""
     slopes = [s for s in book.slopes.values() if s.by == "servers in the list"]
     body = [
-        (s.what, cell(book.at(s.name, SERVERS)), cell(book.at(s.name, VIEW)), f"`{s.name}`") for s in slopes
+        (
+            s.what,
+            estimate_cell(book.at_size(s.name, SERVERS)),
+            estimate_cell(book.at_size(s.name, SERVERS_PER_REGION)),
+            f"`{s.name}`",
+        )
+        for s in slopes
     ]
     rosters = (
-        f"gossip and verdicts for a second: a roster of {ROUTERS:,} and all zones, of {SITE} and a region's",
-        cell(book.at("agent.second", ROUTERS)),
-        cell(book.at("agent.region", SITE)),
+        f"gossip and verdicts for a second: a roster of {ROUTERS:,} and all zones, of {ROUTERS_PER_SITE} and a region's",
+        estimate_cell(book.at_size("agent.second", ROUTERS)),
+        estimate_cell(book.at_size("agent.region", ROUTERS_PER_SITE)),
         "`agent.second`, `agent.region`",
     )
-    lead = f"""These grow with the whole fleet at each router. A region's view holds {VIEW} cache servers
-({SERVERS:,} / {REGIONS}) and the {SITE} routers of the own site. Routing takes such a list as it
+    lead = f"""These grow with the whole fleet at each router. A region's view holds {SERVERS_PER_REGION} cache servers
+({SERVERS:,} / {REGIONS}) and the {ROUTERS_PER_SITE} routers of the own site. Routing takes such a list as it
 stands; what is missing is who gives each region its part."""
-    head = ("what", f"whole fleet: {SERVERS:,}", f"region's view: {VIEW}", "from")
-    return f"## What grows with the whole fleet\n\n{lead}\n\n{table(head, [*body, rosters])}"
+    head = ("what", f"whole fleet: {SERVERS:,}", f"region's view: {SERVERS_PER_REGION}", "from")
+    return f"## What grows with the whole fleet\n\n{lead}\n\n{markdown_table(head, [*body, rosters])}"
 
 
-def slope_line(slope: Slope) -> tuple[str, ...]:
+def slope_row(slope: Slope) -> tuple[str, ...]:
     """A slope, its law, and how that stood its check."""
     law, tried = check(slope.repeats)
-    foretold, last = tried.foretold, max(slope.points, key=lambda p: p.size)
+    foretold, last = tried.predicted, max(slope.points, key=lambda p: p.size)
     unit = slope.unit
-    said = (
-        f"{spelled(foretold.value, unit)} ({spelled(foretold.low, unit)} to {spelled(foretold.high, unit)})"
-    )
+    said = f"{format_value(foretold.value, unit)} ({format_value(foretold.low, unit)} to {format_value(foretold.high, unit)})"
     ratio = f"{tried.measured / last.calibration:.3g}" if unit == "s" else ""
     return (
         f"`{slope.name}`",
@@ -233,31 +273,31 @@
         f"{law.held_out:.1%}",
         f"{tried.size:,}",
         said,
-        spelled(tried.measured, unit),
-        "counts" if tried.counts else "**does not hold**",
+        format_value(tried.measured, unit),
+        "counts" if tried.holds else "**does not hold**",
         ratio,
-        "**shared**" if shared(slope.others) else "alone",
+        "**shared**" if is_shared(slope.others) else "alone",
         f"`{slope.command}`",
     )
 
 
-def measure_line(found: Measure) -> tuple[str, ...]:
+def measure_row(found: Measure) -> tuple[str, ...]:
     """A measure."""
-    values = [spelled(v, found.unit) for v in (found.value, found.low, found.high)]
+    values = [format_value(v, found.unit) for v in (found.value, found.low, found.high)]
     return (
         f"`{found.name}`",
         found.what,
         f"{values[0]} ({values[1]} to {values[2]})",
         str(found.repeats),
         found.form,
-        "**shared**" if shared(found.others) else "alone",
+        "**shared**" if is_shared(found.others) else "alone",
         f"`{found.command}`",
     )
 
 
-def measured(results: Results) -> str:
+def measurement_section(results: Results) -> str:
     """All slopes and measures."""
-    slopes = table(
+    slopes = markdown_table(
         (
             "slope",
             "what",
@@ -273,14 +313,14 @@
             "machine",
             "command",
         ),
-        map(slope_line, results.slopes),
+        map(slope_row, results.slopes),
     )
-    measures = table(
+    measures = markdown_table(
         ("measure", "what", "value", "repeats", "form", "machine", "command"),
-        map(measure_line, results.measures),
+        map(measure_row, results.measures),
     )
     paces = [p.calibration for slope in results.slopes for p in slope.points] or [0.0]
-    pace = f"{spelled(min(paces), 's')} to {spelled(max(paces), 's')}"
+    pace = f"{format_value(min(paces), 's')} to {format_value(max(paces), 's')}"
     return f"""## What was measured
 
 Each slope is fitted up to a quarter of its largest size and foretells that. It counts if what was
@@ -297,19 +337,22 @@
 {measures}"""
 
 
-def page(results: Results) -> str:
+def render_page(results: Results) -> str:
     """The page's text."""
-    book = Book(results)
-    rows = role_costs.rows(book)
-    times_part = [clock(book, "change", role_costs.CHANGE_TIME), clock(book, "purge", role_costs.PURGE_TIME)]
+    book = Estimates(results)
+    rows = role_costs.all_rows(book)
+    times_part = [
+        propagation_section(book, "change", role_costs.MAX_CHANGE_TIME),
+        propagation_section(book, "purge", role_costs.MAX_PURGE_TIME),
+    ]
     parts = [
         INTRO,
-        misfits(rows),
-        by_role(rows),
+        over_budget_section(rows),
+        role_section(rows),
         "## By the clock",
         *times_part,
-        events(book),
-        views(book),
-        measured(results),
+        event_section(book),
+        region_section(book),
+        measurement_section(results),
     ]
     return "\n\n".join(parts) + "\n"
--- a/myrtlecourse/scale/role_costs.py
+++ b/myrtlecourse/scale/role_costs.py
@@ -9,73 +9,79 @@
 from myrtlecourse.net.host import DEADLINE_MARGIN
 from myrtlecourse.peers.gossip import CARRIED, GONE, MOST_MEMBERS, SUSPECT
 from myrtlecourse.peers.seal import LONGEST
-from myrtlecourse.scale.estimates import Book, Figure, plain
+from myrtlecourse.scale.estimates import Estimate, Estimates, calculated
 
 # What the fleet is to be in two years.
-ROUTERS, SITES, REGIONS, ZONES, SERVERS, CONTROL = 16_000, 650, 43, 138, 6_700, 20
-REQUESTS, BITS = 16e6, 120e12  # a second at the peak
-PURGES, CHANGES = 100.0, 62_000 / 86_400  # a second
-FAILED, RESTARTED = 34, 4_200  # machines on an ordinary day
-PURGE_TIME, CHANGE_TIME = 1.7, 4.0  # seconds until one is in force everywhere
-CORE, MEMORY, OCTETS = 0.046, 64e6, 27e3  # for control at a router: of a core, bytes, bytes a second
+ROUTERS, SITES, REGIONS, ZONES, SERVERS, CONTROL_NODES = 16_000, 650, 43, 138, 6_700, 20
+PEAK_REQUESTS, PEAK_BITS = 16e6, 120e12  # a second at the peak
+PURGE_RATE, CHANGE_RATE = 100.0, 62_000 / 86_400  # a second
+FAILURES_PER_DAY, RESTARTS_PER_DAY = 34, 4_200  # machines on an ordinary day
+MAX_PURGE_TIME, MAX_CHANGE_TIME = 1.7, 4.0  # seconds until one is in force everywhere
+CPU_BUDGET, MEMORY_BUDGET, BANDWIDTH_BUDGET = (
+    0.046,
+    64e6,
+    27e3,
+)  # for control at a router: of a core, bytes, bytes a second
 # What follows.
 MACHINES = ROUTERS + SERVERS
-VIEW = round(SERVERS / REGIONS)  # cache servers that a region's routers need to know
-SITE = round(ROUTERS / SITES)  # routers of a site
-CHILDREN = SITES / REGIONS  # sites that a region's relay tells
-FLOW = BITS / 8 / ROUTERS  # bytes a second through a router
-LISTED = 2 * (FAILED + RESTARTED) * SERVERS / MACHINES / 86_400  # list changes a second that restarts make
-RUNS, OFF, MISSING = "runs", "built, off", "missing"
-DATAGRAMS = 16_000  # at which seals are measured
-ROUTER = "router at a site"
+SERVERS_PER_REGION = round(SERVERS / REGIONS)  # cache servers that a region's routers need to know
+ROUTERS_PER_SITE = round(ROUTERS / SITES)  # routers of a site
+SITES_PER_REGION = SITES / REGIONS  # sites that a region's relay tells
+ROUTER_BYTES_PER_S = PEAK_BITS / 8 / ROUTERS  # bytes a second through a router
+RESTART_CHANGES = (
+    2 * (FAILURES_PER_DAY + RESTARTS_PER_DAY) * SERVERS / MACHINES / 86_400
+)  # list changes a second that restarts make
+IN_USE, DISABLED, MISSING = "runs", "built, off", "missing"
+SEALED_DATAGRAMS = 16_000  # at which seals are measured
+ROUTER_ROLE = "router at a site"
 # of budgets, where no figure has it
-UNITS = {
-    CORE: "core",
-    MEMORY: "B",
-    OCTETS: "B/s",
-    FLOW: "B/s",
+BUDGET_UNITS = {
+    CPU_BUDGET: "core",
+    MEMORY_BUDGET: "B",
+    BANDWIDTH_BUDGET: "B/s",
+    ROUTER_BYTES_PER_S: "B/s",
     DEADLINE_MARGIN: "s",
-    CHANGE_TIME: "s",
-    REQUESTS / ROUTERS: "1/s",
+    MAX_CHANGE_TIME: "s",
+    PEAK_REQUESTS / ROUTERS: "1/s",
 }
-RELAYS = {
-    "router": ROUTER,
+SPREAD_ROLES = {
+    "router": ROUTER_ROLE,
     "site_relay": "relay in a site",
     "region_relay": "relay in a region",
     "control": "control machine",
 }
-SPREAD = "`spread/`"
+SPREAD_MODULE = "`spread/`"
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class CostRow:
     """One thing that a role bears."""
 
     role: str
-    what: str
-    figure: Figure | None
-    named: str  # what to measure, where the figure is absent
+    item: str
+    estimate: Estimate | None
+    missing: str  # what to measure, where the figure is absent
     budget: float | None = None
-    least: bool = False  # the budget is the least that is needed, not the most allowed
-    carrier: str = ""
-    state: str = RUNS
+    is_minimum: bool = False  # the budget is the least that is needed, not the most allowed
+    module: str = ""
+    state: str = IN_USE
 
     @property
-    def factor(self) -> float | None:
+    def budget_ratio(self) -> float | None:
         """How many times its budget it takes, or its need exceeds it; over 1 does not fit. None: unknown."""
-        if self.figure is None or not self.figure.holds or self.budget is None:
+        if self.estimate is None or not self.estimate.law_holds or self.budget is None:
             return None
-        return self.budget / self.figure.value if self.least else self.figure.value / self.budget
+        return self.budget / self.estimate.value if self.is_minimum else self.estimate.value / self.budget
 
 
-def per(figure: Figure | None, factor: float, formula: str, unit: str | None = None) -> Figure | None:
+def scaled(figure: Estimate | None, factor: float, formula: str, unit: str | None = None) -> Estimate | None:
     """A multiple of a figure that may be absent."""
-    return figure.times(factor, formula, unit) if figure is not None else None
+    return figure.multiplied(factor, formula, unit) if figure is not None else None
 
 
-def list_rows(book: Book, servers: int, whose: str) -> Iterator[Row]:
+def list_rows(book: Estimates, servers: int, whose: str) -> Iterator[CostRow]:
     """What a list of so many servers costs a router."""
-    role, module = ROUTER, "`net/discovery.py`, `policy/`"
+    role, module = ROUTER_ROLE, "`net/discovery.py`, `policy/`"
 
     def row(
         what: str,
@@ -84,38 +90,47 @@
         factor: float = 1.0,
         formula: str = "{}",
         unit: str | None = None,
-    ) -> Row:
-        figure = per(book.at(slope, servers), factor, formula, unit)
-        return Row(role, f"{what}, {whose}", figure, f"{slope} at {servers:,}", budget, carrier=module)
+    ) -> CostRow:
+        figure = scaled(book.at_size(slope, servers), factor, formula, unit)
+        return CostRow(role, f"{what}, {whose}", figure, f"{slope} at {servers:,}", budget, module=module)
 
-    yield row("memory for the list", "list.memory", MEMORY)
+    yield row("memory for the list", "list.memory", MEMORY_BUDGET)
     yield row("longest stop of the loop: a first whole list", "list.stop", DEADLINE_MARGIN)
     yield row("longest stop of the loop: one change of the list", "list.change", DEADLINE_MARGIN)
     yield row(
         "list changes, if each change of configuration is one",
-        *("list.change", CORE, CHANGES, f"{CHANGES:.3g}/s x {{}}", "core"),
+        *("list.change", CPU_BUDGET, CHANGE_RATE, f"{CHANGE_RATE:.3g}/s x {{}}", "core"),
+    )
+    restarts = (
+        f"2 x ({FAILURES_PER_DAY} + {RESTARTS_PER_DAY:,}) x {SERVERS:,} / {MACHINES:,} / 86,400 s x {{}}"
+    )
+    yield row(
+        "list changes by machines that fail or restart",
+        "list.change",
+        CPU_BUDGET,
+        RESTART_CHANGES,
+        restarts,
+        "core",
     )
-    restarts = f"2 x ({FAILED} + {RESTARTED:,}) x {SERVERS:,} / {MACHINES:,} / 86,400 s x {{}}"
-    yield row("list changes by machines that fail or restart", "list.change", CORE, LISTED, restarts, "core")
     yield row("bytes of a whole list, at each start", "list.bytes", None)
-    whole = f"{{}} / {OCTETS:,.0f} B/s"
+    whole = f"{{}} / {BANDWIDTH_BUDGET:,.0f} B/s"
     yield row(
         "time to bring a whole list within the bytes for control",
         "list.bytes",
-        CHANGE_TIME,
-        1 / OCTETS,
+        MAX_CHANGE_TIME,
+        1 / BANDWIDTH_BUDGET,
         whole,
         "s",
     )
-    each = REQUESTS / ROUTERS
+    each = PEAK_REQUESTS / ROUTERS
     yield row("deciding the peak's requests", "decision", None, each, f"{each:,.0f}/s x {{}}", "core")
 
 
-def request_rows(book: Book) -> Iterator[Row]:
+def request_rows(book: Estimates) -> Iterator[CostRow]:
     """The way of requests and answers through one real router, on one core."""
-    role, carrier, each = ROUTER, "`net/`", REQUESTS / ROUTERS
-    asked = book.of("router.router_requests")
-    yield Row(
+    role, carrier, each = ROUTER_ROLE, "`net/`", PEAK_REQUESTS / ROUTERS
+    asked = book.measure("router.router_requests")
+    yield CostRow(
         role,
         "requests a second of one core, two servers listed",
         asked,
@@ -124,19 +139,19 @@
         True,
         carrier,
     )
-    small, large = book.at("decision", 105), book.at("decision", SERVERS)
+    small, large = book.at_size("decision", 105), book.at_size("decision", SERVERS)
     slowed = None
     if asked and small and large:
         more = large.value - small.value  # seconds of each request
-        slowed = Figure(
+        slowed = Estimate(
             1 / (1 / asked.value + more),
             1 / (1 / asked.low + large.high - small.low),
             1 / (1 / asked.high + large.low - small.high),
             asked.unit,
             f"1 / (1 / {asked.source} + {large.source} - {small.source})",
-            alone=asked.alone and large.alone and small.alone,
+            exclusive=asked.exclusive and large.exclusive and small.exclusive,
         )
-    yield Row(
+    yield CostRow(
         role,
         f"the same, {SERVERS:,} servers listed",
         slowed,
@@ -145,106 +160,135 @@
         True,
         carrier,
     )
-    flow = book.of("router.router_bytes")
-    yield Row(
-        role, "bytes passed on in a second of one core", flow, "router.router_bytes", FLOW, True, carrier
+    flow = book.measure("router.router_bytes")
+    yield CostRow(
+        role,
+        "bytes passed on in a second of one core",
+        flow,
+        "router.router_bytes",
+        ROUTER_BYTES_PER_S,
+        True,
+        carrier,
     )
-    cores = flow.under(f"{FLOW:,.0f} B/s / {{}}", "core", lambda v: FLOW / v) if flow else None
-    yield Row(role, "cores for the peak's bytes", cores, "router.router_bytes", None, False, carrier)
+    cores = (
+        flow.inverted(f"{ROUTER_BYTES_PER_S:,.0f} B/s / {{}}", "core", lambda v: ROUTER_BYTES_PER_S / v)
+        if flow
+        else None
+    )
+    yield CostRow(role, "cores for the peak's bytes", cores, "router.router_bytes", None, False, carrier)
 
 
-def roster_rows(book: Book) -> Iterator[Row]:
+def roster_rows(book: Estimates) -> Iterator[CostRow]:
     """What other routers cost one."""
-    role, carrier = ROUTER, "`peers/gossip.py`"
-    members = plain(ROUTERS, "", "routers of the fleet")
-    yield Row(
-        role, "members of one roster, the whole fleet in it", members, "", MOST_MEMBERS, carrier=carrier
+    role, carrier = ROUTER_ROLE, "`peers/gossip.py`"
+    members = calculated(ROUTERS, "", "routers of the fleet")
+    yield CostRow(
+        role, "members of one roster, the whole fleet in it", members, "", MOST_MEMBERS, module=carrier
     )
     for count, slope, whose in (
-        (SITE, "agent.region", "its site's, a region's zones"),
-        (SITE, "agent.second", "its site's, all zones"),
+        (ROUTERS_PER_SITE, "agent.region", "its site's, a region's zones"),
+        (ROUTERS_PER_SITE, "agent.second", "its site's, all zones"),
         (MOST_MEMBERS, "agent.second", "the most it takes, all zones"),
         (ROUTERS, "agent.second", "the whole fleet's, all zones"),
     ):
-        cost = per(book.at(slope, count), 1.0, "{}", "core")
-        state = RUNS if count <= MOST_MEMBERS else MISSING
+        cost = scaled(book.at_size(slope, count), 1.0, "{}", "core")
+        state = IN_USE if count <= MOST_MEMBERS else MISSING
         what = f"gossip and verdicts, a roster of {count:,} ({whose})"
-        yield Row(role, what, cost, f"{slope} at {count:,}", CORE, False, carrier, state)
-    for count in (SITE, MOST_MEMBERS):
+        yield CostRow(role, what, cost, f"{slope} at {count:,}", CPU_BUDGET, False, carrier, state)
+    for count in (ROUTERS_PER_SITE, MOST_MEMBERS):
         for kind, what, most in (
             ("share", "share known 20 s after all started at once", None),
-            ("bytes", "gossip's bytes out in those 20 s", OCTETS),
+            ("bytes", "gossip's bytes out in those 20 s", BANDWIDTH_BUDGET),
             ("datagrams", "gossip's datagrams out in those 20 s", None),
         ):
             name = f"known.{kind}_{count}"
-            yield Row(ROUTER, f"{what}, a roster of {count:,}", book.of(name), name, most, carrier=carrier)
+            yield CostRow(
+                ROUTER_ROLE, f"{what}, a roster of {count:,}", book.measure(name), name, most, module=carrier
+            )
 
 
-def relay_rows(book: Book) -> Iterator[Row]:
+def relay_rows(book: Estimates) -> Iterator[CostRow]:
     """What purges and changes cost who passes them on, each as one sealed datagram of the longest."""
     opens, packs = (
-        per(book.at(f"seal.{what}", DATAGRAMS), 1 / DATAGRAMS, f"{{}} / {DATAGRAMS:,}")
+        scaled(
+            book.at_size(f"seal.{what}", SEALED_DATAGRAMS),
+            1 / SEALED_DATAGRAMS,
+            f"{{}} / {SEALED_DATAGRAMS:,}",
+        )
         for what in ("open", "pack")
     )
-    rate, said, state = PURGES + CHANGES, f"({PURGES:g}/s + {CHANGES:.3g}/s)", OFF
+    rate, said, state = PURGE_RATE + CHANGE_RATE, f"({PURGE_RATE:g}/s + {CHANGE_RATE:.3g}/s)", DISABLED
     for role, out, told in (
-        (ROUTER, 0.0, "0"),
-        ("relay in a site", SITE - 1.0, f"({SITE} - 1)"),
-        ("relay in a region", CHILDREN, f"{SITES} / {REGIONS}"),
-        ("control machine", REGIONS / CONTROL, f"{REGIONS} / {CONTROL}"),
-        ("control machine, without relays", ROUTERS / CONTROL, f"{ROUTERS:,} / {CONTROL}"),
+        (ROUTER_ROLE, 0.0, "0"),
+        ("relay in a site", ROUTERS_PER_SITE - 1.0, f"({ROUTERS_PER_SITE} - 1)"),
+        ("relay in a region", SITES_PER_REGION, f"{SITES} / {REGIONS}"),
+        ("control machine", REGIONS / CONTROL_NODES, f"{REGIONS} / {CONTROL_NODES}"),
+        ("control machine, without relays", ROUTERS / CONTROL_NODES, f"{ROUTERS:,} / {CONTROL_NODES}"),
     ):
         limited = not role.startswith("control")
-        came, sent = plain(rate, "1/s", said), plain(rate * out, "1/s", f"{said} x {told}")
-        yield Row(role, "messages in", came, "", None, False, SPREAD, state)
-        yield Row(role, "messages out", sent, "", None, False, SPREAD, state)
-        octets = plain(rate * LONGEST * (1 + out), "B/s", f"{said} x {LONGEST} B x (1 + {told})")
-        yield Row(role, "bytes in and out", octets, "", OCTETS if limited else None, False, SPREAD, state)
-        cost = per(opens, rate, f"{said} x {{}}", "core")
+        came, sent = calculated(rate, "1/s", said), calculated(rate * out, "1/s", f"{said} x {told}")
+        yield CostRow(role, "messages in", came, "", None, False, SPREAD_MODULE, state)
+        yield CostRow(role, "messages out", sent, "", None, False, SPREAD_MODULE, state)
+        octets = calculated(rate * LONGEST * (1 + out), "B/s", f"{said} x {LONGEST} B x (1 + {told})")
+        yield CostRow(
+            role,
+            "bytes in and out",
+            octets,
+            "",
+            BANDWIDTH_BUDGET if limited else None,
+            False,
+            SPREAD_MODULE,
+            state,
+        )
+        cost = scaled(opens, rate, f"{said} x {{}}", "core")
         if out:
-            sealed = per(packs, rate * out, f"{said} x {told} x {{}}", "core")
-            cost = cost.plus(sealed) if cost and sealed else None
-        most = CORE if limited else None
-        yield Row(role, "opening and sealing them", cost, "seal.open, seal.pack", most, False, SPREAD, state)
+            sealed = scaled(packs, rate * out, f"{said} x {told} x {{}}", "core")
+            cost = cost.added(sealed) if cost and sealed else None
+        most = CPU_BUDGET if limited else None
+        yield CostRow(
+            role, "opening and sealing them", cost, "seal.open, seal.pack", most, False, SPREAD_MODULE, state
+        )
 
 
-def spread_rows(book: Book) -> Iterator[Row]:
+def spread_rows(book: Estimates) -> Iterator[CostRow]:
     """What carrying changes and purges was measured to cost, where it was."""
-    state = OFF
-    for name, role in RELAYS.items():
-        most = {"processor": CORE, "memory": MEMORY} if name != "control" else {}
+    state = DISABLED
+    for name, role in SPREAD_ROLES.items():
+        most = {"processor": CPU_BUDGET, "memory": MEMORY_BUDGET} if name != "control" else {}
         for what in ("messages_in", "messages_out", "processor", "memory"):
             full = f"spread.{name}.{what}"
             told = f"{what.replace('_', ' ')}, measured"
-            yield Row(role, told, book.of(full), full, most.get(what), False, SPREAD, state)
+            yield CostRow(role, told, book.measure(full), full, most.get(what), False, SPREAD_MODULE, state)
         ways = [f"spread.{name}.bytes_{way}" for way in ("in", "out")]
-        into, out = map(book.of, ways)
-        both = into.plus(out) if into and out else None
-        budget = OCTETS if name != "control" else None
-        yield Row(role, "bytes in and out, measured", both, ", ".join(ways), budget, False, SPREAD, state)
+        into, out = map(book.measure, ways)
+        both = into.added(out) if into and out else None
+        budget = BANDWIDTH_BUDGET if name != "control" else None
+        yield CostRow(
+            role, "bytes in and out, measured", both, ", ".join(ways), budget, False, SPREAD_MODULE, state
+        )
 
 
-def other_rows() -> Iterator[Row]:
+def other_rows() -> Iterator[CostRow]:
     """The parts of cache servers and of the operator's tool."""
     server, tool = "cache server's part", "operator's tool"
-    each = plain(REQUESTS / SERVERS, "1/s", f"{REQUESTS:,.0f}/s / {SERVERS:,}")
-    yield Row(server, "requests in, if all hit", each, "", None, False, "`net/servers.py`", RUNS)
-    kept = plain(ROUTERS, "", f"one from each of {ROUTERS:,} routers")
-    yield Row(
-        server, "connections kept, the whole fleet's routers", kept, "", None, False, "`net/pool.py`", RUNS
+    each = calculated(PEAK_REQUESTS / SERVERS, "1/s", f"{PEAK_REQUESTS:,.0f}/s / {SERVERS:,}")
+    yield CostRow(server, "requests in, if all hit", each, "", None, False, "`net/servers.py`", IN_USE)
+    kept = calculated(ROUTERS, "", f"one from each of {ROUTERS:,} routers")
+    yield CostRow(
+        server, "connections kept, the whole fleet's routers", kept, "", None, False, "`net/pool.py`", IN_USE
     )
-    view = plain(ROUTERS / REGIONS, "", f"{ROUTERS:,} / {REGIONS}")
-    yield Row(
+    view = calculated(ROUTERS / REGIONS, "", f"{ROUTERS:,} / {REGIONS}")
+    yield CostRow(
         server, "connections kept, a region's routers", view, "", None, False, "a region's view", MISSING
     )
-    purged = plain(PURGES, "1/s", "each purge is done at each server")
-    yield Row(server, "purges in", purged, "", None, False, "purges at cache servers", MISSING)
-    changed = plain(CHANGES, "1/s", "62,000 / 86,400 s")
-    yield Row(tool, "changes out", changed, "", None, False, "the tool that sends them", MISSING)
-    answers = plain(
-        CHANGES * ROUTERS, "1/s", f"{CHANGES:.3g}/s x {ROUTERS:,}, if each router answers for itself"
+    purged = calculated(PURGE_RATE, "1/s", "each purge is done at each server")
+    yield CostRow(server, "purges in", purged, "", None, False, "purges at cache servers", MISSING)
+    changed = calculated(CHANGE_RATE, "1/s", "62,000 / 86,400 s")
+    yield CostRow(tool, "changes out", changed, "", None, False, "the tool that sends them", MISSING)
+    answers = calculated(
+        CHANGE_RATE * ROUTERS, "1/s", f"{CHANGE_RATE:.3g}/s x {ROUTERS:,}, if each router answers for itself"
     )
-    yield Row(
+    yield CostRow(
         tool,
         "answers in that a change is in force",
         answers,
@@ -254,8 +298,8 @@
         "adding up on the way",
         MISSING,
     )
-    asked = plain(ROUTERS, "", "one call to each router")
-    yield Row(
+    asked = calculated(ROUTERS, "", "one call to each router")
+    yield CostRow(
         tool,
         "calls for a look at the whole fleet",
         asked,
@@ -263,15 +307,15 @@
         None,
         False,
         "`myrtlecourse fleet-status`",
-        RUNS,
+        IN_USE,
     )
 
 
-def rows(book: Book) -> list[Row]:
+def all_rows(book: Estimates) -> list[CostRow]:
     """All of them."""
     return [
         *list_rows(book, SERVERS, "the whole fleet's"),
-        *list_rows(book, VIEW, "a region's"),
+        *list_rows(book, SERVERS_PER_REGION, "a region's"),
         *request_rows(book),
         *roster_rows(book),
         *relay_rows(book),
@@ -280,7 +324,7 @@
     ]
 
 
-def forgotten_after(members: int) -> float:
+def time_until_forgotten(members: int) -> float:
     """Seconds of calm gossip until a member of which nothing comes is gone (`Gossip.state`, interval 1 s)."""
     turns = max(1.0, math.log2(members) / 2, members / CARRIED)
     return SUSPECT * turns * (1 + GONE)
--- a/myrtlecourse/scale/run.py
+++ b/myrtlecourse/scale/run.py
@@ -19,9 +19,17 @@
 from myrtlecourse.load import run as load
 from myrtlecourse.load.record import Record
 from myrtlecourse.scale import hollow, stand_in_fleet
-from myrtlecourse.scale.child_process import BEGIN, END, Child
-from myrtlecourse.scale.guard import MB, Guard, adopt_orphans, end_all
-from myrtlecourse.scale.machine import LOOPS, Process, Use, calibrate, machine_memory, others_share, processes
+from myrtlecourse.scale.child_process import BEGIN, END, ChildProcess
+from myrtlecourse.scale.guard import MB, ResourceLimits, adopt_orphans, end_descendants
+from myrtlecourse.scale.machine import (
+    CALIBRATION_LOOPS,
+    CpuUsage,
+    ProcessStat,
+    calibrate,
+    machine_memory,
+    others_share,
+    read_processes,
+)
 from myrtlecourse.scale.run_results import (
     SCHEMA,
     Calibration,
@@ -31,22 +39,22 @@
     Role,
     in_force_times,
 )
-from myrtlecourse.scale.scenario import Place, Scenario
+from myrtlecourse.scale.scenario import MemberPlace, Scenario
 
-LOOK = 0.25  # seconds between looks at bounds, kills and signals
-START_TIME = 60.0  # seconds for all of a kind to be ready, and
-START_MEMBER = 0.2  # more for each hollow member
-END_TIME = 30.0  # seconds for all of a kind to end
-LATE = 60.0  # seconds after the scenario's in which the load must have ended
-SHARED = 0.1  # of the machine, used by others, from which on it is said so
-TERMINATED = (signal.SIGINT, signal.SIGTERM)
+CHECK_INTERVAL = 0.25  # seconds between looks at bounds, kills and signals
+START_TIMEOUT = 60.0  # seconds for all of a kind to be ready, and
+MEMBER_START_TIMEOUT = 0.2  # more for each hollow member
+END_TIMEOUT = 30.0  # seconds for all of a kind to end
+LOAD_END_TIMEOUT = 60.0  # seconds after the scenario's in which the load must have ended
+MAX_OTHERS_SHARE = 0.1  # of the machine, used by others, from which on it is said so
+TERMINATING_SIGNALS = (signal.SIGINT, signal.SIGTERM)
 
 
 class ScaleError(RuntimeError):
     """A run that did not come to its end."""
 
 
-def send_load(job: load.Job, words: Any) -> None:
+def run_load(job: load.Job, words: Any) -> None:
     """The load generator's process: begins when told, ends early when whoever started it is gone."""
     words.send(("ready", None))
     words.recv()
@@ -65,11 +73,11 @@
 
 
 @dataclass
-class Now:
+class RunStatus:
     """How a run stands, for whoever looks on."""
 
-    doing: str = "starting"
-    at: float = 0.0  # seconds since all began
+    phase: str = "starting"
+    elapsed: float = 0.0  # seconds since all began
     counts: dict[str, int] = field(default_factory=dict)  # of requests
     memory: int = 0  # bytes of all processes
     processes: int = 0
@@ -79,61 +87,68 @@
     """One run, from its first process to its last."""
 
     def __init__(
-        self, scenario: Scenario, folder: Path, command: str, guard: Guard, look_on: Callable[[Now], None]
+        self,
+        scenario: Scenario,
+        folder: Path,
+        command: str,
+        guard: ResourceLimits,
+        look_on: Callable[[RunStatus], None],
     ) -> None:
         self.scenario = scenario
         self.folder = folder
         self.command = command
-        self.guard = guard
-        self.look_on = look_on
-        self.now = Now()
-        self.children: list[Child] = []
-        self.signal: int | None = None
-        self.looked_at = 0.0
-        self.most_memory = self.most_processes = 0
+        self.limits = guard
+        self.on_status = look_on
+        self.status = RunStatus()
+        self.children: list[ChildProcess] = []
+        self.received_signal: int | None = None
+        self.checked_at = 0.0
+        self.peak_memory = self.peak_processes = 0
         self.killed: list[str] = []
         self.counts: dict[str, hollow.Counts] = {}  # by process of hollow members
-        self.in_force: list[hollow.InForce] = []
-        self.said: dict[tuple[str, str], Any] = {}  # by process and word
+        self.in_force: list[hollow.InForceRecord] = []
+        self.messages: dict[tuple[str, str], Any] = {}  # by process and word
 
     # Processes
 
-    def start(self, name: str, role: Callable[..., None], *arguments: Any) -> Child:
+    def start_child(self, name: str, role: Callable[..., None], *arguments: Any) -> ChildProcess:
         """Start a process."""
-        child = Child(name, self.folder / "processes.log", role, *arguments)
+        child = ChildProcess(name, self.folder / "processes.log", role, *arguments)
         self.children.append(child)
         return child
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Keep the bounds, and end when asked to. Raises GuardError and ScaleError."""
-        if self.signal is not None:
-            raise ScaleError(f"ended by {signal.Signals(self.signal).name} while {self.now.doing}")
-        if time.monotonic() - self.looked_at < LOOK:
+        if self.received_signal is not None:
+            raise ScaleError(
+                f"ended by {signal.Signals(self.received_signal).name} while {self.status.phase}"
+            )
+        if time.monotonic() - self.checked_at < CHECK_INTERVAL:
             return
-        self.looked_at = time.monotonic()
-        self.now.memory, self.now.processes = self.guard.check()
-        self.most_memory = max(self.most_memory, self.now.memory)
-        self.most_processes = max(self.most_processes, self.now.processes)
-        self.look_on(self.now)
+        self.checked_at = time.monotonic()
+        self.status.memory, self.status.processes = self.limits.check_usage()
+        self.peak_memory = max(self.peak_memory, self.status.memory)
+        self.peak_processes = max(self.peak_processes, self.status.processes)
+        self.on_status(self.status)
 
-    def hear(self) -> None:
+    def receive(self) -> None:
         """Wait a little for words of any process, and take them. Raises ScaleError when one died."""
-        self.look()
-        open_words = {c.words: c for c in self.children if not c.words.closed}
-        for words in multiprocessing.connection.wait(list(open_words), LOOK):
+        self.check()
+        open_words = {c.connection: c for c in self.children if not c.connection.closed}
+        for words in multiprocessing.connection.wait(list(open_words), CHECK_INTERVAL):
             child = open_words[words]  # type: ignore[index]
             try:
-                what, value = child.words.recv()
+                what, value = child.connection.recv()
             except (EOFError, ConnectionResetError):
-                child.words.close()
+                child.connection.close()
                 continue
-            self.take(child, what, value)
+            self.handle_message(child, what, value)
         for child in self.children:
-            if child.died():
+            if child.has_died():
                 code = child.process.returncode
-                raise ScaleError(f"{child.name} died (exit {code}) while {self.now.doing}")
+                raise ScaleError(f"{child.name} died (exit {code}) while {self.status.phase}")
 
-    def take(self, child: Child, what: str, value: Any) -> None:
+    def handle_message(self, child: ChildProcess, what: str, value: Any) -> None:
         """A process's word."""
         match what:
             case "fault":
@@ -142,181 +157,189 @@
                 self.in_force += value.in_force
                 self.counts[child.name] = value
             case "progress":
-                self.now.at, self.now.counts = value
+                self.status.elapsed, self.status.counts = value
             case _:
                 child.ended = child.ended or what == "ended"
-                self.said[child.name, what] = value
+                self.messages[child.name, what] = value
 
-    def wait_for(self, children: list[Child], what: str, within: float) -> list[Any]:
+    def wait_for_message(self, children: list[ChildProcess], what: str, within: float) -> list[Any]:
         """Until each of these has said a word. Raises ScaleError when one has not in time."""
         until = time.monotonic() + within
-        while silent := [c.name for c in children if (c.name, what) not in self.said]:
+        while silent := [c.name for c in children if (c.name, what) not in self.messages]:
             if time.monotonic() > until:
                 raise ScaleError(f"{silent[0]} was not {what} within {within:g} s")
-            self.hear()
-        return [self.said[c.name, what] for c in children]
+            self.receive()
+        return [self.messages[c.name, what] for c in children]
 
     # The run
 
-    def play(self) -> Results:
+    def execute(self) -> Results:
         """All of it. Raises ScaleError, GuardError and ObservationError; no process is left behind."""
         adopt_orphans()
-        former = {each: signal.signal(each, self._told_to_end) for each in TERMINATED}
+        former = {each: signal.signal(each, self._on_signal) for each in TERMINATING_SIGNALS}
         try:
             before = calibrate()
-            played = self._play()
+            played = self._run_processes()
             after = calibrate()
         finally:
-            end_all()
+            end_descendants()
             for each, handler in former.items():
                 signal.signal(each, handler)
-        calibration = Calibration(LOOPS, before, after, (before + after) / 2)
+        calibration = Calibration(CALIBRATION_LOOPS, before, after, (before + after) / 2)
         return self._results(played, calibration)
 
-    def _told_to_end(self, number: int, _: Any) -> None:
-        self.signal = number
+    def _on_signal(self, number: int, _: Any) -> None:
+        self.received_signal = number
 
-    def _play(self) -> Played:
+    def _run_processes(self) -> RunData:
         scenario = self.scenario
-        stand_in = self.start("the fleet", stand_in_fleet.work, scenario, self.folder, self.command)
+        stand_in = self.start_child(
+            "the fleet", stand_in_fleet.run_process, scenario, self.folder, self.command
+        )
         apart = self.folder / "hollow"  # what is seen there is not judged
         apart.mkdir(exist_ok=True)
         alone = msgspec.structs.replace(scenario, peers=None)
-        lists = self.start("the stand-in of hollow members", stand_in_fleet.work, alone, apart, None)
-        there, listed = self.wait_for([stand_in, lists], "ready", START_TIME)
+        lists = self.start_child(
+            "the stand-in of hollow members", stand_in_fleet.run_process, alone, apart, None
+        )
+        there, listed = self.wait_for_message([stand_in, lists], "ready", START_TIMEOUT)
         members = [
-            self.start(
+            self.start_child(
                 f"hollow process {number}",
-                hollow.work,
-                self._job(number, group, there, listed.discovery[number]),
+                hollow.run_process,
+                self._hollow_job(number, group, there, listed.discovery[number]),
             )
-            for number, group in enumerate(scenario.groups())
+            for number, group in enumerate(scenario.members_by_process())
         ]
-        self.wait_for(members, "ready", START_TIME + START_MEMBER * scenario.hollow)
-        job = load.Job(scenario.load(), there.routers, 1, scenario.seconds, observations=self.folder)
-        sender = self.start("the load generator", send_load, job)
-        self.wait_for([sender], "ready", START_TIME)
-        sender.tell(BEGIN)
-        self.wait_for([sender], "began", START_TIME)
+        self.wait_for_message(members, "ready", START_TIMEOUT + MEMBER_START_TIMEOUT * scenario.hollow)
+        job = load.Job(scenario.load_profile(), there.routers, 1, scenario.seconds, observations=self.folder)
+        sender = self.start_child("the load generator", run_load, job)
+        self.wait_for_message([sender], "ready", START_TIMEOUT)
+        sender.send(BEGIN)
+        self.wait_for_message([sender], "began", START_TIMEOUT)
         for child in (stand_in, lists, *members):
-            child.tell(BEGIN)
-        use, table, began = Use.now(), processes(), time.monotonic()
-        self.now.doing = "running"
-        self._run_on(members, sender, began)
-        use_after, table_after = Use.now(), processes()
-        self.now.doing = "ending"
+            child.send(BEGIN)
+        use, table, began = CpuUsage.now(), read_processes(), time.monotonic()
+        self.status.phase = "running"
+        self._run_until_load_ends(members, sender, began)
+        use_after, table_after = CpuUsage.now(), read_processes()
+        self.status.phase = "ending"
         living = [child for child in members if not child.ended]
         for child in living:
-            child.tell(END)
-        memory = self.wait_for(living, "ended", END_TIME)
+            child.send(END)
+        memory = self.wait_for_message(living, "ended", END_TIMEOUT)
         for child in (stand_in, lists):
-            child.tell(END)
-        seen: list[stand_in_fleet.Ended] = self.wait_for([stand_in, lists], "ended", END_TIME)
-        self.wait_for([sender], "ended", END_TIME)
-        return Played(
-            began=began,
-            use=use,
-            use_after=use_after,
+            child.send(END)
+        seen: list[stand_in_fleet.StandInTotals] = self.wait_for_message(
+            [stand_in, lists], "ended", END_TIMEOUT
+        )
+        self.wait_for_message([sender], "ended", END_TIMEOUT)
+        return RunData(
+            began_at=began,
+            usage=use,
+            usage_after=use_after,
             table=table,
             table_after=table_after,
-            there=there,
-            seen=seen[0],
-            listed=seen[1],
+            ready=there,
+            router_totals=seen[0],
+            hollow_totals=seen[1],
             stand_ins=(stand_in.process.pid, lists.process.pid),
-            memory=memory,
-            load=self.said[sender.name, "ended"],
+            member_memory=memory,
+            load=self.messages[sender.name, "ended"],
         )
 
-    def _job(
-        self, number: int, group: tuple[Place, ...], there: stand_in_fleet.Ready, discovery: str
-    ) -> hollow.Job:
-        return hollow.Job(
+    def _hollow_job(
+        self, number: int, group: tuple[MemberPlace, ...], there: stand_in_fleet.StandInReady, discovery: str
+    ) -> hollow.HollowJob:
+        return hollow.HollowJob(
             there.configuration | {"discovery": discovery},
-            there.heard_at,
+            there.gossip_addresses,
             there.operators,
             group,
             tuple(self.scenario.restarts()),
             self.folder / f"hollow-{number}.log",
         )
 
-    def _run_on(self, members: list[Child], sender: Child, began: float) -> None:
+    def _run_until_load_ends(self, members: list[ChildProcess], sender: ChildProcess, began: float) -> None:
         """Until the load has ended, with processes killed in their time."""
         kills = self.scenario.kills()
-        while (sender.name, "ended") not in self.said:
+        while (sender.name, "ended") not in self.messages:
             passed = time.monotonic() - began
             while kills and kills[0][0] <= passed:
                 child = members[kills.pop(0)[1]]
                 if not child.ended:
                     child.kill()
                     self.killed.append(child.name)
-            if passed > self.scenario.seconds + LATE:
-                raise ScaleError(f"the load generator has not ended {LATE:g} s after its time")
-            self.hear()
+            if passed > self.scenario.seconds + LOAD_END_TIMEOUT:
+                raise ScaleError(f"the load generator has not ended {LOAD_END_TIMEOUT:g} s after its time")
+            self.receive()
 
     # Results
 
-    def _results(self, played: Played, calibration: Calibration) -> Results:
+    def _results(self, played: RunData, calibration: Calibration) -> Results:
         took, record = played.load
         figures = record.figures(took)
-        share = others_share(played.use, played.use_after)
-        cost = partial(_role, calibration.unit_s)
+        share = others_share(played.usage, played.usage_after)
+        cost = partial(_role_costs, calibration.unit_s)
         return Results(
             schema=SCHEMA,
             command=[],
             scenario=msgspec.to_builtins(self.scenario),
-            seconds=played.use_after.at - played.use.at,
-            machine=Machine(os.cpu_count() or 1, machine_memory() / MB, calibration, share, share > SHARED),
-            roles={"hollow": self._hollow(played, cost), "router": self._routers(played, cost)},
+            seconds=played.usage_after.time - played.usage.time,
+            machine=Machine(
+                os.cpu_count() or 1, machine_memory() / MB, calibration, share, share > MAX_OTHERS_SHARE
+            ),
+            roles={"hollow": self._hollow_role(played, cost), "router": self._router_role(played, cost)},
             busiest_hollow_process=max(
-                (c.cpu / (c.at - played.began) for c in self.counts.values()), default=0.0
+                (c.cpu / (c.at - played.began_at) for c in self.counts.values()), default=0.0
             ),
-            stand_in_cpu_s=_spent(played, played.stand_ins),
-            most_memory_mb=self.most_memory / MB,
-            most_processes=self.most_processes,
+            stand_in_cpu_s=_cpu_used(played, played.stand_ins),
+            most_memory_mb=self.peak_memory / MB,
+            most_processes=self.peak_processes,
             killed=self.killed,
-            verdict=audit(self.folder, self.scenario.fleet().rules),
-            router_faults=played.seen.faults + played.listed.faults,
+            verdict=audit(self.folder, self.scenario.fleet_scenario().rules),
+            router_faults=played.router_totals.faults + played.hollow_totals.faults,
             load={name: figures[name] for name in LOAD_FIGURES},
         )
 
-    def _hollow(self, played: Played, cost: Callable[..., Role]) -> Role:
+    def _hollow_role(self, played: RunData, cost: Callable[..., Role]) -> Role:
         groups = dict(
             zip(
                 (f"hollow process {n}" for n in range(self.scenario.processes)),
-                self.scenario.groups(),
+                self.scenario.members_by_process(),
                 strict=True,
             )
         )
-        seconds = sum((c.at - played.began) * len(groups[name]) for name, c in self.counts.items())
+        seconds = sum((c.at - played.began_at) * len(groups[name]) for name, c in self.counts.items())
         there = {p.number for name, group in groups.items() if name not in self.killed for p in group}
         each = self.counts.values()
         return cost(
-            played.listed,
+            played.hollow_totals,
             "hollow",
             members=self.scenario.hollow,
             count=self.scenario.processes,
             seconds=seconds,
             cpu=sum(c.cpu for c in each),
-            memory=sum(played.memory) / len(played.memory) if played.memory else 0.0,
+            memory=sum(played.member_memory) / len(played.member_memory) if played.member_memory else 0.0,
             datagrams=(
                 sum(c.datagrams_in for c in each),
                 sum(c.datagrams_out for c in each),
                 sum(c.datagram_bytes_in for c in each),
                 sum(c.datagram_bytes_out for c in each),
             ),
-            in_force=in_force_times(played.listed.changes, self.in_force, there),
+            in_force=in_force_times(played.hollow_totals.changes, self.in_force, there),
         )
 
-    def _routers(self, played: Played, cost: Callable[..., Role]) -> Role:
-        pids = [pid for pid in played.there.pids if pid in played.table_after]
+    def _router_role(self, played: RunData, cost: Callable[..., Role]) -> Role:
+        pids = [pid for pid in played.ready.pids if pid in played.table_after]
         return cost(
-            played.seen,
+            played.router_totals,
             "router",
             members=self.scenario.routers,
             count=self.scenario.routers,
-            seconds=(played.use_after.at - played.use.at) * self.scenario.routers,
-            cpu=_spent(played, tuple(pids)),
-            memory=sum(played.table_after[pid].memory for pid in pids) / MB / max(1, len(pids)),
+            seconds=(played.usage_after.time - played.usage.time) * self.scenario.routers,
+            cpu=_cpu_used(played, tuple(pids)),
+            memory=sum(played.table_after[pid].resident for pid in pids) / MB / max(1, len(pids)),
         )
 
 
@@ -333,30 +356,30 @@
 
 
 @dataclass(frozen=True)
-class Played:
+class RunData:
     """What a run's processes told, and what they took."""
 
-    began: float
-    use: Use
-    use_after: Use
-    table: dict[int, Process]
-    table_after: dict[int, Process]
-    there: stand_in_fleet.Ready
-    seen: stand_in_fleet.Ended  # by the stand-in of the real routers
-    listed: stand_in_fleet.Ended  # by the one of hollow members
+    began_at: float
+    usage: CpuUsage
+    usage_after: CpuUsage
+    table: dict[int, ProcessStat]
+    table_after: dict[int, ProcessStat]
+    ready: stand_in_fleet.StandInReady
+    router_totals: stand_in_fleet.StandInTotals  # by the stand-in of the real routers
+    hollow_totals: stand_in_fleet.StandInTotals  # by the one of hollow members
     stand_ins: tuple[int, ...]  # their processes
-    memory: list[float]  # MB of a member, by process
+    member_memory: list[float]  # MB of a member, by process
     load: tuple[float, Record]
 
 
-def _spent(played: Played, pids: tuple[int, ...]) -> float:
+def _cpu_used(played: RunData, pids: tuple[int, ...]) -> float:
     """Seconds of processor of processes that were there at both ends."""
-    return sum(played.table_after[pid].own - played.table[pid].own for pid in pids)
+    return sum(played.table_after[pid].cpu_s - played.table[pid].cpu_s for pid in pids)
 
 
-def _role(
+def _role_costs(
     unit: float,
-    seen: stand_in_fleet.Ended,
+    seen: stand_in_fleet.StandInTotals,
     role: str,
     *,
     members: int,
--- a/myrtlecourse/scale/run_results.py
+++ b/myrtlecourse/scale/run_results.py
@@ -10,8 +10,8 @@
 import msgspec
 from msgspec import Struct
 
-from myrtlecourse.scale.hollow import GONE, InForce
-from myrtlecourse.scale.stand_in_fleet import Change
+from myrtlecourse.scale.hollow import TERMINATED, InForceRecord
+from myrtlecourse.scale.stand_in_fleet import ListChange
 
 SCHEMA = 1
 
@@ -102,9 +102,11 @@
     return ordered[max(0, math.ceil(share * len(ordered)) - 1)] if ordered else None
 
 
-def in_force_times(changes: Iterable[Change], records: Iterable[InForce], members: set[int]) -> InForceTimes:
+def in_force_times(
+    changes: Iterable[ListChange], records: Iterable[InForceRecord], members: set[int]
+) -> InForceTimes:
     """When each change was in force at each of these members."""
-    by_server: dict[str, list[Change]] = defaultdict(list)
+    by_server: dict[str, list[ListChange]] = defaultdict(list)
     for change in sorted(changes, key=lambda c: c.at):
         by_server[change.server].append(change)
     reached: dict[tuple[str, int, int], float] = {}
@@ -112,7 +114,7 @@
         if record.member not in members:
             continue
         told = by_server.get(record.server, [])
-        same = [i for i, change in enumerate(told) if _means(record, change)]
+        same = [i for i, change in enumerate(told) if _matches(record, change)]
         for i in range(same[-1] + 1 if same else 0):
             reached.setdefault((record.server, i, record.member), record.at - told[i].at)
     count = sum(map(len, by_server.values()))
@@ -128,8 +130,8 @@
     )
 
 
-def _means(record: InForce, change: Change) -> bool:
+def _matches(record: InForceRecord, change: ListChange) -> bool:
     """Whether a member's state of a server is that of a change; one that is gone is told by its absence."""
     if change.at > record.at or change.status != record.status:
         return False
-    return record.status == GONE or change.since_ms == record.since_ms
+    return record.status == TERMINATED or change.since_ms == record.since_ms
--- a/myrtlecourse/scale/scenario.py
+++ b/myrtlecourse/scale/scenario.py
@@ -19,9 +19,9 @@
 from myrtlecourse.fleet import scenario as fleet
 from myrtlecourse.load.profile import Profile, ProfileError, constant
 
-Time = Annotated[float, Meta(ge=0.0, le=3600.0)]
-MOST_IN_GOSSIP = 1000  # members of a roster (`peers/gossip.py`)
-MOST_OF_A_REGION = 64  # zones, and regions in all, that the operators' file holds
+Seconds = Annotated[float, Meta(ge=0.0, le=3600.0)]
+MAX_GOSSIP_MEMBERS = 1000  # members of a roster (`peers/gossip.py`)
+MAX_ZONES_PER_REGION = 64  # zones, and regions in all, that the operators' file holds
 
 
 class ScenarioError(ValueError):
@@ -31,14 +31,14 @@
 class Restart(Struct, forbid_unknown_fields=True, frozen=True, tag="restart", tag_field="what"):
     """A share of the hollow members, drawn by the seed, begins anew at once with the list first given."""
 
-    at: Time
+    at: Seconds
     share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.1
 
 
 class Kill(Struct, forbid_unknown_fields=True, frozen=True, tag="kill", tag_field="what"):
     """A process of hollow members is killed and stays away."""
 
-    at: Time
+    at: Seconds
     process: Annotated[int, Meta(ge=0)]  # counted from 0
 
 
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class MemberPlace:
     """A hollow member: its number among all members, real routers first, and where it stands."""
 
     number: int
@@ -65,7 +65,7 @@
 
     seconds: Annotated[float, Meta(ge=1.0, le=3600.0)] = 30.0
     seed: Annotated[int, Meta(ge=0)] = 1
-    regions: Annotated[int, Meta(ge=1, le=MOST_OF_A_REGION)] = 1
+    regions: Annotated[int, Meta(ge=1, le=MAX_ZONES_PER_REGION)] = 1
     zones: Annotated[int, Meta(ge=1, le=1000)] = 1
     sites: Annotated[int, Meta(ge=1, le=10_000)] = 1
     hollow: Annotated[int, Meta(ge=1, le=20_000)] = 100
@@ -82,16 +82,16 @@
             raise ValueError(
                 "wants regions <= zones <= sites: each zone is in one region, each site in one zone"
             )
-        if -(-self.zones // self.regions) > MOST_OF_A_REGION:
-            raise ValueError(f"zones: {MOST_OF_A_REGION} of a region at most")
-        if self.peers is not None and self.members > MOST_IN_GOSSIP:
+        if -(-self.zones // self.regions) > MAX_ZONES_PER_REGION:
+            raise ValueError(f"zones: {MAX_ZONES_PER_REGION} of a region at most")
+        if self.peers is not None and self.members > MAX_GOSSIP_MEMBERS:
             raise ValueError(
-                f"hollow: with `peers`, {MOST_IN_GOSSIP} members at most, real routers among them"
+                f"hollow: with `peers`, {MAX_GOSSIP_MEMBERS} members at most, real routers among them"
             )
         for i, fault in enumerate(self.faults):
             if isinstance(fault, Kill) and fault.process >= self.processes:
                 raise ValueError(f"faults[{i}]: there are {self.processes} processes, counted from 0")
-        self.fleet()  # names the box or zone of a fault that is not there
+        self.fleet_scenario()  # names the box or zone of a fault that is not there
 
     @property
     def members(self) -> int:
@@ -107,14 +107,14 @@
         """All zones."""
         return tuple(f"zone-{n}" for n in range(self.zones))
 
-    def groups(self) -> list[tuple[Place, ...]]:
+    def members_by_process(self) -> list[tuple[MemberPlace, ...]]:
         """The hollow members of each process; sites and zones in turns."""
-        each = [self._place(number) for number in range(self.routers, self.members)]
+        each = [self._member_place(number) for number in range(self.routers, self.members)]
         return [tuple(each[i : i + self.per_process]) for i in range(0, len(each), self.per_process)]
 
-    def _place(self, number: int) -> Place:
+    def _member_place(self, number: int) -> MemberPlace:
         site = number % self.sites
-        return Place(number, f"zone-{site % self.zones}", f"site-{site}")
+        return MemberPlace(number, f"zone-{site % self.zones}", f"site-{site}")
 
     def restarts(self) -> list[tuple[float, frozenset[int]]]:
         """When hollow members begin anew, and the numbers of those that do."""
@@ -130,7 +130,7 @@
         """When processes of hollow members are killed, in their order."""
         return sorted((f.at, f.process) for f in self.faults if isinstance(f, Kill))
 
-    def fleet(self) -> fleet.Scenario:
+    def fleet_scenario(self) -> fleet.Scenario:
         """The fleet that stands in, with the real routers."""
         regions = {
             f"region-{r}": tuple(f"zone-{z}" for z in range(r, self.zones, self.regions))
@@ -146,17 +146,17 @@
             discovery=self.discovery,
             peers=talk,
             classes=(fleet.RequestClass("read", aim=1.0, deadline=2.0),),
-            rules=Rules(zone_sends=self._zone_sends()),
+            rules=Rules(zone_sends=self._min_zone_sends()),
             faults=tuple(f for f in self.faults if not isinstance(f, Restart | Kill)),
         )
 
-    def _zone_sends(self) -> float:
+    def _min_zone_sends(self) -> float:
         """Sends of a router that miss one of the zones by chance once in a milliard times, as the auditor's
         rule wants them; its own figure, for few zones, would blame routers before sixty."""
         zones = min(self.zones, sum(kind.boxes for kind in self.kinds))
         return max(Rules().zone_sends, math.ceil(zones * math.log(zones * 1e9)))
 
-    def load(self) -> Profile:
+    def load_profile(self) -> Profile:
         """The requests that real routers get."""
         return constant(self.rate, self.seconds)
 
@@ -165,7 +165,7 @@
     """Read a scenario file. Raises ScenarioError."""
     try:
         told = msgspec.toml.decode(path.read_bytes(), type=Scenario)
-        told.load()
+        told.load_profile()
     except OSError as e:
         raise ScenarioError(f"{path}: {e.strerror}") from e
     except (msgspec.DecodeError, ProfileError, ValueError) as e:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -15,8 +15,8 @@
 from myrtlecourse.scale import capacity_results, role_costs
 from myrtlecourse.scale.capacity_commands import main
 from myrtlecourse.scale.capacity_results import Measure, Point, Results, ResultsError, Slope
-from myrtlecourse.scale.estimates import Book, Figure, plain, spelled
-from myrtlecourse.scale.page import NONE, misfits, page
+from myrtlecourse.scale.estimates import Estimate, Estimates, calculated, format_value
+from myrtlecourse.scale.page import NOT_MEASURED, over_budget_section, render_page
 from myrtlecourse.scale.slopes import SPECS
 
 DOCS = Path(__file__).parent.parent / "docs"
@@ -40,37 +40,37 @@
 
 
 def test_the_page_is_what_the_results_say() -> None:
-    assert (DOCS / "CAPACITY.md").read_text() == page(capacity_results.read_folder(DOCS / "capacity"))
+    assert (DOCS / "CAPACITY.md").read_text() == render_page(capacity_results.read_folder(DOCS / "capacity"))
     assert (DOCS / "capacity/slopes.png").read_bytes().startswith(b"\x89PNG")
 
 
 def test_the_command_writes_page_and_picture(tmp_path: Path) -> None:
     (tmp_path / "capacity").mkdir()
     told = Results(1, 8, (slope("list.stop"),), (measure("change.whole.plain", 1.25),))
-    capacity_results.write(tmp_path / "capacity/a.json", told)
+    capacity_results.write_file(tmp_path / "capacity/a.json", told)
     done = CliRunner().invoke(main, ["page", "--docs", str(tmp_path)])
     assert done.exit_code == 0, done.output
     text = (tmp_path / "CAPACITY.md").read_text()
-    assert text == page(told) and "1.25 s (1.12 s to 1.38 s)" in text
+    assert text == render_page(told) and "1.25 s (1.12 s to 1.38 s)" in text
     assert (tmp_path / "capacity/slopes.png").read_bytes().startswith(b"\x89PNG")
 
 
 def test_without_results_every_measured_row_says_so() -> None:
-    for row in role_costs.rows(Book(EMPTY)):
-        assert row.figure is not None or row.named
-    text = page(EMPTY)
-    assert text.count(f"| {NONE} |") > 40 and "nan" not in text
+    for row in role_costs.all_rows(Estimates(EMPTY)):
+        assert row.estimate is not None or row.missing
+    text = render_page(EMPTY)
+    assert text.count(f"| {NOT_MEASURED} |") > 40 and "nan" not in text
 
 
 @pytest.mark.parametrize("name", SPECS)
 def test_every_slope_stands_on_the_page_with_its_verdict(name: str) -> None:
-    lines = page(Results(1, 8, (slope(name),))).splitlines()
+    lines = render_page(Results(1, 8, (slope(name),))).splitlines()
     assert any(line.startswith(f"| `{name}` |") and "| counts |" in line for line in lines)
 
 
 def test_what_does_not_fit_comes_first_and_the_worst_before_the_others() -> None:
     told = Results(1, 8, (slope("list.stop", 1e-4), slope("list.change", 1e-5), slope("list.memory", 1.0)))
-    text = page(told)
+    text = render_page(told)
     first = text.index("## What does not fit")
     assert first < text.index("## By role")
     part = text[first : text.index("## By role")]
@@ -85,10 +85,15 @@
 def test_a_rate_that_is_needed_does_not_fit_when_it_is_missed() -> None:
     few = Results(1, 8, (), (measure("router.router_requests", 500.0, "1/s"),))
     many = Results(1, 8, (), (measure("router.router_requests", 2000.0, "1/s"),))
-    rows = {n: [r for r in role_costs.rows(Book(t)) if r.least] for n, t in (("few", few), ("many", many))}
-    assert rows["few"][0].factor == pytest.approx(2.0) and rows["many"][0].factor == pytest.approx(0.5)
-    assert "requests a second of one core" in misfits(rows["few"])
-    assert "requests a second of one core" not in misfits(rows["many"])
+    rows = {
+        n: [r for r in role_costs.all_rows(Estimates(t)) if r.is_minimum]
+        for n, t in (("few", few), ("many", many))
+    }
+    assert rows["few"][0].budget_ratio == pytest.approx(2.0) and rows["many"][
+        0
+    ].budget_ratio == pytest.approx(0.5)
+    assert "requests a second of one core" in over_budget_section(rows["few"])
+    assert "requests a second of one core" not in over_budget_section(rows["many"])
 
 
 def test_what_the_tree_was_measured_to_cost_stands_beside_the_budget() -> None:
@@ -98,63 +103,66 @@
         for n, v, u in zip(names, (0.01, 9e7, 2e4, 1e4), ("core", "B", "B/s", "B/s"), strict=True)
     )
     told = {
-        r.what: r
-        for r in role_costs.spread_rows(Book(Results(1, 8, (), tuple(values))))
-        if r.role == role_costs.ROUTER
+        r.item: r
+        for r in role_costs.spread_rows(Estimates(Results(1, 8, (), tuple(values))))
+        if r.role == role_costs.ROUTER_ROLE
     }
-    assert told["processor, measured"].factor == pytest.approx(0.01 / 0.046)
-    assert told["memory, measured"].factor == pytest.approx(90 / 64)
-    assert told["bytes in and out, measured"].factor == pytest.approx(30 / 27)
+    assert told["processor, measured"].budget_ratio == pytest.approx(0.01 / 0.046)
+    assert told["memory, measured"].budget_ratio == pytest.approx(90 / 64)
+    assert told["bytes in and out, measured"].budget_ratio == pytest.approx(30 / 27)
     assert (
-        told["messages in, measured"].figure is None and told["messages in, measured"].state == role_costs.OFF
+        told["messages in, measured"].estimate is None
+        and told["messages in, measured"].state == role_costs.DISABLED
     )
-    assert {r.state for r in role_costs.spread_rows(Book(EMPTY))} == {
-        role_costs.OFF
+    assert {r.state for r in role_costs.spread_rows(Estimates(EMPTY))} == {
+        role_costs.DISABLED
     }  # built, whatever was measured
 
 
 def test_a_sum_with_a_part_that_was_not_measured_is_not_measured() -> None:
-    book = Book(Results(1, 8, (slope("seal.open"),)))
-    costs = [r.figure for r in role_costs.relay_rows(book) if r.what == "opening and sealing them"]
+    book = Estimates(Results(1, 8, (slope("seal.open"),)))
+    costs = [r.estimate for r in role_costs.relay_rows(book) if r.item == "opening and sealing them"]
     assert costs[0] is not None and costs[1:] == [None] * 4
     assert costs[0].value == pytest.approx(1e-5 * (100 + 62_000 / 86_400))
     one = (measure("spread.router.bytes_in", 1.0, "B/s"),)
-    rows = list(role_costs.spread_rows(Book(Results(1, 8, (), one))))
-    assert all(r.figure is None for r in rows if r.what == "bytes in and out, measured")
+    rows = list(role_costs.spread_rows(Estimates(Results(1, 8, (), one))))
+    assert all(r.estimate is None for r in rows if r.item == "bytes in and out, measured")
 
 
 def test_a_law_that_does_not_hold_and_a_shared_machine_are_marked() -> None:
-    assert "**does not hold**" not in page(Results(1, 8, (slope("agent.second"),)))
-    assert "not foretold |" not in page(Results(1, 8, (slope("agent.second"),)))
-    bent = page(Results(1, 8, (slope("agent.second", last=3.0),)))
+    assert "**does not hold**" not in render_page(Results(1, 8, (slope("agent.second"),)))
+    assert "not foretold |" not in render_page(Results(1, 8, (slope("agent.second"),)))
+    bent = render_page(Results(1, 8, (slope("agent.second", last=3.0),)))
     assert "**the law does not hold**" in bent and "| **does not hold** |" in bent
     rows = [
-        r for r in role_costs.roster_rows(Book(Results(1, 8, (slope("agent.second", last=3.0),)))) if r.figure
+        r
+        for r in role_costs.roster_rows(Estimates(Results(1, 8, (slope("agent.second", last=3.0),))))
+        if r.estimate
     ]
-    foretold = [r for r in rows if r.figure and "foretold" in r.figure.source]
-    assert [(str(r.figure), r.factor) for r in foretold] == [("not foretold", None)]
+    foretold = [r for r in rows if r.estimate and "foretold" in r.estimate.source]
+    assert [(str(r.estimate), r.budget_ratio) for r in foretold] == [("not foretold", None)]
     # what was measured at its size stands, whatever the law
-    assert [r.factor for r in rows if "1,000" in r.what and "gossip" in r.what] == [
+    assert [r.budget_ratio for r in rows if "1,000" in r.item and "gossip" in r.item] == [
         pytest.approx(0.03 / 0.046)
     ]
-    assert "**shared**" in page(Results(1, 8, (slope("list.stop", others=0.2),)))
-    assert "**shared machine**" in page(Results(1, 8, (slope("list.stop", others=0.2),)))
+    assert "**shared**" in render_page(Results(1, 8, (slope("list.stop", others=0.2),)))
+    assert "**shared machine**" in render_page(Results(1, 8, (slope("list.stop", others=0.2),)))
 
 
 def test_a_figure_is_as_measured_where_it_was_and_foretold_elsewhere() -> None:
-    book = Book(Results(1, 8, (slope("list.stop", last=2.0),)))
-    seen, told = book.at("list.stop", 6700), book.at("list.stop", 20_000)
+    book = Estimates(Results(1, 8, (slope("list.stop", last=2.0),)))
+    seen, told = book.at_size("list.stop", 6700), book.at_size("list.stop", 20_000)
     assert seen is not None and told is not None
-    assert seen.value == pytest.approx(0.134) and seen.holds and "foretold" not in seen.source
-    assert not told.holds and "foretold" in told.source
-    assert book.at("list.take", 6700) is None and book.of("none") is None
+    assert seen.value == pytest.approx(0.134) and seen.law_holds and "foretold" not in seen.source
+    assert not told.law_holds and "foretold" in told.source
+    assert book.at_size("list.take", 6700) is None and book.measure("none") is None
 
 
 def test_a_figure_is_marked_by_the_run_at_its_own_size() -> None:
     even = slope("list.stop")
     points = tuple(msgspec.structs.replace(p, others=0.3 if p.size == 156 else 0.0) for p in even.points)
-    book = Book(Results(1, 8, (msgspec.structs.replace(even, points=points),)))
-    marks = {n: f.alone for n in (156, 6700, 20_000) if (f := book.at("list.stop", n))}
+    book = Estimates(Results(1, 8, (msgspec.structs.replace(even, points=points),)))
+    marks = {n: f.exclusive for n in (156, 6700, 20_000) if (f := book.at_size("list.stop", n))}
     assert marks == {156: False, 6700: True, 20_000: False}
 
 
@@ -165,18 +173,25 @@
 def test_arithmetic_keeps_a_value_in_its_interval(
     value: float, low: float, high: float, factor: float
 ) -> None:
-    one = Figure(value, value * low, value * high, "s", "a")
-    for found in (one.times(factor, "2 x {}"), one.plus(one), one.under("1 / {}", "1/s", lambda v: 1 / v)):
+    one = Estimate(value, value * low, value * high, "s", "a")
+    for found in (
+        one.multiplied(factor, "2 x {}"),
+        one.added(one),
+        one.inverted("1 / {}", "1/s", lambda v: 1 / v),
+    ):
         assert found.low <= found.value <= found.high and "a" in found.source
-    assert one.times(factor, "{}").value == pytest.approx(value * factor)
-    assert one.plus(one).value == pytest.approx(2 * value)
+    assert one.multiplied(factor, "{}").value == pytest.approx(value * factor)
+    assert one.added(one).value == pytest.approx(2 * value)
 
 
 def test_a_doubt_stays_through_arithmetic() -> None:
-    sure, doubtful = plain(1.0, "s", "a"), Figure(1.0, 1.0, 1.0, "s", "b", holds=False, alone=False)
-    for found in (sure.plus(doubtful), doubtful.plus(sure), doubtful.times(2.0, "2 x {}")):
-        assert "does not hold" in found.origin and "shared machine" in found.origin
-    assert sure.origin == "a"
+    sure, doubtful = (
+        calculated(1.0, "s", "a"),
+        Estimate(1.0, 1.0, 1.0, "s", "b", law_holds=False, exclusive=False),
+    )
+    for found in (sure.added(doubtful), doubtful.added(sure), doubtful.multiplied(2.0, "2 x {}")):
+        assert "does not hold" in found.annotated_source and "shared machine" in found.annotated_source
+    assert sure.annotated_source == "a"
 
 
 @pytest.mark.parametrize(
@@ -189,18 +204,20 @@
     ],
 )  # fmt: skip
 def test_a_value_is_told_in_a_unit_of_its_size(value: float, unit: str, text: str) -> None:
-    assert spelled(value, unit) == text
+    assert format_value(value, unit) == text
 
 
 def test_a_table_keeps_its_columns_whatever_a_file_says() -> None:
     odd = msgspec.structs.replace(slope("list.stop"), what="a | b")
-    lines = [line for line in page(Results(1, 8, (odd,))).splitlines() if line.startswith("| `list.stop` |")]
+    lines = [
+        line for line in render_page(Results(1, 8, (odd,))).splitlines() if line.startswith("| `list.stop` |")
+    ]
     assert len(lines) == 1 and lines[0].count("|") == 14 and "a / b" in lines[0]
 
 
 def test_the_time_until_a_router_is_forgotten_is_that_of_its_roster() -> None:
-    assert role_costs.forgotten_after(25) == pytest.approx(4 * 25 / 8 * 4)
-    assert role_costs.forgotten_after(2) == pytest.approx(16.0)
+    assert role_costs.time_until_forgotten(25) == pytest.approx(4 * 25 / 8 * 4)
+    assert role_costs.time_until_forgotten(2) == pytest.approx(16.0)
 
 
 # Results files
@@ -271,9 +288,9 @@
 
 def test_a_file_that_is_too_large_is_not_read(tmp_path: Path) -> None:
     file = tmp_path / "x.json"
-    file.write_bytes(b" " * (capacity_results.LARGEST + 1))
+    file.write_bytes(b" " * (capacity_results.MAX_FILE_BYTES + 1))
     with pytest.raises(ResultsError, match="larger than 2,000,000 bytes"):
-        capacity_results.read(file)
+        capacity_results.read_file(file)
 
 
 def test_no_folder_no_writing_and_a_name_in_two_files_are_refused(tmp_path: Path) -> None:
@@ -281,7 +298,7 @@
     refused(tmp_path / "none/x.json", "slopes", "list.bytes", "--out", str(tmp_path / "none/x.json"))
     (tmp_path / "capacity").mkdir()
     for name in ("a.json", "b.json"):
-        capacity_results.write(tmp_path / "capacity" / name, Results(1, 8, (), (measure("a.b", 1.0),)))
+        capacity_results.write_file(tmp_path / "capacity" / name, Results(1, 8, (), (measure("a.b", 1.0),)))
     assert "a.json has it" in refused(tmp_path / "capacity/b.json", "page", "--docs", str(tmp_path))
     (tmp_path / "capacity/b.json").unlink()
     (tmp_path / "CAPACITY.md").mkdir()
@@ -290,22 +307,24 @@
 
 def test_results_come_back_as_they_were_written(tmp_path: Path) -> None:
     told = Results(1, 8, (slope("list.stop"),), (measure("a.b", 1.0),))
-    capacity_results.write(tmp_path / "x.json", told)
-    assert capacity_results.read(tmp_path / "x.json") == told
+    capacity_results.write_file(tmp_path / "x.json", told)
+    assert capacity_results.read_file(tmp_path / "x.json") == told
 
 
 def test_new_results_replace_those_of_their_name_alone() -> None:
     old = Results(1, 4, (slope("list.stop"), slope("list.take")), (measure("a.b", 1.0),))
     new = Results(1, 8, (slope("list.take", 2.0),), (measure("c", 3.0),))
-    found = capacity_results.merged(old, new)
+    found = capacity_results.merge_results(old, new)
     assert found.slopes == (old.slopes[0], new.slopes[0]) and found.cores == 8
-    assert [m.name for m in found.measures] == ["a.b", "c"] and capacity_results.merged(None, new) == new
+    assert [m.name for m in found.measures] == ["a.b", "c"] and capacity_results.merge_results(
+        None, new
+    ) == new
 
 
 @given(st.floats(1e-12, 1e12))
 def test_what_files_keep_differs_by_no_more_than_their_last_digit(value: float) -> None:
-    assert capacity_results.significant(value) == pytest.approx(value, rel=1e-4)
-    assert capacity_results.significant(0.0) == 0.0
+    assert capacity_results.round_significant(value) == pytest.approx(value, rel=1e-4)
+    assert capacity_results.round_significant(0.0) == 0.0
 
 
 def test_commands_go_into_any_group() -> None:
--- a/tests/test_scale_fit.py
+++ b/tests/test_scale_fit.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from myrtlecourse.scale import calibration
-from myrtlecourse.scale.calibration import Use
+from myrtlecourse.scale.calibration import CpuUsage
 from myrtlecourse.scale.fit import (
     SHAPES,
     Check,
@@ -20,9 +20,9 @@
     Law,
     check,
     fit,
-    fitted,
-    least_of,
-    middle,
+    fit_law,
+    median_interval,
+    minimum_costs,
 )
 
 SIZES = (100, 200, 400, 800, 1600, 6400)
@@ -46,48 +46,48 @@
 def test_a_known_law_is_found_again_and_foretells(law: Law, noise: float) -> None:
     for seed in range(5):
         found, tried = check(made(law, noise, seed))
-        assert tried.size == 6400 and tried.counts
-        assert tried.foretold.low <= law.at(6400) <= tried.foretold.high
+        assert tried.size == 6400 and tried.holds
+        assert tried.predicted.low <= law.at(6400) <= tried.predicted.high
         assert found.law.name == law.name
 
 
 def test_a_repeat_that_others_disturbed_changes_nothing() -> None:
     repeats = made(LAWS[3], 0.01, 7)
     disturbed = {n: [*values, 5 * values[0]] for n, values in repeats.items()}
-    assert fit(disturbed).law == fit(repeats).law and check(disturbed)[1].counts
+    assert fit(disturbed).law == fit(repeats).law and check(disturbed)[1].holds
 
 
 def test_a_size_is_left_out_of_the_fit_that_foretells_it() -> None:
     repeats = made(LAWS[2], 0.0, 1)
     found = fit(repeats | {400: [1.2 * v for v in repeats[400]]})
-    assert found.law.name == "n" and found.worst == pytest.approx(1 - 1 / 1.2)
+    assert found.law.name == "n" and found.worst_error == pytest.approx(1 - 1 / 1.2)
 
 
 def test_the_largest_size_is_not_seen_by_the_fit_that_foretells_it() -> None:
     repeats = made(LAWS[2], 0.01, 1)
     _, before = check(repeats)
     _, after = check(repeats | {6400: [v * 3 for v in repeats[6400]]})
-    assert after.foretold == before.foretold and before.counts and not after.counts
+    assert after.predicted == before.predicted and before.holds and not after.holds
 
 
 def test_sizes_above_a_quarter_are_not_seen_either() -> None:
     repeats = made(LAWS[2], 0.01, 1)
-    assert check(repeats | {3200: [9.0]})[1].foretold == check(repeats)[1].foretold
+    assert check(repeats | {3200: [9.0]})[1].predicted == check(repeats)[1].predicted
 
 
 @pytest.mark.parametrize("law", [law for law in LAWS if law.name in ("n", "n log n", "n squared")])
 def test_a_law_that_bends_after_the_sizes_seen_does_not_count(law: Law) -> None:
     repeats = made(law, 0.01, 2)
     for bend in (0.5, 2.0):
-        assert not check(repeats | {6400: [v * bend for v in repeats[6400]]})[1].counts
+        assert not check(repeats | {6400: [v * bend for v in repeats[6400]]})[1].holds
 
 
 def test_an_interval_that_says_nothing_does_not_count() -> None:
     wide = Check(10, Interval(1.0, 0.4, 1.5), 1.0)
-    assert not wide.counts
-    assert replace(wide, foretold=Interval(1.0, 0.6, 1.5)).counts
-    assert not replace(wide, foretold=Interval(1.0, 0.6, 1.5), measured=1.51).counts
-    assert not replace(wide, foretold=Interval(1.0, 0.6, 1.5), measured=0.59).counts
+    assert not wide.holds
+    assert replace(wide, predicted=Interval(1.0, 0.6, 1.5)).holds
+    assert not replace(wide, predicted=Interval(1.0, 0.6, 1.5), measured=1.51).holds
+    assert not replace(wide, predicted=Interval(1.0, 0.6, 1.5), measured=0.59).holds
 
 
 def test_noise_that_hides_the_law_does_not_count() -> None:
@@ -95,7 +95,7 @@
     verdicts = []
     for _ in range(10):
         repeats = {n: [n * chance.lognormvariate(0, 2.0) for _ in range(3)] for n in SIZES}
-        verdicts.append(check(repeats)[1].counts)
+        verdicts.append(check(repeats)[1].holds)
     assert sum(verdicts) <= 2
 
 
@@ -109,12 +109,12 @@
 ) -> None:
     found = fit(repeats)
     assert found.law.base >= 0 and found.law.slope >= 0 and found.law.name in SHAPES
-    assert found.held_out <= found.worst
-    told = found.foretell(at)
+    assert found.held_out <= found.worst_error
+    told = found.predict(at)
     assert 0 <= told.low <= told.value <= told.high
     # as wide as the law's worst miss of a size left out, whatever the repeats say
-    assert told.low <= told.value * max(0.0, 1 - found.worst) + 1e-12
-    assert told.high >= told.value * (1 + found.worst) * (1 - 1e-12)
+    assert told.low <= told.value * max(0.0, 1 - found.worst_error) + 1e-12
+    assert told.high >= told.value * (1 + found.worst_error) * (1 - 1e-12)
     assert found.law.at(2 * at) >= found.law.at(at)
 
 
@@ -124,8 +124,8 @@
     repeats = made(law, 0.05, 3)
     scaled = {n: [v * unit for v in values] for n, values in repeats.items()}
     (one, first), (other, second) = check(repeats), check(scaled)
-    assert one.law.name == other.law.name and first.counts == second.counts
-    assert second.foretold.value == pytest.approx(first.foretold.value * unit)
+    assert one.law.name == other.law.name and first.holds == second.holds
+    assert second.predicted.value == pytest.approx(first.predicted.value * unit)
 
 
 @settings(max_examples=60)
@@ -136,7 +136,7 @@
     def error(law: Law) -> float:
         return sum((law.at(n) / cost - 1) ** 2 for n, cost in middles.items())
 
-    best = fitted(name, middles)
+    best = fit_law(name, middles)
     for base in (best.base, best.base * 1.01 + 1e-9, best.base * 0.99):
         for slope in (best.slope, best.slope * 1.01 + 1e-12, best.slope * 0.99):
             assert error(best) <= error(Law(name, base, slope)) * (1 + 1e-9) + 1e-12
@@ -151,21 +151,21 @@
         check({})
     for values in ([], [0.0], [1.0, -1.0], [float("nan")], [float("inf")]):
         with pytest.raises(FitError, match="size 7"):
-            least_of({7: values})
+            minimum_costs({7: values})
     with pytest.raises(FitError, match="size 0"):
-        least_of({0: [1.0]})
+        minimum_costs({0: [1.0]})
 
 
 @given(st.lists(st.floats(0.1, 100), min_size=1, max_size=20))
 def test_a_middle_lies_among_its_values(values: list[float]) -> None:
-    found = middle(values)
+    found = median_interval(values)
     assert min(values) <= found.low <= found.value <= found.high <= max(values)
 
 
 def test_the_interval_is_narrower_with_more_repeats() -> None:
     chance = random.Random(5)
     values = [chance.uniform(1, 2) for _ in range(400)]
-    few, many = middle(values[:8]), middle(values)
+    few, many = median_interval(values[:8]), median_interval(values)
     assert many.high - many.low < few.high - few.low
 
 
@@ -173,7 +173,7 @@
     repeats = made(LAWS[3], 0.05, 6)
     found: list[Fit] = [fit(repeats), fit(dict(reversed(repeats.items())))]
     assert found[0].law == found[1].law
-    assert fit(repeats).foretell(10**5) == fit(repeats).foretell(10**5)
+    assert fit(repeats).predict(10**5) == fit(repeats).predict(10**5)
 
 
 # Calibration, and who else used the machine
@@ -189,25 +189,25 @@
 
 
 def test_what_others_used_is_what_is_left_without_the_own_part() -> None:
-    before, after = Use(10.0, 100.0, 5.0), Use(20.0, 120.0, 9.0)
-    assert calibration.others(before, after, 8) == pytest.approx(16 / 80)
-    assert calibration.others(before, before, 8) == 0.0
-    assert calibration.others(before, Use(20.0, 103.0, 9.0), 8) == 0.0  # ticks are coarse
-    assert calibration.others(before, Use(20.0, 999.0, 5.0), 8) == 1.0
+    before, after = CpuUsage(10.0, 100.0, 5.0), CpuUsage(20.0, 120.0, 9.0)
+    assert calibration.others_share(before, after, 8) == pytest.approx(16 / 80)
+    assert calibration.others_share(before, before, 8) == 0.0
+    assert calibration.others_share(before, CpuUsage(20.0, 103.0, 9.0), 8) == 0.0  # ticks are coarse
+    assert calibration.others_share(before, CpuUsage(20.0, 999.0, 5.0), 8) == 1.0
 
 
 def test_a_run_is_shared_over_a_tenth_of_the_machine() -> None:
-    assert not calibration.shared(0.1) and calibration.shared(0.11)
+    assert not calibration.is_shared(0.1) and calibration.is_shared(0.11)
 
 
 def test_the_calibration_loop_is_the_same_work_each_time() -> None:
-    assert calibration.loop() == calibration.loop()
+    assert calibration.run_loop() == calibration.run_loop()
     assert calibration.calibrate() > 0
 
 
 def test_own_work_and_that_of_ended_children_is_none_of_others() -> None:
-    before = calibration.now()
+    before = calibration.cpu_usage()
     for _ in range(20):
-        calibration.loop()
-    after = calibration.now()
-    assert after.own >= before.own and after.all >= before.all and after.at > before.at
+        calibration.run_loop()
+    after = calibration.cpu_usage()
+    assert after.own_s >= before.own_s and after.machine_s >= before.machine_s and after.time > before.time
--- a/tests/test_scale_processes.py
+++ b/tests/test_scale_processes.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from myrtlecourse.scale.machine import processes, tree
+from myrtlecourse.scale.machine import process_tree, read_processes
 from myrtlecourse.scale.run_results import read_results
 
 pytestmark = pytest.mark.processes
@@ -49,22 +49,22 @@
 import sys
 from pathlib import Path
 from myrtlecourse.fleet.routers import COMMAND
-from myrtlecourse.scale.guard import Guard, GuardError, taken
+from myrtlecourse.scale.guard import ResourceLimitError, ResourceLimits, usage_of
 from myrtlecourse.scale.run import Run
 from myrtlecourse.scale.scenario import read_scenario
 
-class Tightened(Guard):
-    def check(self):
-        memory, count = super().check()
-        if run.now.doing == "running":
-            run.guard = Guard(memory // 2)
+class Tightened(ResourceLimits):
+    def check_usage(self):
+        memory, count = super().check_usage()
+        if run.status.phase == "running":
+            run.limits = ResourceLimits(memory // 2)
             print("running", file=sys.stderr, flush=True)
         return memory, count
 
-run = Run(read_scenario(Path(sys.argv[1])), Path(sys.argv[2]), COMMAND, Tightened(2**40), lambda now: None)
+run = Run(read_scenario(Path(sys.argv[1])), Path(sys.argv[2]), COMMAND, Tightened(2**40), lambda status: None)
 try:
-    run.play()
-except GuardError as e:
+    run.execute()
+except ResourceLimitError as e:
     print(e, file=sys.stderr)
     sys.exit(1)
 """
@@ -91,7 +91,9 @@
                 break
         else:
             pytest.fail(f"no line with {text!r}: {self.said}")
-        self.found = {pid: born(pid) for pid in tree(self.process.pid, processes()) - {self.process.pid}}
+        self.found = {
+            pid: born(pid) for pid in process_tree(self.process.pid, read_processes()) - {self.process.pid}
+        }
 
     def end(self) -> tuple[int, list[str]]:
         """Its exit code, and the lines that it wrote since."""
@@ -136,7 +138,7 @@
 def of_role(run: Started, role: str) -> int:
     """A process of the run: the fleet's has the router as its child; of those without children the last
     that was started has hollow members."""
-    table = processes()
+    table = read_processes()
     own = [pid for pid in run.found if pid in table and table[pid].parent == run.process.pid]
     children = {pid: [p for p in run.found if p in table and table[p].parent == pid] for pid in own}
     routers = {p for p in run.found if b"-m\0myrtlecourse" in Path(f"/proc/{p}/cmdline").read_bytes()}
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -22,13 +22,20 @@
 from myrtlecourse.scale import plan as planning
 from myrtlecourse.scale import run
 from myrtlecourse.scale.commands import check_writable, scale
-from myrtlecourse.scale.guard import MB, MOST_PROCESSES, Guard, GuardError, taken
-from myrtlecourse.scale.hollow import Counts, HollowMember, InForce, Job
-from myrtlecourse.scale.machine import Process, Use, calibrate, machine_memory, others_share, tree
-from myrtlecourse.scale.plan import plan
+from myrtlecourse.scale.guard import MAX_PROCESSES, MB, ResourceLimitError, ResourceLimits, usage_of
+from myrtlecourse.scale.hollow import Counts, HollowJob, HollowMember, InForceRecord
+from myrtlecourse.scale.machine import (
+    CpuUsage,
+    ProcessStat,
+    calibrate,
+    machine_memory,
+    others_share,
+    process_tree,
+)
+from myrtlecourse.scale.plan import make_plan
 from myrtlecourse.scale.run_results import InForceTimes, in_force_times, quantile
-from myrtlecourse.scale.scenario import Place, Scenario, ScenarioError, read_scenario
-from myrtlecourse.scale.stand_in_fleet import Change, Ground
+from myrtlecourse.scale.scenario import MemberPlace, Scenario, ScenarioError, read_scenario
+from myrtlecourse.scale.stand_in_fleet import ListChange, ScaleFleet
 
 PATIENCE = 60.0  # seconds until a test that waits for an event fails
 
@@ -114,8 +121,8 @@
     path = written(tmp_path, "hollow = 250\nper_process = 100\nrouters = 2\n[peers]")
     told = CliRunner().invoke(scale, ["run", str(path), "--plan"])
     assert told.exit_code == 0, told.output
-    made = plan(read_scenario(path))
-    assert f"{made.processes} processes (bound {MOST_PROCESSES})" in told.stdout
+    made = make_plan(read_scenario(path))
+    assert f"{made.processes} processes (bound {MAX_PROCESSES})" in told.stdout
     assert f"{made.memory / MB:,.0f} MB foretold" in told.stdout
 
 
@@ -130,23 +137,23 @@
 
 
 def test_no_more_than_the_most_processes_are_begun() -> None:
-    guard = Guard(10**15)
-    others = plan(Scenario(hollow=1)).processes - 1
-    plan(Scenario(hollow=MOST_PROCESSES - others, per_process=1)).allow(guard)
-    with pytest.raises(GuardError, match=f"processes: the run would take {MOST_PROCESSES + 1}"):
-        plan(Scenario(hollow=MOST_PROCESSES - others + 1, per_process=1)).allow(guard)
+    guard = ResourceLimits(10**15)
+    others = make_plan(Scenario(hollow=1)).processes - 1
+    make_plan(Scenario(hollow=MAX_PROCESSES - others, per_process=1)).check_limits(guard)
+    with pytest.raises(ResourceLimitError, match=f"processes: the run would take {MAX_PROCESSES + 1}"):
+        make_plan(Scenario(hollow=MAX_PROCESSES - others + 1, per_process=1)).check_limits(guard)
 
 
 def test_sockets_are_bounded_by_what_a_process_may_open(monkeypatch: pytest.MonkeyPatch) -> None:
-    made = plan(Scenario(hollow=300, per_process=300))
-    guard = Guard(10**12)
-    made.allow(guard)
-    most = max(part.sockets for part in made.parts)
+    made = make_plan(Scenario(hollow=300, per_process=300))
+    guard = ResourceLimits(10**12)
+    made.check_limits(guard)
+    most = max(part.sockets for part in made.groups)
     monkeypatch.setattr(resource, "getrlimit", lambda _: (most, most))
-    made.allow(guard)
+    made.check_limits(guard)
     monkeypatch.setattr(resource, "getrlimit", lambda _: (most - 1, most - 1))
-    with pytest.raises(GuardError, match=f"sockets: .* {most}, and the bound is {most - 1}"):
-        made.allow(guard)
+    with pytest.raises(ResourceLimitError, match=f"sockets: .* {most}, and the bound is {most - 1}"):
+        made.check_limits(guard)
 
 
 @st.composite
@@ -166,9 +173,9 @@
 
 @given(scenarios())
 def test_each_member_has_one_process_one_site_one_zone_and_one_region(scenario: Scenario) -> None:
-    groups = scenario.groups()
+    groups = scenario.members_by_process()
     places = [place for group in groups for place in group]
-    assert len(groups) == scenario.processes == planning.plan(scenario).parts[3].processes
+    assert len(groups) == scenario.processes == planning.make_plan(scenario).groups[3].processes
     assert all(1 <= len(group) <= scenario.per_process for group in groups)
     assert [p.number for p in places] == list(range(scenario.routers, scenario.members))
     zones: dict[str, str] = {}
@@ -193,20 +200,20 @@
 
 
 def test_real_routers_are_told_of_the_whole_fleet_and_its_regions() -> None:
-    told = Scenario(regions=2, zones=5, sites=9, hollow=7, peers=msgspec.convert({}, PEERS)).fleet()
+    told = Scenario(regions=2, zones=5, sites=9, hollow=7, peers=msgspec.convert({}, PEERS)).fleet_scenario()
     assert told.zones == ("zone-0", "zone-1", "zone-2", "zone-3", "zone-4")
     assert told.peers is not None
     assert told.peers.regions == {
         "region-0": ("zone-0", "zone-2", "zone-4"),
         "region-1": ("zone-1", "zone-3"),
     }
-    assert Scenario().fleet().peers is None
+    assert Scenario().fleet_scenario().peers is None
 
 
 def test_a_zone_is_missed_by_chance_hardly_ever_before_the_auditor_blames_a_router() -> None:
     boxes = msgspec.convert({"kinds": [{"name": "std", "boxes": 60}]}, Scenario).kinds
     for zones in (1, 2, 12, 60, 138):
-        told = Scenario(zones=zones, sites=zones, regions=min(zones, 43), kinds=boxes).fleet()
+        told = Scenario(zones=zones, sites=zones, regions=min(zones, 43), kinds=boxes).fleet_scenario()
         sends, there = told.rules.zone_sends, min(zones, 60)
         assert sends >= 60.0
         assert there == 1 or there * (1 - 1 / there) ** sends <= 1e-9
@@ -216,46 +223,46 @@
 
 
 def test_more_members_servers_and_peers_are_foretold_to_take_more() -> None:
-    small = plan(Scenario(hollow=100)).memory
-    assert plan(Scenario(hollow=200)).memory > small
+    small = make_plan(Scenario(hollow=100)).memory
+    assert make_plan(Scenario(hollow=200)).memory > small
     boxes = msgspec.convert({"kinds": [{"name": "std", "boxes": 500}]}, Scenario).kinds
-    assert plan(Scenario(hollow=100, kinds=boxes)).memory > small
-    assert plan(Scenario(hollow=100, peers=msgspec.convert({}, PEERS))).memory > small
+    assert make_plan(Scenario(hollow=100, kinds=boxes)).memory > small
+    assert make_plan(Scenario(hollow=100, peers=msgspec.convert({}, PEERS))).memory > small
 
 
 def test_a_guard_allows_its_bounds_and_no_more() -> None:
-    guard = Guard(memory=10 * MB, processes=3)
-    guard.allow(10 * MB, 3, "it would take")
-    with pytest.raises(GuardError, match="memory: it would take 11 MB, and the bound is 10 MB"):
-        guard.allow(11 * MB, 3, "it would take")
-    with pytest.raises(GuardError, match="processes: it would take 4, and the bound is 3"):
-        guard.allow(10 * MB, 4, "it would take")
+    guard = ResourceLimits(memory=10 * MB, processes=3)
+    guard.require(10 * MB, 3, "it would take")
+    with pytest.raises(ResourceLimitError, match="memory: it would take 11 MB, and the bound is 10 MB"):
+        guard.require(11 * MB, 3, "it would take")
+    with pytest.raises(ResourceLimitError, match="processes: it would take 4, and the bound is 3"):
+        guard.require(10 * MB, 4, "it would take")
     half = machine_memory() // 2
-    assert Guard.of_machine().memory == Guard.of_machine(10 * half).memory == half
-    assert Guard.of_machine(MB).memory == MB
+    assert ResourceLimits.of_machine().memory == ResourceLimits.of_machine(10 * half).memory == half
+    assert ResourceLimits.of_machine(MB).memory == MB
 
 
 def test_a_tree_is_all_that_descends_and_nothing_else() -> None:
     parents = {1: 0, 2: 1, 3: 2, 4: 2, 5: 4, 6: 1, 7: 6}
-    table = {pid: Process(parent, 0.0, 0.0, 10**pid) for pid, parent in parents.items()}
-    assert tree(2, table) == {2, 3, 4, 5}
-    assert tree(9, table) == set()
-    assert taken(tree(6, table), table) == (10**6 + 10**7, 2)
+    table = {pid: ProcessStat(parent, 0.0, 0.0, 10**pid) for pid, parent in parents.items()}
+    assert process_tree(2, table) == {2, 3, 4, 5}
+    assert process_tree(9, table) == set()
+    assert usage_of(process_tree(6, table), table) == (10**6 + 10**7, 2)
 
 
 def test_what_others_use_is_what_is_left_of_the_machine(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("os.cpu_count", lambda: 8)
-    before = Use(at=10.0, machine=100.0, own=5.0)
-    assert others_share(before, Use(20.0, 100.0 + 48.0, 5.0 + 40.0)) == pytest.approx(0.1)
-    assert others_share(before, Use(20.0, 100.0 + 39.0, 5.0 + 40.0)) == 0.0  # clock ticks round
+    before = CpuUsage(time=10.0, machine_s=100.0, own_s=5.0)
+    assert others_share(before, CpuUsage(20.0, 100.0 + 48.0, 5.0 + 40.0)) == pytest.approx(0.1)
+    assert others_share(before, CpuUsage(20.0, 100.0 + 39.0, 5.0 + 40.0)) == 0.0  # clock ticks round
     assert others_share(before, before) == 0.0
 
 
 def test_this_machine_can_be_measured() -> None:
-    use = Use.now()
+    use = CpuUsage.now()
     assert calibrate() > 0.0
-    later = Use.now()
-    assert later.own >= use.own > 0.0 and later.machine >= use.machine > 0.0
+    later = CpuUsage.now()
+    assert later.own_s >= use.own_s > 0.0 and later.machine_s >= use.machine_s > 0.0
 
 
 @pytest.mark.parametrize("how", [signal.SIGINT, signal.SIGTERM])
@@ -264,12 +271,12 @@
 ) -> None:
     ended: list[bool] = []
     monkeypatch.setattr(run, "adopt_orphans", lambda: None)
-    monkeypatch.setattr(run, "end_all", lambda: ended.append(True))
+    monkeypatch.setattr(run, "end_descendants", lambda: ended.append(True))
     monkeypatch.setattr(run, "calibrate", lambda: signal.raise_signal(how))
-    monkeypatch.setattr(run, "Child", _Silent)
+    monkeypatch.setattr(run, "ChildProcess", _Silent)
     before = signal.getsignal(how)
     with pytest.raises(run.ScaleError, match=f"^ended by {how.name} while starting$"):
-        run.Run(Scenario(), tmp_path, "", Guard(10**15), lambda now: None).play()
+        run.Run(Scenario(), tmp_path, "", ResourceLimits(10**15), lambda now: None).execute()
     assert ended == [True] and signal.getsignal(how) is before
 
 
@@ -285,24 +292,26 @@
 
 def test_a_change_is_in_force_once_a_member_has_its_state_or_a_later_one() -> None:
     changes = [
-        Change(1.0, "a", "terminating", 5),
-        Change(2.0, "a", "terminated", 5),
-        Change(9.0, "a", "in_service", 7),
+        ListChange(1.0, "a", "terminating", 5),
+        ListChange(2.0, "a", "terminated", 5),
+        ListChange(9.0, "a", "in_service", 7),
     ]
     records = [
-        InForce(1.5, 1, "a", "terminating", 5),
-        InForce(2.25, 1, "a", "terminated", 5),
-        InForce(4.0, 2, "a", "terminated", 0),  # it never saw the one before
-        InForce(5.0, 3, "a", "in_service", 5),  # another process of that name: no change of these
-        InForce(9.5, 3, "a", "in_service", 7),
-        InForce(4.0, 4, "a", "terminated", 5),  # of a process that was killed
+        InForceRecord(1.5, 1, "a", "terminating", 5),
+        InForceRecord(2.25, 1, "a", "terminated", 5),
+        InForceRecord(4.0, 2, "a", "terminated", 0),  # it never saw the one before
+        InForceRecord(5.0, 3, "a", "in_service", 5),  # another process of that name: no change of these
+        InForceRecord(9.5, 3, "a", "in_service", 7),
+        InForceRecord(4.0, 4, "a", "terminated", 5),  # of a process that was killed
     ]
     told = in_force_times(changes, records, {1, 2, 3})
     assert told == InForceTimes(3, 3, reached=7, missing=2, p50_s=2.0, p99_s=8.5, last_s=8.5)
 
 
 def test_what_is_seen_before_a_change_is_not_its_effect() -> None:
-    told = in_force_times([Change(3.0, "a", "terminated", 0)], [InForce(2.0, 1, "a", "terminated", 0)], {1})
+    told = in_force_times(
+        [ListChange(3.0, "a", "terminated", 0)], [InForceRecord(2.0, 1, "a", "terminated", 0)], {1}
+    )
     assert (told.reached, told.missing, told.p50_s) == (0, 1, None)
 
 
@@ -314,8 +323,8 @@
 )
 def test_no_change_is_lost_or_counted_twice(changes: list[Any], records: list[Any]) -> None:
     told = in_force_times(
-        [Change(at, name, "in_service", since) for at, name, since in changes],
-        [InForce(at, member, name, "in_service", since) for at, member, name, since in records],
+        [ListChange(at, name, "in_service", since) for at, name, since in changes],
+        [InForceRecord(at, member, name, "in_service", since) for at, member, name, since in records],
         {1, 2},
     )
     assert told.reached + told.missing == told.changes * 2 == len(changes) * 2
@@ -346,7 +355,7 @@
         self.counts = Counts()
 
     async def __aenter__(self) -> Stand:
-        self.ground = Ground(self.scenario, self.log, of_hollow=True)
+        self.ground = ScaleFleet(self.scenario, self.log, of_hollow=True)
         await self.ground.listen()
         peers = self.ground.scenario.peers
         operators = None
@@ -354,11 +363,11 @@
             operators = operators_file(peers, None, self.ground.duty_relays, self.folder, "hollow")
         ports = [self.ground.discovery.ports[f"hollow-{n}"].number for n in range(2)]
         shared = self.ground.configuration(0)
-        self.members: list[tuple[Place, Job, HollowMember]] = []
-        for number, group in enumerate(self.scenario.groups()):
-            job = Job(
+        self.members: list[tuple[MemberPlace, HollowJob, HollowMember]] = []
+        for number, group in enumerate(self.scenario.members_by_process()):
+            job = HollowJob(
                 shared | {"discovery": f"127.0.0.1:{ports[number]}"},
-                *(self.ground.heard, operators, group, (), self.folder / "log"),
+                *(self.ground.gossip_addresses, operators, group, (), self.folder / "log"),
             )
             for place in group:
                 self.members.append((place, job, HollowMember(place, job, self.counts)))
@@ -437,7 +446,7 @@
             assert stand.counts.datagrams_in >= 3
             assert stand.counts.datagram_bytes_in > stand.counts.datagrams_in
             for _, _, member in stand.members:
-                datagrams, size = member.sent()
+                datagrams, size = member.sent_totals()
                 assert 0 < datagrams < size
             assert {a.part.zone for a in agents} == {"zone-0", "zone-1"}
             assert all(len(a.part.members) == 4 for a in agents)  # the real router among them
