--- a/myrtlecourse/scale/calibration.py
+++ b/myrtlecourse/scale/calibration.py
@@ -1,7 +1,7 @@
-"""How fast this machine is now, and whether others used it: figures of two machines can be set side by side.
+"""Measures the machine's speed and whether other processes use it, so that measurements can be compared.
 
-The calibration loop is a fixed piece of interpreted work. A cost in its units moves less between machines,
-and between hours of one machine, than one in seconds.
+The calibration loop is a fixed piece of interpreted code. A cost in units of this loop varies less between
+machines, and over time on one machine, than a cost in seconds does.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-LOOP_ROUNDS = 20_000  # of the loop: about 2 ms
+LOOP_ROUNDS = 20_000  # iterations of the loop, about 2 ms
 REPEATS = 15
-MAX_OTHERS_SHARE = 0.1  # share of the machine in other hands, from which a run counts as shared
+MAX_OTHERS_SHARE = 0.1  # share of the machine used by others above which a measurement counts as shared
 
 
 def run_loop() -> int:
-    """The fixed work: integers, a dictionary and a list, as routers' own code has them."""
+    """Run the fixed work: integer, dictionary and list operations, typical for a router's code."""
     table: dict[int, int] = {}
     for i in range(LOOP_ROUNDS):
         table[i & 255] = table.get(i & 255, 0) + (i ^ 0x5BD1)
@@ -25,29 +25,29 @@
 
 
 def calibrate() -> float:
-    """Processor seconds that the loop takes: the least of some, as whatever disturbs it only adds."""
-    found = []
+    """Return the processor seconds of the loop: the minimum of its repeats, as disturbances only add time."""
+    times = []
     for _ in range(REPEATS):
         before = time.thread_time()
         run_loop()
-        found.append(time.thread_time() - before)
-    return min(found)
+        times.append(time.thread_time() - before)
+    return min(times)
 
 
 @dataclass(frozen=True, slots=True)
 class CpuUsage:
-    """Processor seconds spent so far, and the clock."""
+    """Processor seconds used up to a time."""
 
-    time: float  # seconds, of any clock that only runs forward
-    machine_s: float  # by the whole machine
-    own_s: float  # by this process and its children that have ended
+    time: float  # seconds on a monotonic clock
+    machine_s: float  # of the whole machine
+    own_s: float  # of this process and its children that have ended
 
 
 def busy_seconds(stat: str, ticks: int) -> float:
-    """What the first line of /proc/stat says that all cores together spent on work, in seconds.
+    """Return the seconds that all cores together have been busy, from the first line of /proc/stat.
 
-    Idle and waiting for the disk are no work; guests' time is in their hosts' already (proc(5)).
-    Raises ValueError for a text without that line.
+    Idle time and waiting for I/O are not counted; the time of guests is already included in that of their
+    hosts (proc(5)). Raises ValueError if the text does not begin with that line.
     """
     fields = stat.partition("\n")[0].split()
     if len(fields) < 9 or fields[0] != "cpu":
@@ -57,15 +57,15 @@
 
 
 def cpu_usage() -> CpuUsage:
-    """The use up to now."""
-    own = os.times()
+    """Return the processor time used up to now."""
+    times = os.times()
     stat = Path("/proc/stat").read_text()
-    mine = own.user + own.system + own.children_user + own.children_system
-    return CpuUsage(time.monotonic(), busy_seconds(stat, os.sysconf("SC_CLK_TCK")), mine)
+    own_s = times.user + times.system + times.children_user + times.children_system
+    return CpuUsage(time.monotonic(), busy_seconds(stat, os.sysconf("SC_CLK_TCK")), own_s)
 
 
 def others_share(before: CpuUsage, after: CpuUsage, cores: int) -> float:
-    """The share of the machine (0 to 1) that others used between two moments."""
+    """Return the share of the machine (0 to 1) that other processes used between two measurements."""
     capacity = (after.time - before.time) * cores
     if capacity <= 0:
         return 0.0
@@ -73,5 +73,5 @@
 
 
 def is_shared(others_share: float) -> bool:
-    """Whether a run in which others used that share of the machine has to be marked."""
+    """Return whether a measurement has to be marked as shared, given the share that others used."""
     return others_share > MAX_OTHERS_SHARE
--- a/myrtlecourse/scale/capacity_commands.py
+++ b/myrtlecourse/scale/capacity_commands.py
@@ -1,4 +1,4 @@
-"""`slopes` and `page`: measures what grows with the fleet, and writes docs/CAPACITY.md from the results."""
+"""The commands `slopes` and `page`, which measure what grows with the fleet and generate docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -25,30 +25,31 @@
 from myrtlecourse.scale.slopes import SPECS
 
 EXIT_NOT_MEASURED = 1
-OTHER_MEASURES = (*measuring.ROUTER_MEASURES, "known")  # what is no slope
+OTHER_MEASURES = (*measuring.ROUTER_MEASURES, "known")  # measurements that are not slopes
 
 
 def shared_mark(others: float) -> str:
-    """The mark of a run that was not alone."""
+    """Return a remark for a measurement on a shared machine."""
     return ", shared machine" if calibration.is_shared(others) else ""
 
 
 def slope_line(slope: Slope) -> str:
-    """Its law, what that foretold of a size it had not seen, and what was measured there."""
-    law, tried = check(slope.repeats)
-    said = tried.predicted
-    interval = f"{said.value:.4g} {slope.unit} ({said.low:.4g} to {said.high:.4g})"
-    told = "counts" if tried.holds else "does not hold"
+    """Return a line with a slope's law, its prediction for the largest size, and the cost measured there."""
+    fitted, validation = check(slope.repeats)
+    predicted = validation.predicted
+    interval = f"{predicted.value:.4g} {slope.unit} ({predicted.low:.4g} to {predicted.high:.4g})"
+    verdict = "counts" if validation.holds else "does not hold"
     return (
-        f"{slope.name} ({slope.form}): {law.law.name}, held out {law.held_out:.1%}; "
-        f"at {tried.size:,} foretold {interval}, measured {tried.measured:.4g}: {told}{shared_mark(slope.others)}"
+        f"{slope.name} ({slope.form}): {fitted.law.name}, held out {fitted.held_out:.1%}; "
+        f"at {validation.size:,} foretold {interval}, measured {validation.measured:.4g}: "
+        f"{verdict}{shared_mark(slope.others)}"
     )
 
 
-def measure_line(found: Measure) -> str:
-    """Its value and interval."""
-    interval = f"{found.value:.4g} {found.unit} ({found.low:.4g} to {found.high:.4g})"
-    return f"{found.name} ({found.form}): {interval}{shared_mark(found.others)}"
+def measure_line(measure: Measure) -> str:
+    """Return a line with a measure's value and interval."""
+    interval = f"{measure.value:.4g} {measure.unit} ({measure.low:.4g} to {measure.high:.4g})"
+    return f"{measure.name} ({measure.form}): {interval}{shared_mark(measure.others)}"
 
 
 @click.command("slopes")
@@ -76,27 +77,28 @@
 ) -> None:
     """Measure slopes, each size in a process of its own.
 
-    `router_requests` and `router_bytes` are what a real one passes on in a second of a core, `known` is how
+    `router_requests` and `router_bytes` are what a real router forwards per second of a core. `known` is how
     much of a roster is known soon after a start.
 
-    Exit code 0; 1 when a run gave no figure, 2 when the results file can't be used.
+    Exit code 0; 1 when a measurement gave no result, 2 when the results file can't be used.
     """
     slopes, measures = list[Slope](), list[Measure]()
     try:
-        old = read_file(out) if out.exists() else None
-        write_file(
-            out, old or Results(1, measuring.CORES)
-        )  # a file that can't be written is found before the runs
-        form = str(compiled.resolve()) if compiled is not None else ""
+        previous = read_file(out) if out.exists() else None
+        # fails before the measurements if the file can't be written
+        write_file(out, previous or Results(1, measuring.CORES))
+        compiled_folder = str(compiled.resolve()) if compiled is not None else ""
         for name in names:
             if name in measuring.ROUTER_MEASURES:
-                measures += measuring.measure_router(name, form)
+                measures += measuring.measure_router(name, compiled_folder)
             elif name == "known":
                 measures += measuring.measure_roster_starts(members)
             else:
-                slopes.append(measuring.measure_slope(name, form, lambda what: click.echo(what, err=True)))
-            found = Results(1, measuring.CORES, tuple(slopes), tuple(measures))
-            write_file(out, merge_results(old, found))
+                slopes.append(
+                    measuring.measure_slope(name, compiled_folder, lambda what: click.echo(what, err=True))
+                )
+            results = Results(1, measuring.CORES, tuple(slopes), tuple(measures))
+            write_file(out, merge_results(previous, results))
     except ResultsError as e:
         click.echo(f"myrtlecourse scale slopes: {e}", err=True)
         sys.exit(EXIT_UNUSABLE)
@@ -112,7 +114,7 @@
 def page_command(docs: Path) -> None:
     """Write CAPACITY.md and its picture from the results in the folder's `capacity`.
 
-    Exit code 0; 2 when results can't be used, or page or picture not be written.
+    Exit code 0; 2 when the results can't be used, or the page or picture can't be written.
     """
     from myrtlecourse.scale.charts import write_png  # noqa: PLC0415  (takes a second to import)
 
@@ -137,7 +139,7 @@
 
 @click.group()
 def main() -> None:
-    """What the fleet to come costs: slopes, and the page made from them."""
+    """Measure what the planned fleet costs, and generate the page from the results."""
 
 
 register(main)
--- a/myrtlecourse/scale/capacity_results.py
+++ b/myrtlecourse/scale/capacity_results.py
@@ -1,7 +1,7 @@
-"""Files of results: what was measured, as it was measured; read by one strict schema.
+"""Result files of the capacity measurements, read with a strict schema.
 
-A slope is kept as its repeats at each size, never as its fit: page and command fit it anew, so that no file
-can say that a law holds which its own figures don't bear out.
+A slope is stored as its repeats at each size and never as its fit. The page and the commands fit it again, so
+a file can't claim that a law holds unless its own measurements support it.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 
 from myrtlecourse.scale.fit import CHECK_FACTOR, MIN_SIZES
 
-MAX_FILE_BYTES = 2_000_000  # bytes of a file
+MAX_FILE_BYTES = 2_000_000  # bytes
 Name = Annotated[str, Meta(pattern=r"^[a-z][a-z0-9_]*(\.[a-z0-9_]+)*$", max_length=64)]
 Text = Annotated[str, Meta(min_length=1, max_length=300)]
 Cost = Annotated[float, Meta(gt=0.0, le=1e15)]
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
-Form = Literal["compiled", "sources", "interpreted"]  # the last: the same in both
+Form = Literal["compiled", "sources", "interpreted"]  # the last one: the same code in both forms
 
 
 class ResultsError(ValueError):
-    """A file that can't be used; the message is one line with the file, the field and its bounds."""
+    """Raised for a file that can't be used; the message is one line: the file, the field and its bounds."""
 
 
 class Point(Struct, forbid_unknown_fields=True, frozen=True):
-    """The repeats at one size, all of one process."""
+    """The repeats at one size, all measured in one process."""
 
     size: Annotated[int, Meta(ge=1, le=10**9)]
     values: Annotated[tuple[Cost, ...], Meta(min_length=3, max_length=1000)]
-    calibration: Cost  # processor seconds of the loop in that process, before and after in the mean
-    others: Share  # of the machine, that others used meanwhile
+    calibration: Cost  # processor seconds of the loop in that process, mean of before and after
+    others: Share  # share of the machine that others used during the measurement
 
 
 class Slope(Struct, forbid_unknown_fields=True, frozen=True):
@@ -41,7 +41,7 @@
 
     name: Name
     what: Text
-    by: Text  # what a size counts
+    by: Text  # what the size counts
     unit: Text
     form: Form
     command: Text
@@ -61,12 +61,12 @@
 
     @property
     def others(self) -> float:
-        """The largest share of the machine that others used at any of its sizes."""
+        """The largest share of the machine that others used at any of the sizes."""
         return max(p.others for p in self.points)
 
 
 class Measure(Struct, forbid_unknown_fields=True, frozen=True):
-    """One figure with its interval."""
+    """A single value with its interval."""
 
     name: Name
     what: Text
@@ -85,10 +85,10 @@
 
 
 class Results(Struct, forbid_unknown_fields=True, frozen=True):
-    """One file."""
+    """The contents of one file."""
 
     schema: Literal[1]
-    cores: Annotated[int, Meta(ge=1, le=4096)]  # of the machine
+    cores: Annotated[int, Meta(ge=1, le=4096)]  # cores of the machine
     slopes: Annotated[tuple[Slope, ...], Meta(max_length=100)] = ()
     measures: Annotated[tuple[Measure, ...], Meta(max_length=1000)] = ()
 
@@ -99,43 +99,43 @@
 
 
 def read_file(path: Path) -> Results:
-    """The results of a file. Raises ResultsError."""
+    """Read a result file. Raises ResultsError."""
     try:
         if path.stat().st_size > MAX_FILE_BYTES:
             raise ResultsError(f"{path}: larger than {MAX_FILE_BYTES:,} bytes")
-        found = msgspec.json.decode(path.read_bytes(), type=Results)
+        results = msgspec.json.decode(path.read_bytes(), type=Results)
     except OSError as e:
         raise ResultsError(f"{path}: {e.strerror}") from e
     except (msgspec.DecodeError, UnicodeDecodeError) as e:
         raise ResultsError(f"{path}: {' '.join(str(e).split())}") from e
-    return found
+    return results
 
 
 def read_folder(folder: Path) -> Results:
-    """All results of a folder as one. Raises ResultsError, also for a name that two files have."""
+    """Read all results of a folder. Raises ResultsError, also if two files contain the same name."""
     slopes: dict[str, Slope] = {}
     measures: dict[str, Measure] = {}
-    owners: dict[str, Path] = {}
+    paths_by_name: dict[str, Path] = {}
     cores = 1
     if not folder.is_dir():
         raise ResultsError(f"{folder}: no such folder")
     for path in sorted(folder.glob("*.json")):
-        found = read_file(path)
-        cores = max(cores, found.cores)
-        entries: tuple[Slope | Measure, ...] = (*found.slopes, *found.measures)
+        results = read_file(path)
+        cores = max(cores, results.cores)
+        entries: tuple[Slope | Measure, ...] = (*results.slopes, *results.measures)
         for entry in entries:
-            if entry.name in owners:
+            if entry.name in paths_by_name:
                 raise ResultsError(
-                    f"{path}: name {entry.name}: {owners[entry.name].name} has it, once is allowed"
+                    f"{path}: name {entry.name}: {paths_by_name[entry.name].name} has it, once is allowed"
                 )
-            owners[entry.name] = path
-        slopes |= {s.name: s for s in found.slopes}
-        measures |= {m.name: m for m in found.measures}
+            paths_by_name[entry.name] = path
+        slopes |= {s.name: s for s in results.slopes}
+        measures |= {m.name: m for m in results.measures}
     return Results(1, cores, tuple(slopes.values()), tuple(measures.values()))
 
 
 def merge_results(old: Results | None, new: Results) -> Results:
-    """New results over old ones of the same names; the others of the old stay."""
+    """Return old results updated with new ones; old results under other names are kept."""
     if old is None:
         return new
     slopes = {s.name: s for s in (*old.slopes, *new.slopes)}
@@ -144,14 +144,14 @@
 
 
 def round_significant(value: float, digits: int = 5) -> float:
-    """A value as files keep it: digits beyond these are noise."""
+    """Round a value to the precision of the files; further digits are noise."""
     if not value:
         return 0.0
     return round(value, digits - 1 - math.floor(math.log10(abs(value))))
 
 
 def write_file(path: Path, results: Results) -> None:
-    """Write a file. Raises ResultsError when it can't be written."""
+    """Write a result file. Raises ResultsError if it can't be written."""
     try:
         path.write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1) + b"\n")
     except OSError as e:
--- a/myrtlecourse/scale/child_process.py
+++ b/myrtlecourse/scale/child_process.py
@@ -1,7 +1,7 @@
-"""A process of a run: told what to do over a pipe, it says `ready`, what it does, and at last `ended`.
+"""A process of a run, which exchanges messages with its parent over a pipe.
 
-It has a session of its own, so that Ctrl-C reaches only whoever started the run; the end of the pipe tells
-it that that one is gone.
+The child sends `ready`, then messages about its work, and finally `ended`. It has a session of its own, so
+that Ctrl-C only reaches the parent. It recognizes by the end of the pipe that the parent is gone.
 """
 
 from __future__ import annotations
@@ -23,39 +23,39 @@
 
 
 class ChildProcess:
-    """One such process, seen by whoever started it."""
+    """The parent's view of one child process."""
 
     def __init__(self, name: str, log: Path, role: Callable[..., None], *arguments: Any) -> None:
-        """Start it: `role`, a function of a module, is called there with the arguments and the pipe.
+        """Start the process, which calls `role`, a function of a module, with the arguments and the pipe.
 
-        What Python says of its end goes to the log, so that whoever started the run reads one clear error.
+        The child's standard error goes to the log, so that the parent can print a single clear error.
         """
         self.name = name
-        self.connection, theirs = multiprocessing.Pipe()
-        with theirs, log.open("ab") as errors:
+        self.connection, child_end = multiprocessing.Pipe()
+        with child_end, log.open("ab") as errors:
             self.process = subprocess.Popen(
-                [sys.executable, "-c", f"from {__name__} import run_child; run_child({theirs.fileno()})"],
-                pass_fds=(theirs.fileno(),),
+                [sys.executable, "-c", f"from {__name__} import run_child; run_child({child_end.fileno()})"],
+                pass_fds=(child_end.fileno(),),
                 stdin=subprocess.DEVNULL,
                 stderr=errors,
                 start_new_session=True,
             )
         self.send((role, arguments))
-        self.ended = False  # as it was to
+        self.ended = False  # has ended as planned
 
     def has_died(self) -> bool:
-        """Whether it has ended before its time, and all that it said is read."""
+        """Return whether the process has ended unexpectedly and all its messages have been read."""
         if self.ended or self.process.poll() is None:
             return False
         return self.connection.closed or not self.connection.poll()
 
-    def send(self, word: Any) -> None:
-        """Say something to it; one that is gone is noticed by the end of its words."""
+    def send(self, message: Any) -> None:
+        """Send an object to the process. A process that is gone is noticed when its messages are read."""
         with suppress(BrokenPipeError, ConnectionResetError):
-            self.connection.send(word)
+            self.connection.send(message)
 
     def kill(self) -> None:
-        """Kill it, which is no fault."""
+        """Kill the process; this does not count as a failure."""
         self.ended = True
         self.process.kill()
         self.process.wait()
@@ -63,35 +63,36 @@
 
 
 def run_child(descriptor: int) -> None:
-    """The whole of such a process."""
+    """Run the child's side of the protocol, from the first message to the end of the process."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
-    # guards whoever hears this process: the pipe would not end with it while a router of its own has it too
+    # Subprocesses must not inherit the pipe: the parent would not notice this process's end while a router
+    # that it has started still holds the pipe open.
     os.set_inheritable(descriptor, False)
-    words: Connection = Connection(descriptor)
+    connection: Connection = Connection(descriptor)
     try:
-        role, arguments = words.recv()
-        role(*arguments, words)
+        role, arguments = connection.recv()
+        role(*arguments, connection)
     except EOFError:
-        return  # whoever started the run is gone
+        return  # the parent is gone
     except Exception as e:
         with suppress(BrokenPipeError):
-            words.send(("fault", f"{type(e).__name__}: {e}"))
+            connection.send(("fault", f"{type(e).__name__}: {e}"))
 
 
-async def wait_for_end(words: Connection, begin: Callable[[], None]) -> None:
-    """Wait until it is told to end, or nobody is there to tell; `begin` is called when that is told."""
-    loop, over = asyncio.get_running_loop(), asyncio.Event()
+async def wait_for_end(connection: Connection, begin: Callable[[], None]) -> None:
+    """Wait for the message to end, or for the end of the pipe; call `begin` on the message to begin."""
+    loop, ended = asyncio.get_running_loop(), asyncio.Event()
 
-    def hear() -> None:
+    def read_message() -> None:
         try:
-            word = words.recv()
+            message = connection.recv()
         except (EOFError, ConnectionResetError):
-            word = END
-        if word == BEGIN:
+            message = END
+        if message == BEGIN:
             begin()
         else:
-            loop.remove_reader(words.fileno())
-            over.set()
+            loop.remove_reader(connection.fileno())
+            ended.set()
 
-    loop.add_reader(words.fileno(), hear)
-    await over.wait()
+    loop.add_reader(connection.fileno(), read_message)
+    await ended.wait()
--- a/myrtlecourse/scale/commands.py
+++ b/myrtlecourse/scale/commands.py
@@ -1,4 +1,4 @@
-"""`myrtlecourse scale`: its commands and their options."""
+"""The command `myrtlecourse scale`."""
 
 from __future__ import annotations
 
@@ -24,54 +24,56 @@
 from myrtlecourse.scale.run_results import Results
 from myrtlecourse.scale.scenario import ScenarioError, read_scenario
 
-PROGRESS_INTERVAL = 5.0  # seconds between two progress lines where no terminal shows them
+PROGRESS_INTERVAL = 5.0  # seconds between two progress lines
 
 
 @click.group()
 def scale() -> None:
-    """What a member of a large fleet costs, by hollow members beside real routers."""
+    """Measure what a member of a large fleet costs, with hollow members beside real routers."""
 
 
 register(scale)
 
 
-def show_plan(made: Plan, guard: ResourceLimits, console: Console) -> None:
-    """Print what would be started."""
+def show_plan(run_plan: Plan, limits: ResourceLimits, console: Console) -> None:
+    """Print what a run would start."""
     table = Table(title="What is started")
     for name in ("processes of", "processes", "members", "memory, MB", "sockets of one, at most"):
         table.add_column(name, justify="left" if name == "processes of" else "right")
-    for part in made.groups:
+    for part in run_plan.groups:
         counts = (part.processes, part.members, round(part.memory / MB), part.sockets)
         table.add_row(part.name, *(f"{count:,}" for count in counts))
     console.print(table)
     console.print(
-        f"{made.processes} processes (bound {guard.processes}), {made.memory / MB:,.0f} MB foretold "
-        f"(bound {guard.memory / MB:,.0f} MB)",
+        f"{run_plan.processes} processes (bound {limits.processes}), {run_plan.memory / MB:,.0f} MB foretold "
+        f"(bound {limits.memory / MB:,.0f} MB)",
         highlight=False,
     )
 
 
 def show_results(results: Results, console: Console) -> None:
-    """Print the figures."""
+    """Print the results of a run."""
     table = Table(title=f"One member, over {results.seconds:.1f} s")
     table.add_column("")
     for role in results.roles:
         table.add_column(role, justify="right")
-    told = results.roles.values()
+    roles = results.roles.values()
 
     def row(name: str, texts: list[str]) -> None:
         table.add_row(name, *texts)
 
-    row("members", [f"{r.members:,}" for r in told])
-    row("of a core", [f"{100 * r.cpu_per_member_second:.2f}%" for r in told])
-    row("memory, MB", [f"{r.memory_mb:.2f}" for r in told])
+    row("members", [f"{r.members:,}" for r in roles])
+    row("of a core", [f"{100 * r.cpu_per_member_second:.2f}%" for r in roles])
+    row("memory, MB", [f"{r.memory_mb:.2f}" for r in roles])
     row(
         "list, bytes/s in, out",
-        [f"{r.list_bytes_in_per_s:,.0f}, {r.list_bytes_out_per_s:,.0f}" for r in told],
+        [f"{r.list_bytes_in_per_s:,.0f}, {r.list_bytes_out_per_s:,.0f}" for r in roles],
     )
-    row("datagrams/s in, out", [_pair(r.datagrams_in_per_s, r.datagrams_out_per_s) for r in told])
-    row("their bytes/s in, out", [_pair(r.datagram_bytes_in_per_s, r.datagram_bytes_out_per_s) for r in told])
-    row("list calls, all", [f"{r.list_calls:,}" for r in told])
+    row("datagrams/s in, out", [_pair(r.datagrams_in_per_s, r.datagrams_out_per_s) for r in roles])
+    row(
+        "their bytes/s in, out", [_pair(r.datagram_bytes_in_per_s, r.datagram_bytes_out_per_s) for r in roles]
+    )
+    row("list calls, all", [f"{r.list_calls:,}" for r in roles])
     console.print(table)
     times = results.roles["hollow"].in_force
     if times is not None and times.p50_s is not None:
@@ -98,7 +100,7 @@
 
 
 class Progress:
-    """One line that changes in a terminal, elsewhere one every few seconds."""
+    """Prints progress at intervals, and whenever the run enters another phase."""
 
     def __init__(self, console: Console, quiet: bool, seconds: float) -> None:
         self.console = console
@@ -107,29 +109,29 @@
         self.last = -PROGRESS_INTERVAL
         self.doing = ""
 
-    def __call__(self, now: RunStatus) -> None:
-        if self.quiet or (now.phase == self.doing and time.monotonic() - self.last < PROGRESS_INTERVAL):
+    def __call__(self, status: RunStatus) -> None:
+        if self.quiet or (status.phase == self.doing and time.monotonic() - self.last < PROGRESS_INTERVAL):
             return
-        self.last, self.doing = time.monotonic(), now.phase
-        told = f"{now.memory / MB:,.0f} MB in {now.processes} processes"
-        if now.counts:
-            told += "".join(
-                f", {name} {now.counts.get(name, 0):,}" for name in ("served", "refused", "failed")
+        self.last, self.doing = time.monotonic(), status.phase
+        text = f"{status.memory / MB:,.0f} MB in {status.processes} processes"
+        if status.counts:
+            text += "".join(
+                f", {name} {status.counts.get(name, 0):,}" for name in ("served", "refused", "failed")
             )
-        line = f"{now.phase}: {now.elapsed:.0f} of {self.seconds:g} s, {told}"
+        line = f"{status.phase}: {status.elapsed:.0f} of {self.seconds:g} s, {text}"
         self.console.print(line, highlight=False, markup=False, soft_wrap=True)
 
 
 def check_writable(folder: Path, json_file: Path | None) -> None:
-    """Raises OSError where results could not be written later."""
+    """Raises OSError if the results could not be written at the end of the run."""
     folder.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryFile(dir=folder):
         pass
     if json_file is not None:
-        there = json_file.exists()
+        existed = json_file.exists()
         with json_file.open("ab"):
             pass
-        if not there:
+        if not existed:
             json_file.unlink()
 
 
@@ -158,39 +160,42 @@
     memory_mb: int | None,
     quiet: bool,
 ) -> None:
-    """Run hollow members beside real routers under load, and tell what one costs (docs/scale.md).
+    """Run hollow members beside real routers under load, and print what one member costs (docs/scale.md).
 
-    Exit code 0; 1 when a rule was broken, a router ended by itself, or the run did not come to its end; 2
-    when it could not begin.
+    Exit code 0; 1 when a rule was broken, a router ended by itself, or the run did not complete; 2 when it
+    could not start.
     """
     console = Console(stderr=True)
 
-    def give_up(why: object, code: int) -> None:
-        console.print(f"myrtlecourse scale: {why}", markup=False, highlight=False, soft_wrap=True)
+    def give_up(reason: object, code: int) -> None:
+        console.print(f"myrtlecourse scale: {reason}", markup=False, highlight=False, soft_wrap=True)
         sys.exit(code)
 
-    guard = ResourceLimits.of_machine(None if memory_mb is None else memory_mb * MB)
+    limits = ResourceLimits.of_machine(None if memory_mb is None else memory_mb * MB)
     try:
-        told = read_scenario(scenario)
-        made = make_plan(told)
+        loaded = read_scenario(scenario)
+        run_plan = make_plan(loaded)
         if only_plan:
-            show_plan(made, guard, Console())
-        made.check_limits(guard)
+            show_plan(run_plan, limits, Console())
+        run_plan.check_limits(limits)
         if only_plan:
             return
-        where = folder or Path(tempfile.mkdtemp(prefix="myrtlecourse-"))
-        check_writable(where, json_file)
+        output_folder = folder or Path(tempfile.mkdtemp(prefix="myrtlecourse-"))
+        check_writable(output_folder, json_file)
     except (ScenarioError, ResourceLimitError) as e:
         give_up(e, EXIT_UNUSABLE)
     except OSError as e:
         give_up(f"{e.filename}: {e.strerror}", EXIT_UNUSABLE)
-    for old in where.glob("*.jsonl"):  # of an earlier run: they would be judged with this one
-        old.unlink()
+    # observations of an earlier run would be audited together with those of this run
+    for observations in output_folder.glob("*.jsonl"):
+        observations.unlink()
     if folder is None:
-        console.print(f"observations and logs go to {where}", markup=False, highlight=False, soft_wrap=True)
-    look_on: Callable[[RunStatus], None] = Progress(console, quiet, told.seconds)
+        console.print(
+            f"observations and logs go to {output_folder}", markup=False, highlight=False, soft_wrap=True
+        )
+    on_status: Callable[[RunStatus], None] = Progress(console, quiet, loaded.seconds)
     try:
-        results = Run(told, where, command, guard, look_on).execute()
+        results = Run(loaded, output_folder, command, limits, on_status).execute()
     except (ScaleError, ResourceLimitError, ObservationError) as e:
         give_up(e, BROKEN)
     results = msgspec.structs.replace(results, command=["myrtlecourse", *sys.argv[1:]])
--- a/myrtlecourse/scale/estimates.py
+++ b/myrtlecourse/scale/estimates.py
@@ -1,4 +1,4 @@
-"""Looks figures up in the results and does arithmetic on them, so that each carries where it comes from."""
+"""Estimates of costs, looked up in the results or computed from them; each one keeps track of its source."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from myrtlecourse.scale.capacity_results import Measure, Results, Slope
 from myrtlecourse.scale.fit import Fit, check, fit, median_interval
 
-UNIT_SCALES = {  # by unit: what a value is divided by, and what that is called
+UNIT_SCALES = {  # by unit: divisors and the units that result
     "s": ((1.0, "s"), (1e-3, "ms"), (1e-6, "us")),
     "B": ((1e9, "GB"), (1e6, "MB"), (1e3, "KB"), (1.0, "B")),
     "B/s": ((1e9, "GB/s"), (1e6, "MB/s"), (1e3, "KB/s"), (1.0, "B/s")),
@@ -17,8 +17,8 @@
 
 
 def format_value(value: float, unit: str) -> str:
-    """A value with three digits and a unit of a fitting size."""
-    if unit == "core":  # a share of one
+    """Format a value with three digits and a unit of suitable size."""
+    if unit == "core":  # a share of one core
         return f"{value:.3g} cores" if value >= 1 else f"{value * 100:.3g}% of a core"
     scales = UNIT_SCALES.get(unit)
     if scales is None or not value:
@@ -26,22 +26,22 @@
         return (
             text if unit in ("", "1") else f"{text}{unit[1:]}" if unit.startswith("1/") else f"{text} {unit}"
         )
-    size, name = next((s for s in scales if value >= s[0]), scales[-1])
-    scaled = value / size
+    divisor, name = next((s for s in scales if value >= s[0]), scales[-1])
+    scaled = value / divisor
     return f"{scaled:,.0f} {name}" if scaled >= 100 else f"{scaled:.3g} {name}"
 
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """A value with its interval, and where it comes from."""
+    """A value with its interval and its source."""
 
     value: float
     low: float
     high: float
     unit: str
     source: str
-    law_holds: bool = True  # not foretold by a law that failed its check
-    exclusive: bool = True  # no other process had a tenth of the machine
+    law_holds: bool = True  # False: predicted by a law that failed its check
+    exclusive: bool = True  # no other process used more than a tenth of the machine
 
     def __str__(self) -> str:
         if not self.law_holds:
@@ -53,13 +53,13 @@
 
     @property
     def annotated_source(self) -> str:
-        """Its source, and what takes from its worth."""
+        """The source, with remarks on what makes the value unreliable."""
         doubts = [] if self.law_holds else ["the law does not hold"]
         doubts += [] if self.exclusive else ["shared machine"]
         return self.source + "".join(f"; **{d}**" for d in doubts)
 
     def multiplied(self, factor: float, formula: str, unit: str | None = None) -> Estimate:
-        """Arithmetic: a multiple of it. In the formula `{}` stands for its own source."""
+        """Return a multiple. `{}` in the formula stands for the source of this estimate."""
         values = (self.value * factor, self.low * factor, self.high * factor)
         return replace(
             self,
@@ -70,19 +70,19 @@
             source=formula.format(self.source),
         )
 
-    def inverted(self, formula: str, unit: str, of: Callable[[float], float]) -> Estimate:
-        """Arithmetic by a function that only falls as the figure rises."""
+    def inverted(self, formula: str, unit: str, function: Callable[[float], float]) -> Estimate:
+        """Return a function of this estimate; the function must decrease as its argument grows."""
         return replace(
             self,
-            value=of(self.value),
-            low=of(self.high),
-            high=of(self.low),
+            value=function(self.value),
+            low=function(self.high),
+            high=function(self.low),
             unit=unit,
             source=formula.format(self.source),
         )
 
     def added(self, other: Estimate) -> Estimate:
-        """Arithmetic: the sum of two."""
+        """Return the sum of two estimates."""
         return replace(
             self,
             value=self.value + other.value,
@@ -95,12 +95,12 @@
 
 
 def calculated(value: float, unit: str, formula: str) -> Estimate:
-    """A figure that is arithmetic on what the fleet is to be, and nothing measured."""
+    """Return an estimate that is computed from the planned size of the fleet, without any measurement."""
     return Estimate(value, value, value, unit, formula)
 
 
 class Estimates:
-    """The results of a folder."""
+    """The estimates that the results of a folder support."""
 
     def __init__(self, results: Results) -> None:
         self.slopes: dict[str, Slope] = {s.name: s for s in results.slopes}
@@ -108,9 +108,9 @@
         self.fits: dict[str, tuple[Fit, bool]] = {}
 
     def at_size(self, name: str, size: int) -> Estimate | None:
-        """A slope's cost at a size: as measured there, else by its law fitted to all sizes.
+        """Return a slope's cost at a size: as measured there, or else as its law predicts.
 
-        None when it was not measured.
+        Returns None if the slope was not measured.
         """
         slope = self.slopes.get(name)
         if slope is None:
@@ -118,21 +118,26 @@
         unit = slope.unit
         point = next((p for p in slope.points if p.size == size), None)
         if point is not None:
-            found, alone = median_interval(point.values), not is_shared(point.others)
+            interval, exclusive = median_interval(point.values), not is_shared(point.others)
             source = f"`{name}` at {size:,}"
-            return Estimate(found.value, found.low, found.high, unit, source, exclusive=alone)
+            return Estimate(interval.value, interval.low, interval.high, unit, source, exclusive=exclusive)
         if name not in self.fits:
             self.fits[name] = fit(slope.repeats), check(slope.repeats)[1].holds
-        law, holds = self.fits[name]
-        told, alone = law.predict(size), not is_shared(slope.others)
-        source = f"`{name}` foretold at {size:,} ({law.law.name})"
-        return Estimate(told.value, told.low, told.high, unit, source, holds, alone)
+        fitted, law_holds = self.fits[name]
+        predicted, exclusive = fitted.predict(size), not is_shared(slope.others)
+        source = f"`{name}` foretold at {size:,} ({fitted.law.name})"
+        return Estimate(predicted.value, predicted.low, predicted.high, unit, source, law_holds, exclusive)
 
     def measure(self, name: str) -> Estimate | None:
-        """A measure; None when it was not measured."""
-        found = self.measures.get(name)
-        if found is None:
+        """Return the estimate from a measure; None if it was not measured."""
+        measure = self.measures.get(name)
+        if measure is None:
             return None
         return Estimate(
-            found.value, found.low, found.high, found.unit, f"`{name}`", exclusive=not is_shared(found.others)
+            measure.value,
+            measure.low,
+            measure.high,
+            measure.unit,
+            f"`{name}`",
+            exclusive=not is_shared(measure.others),
         )
--- a/myrtlecourse/scale/fit.py
+++ b/myrtlecourse/scale/fit.py
@@ -1,11 +1,12 @@
-"""Which law a cost follows by size, and whether that law foretells a size that it has not seen; no I/O.
-
-A law is `base + slope * shape(n)` with neither negative: a cost never falls with size. It is fitted by least
-squares of relative errors, chosen by the held-out error of leaving out one size at a time (Stone, 1974), and
-its interval is the percentile bootstrap (Efron, 1979) over the repeats at each size, widened by the largest
-held-out error, a hundredth at least: repeats know nothing of a law that does not quite hold. Of the repeats
-at a size the least counts: whatever else runs on the machine adds to processor time and takes none off. What
-a router has to bear at a size is `middle`.
+"""Finds the law by which a cost grows with size, and checks whether the law predicts a larger size. No I/O.
+
+A law is `base + slope * shape(n)` with neither coefficient negative, because a cost never falls with size. It
+is fitted by least squares of the relative errors, and selected by its mean error in leave-one-out
+cross-validation over the sizes (Stone, 1974). Its interval is the percentile bootstrap (Efron, 1979) over the
+repeats at each size, widened by the largest cross-validation error, and by at least 1%: the repeats don't
+show that a law holds only approximately. The fit uses the minimum of the repeats at a size, because other
+work on the machine adds processor time and never takes any off. `median_interval` estimates what a router has
+to expect at one size.
 """
 
 from __future__ import annotations
@@ -17,23 +18,24 @@
 import numpy as np
 
 MIN_SIZES = 5
-CHECK_FACTOR = 4  # times the largest size seen, at which a law is checked
-MAX_INTERVAL_WIDTH = 1.0  # of what is foretold: an interval that is wider tells nothing
-MIN_RELATIVE_ERROR = 0.01  # relative error: no law is believed to be nearer than that
+CHECK_FACTOR = 4  # ratio of the largest size, at which a law is checked, to the largest size that is fitted
+MAX_INTERVAL_WIDTH = 1.0  # relative to the prediction; a wider interval is of no use
+MIN_RELATIVE_ERROR = 0.01  # no law is assumed to be more accurate than this
 RESAMPLES = 400
 LOW_PERCENTILE, HIGH_PERCENTILE = 2.5, 97.5  # percent
-SHAPES: dict[str, Callable[[float], float]] = {  # the simplest first: a later one must be nearer by SUREST
+# the simplest first; a later one must be more accurate by MIN_RELATIVE_ERROR
+SHAPES: dict[str, Callable[[float], float]] = {
     "constant": lambda n: 0.0,
     "log n": math.log,
     "n": lambda n: n,
     "n log n": lambda n: n * math.log(n),
     "n squared": lambda n: n * n,
 }
-Repeats = Mapping[int, Sequence[float]]  # by size
+Repeats = Mapping[int, Sequence[float]]  # costs by size
 
 
 class FitError(ValueError):
-    """What no law can be fitted to."""
+    """Raised when no law can be fitted to the costs."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,13 +47,13 @@
     slope: float
 
     def at(self, n: float) -> float:
-        """The cost at a size."""
+        """Return the cost at a size."""
         return self.base + self.slope * SHAPES[self.name](n)
 
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """A value and its 95% interval."""
+    """A value and its 95% confidence interval."""
 
     value: float
     low: float
@@ -60,31 +62,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """The law that foretells held-out sizes best."""
+    """The law that predicts held-out sizes best."""
 
     law: Law
-    held_out: float  # mean relative error at sizes left out
-    worst_error: float  # the largest of them
+    held_out: float  # mean relative error at the held-out sizes
+    worst_error: float  # largest relative error at a held-out size
     repeats: Repeats
 
     def predict(self, n: float) -> Interval:
-        """The cost at a size, and between what it lies."""
-        chance = np.random.Generator(np.random.PCG64(1))
-        drawn = {s: chance.choice(list(v), (RESAMPLES, len(v))) for s, v in sorted(self.repeats.items())}
-        costs = {s: v.min(axis=1) for s, v in drawn.items()}
-        found = [
+        """Return the predicted cost at a size, with its interval."""
+        rng = np.random.Generator(np.random.PCG64(1))
+        samples = {s: rng.choice(list(v), (RESAMPLES, len(v))) for s, v in sorted(self.repeats.items())}
+        costs = {s: v.min(axis=1) for s, v in samples.items()}
+        predictions = [
             fit_law(self.law.name, {s: float(c[i]) for s, c in costs.items()}).at(n) for i in range(RESAMPLES)
         ]
-        low, high = np.percentile(found, [LOW_PERCENTILE, HIGH_PERCENTILE])
-        value, unsure = self.law.at(n), max(MIN_RELATIVE_ERROR, self.worst_error)
+        low, high = np.percentile(predictions, [LOW_PERCENTILE, HIGH_PERCENTILE])
+        value, margin = self.law.at(n), max(MIN_RELATIVE_ERROR, self.worst_error)
         return Interval(
-            value, min(value, float(low)) * max(0.0, 1 - unsure), max(value, float(high)) * (1 + unsure)
+            value, min(value, float(low)) * max(0.0, 1 - margin), max(value, float(high)) * (1 + margin)
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Check:
-    """What a law said of a larger size, and what was measured there."""
+    """A law's prediction for a larger size, and the cost measured there."""
 
     size: int
     predicted: Interval
@@ -92,35 +94,44 @@
 
     @property
     def holds(self) -> bool:
-        """Whether the law may be used: what was measured lies within an interval that says something."""
-        found = self.predicted
-        narrow = found.high - found.low <= MAX_INTERVAL_WIDTH * found.value
-        return narrow and found.low <= self.measured <= found.high
+        """Whether the law may be used: the interval contains the measured cost, and is narrow enough."""
+        interval = self.predicted
+        narrow = interval.high - interval.low <= MAX_INTERVAL_WIDTH * interval.value
+        return narrow and interval.low <= self.measured <= interval.high
 
 
 def fit_law(name: str, costs: Mapping[int, float]) -> Law:
-    """One law, by least squares of relative errors: a small size counts as much as a large one."""
+    """Fit one law by least squares of relative errors, so that small and large sizes weigh the same."""
     sizes = np.array(list(costs), dtype=np.float64)
     values = np.array(list(costs.values()), dtype=np.float64)
     shape = np.array([SHAPES[name](s) for s in sizes.tolist()])
-    ones, bent = 1 / values, shape / values
-    base_alone = float(ones.sum() / (ones @ ones))
-    if not bent.any():
-        return Law(name, base_alone, 0.0)
-    slope_alone = float(bent.sum() / (bent @ bent))
-    whole = float(ones @ ones) * float(bent @ bent) - float(ones @ bent) ** 2
-    if whole > 1e-12 * float(ones @ ones) * float(bent @ bent):
-        base = (float(bent @ bent) * float(ones.sum()) - float(ones @ bent) * float(bent.sum())) / whole
-        slope = (float(ones @ ones) * float(bent.sum()) - float(ones @ bent) * float(ones.sum())) / whole
+    base_column, slope_column = 1 / values, shape / values
+    base_only = float(base_column.sum() / (base_column @ base_column))
+    if not slope_column.any():
+        return Law(name, base_only, 0.0)
+    slope_only = float(slope_column.sum() / (slope_column @ slope_column))
+    determinant = (
+        float(base_column @ base_column) * float(slope_column @ slope_column)
+        - float(base_column @ slope_column) ** 2
+    )
+    if determinant > 1e-12 * float(base_column @ base_column) * float(slope_column @ slope_column):
+        base = (
+            float(slope_column @ slope_column) * float(base_column.sum())
+            - float(base_column @ slope_column) * float(slope_column.sum())
+        ) / determinant
+        slope = (
+            float(base_column @ base_column) * float(slope_column.sum())
+            - float(base_column @ slope_column) * float(base_column.sum())
+        ) / determinant
         if base >= 0 and slope >= 0:
             return Law(name, base, slope)
-    # at the edge of what is allowed, the better of the two
-    edges = (Law(name, base_alone, 0.0), Law(name, 0.0, slope_alone))
-    return min(edges, key=lambda law: sum((law.at(s) / c - 1) ** 2 for s, c in costs.items()))
+    # the optimum is on the boundary of the allowed coefficients: the better of the two candidates
+    candidates = (Law(name, base_only, 0.0), Law(name, 0.0, slope_only))
+    return min(candidates, key=lambda law: sum((law.at(s) / c - 1) ** 2 for s, c in costs.items()))
 
 
 def minimum_costs(repeats: Repeats) -> dict[int, float]:
-    """The least at each size. Raises FitError for what is no cost."""
+    """Return the minimum cost at each size. Raises FitError for a cost that is not a positive number."""
     for size, values in repeats.items():
         if size < 1 or not values or not all(0 < v < math.inf for v in values):
             raise FitError(f"size {size}: every cost must be a number over 0")
@@ -128,36 +139,44 @@
 
 
 def fit(repeats: Repeats) -> Fit:
-    """The best law. Raises FitError with fewer than five sizes, or for what is no cost."""
+    """Return the best fit.
+
+    Raises FitError for fewer than five sizes, or for a cost that is not a positive number.
+    """
     costs = minimum_costs(repeats)
     if len(costs) < MIN_SIZES:
         raise FitError(f"{len(costs)} sizes, {MIN_SIZES} are the least")
     errors = {}
     for name in SHAPES:
         errors[name] = [
-            abs(fit_law(name, {s: c for s, c in costs.items() if s != out}).at(out) / costs[out] - 1)
-            for out in costs
+            abs(
+                fit_law(name, {s: c for s, c in costs.items() if s != held_out_size}).at(held_out_size)
+                / costs[held_out_size]
+                - 1
+            )
+            for held_out_size in costs
         ]
     means = {name: sum(found) / len(found) for name, found in errors.items()}
-    # guards a constant cost: in noise some steep law is nearer by a hair, and foretells far off
+    # Without this margin, noise would let a steep law win by a hair for a constant cost, and its predictions
+    # for larger sizes would be far off.
     best = next(name for name in SHAPES if means[name] <= min(means.values()) + MIN_RELATIVE_ERROR)
     return Fit(fit_law(best, costs), means[best], max(errors[best]), repeats)
 
 
 def check(repeats: Repeats) -> tuple[Fit, Check]:
-    """Fit up to a quarter of the largest size, and foretell that.
+    """Fit up to a quarter of the largest size, and predict the cost at the largest.
 
-    Raises FitError when there are too few sizes up to it, or for what is no cost.
+    Raises FitError if there are too few sizes up to there, or for a cost that is not a positive number.
     """
     largest = max(repeats, default=0)
-    seen = {size: values for size, values in repeats.items() if size * CHECK_FACTOR <= largest}
-    found = fit(seen)
-    return found, Check(largest, found.predict(largest), minimum_costs(repeats)[largest])
+    smaller = {size: values for size, values in repeats.items() if size * CHECK_FACTOR <= largest}
+    fitted = fit(smaller)
+    return fitted, Check(largest, fitted.predict(largest), minimum_costs(repeats)[largest])
 
 
 def median_interval(values: Sequence[float]) -> Interval:
-    """The median of repeats, with the bootstrap's interval."""
-    chance = np.random.Generator(np.random.PCG64(1))
-    found = np.median(chance.choice(list(values), (RESAMPLES, len(values))), axis=1)
-    low, high = np.percentile(found, [LOW_PERCENTILE, HIGH_PERCENTILE])
+    """Return the median of the repeats with its bootstrap interval."""
+    rng = np.random.Generator(np.random.PCG64(1))
+    medians = np.median(rng.choice(list(values), (RESAMPLES, len(values))), axis=1)
+    low, high = np.percentile(medians, [LOW_PERCENTILE, HIGH_PERCENTILE])
     return Interval(float(np.median(list(values))), float(low), float(high))
--- a/myrtlecourse/scale/guard.py
+++ b/myrtlecourse/scale/guard.py
@@ -1,4 +1,4 @@
-"""Bounds what a run takes of the machine, and leaves no process behind when it ends, however it does."""
+"""Limits the memory and processes of a run, and ends all of its processes at its end, whatever the cause."""
 
 from __future__ import annotations
 
@@ -13,40 +13,43 @@
 
 MAX_PROCESSES = 200
 MEMORY_SHARE = 0.5  # of the machine's memory
-PR_SET_CHILD_SUBREAPER = 36  # PR_SET_CHILD_SUBREAPER of prctl(2)
-SIGKILL_DELAY = 4.0  # seconds from SIGTERM to SIGKILL: a router's longest deadline and a little more
-END_TIMEOUT = 20.0  # seconds until all must be gone
+PR_SET_CHILD_SUBREAPER = 36  # option of prctl(2)
+SIGKILL_DELAY = 4.0  # seconds between SIGTERM and SIGKILL: slightly more than a router's longest deadline
+END_TIMEOUT = 20.0  # seconds within which all processes must have ended
 MB = 1024 * 1024
 
 
 class ResourceLimitError(RuntimeError):
-    """A run that takes more than it may; the message names what and the bound."""
+    """Raised when a run exceeds a limit; the message names the resource and the limit."""
 
 
 @dataclass(frozen=True)
 class ResourceLimits:
-    """The bounds of one run."""
+    """The limits of one run."""
 
-    memory: int  # bytes, of all its processes; pages that they share count for each
+    memory: int  # bytes of all processes; pages that they share are counted for each
     processes: int = MAX_PROCESSES
 
     @classmethod
     def of_machine(cls, memory: int | None = None) -> ResourceLimits:
-        """Half of this machine's memory, or less where less is asked for."""
+        """Return limits of half of this machine's memory, or of `memory` bytes if that is less."""
         most = int(machine_memory() * MEMORY_SHARE)
         return cls(most if memory is None else min(most, memory))
 
-    def require(self, memory: int, count: int, what: str) -> None:
-        """Raises GuardError where either is over its bound."""
+    def require(self, memory: int, count: int, subject: str) -> None:
+        """Raises ResourceLimitError if either value exceeds its limit."""
         if memory > self.memory:
             raise ResourceLimitError(
-                f"memory: {what} {memory / MB:,.0f} MB, and the bound is {self.memory / MB:,.0f} MB"
+                f"memory: {subject} {memory / MB:,.0f} MB, and the bound is {self.memory / MB:,.0f} MB"
             )
         if count > self.processes:
-            raise ResourceLimitError(f"processes: {what} {count}, and the bound is {self.processes}")
+            raise ResourceLimitError(f"processes: {subject} {count}, and the bound is {self.processes}")
 
     def check_usage(self) -> tuple[int, int]:
-        """What this process and its descendants take: bytes and processes. Raises GuardError."""
+        """Return the bytes and processes used by this process and its descendants.
+
+        Raises ResourceLimitError.
+        """
         table = read_processes()
         memory, count = usage_of(process_tree(os.getpid(), table), table)
         self.require(memory, count, "the run has taken")
@@ -54,14 +57,14 @@
 
 
 def usage_of(pids: set[int], table: dict[int, ProcessStat]) -> tuple[int, int]:
-    """Bytes and processes of a tree."""
+    """Return the resident bytes and the number of some processes."""
     return sum(table[pid].resident for pid in pids), len(pids)
 
 
 def adopt_orphans() -> None:
     """Become the parent of descendants whose own parent dies.
 
-    Guards the machine: real routers whose starter was killed would else be out of sight, and run on.
+    Without this, real routers whose parent was killed would keep running and could not be found.
     """
     libc = ctypes.CDLL(None, use_errno=True)
     if libc.prctl(PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0):
@@ -69,18 +72,20 @@
 
 
 def end_descendants() -> None:
-    """End all that descend from this process, and wait until they are gone. Raises GuardError.
+    """End all descendants of this process, and wait until they are gone. Raises ResourceLimitError.
 
-    They are asked first: Python's cleaner of a process's semaphores ends by itself once that one is gone.
+    They get SIGTERM first: Python's resource tracker exits by itself once the process that it serves has
+    ended.
     """
-    began = time.monotonic()
-    while left := process_tree(os.getpid(), read_processes()) - {os.getpid()}:
-        passed = time.monotonic() - began
-        if passed > END_TIMEOUT:
-            raise ResourceLimitError(f"processes {sorted(left)} were killed and have not ended")
-        for pid in left:
+    began_at = time.monotonic()
+    while remaining := process_tree(os.getpid(), read_processes()) - {os.getpid()}:
+        elapsed = time.monotonic() - began_at
+        if elapsed > END_TIMEOUT:
+            raise ResourceLimitError(f"processes {sorted(remaining)} were killed and have not ended")
+        for pid in remaining:
             with suppress(ProcessLookupError):
-                os.kill(pid, signal.SIGTERM if passed < SIGKILL_DELAY else signal.SIGKILL)
-            with suppress(ChildProcessError):  # another's; this process's once that one is gone
+                os.kill(pid, signal.SIGTERM if elapsed < SIGKILL_DELAY else signal.SIGKILL)
+            # the process has another parent, and becomes this process's child when that parent ends
+            with suppress(ChildProcessError):
                 os.waitpid(pid, os.WNOHANG)
         time.sleep(0.05)
--- a/myrtlecourse/scale/hollow.py
+++ b/myrtlecourse/scale/hollow.py
@@ -1,8 +1,8 @@
-"""Hollow members: routers without their data path, hundreds to a process and its one loop.
+"""Hollow members: routers without a data path, hundreds of them in one process and event loop.
 
-Each runs what a router runs, from the platform's configuration to gossip: the decision module in its host,
-with timers, discovery's client and the socket to the others. It has no listener, so that no request comes
-and nothing is ever sent to a cache server.
+Each runs a router's control code, from the platform's configuration to gossip: the decision module in its
+host, with timers, the discovery client and the gossip socket. It has no listener, so it gets no requests and
+never sends anything to a cache server. Kubemark tests the control plane of Kubernetes in the same way.
 """
 
 from __future__ import annotations
@@ -37,17 +37,17 @@
 from myrtlecourse.zones.agent import Agent
 from myrtlecourse.zones.setup import part
 
-REPORT_INTERVAL = 1.0  # seconds between two words with counts
+REPORT_INTERVAL = 1.0  # seconds between two reports of counts
 TERMINATED = "terminated"
 
 
 @dataclass(frozen=True)
 class HollowJob:
-    """One process of them."""
+    """The parameters of one process of hollow members."""
 
-    configuration: dict[str, Any]  # that all share
-    gossip_addresses: tuple[str, ...]  # of all members, by their numbers; none: no gossip
-    operators: Path | None  # the operators' file
+    configuration: dict[str, Any]  # shared by all members
+    gossip_addresses: tuple[str, ...]  # of all members, by member number; empty: no gossip
+    operators: Path | None  # the operators' file; None: no gossip
     members: tuple[MemberPlace, ...]
     restarts: tuple[tuple[float, frozenset[int]], ...]
     log: Path
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InForceRecord:
-    """A member's decisions have taken another state of a server."""
+    """A member's decision module has applied a new state of a server."""
 
     at: float  # the machine's monotonic clock
     member: int
@@ -66,19 +66,19 @@
 
 @dataclass
 class Counts:
-    """What a process came to since it was told to begin, when it last told."""
+    """What a process of hollow members has measured since the run began."""
 
     at: float = 0.0
-    cpu: float = 0.0  # seconds of processor
+    cpu: float = 0.0  # processor seconds
     datagrams_in: int = 0
     datagrams_out: int = 0
     datagram_bytes_in: int = 0
     datagram_bytes_out: int = 0
-    in_force: list[InForceRecord] = field(default_factory=list)  # since it told before
+    in_force: list[InForceRecord] = field(default_factory=list)  # since the previous report
 
 
 class CountingSpeaker(Speaker):
-    """A member's end, with what comes to it counted; what it sends its gossip counts."""
+    """A member's gossip socket that counts the datagrams received; the gossip itself counts those sent."""
 
     counts: Counts
 
@@ -89,7 +89,7 @@
 
 
 class HollowMember:
-    """One life of one member."""
+    """One hollow member, from its start to its end; a restarted member is another object."""
 
     def __init__(self, place: MemberPlace, job: HollowJob, counts: Counts) -> None:
         self.place = place
@@ -112,22 +112,22 @@
             self.speaker = self._make_speaker(config, job.operators)
 
     def _configuration(self, job: HollowJob) -> dict[str, Any]:
-        """What the platform tells it."""
-        told, number = job.configuration, self.place.number
-        settings = told["settings"] | {"me": number, "zone": self.place.zone}
+        """Return the configuration that the platform would give this member."""
+        configuration, number = job.configuration, self.place.number
+        settings = configuration["settings"] | {"me": number, "zone": self.place.zone}
         own: dict[str, Any] = {"seed": f"{number:x}", "settings": settings}
         if job.gossip_addresses:
             own |= {"peer_listen": job.gossip_addresses[number], "peers": list(job.gossip_addresses)}
-        return told | own
+        return configuration | own
 
     def _make_speaker(self, config: Config, operators: Path) -> CountingSpeaker:
         table = read_operators(operators).fleet
-        told = part(table, config) if table is not None else None
-        if told is None:
+        gossip = part(table, config) if table is not None else None
+        if gossip is None:
             raise ConfigError(f"{operators}: no gossip in it")
-        taken, peers, bind = told
+        agent_part, peers, bind = gossip
         clock = self.host.clock.now
-        agent = Agent(taken, clock(), time.time(), config.seed)
+        agent = Agent(agent_part, clock(), time.time(), config.seed)
         speaker = CountingSpeaker(agent, bind, peers, clock, self.host.post)
         speaker.counts = self.counts
         self.host.set_observer(agent)
@@ -136,27 +136,30 @@
     def _subscribe(self) -> None:
         self.discovery.subscribe()
 
-    async def start(self, again: bool) -> None:
-        """Begin with the list first given; `again`: its own former life may still be listening."""
+    async def start(self, restarted: bool) -> None:
+        """Start with the initial list.
+
+        A `restarted` member shares its gossip address, because its earlier socket may still be open.
+        """
         self.host.submit_list(api.ListKind.SAVED, self.config.known)
         if not self.config.settings.subscribe:
             self.discovery.subscribe()
         if self.speaker is not None:
-            await self.speaker.start(shared=again)
+            await self.speaker.start(shared=restarted)
 
-    def _apply_list(self, news: ListUpdate) -> None:
-        """Note what is in force once its decisions have it."""
+    def _apply_list(self, update: ListUpdate) -> None:
+        """Apply a list update, and record the server states that the decision module now has."""
         before = dict(self.host.members)
-        self.host.apply_list(news)
+        self.host.apply_list(update)
         now, after = time.monotonic(), self.host.members
-        for name, new in after.items():
-            old = before.get(name)
-            if old is None or old.entry != new.entry:
-                status = "in_service" if new.entry.ready else "terminating"
-                self._record_in_force(now, new, status)
-        for name, old in before.items():
+        for name, current in after.items():
+            previous = before.get(name)
+            if previous is None or previous.entry != current.entry:
+                status = "in_service" if current.entry.ready else "terminating"
+                self._record_in_force(now, current, status)
+        for name, previous in before.items():
             if name not in after:
-                self._record_in_force(now, old, TERMINATED)
+                self._record_in_force(now, previous, TERMINATED)
 
     def _record_in_force(self, now: float, listed: Listed, status: str) -> None:
         since_ms = round(listed.entry.listed_start * 1000)
@@ -164,12 +167,12 @@
         self.counts.in_force.append(record)
 
     def sent_totals(self) -> tuple[int, int]:
-        """Datagrams and bytes that it has sent."""
+        """Return the number of datagrams sent and their bytes."""
         gossip = self.speaker.agent.gossip if self.speaker is not None else None
         return (0, 0) if gossip is None else (gossip.sent, gossip.bytes_sent)
 
     def close(self) -> None:
-        """End it; nothing of it acts any more."""
+        """Stop the member: its timers and connections end."""
         self.discovery.close()
         if self.speaker is not None:
             self.speaker.close()
@@ -180,22 +183,22 @@
 class HollowProcess:
     """All members of one process."""
 
-    def __init__(self, job: HollowJob, words: Any) -> None:
+    def __init__(self, job: HollowJob, connection: Any) -> None:
         self.job = job
-        self.connection = words
+        self.connection = connection
         self.counts = Counts()
         self.resident_before = held(os.getpid())[0]
         self.members = {p.number: HollowMember(p, job, self.counts) for p in job.members}
-        self.former_sent = [0, 0]  # datagrams and bytes that former lives sent
+        self.former_sent = [0, 0]  # datagrams and bytes sent by members before they were restarted
         self.cpu_before = 0.0
-        self.sent_before = (0, 0)  # before it was told to begin
+        self.sent_before = (0, 0)  # datagrams and bytes sent before the run began
         self.starting: set[asyncio.Task[None]] = set()
         self.loop = asyncio.get_running_loop()
 
     async def run(self) -> None:
-        """From the start to the end of all members."""
+        """Start all members, run until the parent ends the run, and close them."""
         for member in self.members.values():
-            await member.start(again=False)
+            await member.start(restarted=False)
         self.connection.send(("ready", self.member_memory()))
         await wait_for_end(self.connection, self._begin_measuring)
         self._report()
@@ -204,11 +207,11 @@
             member.close()
 
     def member_memory(self) -> float:
-        """Resident MB for each member, beyond what the process had without any."""
+        """Return the resident MB per member, without what the process had before it created any."""
         return (held(os.getpid())[0] - self.resident_before) / len(self.members)
 
     def _begin_measuring(self) -> None:
-        # what each took to start is no part of what it costs to run
+        # the cost of starting the members is excluded
         self.cpu_before, self.sent_before = time.process_time(), self._total_sent()
         self.counts.datagrams_in = self.counts.datagram_bytes_in = 0
         self.counts.in_force.clear()
@@ -223,13 +226,15 @@
             for i, count in enumerate(former.sent_totals()):
                 self.former_sent[i] += count
             member = self.members[number] = HollowMember(former.place, self.job, self.counts)
-            task = self.loop.create_task(member.start(again=True))
+            task = self.loop.create_task(member.start(restarted=True))
             self.starting.add(task)
             task.add_done_callback(self.starting.discard)
 
     def _total_sent(self) -> tuple[int, int]:
-        each = [member.sent_totals() for member in self.members.values()]
-        return self.former_sent[0] + sum(e[0] for e in each), self.former_sent[1] + sum(e[1] for e in each)
+        totals = [member.sent_totals() for member in self.members.values()]
+        return self.former_sent[0] + sum(e[0] for e in totals), self.former_sent[1] + sum(
+            e[1] for e in totals
+        )
 
     def _report_periodically(self) -> None:
         self._report()
@@ -244,15 +249,15 @@
         counts.in_force.clear()
 
 
-def run_process(job: HollowJob, words: Any) -> None:
-    """One process of hollow members."""
-    gc.set_threshold(10_000, 10, 10)  # as a router has it (`__main__.py`)
+def run_process(job: HollowJob, connection: Any) -> None:
+    """Run one process of hollow members."""
+    gc.set_threshold(10_000, 10, 10)  # the same thresholds as in a router (`__main__.py`)
     logging.basicConfig(
         filename=job.log, level=logging.WARNING, format="%(asctime)s %(levelname)s %(message)s"
     )
 
     async def live() -> None:
-        await HollowProcess(job, words).run()
+        await HollowProcess(job, connection).run()
 
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
         runner.run(live())
--- a/myrtlecourse/scale/measuring.py
+++ b/myrtlecourse/scale/measuring.py
@@ -1,6 +1,7 @@
-"""Carries slopes out, each size in a process of its own, and measures one real router and a roster's start.
+"""Measures slopes, the throughput of a real router, and the start of a roster.
 
-A child imports the compiled form of the router where it is told one, and this package's tools beside it.
+Each size of a slope is measured in a process of its own. If a folder with the compiled form is given, that
+process imports the router from there, and this package from the sources.
 """
 
 from __future__ import annotations
@@ -26,13 +27,13 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 COMMAND = "python -m myrtlecourse.scale.capacity_commands slopes"
 CORES = os.cpu_count() or 1
-CHILD_TIMEOUT = 80.0  # seconds that one size may take
-ROUTER_TIMEOUT = 44.0  # for values of one size
-ROUTER_ROUNDS, ROUTER_SECONDS = 3, 1.5  # of each count of the real router
-# by what is measured: bytes of a value, connections, unit; all of a router's large values must fit its window
+CHILD_TIMEOUT = 80.0  # seconds that the measurement of one size may take
+ROUTER_TIMEOUT = 44.0  # seconds that all rounds of one value size may take
+ROUTER_ROUNDS, ROUTER_SECONDS = 3, 1.5  # rounds and seconds per measurement of the real router
+# By measure: value size in bytes, connections, unit. The large values of one router must fit its window.
 ROUTER_MEASURES = {"router_requests": (64, 64, "1/s"), "router_bytes": (1 << 18, 16, "B/s")}
-ROSTER_START_SECONDS = 20.0  # seconds after a start of all members at once
-ROSTER_SIZES = (25, 50, 100, 250, 500, 1000)  # members
+ROSTER_START_SECONDS = 20.0  # seconds after the simultaneous start of all members
+ROSTER_SIZES = (25, 50, 100, 250, 500, 1000)  # numbers of members
 SEEDS = 3
 CHILD_CODE = """
 import sys
@@ -54,11 +55,11 @@
 
 
 class MeasureError(RuntimeError):
-    """A run that gave no figure; the message is one line that says which and why."""
+    """Raised when a measurement gives no result; the message is one line that names it and the cause."""
 
 
 class ChildReport(msgspec.Struct, frozen=True):
-    """What a child says on standard output."""
+    """What a child process writes to standard output."""
 
     form: Form
     calibration_s: float
@@ -66,47 +67,47 @@
 
 
 def measure_in_child(name: str, size: str) -> None:
-    """Measure one size of a slope, and tell it."""
+    """Measure one size of a slope in this process, and write a ChildReport to standard output."""
     spec = SPECS[name]
     before = calibration.calibrate()
     form: Form = "sources" if str(policy.__file__).endswith(".py") else "compiled"
     values = tuple(map(round_significant, spec.run(int(size), spec.repeats)))
-    pace = (before + calibration.calibrate()) / 2
-    sys.stdout.buffer.write(msgspec.json.encode(ChildReport(form, round_significant(pace), values)))
+    calibration_s = (before + calibration.calibrate()) / 2
+    sys.stdout.buffer.write(msgspec.json.encode(ChildReport(form, round_significant(calibration_s), values)))
 
 
-def run_command(command: list[str], what: str, seconds: float) -> bytes:
-    """The standard output of a process that ends well within so many seconds. Raises MeasureError."""
+def run_command(command: list[str], name: str, seconds: float) -> bytes:
+    """Run a command and return its standard output. Raises MeasureError on a failure or timeout."""
     try:
-        done = subprocess.run(command, cwd=ROOT, capture_output=True, timeout=seconds, check=False)
+        result = subprocess.run(command, cwd=ROOT, capture_output=True, timeout=seconds, check=False)
     except subprocess.TimeoutExpired:
-        raise MeasureError(f"{what}: not over after {seconds:g} s") from None
-    if done.returncode:
-        last = done.stderr.decode(errors="replace").strip().rpartition("\n")[2]
-        raise MeasureError(f"{what}: ended with {done.returncode}: {last[:200]}")
-    return done.stdout
+        raise MeasureError(f"{name}: not over after {seconds:g} s") from None
+    if result.returncode:
+        last_line = result.stderr.decode(errors="replace").strip().rpartition("\n")[2]
+        raise MeasureError(f"{name}: ended with {result.returncode}: {last_line[:200]}")
+    return result.stdout
 
 
 def measure_point(name: str, size: int, compiled: str) -> tuple[Form, Point]:
-    """One size, in a process of its own. Raises MeasureError."""
+    """Measure one size in a process of its own. Raises MeasureError."""
     before = calibration.cpu_usage()
     command = [sys.executable, "-P", "-c", CHILD_CODE, str(ROOT), compiled, name, str(size)]
-    out = run_command(command, f"{name} at {size}", CHILD_TIMEOUT)
-    used = calibration.others_share(before, calibration.cpu_usage(), CORES)
+    output = run_command(command, f"{name} at {size}", CHILD_TIMEOUT)
+    others = calibration.others_share(before, calibration.cpu_usage(), CORES)
     try:
-        told = msgspec.json.decode(out, type=ChildReport)
+        report = msgspec.json.decode(output, type=ChildReport)
     except msgspec.DecodeError as e:
         raise MeasureError(f"{name} at {size}: {e}") from e
-    return told.form, Point(size, told.values, told.calibration_s, round(used, 3))
+    return report.form, Point(size, report.values, report.calibration_s, round(others, 3))
 
 
 def measure_slope(name: str, compiled: str, progress: Callable[[str], None]) -> Slope:
-    """All sizes of a slope. Raises MeasureError."""
+    """Measure all sizes of a slope. Raises MeasureError."""
     spec, points, forms = SPECS[name], [], set()
     for size in spec.sizes:
         progress(f"{name} at {size:,}")
-        form, found = measure_point(name, size, compiled)
-        points.append(found)
+        form, measured = measure_point(name, size, compiled)
+        points.append(measured)
         forms.add(form)
     if len(forms) > 1:
         raise MeasureError(f"{name}: some sizes ran compiled and some from the sources")
@@ -116,20 +117,20 @@
 def make_measure(
     name: str, what: str, unit: str, form: Form, asked: str, values: list[float], others: float = 0.0
 ) -> Measure:
-    """A figure as the median of its repeats; `asked` is what the command was asked for."""
-    found, command = median_interval(values), f"{COMMAND} {asked}"
-    low, value, high = map(round_significant, (found.low, found.value, found.high))
+    """Return a measure with the median of its repeats; `asked` are the arguments of the `slopes` command."""
+    interval, command = median_interval(values), f"{COMMAND} {asked}"
+    low, value, high = map(round_significant, (interval.low, interval.value, interval.high))
     return Measure(name, what, unit, form, command, value, low, high, len(values), round(others, 3))
 
 
 def core_seconds(start: str, size: int, connections: int) -> dict[str, list[float]]:
-    """Processor seconds of one read, by rounds, of the bare relay and of the router that a command starts.
+    """Return the processor seconds per read, by round, of the bare relay and of the router that `start` runs.
 
     Raises MeasureError.
     """
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder, "rates.json")
-        told = [
+        options = [
             "--rounds",
             str(ROUTER_ROUNDS),
             "--seconds",
@@ -139,69 +140,69 @@
             "--json",
             str(file),
         ]
-        asked = ["--value", str(size), "--connections", str(connections)]
-        run_command([sys.executable, "-m", "bench.router_rate", *told, *asked], "router", ROUTER_TIMEOUT)
-        found = msgspec.json.decode(file.read_bytes(), type=dict[str, dict[str, dict[str, list[float]]]])
-    return found[str(size)]["core_seconds_each"]
+        sizes = ["--value", str(size), "--connections", str(connections)]
+        run_command([sys.executable, "-m", "bench.router_rate", *options, *sizes], "router", ROUTER_TIMEOUT)
+        results = msgspec.json.decode(file.read_bytes(), type=dict[str, dict[str, dict[str, list[float]]]])
+    return results[str(size)]["core_seconds_each"]
 
 
 def measure_router(name: str, compiled: str) -> Iterator[Measure]:
-    """What one real router passes on in a second of its core, by `bench.router_rate`; `name` is of ROUTER.
+    """Measure what one real router forwards per second of its core, with `bench.router_rate`.
 
-    Raises MeasureError.
+    `name` is a key of ROUTER_MEASURES. Raises MeasureError.
     """
     form: Form = "compiled" if compiled else "sources"
     start = shlex.join([sys.executable, "-P", "-c", ROUTER_CODE, compiled or str(ROOT)])
     size, connections, unit = ROUTER_MEASURES[name]
     before = calibration.cpu_usage()
-    each = core_seconds(start, size, connections)
-    used = calibration.others_share(before, calibration.cpu_usage(), CORES)
-    amount, kind = 1 if unit == "1/s" else size, name.rpartition("_")[2]
-    for who, which in (("router", start), ("relay", "bare relay")):
-        what = f"{kind.capitalize()} a second of one core, by a {who}: reads of {size:,} B that hit"
-        values = [amount / seconds for seconds in each[which]]
-        yield make_measure(f"router.{who}_{kind}", what, unit, form, name, values, used)
+    seconds_by_command = core_seconds(start, size, connections)
+    others = calibration.others_share(before, calibration.cpu_usage(), CORES)
+    amount, quantity = 1 if unit == "1/s" else size, name.rpartition("_")[2]
+    for subject, command in (("router", start), ("relay", "bare relay")):
+        what = f"{quantity.capitalize()} a second of one core, by a {subject}: reads of {size:,} B that hit"
+        values = [amount / seconds for seconds in seconds_by_command[command]]
+        yield make_measure(f"router.{subject}_{quantity}", what, unit, form, name, values, others)
 
 
 def simulate_roster_start(count: int, seed: int) -> tuple[float, float, float]:
-    """A roster whose members all start at once, in virtual time and without loss.
+    """Simulate a roster whose members all start at once, in virtual time and without loss.
 
-    Answers with the share of the others that a member knows as alive after KNOWN_AFTER seconds, and with the
-    datagrams and bytes that one has sent a second.
+    Return the share of the other members that a member considers alive after ROSTER_START_SECONDS, and the
+    datagrams and bytes that a member sends per second.
     """
-    chance, now, roster = random.Random(seed), 1000.0, roster_names(count)
-    each = {
-        name: Gossip(name, roster, f"zone-{i % 138:03d}", GOSSIP_KEY, now, WALL_CLOCK, chance.getrandbits(32))
+    rng, now, roster = random.Random(seed), 1000.0, roster_names(count)
+    members = {
+        name: Gossip(name, roster, f"zone-{i % 138:03d}", GOSSIP_KEY, now, WALL_CLOCK, rng.getrandbits(32))
         for i, name in enumerate(roster)
     }
     waiting: list[tuple[str, bytes]] = []
     for _ in range(round(ROSTER_START_SECONDS / PACE)):
         now += PACE
-        come, waiting = waiting, []
-        for to, data in come:
-            each[to].receive(data, now, WALL_CLOCK + now)
-        for gossip in each.values():
+        arrived, waiting = waiting, []
+        for to, data in arrived:
+            members[to].receive(data, now, WALL_CLOCK + now)
+        for gossip in members.values():
             waiting += [(d.to, d.data) for d in gossip.tick(now, WALL_CLOCK + now, lambda: ())]
-    alive = sum(g.state(m, now) is State.ALIVE for g in each.values() for m in g.heard_by)
-    sent, octets = sum(g.sent for g in each.values()), sum(g.bytes_sent for g in each.values())
+    alive = sum(g.state(m, now) is State.ALIVE for g in members.values() for m in g.heard_by)
+    sent, bytes_sent = sum(g.sent for g in members.values()), sum(g.bytes_sent for g in members.values())
     return (
         alive / (count * (count - 1)),
         sent / count / ROSTER_START_SECONDS,
-        octets / count / ROSTER_START_SECONDS,
+        bytes_sent / count / ROSTER_START_SECONDS,
     )
 
 
 def measure_roster_starts(counts: Iterable[int]) -> Iterator[Measure]:
-    """How much of a roster is known soon after a start, for rosters of so many members."""
-    after = f"in the {ROSTER_START_SECONDS:g} s after all members started at once, in virtual time"
+    """Measure how much of a roster is known soon after all members start, by the number of members."""
+    when = f"in the {ROSTER_START_SECONDS:g} s after all members started at once, in virtual time"
     for count in counts:
-        shares, sent, octets = zip(
+        shares, sent, bytes_sent = zip(
             *(simulate_roster_start(count, seed) for seed in range(SEEDS)), strict=True
         )
         members = f"of {count:,} members"
         yield make_measure(
             f"known.share_{count}",
-            f"Share {members} known as alive {after}",
+            f"Share {members} known as alive {when}",
             "1",
             "sources",
             "known",
@@ -209,7 +210,7 @@
         )
         yield make_measure(
             f"known.datagrams_{count}",
-            f"Datagrams out a second, {members}, {after}",
+            f"Datagrams out a second, {members}, {when}",
             "1/s",
             "sources",
             "known",
@@ -217,9 +218,9 @@
         )
         yield make_measure(
             f"known.bytes_{count}",
-            f"Bytes out a second, {members}, {after}",
+            f"Bytes out a second, {members}, {when}",
             "B/s",
             "sources",
             "known",
-            list(octets),
+            list(bytes_sent),
         )
--- a/myrtlecourse/scale/page.py
+++ b/myrtlecourse/scale/page.py
@@ -1,4 +1,7 @@
-"""docs/CAPACITY.md from the results: the same results give the same page, and no figure of it is typed."""
+"""Generates docs/CAPACITY.md from the results.
+
+The same results give the same page; no figure on it is entered by hand.
+"""
 
 from __future__ import annotations
 
@@ -48,26 +51,24 @@
 {format_value(DEADLINE_MARGIN, "s")} by which routers answer before their clients' deadlines."""
 
 
-def markdown_table(head: Sequence[str], body: Iterable[Sequence[str]]) -> str:
-    """A table in Markdown."""
-    lines = [head, ["---"] * len(head), *body]
-    return "\n".join(
-        f"| {' | '.join(estimate_cell.replace('|', '/') for estimate_cell in line)} |" for line in lines
-    )
+def markdown_table(header: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+    """Return a Markdown table."""
+    lines = [header, ["---"] * len(header), *rows]
+    return "\n".join(f"| {' | '.join(text.replace('|', '/') for text in row)} |" for row in lines)
 
 
-def estimate_cell(figure: Estimate | None) -> str:
-    """A figure, or that there is none."""
-    return NOT_MEASURED if figure is None else str(figure)
+def estimate_cell(estimate: Estimate | None) -> str:
+    """Return the text of an estimate, or of a missing one."""
+    return NOT_MEASURED if estimate is None else str(estimate)
 
 
 def ratio_cell(factor: float | None) -> str:
-    """How many times the budget."""
+    """Return the text of the ratio of cost to budget."""
     return "" if factor is None else f"{factor:.2g}" if factor < 100 else f"{factor:,.0f}"
 
 
 def budget_cell(row: CostRow) -> str:
-    """What a row may cost, or has to reach."""
+    """Return the text of a row's budget."""
     if row.budget is None:
         return "none given"
     unit = row.estimate.unit if row.estimate else role_costs.BUDGET_UNITS[row.budget]
@@ -75,15 +76,15 @@
 
 
 def source_cell(row: CostRow) -> str:
-    """Where a row's figure is from, or the name under which it is missed."""
+    """Return the source of a row's estimate, or the name of the missing measurement."""
     return row.estimate.annotated_source if row.estimate else f"`{row.missing}`"
 
 
 def over_budget_section(rows: list[CostRow]) -> str:
-    """What is over its budget, the worst first."""
+    """Return the section on costs over their budget, the worst first."""
     over = [r for r in rows if (r.budget_ratio or 0.0) > 1.0]
     over.sort(key=lambda r: -(r.budget_ratio or 0.0))
-    body = [
+    cells = [
         (
             r.role,
             r.item,
@@ -95,7 +96,7 @@
         )
         for r in over
     ]
-    head = ("role", "what", "at the size to come", "budget", "times its budget", "from", "state")
+    header = ("role", "what", "at the size to come", "budget", "times its budget", "from", "state")
     absent = sum(r.estimate is None for r in rows)
     unsure = sum(r.estimate is not None and not r.estimate.law_holds for r in rows)
     text = (
@@ -103,18 +104,18 @@
         f"and {unsure} not foretold, as the law does not hold."
     )
     return (
-        f"## What does not fit\n\n{text}\n\n{markdown_table(head, body)}"
+        f"## What does not fit\n\n{text}\n\n{markdown_table(header, cells)}"
         if over
         else f"## What does not fit\n\n{text}"
     )
 
 
 def role_section(rows: list[CostRow]) -> str:
-    """A table for each role."""
-    head = ("what", "at the size to come", "budget", "times its budget", "from", "carried by", "state")
+    """Return the section with a table for each role."""
+    header = ("what", "at the size to come", "budget", "times its budget", "from", "carried by", "state")
     parts = ["## By role"]
-    for role, mine in groupby(sorted(rows, key=lambda r: r.role), key=lambda r: r.role):
-        body = [
+    for role, role_rows in groupby(sorted(rows, key=lambda r: r.role), key=lambda r: r.role):
+        cells = [
             (
                 r.item,
                 estimate_cell(r.estimate),
@@ -124,56 +125,66 @@
                 r.module,
                 r.state,
             )
-            for r in mine
+            for r in role_rows
         ]
-        parts.append(f"### {role.capitalize()}\n\n{markdown_table(head, body)}")
+        parts.append(f"### {role.capitalize()}\n\n{markdown_table(header, cells)}")
     return "\n\n".join(parts)
 
 
-def propagation_section(book: Estimates, kind: str, limit: float) -> str:
-    """A change or a purge, hop by hop, by the clock."""
-    body = [
-        [what, *(estimate_cell(book.measure(f"{kind}.{hop}.{case}")) for case, _ in CASES)]
+def propagation_section(estimates: Estimates, kind: str, limit: float) -> str:
+    """Return the section on the time that a change or a purge takes, hop by hop."""
+    cells = [
+        [what, *(estimate_cell(estimates.measure(f"{kind}.{hop}.{case}")) for case, _ in CASES)]
         for hop, what in HOPS
     ]
-    head = ("hop", *(what for _, what in CASES))
+    header = ("hop", *(what for _, what in CASES))
     hops, cases = ("`, `".join(name for name, _ in part) for part in (HOPS, CASES))
-    missed = f"Measures named `{kind}.HOP.CASE` (`{hops}`; `{cases}`)."
-    force = ""
+    names_note = f"Measures named `{kind}.HOP.CASE` (`{hops}`; `{cases}`)."
+    note = ""
     if kind == "change":
-        turns = [
-            f"{estimate_cell(book.at_size('list.change', n))} with {n:,} servers listed"
+        changes = [
+            f"{estimate_cell(estimates.at_size('list.change', n))} with {n:,} servers listed"
             for n in (SERVERS, SERVERS_PER_REGION)
         ]
-        least = "(`list.change`, processor time: the least that the clock shows)"
-        force = f" Taken at a router: {', '.join(turns)} {least}."
-    return f"### A {kind}, everywhere within {limit:g} s\n\n{markdown_table(head, body)}\n\n{missed}{force}"
+        remark = "(`list.change`, processor time: the least that the clock shows)"
+        note = f" Taken at a router: {', '.join(changes)} {remark}."
+    return (
+        f"### A {kind}, everywhere within {limit:g} s\n\n"
+        f"{markdown_table(header, cells)}\n\n{names_note}{note}"
+    )
 
 
-def event_section(book: Estimates) -> str:
-    """The ordinary year: what each event sets off, and what it costs the others."""
-    change, stop, octets = (book.at_size(f"list.{w}", SERVERS) for w in ("change", "stop", "bytes"))
+def event_section(estimates: Estimates) -> str:
+    """Return the section on the events of an ordinary year, and what they cost the other machines."""
+    change, stop, list_bytes = (
+        estimates.at_size(f"list.{name}", SERVERS) for name in ("change", "stop", "bytes")
+    )
     after = format_value(role_costs.time_until_forgotten(ROUTERS_PER_SITE), "s")
 
-    def cost(figure: Estimate | None, factor: float, formula: str, unit: str | None = None) -> str:
-        found = role_costs.scaled(figure, factor, formula, unit)
-        return f"{found} ({found.annotated_source})" if found else NOT_MEASURED
+    def cost(estimate: Estimate | None, factor: float, formula: str, unit: str | None = None) -> str:
+        multiple = role_costs.scaled(estimate, factor, formula, unit)
+        return f"{multiple} ({multiple.annotated_source})" if multiple else NOT_MEASURED
 
-    def days(share: int, of: int = 1) -> str:
-        return f"{of * share / role_costs.MACHINES:,.0f} a day ({of:,} x {share:,} / {role_costs.MACHINES:,})"
+    def days(machines: int, events: int = 1) -> str:
+        return (
+            f"{events * machines / role_costs.MACHINES:,.0f} a day "
+            f"({events:,} x {machines:,} / {role_costs.MACHINES:,})"
+        )
 
-    place, zone = role_costs.MACHINES / role_costs.SITES, SERVERS / role_costs.ZONES
-    apart = CHANGE_RATE * 3600
-    told = book.measure("change.whole.plain")
-    # no reader may take the spread's time for that of lists, which discovery brings
-    heard = f"{estimate_cell(told)} (`change.whole.plain`, were it carried by `spread/`, which it is not)"
-    each = "one change of the list at every router"
-    body = [
+    machines_per_site, servers_per_zone = role_costs.MACHINES / role_costs.SITES, SERVERS / role_costs.ZONES
+    hourly_changes = CHANGE_RATE * 3600
+    spread_time = estimates.measure("change.whole.plain")
+    # Routers get their lists from discovery, not from `spread/`: the text must not suggest otherwise.
+    delay_text = (
+        f"{estimate_cell(spread_time)} (`change.whole.plain`, were it carried by `spread/`, which it is not)"
+    )
+    effect = "one change of the list at every router"
+    cells = [
         (
             "a cache server fails",
             days(SERVERS, role_costs.FAILURES_PER_DAY),
-            each,
-            heard,
+            effect,
+            delay_text,
             cost(change, ROUTERS, f"{ROUTERS:,} x {{}}") + " of the fleet's processors",
         ),
         (
@@ -187,7 +198,7 @@
             "a cache server restarts",
             days(SERVERS, role_costs.RESTARTS_PER_DAY),
             "two changes of the list at every router",
-            heard,
+            delay_text,
             cost(change, 2, "2 x {}") + " of each router's loop",
         ),
         (
@@ -196,7 +207,7 @@
             "it asks for the whole list",
             cost(stop, 1, "{}") + " of its own processor",
             cost(
-                octets,
+                list_bytes,
                 role_costs.RESTARTS_PER_DAY * ROUTERS / role_costs.MACHINES,
                 f"{role_costs.RESTARTS_PER_DAY:,} x {ROUTERS:,} / {role_costs.MACHINES:,} x {{}}",
             )
@@ -205,98 +216,108 @@
         (
             "a rack or switch goes",
             "once a week",
-            f"at most a site: {place:.3g} machines ({role_costs.MACHINES:,} / {role_costs.SITES})",
-            heard,
-            cost(change, place, f"at most {place:.3g} x {{}}") + " of each router's loop, told one by one",
+            f"at most a site: {machines_per_site:.3g} machines "
+            f"({role_costs.MACHINES:,} / {role_costs.SITES})",
+            delay_text,
+            cost(change, machines_per_site, f"at most {machines_per_site:.3g} x {{}}")
+            + " of each router's loop, told one by one",
         ),
         (
             "a zone goes",
             "once or twice a year",
-            f"{zone:.3g} cache servers at once ({SERVERS:,} / {role_costs.ZONES})",
-            heard,
-            cost(change, zone, f"{zone:.3g} x {{}}") + " of each router's loop, told one by one",
+            f"{servers_per_zone:.3g} cache servers at once ({SERVERS:,} / {role_costs.ZONES})",
+            delay_text,
+            cost(change, servers_per_zone, f"{servers_per_zone:.3g} x {{}}")
+            + " of each router's loop, told one by one",
         ),
         (
             "regions lose each other for an hour",
             "now and then",
-            f"{apart:,.0f} changes pile up (62,000 / 24)",
-            cost(change, apart, f"{apart:,.0f} x {{}}")
+            f"{hourly_changes:,.0f} changes pile up (62,000 / 24)",
+            cost(change, hourly_changes, f"{hourly_changes:,.0f} x {{}}")
             + " one by one; "
             + cost(stop, 1, "{}")
             + " as a whole list",
-            cost(octets, ROUTERS / REGIONS, f"{ROUTERS:,} / {REGIONS} x {{}}")
+            cost(list_bytes, ROUTERS / REGIONS, f"{ROUTERS:,} / {REGIONS} x {{}}")
             + " for the whole lists of one region's routers",
         ),
     ]
-    head = ("event", "how often", "sets off", "until all is well", "costs the others")
-    return f"## The ordinary year\n\n{markdown_table(head, body)}"
+    header = ("event", "how often", "sets off", "until all is well", "costs the others")
+    return f"## The ordinary year\n\n{markdown_table(header, cells)}"
 
 
-def region_section(book: Estimates) -> str:
-    """What grows with the whole fleet at each router, beside a region's view."""
-    slopes = [s for s in book.slopes.values() if s.by == "servers in the list"]
-    body = [
+def region_section(estimates: Estimates) -> str:
+    """Return the section that compares the costs of the whole fleet with those of one region."""
+    slopes = [s for s in estimates.slopes.values() if s.by == "servers in the list"]
+    cells = [
         (
             s.what,
-            estimate_cell(book.at_size(s.name, SERVERS)),
-            estimate_cell(book.at_size(s.name, SERVERS_PER_REGION)),
+            estimate_cell(estimates.at_size(s.name, SERVERS)),
+            estimate_cell(estimates.at_size(s.name, SERVERS_PER_REGION)),
             f"`{s.name}`",
         )
         for s in slopes
     ]
     rosters = (
-        f"gossip and verdicts for a second: a roster of {ROUTERS:,} and all zones, of {ROUTERS_PER_SITE} and a region's",
-        estimate_cell(book.at_size("agent.second", ROUTERS)),
-        estimate_cell(book.at_size("agent.region", ROUTERS_PER_SITE)),
+        f"gossip and verdicts for a second: a roster of {ROUTERS:,} and all zones, "
+        f"of {ROUTERS_PER_SITE} and a region's",
+        estimate_cell(estimates.at_size("agent.second", ROUTERS)),
+        estimate_cell(estimates.at_size("agent.region", ROUTERS_PER_SITE)),
         "`agent.second`, `agent.region`",
     )
-    lead = f"""These grow with the whole fleet at each router. A region's view holds {SERVERS_PER_REGION} cache servers
+    introduction = f"""\
+These grow with the whole fleet at each router. A region's view holds {SERVERS_PER_REGION} cache servers
 ({SERVERS:,} / {REGIONS}) and the {ROUTERS_PER_SITE} routers of the own site. Routing takes such a list as it
 stands; what is missing is who gives each region its part."""
-    head = ("what", f"whole fleet: {SERVERS:,}", f"region's view: {SERVERS_PER_REGION}", "from")
-    return f"## What grows with the whole fleet\n\n{lead}\n\n{markdown_table(head, [*body, rosters])}"
+    header = ("what", f"whole fleet: {SERVERS:,}", f"region's view: {SERVERS_PER_REGION}", "from")
+    return (
+        f"## What grows with the whole fleet\n\n{introduction}\n\n{markdown_table(header, [*cells, rosters])}"
+    )
 
 
 def slope_row(slope: Slope) -> tuple[str, ...]:
-    """A slope, its law, and how that stood its check."""
-    law, tried = check(slope.repeats)
-    foretold, last = tried.predicted, max(slope.points, key=lambda p: p.size)
+    """Return the table row of a slope: its law, and the check of the law."""
+    fitted, validation = check(slope.repeats)
+    predicted, last = validation.predicted, max(slope.points, key=lambda p: p.size)
     unit = slope.unit
-    said = f"{format_value(foretold.value, unit)} ({format_value(foretold.low, unit)} to {format_value(foretold.high, unit)})"
-    ratio = f"{tried.measured / last.calibration:.3g}" if unit == "s" else ""
+    predicted_text = (
+        f"{format_value(predicted.value, unit)} "
+        f"({format_value(predicted.low, unit)} to {format_value(predicted.high, unit)})"
+    )
+    ratio = f"{validation.measured / last.calibration:.3g}" if unit == "s" else ""
     return (
         f"`{slope.name}`",
         slope.what,
         slope.by,
         slope.form,
-        law.law.name,
-        f"{law.held_out:.1%}",
-        f"{tried.size:,}",
-        said,
-        format_value(tried.measured, unit),
-        "counts" if tried.holds else "**does not hold**",
+        fitted.law.name,
+        f"{fitted.held_out:.1%}",
+        f"{validation.size:,}",
+        predicted_text,
+        format_value(validation.measured, unit),
+        "counts" if validation.holds else "**does not hold**",
         ratio,
         "**shared**" if is_shared(slope.others) else "alone",
         f"`{slope.command}`",
     )
 
 
-def measure_row(found: Measure) -> tuple[str, ...]:
-    """A measure."""
-    values = [format_value(v, found.unit) for v in (found.value, found.low, found.high)]
+def measure_row(measure: Measure) -> tuple[str, ...]:
+    """Return the table row of a measure."""
+    values = [format_value(v, measure.unit) for v in (measure.value, measure.low, measure.high)]
     return (
-        f"`{found.name}`",
-        found.what,
+        f"`{measure.name}`",
+        measure.what,
         f"{values[0]} ({values[1]} to {values[2]})",
-        str(found.repeats),
-        found.form,
-        "**shared**" if is_shared(found.others) else "alone",
-        f"`{found.command}`",
+        str(measure.repeats),
+        measure.form,
+        "**shared**" if is_shared(measure.others) else "alone",
+        f"`{measure.command}`",
     )
 
 
 def measurement_section(results: Results) -> str:
-    """All slopes and measures."""
+    """Return the section with all slopes and measures."""
     slopes = markdown_table(
         (
             "slope",
@@ -319,14 +340,14 @@
         ("measure", "what", "value", "repeats", "form", "machine", "command"),
         map(measure_row, results.measures),
     )
-    paces = [p.calibration for slope in results.slopes for p in slope.points] or [0.0]
-    pace = f"{format_value(min(paces), 's')} to {format_value(max(paces), 's')}"
+    calibrations = [p.calibration for slope in results.slopes for p in slope.points] or [0.0]
+    calibration_range = f"{format_value(min(calibrations), 's')} to {format_value(max(calibrations), 's')}"
     return f"""## What was measured
 
 Each slope is fitted up to a quarter of its largest size and foretells that. It counts if what was
 measured there lies in the interval, and that is no wider than what is foretold. Fits go by the least of the
 repeats, as disturbances only add; figures at a size above are medians. The calibration loop beside each
-size took {pace} of processor time; "calibration loops" is the cost measured at the largest size
+size took {calibration_range} of processor time; "calibration loops" is the cost measured at the largest size
 in such loops. A run is "shared" if others used over a tenth of the machine meanwhile. The machine had
 {results.cores} cores. The command wants `--out FILE` too, and `--compiled FOLDER` for the compiled form.
 
@@ -338,21 +359,21 @@
 
 
 def render_page(results: Results) -> str:
-    """The page's text."""
-    book = Estimates(results)
-    rows = role_costs.all_rows(book)
-    times_part = [
-        propagation_section(book, "change", role_costs.MAX_CHANGE_TIME),
-        propagation_section(book, "purge", role_costs.MAX_PURGE_TIME),
+    """Return the text of the page."""
+    estimates = Estimates(results)
+    rows = role_costs.all_rows(estimates)
+    propagation = [
+        propagation_section(estimates, "change", role_costs.MAX_CHANGE_TIME),
+        propagation_section(estimates, "purge", role_costs.MAX_PURGE_TIME),
     ]
     parts = [
         INTRO,
         over_budget_section(rows),
         role_section(rows),
         "## By the clock",
-        *times_part,
-        event_section(book),
-        region_section(book),
+        *propagation,
+        event_section(estimates),
+        region_section(estimates),
         measurement_section(results),
     ]
     return "\n\n".join(parts) + "\n"
--- a/myrtlecourse/scale/plan.py
+++ b/myrtlecourse/scale/plan.py
@@ -1,4 +1,4 @@
-"""What a run would start, and the memory and sockets foretold for it; starts nothing."""
+"""Plans a run without starting anything: its processes, and their expected memory and sockets."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from myrtlecourse.scale.guard import MB, ResourceLimitError, ResourceLimits
 from myrtlecourse.scale.scenario import Scenario
 
-# MB, measured by runs of `scale run` (docs/scale.md tells which), rounded up
-PARENT_MB = 60.0  # whoever starts the rest, and the load generator's process, each
+# Memory in MB, rounded up from runs of `scale run`, which docs/scale.md names.
+PARENT_MB = 60.0  # of the parent process, and of the load generator's main process
 STAND_IN_MB = 75.0
-ROUTER_SERVER_MB = 0.1  # of the stand-in, for each router that reaches it
-LOAD_WORKER_MB = 65.0  # that sends requests
-ROUTER_MB = 45.0  # a real one, with little to do
-HOLLOW_PROCESS_MB = 50.0  # without members
+ROUTER_SERVER_MB = 0.1  # in the stand-in fleet, for each cache server of each router
+LOAD_WORKER_MB = 65.0  # of a worker that sends requests
+ROUTER_MB = 45.0  # of a real router with little load
+HOLLOW_PROCESS_MB = 50.0  # of a process of hollow members, without its members
 MEMBER_MB = 0.1
-MEMBER_SERVER_MB = 0.025  # for each cache server in its list
-MEMBER_PEER_MB = 0.002  # for each other member that it talks to
-CLIENT_CONNECTIONS = 256  # connections of a worker (`load/profile.py`)
-SPARE_DESCRIPTORS = 32  # descriptors of any process for itself
-LOAD_PROCESSES = 3  # the load generator's: its own, its worker's, and one of Python's that cleans up
+MEMBER_SERVER_MB = 0.025  # for each cache server in a member's list
+MEMBER_PEER_MB = 0.002  # for each other member that a member gossips with
+CLIENT_CONNECTIONS = 256  # connections of a load worker (`load/profile.py`)
+SPARE_DESCRIPTORS = 32  # file descriptors that any process needs for itself
+LOAD_PROCESSES = 3  # the load generator's main process, its worker, and Python's resource tracker
 
 
 @dataclass(frozen=True)
@@ -30,13 +30,13 @@
     name: str
     processes: int
     members: int
-    memory: int  # bytes, of all of them
-    sockets: int  # of the one that has most
+    memory: int  # bytes, of all of these processes together
+    sockets: int  # of the process that has the most
 
 
 @dataclass(frozen=True)
 class Plan:
-    """All of a run."""
+    """All processes of a run."""
 
     groups: tuple[ProcessGroup, ...]
 
@@ -46,48 +46,49 @@
 
     @property
     def memory(self) -> int:
-        """Bytes foretold."""
+        """The expected memory in bytes."""
         return sum(p.memory for p in self.groups)
 
-    def check_limits(self, guard: ResourceLimits) -> None:
-        """Raises GuardError where it would take more than it may."""
-        guard.require(self.memory, self.processes, "the run would take")
-        room = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        for each in self.groups:
-            if each.sockets > room:
+    def check_limits(self, limits: ResourceLimits) -> None:
+        """Raises ResourceLimitError if the run would exceed a limit."""
+        limits.require(self.memory, self.processes, "the run would take")
+        max_descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        for group in self.groups:
+            if group.sockets > max_descriptors:
                 raise ResourceLimitError(
-                    f"sockets: {each.name} would take {each.sockets}, and the bound is {room}"
+                    f"sockets: {group.name} would take {group.sockets}, and the bound is {max_descriptors}"
                 )
 
 
 def make_plan(scenario: Scenario) -> Plan:
-    """What a run of a scenario would start."""
-    servers, talk = sum(kind.boxes for kind in scenario.kinds), scenario.peers is not None
-    others = scenario.members - 1 if talk else 0
-    member = MEMBER_MB + MEMBER_SERVER_MB * servers + MEMBER_PEER_MB * others
+    """Return what a run of a scenario would start."""
+    servers, gossip = sum(kind.boxes for kind in scenario.kinds), scenario.peers is not None
+    others = scenario.members - 1 if gossip else 0
+    member_mb = MEMBER_MB + MEMBER_SERVER_MB * servers + MEMBER_PEER_MB * others
     routers, hollow, processes = scenario.routers, scenario.hollow, scenario.processes
-    reached = servers * routers
-    ways = scenario.members + routers * routers if talk else 0  # ports kept free, and ways between routers
+    router_servers = servers * routers
+    # reserved ports, and relays between pairs of routers
+    relays = scenario.members + routers * routers if gossip else 0
     return Plan(
         (
             _process_group("this process", 1, 0, PARENT_MB, SPARE_DESCRIPTORS + 2 + processes),
-            # one for real routers, one for hollow members
+            # one stand-in fleet for the real routers and one for the hollow members
             _process_group(
                 "stand-in fleets",
-                *(2, 0, 2 * (STAND_IN_MB + ROUTER_SERVER_MB * reached)),
-                SPARE_DESCRIPTORS + 2 * reached + 2 * scenario.members + processes + routers + ways,
+                *(2, 0, 2 * (STAND_IN_MB + ROUTER_SERVER_MB * router_servers)),
+                SPARE_DESCRIPTORS + 2 * router_servers + 2 * scenario.members + processes + routers + relays,
             ),
             _process_group(
                 "real routers",
                 routers,
                 routers,
-                (ROUTER_MB + member) * routers,
+                (ROUTER_MB + member_mb) * routers,
                 CLIENT_CONNECTIONS + 2 * servers + SPARE_DESCRIPTORS,
             ),
             _process_group(
                 "hollow members",
-                *(processes, hollow, HOLLOW_PROCESS_MB * processes + member * hollow),
-                SPARE_DESCRIPTORS + scenario.per_process * (2 if talk else 1),
+                *(processes, hollow, HOLLOW_PROCESS_MB * processes + member_mb * hollow),
+                SPARE_DESCRIPTORS + scenario.per_process * (2 if gossip else 1),
             ),
             _process_group(
                 "load generator",
@@ -100,5 +101,5 @@
     )
 
 
-def _process_group(what: str, processes: int, members: int, memory: float, sockets: int) -> ProcessGroup:
-    return ProcessGroup(what, processes, members, int(memory * MB), sockets)
+def _process_group(name: str, processes: int, members: int, memory: float, sockets: int) -> ProcessGroup:
+    return ProcessGroup(name, processes, members, int(memory * MB), sockets)
--- a/myrtlecourse/scale/role_costs.py
+++ b/myrtlecourse/scale/role_costs.py
@@ -1,4 +1,4 @@
-"""What each role bears in the fleet to come, beside its budget: by the book, and by arithmetic."""
+"""The costs of each role in the planned fleet and their budgets: measured, predicted or computed."""
 
 from __future__ import annotations
 
@@ -11,30 +11,26 @@
 from myrtlecourse.peers.seal import LONGEST
 from myrtlecourse.scale.estimates import Estimate, Estimates, calculated
 
-# What the fleet is to be in two years.
+# The fleet that is planned for in two years.
 ROUTERS, SITES, REGIONS, ZONES, SERVERS, CONTROL_NODES = 16_000, 650, 43, 138, 6_700, 20
-PEAK_REQUESTS, PEAK_BITS = 16e6, 120e12  # a second at the peak
-PURGE_RATE, CHANGE_RATE = 100.0, 62_000 / 86_400  # a second
+PEAK_REQUESTS, PEAK_BITS = 16e6, 120e12  # per second at the peak
+PURGE_RATE, CHANGE_RATE = 100.0, 62_000 / 86_400  # per second
 FAILURES_PER_DAY, RESTARTS_PER_DAY = 34, 4_200  # machines on an ordinary day
 MAX_PURGE_TIME, MAX_CHANGE_TIME = 1.7, 4.0  # seconds until one is in force everywhere
-CPU_BUDGET, MEMORY_BUDGET, BANDWIDTH_BUDGET = (
-    0.046,
-    64e6,
-    27e3,
-)  # for control at a router: of a core, bytes, bytes a second
-# What follows.
+# budgets for control at a router: share of a core, bytes, bytes per second
+CPU_BUDGET, MEMORY_BUDGET, BANDWIDTH_BUDGET = 0.046, 64e6, 27e3
+# Derived from the above.
 MACHINES = ROUTERS + SERVERS
-SERVERS_PER_REGION = round(SERVERS / REGIONS)  # cache servers that a region's routers need to know
+SERVERS_PER_REGION = round(SERVERS / REGIONS)  # cache servers that the routers of a region need to know
 ROUTERS_PER_SITE = round(ROUTERS / SITES)  # routers of a site
-SITES_PER_REGION = SITES / REGIONS  # sites that a region's relay tells
-ROUTER_BYTES_PER_S = PEAK_BITS / 8 / ROUTERS  # bytes a second through a router
-RESTART_CHANGES = (
-    2 * (FAILURES_PER_DAY + RESTARTS_PER_DAY) * SERVERS / MACHINES / 86_400
-)  # list changes a second that restarts make
+SITES_PER_REGION = SITES / REGIONS  # sites to which a region's relay sends
+ROUTER_BYTES_PER_S = PEAK_BITS / 8 / ROUTERS  # bytes per second through a router
+# list changes per second caused by failures and restarts
+RESTART_CHANGES = 2 * (FAILURES_PER_DAY + RESTARTS_PER_DAY) * SERVERS / MACHINES / 86_400
 IN_USE, DISABLED, MISSING = "runs", "built, off", "missing"
-SEALED_DATAGRAMS = 16_000  # at which seals are measured
+SEALED_DATAGRAMS = 16_000  # the size at which the sealing costs are measured
 ROUTER_ROLE = "router at a site"
-# of budgets, where no figure has it
+# units of budgets for rows without an estimate
 BUDGET_UNITS = {
     CPU_BUDGET: "core",
     MEMORY_BUDGET: "B",
@@ -55,44 +51,47 @@
 
 @dataclass(frozen=True, slots=True)
 class CostRow:
-    """One thing that a role bears."""
+    """One cost of a role."""
 
     role: str
     item: str
     estimate: Estimate | None
-    missing: str  # what to measure, where the figure is absent
+    missing: str  # what has to be measured if the estimate is missing
     budget: float | None = None
-    is_minimum: bool = False  # the budget is the least that is needed, not the most allowed
+    is_minimum: bool = False  # the budget is a required minimum instead of an allowed maximum
     module: str = ""
     state: str = IN_USE
 
     @property
     def budget_ratio(self) -> float | None:
-        """How many times its budget it takes, or its need exceeds it; over 1 does not fit. None: unknown."""
+        """The ratio of cost to budget, or of required to available rate; over 1 does not fit. None:
+        unknown."""
         if self.estimate is None or not self.estimate.law_holds or self.budget is None:
             return None
         return self.budget / self.estimate.value if self.is_minimum else self.estimate.value / self.budget
 
 
-def scaled(figure: Estimate | None, factor: float, formula: str, unit: str | None = None) -> Estimate | None:
-    """A multiple of a figure that may be absent."""
-    return figure.multiplied(factor, formula, unit) if figure is not None else None
+def scaled(
+    estimate: Estimate | None, factor: float, formula: str, unit: str | None = None
+) -> Estimate | None:
+    """Return a multiple of an estimate, or None if there is no estimate."""
+    return estimate.multiplied(factor, formula, unit) if estimate is not None else None
 
 
-def list_rows(book: Estimates, servers: int, whose: str) -> Iterator[CostRow]:
-    """What a list of so many servers costs a router."""
+def list_rows(estimates: Estimates, servers: int, scope: str) -> Iterator[CostRow]:
+    """Yield the costs of a server list of some length at a router."""
     role, module = ROUTER_ROLE, "`net/discovery.py`, `policy/`"
 
     def row(
-        what: str,
+        item: str,
         slope: str,
         budget: float | None,
         factor: float = 1.0,
         formula: str = "{}",
         unit: str | None = None,
     ) -> CostRow:
-        figure = scaled(book.at_size(slope, servers), factor, formula, unit)
-        return CostRow(role, f"{what}, {whose}", figure, f"{slope} at {servers:,}", budget, module=module)
+        estimate = scaled(estimates.at_size(slope, servers), factor, formula, unit)
+        return CostRow(role, f"{item}, {scope}", estimate, f"{slope} at {servers:,}", budget, module=module)
 
     yield row("memory for the list", "list.memory", MEMORY_BUDGET)
     yield row("longest stop of the loop: a first whole list", "list.stop", DEADLINE_MARGIN)
@@ -113,112 +112,117 @@
         "core",
     )
     yield row("bytes of a whole list, at each start", "list.bytes", None)
-    whole = f"{{}} / {BANDWIDTH_BUDGET:,.0f} B/s"
+    formula_text = f"{{}} / {BANDWIDTH_BUDGET:,.0f} B/s"
     yield row(
         "time to bring a whole list within the bytes for control",
         "list.bytes",
         MAX_CHANGE_TIME,
         1 / BANDWIDTH_BUDGET,
-        whole,
+        formula_text,
         "s",
     )
-    each = PEAK_REQUESTS / ROUTERS
-    yield row("deciding the peak's requests", "decision", None, each, f"{each:,.0f}/s x {{}}", "core")
+    rate = PEAK_REQUESTS / ROUTERS
+    yield row("deciding the peak's requests", "decision", None, rate, f"{rate:,.0f}/s x {{}}", "core")
 
 
-def request_rows(book: Estimates) -> Iterator[CostRow]:
-    """The way of requests and answers through one real router, on one core."""
-    role, carrier, each = ROUTER_ROLE, "`net/`", PEAK_REQUESTS / ROUTERS
-    asked = book.measure("router.router_requests")
+def request_rows(estimates: Estimates) -> Iterator[CostRow]:
+    """Yield the costs of requests and answers in one real router on one core."""
+    role, module, rate = ROUTER_ROLE, "`net/`", PEAK_REQUESTS / ROUTERS
+    requests = estimates.measure("router.router_requests")
     yield CostRow(
         role,
         "requests a second of one core, two servers listed",
-        asked,
+        requests,
         "router.router_requests",
-        each,
+        rate,
         True,
-        carrier,
+        module,
     )
-    small, large = book.at_size("decision", 105), book.at_size("decision", SERVERS)
-    slowed = None
-    if asked and small and large:
-        more = large.value - small.value  # seconds of each request
-        slowed = Estimate(
-            1 / (1 / asked.value + more),
-            1 / (1 / asked.low + large.high - small.low),
-            1 / (1 / asked.high + large.low - small.high),
-            asked.unit,
-            f"1 / (1 / {asked.source} + {large.source} - {small.source})",
-            exclusive=asked.exclusive and large.exclusive and small.exclusive,
+    small, large = estimates.at_size("decision", 105), estimates.at_size("decision", SERVERS)
+    with_long_list = None
+    if requests and small and large:
+        extra = large.value - small.value  # seconds that a longer list adds to each request
+        with_long_list = Estimate(
+            1 / (1 / requests.value + extra),
+            1 / (1 / requests.low + large.high - small.low),
+            1 / (1 / requests.high + large.low - small.high),
+            requests.unit,
+            f"1 / (1 / {requests.source} + {large.source} - {small.source})",
+            exclusive=requests.exclusive and large.exclusive and small.exclusive,
         )
     yield CostRow(
         role,
         f"the same, {SERVERS:,} servers listed",
-        slowed,
+        with_long_list,
         "router.router_requests, decision",
-        each,
+        rate,
         True,
-        carrier,
+        module,
     )
-    flow = book.measure("router.router_bytes")
+    throughput = estimates.measure("router.router_bytes")
     yield CostRow(
         role,
         "bytes passed on in a second of one core",
-        flow,
+        throughput,
         "router.router_bytes",
         ROUTER_BYTES_PER_S,
         True,
-        carrier,
+        module,
     )
     cores = (
-        flow.inverted(f"{ROUTER_BYTES_PER_S:,.0f} B/s / {{}}", "core", lambda v: ROUTER_BYTES_PER_S / v)
-        if flow
+        throughput.inverted(f"{ROUTER_BYTES_PER_S:,.0f} B/s / {{}}", "core", lambda v: ROUTER_BYTES_PER_S / v)
+        if throughput
         else None
     )
-    yield CostRow(role, "cores for the peak's bytes", cores, "router.router_bytes", None, False, carrier)
+    yield CostRow(role, "cores for the peak's bytes", cores, "router.router_bytes", None, False, module)
 
 
-def roster_rows(book: Estimates) -> Iterator[CostRow]:
-    """What other routers cost one."""
-    role, carrier = ROUTER_ROLE, "`peers/gossip.py`"
+def roster_rows(estimates: Estimates) -> Iterator[CostRow]:
+    """Yield what other routers cost a router."""
+    role, module = ROUTER_ROLE, "`peers/gossip.py`"
     members = calculated(ROUTERS, "", "routers of the fleet")
     yield CostRow(
-        role, "members of one roster, the whole fleet in it", members, "", MOST_MEMBERS, module=carrier
+        role, "members of one roster, the whole fleet in it", members, "", MOST_MEMBERS, module=module
     )
-    for count, slope, whose in (
+    for count, slope, scope in (
         (ROUTERS_PER_SITE, "agent.region", "its site's, a region's zones"),
         (ROUTERS_PER_SITE, "agent.second", "its site's, all zones"),
         (MOST_MEMBERS, "agent.second", "the most it takes, all zones"),
         (ROUTERS, "agent.second", "the whole fleet's, all zones"),
     ):
-        cost = scaled(book.at_size(slope, count), 1.0, "{}", "core")
+        cost = scaled(estimates.at_size(slope, count), 1.0, "{}", "core")
         state = IN_USE if count <= MOST_MEMBERS else MISSING
-        what = f"gossip and verdicts, a roster of {count:,} ({whose})"
-        yield CostRow(role, what, cost, f"{slope} at {count:,}", CPU_BUDGET, False, carrier, state)
+        what = f"gossip and verdicts, a roster of {count:,} ({scope})"
+        yield CostRow(role, what, cost, f"{slope} at {count:,}", CPU_BUDGET, False, module, state)
     for count in (ROUTERS_PER_SITE, MOST_MEMBERS):
-        for kind, what, most in (
+        for kind, what, budget in (
             ("share", "share known 20 s after all started at once", None),
             ("bytes", "gossip's bytes out in those 20 s", BANDWIDTH_BUDGET),
             ("datagrams", "gossip's datagrams out in those 20 s", None),
         ):
             name = f"known.{kind}_{count}"
             yield CostRow(
-                ROUTER_ROLE, f"{what}, a roster of {count:,}", book.measure(name), name, most, module=carrier
+                ROUTER_ROLE,
+                f"{what}, a roster of {count:,}",
+                estimates.measure(name),
+                name,
+                budget,
+                module=module,
             )
 
 
-def relay_rows(book: Estimates) -> Iterator[CostRow]:
-    """What purges and changes cost who passes them on, each as one sealed datagram of the longest."""
+def relay_rows(estimates: Estimates) -> Iterator[CostRow]:
+    """Yield the costs of forwarding purges and changes, each as one sealed datagram of maximum length."""
     opens, packs = (
         scaled(
-            book.at_size(f"seal.{what}", SEALED_DATAGRAMS),
+            estimates.at_size(f"seal.{what}", SEALED_DATAGRAMS),
             1 / SEALED_DATAGRAMS,
             f"{{}} / {SEALED_DATAGRAMS:,}",
         )
         for what in ("open", "pack")
     )
-    rate, said, state = PURGE_RATE + CHANGE_RATE, f"({PURGE_RATE:g}/s + {CHANGE_RATE:.3g}/s)", DISABLED
-    for role, out, told in (
+    rate, rate_text, state = PURGE_RATE + CHANGE_RATE, f"({PURGE_RATE:g}/s + {CHANGE_RATE:.3g}/s)", DISABLED
+    for role, fan_out, fan_out_text in (
         (ROUTER_ROLE, 0.0, "0"),
         ("relay in a site", ROUTERS_PER_SITE - 1.0, f"({ROUTERS_PER_SITE} - 1)"),
         ("relay in a region", SITES_PER_REGION, f"{SITES} / {REGIONS}"),
@@ -226,65 +230,100 @@
         ("control machine, without relays", ROUTERS / CONTROL_NODES, f"{ROUTERS:,} / {CONTROL_NODES}"),
     ):
         limited = not role.startswith("control")
-        came, sent = calculated(rate, "1/s", said), calculated(rate * out, "1/s", f"{said} x {told}")
-        yield CostRow(role, "messages in", came, "", None, False, SPREAD_MODULE, state)
+        received, sent = (
+            calculated(rate, "1/s", rate_text),
+            calculated(rate * fan_out, "1/s", f"{rate_text} x {fan_out_text}"),
+        )
+        yield CostRow(role, "messages in", received, "", None, False, SPREAD_MODULE, state)
         yield CostRow(role, "messages out", sent, "", None, False, SPREAD_MODULE, state)
-        octets = calculated(rate * LONGEST * (1 + out), "B/s", f"{said} x {LONGEST} B x (1 + {told})")
+        bandwidth = calculated(
+            rate * LONGEST * (1 + fan_out), "B/s", f"{rate_text} x {LONGEST} B x (1 + {fan_out_text})"
+        )
         yield CostRow(
             role,
             "bytes in and out",
-            octets,
+            bandwidth,
             "",
             BANDWIDTH_BUDGET if limited else None,
             False,
             SPREAD_MODULE,
             state,
         )
-        cost = scaled(opens, rate, f"{said} x {{}}", "core")
-        if out:
-            sealed = scaled(packs, rate * out, f"{said} x {told} x {{}}", "core")
+        cost = scaled(opens, rate, f"{rate_text} x {{}}", "core")
+        if fan_out:
+            sealed = scaled(packs, rate * fan_out, f"{rate_text} x {fan_out_text} x {{}}", "core")
             cost = cost.added(sealed) if cost and sealed else None
-        most = CPU_BUDGET if limited else None
+        budget = CPU_BUDGET if limited else None
         yield CostRow(
-            role, "opening and sealing them", cost, "seal.open, seal.pack", most, False, SPREAD_MODULE, state
+            role,
+            "opening and sealing them",
+            cost,
+            "seal.open, seal.pack",
+            budget,
+            False,
+            SPREAD_MODULE,
+            state,
         )
 
 
-def spread_rows(book: Estimates) -> Iterator[CostRow]:
-    """What carrying changes and purges was measured to cost, where it was."""
+def spread_rows(estimates: Estimates) -> Iterator[CostRow]:
+    """Yield the measured costs of distributing changes and purges, as far as there are any."""
     state = DISABLED
     for name, role in SPREAD_ROLES.items():
-        most = {"processor": CPU_BUDGET, "memory": MEMORY_BUDGET} if name != "control" else {}
-        for what in ("messages_in", "messages_out", "processor", "memory"):
-            full = f"spread.{name}.{what}"
-            told = f"{what.replace('_', ' ')}, measured"
-            yield CostRow(role, told, book.measure(full), full, most.get(what), False, SPREAD_MODULE, state)
-        ways = [f"spread.{name}.bytes_{way}" for way in ("in", "out")]
-        into, out = map(book.measure, ways)
-        both = into.added(out) if into and out else None
+        budgets = {"processor": CPU_BUDGET, "memory": MEMORY_BUDGET} if name != "control" else {}
+        for kind in ("messages_in", "messages_out", "processor", "memory"):
+            measure_name = f"spread.{name}.{kind}"
+            item = f"{kind.replace('_', ' ')}, measured"
+            yield CostRow(
+                role,
+                item,
+                estimates.measure(measure_name),
+                measure_name,
+                budgets.get(kind),
+                False,
+                SPREAD_MODULE,
+                state,
+            )
+        names = [f"spread.{name}.bytes_{direction}" for direction in ("in", "out")]
+        received, sent = map(estimates.measure, names)
+        total = received.added(sent) if received and sent else None
         budget = BANDWIDTH_BUDGET if name != "control" else None
         yield CostRow(
-            role, "bytes in and out, measured", both, ", ".join(ways), budget, False, SPREAD_MODULE, state
+            role, "bytes in and out, measured", total, ", ".join(names), budget, False, SPREAD_MODULE, state
         )
 
 
 def other_rows() -> Iterator[CostRow]:
-    """The parts of cache servers and of the operator's tool."""
+    """Yield the costs of cache servers' parts and of the operator's tool."""
     server, tool = "cache server's part", "operator's tool"
-    each = calculated(PEAK_REQUESTS / SERVERS, "1/s", f"{PEAK_REQUESTS:,.0f}/s / {SERVERS:,}")
-    yield CostRow(server, "requests in, if all hit", each, "", None, False, "`net/servers.py`", IN_USE)
-    kept = calculated(ROUTERS, "", f"one from each of {ROUTERS:,} routers")
+    requests = calculated(PEAK_REQUESTS / SERVERS, "1/s", f"{PEAK_REQUESTS:,.0f}/s / {SERVERS:,}")
+    yield CostRow(server, "requests in, if all hit", requests, "", None, False, "`net/servers.py`", IN_USE)
+    connections = calculated(ROUTERS, "", f"one from each of {ROUTERS:,} routers")
     yield CostRow(
-        server, "connections kept, the whole fleet's routers", kept, "", None, False, "`net/pool.py`", IN_USE
+        server,
+        "connections kept, the whole fleet's routers",
+        connections,
+        "",
+        None,
+        False,
+        "`net/pool.py`",
+        IN_USE,
     )
-    view = calculated(ROUTERS / REGIONS, "", f"{ROUTERS:,} / {REGIONS}")
+    region_connections = calculated(ROUTERS / REGIONS, "", f"{ROUTERS:,} / {REGIONS}")
     yield CostRow(
-        server, "connections kept, a region's routers", view, "", None, False, "a region's view", MISSING
+        server,
+        "connections kept, a region's routers",
+        region_connections,
+        "",
+        None,
+        False,
+        "a region's view",
+        MISSING,
     )
-    purged = calculated(PURGE_RATE, "1/s", "each purge is done at each server")
-    yield CostRow(server, "purges in", purged, "", None, False, "purges at cache servers", MISSING)
-    changed = calculated(CHANGE_RATE, "1/s", "62,000 / 86,400 s")
-    yield CostRow(tool, "changes out", changed, "", None, False, "the tool that sends them", MISSING)
+    purges = calculated(PURGE_RATE, "1/s", "each purge is done at each server")
+    yield CostRow(server, "purges in", purges, "", None, False, "purges at cache servers", MISSING)
+    changes = calculated(CHANGE_RATE, "1/s", "62,000 / 86,400 s")
+    yield CostRow(tool, "changes out", changes, "", None, False, "the tool that sends them", MISSING)
     answers = calculated(
         CHANGE_RATE * ROUTERS, "1/s", f"{CHANGE_RATE:.3g}/s x {ROUTERS:,}, if each router answers for itself"
     )
@@ -298,11 +337,11 @@
         "adding up on the way",
         MISSING,
     )
-    asked = calculated(ROUTERS, "", "one call to each router")
+    calls = calculated(ROUTERS, "", "one call to each router")
     yield CostRow(
         tool,
         "calls for a look at the whole fleet",
-        asked,
+        calls,
         "",
         None,
         False,
@@ -311,20 +350,23 @@
     )
 
 
-def all_rows(book: Estimates) -> list[CostRow]:
-    """All of them."""
+def all_rows(estimates: Estimates) -> list[CostRow]:
+    """Return the costs of all roles."""
     return [
-        *list_rows(book, SERVERS, "the whole fleet's"),
-        *list_rows(book, SERVERS_PER_REGION, "a region's"),
-        *request_rows(book),
-        *roster_rows(book),
-        *relay_rows(book),
-        *spread_rows(book),
+        *list_rows(estimates, SERVERS, "the whole fleet's"),
+        *list_rows(estimates, SERVERS_PER_REGION, "a region's"),
+        *request_rows(estimates),
+        *roster_rows(estimates),
+        *relay_rows(estimates),
+        *spread_rows(estimates),
         *other_rows(),
     ]
 
 
 def time_until_forgotten(members: int) -> float:
-    """Seconds of calm gossip until a member of which nothing comes is gone (`Gossip.state`, interval 1 s)."""
-    turns = max(1.0, math.log2(members) / 2, members / CARRIED)
-    return SUSPECT * turns * (1 + GONE)
+    """Return the seconds until a member that sends nothing is removed.
+
+    Repeats the arithmetic of `Gossip.state`, for calm gossip at an interval of 1 s.
+    """
+    cycles = max(1.0, math.log2(members) / 2, members / CARRIED)
+    return SUSPECT * cycles * (1 + GONE)
--- a/myrtlecourse/scale/slopes.py
+++ b/myrtlecourse/scale/slopes.py
@@ -1,7 +1,7 @@
-"""What is measured by size; `measuring.py` carries each size out in a process of its own.
+"""The costs that are measured by size; `measuring.py` measures each size in a process of its own.
 
-A cost is processor time (of the one thread that works), so that waiting counts for nothing; memory is what
-the process holds more than before.
+A cost in time is the processor time of the one thread that does the work, so waiting is not counted. A cost
+in memory is the growth of the process's resident memory.
 """
 
 from __future__ import annotations
@@ -31,20 +31,21 @@
 from myrtlecourse.peers.seal import Seal
 from myrtlecourse.zones.agent import Agent, Part
 
-# halves of the size to come, so that tables which double are as full at each; and a region's view
+# Successive halves of the fleet size that is planned for, so that hash tables, which grow by doubling, have
+# the same load factor at each size; and the number of servers in one region.
 SERVER_COUNTS = (105, 156, 209, 419, 838, 1675, 6700)
 ROSTER_SIZES = (25, 50, 100, 150, 200, 250, 1000)
 CHANGE_RATES = (1, 2, 4, 8, 16, 64)
 DATAGRAM_COUNTS = (250, 500, 1000, 2000, 4000, 16000)
-ALL_ZONES, REGION_ZONES = 138, 4  # that a list names: the whole fleet's, a region's
-REQUESTS_PER_REPEAT = 400  # for one value of a decision
-OBSERVED_SECONDS = 10.0  # seconds of virtual time that a member is watched
+ALL_ZONES, REGION_ZONES = 138, 4  # zones in the list: of the whole fleet, and of one region
+REQUESTS_PER_REPEAT = 400  # requests in one measured value
+OBSERVED_SECONDS = 10.0  # seconds of virtual time for which a member is measured
 GOSSIP_KEY = b"a key as long as these are"
-WALL_CLOCK = EPOCH + 50_000_000.0  # Unix time of what happens in virtual time
+WALL_CLOCK = EPOCH + 50_000_000.0  # the Unix time at which the simulations in virtual time begin
 
 
 def list_entries(count: int) -> list[dict[str, Any]]:
-    """Entries of a list, as discovery spells them."""
+    """Return `count` entries of a server list, in the form in which discovery sends them."""
     return [
         {
             "name": f"cache-{i:05d}",
@@ -61,72 +62,74 @@
 
 
 def encode_list(entries: list[dict[str, Any]], whole: bool) -> bytes:
-    """A list, or changes of it, in discovery's JSON."""
+    """Encode a whole list or a change of it as discovery's JSON."""
     return orjson.dumps({"index": 4_000_000, "snapshot": whole, "endpoints": entries})
 
 
 def router_settings() -> api.Settings:
-    """Those of a router of the fleet to come."""
-    read = api.RequestClass("read", aim=1.0)
-    return api.Settings({"read": read}, hedging=True, may_cancel=True, max_attempts=4, router_count=16_000)
+    """Return the settings of a router in the fleet that is planned for."""
+    read_class = api.RequestClass("read", aim=1.0)
+    return api.Settings(
+        {"read": read_class}, hedging=True, may_cancel=True, max_attempts=4, router_count=16_000
+    )
 
 
 def parse_list(body: bytes) -> tuple[bool, list[Member]]:
-    """What discovery's agent does with an answer's body."""
+    """Parse the body of an answer as the discovery client does."""
     _, whole, members = discovery.read_list(orjson.loads(body))
     return whole, members
 
 
 def make_host() -> Host:
-    """A router's host without sockets."""
-    made = router_settings()
+    """Return a router's host without sockets."""
+    settings = router_settings()
     caches, origins = (
-        Pool(make, 300, made.dial_timeout, made.connection_idle)
+        Pool(make, 300, settings.dial_timeout, settings.connection_idle)
         for make in (CacheConnection, OriginConnection)
     )
-    return Host(made, 1, caches, origins, lambda: None)
+    return Host(settings, 1, caches, origins, lambda: None)
 
 
-def apply_answer(to: Host, body: bytes) -> None:
-    """An answer of discovery's is read, and taken by host and module, in as many turns as that takes."""
+def apply_answer(host: Host, body: bytes) -> None:
+    """Parse an answer from discovery and apply it to the host and the decision module, in all its batches."""
     whole, members = parse_list(body)
-    to.list_updates.submit(ListUpdate(api.ListKind.FULL if whole else api.ListKind.DELTA, members))
-    to.list_updates.apply_all()
+    host.list_updates.submit(ListUpdate(api.ListKind.FULL if whole else api.ListKind.DELTA, members))
+    host.list_updates.apply_all()
 
 
-def longest_iteration(to: Host, body: bytes) -> float:
-    """The same; processor seconds of the turn that takes longest."""
-    turns = []
+def longest_iteration(host: Host, body: bytes) -> float:
+    """Do the same as `apply_answer`, and return the processor seconds of the longest event loop iteration."""
+    iterations = []
     before = time.thread_time()
 
-    def turn_ends() -> None:
+    def end_iteration() -> None:
         nonlocal before
         now = time.thread_time()
-        turns.append(now - before)
+        iterations.append(now - before)
         before = now
 
-    head = discovery.read_header(orjson.loads(body))
+    header = discovery.read_header(orjson.loads(body))
     members: list[Member] = []
-    for start in range(0, max(1, len(head.entries)), discovery.ENTRIES_PER_ITERATION):
-        members += head.read_members(start, start + discovery.ENTRIES_PER_ITERATION)
-        turn_ends()
-    to.list_updates.submit(ListUpdate(api.ListKind.FULL if head.is_full else api.ListKind.DELTA, members))
-    turn_ends()
-    while to.list_updates.pending:
-        to.list_updates.apply_next_batch()
-        turn_ends()
-    return max(turns)
+    for start in range(0, max(1, len(header.entries)), discovery.ENTRIES_PER_ITERATION):
+        members += header.read_members(start, start + discovery.ENTRIES_PER_ITERATION)
+        end_iteration()
+    host.list_updates.submit(ListUpdate(api.ListKind.FULL if header.is_full else api.ListKind.DELTA, members))
+    end_iteration()
+    while host.list_updates.pending:
+        host.list_updates.apply_next_batch()
+        end_iteration()
+    return max(iterations)
 
 
 def time_repeats(work: Callable[[], object], repeats: int) -> list[float]:
-    """Processor seconds of each repeat; the garbage of those before is no cost of it."""
-    found = []
+    """Return the processor seconds of each repeat, not counting the garbage of earlier repeats."""
+    seconds = []
     for _ in range(repeats):
         gc.collect()
         before = time.thread_time()
         work()
-        found.append(time.thread_time() - before)
-    return found
+        seconds.append(time.thread_time() - before)
+    return seconds
 
 
 def list_bytes(size: int, repeats: int) -> list[float]:
@@ -148,129 +151,130 @@
 
 def list_stop(size: int, repeats: int) -> list[float]:
     body = encode_list(list_entries(size), True)
-    found = []
+    seconds = []
     for _ in range(repeats):
         gc.collect()
-        found.append(longest_iteration(make_host(), body))
-    return found
+        seconds.append(longest_iteration(make_host(), body))
+    return seconds
 
 
-def server_changes(to: Host, size: int) -> Callable[[], None]:
-    """Each call takes one server out of service, or gives back the one taken out before."""
+def server_changes(host: Host, size: int) -> Callable[[], None]:
+    """Return a function that alternately takes a server out of service and puts it back."""
     entries = list_entries(size)
     state = {"at": 0}
 
     def change() -> None:
-        at = state["at"]
+        count = state["at"]
         state["at"] += 1
-        status = "terminating" if at % 2 == 0 else "in_service"
-        apply_answer(to, encode_list([entries[at // 2 % size] | {"status": status}], False))
+        status = "terminating" if count % 2 == 0 else "in_service"
+        apply_answer(host, encode_list([entries[count // 2 % size] | {"status": status}], False))
 
     return change
 
 
 def list_change(size: int, repeats: int) -> list[float]:
-    to = make_host()
-    apply_answer(to, encode_list(list_entries(size), True))
-    return time_repeats(server_changes(to, size), repeats)
+    host = make_host()
+    apply_answer(host, encode_list(list_entries(size), True))
+    return time_repeats(server_changes(host, size), repeats)
 
 
 def change_rate(listed: int) -> Callable[[int, int], list[float]]:
-    """Processor seconds a second by list changes a second, at a list of so many servers."""
+    """Return a measurement of the processor seconds for some list changes, for a list of `listed` servers."""
 
     def run(size: int, repeats: int) -> list[float]:
-        to = make_host()
-        apply_answer(to, encode_list(list_entries(listed), True))
-        change = server_changes(to, listed)
+        host = make_host()
+        apply_answer(host, encode_list(list_entries(listed), True))
+        change = server_changes(host, listed)
         return time_repeats(lambda: [change() for _ in range(size)], repeats)
 
     return run
 
 
 def resident_bytes() -> int:
-    """Bytes that this process holds in memory."""
+    """Return the resident memory of this process in bytes."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def list_memory(size: int, repeats: int) -> list[float]:
-    """Each repeat in a copy of this process, so that none finds room that one before has left."""
+    """Measure each repeat in a forked process, so that none reuses memory that an earlier one has freed."""
     body = encode_list(list_entries(size), True)
-    found = []
+    sizes = []
     for _ in range(repeats):
-        out, into = os.pipe()
-        copy = os.fork()
-        if not copy:
-            before, held = resident_bytes(), make_host()
-            apply_answer(held, body)
+        read_end, write_end = os.pipe()
+        child = os.fork()
+        if not child:
+            before, host = resident_bytes(), make_host()
+            apply_answer(host, body)
             gc.collect()
-            os.write(into, b"%d" % (resident_bytes() - before))
+            os.write(write_end, b"%d" % (resident_bytes() - before))
             os._exit(0)
-        os.waitpid(copy, 0)
-        found.append(float(os.read(out, 64)))
-        os.close(out)
-        os.close(into)
-    return found
+        os.waitpid(child, 0)
+        sizes.append(float(os.read(read_end, 64)))
+        os.close(read_end)
+        os.close(write_end)
+    return sizes
 
 
 def decision(size: int, repeats: int) -> list[float]:
-    """A request and the outcome of its one attempt."""
+    """Measure a request and the outcome of its single attempt."""
     router = policy.Router(router_settings(), 1, 1_800_000_000.0)
     _, members = parse_list(encode_list(list_entries(size), True))
     router.handle(1_800_000_000.0, api.ServerList(api.ListKind.FULL, tuple(m.entry for m in members)))
     state = {"at": 0}
 
-    def ask() -> None:
+    def decide() -> None:
         for _ in range(REQUESTS_PER_REPEAT):
-            at = state["at"] = state["at"] + 1
-            now, name = 1_800_000_000.0 + at * 0.001, f"r{at}"
-            sent = router.handle(now, api.Request(name, "read", 2.0, key=f"key-{at % 9973}"))
+            number = state["at"] = state["at"] + 1
+            now, name = 1_800_000_000.0 + number * 0.001, f"r{number}"
+            sent = router.handle(now, api.Request(name, "read", 2.0, key=f"key-{number % 9973}"))
             assert any(isinstance(a, api.Send) for a in sent)
             router.handle(now + 0.0005, api.Outcome(name, 0, api.Status.OK, latency=0.0005))
 
-    ask()  # servers that have never answered cost otherwise
-    return [seconds / REQUESTS_PER_REPEAT for seconds in time_repeats(ask, repeats)]
+    decide()  # warms up: servers that have never answered are handled by other code
+    return [seconds / REQUESTS_PER_REPEAT for seconds in time_repeats(decide, repeats)]
 
 
 def roster_names(count: int) -> tuple[str, ...]:
     return tuple(f"router-{i:05d}" for i in range(count))
 
 
-def fill_roster(gossip: Gossip, said: tuple[int, ...], chance: random.Random, now: float) -> None:
-    """Let it know all others, as a member does that has run for long: news of each comes by turns."""
-    turn = max(1.0, len(gossip.members) / CARRIED)
+def fill_roster(gossip: Gossip, status: tuple[int, ...], rng: random.Random, now: float) -> None:
+    """Make a member know all others, as after a long time: the ages of their records are spread evenly."""
+    cycle = max(1.0, len(gossip.members) / CARRIED)
     for i, member in gossip.members.items():
         if i != gossip.me:
-            made_at = now - chance.uniform(0.0, turn)
-            member.record = Record(i, started(WALL_CLOCK), 1_000_000, i % 138, said, made_at)
-            member.told = chance.randrange(1, 4)
+            made_at = now - rng.uniform(0.0, cycle)
+            member.record = Record(i, started(WALL_CLOCK), 1_000_000, i % 138, status, made_at)
+            member.told = rng.randrange(1, 4)
 
 
 def reseal(datagram: Datagram, to: str) -> bytes:
-    """What a datagram says, sealed for another receiver."""
+    """Return the contents of a datagram, sealed for another receiver."""
     parts = Seal(datagram.to, GOSSIP_KEY).open(datagram.data, 6, VERSION)
     return Seal(to, GOSSIP_KEY).pack(to, parts)
 
 
 def member_second(zones: int) -> Callable[[int, int], list[float]]:
-    """Processor seconds a second of a member that runs calmly: gossip alone, or all that a router runs.
+    """Return a measurement of the processor seconds per second of a member while nothing changes.
 
-    About each second it sends one datagram, and is given one that another member has made at the same pace.
+    With 0 zones it covers the gossip alone, otherwise all the shared state that a router runs. The member
+    sends about one datagram per second, and receives one per second from another member.
     """
 
     return lambda size, repeats: [member_cost(size, seed, zones) for seed in range(repeats)]
 
 
 def member_cost(size: int, seed: int, zones: int) -> float:
-    """One repeat of `member_second`."""
-    chance, now = random.Random(seed), 1000.0
+    """Measure one repeat of `member_second`."""
+    rng, now = random.Random(seed), 1000.0
     me, other = (
         Agent(Part(name, roster_names(size), "zone-001", GOSSIP_KEY), now, WALL_CLOCK, seed)
         for name in roster_names(2)
     )
-    said = other.zones.said(now)
+    status = other.zones.said(now)
     for agent in (me, other):
         agent.servers_listed({f"zone-{z:03d}": 48 for z in range(max(1, zones))})
-        fill_roster(agent.gossip, said, chance, now)
+        fill_roster(agent.gossip, status, rng, now)
         agent.tick(now, WALL_CLOCK)
     spent = 0.0
     for _ in range(round(OBSERVED_SECONDS / PACE)):
@@ -285,13 +289,13 @@
         if zones:
             me.tick(now, WALL_CLOCK)
         else:
-            me.gossip.tick(now, WALL_CLOCK, lambda: said)
+            me.gossip.tick(now, WALL_CLOCK, lambda: status)
         spent += time.thread_time() - before
     return spent / OBSERVED_SECONDS
 
 
 def seal_cost(opens: bool) -> Callable[[int, int], list[float]]:
-    """Processor seconds for so many sealed datagrams as long as they may be: packed, or opened."""
+    """Return a measurement of opening or packing sealed datagrams of almost the maximum length."""
 
     def run(size: int, repeats: int) -> list[float]:
         seal = Seal("router-00001", GOSSIP_KEY)
@@ -306,7 +310,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlopeSpec:
-    """How a slope is measured."""
+    """How a slope is measured; `run` takes the size and the number of repeats."""
 
     what: str
     by: str
--- a/myrtlecourse/scale/stand_in_fleet.py
+++ b/myrtlecourse/scale/stand_in_fleet.py
@@ -1,8 +1,8 @@
-"""What members stand before: the stand-in fleet with its discovery, and with the real routers.
+"""The stand-in fleet of a run at scale: cache servers and discovery, and the real routers.
 
-Hollow members have a stand-in of their own, in another process and without routers, to which the same
-happens at the same times: with a thousand of them to be told of a change, boxes in the same loop would read
-late what real routers sent, and the auditor would blame those.
+Hollow members have a stand-in fleet of their own, in another process and without routers, with the same
+faults at the same times. If cache servers shared an event loop with the notification of a thousand hollow
+members, they would read late what real routers sent, and the auditor would blame the routers.
 """
 
 from __future__ import annotations
@@ -25,18 +25,19 @@
 from myrtlecourse.scale.child_process import wait_for_end
 from myrtlecourse.scale.scenario import Scenario
 
-HOLLOW_PREFIX = "hollow"  # begins the names that discovery knows hollow members by, a process each
+# prefix of the names of hollow members in discovery; each process of them has one name
+HOLLOW_PREFIX = "hollow"
 ROUTER_ROLE = "router"
 
 
 def role_of(name: str) -> str:
-    """Whether it is discovery's name for real routers or for hollow members."""
+    """Return whether a name in discovery belongs to a real router or to hollow members."""
     return HOLLOW_PREFIX if name.startswith(HOLLOW_PREFIX) else ROUTER_ROLE
 
 
 @dataclass(frozen=True)
 class ListChange:
-    """Discovery's list has changed."""
+    """A change of discovery's list."""
 
     at: float  # the machine's monotonic clock
     server: str
@@ -46,40 +47,44 @@
 
 @dataclass(frozen=True)
 class StandInReady:
-    """Where everything is, once it stands."""
+    """The addresses of everything, sent once the fleet is ready."""
 
     routers: tuple[tuple[str, int], ...]
     pids: tuple[int, ...]  # of the real routers
-    configuration: dict[str, Any]  # that hollow members share, without discovery's address
-    discovery: tuple[str, ...]  # for each process of hollow members, where they have their stand-in here
+    configuration: dict[str, Any]  # shared by the hollow members, without discovery's address
+    # discovery's address for each process of hollow members; empty in the real routers' fleet
+    discovery: tuple[str, ...]
     gossip_addresses: tuple[str, ...]
     operators: Path | None
 
 
 @dataclass(frozen=True)
 class StandInTotals:
-    """What was seen from when it was told to begin."""
+    """What was observed since the run began."""
 
     faults: list[str]
     changes: list[ListChange]
-    calls: dict[str, int]  # of the list, by role
-    bytes_in: dict[str, int]  # of calls, as discovery read and wrote them, without TCP's own
+    calls: dict[str, int]  # calls of the list, by role
+    bytes_in: dict[str, int]  # of calls, as discovery read and wrote them, without TCP headers
     bytes_out: dict[str, int]
 
 
 class SharedAddresses(dict[tuple[str, str], str]):
-    """Of servers, by who is told: hollow members get the first router's, as they send nothing there."""
+    """Addresses of servers by router.
+
+    Hollow members get those of the first router, as they send nothing there.
+    """
 
     def __missing__(self, key: tuple[str, str]) -> str:
         return self["router-0", key[1]]
 
 
 class CountedConnection(DiscoveryConnection):
-    """A call whose bytes are counted."""
+    """A discovery connection whose bytes are counted."""
 
-    def __init__(self, port: Port, server: DiscoveryServer, ground: ScaleFleet) -> None:
+    def __init__(self, port: Port, server: DiscoveryServer, fleet: ScaleFleet) -> None:
         super().__init__(port, server)
-        self.fleet = ground
+        self.fleet = fleet
 
     def took(self, data: bytes, began: float) -> None:
         self.fleet.bytes_in[role_of(self.port.router)] += len(data)
@@ -91,14 +96,14 @@
 
 
 class ScaleFleet(Fleet):
-    """The stand-in fleet, whose discovery hollow members ask too."""
+    """A stand-in fleet whose discovery also serves hollow members."""
 
-    def __init__(self, scenario: Scenario, log: seen.ObservationLog, of_hollow: bool) -> None:
+    def __init__(self, scenario: Scenario, log: seen.ObservationLog, for_hollow: bool) -> None:
         super().__init__(scenario.fleet_scenario(), log.add)
         self.scale_scenario = scenario
-        self.for_hollow = of_hollow
+        self.for_hollow = for_hollow
         self.log = log
-        self.gossip_addresses: tuple[str, ...] = ()  # where each member hears the others
+        self.gossip_addresses: tuple[str, ...] = ()  # at which each member receives gossip
         self.changes: list[ListChange] = []
         self.calls: Counter[str] = Counter()
         self.bytes_in: Counter[str] = Counter()
@@ -109,30 +114,30 @@
     async def listen(self) -> None:
         await super().listen()
         server = self.discovery
-        make = partial(CountedConnection, server=server, ground=self)
+        make = partial(CountedConnection, server=server, fleet=self)
         for port in server.ports.values():
             port.make = make
         for number, group in enumerate(self.scale_scenario.members_by_process() if self.for_hollow else ()):
-            # twice: a call's connection may still be open while the next one comes
+            # twice as many connections as members: a call may begin before the previous connection is closed
             port = server.ports[f"{HOLLOW_PREFIX}-{number}"] = Port(
                 f"{HOLLOW_PREFIX}-{number}", 0.0, 2 * len(group), make
             )
             await port.listen()
         if self.scale_scenario.peers is not None:
             names = [str(n) for n in range(self.scale_scenario.routers, self.scale_scenario.members)]
-            places = [self.relays.heard_at[r] for r in self.routers]
-            places += self.relays.places(names).values()
-            self.gossip_addresses = tuple(f"{host}:{port}" for host, port in places)
+            addresses = [self.relays.heard_at[r] for r in self.routers]
+            addresses += self.relays.places(names).values()
+            self.gossip_addresses = tuple(f"{host}:{port}" for host, port in addresses)
 
     def configuration(self, number: int) -> dict[str, Any]:
-        told = super().configuration(number)
-        told["settings"]["siblings"] = self.scale_scenario.members
+        configuration = super().configuration(number)
+        configuration["settings"]["siblings"] = self.scale_scenario.members
         if self.gossip_addresses:
-            told["peers"] = told["peers"] + list(self.gossip_addresses[len(self.routers) :])
-        return told
+            configuration["peers"] = configuration["peers"] + list(self.gossip_addresses[len(self.routers) :])
+        return configuration
 
     def ready_message(self, routers: Routers, operators: Path | None) -> StandInReady:
-        """Where everything is."""
+        """Return the message that reports the fleet as ready."""
         shared = self.configuration(0)
         ports = [p for name, p in self.discovery.ports.items() if role_of(name) == HOLLOW_PREFIX]
         return StandInReady(
@@ -144,56 +149,70 @@
             operators=operators,
         )
 
-    def _observe(self, what: seen.Observation) -> None:
-        """The auditor judges real routers alone."""
-        if isinstance(what, seen.DiscoveryCall):
-            self.calls[role_of(what.router)] += what.how == "begun"
-        if isinstance(what, seen.ListChanged):
-            since_ms = round((what.since + self.discovery.epoch) * 1000) if what.since else 0
-            self.changes.append(ListChange(what.at, what.box, what.status, since_ms))
+    def _observe(self, observation: seen.Observation) -> None:
+        """Log an observation; those of hollow members are only counted.
+
+        The auditor judges real routers alone.
+        """
+        if isinstance(observation, seen.DiscoveryCall):
+            self.calls[role_of(observation.router)] += observation.how == "begun"
+        if isinstance(observation, seen.ListChanged):
+            since_ms = round((observation.since + self.discovery.epoch) * 1000) if observation.since else 0
+            self.changes.append(ListChange(observation.at, observation.box, observation.status, since_ms))
         if not (
-            isinstance(what, seen.DiscoveryCall | seen.ListEntrySent)
-            and role_of(what.router) == HOLLOW_PREFIX
+            isinstance(observation, seen.DiscoveryCall | seen.ListEntrySent)
+            and role_of(observation.router) == HOLLOW_PREFIX
         ):
-            self.log.add(what)
+            self.log.add(observation)
 
     def begin(self) -> None:
-        # what it took to start is no part of what it costs to run
+        # the cost of the start is excluded
         for counted in (self.calls, self.bytes_in, self.bytes_out):
             counted.clear()
         self.changes.clear()
         super().begin()
 
     def totals(self, faults: list[str]) -> StandInTotals:
-        """What was seen."""
+        """Return what was observed since the run began."""
         return StandInTotals(
             faults, self.changes, dict(self.calls), dict(self.bytes_in), dict(self.bytes_out)
         )
 
 
-async def serve(scenario: Scenario, folder: Path, command: str | None, words: Any) -> None:
-    """Stand up, begin when told, end when told; without a command it is the stand-in of hollow members."""
+async def serve(scenario: Scenario, folder: Path, command: str | None, connection: Any) -> None:
+    """Run a stand-in fleet until the parent ends the run.
+
+    With a router command it is the fleet of the real routers, which it starts; without one, that of the
+    hollow members.
+    """
     log = seen.ObservationLog(folder / LOG)
-    ground = ScaleFleet(scenario, log, command is None)
-    await ground.listen()
-    routers = Routers(ground.routers if command is not None else [], command or "", folder, log.add)
-    standing = Standing(ground, routers, log)
+    fleet = ScaleFleet(scenario, log, command is None)
+    await fleet.listen()
+    routers = Routers(fleet.routers if command is not None else [], command or "", folder, log.add)
+    standing = Standing(fleet, routers, log)
     try:
-        file = None
-        if ground.scenario.peers is not None:
-            file = partial(operators_file, ground.scenario.peers, None, ground.duty_relays, folder)
-        await routers.start(ground.configuration, file)
-        words.send(
-            ("ready", ground.ready_message(routers, file(HOLLOW_PREFIX) if file is not None else None))
+        write_operators_file = None
+        if fleet.scenario.peers is not None:
+            write_operators_file = partial(
+                operators_file, fleet.scenario.peers, None, fleet.duty_relays, folder
+            )
+        await routers.start(fleet.configuration, write_operators_file)
+        connection.send(
+            (
+                "ready",
+                fleet.ready_message(
+                    routers, write_operators_file(HOLLOW_PREFIX) if write_operators_file is not None else None
+                ),
+            )
         )
-        await wait_for_end(words, ground.begin)
+        await wait_for_end(connection, fleet.begin)
     finally:
-        # guards the machine: routers that were started must end with whoever started them
+        # the routers must end together with the process that has started them
         faults = await standing.close()
-    words.send(("ended", ground.totals(faults)))
+    connection.send(("ended", fleet.totals(faults)))
 
 
-def run_process(scenario: Scenario, folder: Path, command: str | None, words: Any) -> None:
-    """The process of a stand-in, and its routers if it has any."""
+def run_process(scenario: Scenario, folder: Path, command: str | None, connection: Any) -> None:
+    """Run the process of a stand-in fleet, with its routers if it has any."""
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
-        runner.run(serve(scenario, folder, command, words))
+        runner.run(serve(scenario, folder, command, connection))
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -355,7 +355,7 @@
         self.counts = Counts()
 
     async def __aenter__(self) -> Stand:
-        self.ground = ScaleFleet(self.scenario, self.log, of_hollow=True)
+        self.ground = ScaleFleet(self.scenario, self.log, for_hollow=True)
         await self.ground.listen()
         peers = self.ground.scenario.peers
         operators = None
@@ -372,7 +372,7 @@
             for place in group:
                 self.members.append((place, job, HollowMember(place, job, self.counts)))
         for _, _, member in self.members:
-            await member.start(again=False)
+            await member.start(restarted=False)
         return self
 
     async def until(self, true: Any) -> None:
@@ -426,7 +426,7 @@
             former.close()
             again = HollowMember(place, job, counts)
             stand.members.append((place, job, again))
-            await again.start(again=True)
+            await again.start(restarted=True)
             assert "std-1" in again.host.router.servers
             await stand.until(lambda: len(counts.in_force) == 4)
             assert counts.in_force[-1].member == place.number
