--- a/bench/address_move.py
+++ b/bench/address_move.py
@@ -1,8 +1,9 @@
-"""The service address under load: its holder is killed again and again, and what clients see counted.
+"""The service address under load: its holder is killed repeatedly, and the effect on clients is counted.
 
-Three real routers, the switch and boxes of the stand-in fleet, all on loopback. To clients they are one
-router, and so the auditor judges them: what a killed holder had in hand is its clients' to ask again, and
-nothing else is. Wants four cores for about two minutes; times are this machine's, the bound the settings'.
+Three real routers, the switch and cache servers of the stand-in fleet run on loopback. Clients see them as
+one router, and the auditor judges them as one: when a holder is killed, its clients may retry the requests
+that it was handling, and no others. Needs four cores for about two minutes. The times depend on this machine,
+and the bound on the settings.
 """
 
 from __future__ import annotations
@@ -36,9 +37,9 @@
 
 HEARTBEAT, LEASE, SETTLE = 0.2, 0.8, 0.4
 SERVICE = "service"  # the one router that clients see
-ON_ITS_WAY = 0.05  # seconds for which an answer may still come of a router that has been killed
-PICTURED = 0.1  # seconds of a step in the picture
-CALM = 1.0  # seconds between a move and the next kill
+IN_FLIGHT_SECONDS = 0.05  # seconds for which an answer of a killed router may still arrive
+BIN_SECONDS = 0.1  # seconds of a step in the picture
+PAUSE_SECONDS = 1.0  # seconds between a move and the next kill
 SCENARIO: dict[str, Any] = {
     "routers": 3,
     "kinds": [{"name": "std", "boxes": 6, "cores": 4, "connections": 1000}],
@@ -51,7 +52,7 @@
 
 
 def profile(seconds: float, rate: float) -> Profile:
-    """Reads, and bookings that carry a key; clients ask again as parents' browsers do."""
+    """Return a load of reads, and of bookings with an idempotency key; clients retry as browsers do."""
     return msgspec.convert(
         {
             "pieces": [{"seconds": seconds, "rate": rate}],
@@ -66,7 +67,7 @@
     )
 
 
-class Place:
+class Service:
     """Three routers behind one address."""
 
     def __init__(self, fleet: Fleet, folder: Path, observe: Any) -> None:
@@ -78,17 +79,17 @@
         (folder / "key").write_bytes(os.urandom(32))
 
     async def start(self) -> None:
-        """Bring all up."""
+        """Start everything."""
         await self.switch.start()
         await self.switch.relays.join({n: free() for n in self.names})
         for name in self.names:
-            await self.start_one(name)
+            await self.start_router(name)
 
-    def file(self, name: str) -> Path:
-        """A router's operators' file."""
+    def write_operators_file(self, name: str) -> Path:
+        """Write a router's operators' file, and return its path."""
         switch = self.switch
-        at = {n: switch.relays.at.get((name, n), switch.voters[n]) for n in self.names}
-        peers = ", ".join(f'{{name = "{n}", at = "{host}:{port}"}}' for n, (host, port) in at.items())
+        addresses = {n: switch.relays.at.get((name, n), switch.voters[n]) for n in self.names}
+        peers = ", ".join(f'{{name = "{n}", at = "{host}:{port}"}}' for n, (host, port) in addresses.items())
         host, port = switch.told_at
         path = self.folder / f"{name}.toml"
         path.write_text(
@@ -98,53 +99,57 @@
         )
         return path
 
-    async def start_one(self, name: str) -> None:
-        """Start a router, or start it again."""
+    async def start_router(self, name: str) -> None:
+        """Start or restart a router."""
         router = self.routers[name]
         router.address = self.switch.routers[name]
         router.configure(self.fleet.configuration(self.names.index(name)))
-        os.environ["MYRTLECOURSE_FILE"] = str(self.file(name))
+        os.environ["MYRTLECOURSE_FILE"] = str(self.write_operators_file(name))
         await router.start()
 
-    async def holder(self, other_than: str = "") -> str:
-        """Whoever has the address, once somebody has."""
+    async def wait_for_holder(self, other_than: str = "") -> str:
+        """Wait until a router holds the address, and return its name."""
         while (name := self.switch.holder) in ("", other_than):
             await asyncio.sleep(0.001)
         return name
 
 
-async def served_after(told: list[seen.Observation], when: float) -> float:
-    """When the first client was served whose answer can't have been on its way before."""
-    looked = 0
+async def first_served_after(observations: list[seen.Observation], moment: float) -> float:
+    """Return when a client was first served with an answer that can't have been in flight before `moment`."""
+    checked = 0
     while True:
-        for each in told[looked:]:
+        for observation in observations[checked:]:
             if (
-                isinstance(each, seen.RequestAnswered)
-                and each.how == "served"
-                and each.at > when + ON_ITS_WAY
+                isinstance(observation, seen.RequestAnswered)
+                and observation.how == "served"
+                and observation.at > moment + IN_FLIGHT_SECONDS
             ):
-                return each.at
-        looked = len(told)
+                return observation.at
+        checked = len(observations)
         await asyncio.sleep(0.005)
 
 
 def draw(
-    path: Path, told: list[seen.Observation], killed: float, moved: float, names: tuple[str, str]
+    path: Path, observations: list[seen.Observation], killed: float, moved: float, names: tuple[str, str]
 ) -> None:
-    """One move second by second: how clients' tries ended, and who had the address, seconds from the kill."""
+    """Draw one move: how clients' tries ended, and who held the address, in seconds from the kill."""
     from matplotlib.figure import Figure  # noqa: PLC0415  (slow to import)
 
     figure = Figure(figsize=(9, 4), layout="constrained")
     upper, lower = figure.subplots(2, 1, sharex=True, height_ratios=(3, 1))
-    slots = np.arange(-1.0, 3.0, PICTURED)
-    ends = [
-        (e.how, e.at - killed) for e in told if isinstance(e, seen.RequestAnswered | seen.RequestUnanswered)
+    slots = np.arange(-1.0, 3.0, BIN_SECONDS)
+    outcomes = [
+        (e.how, e.at - killed)
+        for e in observations
+        if isinstance(e, seen.RequestAnswered | seen.RequestUnanswered)
     ]
     for how in ("served", "refused", "failed", "ended", "late"):
-        counts, _ = np.histogram([at for h, at in ends if h == how], [*slots, 3.0])
+        counts, _ = np.histogram([at for h, at in outcomes if h == how], [*slots, 3.0])
         if counts.any():
             upper.step(slots, counts, where="post", label=how)
-    upper.set(ylabel=f"tries ended, each {PICTURED:g} s", title="the holder of the service address is killed")
+    upper.set(
+        ylabel=f"tries ended, each {BIN_SECONDS:g} s", title="the holder of the service address is killed"
+    )
     upper.legend()
     lower.barh(0, 1.0, left=-1.0, label=names[0])
     lower.barh(1, 3.0 - moved + killed, left=moved - killed, label=names[1])
@@ -153,72 +158,74 @@
     figure.savefig(path, dpi=90)
 
 
-async def play(kills: int, rate: float, folder: Path, picture: Path | None) -> dict[str, Any]:
-    """Kill the holder so many times; answers with the figures."""
+async def measure(kills: int, rate: float, folder: Path, picture: Path | None) -> dict[str, Any]:
+    """Kill the holder some times, and return the figures."""
     told: list[seen.Observation] = []
 
-    def observe(what: seen.Observation) -> None:
-        if isinstance(what, seen.RouterUp | seen.RouterDown):
-            return  # one of three: to clients the service goes on, and this bench says when it did not
+    def observe(observation: seen.Observation) -> None:
+        if isinstance(observation, seen.RouterUp | seen.RouterDown):
+            # one of three routers: for clients the service goes on, and this benchmark records when it does
+            # not
+            return
         if isinstance(
-            what,
+            observation,
             seen.RequestSent
             | seen.AttemptReceived
             | seen.ListEntrySent
             | seen.DiscoveryCall
             | seen.UnexpectedBytes,
         ):
-            what = replace(what, router=SERVICE)
-        told.append(what)
+            observation = replace(observation, router=SERVICE)
+        told.append(observation)
 
     fleet = Fleet(msgspec.convert(SCENARIO, Scenario), observe)
     await fleet.listen()
-    place = Place(fleet, folder, observe)
-    await place.start()
-    await place.holder()
-    bound = read_operators(folder / f"{place.names[0]}.toml").address
+    service = Service(fleet, folder, observe)
+    await service.start()
+    await service.wait_for_holder()
+    bound = read_operators(folder / f"{service.names[0]}.toml").address
     assert bound is not None
-    seconds = kills * (CALM + 3.0 * LEASE + 2.0) + 30.0
+    seconds = kills * (PAUSE_SECONDS + 3.0 * LEASE + 2.0) + 30.0
     plan = profile(seconds, rate)
-    generator = Generator(plan, plan_requests(plan), [place.switch.address], observe=observe)
+    generator = Generator(plan, plan_requests(plan), [service.switch.address], observe=observe)
     told.append(seen.RouterUp(time.monotonic(), SERVICE))
     load = asyncio.create_task(generator.run())
     moves, outages = [], []
     drawn: tuple[float, float, tuple[str, str]] | None = None
     for _ in range(kills):
-        await asyncio.sleep(CALM)
-        first = await place.holder()
+        await asyncio.sleep(PAUSE_SECONDS)
+        first = await service.wait_for_holder()
         began = time.monotonic()
-        await place.routers[first].end(kill=True)
-        place.switch.gone(first)
+        await service.routers[first].end(kill=True)
+        service.switch.gone(first)
         told.append(seen.RouterDown(began, SERVICE, True))
-        second = await place.holder(first)
+        second = await service.wait_for_holder(first)
         moves.append(time.monotonic() - began)
-        outages.append(await served_after(told, began) - began)
+        outages.append(await first_served_after(told, began) - began)
         told.append(seen.RouterUp(time.monotonic(), SERVICE))
-        await place.start_one(first)
+        await service.start_router(first)
         await asyncio.sleep(LEASE + SETTLE)
         drawn = drawn or (began, began + moves[0], (first, second))
     load.cancel()
     await asyncio.gather(load, return_exceptions=True)
-    await asyncio.gather(*(router.end(kill=False) for router in place.routers.values()))
-    place.switch.close()
+    await asyncio.gather(*(router.end(kill=False) for router in service.routers.values()))
+    service.switch.close()
     fleet.close()
     if picture is not None and drawn is not None:
         draw(picture, told, *drawn)
-    return figures(told, moves, outages, bound.election().longest_vacancy)
+    return summarize(told, moves, outages, bound.election().longest_vacancy)
 
 
-def figures(
-    told: list[seen.Observation], moves: list[float], outages: list[float], bound: float
+def summarize(
+    observations: list[seen.Observation], moves: list[float], outages: list[float], bound: float
 ) -> dict[str, Any]:
-    """What it came to."""
+    """Return the figures of the run."""
     auditor = Auditor(msgspec.convert(SCENARIO, Scenario).rules)
-    ends: Counter[str] = Counter()
-    for each in sorted(told, key=lambda o: o.at):
-        auditor.judge(each)
-        if isinstance(each, seen.RequestAnswered | seen.RequestUnanswered):
-            ends[each.how] += 1
+    outcomes: Counter[str] = Counter()
+    for observation in sorted(observations, key=lambda o: o.at):
+        auditor.judge(observation)
+        if isinstance(observation, seen.RequestAnswered | seen.RequestUnanswered):
+            outcomes[observation.how] += 1
     verdict = auditor.verdict()
 
     def quantiles(values: list[float]) -> dict[str, float]:
@@ -230,26 +237,26 @@
         "move_s": quantiles(moves),
         "bound_s": bound,
         "no_answer_s": quantiles(outages),
-        "tries": dict(ends),
+        "tries": dict(outcomes),
         "breaches": {kind: count for kind, count in verdict["breaches"].items() if count},
         "named": verdict["named"][:10],
     }
 
 
 def main() -> int:
-    """Play it, and print what was measured; exit code 1 when a rule was broken or the bound was not kept."""
+    """Run the benchmark; the exit code is 1 if a rule was broken or the bound was exceeded."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--kills", type=int, default=20)
-    parser.add_argument("--rate", type=float, default=150.0, help="requests a second")
-    parser.add_argument("--json", type=Path, help="write the figures there")
-    parser.add_argument("--picture", type=Path, help="draw the first move, second by second")
+    parser.add_argument("--rate", type=float, default=150.0, help="requests per second")
+    parser.add_argument("--json", type=Path, help="file for the results, as JSON")
+    parser.add_argument("--picture", type=Path, help="file for a chart of the first move")
     options = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="myrtlecourse-") as folder:
-        found = asyncio.run(play(options.kills, options.rate, Path(folder), options.picture))
-    print(json.dumps(found, indent=2))
+        results = asyncio.run(measure(options.kills, options.rate, Path(folder), options.picture))
+    print(json.dumps(results, indent=2))
     if options.json is not None:
-        options.json.write_text(json.dumps(found, indent=2) + "\n")
-    return 1 if found["breaches"] or found["move_s"]["max"] > found["bound_s"] else 0
+        options.json.write_text(json.dumps(results, indent=2) + "\n")
+    return 1 if results["breaches"] or results["move_s"]["max"] > results["bound_s"] else 0
 
 
 if __name__ == "__main__":
--- a/bench/load_generator.py
+++ b/bench/load_generator.py
@@ -1,11 +1,11 @@
-"""What the load generator itself can be trusted with: a known stall, its rate, its memory.
+"""How accurate the load generator itself is: a known stall, its maximum rate and its memory.
 
-stall   A stand-in freezes for 2 s: what the generator reports, what the stall says it must be, and what a
-        closed loop (16 clients that each wait for their answer) reports of the same stall.
-rate    Requests a second at which 95% of the starts are under 2 ms late, for 1, 2 and 4 workers.
-memory  What a replay holds while it reads a trace of so many lines.
+stall   A stand-in freezes for 2 s. Compares the latencies that the generator reports with those that follow
+        from the stall, and with those of a closed loop (16 clients that each wait for their answer).
+rate    Requests per second at which 95% of the requests start less than 2 ms late, for 1, 2 and 4 workers.
+memory  The memory of a replay while it reads a long trace.
 
-Wants six cores.
+Needs six cores.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 from myrtlecourse.net.resp import encode_command
 
 TARGET_CORES = {1}
-FREEZE, BEFORE, LASTS, RATE = 2.0, 0.5, 3.0, 100.0  # seconds; requests a second
+FREEZE_SECONDS, FREEZE_AT, RUN_SECONDS, RATE = 2.0, 0.5, 3.0, 100.0  # seconds, requests per second
 SHARES = {"p50": 0.5, "p90": 0.9, "p99": 0.99, "p999": 0.999, "max": 1.0}
-CLOSED = 16
-STEPS = (2000, 4000, 6000, 8000, 10_000, 12_000, 16_000, 20_000, 24_000)
+CLOSED_LOOP_CLIENTS = 16
+RATE_STEPS = (2000, 4000, 6000, 8000, 10_000, 12_000, 16_000, 20_000, 24_000)
 
 
 def reads(rate: float, seconds: float) -> Profile:
-    """Reads at an even rate."""
+    """Return a load of reads at an even rate."""
     return Profile(
         (Piece(seconds, rate),),
         arrivals="even",
@@ -47,47 +47,54 @@
 
 
 def expected() -> dict[str, float]:
-    """Milliseconds: what was due while the target was frozen waited for its end, all else for nothing."""
-    held = FREEZE / LASTS
-    found = {name: FREEZE * max(0.0, 1 - (1 - share) / held) * 1000 for name, share in SHARES.items()}
-    return {"mean": FREEZE / 2 * held * 1000} | found
+    """Return the expected milliseconds: requests due during the stall wait for its end, others don't wait."""
+    frozen_share = FREEZE_SECONDS / RUN_SECONDS
+    found = {
+        name: FREEZE_SECONDS * max(0.0, 1 - (1 - share) / frozen_share) * 1000
+        for name, share in SHARES.items()
+    }
+    return {"mean": FREEZE_SECONDS / 2 * frozen_share * 1000} | found
 
 
 async def open_loop(port: int) -> dict[str, float]:
-    """What the generator reports."""
-    profile = reads(RATE, LASTS)
+    """Return the latencies that the load generator reports."""
+    profile = reads(RATE, RUN_SECONDS)
     generator = Generator(profile, plan_requests(profile), [("127.0.0.1", port)])
     await generator.run()
     return generator.record.all.quantiles()
 
 
 async def closed_loop(port: int) -> dict[str, float]:
-    """What clients report that ask again only when they are answered, and count from when they ask."""
+    """Return the latencies of clients that wait for each answer, and measure from their own send."""
     loop = asyncio.get_running_loop()
-    pool, part, until = ClientPool(("127.0.0.1", port), CLOSED), OutcomeStats(), loop.time() + LASTS
+    pool, stats, end = (
+        ClientPool(("127.0.0.1", port), CLOSED_LOOP_CLIENTS),
+        OutcomeStats(),
+        loop.time() + RUN_SECONDS,
+    )
 
     async def client() -> None:
-        while loop.time() < until:
+        while loop.time() < end:
             sent, answered = loop.time(), loop.create_future()
             command = encode_command([b"C.GET", b"k", b"i", b"c=read,t=a,d=9000"])
             pool.submit("i", command, lambda *_, a=answered: a.set_result(None))
             await answered
-            part.add(max(1, round((loop.time() - sent) * 1e6)))
-            await asyncio.sleep(CLOSED / RATE)
+            stats.add(max(1, round((loop.time() - sent) * 1e6)))
+            await asyncio.sleep(CLOSED_LOOP_CLIENTS / RATE)
 
-    await asyncio.gather(*(client() for _ in range(CLOSED)))
+    await asyncio.gather(*(client() for _ in range(CLOSED_LOOP_CLIENTS)))
     pool.close()
-    return part.quantiles()
+    return stats.quantiles()
 
 
 def stall() -> dict[str, Any]:
-    """The three, beside one another."""
+    """Measure and print all three."""
     rows = {"expected": expected()}
     for name, play in (("reported", open_loop), ("closed loop", closed_loop)):
-        freeze = {"what": "freeze", "at": BEFORE, "box": "box-0", "seconds": FREEZE}
-        with rig.fleet(rig.boxes(count=1, faults=[freeze]), TARGET_CORES) as fleet:
+        freeze = {"what": "freeze", "at": FREEZE_AT, "box": "box-0", "seconds": FREEZE_SECONDS}
+        with rig.run_fleet(rig.server_scenario(count=1, faults=[freeze]), TARGET_CORES) as fleet:
             fleet.begin()
-            rows[name] = asyncio.run(play(fleet.box()))
+            rows[name] = asyncio.run(play(fleet.server_port()))
     print(f"{'ms':>12}" + "".join(f"{c:>10}" for c in rows["expected"]))
     for name, row in rows.items():
         print(f"{name:>12}" + "".join(f"{row[c]:10.1f}" for c in rows["expected"]))
@@ -95,12 +102,12 @@
 
 
 def rate(workers: int) -> dict[str, Any]:
-    """The highest of the steps that is sent in time, and what the one after it looked like."""
+    """Return the highest rate that is sent in time, and the share of late requests at the next step."""
     best = 0.0
     late = 0.0
-    for step in STEPS:
-        with rig.fleet(rig.boxes(count=1), TARGET_CORES) as fleet:
-            job = Job(reads(step, 3.0), (("127.0.0.1", fleet.box()),), workers)
+    for step in RATE_STEPS:
+        with rig.run_fleet(rig.server_scenario(count=1), TARGET_CORES) as fleet:
+            job = Job(reads(step, 3.0), (("127.0.0.1", fleet.server_port()),), workers)
             _, record = run(job, lambda *_: None)
         late = record.starts.counts["late"] / max(1, record.starts.counts["sent"])
         if late > MAX_LATE_SHARE:
@@ -114,7 +121,7 @@
 
 
 def memory(count: int) -> dict[str, Any]:
-    """Peak memory (MB) before and after a replay reads so many lines."""
+    """Return the peak memory in MB before and after a replay reads a trace."""
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder, "trace.jsonl")
         with file.open("w") as out:
@@ -134,13 +141,15 @@
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("what", nargs="*", choices=["stall", "rate", "memory"], help="(default: all)")
-    parser.add_argument("--lines", type=int, default=1_000_000, help="of the trace (default 1,000,000)")
-    parser.add_argument("--json", metavar="FILE", help="write the figures there too")
+    parser.add_argument(
+        "what", nargs="*", choices=["stall", "rate", "memory"], help="what to measure (default: all)"
+    )
+    parser.add_argument("--lines", type=int, default=1_000_000, help="lines of the trace (default 1,000,000)")
+    parser.add_argument("--json", metavar="FILE", help="file for the results, as JSON")
     options = parser.parse_args()
     wanted = options.what or ["memory", "stall", "rate"]
     figures: dict[str, Any] = {}
-    if "memory" in wanted:  # first, while the process is small
+    if "memory" in wanted:  # first, while the process is still small
         figures["memory"] = memory(options.lines)
     if "stall" in wanted:
         figures["stall"] = stall()
--- a/bench/rig.py
+++ b/bench/rig.py
@@ -1,7 +1,7 @@
-"""What the measurements share: a stand-in fleet, a relay to compare with, the router; each a process.
+"""The parts that measurements share: a stand-in fleet, a relay for comparison, and the router.
 
-Everything runs on loopback. Each process is bound to cores of its own, so that the core of the one measured
-is its only limit.
+Everything runs on loopback, each part in a process of its own. Each process is bound to cores of its own, so
+that the measured process is limited by its own core only.
 """
 
 from __future__ import annotations
@@ -25,57 +25,59 @@
 from myrtlecourse.fleet.stand_in import Fleet
 
 ROOT = Path(__file__).resolve().parent.parent
-VALUE = 64  # bytes of a value, unless told
-START_TIME = 20.0  # seconds for a process to listen
-STARTED = "bench.rig"
+VALUE_BYTES = 64  # default size of a value
+START_TIMEOUT = 20.0  # seconds within which a process must listen
+MODULE = "bench.rig"
 
 
-class Leg(asyncio.Protocol):
-    """One side of the relay: passes bytes to the other side and knows nothing of them."""
+class RelayConnection(asyncio.Protocol):
+    """One side of the relay, which forwards bytes to the other side without interpreting them."""
 
     def __init__(self, upstream: tuple[str, int] | None) -> None:
         self.upstream = upstream
-        self.other: Any = None
-        self.early = b""
+        self.peer: Any = None
+        self.buffered = b""
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
         if self.upstream is not None:
-            self.dial = asyncio.create_task(self._connect(self.upstream))
+            self.connecting = asyncio.create_task(self._connect(self.upstream))
 
     async def _connect(self, address: tuple[str, int]) -> None:
-        self.other, leg = await asyncio.get_running_loop().create_connection(lambda: Leg(None), *address)
-        leg.other = self.transport
-        self.other.write(self.early)
+        self.peer, connection = await asyncio.get_running_loop().create_connection(
+            lambda: RelayConnection(None), *address
+        )
+        connection.peer = self.transport
+        self.peer.write(self.buffered)
 
     def data_received(self, data: bytes) -> None:
-        if self.other is None:
-            self.early += data
+        if self.peer is None:
+            self.buffered += data
         else:
-            self.other.write(data)
+            self.peer.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.other is not None:
-            self.other.close()
+        if self.peer is not None:
+            self.peer.close()
 
 
 async def serve(make: Callable[[], asyncio.Protocol]) -> None:
-    """Listen on a free port and tell it on standard output."""
+    """Listen on a free port and print it."""
     server = await asyncio.get_running_loop().create_server(make, "127.0.0.1", 0, backlog=4096)
     print(server.sockets[0].getsockname()[1], flush=True)
     await server.serve_forever()
 
 
-def pin(process: int, cores: set[int]) -> None:
-    """Binds a process (0: this one) to cores; on a machine with fewer, to any."""
-    os.sched_setaffinity(process, cores & os.sched_getaffinity(0) or os.sched_getaffinity(0))
+def bind_cores(pid: int, cores: set[int]) -> None:
+    """Bind a process (0: this one) to cores, or to any cores if the machine does not have those."""
+    os.sched_setaffinity(pid, cores & os.sched_getaffinity(0) or os.sched_getaffinity(0))
 
 
 @contextlib.contextmanager
-def process(arguments: list[str], cores: set[int], **options: Any) -> Iterator[subprocess.Popen[str]]:
-    """A process of the project's, ended with the block."""
+def run_process(arguments: list[str], cores: set[int], **options: Any) -> Iterator[subprocess.Popen[str]]:
+    """Run a process of this project for the duration of the block."""
     child = subprocess.Popen(arguments, cwd=ROOT, text=True, stdout=subprocess.PIPE, **options)
-    pin(child.pid, cores)
+    bind_cores(child.pid, cores)
     try:
         yield child
     finally:
@@ -90,49 +92,49 @@
 
 
 @contextlib.contextmanager
-def relay(upstream: int, cores: set[int]) -> Iterator[tuple[int, subprocess.Popen[str]]]:
-    """The relay's port and process, before a port."""
-    with process([sys.executable, "-m", STARTED, "relay", str(upstream)], cores) as child:
+def run_relay(upstream: int, cores: set[int]) -> Iterator[tuple[int, subprocess.Popen[str]]]:
+    """Run the relay in front of a port; yields the relay's port and process."""
+    with run_process([sys.executable, "-m", MODULE, "relay", str(upstream)], cores) as child:
         assert child.stdout is not None
         yield int(child.stdout.readline()), child
 
 
 class StandIn:
-    """A fleet in a process of its own, and what a router before it is told."""
+    """A stand-in fleet in a process of its own, with the configuration for a router in front of it."""
 
     def __init__(self, child: subprocess.Popen[str], configuration: dict[str, Any]) -> None:
         self.child = child
         self.configuration = configuration
 
-    def box(self) -> int:
-        """The first box's port: it answers clients as a router would."""
+    def server_port(self) -> int:
+        """Return the port of the first cache server, which answers clients as a router would."""
         return int(self.configuration["known"]["endpoints"][0]["address"].rpartition(":")[2])
 
     def begin(self) -> None:
-        """The scenario's time begins."""
+        """Begin the scenario's time."""
         assert self.child.stdin is not None
         self.child.stdin.write("begin\n")
         self.child.stdin.flush()
 
 
-def boxes(size: int = VALUE, count: int = 2, **fields: Any) -> dict[str, Any]:
-    """A scenario of boxes that hit at once, with values of so many bytes."""
+def server_scenario(size: int = VALUE_BYTES, count: int = 2, **fields: Any) -> dict[str, Any]:
+    """Return a scenario of cache servers that answer each request at once with a hit of some size."""
     kind = {"name": "box", "boxes": count, "handshake": 0.0, "idle": 30.0, "connections": 10_000}
     read = {"name": "read", "work": 0.0, "size": size, "aim": 0.5, "deadline": 1.0, "worth": 3.0}
     return {"kinds": [kind], "classes": [read], "seconds": 3600.0} | fields
 
 
 @contextlib.contextmanager
-def fleet(scenario: dict[str, Any], cores: set[int]) -> Iterator[StandIn]:
-    """A stand-in fleet; nothing of it is observed, as that would cost what is measured."""
-    command = [sys.executable, "-m", STARTED, "fleet", json.dumps(scenario)]
-    with process(command, cores, stdin=subprocess.PIPE) as child:
+def run_fleet(scenario: dict[str, Any], cores: set[int]) -> Iterator[StandIn]:
+    """Run a stand-in fleet. It records no observations, as those would add to the measured costs."""
+    command = [sys.executable, "-m", MODULE, "fleet", json.dumps(scenario)]
+    with run_process(command, cores, stdin=subprocess.PIPE) as child:
         assert child.stdout is not None
         yield StandIn(child, json.loads(child.stdout.readline()))
 
 
-async def stand(scenario: Scenario) -> None:
-    """Be a fleet: tell the configuration, begin with a line on standard input."""
+async def serve_fleet(scenario: Scenario) -> None:
+    """Serve a fleet: print the configuration, and begin when a line arrives on standard input."""
     fleet = Fleet(scenario, lambda _: None)
     await fleet.listen()
     print(json.dumps(fleet.configuration(0)), flush=True)
@@ -145,22 +147,22 @@
 
 
 @contextlib.contextmanager
-def router(
+def run_router(
     command: list[str], configuration: dict[str, Any], cores: set[int], sockets: int = 1024
 ) -> Iterator[tuple[int, subprocess.Popen[str]]]:
-    """A router's port and process; what it logs is kept until then and shown when it does not start."""
+    """Run a router; yields its port and process. Its log is shown if it does not start."""
     with tempfile.TemporaryDirectory() as folder:
         file, log = Path(folder, "config.json"), Path(folder, "log")
-        # asked in vain: the list given here stays, and what is measured is the way of requests
-        told = configuration | {"discovery": "127.0.0.1:9", "limits": {"sockets": sockets, "cores": 1.0}}
-        file.write_text(json.dumps(told))
+        # There is no discovery server, so the given list stays in force: only the data path is measured.
+        config = configuration | {"discovery": "127.0.0.1:9", "limits": {"sockets": sockets, "cores": 1.0}}
+        file.write_text(json.dumps(config))
         with (
             log.open("w") as errors,
-            process(command, cores, env=os.environ | {"RELAY_CONFIG": str(file)}, stderr=errors) as child,
+            run_process(command, cores, env=os.environ | {"RELAY_CONFIG": str(file)}, stderr=errors) as child,
         ):
-            until = time.monotonic() + START_TIME
+            deadline = time.monotonic() + START_TIMEOUT
             while "listening on" not in (text := log.read_text()):
-                if child.poll() is not None or time.monotonic() > until:
+                if child.poll() is not None or time.monotonic() > deadline:
                     raise SystemExit(f"the router did not start:\n{text}")
                 time.sleep(0.02)
             yield int(text.split("listening on ")[1].split()[0].rpartition(":")[2]), child
@@ -171,10 +173,10 @@
     kind, argument = sys.argv[1:]
     with asyncio.Runner(loop_factory=new_event_loop if kind == "fleet" else None) as runner:
         if kind == "fleet":
-            runner.run(stand(msgspec.json.decode(argument, type=Scenario)))
+            runner.run(serve_fleet(msgspec.json.decode(argument, type=Scenario)))
         else:
             upstream = ("127.0.0.1", int(argument))
-            runner.run(serve(lambda: Leg(upstream)))
+            runner.run(serve(lambda: RelayConnection(upstream)))
 
 
 if __name__ == "__main__":
--- a/bench/router_rate.py
+++ b/bench/router_rate.py
@@ -1,9 +1,10 @@
-"""Requests a second of one router on one core, reads that all hit, beside a bare relay on the same core.
+"""Requests per second of one router on one core, for reads that all hit, compared with a bare relay.
 
-Requests are all due at once and wait for a few connections, each of which asks as soon as it is answered.
-The relay is asyncio's own loop and two protocols that pass bytes on: what any program of this kind pays
-before it decides anything. Both run in turns, several rounds in one call, so that the ratio holds when the
-machine's speed drifts. Wants six cores: one measured, one for the stand-in fleet, four for the generator.
+All requests are due at once and wait for a few connections, each of which sends the next one as soon as it
+has its answer. The relay, on the same core, is asyncio's event loop with two protocols that forward bytes:
+the cost of any program of this kind before it decides anything. Relay and router take turns for several
+rounds, so that the ratio holds if the machine's speed drifts. Needs six cores: one that is measured, one for
+the stand-in fleet, four for the load generator.
 """
 
 from __future__ import annotations
@@ -21,55 +22,56 @@
 from myrtlecourse.load.profile import Clients, Keys, Piece, Profile, RequestClass
 from myrtlecourse.load.run import Job, run
 
-MEASURED, CACHES, CLIENTS = {0}, {1}, ({2}, {3}, {4}, {5})
+MEASURED_CORES, FLEET_CORES, GENERATOR_CORES = {0}, {1}, ({2}, {3}, {4}, {5})
 RELAY = "bare relay"
-TRIAL = 4000  # requests from which the rate is guessed
-ALL = 0.99  # of the requests of a count, that must be served
-DUE_WITHIN = 0.01  # seconds in which all requests fall due
-PATIENCE = 120.0  # seconds until a client gives up: longer than any count
+TRIAL_REQUESTS = 4000  # requests in the trial that estimates the rate
+MIN_SERVED_SHARE = 0.99  # share of the requests that must be served
+DUE_WITHIN = 0.01  # seconds within which all requests fall due
+CLIENT_TIMEOUT = 120.0  # seconds until a client gives up; longer than any measurement
 
 
-def at_once(count: int, connections: int, workers: int) -> Profile:
-    """So many reads, all due at once, through so many connections: when one is answered the next goes."""
+def burst_profile(count: int, connections: int, workers: int) -> Profile:
+    """Return a load of reads that are all due at once, sent over a few connections one after the other."""
     return Profile(
         (Piece(DUE_WITHIN, count / DUE_WITHIN),),
         arrivals="even",
-        classes=(RequestClass("read", deadline=PATIENCE),),
+        classes=(RequestClass("read", deadline=CLIENT_TIMEOUT),),
         keys=Keys(count=997, zipf=0.0),
         clients=Clients(connections=connections // workers),
     )
 
 
-def counted(port: int, count: int, connections: int, workers: int) -> tuple[float, int]:
-    """Answers a second while so many were asked for, and how many were served.
+def measure_count(port: int, count: int, connections: int, workers: int) -> tuple[float, int]:
+    """Return the answers per second while some requests are sent, and the number served.
 
-    The first and last tenth are left out of the time: clients come and go.
+    The first and last tenths of the time are not counted, as clients start and stop then.
     """
-    profile = at_once(count, connections, workers)
+    profile = burst_profile(count, connections, workers)
     _, record = run(Job(profile, (("127.0.0.1", port),), workers), lambda *_: None)
     served = record.all.counts["served"]
     first, last = (record.all.values.get_value_at_percentile(p) / 1e6 for p in (10.0, 90.0))
     return 0.8 * served / max(1e-6, last - first), served
 
 
-def rate(port: int, connections: int, seconds: float, child: int) -> tuple[float, float]:
-    """Answers a second from a port over about so many seconds, and its process's core seconds for each."""
+def measure_rate(port: int, connections: int, seconds: float, child: int) -> tuple[float, float]:
+    """Return a port's answers per second over some seconds, and its process's core seconds per answer."""
     before = os.sched_getaffinity(0)
-    rig.pin(0, set.union(*CLIENTS))  # the generator's processes are where their parent is
+    # the generator's processes inherit the cores of their parent
+    rig.bind_cores(0, set.union(*GENERATOR_CORES))
     try:
-        # the trial also warms up: a router that has just started sends its servers little at first
-        guess, _ = counted(port, TRIAL, connections, len(CLIENTS))
-        count, used = max(TRIAL, round(guess * seconds)), cpu_of(child)
-        found, served = counted(port, count, connections, len(CLIENTS))
+        # The trial also warms up the router, which sends little to its servers just after its start.
+        trial_rate, _ = measure_count(port, TRIAL_REQUESTS, connections, len(GENERATOR_CORES))
+        count, cpu_before = max(TRIAL_REQUESTS, round(trial_rate * seconds)), cpu_seconds(child)
+        rate, served = measure_count(port, count, connections, len(GENERATOR_CORES))
     finally:
-        rig.pin(0, before)
-    if served < ALL * count:
-        raise SystemExit(f"only {served:,} of {count:,} requests were served: that is no rate to compare")
-    return found, (cpu_of(child) - used) / count
+        rig.bind_cores(0, before)
+    if served < MIN_SERVED_SHARE * count:
+        raise SystemExit(f"only {served:,} of {count:,} requests were served; no rate can be compared")
+    return rate, (cpu_seconds(child) - cpu_before) / count
 
 
-def cpu_of(process: int) -> float:
-    """Seconds of processor time that a process has used."""
+def cpu_seconds(process: int) -> float:
+    """Return the processor seconds that a process has used."""
     fields = Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -78,23 +80,26 @@
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--seconds", type=float, default=3.0, help="of each count (default 3)")
-    parser.add_argument("--rounds", type=int, default=3, help="of relay and router in turn (default 3)")
-    parser.add_argument("--connections", type=int, default=64, help="of clients (default 64)")
+    parser.add_argument("--seconds", type=float, default=3.0, help="duration of each measurement (default 3)")
+    parser.add_argument(
+        "--rounds", type=int, default=3, help="rounds of relay and router in turn (default 3)"
+    )
+    parser.add_argument("--connections", type=int, default=64, help="connections of the clients (default 64)")
     parser.add_argument(
         "--router",
         action="append",
         metavar="COMMAND",
-        help="a router to measure; again for further ones (default: this checkout's, plain and as deployed)",
+        help="command of a router to measure; may be repeated "
+        "(default: this checkout's, plain and as deployed)",
     )
     parser.add_argument(
         "--value",
         action="append",
         type=int,
         metavar="BYTES",
-        help="of an answer; again for further ones (default 64)",
+        help="size of a value; may be repeated (default 64)",
     )
-    parser.add_argument("--json", metavar="FILE", help="write the figures there too")
+    parser.add_argument("--json", metavar="FILE", help="file for the results, as JSON")
     options = parser.parse_args()
     python = shlex.quote(sys.executable)
     commands = options.router or [f"{python} -B -m myrtlecourse", f"{python} -B deploy/start.py"]
@@ -103,38 +108,41 @@
         f"{'core used':>10} {'core us each':>13}  what"
     )
     figures: dict[str, Any] = {}
-    for size in options.value or [rig.VALUE]:
-        figures[str(size)] = measure(size, commands, options)
+    for size in options.value or [rig.VALUE_BYTES]:
+        figures[str(size)] = compare(size, commands, options)
     if options.json:
         Path(options.json).write_text(json.dumps(figures, indent=1) + "\n")
 
 
-def measure(size: int, commands: list[str], options: argparse.Namespace) -> dict[str, Any]:
-    """Count the relay and each router in turn with values of so many bytes, and print a line for each."""
+def compare(size: int, commands: list[str], options: argparse.Namespace) -> dict[str, Any]:
+    """Measure the relay and each router in turn with values of some size, and print a line for each."""
     rates: dict[str, list[float]] = {c: [] for c in (RELAY, *commands)}
-    each: dict[str, list[float]] = {c: [] for c in rates}
+    core_seconds: dict[str, list[float]] = {c: [] for c in rates}
 
     def count(name: str, port: int, child: int) -> None:
-        found, used = rate(port, options.connections, options.seconds, child)
-        rates[name].append(found)
-        each[name].append(used)
+        values, used = measure_rate(port, options.connections, options.seconds, child)
+        rates[name].append(values)
+        core_seconds[name].append(used)
 
-    with rig.fleet(rig.boxes(size), CACHES) as fleet:
+    with rig.run_fleet(rig.server_scenario(size), FLEET_CORES) as fleet:
         for _ in range(options.rounds):
-            with rig.relay(fleet.box(), MEASURED) as (port, child):
+            with rig.run_relay(fleet.server_port(), MEASURED_CORES) as (port, child):
                 count(RELAY, port, child.pid)
             for command in commands:
-                with rig.router(shlex.split(command), fleet.configuration, MEASURED) as (port, child):
+                with rig.run_router(shlex.split(command), fleet.configuration, MEASURED_CORES) as (
+                    port,
+                    child,
+                ):
                     count(command, port, child.pid)
     relay = statistics.median(rates[RELAY])
-    for name, found in rates.items():
-        middle, used = statistics.median(found), statistics.median(each[name])
+    for name, values in rates.items():
+        median, used = statistics.median(values), statistics.median(core_seconds[name])
         print(
-            f"{size:8} {middle:11.0f} {middle * size / 1e6:8.1f} {middle / relay:13.2f} "
-            f"{used * middle:10.2f} {used * 1e6:13.1f}  {name}",
+            f"{size:8} {median:11.0f} {median * size / 1e6:8.1f} {median / relay:13.2f} "
+            f"{used * median:10.2f} {used * 1e6:13.1f}  {name}",
             flush=True,
         )
-    return {"rates": rates, "core_seconds_each": each}
+    return {"rates": rates, "core_seconds_each": core_seconds}
 
 
 if __name__ == "__main__":
--- a/bench/sim_against_sockets.py
+++ b/bench/sim_against_sockets.py
@@ -1,7 +1,7 @@
-"""The same scenarios on both clocks: what the simulator says, what sockets say, and the difference.
+"""The same scenarios in the simulator and on sockets, and the difference between the two.
 
-On sockets two real routers, a stand-in fleet and the generator play each in its own time. Wants four cores
-that nothing else uses: a stand-in that is late makes the sockets look worse than the models.
+On sockets, two real routers, a stand-in fleet and the load generator play them in real time. Needs four cores
+that nothing else uses: a stand-in that runs late makes the sockets look worse than the models.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from myrtlecourse.load.record import Record
 from myrtlecourse.sim.world import World
 
-BOUND = 0.03  # difference in goodput that is taken for the same
+MAX_DIFFERENCE = 0.03  # difference in goodput that still counts as equal
 BASE: dict[str, Any] = {
     "routers": 2,
     "zones": ["dublin", "cork"],
@@ -46,7 +46,7 @@
     "clients": {"retries": 2, "leave": 0.005, "connections": 300},
 }
 CRASHES = [{"what": "crash", "at": 3, "box": f"gen-a-{i}", "seconds": 4} for i in range(2)]
-DAYS: dict[str, tuple[float, list[dict[str, Any]]]] = {  # load, and faults
+SCENARIOS: dict[str, tuple[float, list[dict[str, Any]]]] = {  # factor of the load, and faults
     "calm": (1.0, []),
     "crash": (1.0, [CRASHES[0] | {"seconds": 60}]),
     "rolling deploy": (
@@ -64,7 +64,7 @@
 
 
 def goodput(record: Record) -> float:
-    """The share of the requests that was served in time."""
+    """Return the share of the requests that were served in time."""
     return record.all.counts["in_time"] / max(1, record.all.counts["scheduled"])
 
 
@@ -72,31 +72,31 @@
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("days", nargs="*", help=f"of {', '.join(DAYS)} (default: all)")
-    parser.add_argument("--seconds", type=float, default=12.0, help="of each (default 12)")
-    parser.add_argument("--rate", type=float, default=200.0, help="requests a second (default 200)")
-    parser.add_argument("--json", metavar="FILE", help="write the figures there")
+    parser.add_argument("days", nargs="*", help=f"scenarios to play: {', '.join(SCENARIOS)} (default: all)")
+    parser.add_argument("--seconds", type=float, default=12.0, help="duration of each scenario (default 12)")
+    parser.add_argument("--rate", type=float, default=200.0, help="requests per second (default 200)")
+    parser.add_argument("--json", metavar="FILE", help="file for the results, as JSON")
     options = parser.parse_args()
     rows = []
     print("goodput: simulated  on sockets  difference   p99, ms      refused     attempts  breaches")
-    for name in options.days or DAYS:
-        load, faults = DAYS[name]
+    for name in options.days or SCENARIOS:
+        load, faults = SCENARIOS[name]
         scenario = msgspec.convert(BASE | {"seconds": options.seconds, "faults": faults}, Scenario)
         piece = {"seconds": options.seconds, "rate": options.rate * load}
         profile = msgspec.convert(LOAD | {"pieces": [piece]}, Profile)
         simulated = World(scenario, profile).run()
         with tempfile.TemporaryDirectory() as folder:
-            real = play(scenario, profile, Path(folder), COMMAND, 1, lambda *_: None)
-        attempts_of = simulated.attempts, real.verdict["seen"]["sent"]
+            on_sockets = play(scenario, profile, Path(folder), COMMAND, 1, lambda *_: None)
+        attempts_of = simulated.attempts, on_sockets.verdict["seen"]["sent"]
         row = {
             "day": name,
             "simulated": goodput(simulated.record),
-            "sockets": goodput(real.record),
-            "p99_ms": [r.all.quantiles()["p99"] for r in (simulated.record, real.record)],
-            "refused": [r.all.counts["refused"] for r in (simulated.record, real.record)],
+            "sockets": goodput(on_sockets.record),
+            "p99_ms": [r.all.quantiles()["p99"] for r in (simulated.record, on_sockets.record)],
+            "refused": [r.all.counts["refused"] for r in (simulated.record, on_sockets.record)],
             "attempts": list(attempts_of),
-            "breaches": [sum(v["breaches"].values()) for v in (simulated.verdict, real.verdict)],
-            "generator_was_the_limit": real.record.generator_limited(),
+            "breaches": [sum(v["breaches"].values()) for v in (simulated.verdict, on_sockets.verdict)],
+            "generator_was_the_limit": on_sockets.record.generator_limited(),
         }
         rows.append(row)
         difference = row["simulated"] - row["sockets"]
@@ -105,13 +105,13 @@
             f"{row['simulated']:18.3f} {row['sockets']:11.3f} {difference:+11.3f} "
             f"{p99[0]:6.0f} {p99[1]:5.0f} {refused[0]:6} {refused[1]:5} "
             f"{attempts[0]:6} {attempts[1]:5} {breaches[0]:4} {breaches[1]:3}  {name}"
-            + ("" if abs(difference) <= BOUND else "  BEYOND THE BOUND")
-            + ("  (the generator was the limit)" if row["generator_was_the_limit"] else ""),
+            + ("" if abs(difference) <= MAX_DIFFERENCE else "  ABOVE THE MAXIMUM")
+            + ("  (limited by the load generator)" if row["generator_was_the_limit"] else ""),
             flush=True,
         )
     if options.json:
         Path(options.json).write_text(json.dumps(rows, indent=1) + "\n")
-    return int(any(abs(r["simulated"] - r["sockets"]) > BOUND for r in rows))
+    return int(any(abs(r["simulated"] - r["sockets"]) > MAX_DIFFERENCE for r in rows))
 
 
 if __name__ == "__main__":
--- a/bench/sim_search.py
+++ b/bench/sim_search.py
@@ -1,7 +1,8 @@
-"""Whether the search finds what is wrong: each deliberately wrong decision module, and the real one.
+"""Whether the schedule search finds faulty decision modules: several wrong ones, and the real one.
 
-For each wrong module: the time and the schedules until a rule is broken, and the size of the find once it is
-made smaller. For the real one: the schedules tried in so many seconds, and how close they came. One core.
+For each module that is wrong on purpose it reports the time and the number of schedules until a rule is
+broken, and the size of the schedule after it was minimized. For the real module it reports the schedules
+tried, and how close they came to breaking a rule. Takes one core.
 """
 
 from __future__ import annotations
@@ -47,29 +48,29 @@
 }
 
 
-def fleets(make: type[Router], seed: int) -> list[Search]:
-    """A search on each fleet: boxes that run writes, and boxes before an origin that all waits for."""
+def make_searches(make: type[Router], seed: int) -> list[Search]:
+    """Return a search on a fleet whose servers execute writes, and one on a fleet limited by its origin."""
     profile = msgspec.convert(PROFILE, Profile)
-    aside = SCENARIO | {"origin": {"slots": 3, "time": 0.05, "queue": 5}}
-    return [Search(msgspec.convert(s, Scenario), profile, seed, make) for s in (SCENARIO, aside)]
+    cache_aside = SCENARIO | {"origin": {"slots": 3, "time": 0.05, "queue": 5}}
+    return [Search(msgspec.convert(s, Scenario), profile, seed, make) for s in (SCENARIO, cache_aside)]
 
 
-def hunt(make: type[Router], seconds: float, seed: int, folder: Path | None) -> dict[str, Any]:
-    """Search with one module, on both fleets in turns."""
-    searches = fleets(make, seed)
+def run_search(make: type[Router], seconds: float, seed: int, folder: Path | None) -> dict[str, Any]:
+    """Search with one module, alternating between both fleets."""
+    searches = make_searches(make, seed)
     began = time.monotonic()
     row: dict[str, Any] = {"module": make.__name__, "found": None}
     for trial in chain.from_iterable(zip(*(s.trials() for s in searches), strict=False)):
-        took = time.monotonic() - began
+        elapsed = time.monotonic() - began
         if trial.breaches:
-            find = shrink(trial, make)
-            row |= {"found": find.breaches, "seconds": took, "faults": len(trial.scenario.faults)}
-            row |= {"shrunk_to": len(find.scenario.faults), "shrinking": time.monotonic() - began - took}
+            shrunk = shrink(trial, make)
+            row |= {"found": shrunk.breaches, "seconds": elapsed, "faults": len(trial.scenario.faults)}
+            row |= {"shrunk_to": len(shrunk.scenario.faults), "shrinking": time.monotonic() - began - elapsed}
             if folder is not None:
-                write_find(folder / f"{make.__name__}.json", find)
+                write_find(folder / f"{make.__name__}.json", shrunk)
             break
-        if took > seconds:
-            row |= {"seconds": took}
+        if elapsed > seconds:
+            row |= {"seconds": elapsed}
             break
     row["tried"] = sum(s.tried for s in searches)
     best = [t for s in searches for t in s.best]
@@ -81,17 +82,19 @@
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--seconds", type=float, default=60.0, help="for each wrong module (default 60)")
-    parser.add_argument("--real", type=float, default=60.0, help="seconds for the real one (default 60)")
-    parser.add_argument("--only", nargs="*", metavar="MODULE", help="of the wrong ones")
+    parser.add_argument("--seconds", type=float, default=60.0, help="time for each wrong module (default 60)")
+    parser.add_argument("--real", type=float, default=60.0, help="seconds for the real module (default 60)")
+    parser.add_argument(
+        "--only", nargs="*", metavar="MODULE", help="wrong modules to search with (default: all)"
+    )
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--finds", type=Path, metavar="FOLDER", help="write the finds there")
-    parser.add_argument("--json", type=Path, metavar="FILE", help="write the figures there")
+    parser.add_argument("--finds", type=Path, metavar="FOLDER", help="folder for the schedules found")
+    parser.add_argument("--json", type=Path, metavar="FILE", help="file for the results, as JSON")
     options = parser.parse_args()
     rows = []
     for make in (*(w for w in WRONG if not options.only or w.__name__ in options.only), Router):
         seconds = options.real if make is Router else options.seconds
-        row = hunt(make, seconds, options.seed, options.finds)
+        row = run_search(make, seconds, options.seed, options.finds)
         rows.append(row)
         margins = ", ".join(f"{k} {v:.2f}" for k, v in sorted(row["margins"].items()))
         found = (
--- a/bench/sim_speed.py
+++ b/bench/sim_speed.py
@@ -1,6 +1,7 @@
-"""How fast the simulator plays, and what it holds: by boxes and by routers. One core, nothing else on it.
+"""The speed and memory of the simulator by the number of servers and routers.
 
-Each size runs in a process of its own, so that its memory is its own.
+Each size runs in a process of its own, so that its memory is measured separately. Takes one core of an idle
+machine.
 """
 
 from __future__ import annotations
@@ -20,19 +21,19 @@
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.sim.world import World
 
-SIZES = [(10, 2), (100, 2), (1000, 2), (5000, 2), (100, 20), (100, 300)]  # boxes and routers
+SIZES = [(10, 2), (100, 2), (1000, 2), (5000, 2), (100, 20), (100, 300)]  # servers and routers
 REQUESTS = 5000
 
 
-def one(boxes: int, routers: int) -> dict[str, float]:
-    """Play so many requests before a fleet of one size."""
+def measure(boxes: int, routers: int) -> dict[str, float]:
+    """Simulate a fixed number of requests with one size of fleet."""
     kinds = [{"name": "b", "boxes": boxes, "cores": 4, "ttl": 30}]
     origin = {"slots": min(10_000, 8 * boxes), "time": 0.05, "queue": 60 * boxes}
     rate = 30.0 * boxes
-    told = BASE | {"kinds": kinds, "origin": origin, "routers": routers, "seconds": REQUESTS / rate}
+    fields = BASE | {"kinds": kinds, "origin": origin, "routers": routers, "seconds": REQUESTS / rate}
     piece = {"seconds": REQUESTS / rate, "rate": rate}
     began = time.perf_counter()
-    world = World(msgspec.convert(told, Scenario), msgspec.convert(LOAD | {"pieces": [piece]}, Profile))
+    world = World(msgspec.convert(fields, Scenario), msgspec.convert(LOAD | {"pieces": [piece]}, Profile))
     built = time.perf_counter()
     result = world.run()
     took = time.perf_counter() - built
@@ -52,11 +53,13 @@
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--one", nargs=2, type=int, metavar=("BOXES", "ROUTERS"), help="one size, as JSON")
-    parser.add_argument("--json", type=Path, metavar="FILE", help="write the figures there")
+    parser.add_argument(
+        "--one", nargs=2, type=int, metavar=("BOXES", "ROUTERS"), help="measure one size and print it as JSON"
+    )
+    parser.add_argument("--json", type=Path, metavar="FILE", help="file for the results, as JSON")
     options = parser.parse_args()
     if options.one:
-        print(json.dumps(one(*options.one)))
+        print(json.dumps(measure(*options.one)))
         return
     rows = []
     print("boxes routers  build, s  requests/s  events/s  memory, MB")
--- a/bench/spread_scale.py
+++ b/bench/spread_scale.py
@@ -1,9 +1,9 @@
-"""How fast changes and purges reach all of a large fleet, and are known to have; in virtual time.
+"""How fast changes and purges reach all members of a large fleet, and are known to, in virtual time.
 
-The program's own cores (`myrtlecourse/spread/`) under a steady load and one trouble, beside two plain ways
-over the same network: the holder tells each member itself, and the records of the present gossip carry
-purges. A run takes one core and writes its figures to a file of its own; `--merge` makes one of them all, and
-`--chart` draws it.
+It runs the cores of `myrtlecourse/spread/` under a steady load with one fault, and two simple alternatives on
+the same network: the holder sends to each member directly, or the records of the existing gossip carry the
+purges. A run takes one core and writes its results to a file of its own. `--merge` combines the files, and
+`--chart` draws them.
 """
 
 from __future__ import annotations
@@ -22,40 +22,54 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from bench.spread_plain import CONTROL, PARTS, REGIONS, ROUTERS, SITES, Figures, percentiles, rumours, unicast
+from bench.spread_plain import (
+    CONTROL,
+    PARTS,
+    REGIONS,
+    ROUTERS,
+    SITES,
+    Figures,
+    measure_gossip,
+    measure_unicast,
+    percentiles,
+)
 from myrtlecourse.peers.gossip import MOST_MEMBERS
 from myrtlecourse.sim.places import laid_out
 from myrtlecourse.sim.spread import Member, World
 from myrtlecourse.spread import messages as said
 
-PURGES, CHANGES = 100.0, 0.72  # a second
-DRAIN = 4.0  # seconds without load at the end
-Trouble = Callable[["Play", NDArray[Any]], list[Member]]  # told the tiers; answers with whom it befalls
+PURGE_RATE, CHANGE_RATE = 100.0, 0.72  # per second
+DRAIN_SECONDS = 4.0  # seconds without load at the end
+# gets the tiers, and returns the members that it affects
+Fault = Callable[["SpreadRun", NDArray[Any]], list[Member]]
 
 
-def sized(scale: float) -> tuple[said.Site, ...]:
-    """A share of the fleet, its regions of full size as far as that goes."""
+def scaled_sites(scale: float) -> tuple[said.Site, ...]:
+    """Return a share of the fleet, with regions of full size as far as possible."""
     sites = max(4, round(SITES * scale))
     return laid_out(max(2, round(REGIONS * scale)), sites, round(ROUTERS * scale), round(PARTS * scale))
 
 
-class Play:
-    """One world of a size, under load."""
+class SpreadRun:
+    """A simulated fleet of some size, under load."""
 
     def __init__(
         self, scale: float, seed: int, loss: float, load: float, pause: float, large_last: bool = False
     ) -> None:
-        """`scale`: a share of the fleet's regions, sites and members; `load`: seconds of entries that follow;
-        `large_last`: beside them one more, as large as in the whole fleet."""
-        entries = int(1.1 * (PURGES + CHANGES) * load) + 200
-        layout = sized(scale)
+        """Start the fleet.
+
+        `scale` is a share of the fleet's regions, sites and members, and `load` the seconds of load that will
+        follow. `large_last` adds a region as large as one of the whole fleet.
+        """
+        entries = int(1.1 * (PURGE_RATE + CHANGE_RATE) * load) + 200
+        layout = scaled_sites(scale)
         control = max(3, round(CONTROL * min(1.0, 2 * scale)))
         if large_last:
-            whole = [s for s in sized(1.0) if s.region == "r00"]
+            whole = [s for s in scaled_sites(1.0) if s.region == "r00"]
             layout += tuple(said.Site(f"z{s.name}", "z", s.routers, s.parts) for s in whole)
         self.world = World(layout, control, seed, entries, pause=pause)
         self.world.network.loss = loss
-        self.began = time.perf_counter()
+        self.began_at = time.perf_counter()
         self.world.start(2.0)
         self.world.run(3.0)
         self.joined = self.world.settle(60.0)
@@ -63,14 +77,14 @@
         gc.freeze()
 
     def tiers(self) -> NDArray[Any]:
-        """Each member's tier, by the layout that all agree on."""
+        """Return each member's tier in the layout."""
         found = [m.node.status(m.clock())["tier"] if m.node is not None else -1 for m in self.world.each]
         return np.array(found)
 
-    def times(self, since: float, until: float, those: NDArray[Any], prefix: str = "") -> Figures:
-        """Of entries proposed in a time: when they came to those members, and were known to be done.
+    def latencies(self, since: float, until: float, selected: NDArray[Any], prefix: str = "") -> Figures:
+        """Return when entries proposed in a period reached the members, and when they were known to be done.
 
-        `last` is by entry when it came to the last member.
+        `last` is the time at which an entry reached the last of these members.
         """
         judge = self.world.judge
         figures: Figures = {}
@@ -80,27 +94,32 @@
             numbers = np.flatnonzero(within[: len(kinds)] & (kinds == kind))
             if not len(numbers):
                 continue
-            came = judge.at[np.ix_(np.flatnonzero(those), numbers)] - judge.proposed[numbers]
-            figures |= percentiles(f"{prefix}{name}.member", came.ravel())
-            figures |= percentiles(f"{prefix}{name}.last", came.max(axis=0))
+            delays = judge.at[np.ix_(np.flatnonzero(selected), numbers)] - judge.proposed[numbers]
+            figures |= percentiles(f"{prefix}{name}.member", delays.ravel())
+            figures |= percentiles(f"{prefix}{name}.last", delays.max(axis=0))
             figures |= percentiles(f"{prefix}{name}.done_known", (judge.known - judge.proposed)[numbers])
-            figures[f"{prefix}{name}.never"] = (float(np.isnan(came).sum()), "entries at members")
+            figures[f"{prefix}{name}.never"] = (float(np.isnan(delays).sum()), "entries at members")
             figures |= percentiles(
                 f"{prefix}{name}.acknowledged", (judge.acknowledged - judge.proposed)[numbers]
             )
         return figures
 
-    def hops(self, since: float, until: float, tiers: NDArray[Any]) -> Figures:
-        """When entries had come to the last member of each tier."""
+    def tier_latencies(self, since: float, until: float, tiers: NDArray[Any]) -> Figures:
+        """Return when entries reached the last member of each tier."""
         figures: Figures = {}
         for tier in range(4):
-            if (those := tiers == tier).any():
-                found = self.times(since, until, those)
-                figures |= {f"tier{tier}.{n}": v for n, v in found.items() if n.startswith("purge.last")}
+            if (selected := tiers == tier).any():
+                tier_figures = self.latencies(since, until, selected)
+                figures |= {
+                    f"tier{tier}.{n}": v for n, v in tier_figures.items() if n.startswith("purge.last")
+                }
         return figures
 
     def traffic(self, since: float, until: float, tiers: NDArray[Any]) -> Figures:
-        """Bytes and datagrams that members send a second, by tier; `most` of one member, in any second."""
+        """Return the bytes and datagrams sent per second by tier.
+
+        `most` is the maximum of one member in one second.
+        """
         first, last = int(since), min(int(until), len(self.world.seconds) - 1)
         figures: Figures = {}
         for what, at in (("bytes", 0), ("datagrams", 1)):
@@ -115,15 +134,17 @@
                     figures[f"{name}.{what}.most"] = (float(each[:, those].max()), f"{what}/s")
         return figures
 
-    def until_back(self, those: list[Member], within: float) -> Figures:
-        """Seconds until half and until all of those members vouch and have all there is."""
+    def recovery_times(self, members: list[Member], within: float) -> Figures:
+        """Return the seconds until half, and until all, of some members are up to date with a valid lease."""
         world, began, figures = self.world, self.world.time, {}
         for name, share in (("half", 0.5), ("all", 1.0)):
             while world.time < began + within:
                 last = len(world.judge.log) - 1
-                # under load the newest are always on their way
-                there = [world.judge.have[m.index] >= last - 5 * PURGES and m.vouches() for m in those]
-                if sum(there) >= share * len(those):
+                # under load the latest entries are always still on their way
+                recovered = [
+                    world.judge.have[m.index] >= last - 5 * PURGE_RATE and m.vouches() for m in members
+                ]
+                if sum(recovered) >= share * len(members):
                     figures[f"back.{name}"] = (world.time - began, "s")
                     break
                 world.run(0.1)
@@ -132,27 +153,27 @@
         return figures
 
 
-def steady(play: Play, seconds: float) -> Figures:
-    """Nothing goes wrong but the loss."""
-    world = play.world
+def steady(run: SpreadRun, seconds: float) -> Figures:
+    """Measure without any fault but packet loss."""
+    world = run.world
     began = world.time
-    world.load(PURGES, CHANGES, seconds)
-    world.run(seconds + DRAIN)
-    tiers = play.tiers()
+    world.load(PURGE_RATE, CHANGE_RATE, seconds)
+    world.run(seconds + DRAIN_SECONDS)
+    tiers = run.tiers()
     since, until = began + 1.0, began + seconds
-    figures = play.times(since, until, tiers >= 0) | play.hops(since, until, tiers)
-    return figures | play.traffic(since, until, tiers) | checked(play)
+    figures = run.latencies(since, until, tiers >= 0) | run.tier_latencies(since, until, tiers)
+    return figures | run.traffic(since, until, tiers) | final_checks(run)
 
 
-def checked(play: Play) -> Figures:
-    """What the judge has to say at the end, and what the run cost."""
-    world = play.world
+def final_checks(run: SpreadRun) -> Figures:
+    """Check that all members agree at the end, and return the totals of the run."""
+    world = run.world
     settled = world.settle(60.0)
     if settled is not None:
         world.check_same()
-    took = time.perf_counter() - play.began
+    took = time.perf_counter() - run.began_at
     return {
-        "joined": (math.inf if play.joined is None else 3.0 + play.joined, "s"),
+        "joined": (math.inf if run.joined is None else 3.0 + run.joined, "s"),
         "all_same_after": (math.inf if settled is None else settled, "s"),
         "members": (float(len(world.each)), "members"),
         "entries": (float(len(world.judge.log) - 1), "entries"),
@@ -162,85 +183,85 @@
     }
 
 
-def troubled(play: Play, calm: float, after: float, trouble: Trouble, within: float) -> Figures:
-    """A load, a trouble in the midst of it, and what those felt that it did not befall."""
-    world = play.world
-    world.load(PURGES, CHANGES, calm + after)
+def measure_fault(run: SpreadRun, calm: float, after: float, fault: Fault, within: float) -> Figures:
+    """Measure a load with a fault in the middle of it, at the members that the fault does not affect."""
+    world = run.world
+    world.load(PURGE_RATE, CHANGE_RATE, calm + after)
     world.run(calm)
-    tiers, at = play.tiers(), world.time
-    hit = trouble(play, tiers)
-    spared = np.ones(len(world.each), bool)
-    spared[[m.index for m in hit]] = False
-    figures: Figures = {"hit": (float(len(hit)), "members")}
-    if (back := [m for m in hit if m.node is not None]) and len(back) == len(hit):
-        figures |= play.until_back(back, within)
-    world.run(max(0.0, at + after + DRAIN - world.time))
-    figures |= play.times(at - calm + 1.0, at - 3.0, spared, "before.")
-    figures |= play.times(at - 1.0, at + after, spared, "from.")
-    return figures | play.traffic(at, at + after, tiers) | checked(play)
-
-
-def dead_parents(play: Play, tiers: NDArray[Any]) -> list[Member]:
-    """One in a hundred of the relays and heads dies."""
-    each = [m for m in play.world.each if tiers[m.index] in (1, 2)]
-    hit = play.world.core.stream("troubles").sample(each, max(1, len(each) // 100))
-    for member in hit:
+    tiers, fault_at = run.tiers(), world.time
+    affected = fault(run, tiers)
+    unaffected = np.ones(len(world.each), bool)
+    unaffected[[m.index for m in affected]] = False
+    figures: Figures = {"hit": (float(len(affected)), "members")}
+    if (living := [m for m in affected if m.node is not None]) and len(living) == len(affected):
+        figures |= run.recovery_times(living, within)
+    world.run(max(0.0, fault_at + after + DRAIN_SECONDS - world.time))
+    figures |= run.latencies(fault_at - calm + 1.0, fault_at - 3.0, unaffected, "before.")
+    figures |= run.latencies(fault_at - 1.0, fault_at + after, unaffected, "from.")
+    return figures | run.traffic(fault_at, fault_at + after, tiers) | final_checks(run)
+
+
+def dead_parents(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
+    """Kill 1% of the relays."""
+    relays = [m for m in run.world.each if tiers[m.index] in (1, 2)]
+    affected = run.world.core.stream("troubles").sample(relays, max(1, len(relays) // 100))
+    for member in affected:
         member.kill()
-    return hit
+    return affected
 
 
-def tenth_restarted(play: Play, tiers: NDArray[Any]) -> list[Member]:
-    """A tenth of all members dies at one moment, and begins anew within a second."""
-    chance = play.world.core.stream("troubles")
-    hit = chance.sample([m for m in play.world.each if tiers[m.index]], len(tiers) // 10)
-    for member in hit:
+def tenth_restarted(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
+    """Kill a tenth of all members at once; they restart about a second later."""
+    rng = run.world.core.stream("troubles")
+    affected = rng.sample([m for m in run.world.each if tiers[m.index]], len(tiers) // 10)
+    for member in affected:
         member.kill()
-        play.world.core.after(chance.uniform(0.5, 1.5), member.start)
-    play.world.run(1.5)
-    return hit
+        run.world.core.after(rng.uniform(0.5, 1.5), member.start)
+    run.world.run(1.5)
+    return affected
 
 
-def rack_gone(play: Play, tiers: NDArray[Any]) -> list[Member]:
-    """Forty of a region's members lose their power."""
-    hit = [m for m in play.world.each if m.place.region == len(play.world.by_region) - 1][:40]
-    for member in hit:
+def rack_gone(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
+    """Kill forty members of one region."""
+    affected = [m for m in run.world.each if m.place.region == len(run.world.by_region) - 1][:40]
+    for member in affected:
         member.kill()
-    return hit
+    return affected
 
 
-def handed_on(play: Play, tiers: NDArray[Any]) -> list[Member]:
-    """The duty is moved: the holder lets go, and 0.3 s later another holds."""
-    world = play.world
+def handed_on(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
+    """Move the duty: the holder releases it, and another control node takes it 0.3 s later."""
+    world = run.world
     world.release()
     world.core.after(0.3, world.hold, world.control[1])
     return []
 
 
-def holder_killed(play: Play, tiers: NDArray[Any]) -> list[Member]:
-    """The holder dies, another holds after the second that an election takes, and it begins anew."""
-    world = play.world
-    before = world.members[world.holder]
-    before.kill()
+def holder_killed(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
+    """Kill the holder, and restart it later; another takes the duty after the time of an election, 1 s."""
+    world = run.world
+    holder = world.members[world.holder]
+    holder.kill()
     world.core.after(1.0, world.hold, world.control[1])
-    world.core.after(5.0, before.start)
-    return [before]
+    world.core.after(5.0, holder.start)
+    return [holder]
 
 
-def region_away(seconds: float) -> Trouble:
-    """The last region is cut off for so long, and then back."""
+def region_away(seconds: float) -> Fault:
+    """Return a fault that cuts off the last region for some seconds."""
 
-    def trouble(play: Play, tiers: NDArray[Any]) -> list[Member]:
-        world, region = play.world, len(play.world.by_region) - 1
-        for cut in (world.network.mute, world.network.deaf):
-            cut.add(region)
-            world.core.after(seconds, cut.discard, region)
+    def trouble(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
+        world, region = run.world, len(run.world.by_region) - 1
+        for blocked in (world.network.mute, world.network.deaf):
+            blocked.add(region)
+            world.core.after(seconds, blocked.discard, region)
         world.run(seconds)
         return [m for m in world.each if m.place.region == region]
 
     return trouble
 
 
-TROUBLES: dict[str, Trouble] = {
+FAULTS: dict[str, Fault] = {
     "dead_parents": dead_parents,
     "tenth_restarted": tenth_restarted,
     "rack_gone": rack_gone,
@@ -250,30 +271,32 @@
 
 
 def measure(options: argparse.Namespace) -> Figures:
-    """One run."""
+    """Run one measurement."""
     scale, seed, loss, seconds, pause = (
         *(options.scale, options.seed, options.loss),
         *(options.seconds, options.pause),
     )
     match options.what:
         case "steady":
-            return steady(Play(scale, seed, loss, seconds, pause), seconds)
+            return steady(SpreadRun(scale, seed, loss, seconds, pause), seconds)
         case "region_away":
-            after, away = options.seconds_back, region_away(options.away)
-            play = Play(scale, seed, loss, seconds + options.away + after, pause, large_last=options.large)
-            return troubled(play, seconds, options.away + after, away, after)
+            after, fault = options.seconds_back, region_away(options.away)
+            run = SpreadRun(
+                scale, seed, loss, seconds + options.away + after, pause, large_last=options.large
+            )
+            return measure_fault(run, seconds, options.away + after, fault, after)
         case "unicast":
-            return unicast(scale, seed, loss, options.budget, options.rate)
+            return measure_unicast(scale, seed, loss, options.budget, options.rate)
         case "gossip":
-            return rumours(min(MOST_MEMBERS, round(MOST_MEMBERS * scale)), seed, loss, options.rate)
+            return measure_gossip(min(MOST_MEMBERS, round(MOST_MEMBERS * scale)), seed, loss, options.rate)
         case what:
-            return troubled(
-                Play(scale, seed, loss, 2 * seconds, pause), seconds, seconds, TROUBLES[what], seconds
+            return measure_fault(
+                SpreadRun(scale, seed, loss, 2 * seconds, pause), seconds, seconds, FAULTS[what], seconds
             )
 
 
-def merged(paths: list[Path]) -> dict[str, Any]:
-    """One file of those of many runs: what differs by its seed alone becomes one measure."""
+def merge_files(paths: list[Path]) -> dict[str, Any]:
+    """Merge the files of many runs: measures that differ in their seed only become one."""
     found: dict[str, list[dict[str, Any]]] = {}
     for path in paths:
         for each in json.loads(path.read_text())["measures"]:
@@ -283,19 +306,19 @@
     measures = []
     for each in found.values():
         values = [m["value"] for m in each]
-        told = each[0] | {"low": min(values), "high": max(values), "repeats": len(values)}
+        merged = each[0] | {"low": min(values), "high": max(values), "repeats": len(values)}
         measures.append(
-            told | {"value": float(np.median(values)), "command": "; ".join(m["command"] for m in each)}
+            merged | {"value": float(np.median(values)), "command": "; ".join(m["command"] for m in each)}
         )
     return {"version": 1, "command": "python -m bench.spread_scale --merge", "measures": measures}
 
 
-PLACES = {"control": "tier0", "region_relay": "tier1", "site_relay": "tier2", "router": "tier3"}
-PLAYED = {("steady", 0.0): "plain", ("steady", 0.01): "loss", ("dead_parents", 0.01): "parent"}
+TIERS_BY_ROLE = {"control": "tier0", "region_relay": "tier1", "site_relay": "tier2", "router": "tier3"}
+CASES = {("steady", 0.0): "plain", ("steady", 0.01): "loss", ("dead_parents", 0.01): "parent"}
 
 
-def for_capacity(told: dict[str, Any]) -> dict[str, Any]:
-    """The figures that the capacity page names, in its schema (`scale/capacity_results.py`)."""
+def capacity_results(merged: dict[str, Any]) -> dict[str, Any]:
+    """Return the measures for the capacity page, in its schema (`scale/capacity_results.py`)."""
     found: dict[str, dict[str, Any]] = {}
 
     def add(name: str, unit: str, values: tuple[float, float, float], what: str, command: str) -> None:
@@ -307,40 +330,43 @@
         }
 
     runs: dict[str, dict[str, dict[str, Any]]] = {}
-    for m in told["measures"]:
-        if (way := PLAYED.get((m["conditions"]["what"], m["conditions"]["loss"]))) is not None:
-            runs.setdefault(way, {})[m["name"]] = m
-    for way, each in runs.items():
-        at = f"in virtual time, {next(iter(each.values()))['conditions']['scale']:g} of the fleet"
-        since = "from." if way == "parent" else ""
+    for m in merged["measures"]:
+        if (case := CASES.get((m["conditions"]["what"], m["conditions"]["loss"]))) is not None:
+            runs.setdefault(case, {})[m["name"]] = m
+    for case, measures in runs.items():
+        at = f"in virtual time, {next(iter(measures.values()))['conditions']['scale']:g} of the fleet"
+        since = "from." if case == "parent" else ""
         for kind in ("purge", "change"):
-            last = [each[f"{since}{kind}.last.{what}"] for what in ("p50", "p99", "most")]
+            last = [measures[f"{since}{kind}.last.{what}"] for what in ("p50", "p99", "most")]
             a, b, c = (m["value"] for m in last)
             what = f"seconds until the last member has a {kind}, 99% of them (median to most), {at}"
-            add(f"{kind}.whole.{way}", "s", (a, b, c), what, last[0]["command"])
-        for place, tier in PLACES.items() if way == "loss" else ():
-            for ours, theirs, unit in (("bytes", "bytes_out", "B/s"), ("datagrams", "messages_out", "1/s")):
-                mean, most = each[f"{tier}.{ours}.mean"], each[f"{tier}.{ours}.most"]
-                what = f"{ours} out, the mean of its tier (and the worst second of one), {at}"
+            add(f"{kind}.whole.{case}", "s", (a, b, c), what, last[0]["command"])
+        for role, tier in TIERS_BY_ROLE.items() if case == "loss" else ():
+            for figure, measure, unit in (
+                ("bytes", "bytes_out", "B/s"),
+                ("datagrams", "messages_out", "1/s"),
+            ):
+                mean, most = measures[f"{tier}.{figure}.mean"], measures[f"{tier}.{figure}.most"]
+                what = f"{figure} out, the mean of its tier (and the worst second of one), {at}"
                 values = mean["value"], mean["value"], most["value"]
-                add(f"spread.{place}.{theirs}", unit, values, what, mean["command"])
+                add(f"spread.{role}.{measure}", unit, values, what, mean["command"])
     return {"schema": 1, "cores": os.cpu_count(), "measures": list(found.values())}
 
 
-def draw(told: dict[str, Any], path: Path) -> None:
-    """When the last member had what was proposed, by run."""
+def draw(merged: dict[str, Any], path: Path) -> None:
+    """Draw when the entries of each run reached the last member."""
     from matplotlib import pyplot as plt  # noqa: PLC0415  (an extra)
 
-    figure, both = plt.subplots(1, 2, figsize=(11, 4.5), sharey=True)
+    figure, panels = plt.subplots(1, 2, figsize=(11, 4.5), sharey=True)
     values: dict[str, dict[str, float]] = {}
-    for m in told["measures"]:
+    for m in merged["measures"]:
         c = m["conditions"]
         row = f"{c['what']}, size {c['scale']:g}, {100 * c['loss']:g}% lost"
         row += f", {c['rate']:g}/s" if c.get("rate") is not None else ""
         row += f", pause {c['pause']:g} s" if c.get("pause", 0.1) != 0.1 else ""
         row += " (trial)" if c.get("note") else ""
         values.setdefault(row, {})[m["name"]] = m["value"]
-    for axes, kind, goal in zip(both, ("purge", "change"), (1.7, 4.0), strict=True):
+    for axes, kind, goal in zip(panels, ("purge", "change"), (1.7, 4.0), strict=True):
         for y, (_, each) in enumerate(values.items()):
             prefix = "from." if f"from.{kind}.last.most" in each else ""
             for what, marker in (("p50", "|"), ("p99", "o"), ("most", "x")):
@@ -360,36 +386,45 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
-    whats = ["steady", *TROUBLES, "region_away", "unicast", "gossip"]
-    parser.add_argument("--what", choices=whats, default="steady")
-    parser.add_argument("--scale", type=float, default=1.0, help="share of the whole fleet (1)")
+    choices = ["steady", *FAULTS, "region_away", "unicast", "gossip"]
+    parser.add_argument("--what", choices=choices, default="steady")
+    parser.add_argument("--scale", type=float, default=1.0, help="simulated share of the whole fleet (1)")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--loss", type=float, default=0.01)
     parser.add_argument("--away", type=float, default=60.0, help="seconds that a region is cut off for (60)")
     parser.add_argument(
-        "--seconds", type=float, default=10.0, help="of load before a trouble, and after (10)"
+        "--seconds", type=float, default=10.0, help="seconds of load before a fault, and after it (10)"
+    )
+    parser.add_argument(
+        "--seconds-back", type=float, default=60.0, help="seconds of load after a region is back (60)"
+    )
+    parser.add_argument(
+        "--pause", type=float, default=0.1, help="seconds for which nodes batch entries (0.1)"
+    )
+    parser.add_argument("--note", help="how this run differs from the repository")
+    parser.add_argument("--large", action="store_true", help="give the region that is cut off its full size")
+    parser.add_argument(
+        "--rate", type=float, help="purges per second of a simple alternative (0: a single one)"
     )
     parser.add_argument(
-        "--seconds-back", type=float, default=60.0, help="the same after a region is back (60)"
+        "--budget",
+        type=float,
+        default=1e9,
+        help="bytes per second that the holder sends by unicast (no limit)",
     )
-    parser.add_argument("--pause", type=float, default=0.1, help="seconds for which nodes gather (0.1)")
-    parser.add_argument("--note", help="what was other in this run than in the repository")
-    parser.add_argument("--large", action="store_true", help="the region that is cut off has its full size")
-    parser.add_argument("--rate", type=float, help="purges a second of a plain way (0: one alone)")
+    parser.add_argument("--json", type=Path, help="file for the results; with --merge, for the merged ones")
     parser.add_argument(
-        "--budget", type=float, default=1e9, help="bytes a second of the plain holder (no bound)"
+        "--merge", type=Path, nargs="+", help="merge the files of these runs instead of running"
     )
-    parser.add_argument("--json", type=Path, help="write the figures there; with --merge all of them")
-    parser.add_argument("--merge", type=Path, nargs="+", help="files of runs to make one of, without a run")
-    parser.add_argument("--capacity", type=Path, help="with --merge: write the capacity page's file there")
-    parser.add_argument("--chart", type=Path, help="with --merge: draw there")
+    parser.add_argument("--capacity", type=Path, help="with --merge: file for the capacity page")
+    parser.add_argument("--chart", type=Path, help="with --merge: file for a chart")
     options = parser.parse_args()
     if options.merge:
-        told = merged(options.merge)
+        results = merge_files(options.merge)
         if options.chart is not None:
-            draw(told, options.chart)
+            draw(results, options.chart)
         if options.capacity is not None:
-            options.capacity.write_text(json.dumps(for_capacity(told), indent=1) + "\n")
+            options.capacity.write_text(json.dumps(capacity_results(results), indent=1) + "\n")
     else:
         names = ("what", "scale", "seed", "loss", "rate", "note")
         if options.what == "unicast":
@@ -409,10 +444,10 @@
             print(f"{name:32} {value:14.3f} {unit}", flush=True)
             each = {"name": name, "value": value, "unit": unit, "low": value, "high": value, "repeats": 1}
             measures.append(each | {"conditions": conditions, "command": command})
-        told = {"version": 1, "command": command, "measures": measures}
+        results = {"version": 1, "command": command, "measures": measures}
     if options.json is not None:
         options.json.parent.mkdir(parents=True, exist_ok=True)
-        options.json.write_text(json.dumps(told, indent=1) + "\n")
+        options.json.write_text(json.dumps(results, indent=1) + "\n")
     return 0
 
 
--- a/bench/spread_sockets.py
+++ b/bench/spread_sockets.py
@@ -1,8 +1,9 @@
-"""What the spread costs on real sockets, by role: processor time, bytes and memory, and how soon all have it.
+"""The costs of the spread subsystem on real sockets, by role: processor time, bytes, memory and latency.
 
-300 members of one region on loopback: one of each role in a process of its own, all others in two. Purges are
-proposed at the writer's own steady rate; `done` and what it is measured from are lines of the writer's file.
-Processor time is the process's own, so that what else the machine does counts little; times do feel it.
+300 members of one region run on loopback: one of each role in a process of its own, all others in two
+processes. The writer proposes purges at a steady rate. The latency is computed from the lines of the writer's
+file, including `done`. Processor time is that of each process, so other load on the machine matters little;
+it does affect the latency.
 """
 
 from __future__ import annotations
@@ -27,32 +28,32 @@
 SITES, ROUTERS, PARTS = 10, 20, 9
 CONTROLS = ("control-0", "control-1", "control-2")
 FOLDER = "/dev/shm" if Path("/dev/shm").is_dir() else None
-SETTLE = 5.0  # seconds until all have a parent
+JOIN_SECONDS = 5.0  # seconds until all members have a parent
 ROLES = {REGION_RELAY: "relay", SITE_RELAY: "head", LEAF: "leaf"}
 
 
-class Process:
+class MemberProcess:
     """One process of members."""
 
     def __init__(self, role: str, job: Job, folder: Path) -> None:
         self.role = role
         path = folder / f"{role}.json"
-        told = {"spread": job.spread, "members": job.members, "folder": job.folder}
-        path.write_text(json.dumps(told))
+        job_fields = {"spread": job.spread, "members": job.members, "folder": job.folder}
+        path.write_text(json.dumps(job_fields))
         command = [sys.executable, "-m", "myrtlecourse.fleet.hollow_spread", str(path)]
         self.process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
 
-    def answer(self) -> str:
-        """The next line that it says."""
+    def read_line(self) -> str:
+        """Return the next line of its output."""
         assert self.process.stdout is not None
         return self.process.stdout.readline()
 
-    def order(self, *words: str) -> Any:
-        """One order, and its answer."""
+    def command(self, *words: str) -> Any:
+        """Send a command and return its answer."""
         assert self.process.stdin is not None
         self.process.stdin.write(" ".join(words) + "\n")
         self.process.stdin.flush()
-        return json.loads(self.answer())
+        return json.loads(self.read_line())
 
     def end(self) -> None:
         self.process.kill()
@@ -60,7 +61,7 @@
 
 
 def sites() -> tuple[Site, ...]:
-    """The region."""
+    """Return the sites of the region."""
     return tuple(
         Site(
             f"site-{n}",
@@ -72,46 +73,50 @@
     )
 
 
-def roles() -> dict[str, list[str]]:
-    """Who is measured as what, and two processes of all others."""
+def process_members() -> dict[str, list[str]]:
+    """Return the members of each process: one per measured role, and two processes for all others."""
     settings = Settings("control-0", CONTROLS, sites())
     tree = Tree(settings)
-    found: dict[str, list[str]] = {"writer": ["control-0"], "control": ["control-1"]}
-    rest = ["control-2"]
+    members: dict[str, list[str]] = {"writer": ["control-0"], "control": ["control-1"]}
+    others = ["control-2"]
     for name, tier in tree.layout.tiers.items():
         if tier == CONTROL:
             continue
         role = "part" if name.startswith("part-") else ROLES[tier]
-        if role not in found:
-            found[role] = [name]
+        if role not in members:
+            members[role] = [name]
         else:
-            rest.append(name)
-    return found | {"others-0": rest[::2], "others-1": rest[1::2]}
+            others.append(name)
+    return members | {"others-0": others[::2], "others-1": others[1::2]}
 
 
-def delays(path: Path) -> list[float]:
-    """Seconds from when each entry lasts to when it is done everywhere, of the writer's file."""
-    lasts: dict[int, float] = {}
-    found: list[float] = []
-    done = 0
+def completion_delays(path: Path) -> list[float]:
+    """Return the seconds from each entry's commit until it is done everywhere, by the writer's file."""
+    committed_at: dict[int, float] = {}
+    delays: list[float] = []
+    completed = 0
     for line in path.read_text().splitlines():
-        at, *words = line.split()
-        if words[0] == "done":
-            found += [float(at) - lasts.pop(n) for n in range(done + 1, int(words[1]) + 1) if n in lasts]
-            done = int(words[1])
-        elif words[0].isdigit():
-            lasts[int(words[0])] = float(at)
-    return found
-
-
-def once(rate: float, seconds: float) -> dict[str, float]:
-    """One run's figures."""
-    each = roles()
-    names = [name for some in each.values() for name in some]
-    at = {name: "{}:{}".format(*free()) for name in names}
-
-    def peers(some: tuple[str, ...]) -> list[dict[str, str]]:
-        return [{"name": name, "at": at[name]} for name in some]
+        at, *fields = line.split()
+        if fields[0] == "done":
+            delays += [
+                float(at) - committed_at.pop(n)
+                for n in range(completed + 1, int(fields[1]) + 1)
+                if n in committed_at
+            ]
+            completed = int(fields[1])
+        elif fields[0].isdigit():
+            committed_at[int(fields[0])] = float(at)
+    return delays
+
+
+def measure(rate: float, seconds: float) -> dict[str, float]:
+    """Run once and return the figures."""
+    members = process_members()
+    names = [name for group in members.values() for name in group]
+    addresses = {name: "{}:{}".format(*free()) for name in names}
+
+    def peers(group: tuple[str, ...]) -> list[dict[str, str]]:
+        return [{"name": name, "at": addresses[name]} for name in group]
 
     with tempfile.TemporaryDirectory(dir=FOLDER) as scratch:
         folder = Path(scratch)
@@ -125,43 +130,43 @@
             ],
         }
         running = {
-            role: Process(role, Job(table, {name: at[name] for name in some}, scratch), folder)
-            for role, some in each.items()
+            role: MemberProcess(role, Job(table, {name: addresses[name] for name in group}, scratch), folder)
+            for role, group in members.items()
         }
         try:
             for process in running.values():
-                assert process.answer() == "ready\n"
+                assert process.read_line() == "ready\n"
             writer = running["writer"]
-            writer.order("take", "control-0", "1")
-            time.sleep(SETTLE)
-            before = {role: p.order("figures") for role, p in running.items()}
-            told = writer.order("send", "control-0", str(rate), str(seconds))
-            after = {role: p.order("figures") for role, p in running.items()}
-            until = time.monotonic() + 60.0
-            while (writer.order("status", "control-0")["done"] or [0])[0] < told["last"]:
-                assert time.monotonic() < until, "never done everywhere"
+            writer.command("take", "control-0", "1")
+            time.sleep(JOIN_SECONDS)
+            before = {role: p.command("figures") for role, p in running.items()}
+            sent = writer.command("send", "control-0", str(rate), str(seconds))
+            after = {role: p.command("figures") for role, p in running.items()}
+            deadline = time.monotonic() + 60.0
+            while (writer.command("status", "control-0")["done"] or [0])[0] < sent["last"]:
+                assert time.monotonic() < deadline, "never done everywhere"
                 time.sleep(0.1)
-            done = writer.order("status", "control-0")["done"]
+            completed = writer.command("status", "control-0")["done"]
         finally:
             for process in running.values():
                 process.end()
-        waited = delays(folder / "control-0.applied")
-    found: dict[str, float] = {"counted": done[1], "not counted": done[2]}
-    found["purges a second"] = (told["last"] - len(told["refused"])) / told["took"]
-    found["done everywhere p50"], found["done everywhere p99"] = np.quantile(waited, [0.5, 0.99])
-    found["done everywhere max"] = max(waited)
-    for role in each:
+        delays = completion_delays(folder / "control-0.applied")
+    figures: dict[str, float] = {"counted": completed[1], "not counted": completed[2]}
+    figures["purges a second"] = (sent["last"] - len(sent["refused"])) / sent["took"]
+    figures["done everywhere p50"], figures["done everywhere p99"] = np.quantile(delays, [0.5, 0.99])
+    figures["done everywhere max"] = max(delays)
+    for role in members:
         if role.startswith("others"):
             continue
-        took = after[role]["at"] - before[role]["at"]
+        measured_seconds = after[role]["at"] - before[role]["at"]
         for name, key in (("core", "cpu_s"), ("bytes", "bytes_sent"), ("datagrams", "sent")):
-            found[f"{role}: {name}"] = (after[role][key] - before[role][key]) / took
-        found[f"{role}: memory"] = after[role]["resident_mb"]
-    return found
+            figures[f"{role}: {name}"] = (after[role][key] - before[role][key]) / measured_seconds
+        figures[f"{role}: memory"] = after[role]["resident_mb"]
+    return figures
 
 
-def unit(name: str) -> str:
-    """What a figure is in."""
+def unit_of(name: str) -> str:
+    """Return the unit of a figure."""
     if ": " in name:
         units = {"core": "of a core", "bytes": "bytes/s", "datagrams": "1/s", "memory": "MB"}
         return units[name.partition(": ")[2]]
@@ -170,25 +175,27 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--rate", type=float, default=100.0, help="purges a second")
+    parser.add_argument("--rate", type=float, default=100.0, help="purges per second")
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--repeats", type=int, default=3)
-    parser.add_argument("--out", type=Path, help="where to write the figures as JSON")
-    told = parser.parse_args()
+    parser.add_argument("--out", type=Path, help="file for the results, as JSON")
+    options = parser.parse_args()
     runs = []
-    for _ in range(told.repeats):
-        runs.append(once(told.rate, told.seconds))
+    for _ in range(options.repeats):
+        runs.append(measure(options.rate, options.seconds))
         print(json.dumps(runs[-1]), flush=True)
-    command = f"python -m bench.spread_sockets --rate {told.rate:g} --seconds {told.seconds:g}"
-    command += f" --repeats {told.repeats}"
+    command = f"python -m bench.spread_sockets --rate {options.rate:g} --seconds {options.seconds:g}"
+    command += f" --repeats {options.repeats}"
     members = SITES * (ROUTERS + PARTS)
     conditions = f"{members} members and {len(CONTROLS)} control machines on loopback, one machine, shared;"
-    conditions += f" {told.rate:g} purges/s for {told.seconds:g} s; Python from sources; bytes without heads"
+    conditions += (
+        f" {options.rate:g} purges/s for {options.seconds:g} s; Python from sources; bytes without heads"
+    )
     measures = [
         {
             "name": name,
             "value": statistics.median(run[name] for run in runs),
-            "unit": unit(name),
+            "unit": unit_of(name),
             "low": min(run[name] for run in runs),
             "high": max(run[name] for run in runs),
             "repeats": len(runs),
@@ -197,9 +204,9 @@
         }
         for name in runs[0]
     ]
-    if told.out is not None:
-        told.out.parent.mkdir(exist_ok=True)
-        told.out.write_text(
+    if options.out is not None:
+        options.out.parent.mkdir(exist_ok=True)
+        options.out.write_text(
             json.dumps({"version": 1, "command": command, "measures": measures}, indent=1) + "\n"
         )
     for each in measures:
--- a/myrtlecourse/scale/capacity_commands.py
+++ b/myrtlecourse/scale/capacity_commands.py
@@ -57,20 +57,20 @@
 @click.option(
     "--compiled",
     type=click.Path(path_type=Path, exists=True, file_okay=False),
-    help="folder of the compiled form (`python deploy/compiled.py` prints it; default: the sources)",
+    help="folder with the compiled form, as `python deploy/compiled.py` prints it (default: the sources)",
 )
 @click.option(
     "--members",
     type=click.IntRange(2, measuring.ROSTER_SIZES[-1]),
     multiple=True,
     default=measuring.ROSTER_SIZES,
-    help="of the rosters of `known`; again for further ones",
+    help="members of the rosters for `known`; may be repeated",
 )
 @click.option(
     "--out",
     type=click.Path(path_type=Path),
     required=True,
-    help="results file: what it has of other names stays",
+    help="results file; its results under other names are kept",
 )
 def slopes_command(
     names: tuple[str, ...], compiled: Path | None, members: tuple[int, ...], out: Path
@@ -110,7 +110,12 @@
 
 
 @click.command("page")
-@click.option("--docs", type=click.Path(path_type=Path), default=Path("docs"), help="folder (default: docs)")
+@click.option(
+    "--docs",
+    type=click.Path(path_type=Path),
+    default=Path("docs"),
+    help="folder of the documentation (default: docs)",
+)
 def page_command(docs: Path) -> None:
     """Write CAPACITY.md and its picture from the results in the folder's `capacity`.
 
--- a/myrtlecourse/scale/capacity_results.py
+++ b/myrtlecourse/scale/capacity_results.py
@@ -49,10 +49,10 @@
 
     def __post_init__(self) -> None:
         if len({p.size for p in self.points}) < len(self.points):
-            raise ValueError("points: each size stands there once")
+            raise ValueError("points: each size may occur only once")
         largest = max(p.size for p in self.points)
         if sum(p.size * CHECK_FACTOR <= largest for p in self.points) < MIN_SIZES:
-            raise ValueError(f"points: {MIN_SIZES} sizes at least up to a quarter of the largest")
+            raise ValueError(f"points: at least {MIN_SIZES} sizes up to a quarter of the largest")
 
     @property
     def repeats(self) -> dict[int, tuple[float, ...]]:
@@ -81,7 +81,7 @@
 
     def __post_init__(self) -> None:
         if not self.low <= self.value <= self.high:
-            raise ValueError("value: lies between low and high")
+            raise ValueError("value: must lie between low and high")
 
 
 class Results(Struct, forbid_unknown_fields=True, frozen=True):
@@ -95,7 +95,7 @@
     def __post_init__(self) -> None:
         names = [s.name for s in self.slopes] + [m.name for m in self.measures]
         if len(set(names)) < len(names):
-            raise ValueError("slopes, measures: each name stands there once")
+            raise ValueError("slopes, measures: each name may occur only once")
 
 
 def read_file(path: Path) -> Results:
@@ -126,7 +126,7 @@
         for entry in entries:
             if entry.name in paths_by_name:
                 raise ResultsError(
-                    f"{path}: name {entry.name}: {paths_by_name[entry.name].name} has it, once is allowed"
+                    f"{path}: name {entry.name}: already used in {paths_by_name[entry.name].name}"
                 )
             paths_by_name[entry.name] = path
         slopes |= {s.name: s for s in results.slopes}
--- a/myrtlecourse/scale/commands.py
+++ b/myrtlecourse/scale/commands.py
@@ -37,7 +37,7 @@
 
 def show_plan(run_plan: Plan, limits: ResourceLimits, console: Console) -> None:
     """Print what a run would start."""
-    table = Table(title="What is started")
+    table = Table(title="Processes to start")
     for name in ("processes of", "processes", "members", "memory, MB", "sockets of one, at most"):
         table.add_column(name, justify="left" if name == "processes of" else "right")
     for part in run_plan.groups:
@@ -45,8 +45,8 @@
         table.add_row(part.name, *(f"{count:,}" for count in counts))
     console.print(table)
     console.print(
-        f"{run_plan.processes} processes (bound {limits.processes}), {run_plan.memory / MB:,.0f} MB foretold "
-        f"(bound {limits.memory / MB:,.0f} MB)",
+        f"{run_plan.processes} processes (limit {limits.processes}), {run_plan.memory / MB:,.0f} MB expected "
+        f"(limit {limits.memory / MB:,.0f} MB)",
         highlight=False,
     )
 
@@ -80,15 +80,16 @@
         console.print(
             f"{times.changes} changes of the list in force at {times.members:,} hollow members: "
             f"p50 {times.p50_s:.3f} s, p99 {times.p99_s:.3f} s, last {times.last_s:.3f} s; "
-            f"{times.missing:,} not by the end",
+            f"{times.missing:,} not in force by the end",
             highlight=False,
         )
     machine = results.machine
     console.print(
-        f"calibration loop {1000 * machine.calibration.unit_s:.1f} ms; others used "
-        f"{machine.others_share:.0%} of the machine{': it was shared' if machine.shared else ''}; at most "
-        f"{results.most_memory_mb:,.0f} MB in {results.most_processes} processes; the busiest of hollow "
-        f"members used {results.busiest_hollow_process:.0%} of a core",
+        f"calibration loop {1000 * machine.calibration.unit_s:.1f} ms; other processes used "
+        f"{machine.others_share:.0%} of the machine"
+        f"{', which marks the run as shared' if machine.shared else ''}; at most "
+        f"{results.most_memory_mb:,.0f} MB in {results.most_processes} processes; the busiest process of "
+        f"hollow members used {results.busiest_hollow_process:.0%} of a core",
         highlight=False,
     )
     for name in results.killed:
@@ -106,13 +107,15 @@
         self.console = console
         self.quiet = quiet
         self.seconds = seconds
-        self.last = -PROGRESS_INTERVAL
-        self.doing = ""
+        self.printed_at = -PROGRESS_INTERVAL
+        self.phase = ""
 
     def __call__(self, status: RunStatus) -> None:
-        if self.quiet or (status.phase == self.doing and time.monotonic() - self.last < PROGRESS_INTERVAL):
+        if self.quiet or (
+            status.phase == self.phase and time.monotonic() - self.printed_at < PROGRESS_INTERVAL
+        ):
             return
-        self.last, self.doing = time.monotonic(), status.phase
+        self.printed_at, self.phase = time.monotonic(), status.phase
         text = f"{status.memory / MB:,.0f} MB in {status.processes} processes"
         if status.counts:
             text += "".join(
@@ -137,20 +140,22 @@
 
 @scale.command("run")
 @click.argument("scenario", type=click.Path(path_type=Path))
-@click.option("--plan", "only_plan", is_flag=True, help="print what would be started, and start nothing")
-@click.option("--json", "json_file", type=click.Path(path_type=Path), help="write the results there")
+@click.option("--plan", "only_plan", is_flag=True, help="print what would be started, without starting it")
+@click.option("--json", "json_file", type=click.Path(path_type=Path), help="file for the results")
 @click.option(
     "--folder",
     type=click.Path(path_type=Path, file_okay=False),
-    help="for observations, configurations and logs; else a temporary one, told at the start",
+    help="folder for observations, configurations and logs (default: a temporary one, which is printed)",
+)
+@click.option(
+    "--router", "command", default=COMMAND, help="command that starts a real router; it gets RELAY_CONFIG"
 )
-@click.option("--router", "command", default=COMMAND, help="how to start a real one; it is told RELAY_CONFIG")
 @click.option(
     "--memory-mb",
     type=click.IntRange(1),
-    help="that all processes may take; at most, and by itself, half of the machine's",
+    help="memory limit for all processes; the default and the maximum are half of the machine's memory",
 )
-@click.option("--quiet", is_flag=True, help="no progress")
+@click.option("--quiet", is_flag=True, help="print no progress")
 def run_scale(
     scenario: Path,
     only_plan: bool,
--- a/myrtlecourse/scale/fit.py
+++ b/myrtlecourse/scale/fit.py
@@ -134,7 +134,7 @@
     """Return the minimum cost at each size. Raises FitError for a cost that is not a positive number."""
     for size, values in repeats.items():
         if size < 1 or not values or not all(0 < v < math.inf for v in values):
-            raise FitError(f"size {size}: every cost must be a number over 0")
+            raise FitError(f"size {size}: every cost must be a positive number")
     return {size: min(values) for size, values in sorted(repeats.items())}
 
 
@@ -145,7 +145,7 @@
     """
     costs = minimum_costs(repeats)
     if len(costs) < MIN_SIZES:
-        raise FitError(f"{len(costs)} sizes, {MIN_SIZES} are the least")
+        raise FitError(f"{len(costs)} sizes, at least {MIN_SIZES} are needed")
     errors = {}
     for name in SHAPES:
         errors[name] = [
--- a/myrtlecourse/scale/guard.py
+++ b/myrtlecourse/scale/guard.py
@@ -40,10 +40,10 @@
         """Raises ResourceLimitError if either value exceeds its limit."""
         if memory > self.memory:
             raise ResourceLimitError(
-                f"memory: {subject} {memory / MB:,.0f} MB, and the bound is {self.memory / MB:,.0f} MB"
+                f"memory: {subject} {memory / MB:,.0f} MB, and the limit is {self.memory / MB:,.0f} MB"
             )
         if count > self.processes:
-            raise ResourceLimitError(f"processes: {subject} {count}, and the bound is {self.processes}")
+            raise ResourceLimitError(f"processes: {subject} {count}, and the limit is {self.processes}")
 
     def check_usage(self) -> tuple[int, int]:
         """Return the bytes and processes used by this process and its descendants.
--- a/myrtlecourse/scale/hollow.py
+++ b/myrtlecourse/scale/hollow.py
@@ -124,7 +124,7 @@
         table = read_operators(operators).fleet
         gossip = part(table, config) if table is not None else None
         if gossip is None:
-            raise ConfigError(f"{operators}: no gossip in it")
+            raise ConfigError(f"{operators}: contains no gossip settings")
         agent_part, peers, bind = gossip
         clock = self.host.clock.now
         agent = Agent(agent_part, clock(), time.time(), config.seed)
--- a/myrtlecourse/scale/measuring.py
+++ b/myrtlecourse/scale/measuring.py
@@ -81,10 +81,10 @@
     try:
         result = subprocess.run(command, cwd=ROOT, capture_output=True, timeout=seconds, check=False)
     except subprocess.TimeoutExpired:
-        raise MeasureError(f"{name}: not over after {seconds:g} s") from None
+        raise MeasureError(f"{name}: timed out after {seconds:g} s") from None
     if result.returncode:
         last_line = result.stderr.decode(errors="replace").strip().rpartition("\n")[2]
-        raise MeasureError(f"{name}: ended with {result.returncode}: {last_line[:200]}")
+        raise MeasureError(f"{name}: exited with {result.returncode}: {last_line[:200]}")
     return result.stdout
 
 
--- a/myrtlecourse/scale/plan.py
+++ b/myrtlecourse/scale/plan.py
@@ -56,7 +56,7 @@
         for group in self.groups:
             if group.sockets > max_descriptors:
                 raise ResourceLimitError(
-                    f"sockets: {group.name} would take {group.sockets}, and the bound is {max_descriptors}"
+                    f"sockets: {group.name} would take {group.sockets}, and the limit is {max_descriptors}"
                 )
 
 
--- a/myrtlecourse/scale/run.py
+++ b/myrtlecourse/scale/run.py
@@ -287,7 +287,9 @@
                     child.kill()
                     self.killed.append(child.name)
             if elapsed > self.scenario.seconds + LOAD_END_TIMEOUT:
-                raise ScaleError(f"the load generator has not ended {LOAD_END_TIMEOUT:g} s after its time")
+                raise ScaleError(
+                    f"the load generator has not ended {LOAD_END_TIMEOUT:g} s after the end of the scenario"
+                )
             self.receive()
 
     # Results
--- a/myrtlecourse/scale/scenario.py
+++ b/myrtlecourse/scale/scenario.py
@@ -86,7 +86,7 @@
     def __post_init__(self) -> None:
         if not self.regions <= self.zones <= self.sites:
             raise ValueError(
-                "wants regions <= zones <= sites: each zone is in one region, each site in one zone"
+                "requires regions <= zones <= sites: each zone is in one region, each site in one zone"
             )
         if -(-self.zones // self.regions) > MAX_ZONES_PER_REGION:
             raise ValueError(f"zones: {MAX_ZONES_PER_REGION} of a region at most")
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page: it says what the results say, and a file that can't be used is refused by name."""
+"""Tests the capacity page, which must match the results, and the errors for unusable result files."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 DOCS = Path(__file__).parent.parent / "docs"
 
 
-def slope(name: str, cost: float = 1e-5, others: float = 0.0, last: float = 1.0) -> Slope:
-    """One that grows with size, at its real sizes; the last one `last` times as the law has it."""
+def make_slope(name: str, cost: float = 1e-5, others: float = 0.0, last: float = 1.0) -> Slope:
+    """Return a slope that grows linearly over the real sizes; the last cost is multiplied by `last`."""
     spec = SPECS[name]
     points = []
     for size in spec.sizes:
@@ -32,7 +32,7 @@
     return Slope(name, spec.what, spec.by, spec.unit, "compiled", "command", tuple(points))
 
 
-def measure(name: str, value: float, unit: str = "s") -> Measure:
+def make_measure(name: str, value: float, unit: str = "s") -> Measure:
     return Measure(name, "what", unit, "compiled", "command", value, value * 0.9, value * 1.1, 3)
 
 
@@ -46,7 +46,7 @@
 
 def test_the_command_writes_page_and_picture(tmp_path: Path) -> None:
     (tmp_path / "capacity").mkdir()
-    told = Results(1, 8, (slope("list.stop"),), (measure("change.whole.plain", 1.25),))
+    told = Results(1, 8, (make_slope("list.stop"),), (make_measure("change.whole.plain", 1.25),))
     capacity_results.write_file(tmp_path / "capacity/a.json", told)
     done = CliRunner().invoke(main, ["page", "--docs", str(tmp_path)])
     assert done.exit_code == 0, done.output
@@ -64,27 +64,29 @@
 
 @pytest.mark.parametrize("name", SPECS)
 def test_every_slope_stands_on_the_page_with_its_verdict(name: str) -> None:
-    lines = render_page(Results(1, 8, (slope(name),))).splitlines()
+    lines = render_page(Results(1, 8, (make_slope(name),))).splitlines()
     assert any(line.startswith(f"| `{name}` |") and "| counts |" in line for line in lines)
 
 
 def test_what_does_not_fit_comes_first_and_the_worst_before_the_others() -> None:
-    told = Results(1, 8, (slope("list.stop", 1e-4), slope("list.change", 1e-5), slope("list.memory", 1.0)))
+    told = Results(
+        1, 8, (make_slope("list.stop", 1e-4), make_slope("list.change", 1e-5), make_slope("list.memory", 1.0))
+    )
     text = render_page(told)
     first = text.index("## What does not fit")
     assert first < text.index("## By role")
     part = text[first : text.index("## By role")]
     factors = [float(line.split("|")[5].replace(",", "")) for line in part.splitlines() if "| router" in line]
     assert factors == sorted(factors, reverse=True) and min(factors) >= 1.0
-    # 0.67 s of 20 ms and 67 ms of 20 ms do not fit, 6.7 KB of 64 MB do
+    # 670 ms and 67 ms exceed 20 ms; 6.7 KB do not exceed 64 MB
     assert "a first whole list, the whole fleet's | 670 ms" in part and "| 34 |" in part
     assert "one change of the list, the whole fleet's | 67 ms" in part and "| 3.4 |" in part
     assert "memory for the list" not in part
 
 
 def test_a_rate_that_is_needed_does_not_fit_when_it_is_missed() -> None:
-    few = Results(1, 8, (), (measure("router.router_requests", 500.0, "1/s"),))
-    many = Results(1, 8, (), (measure("router.router_requests", 2000.0, "1/s"),))
+    few = Results(1, 8, (), (make_measure("router.router_requests", 500.0, "1/s"),))
+    many = Results(1, 8, (), (make_measure("router.router_requests", 2000.0, "1/s"),))
     rows = {
         n: [r for r in role_costs.all_rows(Estimates(t)) if r.is_minimum]
         for n, t in (("few", few), ("many", many))
@@ -99,7 +101,7 @@
 def test_what_the_tree_was_measured_to_cost_stands_beside_the_budget() -> None:
     names = ("processor", "memory", "bytes_in", "bytes_out")
     values = (
-        measure(f"spread.router.{n}", v, u)
+        make_measure(f"spread.router.{n}", v, u)
         for n, v, u in zip(names, (0.01, 9e7, 2e4, 1e4), ("core", "B", "B/s", "B/s"), strict=True)
     )
     told = {
@@ -116,41 +118,41 @@
     )
     assert {r.state for r in role_costs.spread_rows(Estimates(EMPTY))} == {
         role_costs.DISABLED
-    }  # built, whatever was measured
+    }  # it is built, whatever was measured
 
 
 def test_a_sum_with_a_part_that_was_not_measured_is_not_measured() -> None:
-    book = Estimates(Results(1, 8, (slope("seal.open"),)))
+    book = Estimates(Results(1, 8, (make_slope("seal.open"),)))
     costs = [r.estimate for r in role_costs.relay_rows(book) if r.item == "opening and sealing them"]
     assert costs[0] is not None and costs[1:] == [None] * 4
     assert costs[0].value == pytest.approx(1e-5 * (100 + 62_000 / 86_400))
-    one = (measure("spread.router.bytes_in", 1.0, "B/s"),)
+    one = (make_measure("spread.router.bytes_in", 1.0, "B/s"),)
     rows = list(role_costs.spread_rows(Estimates(Results(1, 8, (), one))))
     assert all(r.estimate is None for r in rows if r.item == "bytes in and out, measured")
 
 
 def test_a_law_that_does_not_hold_and_a_shared_machine_are_marked() -> None:
-    assert "**does not hold**" not in render_page(Results(1, 8, (slope("agent.second"),)))
-    assert "not foretold |" not in render_page(Results(1, 8, (slope("agent.second"),)))
-    bent = render_page(Results(1, 8, (slope("agent.second", last=3.0),)))
+    assert "**does not hold**" not in render_page(Results(1, 8, (make_slope("agent.second"),)))
+    assert "not foretold |" not in render_page(Results(1, 8, (make_slope("agent.second"),)))
+    bent = render_page(Results(1, 8, (make_slope("agent.second", last=3.0),)))
     assert "**the law does not hold**" in bent and "| **does not hold** |" in bent
     rows = [
         r
-        for r in role_costs.roster_rows(Estimates(Results(1, 8, (slope("agent.second", last=3.0),))))
+        for r in role_costs.roster_rows(Estimates(Results(1, 8, (make_slope("agent.second", last=3.0),))))
         if r.estimate
     ]
     foretold = [r for r in rows if r.estimate and "foretold" in r.estimate.source]
     assert [(str(r.estimate), r.budget_ratio) for r in foretold] == [("not foretold", None)]
-    # what was measured at its size stands, whatever the law
+    # a value measured at its size counts, whether the law holds or not
     assert [r.budget_ratio for r in rows if "1,000" in r.item and "gossip" in r.item] == [
         pytest.approx(0.03 / 0.046)
     ]
-    assert "**shared**" in render_page(Results(1, 8, (slope("list.stop", others=0.2),)))
-    assert "**shared machine**" in render_page(Results(1, 8, (slope("list.stop", others=0.2),)))
+    assert "**shared**" in render_page(Results(1, 8, (make_slope("list.stop", others=0.2),)))
+    assert "**shared machine**" in render_page(Results(1, 8, (make_slope("list.stop", others=0.2),)))
 
 
 def test_a_figure_is_as_measured_where_it_was_and_foretold_elsewhere() -> None:
-    book = Estimates(Results(1, 8, (slope("list.stop", last=2.0),)))
+    book = Estimates(Results(1, 8, (make_slope("list.stop", last=2.0),)))
     seen, told = book.at_size("list.stop", 6700), book.at_size("list.stop", 20_000)
     assert seen is not None and told is not None
     assert seen.value == pytest.approx(0.134) and seen.law_holds and "foretold" not in seen.source
@@ -159,7 +161,7 @@
 
 
 def test_a_figure_is_marked_by_the_run_at_its_own_size() -> None:
-    even = slope("list.stop")
+    even = make_slope("list.stop")
     points = tuple(msgspec.structs.replace(p, others=0.3 if p.size == 156 else 0.0) for p in even.points)
     book = Estimates(Results(1, 8, (msgspec.structs.replace(even, points=points),)))
     marks = {n: f.exclusive for n in (156, 6700, 20_000) if (f := book.at_size("list.stop", n))}
@@ -208,7 +210,7 @@
 
 
 def test_a_table_keeps_its_columns_whatever_a_file_says() -> None:
-    odd = msgspec.structs.replace(slope("list.stop"), what="a | b")
+    odd = msgspec.structs.replace(make_slope("list.stop"), what="a | b")
     lines = [
         line for line in render_page(Results(1, 8, (odd,))).splitlines() if line.startswith("| `list.stop` |")
     ]
@@ -220,14 +222,16 @@
     assert role_costs.time_until_forgotten(2) == pytest.approx(16.0)
 
 
-# Results files
+# Result files
 
 
-GOOD: dict[str, Any] = msgspec.to_builtins(Results(1, 8, (slope("list.stop"),), (measure("a.b", 1.0),)))
+GOOD: dict[str, Any] = msgspec.to_builtins(
+    Results(1, 8, (make_slope("list.stop"),), (make_measure("a.b", 1.0),))
+)
 
 
-def changed(path: str, value: Any) -> dict[str, Any]:
-    """The good file with one field changed; `path` leads to it."""
+def with_field(path: str, value: Any) -> dict[str, Any]:
+    """Return the valid file with one field changed; `path` leads to the field."""
     told = msgspec.json.decode(msgspec.json.encode(GOOD))
     at, *steps = told, *path.split(".")
     for step in steps[:-1]:
@@ -249,18 +253,18 @@
     ("slopes.0.points.0.values", [1.0, 2.0, -1.0], "points[0].values[2]"),
     ("slopes.0.points.0.values", [1.0, 2.0, 0.0], "points[0].values[2]"),
     ("slopes.0.points.0.others", 1.5, "points[0].others"),
-    ("slopes.0.points.6.size", 5, "points: 5 sizes at least up to a quarter of the largest"),
-    ("slopes.0.points.0.size", 6700, "each size stands there once"),
-    ("measures.0.value", 5.0, "lies between low and high"),
+    ("slopes.0.points.6.size", 5, "points: at least 5 sizes up to a quarter of the largest"),
+    ("slopes.0.points.0.size", 6700, "each size may occur only once"),
+    ("measures.0.value", 5.0, "must lie between low and high"),
     ("measures.0.low", -1.0, "$.measures[0].low"),
     ("measures.0.repeats", 0, "$.measures[0].repeats"),
-    ("measures.0.name", "list.stop", "each name stands there once"),
+    ("measures.0.name", "list.stop", "each name may occur only once"),
     ("measures.0.unit", "", "$.measures[0].unit"),
 ]
 
 
-def refused(file: Path, *arguments: str) -> str:
-    """What a command says that can't use a results file: one line, exit code 2."""
+def refusal(file: Path, *arguments: str) -> str:
+    """Return the one line of error, with exit code 2, of a command that can't use a results file."""
     done = CliRunner().invoke(main, list(arguments))
     assert done.exit_code == 2, done.output
     lines = done.output.strip().splitlines()
@@ -272,9 +276,9 @@
 def test_a_field_out_of_its_bounds_is_named(tmp_path: Path, path: str, value: Any, named: str) -> None:
     (tmp_path / "capacity").mkdir()
     file = tmp_path / "capacity/x.json"
-    file.write_bytes(msgspec.json.encode(changed(path, value)))
-    assert named in refused(file, "page", "--docs", str(tmp_path))
-    assert named in refused(file, "slopes", "list.bytes", "--out", str(file))
+    file.write_bytes(msgspec.json.encode(with_field(path, value)))
+    assert named in refusal(file, "page", "--docs", str(tmp_path))
+    assert named in refusal(file, "slopes", "list.bytes", "--out", str(file))
     assert not (tmp_path / "CAPACITY.md").exists()
 
 
@@ -283,7 +287,7 @@
     (tmp_path / "capacity").mkdir()
     file = tmp_path / "capacity/x.json"
     file.write_bytes(text)
-    refused(file, "page", "--docs", str(tmp_path))
+    refusal(file, "page", "--docs", str(tmp_path))
 
 
 def test_a_file_that_is_too_large_is_not_read(tmp_path: Path) -> None:
@@ -294,26 +298,28 @@
 
 
 def test_no_folder_no_writing_and_a_name_in_two_files_are_refused(tmp_path: Path) -> None:
-    refused(tmp_path / "capacity", "page", "--docs", str(tmp_path))
-    refused(tmp_path / "none/x.json", "slopes", "list.bytes", "--out", str(tmp_path / "none/x.json"))
+    refusal(tmp_path / "capacity", "page", "--docs", str(tmp_path))
+    refusal(tmp_path / "none/x.json", "slopes", "list.bytes", "--out", str(tmp_path / "none/x.json"))
     (tmp_path / "capacity").mkdir()
     for name in ("a.json", "b.json"):
-        capacity_results.write_file(tmp_path / "capacity" / name, Results(1, 8, (), (measure("a.b", 1.0),)))
-    assert "a.json has it" in refused(tmp_path / "capacity/b.json", "page", "--docs", str(tmp_path))
+        capacity_results.write_file(
+            tmp_path / "capacity" / name, Results(1, 8, (), (make_measure("a.b", 1.0),))
+        )
+    assert "already used in a.json" in refusal(tmp_path / "capacity/b.json", "page", "--docs", str(tmp_path))
     (tmp_path / "capacity/b.json").unlink()
     (tmp_path / "CAPACITY.md").mkdir()
-    refused(tmp_path / "CAPACITY.md", "page", "--docs", str(tmp_path))
+    refusal(tmp_path / "CAPACITY.md", "page", "--docs", str(tmp_path))
 
 
 def test_results_come_back_as_they_were_written(tmp_path: Path) -> None:
-    told = Results(1, 8, (slope("list.stop"),), (measure("a.b", 1.0),))
+    told = Results(1, 8, (make_slope("list.stop"),), (make_measure("a.b", 1.0),))
     capacity_results.write_file(tmp_path / "x.json", told)
     assert capacity_results.read_file(tmp_path / "x.json") == told
 
 
 def test_new_results_replace_those_of_their_name_alone() -> None:
-    old = Results(1, 4, (slope("list.stop"), slope("list.take")), (measure("a.b", 1.0),))
-    new = Results(1, 8, (slope("list.take", 2.0),), (measure("c", 3.0),))
+    old = Results(1, 4, (make_slope("list.stop"), make_slope("list.take")), (make_measure("a.b", 1.0),))
+    new = Results(1, 8, (make_slope("list.take", 2.0),), (make_measure("c", 3.0),))
     found = capacity_results.merge_results(old, new)
     assert found.slopes == (old.slopes[0], new.slopes[0]) and found.cores == 8
     assert [m.name for m in found.measures] == ["a.b", "c"] and capacity_results.merge_results(
--- a/tests/test_scale_fit.py
+++ b/tests/test_scale_fit.py
@@ -1,4 +1,4 @@
-"""Laws by size: known ones are found again in noise, and one that foretells wrongly does not count."""
+"""Tests the fit of laws: known laws are found again in noise, and a law that predicts badly is rejected."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 ]
 
 
-def made(law: Law, noise: float, seed: int, sizes: tuple[int, ...] = SIZES) -> dict[int, list[float]]:
-    """Repeats that follow a law, each disturbed by up to a share of it: processor time is only added to."""
+def make_repeats(law: Law, noise: float, seed: int, sizes: tuple[int, ...] = SIZES) -> dict[int, list[float]]:
+    """Return repeats that follow a law, each increased by up to a share of it, as noise only adds time."""
     chance = random.Random(seed)
     return {n: [law.at(n) * chance.uniform(1.0, 1.0 + noise) for _ in range(9)] for n in sizes}
 
@@ -45,39 +45,39 @@
 @pytest.mark.parametrize("noise", [0.0, 0.02])
 def test_a_known_law_is_found_again_and_foretells(law: Law, noise: float) -> None:
     for seed in range(5):
-        found, tried = check(made(law, noise, seed))
+        found, tried = check(make_repeats(law, noise, seed))
         assert tried.size == 6400 and tried.holds
         assert tried.predicted.low <= law.at(6400) <= tried.predicted.high
         assert found.law.name == law.name
 
 
 def test_a_repeat_that_others_disturbed_changes_nothing() -> None:
-    repeats = made(LAWS[3], 0.01, 7)
+    repeats = make_repeats(LAWS[3], 0.01, 7)
     disturbed = {n: [*values, 5 * values[0]] for n, values in repeats.items()}
     assert fit(disturbed).law == fit(repeats).law and check(disturbed)[1].holds
 
 
 def test_a_size_is_left_out_of_the_fit_that_foretells_it() -> None:
-    repeats = made(LAWS[2], 0.0, 1)
+    repeats = make_repeats(LAWS[2], 0.0, 1)
     found = fit(repeats | {400: [1.2 * v for v in repeats[400]]})
     assert found.law.name == "n" and found.worst_error == pytest.approx(1 - 1 / 1.2)
 
 
 def test_the_largest_size_is_not_seen_by_the_fit_that_foretells_it() -> None:
-    repeats = made(LAWS[2], 0.01, 1)
+    repeats = make_repeats(LAWS[2], 0.01, 1)
     _, before = check(repeats)
     _, after = check(repeats | {6400: [v * 3 for v in repeats[6400]]})
     assert after.predicted == before.predicted and before.holds and not after.holds
 
 
 def test_sizes_above_a_quarter_are_not_seen_either() -> None:
-    repeats = made(LAWS[2], 0.01, 1)
+    repeats = make_repeats(LAWS[2], 0.01, 1)
     assert check(repeats | {3200: [9.0]})[1].predicted == check(repeats)[1].predicted
 
 
 @pytest.mark.parametrize("law", [law for law in LAWS if law.name in ("n", "n log n", "n squared")])
 def test_a_law_that_bends_after_the_sizes_seen_does_not_count(law: Law) -> None:
-    repeats = made(law, 0.01, 2)
+    repeats = make_repeats(law, 0.01, 2)
     for bend in (0.5, 2.0):
         assert not check(repeats | {6400: [v * bend for v in repeats[6400]]})[1].holds
 
@@ -112,7 +112,7 @@
     assert found.held_out <= found.worst_error
     told = found.predict(at)
     assert 0 <= told.low <= told.value <= told.high
-    # as wide as the law's worst miss of a size left out, whatever the repeats say
+    # at least as wide as the law's largest error at a held-out size
     assert told.low <= told.value * max(0.0, 1 - found.worst_error) + 1e-12
     assert told.high >= told.value * (1 + found.worst_error) * (1 - 1e-12)
     assert found.law.at(2 * at) >= found.law.at(at)
@@ -121,7 +121,7 @@
 @settings(max_examples=40)
 @given(st.sampled_from(LAWS), st.floats(1e-6, 1e6))
 def test_a_unit_changes_neither_law_nor_verdict(law: Law, unit: float) -> None:
-    repeats = made(law, 0.05, 3)
+    repeats = make_repeats(law, 0.05, 3)
     scaled = {n: [v * unit for v in values] for n, values in repeats.items()}
     (one, first), (other, second) = check(repeats), check(scaled)
     assert one.law.name == other.law.name and first.holds == second.holds
@@ -143,7 +143,7 @@
 
 
 def test_what_no_law_can_be_fitted_to_is_refused_by_name() -> None:
-    with pytest.raises(FitError, match="4 sizes, 5 are the least"):
+    with pytest.raises(FitError, match="4 sizes, at least 5 are needed"):
         fit(dict.fromkeys((1, 2, 3, 4), [1.0]))
     with pytest.raises(FitError, match="4 sizes"):
         check(dict.fromkeys((1, 2, 3, 4, 16), [1.0]))
@@ -170,13 +170,13 @@
 
 
 def test_a_fit_is_the_same_each_time() -> None:
-    repeats = made(LAWS[3], 0.05, 6)
+    repeats = make_repeats(LAWS[3], 0.05, 6)
     found: list[Fit] = [fit(repeats), fit(dict(reversed(repeats.items())))]
     assert found[0].law == found[1].law
     assert fit(repeats).predict(10**5) == fit(repeats).predict(10**5)
 
 
-# Calibration, and who else used the machine
+# Calibration, and the use of the machine by others
 
 STAT = "cpu  100 20 30 4000 50 6 7 8 90 10\ncpu0 1 1 1 1 1 1 1 1 1 1\n"
 
--- a/tests/test_scale_processes.py
+++ b/tests/test_scale_processes.py
@@ -1,4 +1,4 @@
-"""Scale runs with real processes: one whole, and those that end before their time leave nothing behind."""
+"""Tests runs at scale with real processes: a complete run, and aborted ones that must leave no process."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from myrtlecourse.scale.run_results import read_results
 
 pytestmark = pytest.mark.processes
-PATIENCE = 60.0  # seconds until a test that waits for an event fails
+TIMEOUT = 60.0  # seconds until a test that waits for an event fails
 LONG = """
 seconds = 600
 hollow = 4
@@ -43,9 +43,9 @@
   {what = "kill", at = 2.0, process = 2},
 ]
 """
-COMMAND = "from myrtlecourse.scale.commands import scale; scale()"  # without the other tools
-# the bound is over what a run takes to start, and is passed once it runs
-BREACH = """
+COMMAND = "from myrtlecourse.scale.commands import scale; scale()"  # without the program's other commands
+# the limit allows the start of the run, and is lowered once the run is under way
+EXCEED_LIMIT = """
 import sys
 from pathlib import Path
 from myrtlecourse.fleet.routers import COMMAND
@@ -70,44 +70,45 @@
 """
 
 
-class Started:
-    """A run that was started, and its processes."""
+class RunProcess:
+    """A run in a subprocess, with its descendants."""
 
     def __init__(self, *words: str) -> None:
         self.process = subprocess.Popen(
             [sys.executable, *words], stdout=subprocess.DEVNULL, stderr=subprocess.PIPE, text=True
         )
-        self.said: list[str] = []
-        self.timer = threading.Timer(PATIENCE, self.process.kill)
+        self.lines: list[str] = []
+        self.timer = threading.Timer(TIMEOUT, self.process.kill)
         self.timer.start()
-        self.found: dict[int, str] = {}
+        self.descendants: dict[int, str] = {}
 
-    def until(self, text: str) -> None:
-        """Read its lines up to one that holds a text."""
+    def read_until(self, text: str) -> None:
+        """Read lines up to one that contains a text."""
         assert self.process.stderr is not None
         for line in self.process.stderr:
-            self.said.append(line.rstrip())
+            self.lines.append(line.rstrip())
             if text in line:
                 break
         else:
-            pytest.fail(f"no line with {text!r}: {self.said}")
-        self.found = {
-            pid: born(pid) for pid in process_tree(self.process.pid, read_processes()) - {self.process.pid}
+            pytest.fail(f"no line with {text!r}: {self.lines}")
+        self.descendants = {
+            pid: start_time_of(pid)
+            for pid in process_tree(self.process.pid, read_processes()) - {self.process.pid}
         }
 
     def end(self) -> tuple[int, list[str]]:
-        """Its exit code, and the lines that it wrote since."""
+        """Return the exit code, and the lines written since."""
         assert self.process.stderr is not None
         lines = self.process.stderr.read().splitlines()
-        return self.process.wait(PATIENCE), lines
+        return self.process.wait(TIMEOUT), lines
 
-    def left(self) -> list[int]:
-        """Those of its processes that are still there."""
-        return [pid for pid, since in self.found.items() if since and born(pid) == since]
+    def surviving(self) -> list[int]:
+        """Return those of its processes that still exist."""
+        return [pid for pid, since in self.descendants.items() if since and start_time_of(pid) == since]
 
 
-def born(pid: int) -> str:
-    """What tells a process from a later one with its id; empty where there is none."""
+def start_time_of(pid: int) -> str:
+    """Return a process's start time, which tells it from a later process with its id; empty if none."""
     with suppress(OSError):
         words = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         return words[19]
@@ -115,49 +116,52 @@
 
 
 @pytest.fixture
-def started(tmp_path: Path) -> Iterator[Started]:
+def started(tmp_path: Path) -> Iterator[RunProcess]:
     scenario = tmp_path / "long.toml"
     scenario.write_text(LONG)
-    run = Started("-c", COMMAND, "run", str(scenario), "--folder", str(tmp_path / "seen"))
+    run = RunProcess("-c", COMMAND, "run", str(scenario), "--folder", str(tmp_path / "seen"))
     yield run
     close(run)
 
 
-def close(run: Started) -> None:
-    """Nothing of a run that failed outlives its test."""
+def close(run: RunProcess) -> None:
+    """End everything that a failed run has left behind."""
     run.timer.cancel()
     run.process.kill()
     run.process.wait()
-    for pid in run.left():
+    for pid in run.surviving():
         with suppress(ProcessLookupError):
             os.kill(pid, signal.SIGKILL)
     assert run.process.stderr is not None
     run.process.stderr.close()
 
 
-def of_role(run: Started, role: str) -> int:
-    """A process of the run: the fleet's has the router as its child; of those without children the last
-    that was started has hollow members."""
+def process_of_role(run: RunProcess, role: str) -> int:
+    """Return a process of the run by its role.
+
+    The fleet's process has the router as its child. Of the processes without children, the last one that was
+    started has hollow members.
+    """
     table = read_processes()
-    own = [pid for pid in run.found if pid in table and table[pid].parent == run.process.pid]
-    children = {pid: [p for p in run.found if p in table and table[p].parent == pid] for pid in own}
-    routers = {p for p in run.found if b"-m\0myrtlecourse" in Path(f"/proc/{p}/cmdline").read_bytes()}
+    own = [pid for pid in run.descendants if pid in table and table[pid].parent == run.process.pid]
+    children = {pid: [p for p in run.descendants if p in table and table[p].parent == pid] for pid in own}
+    routers = {p for p in run.descendants if b"-m\0myrtlecourse" in Path(f"/proc/{p}/cmdline").read_bytes()}
     match role:
         case "fleet":
             return next(pid for pid in own if routers & set(children[pid]))
         case _:
-            return max((pid for pid in own if not children[pid]), key=lambda pid: int(run.found[pid]))
+            return max((pid for pid in own if not children[pid]), key=lambda pid: int(run.descendants[pid]))
 
 
 def test_a_whole_run_tells_its_figures(tmp_path: Path) -> None:
     scenario, file = tmp_path / "whole.toml", tmp_path / "results.json"
     scenario.write_text(WHOLE)
-    run = Started("-m", "myrtlecourse", "scale", "run", str(scenario), "--json", str(file))
+    run = RunProcess("-m", "myrtlecourse", "scale", "run", str(scenario), "--json", str(file))
     try:
-        run.until("running: ")
+        run.read_until("running: ")
         code, lines = run.end()
         assert code == 0, lines
-        assert not run.left()
+        assert not run.surviving()
     finally:
         close(run)
     results = read_results(file.read_bytes())
@@ -167,7 +171,7 @@
     assert results.verdict["kept"] and results.load["served"] > 0
     hollow, router = results.roles["hollow"], results.roles["router"]
     assert hollow.members == 6 and hollow.processes == 3 and router.members == 1
-    # what was killed counts up to its last word
+    # a killed process counts up to its last report
     assert 0.0 < hollow.member_seconds < 6 * results.seconds + 1e-6
     assert hollow.cpu_s > 0.0 and hollow.memory_mb > 0.0 and router.memory_mb > 0.0
     assert hollow.list_calls > 6 and router.list_calls > 0
@@ -176,53 +180,53 @@
     assert hollow.calibrated_per_member_second == pytest.approx(hollow.cpu_per_member_second / unit)
     times = hollow.in_force
     assert times is not None and times.members == 4 and times.changes >= 1
-    assert times.reached == times.changes * times.members  # discovery came back and told all
+    assert times.reached == times.changes * times.members  # discovery returned and delivered all changes
     assert results.machine.shared == (results.machine.others_share > 0.1)
     assert results.most_processes >= 8 and results.most_memory_mb > 100
 
 
 @pytest.mark.parametrize(("role", "name"), [("hollow", "hollow process"), ("fleet", "the fleet")])
-def test_a_child_that_dies_ends_the_run_and_all_others(started: Started, role: str, name: str) -> None:
-    started.until("running: ")
-    assert len(started.found) >= 6
-    os.kill(of_role(started, role), signal.SIGKILL)
+def test_a_child_that_dies_ends_the_run_and_all_others(started: RunProcess, role: str, name: str) -> None:
+    started.read_until("running: ")
+    assert len(started.descendants) >= 6
+    os.kill(process_of_role(started, role), signal.SIGKILL)
     code, lines = started.end()
     assert code == 1
-    # each other line is one of progress
+    # all other lines show progress
     [told] = [line for line in lines if not line.startswith(("running: ", "ending: "))]
     assert told.startswith(f"myrtlecourse scale: {name}") and "died (exit -9) while running" in told
-    assert not started.left()
+    assert not started.surviving()
 
 
-def test_an_interrupted_run_leaves_no_process(started: Started) -> None:
-    started.until("running: ")
+def test_an_interrupted_run_leaves_no_process(started: RunProcess) -> None:
+    started.read_until("running: ")
     started.process.send_signal(signal.SIGINT)
     code, lines = started.end()
     assert code == 1
     assert "myrtlecourse scale: ended by SIGINT while running" in lines
-    assert not started.left()
+    assert not started.surviving()
 
 
-def test_processes_end_by_themselves_when_the_run_is_killed(started: Started) -> None:
-    started.until("running: ")
+def test_processes_end_by_themselves_when_the_run_is_killed(started: RunProcess) -> None:
+    started.read_until("running: ")
     started.process.kill()
     started.process.wait()
-    until = time.monotonic() + PATIENCE
-    while started.left():
-        assert time.monotonic() < until, f"still there: {started.left()}"
+    until = time.monotonic() + TIMEOUT
+    while started.surviving():
+        assert time.monotonic() < until, f"still there: {started.surviving()}"
         time.sleep(0.05)
 
 
 def test_a_run_that_takes_too_much_ends_with_one_error(tmp_path: Path) -> None:
     scenario = tmp_path / "long.toml"
     scenario.write_text(LONG)
-    run = Started("-c", BREACH, str(scenario), str(tmp_path))
+    run = RunProcess("-c", EXCEED_LIMIT, str(scenario), str(tmp_path))
     try:
-        run.until("running")
+        run.read_until("running")
         code, lines = run.end()
         assert code == 1
         [told] = [line for line in lines if line != "running"]
-        assert told.startswith("memory: the run has taken") and "the bound is" in told
-        assert not run.left()
+        assert told.startswith("memory: the run has taken") and "the limit is" in told
+        assert not run.surviving()
     finally:
         close(run)
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,4 +1,4 @@
-"""Scale runs without processes: scenarios, plans, bounds, figures, and hollow members in one loop."""
+"""Tests runs at scale without processes: scenarios, plans, limits, results, and hollow members."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
 from myrtlecourse.scale.scenario import MemberPlace, Scenario, ScenarioError, read_scenario
 from myrtlecourse.scale.stand_in_fleet import ListChange, ScaleFleet
 
-PATIENCE = 60.0  # seconds until a test that waits for an event fails
+TIMEOUT = 60.0  # seconds until a test that waits for an event fails
 
 
-def written(folder: Path, text: str) -> Path:
+def write_scenario(folder: Path, text: str) -> Path:
     path = folder / "some.toml"
     path.write_text(text)
     return path
@@ -73,7 +73,7 @@
     text: str, place: str, bounds: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(subprocess, "Popen", _refuse)
-    path = written(tmp_path, text)
+    path = write_scenario(tmp_path, text)
     for more in ([], ["--plan"]):
         told = CliRunner().invoke(scale, ["run", str(path), *more])
         assert told.exit_code == 2
@@ -90,7 +90,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(subprocess, "Popen", _refuse)
-    path = written(tmp_path, "hollow = 2")
+    path = write_scenario(tmp_path, "hollow = 2")
     file = tmp_path / "file"
     file.touch()
     for options in (
@@ -118,21 +118,21 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(subprocess, "Popen", _refuse)
-    path = written(tmp_path, "hollow = 250\nper_process = 100\nrouters = 2\n[peers]")
+    path = write_scenario(tmp_path, "hollow = 250\nper_process = 100\nrouters = 2\n[peers]")
     told = CliRunner().invoke(scale, ["run", str(path), "--plan"])
     assert told.exit_code == 0, told.output
     made = make_plan(read_scenario(path))
-    assert f"{made.processes} processes (bound {MAX_PROCESSES})" in told.stdout
-    assert f"{made.memory / MB:,.0f} MB foretold" in told.stdout
+    assert f"{made.processes} processes (limit {MAX_PROCESSES})" in told.stdout
+    assert f"{made.memory / MB:,.0f} MB expected" in told.stdout
 
 
 def test_what_takes_too_much_is_not_begun(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(subprocess, "Popen", _refuse)
-    path = written(tmp_path, "hollow = 20000")
+    path = write_scenario(tmp_path, "hollow = 20000")
     for more in ([], ["--plan"]):
         told = CliRunner().invoke(scale, ["run", str(path), "--memory-mb", "1000", *more])
         assert told.exit_code == 2
-        assert "memory: the run would take" in told.stderr and "the bound is 1,000 MB" in told.stderr
+        assert "memory: the run would take" in told.stderr and "the limit is 1,000 MB" in told.stderr
         assert told.stderr.count("\n") == 1
 
 
@@ -152,7 +152,7 @@
     monkeypatch.setattr(resource, "getrlimit", lambda _: (most, most))
     made.check_limits(guard)
     monkeypatch.setattr(resource, "getrlimit", lambda _: (most - 1, most - 1))
-    with pytest.raises(ResourceLimitError, match=f"sockets: .* {most}, and the bound is {most - 1}"):
+    with pytest.raises(ResourceLimitError, match=f"sockets: .* {most}, and the limit is {most - 1}"):
         made.check_limits(guard)
 
 
@@ -233,9 +233,9 @@
 def test_a_guard_allows_its_bounds_and_no_more() -> None:
     guard = ResourceLimits(memory=10 * MB, processes=3)
     guard.require(10 * MB, 3, "it would take")
-    with pytest.raises(ResourceLimitError, match="memory: it would take 11 MB, and the bound is 10 MB"):
+    with pytest.raises(ResourceLimitError, match="memory: it would take 11 MB, and the limit is 10 MB"):
         guard.require(11 * MB, 3, "it would take")
-    with pytest.raises(ResourceLimitError, match="processes: it would take 4, and the bound is 3"):
+    with pytest.raises(ResourceLimitError, match="processes: it would take 4, and the limit is 3"):
         guard.require(10 * MB, 4, "it would take")
     half = machine_memory() // 2
     assert ResourceLimits.of_machine().memory == ResourceLimits.of_machine(10 * half).memory == half
@@ -254,7 +254,7 @@
     monkeypatch.setattr("os.cpu_count", lambda: 8)
     before = CpuUsage(time=10.0, machine_s=100.0, own_s=5.0)
     assert others_share(before, CpuUsage(20.0, 100.0 + 48.0, 5.0 + 40.0)) == pytest.approx(0.1)
-    assert others_share(before, CpuUsage(20.0, 100.0 + 39.0, 5.0 + 40.0)) == 0.0  # clock ticks round
+    assert others_share(before, CpuUsage(20.0, 100.0 + 39.0, 5.0 + 40.0)) == 0.0  # clock ticks are rounded
     assert others_share(before, before) == 0.0
 
 
@@ -281,7 +281,7 @@
 
 
 class _Silent:
-    """A process that was never started."""
+    """A child process that never starts."""
 
     def __init__(self, name: str, *_: Any) -> None:
         self.name = name
@@ -299,8 +299,8 @@
     records = [
         InForceRecord(1.5, 1, "a", "terminating", 5),
         InForceRecord(2.25, 1, "a", "terminated", 5),
-        InForceRecord(4.0, 2, "a", "terminated", 0),  # it never saw the one before
-        InForceRecord(5.0, 3, "a", "in_service", 5),  # another process of that name: no change of these
+        InForceRecord(4.0, 2, "a", "terminated", 0),  # has missed the previous state
+        InForceRecord(5.0, 3, "a", "in_service", 5),  # another process under that name: none of these changes
         InForceRecord(9.5, 3, "a", "in_service", 7),
         InForceRecord(4.0, 4, "a", "terminated", 5),  # of a process that was killed
     ]
@@ -342,11 +342,11 @@
     assert quantile([], share) is None
 
 
-# Hollow members in one loop with what they stand before
+# Hollow members in one event loop with their stand-in fleet
 
 
-class Stand:
-    """A ground without routers, and hollow members before it."""
+class HollowFleet:
+    """A stand-in fleet without routers, with its hollow members."""
 
     def __init__(self, folder: Path, **told: Any) -> None:
         self.folder = folder
@@ -354,20 +354,20 @@
         self.log = seen.ObservationLog(folder / "fleet.jsonl")
         self.counts = Counts()
 
-    async def __aenter__(self) -> Stand:
-        self.ground = ScaleFleet(self.scenario, self.log, for_hollow=True)
-        await self.ground.listen()
-        peers = self.ground.scenario.peers
+    async def __aenter__(self) -> HollowFleet:
+        self.fleet = ScaleFleet(self.scenario, self.log, for_hollow=True)
+        await self.fleet.listen()
+        peers = self.fleet.scenario.peers
         operators = None
         if peers is not None:
-            operators = operators_file(peers, None, self.ground.duty_relays, self.folder, "hollow")
-        ports = [self.ground.discovery.ports[f"hollow-{n}"].number for n in range(2)]
-        shared = self.ground.configuration(0)
+            operators = operators_file(peers, None, self.fleet.duty_relays, self.folder, "hollow")
+        ports = [self.fleet.discovery.ports[f"hollow-{n}"].number for n in range(2)]
+        shared = self.fleet.configuration(0)
         self.members: list[tuple[MemberPlace, HollowJob, HollowMember]] = []
         for number, group in enumerate(self.scenario.members_by_process()):
             job = HollowJob(
                 shared | {"discovery": f"127.0.0.1:{ports[number]}"},
-                *(self.ground.gossip_addresses, operators, group, (), self.folder / "log"),
+                *(self.fleet.gossip_addresses, operators, group, (), self.folder / "log"),
             )
             for place in group:
                 self.members.append((place, job, HollowMember(place, job, self.counts)))
@@ -376,24 +376,24 @@
         return self
 
     async def until(self, true: Any) -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT):
             while not true():
                 await asyncio.sleep(0.01)
 
     async def __aexit__(self, *error: object) -> None:
         for _, _, member in self.members:
             member.close()
-        self.ground.close()
+        self.fleet.close()
         await asyncio.sleep(0)
         self.log.close()
 
 
 def test_hollow_members_take_changes_from_discovery_and_are_not_judged(tmp_path: Path) -> None:
     async def play() -> None:
-        async with Stand(tmp_path) as stand:
-            ground, counts = stand.ground, stand.counts
-            await stand.until(lambda: len(ground.discovery.waiting) == 3)  # all of them watch
-            assert not counts.in_force  # what they were started with is no change
+        async with HollowFleet(tmp_path) as stand:
+            ground, counts = stand.fleet, stand.counts
+            await stand.until(lambda: len(ground.discovery.waiting) == 3)  # all members watch the list
+            assert not counts.in_force  # the initial list is not a change
             ground.begin()
             entry = ground.layout.entries["std-1"]
             for status in ("terminating", "terminated"):
@@ -415,10 +415,10 @@
     tmp_path: Path,
 ) -> None:
     async def play() -> None:
-        async with Stand(tmp_path) as stand:
+        async with HollowFleet(tmp_path) as stand:
             counts = stand.counts
-            entry = replace(stand.ground.layout.entries["std-1"], status="terminated")
-            stand.ground.discovery.notice(0.0, entry)
+            entry = replace(stand.fleet.layout.entries["std-1"], status="terminated")
+            stand.fleet.discovery.notice(0.0, entry)
             await stand.until(lambda: len(counts.in_force) == 3)
             place, job, former = stand.members.pop(0)
             former.host.timers.call_later(3600.0, lambda _: None, None)
@@ -431,7 +431,7 @@
             await stand.until(lambda: len(counts.in_force) == 4)
             assert counts.in_force[-1].member == place.number
             assert "std-1" not in again.host.router.servers
-            # nothing of the former life acts: it would ask discovery, and listen, beside the new one
+            # nothing of the stopped member may act: it would call discovery and listen beside the new one
             assert armed is not None and armed.cancelled()
 
     asyncio.run(play())
@@ -439,7 +439,7 @@
 
 def test_hollow_members_gossip_with_all_others_by_the_real_code(tmp_path: Path) -> None:
     async def play() -> None:
-        async with Stand(tmp_path, peers={"interval": 0.1}, regions=2, zones=2, sites=2) as stand:
+        async with HollowFleet(tmp_path, peers={"interval": 0.1}, regions=2, zones=2, sites=2) as stand:
             agents = [m.speaker.agent for _, _, m in stand.members if m.speaker is not None]
             assert len(agents) == 3
             await stand.until(lambda: all(a.gossip.present(0.0).total() >= 3 for a in agents))
@@ -449,7 +449,7 @@
                 datagrams, size = member.sent_totals()
                 assert 0 < datagrams < size
             assert {a.part.zone for a in agents} == {"zone-0", "zone-1"}
-            assert all(len(a.part.members) == 4 for a in agents)  # the real router among them
+            assert all(len(a.part.members) == 4 for a in agents)  # the real router is one of them
 
     asyncio.run(play())
 
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -1,4 +1,4 @@
-"""What a slope's child does and tells, and how the commands carry runs out; no test judges a time."""
+"""Tests what a slope's child process does and reports, and how the commands run it. No test judges a time."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
     assert slopes.member_cost(30, 1, 4) > 0
     me, other = agents
     assert me.gossip.present(1010.0).total() == 30
-    assert 8 <= me.gossip.sent <= 16 and 8 <= other.gossip.sent <= 16  # about one a second
+    assert 8 <= me.gossip.sent <= 16 and 8 <= other.gossip.sent <= 16  # about one per second
     assert me.gossip.believes and not me.gossip.dropped
 
 
@@ -134,7 +134,7 @@
     package.mkdir()
     (package / "__init__.py").write_text("")
     (package / "interface.py").write_text("raise SystemExit('the other form')")
-    with pytest.raises(MeasureError, match="list.bytes at 105: ended with 1: the other form"):
+    with pytest.raises(MeasureError, match="list.bytes at 105: exited with 1: the other form"):
         measuring.measure_point("list.bytes", 105, str(tmp_path))
 
 
@@ -142,9 +142,9 @@
 @pytest.mark.parametrize(
     ("code", "named"),
     [
-        ("import sys; sys.exit('so it went')", "x: ended with 1: so it went"),
-        ("import os; os.kill(os.getpid(), 9)", "x: ended with -9"),
-        ("import threading; threading.Event().wait()", "x: not over after 0.5 s"),
+        ("import sys; sys.exit('so it went')", "x: exited with 1: so it went"),
+        ("import os; os.kill(os.getpid(), 9)", "x: exited with -9"),
+        ("import threading; threading.Event().wait()", "x: timed out after 0.5 s"),
     ],
 )
 def test_a_run_that_gives_no_figure_says_why(code: str, named: str) -> None:
@@ -159,15 +159,15 @@
         measuring.measure_point("list.bytes", 105, "")
 
 
-SHORT = SlopeSpec("what", "servers", "s", (1, 2, 3, 4, 5, 20), 3, lambda size, repeats: [1.0] * repeats)
+SHORT_SLOPE = SlopeSpec("what", "servers", "s", (1, 2, 3, 4, 5, 20), 3, lambda size, repeats: [1.0] * repeats)
 
 
-def small(monkeypatch: pytest.MonkeyPatch, forms: tuple[str, ...] = ("sources",) * 6) -> None:
-    """Slopes that take no time: their points are made up."""
-    monkeypatch.setitem(SPECS, "list.parse", SHORT)
+def patch_slopes(monkeypatch: pytest.MonkeyPatch, forms: tuple[str, ...] = ("sources",) * 6) -> None:
+    """Replace a slope by one whose points are made up, so that it takes no time."""
+    monkeypatch.setitem(SPECS, "list.parse", SHORT_SLOPE)
 
     def point(name: str, size: int, compiled: str) -> tuple[Any, Point]:
-        return forms[SHORT.sizes.index(size)], Point(size, (1.0 * size,) * 3, 0.002, 0.0)
+        return forms[SHORT_SLOPE.sizes.index(size)], Point(size, (1.0 * size,) * 3, 0.002, 0.0)
 
     monkeypatch.setattr(measuring, "measure_point", point)
 
@@ -175,7 +175,7 @@
 def test_the_command_keeps_what_the_file_has_of_other_names(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    small(monkeypatch)
+    patch_slopes(monkeypatch)
     monkeypatch.setattr(measuring, "SEEDS", 3)
     file = tmp_path / "x.json"
     for names in (("known", "--members", "4"), ("list.parse",), ("list.parse",)):
@@ -191,7 +191,7 @@
 
 
 def test_forms_are_not_mixed_in_a_slope(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    small(monkeypatch, ("sources",) * 5 + ("compiled",))
+    patch_slopes(monkeypatch, ("sources",) * 5 + ("compiled",))
     done = CliRunner().invoke(main, ["slopes", "list.parse", "--out", str(tmp_path / "x.json")])
     assert done.exit_code == 1 and "list.parse: some sizes ran compiled" in done.output
     assert capacity_results.read_file(tmp_path / "x.json").slopes == ()
