--- a/bench/address_move.py
+++ b/bench/address_move.py
@@ -160,7 +160,7 @@
 
 async def measure(kills: int, rate: float, folder: Path, picture: Path | None) -> dict[str, Any]:
     """Kill the holder some times, and return the figures."""
-    told: list[seen.Observation] = []
+    observations: list[seen.Observation] = []
 
     def observe(observation: seen.Observation) -> None:
         if isinstance(observation, seen.RouterUp | seen.RouterDown):
@@ -176,7 +176,7 @@
             | seen.UnexpectedBytes,
         ):
             observation = replace(observation, router=SERVICE)
-        told.append(observation)
+        observations.append(observation)
 
     fleet = Fleet(msgspec.convert(SCENARIO, Scenario), observe)
     await fleet.listen()
@@ -188,7 +188,7 @@
     seconds = kills * (PAUSE_SECONDS + 3.0 * LEASE + 2.0) + 30.0
     plan = profile(seconds, rate)
     generator = Generator(plan, plan_requests(plan), [service.switch.address], observe=observe)
-    told.append(seen.RouterUp(time.monotonic(), SERVICE))
+    observations.append(seen.RouterUp(time.monotonic(), SERVICE))
     load = asyncio.create_task(generator.run())
     moves, outages = [], []
     drawn: tuple[float, float, tuple[str, str]] | None = None
@@ -198,11 +198,11 @@
         began = time.monotonic()
         await service.routers[first].end(kill=True)
         service.switch.gone(first)
-        told.append(seen.RouterDown(began, SERVICE, True))
+        observations.append(seen.RouterDown(began, SERVICE, True))
         second = await service.wait_for_holder(first)
         moves.append(time.monotonic() - began)
-        outages.append(await first_served_after(told, began) - began)
-        told.append(seen.RouterUp(time.monotonic(), SERVICE))
+        outages.append(await first_served_after(observations, began) - began)
+        observations.append(seen.RouterUp(time.monotonic(), SERVICE))
         await service.start_router(first)
         await asyncio.sleep(LEASE + SETTLE)
         drawn = drawn or (began, began + moves[0], (first, second))
@@ -212,8 +212,8 @@
     service.switch.close()
     fleet.close()
     if picture is not None and drawn is not None:
-        draw(picture, told, *drawn)
-    return summarize(told, moves, outages, bound.election().longest_vacancy)
+        draw(picture, observations, *drawn)
+    return summarize(observations, moves, outages, bound.election().longest_vacancy)
 
 
 def summarize(
--- a/bench/duty_move.py
+++ b/bench/duty_move.py
@@ -21,7 +21,7 @@
 import numpy as np
 
 from myrtlecourse.audit import observations as seen
-from myrtlecourse.duties import messages as said
+from myrtlecourse.duties import messages as msg
 from myrtlecourse.duties.codec import DutyCodec, split
 from myrtlecourse.fleet.duty_logs import observed
 from myrtlecourse.fleet.routers import COMMAND
@@ -55,8 +55,8 @@
 def longest_vacancy(members: int) -> float:
     """Return the longest time without a holder that the settings allow if no message is lost."""
     names = tuple(f"router-{n}" for n in range(members))
-    duty = said.Duty("purge", good_for=GOOD_FOR)
-    return said.Settings(names[0], names, names[:3], (duty,), **DUTY_SETTINGS).longest_vacancy(duty)
+    duty = msg.Duty("purge", good_for=GOOD_FOR)
+    return msg.Settings(names[0], names, names[:3], (duty,), **DUTY_SETTINGS).longest_vacancy(duty)
 
 
 def scenario(members: int, how: str, times: int, rate: float) -> tuple[Scenario, Profile]:
@@ -152,7 +152,7 @@
     """Measure in virtual time, with clocks that drift. Raises an error when a rule is broken."""
     names = tuple(f"router-{n}" for n in range(members))
     simulation = DutySimulation(
-        names, seed, (said.Duty("purge", good_for=GOOD_FOR),), names[:3], **DUTY_SETTINGS
+        names, seed, (msg.Duty("purge", good_for=GOOD_FOR),), names[:3], **DUTY_SETTINGS
     )
     simulation.check_interval = max(1, members // 5)
     simulation.start()
@@ -184,7 +184,7 @@
 class CountingSimulation(DutySimulation):
     """Counts the datagrams that the messages take, and their bytes."""
 
-    def send(self, sender: str, to: str, items: tuple[said.Item, ...]) -> None:
+    def send(self, sender: str, to: str, items: tuple[msg.Item, ...]) -> None:
         wire = Wire(sender, self.names, b"k" * 16, 2**61, DutyCodec())
         wire.senders[to].start, wire.number = 2**61, 2**20
         for part in split(items, wire.room):
@@ -199,7 +199,7 @@
     names = tuple(f"router-{n}" for n in range(members))
     for orders in (False, True):
         for count in (1, 4, 16):
-            duties = tuple(said.Duty(f"d{i}", names[3:5], GOOD_FOR, orders=orders) for i in range(count))
+            duties = tuple(msg.Duty(f"d{i}", names[3:5], GOOD_FOR, orders=orders) for i in range(count))
             simulation = CountingSimulation(names, 1, duties, names[:3], **DUTY_SETTINGS)
             simulation.datagram_sizes = []
             simulation.check_interval = 1000
--- a/bench/large_fleet.py
+++ b/bench/large_fleet.py
@@ -42,9 +42,9 @@
         return super().handle(now, event)
 
 
-def scenario(routers: int, day: str) -> Scenario:
+def scenario(routers: int, case: str) -> Scenario:
     """Return the fleet with the faults of a case."""
-    if day == "zone lost":
+    if case == "zone lost":
         # servers alternate between the zones, so this is one zone; the servers return with empty caches
         faults: list[dict[str, Any]] = [
             {"what": "crash", "at": FAULT_AT, "box": f"std-{i}", "seconds": 7.0} for i in range(1, SERVERS, 2)
@@ -107,11 +107,11 @@
         tuning.FEW_ROUTERS, tuning.CHEAP_FAILURES = few, cheap
 
 
-def measure(routers: int, day: str, large: bool, seed: int) -> dict[str, float]:
+def measure(routers: int, case: str, large: bool, seed: int) -> dict[str, float]:
     """Play one case and return its figures."""
     CountingRouter.outcomes.clear()
     with decision_module(large):
-        result = World(scenario(routers, day), profile(), seed, CountingRouter).run()
+        result = World(scenario(routers, case), profile(), seed, CountingRouter).run()
     figures = result.figures()
     return {
         "in_time": figures["goodput"] / RATE,
@@ -129,14 +129,16 @@
     options = parser.parse_args()
     table = []
     print(f"{'day':12} {'routers':>7} {'module':>7} {'in time':>8} {'refused':>8} {'dials':>6} {'full':>6}")
-    for day in ("zone lost", "mass restart"):
+    for case in ("zone lost", "mass restart"):
         for routers in (2, 40):
             for large in (False, True):
-                results = [measure(routers, day, large, seed) for seed in range(1, options.seeds + 1)]
+                results = [measure(routers, case, large, seed) for seed in range(1, options.seeds + 1)]
                 mean = {name: fmean(p[name] for p in results) for name in results[0]}
-                table.append({"day": day, "routers": routers, "large": large, "seeds": results, "mean": mean})
+                table.append(
+                    {"day": case, "routers": routers, "large": large, "seeds": results, "mean": mean}
+                )
                 print(
-                    f"{day:12} {routers:7} {'now' if large else 'before':>7} {mean['in_time']:8.3f} "
+                    f"{case:12} {routers:7} {'now' if large else 'before':>7} {mean['in_time']:8.3f} "
                     f"{mean['refused']:8.0f} {mean['refused_dials']:6.0f} {mean['turned_away']:6.0f}",
                     flush=True,
                 )
--- a/bench/led_return.py
+++ b/bench/led_return.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from myrtlecourse.duties import messages as said
+from myrtlecourse.duties import messages as msg
 from myrtlecourse.duties.core import Duties
 from myrtlecourse.sim.routers import SimRouter
 from myrtlecourse.sim.world import World
@@ -36,35 +36,35 @@
         self.incarnation = router.life
         self.timer: Any = None
         names, clock = return_duty.names, return_duty.world.core
-        duty = said.Duty(DUTY, names[:LEADER_COUNT], good_for=1.0)
-        settings = said.Settings(router.name, names, names[:3], (duty,), **DUTY_SETTINGS)
+        duty = msg.Duty(DUTY, names[:LEADER_COUNT], good_for=1.0)
+        settings = msg.Settings(router.name, names, names[:3], (duty,), **DUTY_SETTINGS)
         seed = return_duty.chance.getrandbits(32)
         self.duties = Duties(settings, None, clock.now, seed, int(10 * clock.now))
-        self.post(said.AbilityReported(True))
+        self.post(msg.AbilityReported(True))
         self.check()
 
     @property
     def is_alive(self) -> bool:
         return self.router.up and self.router.life == self.incarnation
 
-    def post(self, event: said.Event) -> None:
+    def post(self, event: msg.Event) -> None:
         """Pass an event to the duty's core; a stalled router gets it when it continues."""
         if not self.is_alive or self.router.later(self.post, event):
             return
         world = self.return_duty.world
         for action in self.duties.handle(world.core.now, event):
-            if isinstance(action, said.Send):
+            if isinstance(action, msg.Send):
                 for pause in world.ways.fate((self.router.name, action.to)):
                     world.core.after(
                         pause, self.return_duty.deliver, self.router.name, action.to, action.items
                     )
-            elif isinstance(action, said.SetTimer):
+            elif isinstance(action, msg.SetTimer):
                 if self.timer is not None:
                     self.timer.cancel()
                 if action.at < math.inf:
                     # a minimum delay, as rounding could otherwise schedule the same moment without end
                     pause = max(MIN_DELAY, action.at - world.core.now)
-                    self.timer = world.core.after(pause, self.post, said.TimerFired())
+                    self.timer = world.core.after(pause, self.post, msg.TimerFired())
 
     def check(self) -> None:
         """Follow the order in force; the holder of the duty also orders the next step."""
@@ -81,7 +81,7 @@
         if self.duties.acting_token(now, DUTY) is not None:
             value = self.return_duty.next_order(zones, now)
             if value != self.duties.holdings[DUTY].value:
-                self.post(said.SetState(DUTY, value))
+                self.post(msg.SetState(DUTY, value))
 
 
 class ReturnDuty:
@@ -107,9 +107,9 @@
         router.start = started  # type: ignore[method-assign]
         self.router_duties[router.name] = RouterDuty(self, router)
 
-    def deliver(self, sender: str, to: str, items: tuple[said.Item, ...]) -> None:
+    def deliver(self, sender: str, to: str, items: tuple[msg.Item, ...]) -> None:
         """Deliver a datagram."""
-        self.router_duties[to].post(said.MessagesReceived(sender, items))
+        self.router_duties[to].post(msg.MessagesReceived(sender, items))
 
     def apply_share(self, zones: Zones, now: float, zone: int, share: int) -> None:
         """Apply the share that an order names."""
@@ -119,7 +119,7 @@
             order = Order.BACK if share > 0 else Order.IN
             zones._set(now, zone, Standing(standing.epoch + 1, order, standing.flaps, 0, share), "ordered")
 
-    def next_order(self, zones: Zones, now: float) -> said.Value:
+    def next_order(self, zones: Zones, now: float) -> msg.Value:
         """Return the next order: the usual rule's next step of each zone that is returning."""
         entries = []
         for (home, zone), register in zones.registers.items():
@@ -138,9 +138,9 @@
             for n in current
             if n >> SHARE_BITS not in zones_in_order and self._is_in(zones, n >> SHARE_BITS)
         ]
-        return tuple(sorted(entries))[: said.MAX_STATE_LENGTH]
+        return tuple(sorted(entries))[: msg.MAX_STATE_LENGTH]
 
-    def current_order(self) -> said.Value:
+    def current_order(self) -> msg.Value:
         """Return the current order."""
         holdings = [p.duties.holdings.get(DUTY) for p in self.router_duties.values()]
         return max(
--- a/bench/load_generator.py
+++ b/bench/load_generator.py
@@ -90,11 +90,11 @@
 def stall() -> dict[str, Any]:
     """Measure and print all three."""
     rows = {"expected": expected()}
-    for name, play in (("reported", open_loop), ("closed loop", closed_loop)):
+    for name, measure in (("reported", open_loop), ("closed loop", closed_loop)):
         freeze = {"what": "freeze", "at": FREEZE_AT, "box": "box-0", "seconds": FREEZE_SECONDS}
         with rig.run_fleet(rig.server_scenario(count=1, faults=[freeze]), TARGET_CORES) as fleet:
             fleet.begin()
-            rows[name] = asyncio.run(play(fleet.server_port()))
+            rows[name] = asyncio.run(measure(fleet.server_port()))
     print(f"{'ms':>12}" + "".join(f"{c:>10}" for c in rows["expected"]))
     for name, row in rows.items():
         print(f"{name:>12}" + "".join(f"{row[c]:10.1f}" for c in rows["expected"]))
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -54,8 +54,8 @@
 
 def measure(multiple: float, capacity: float, port: int, seconds: int, workers: int) -> dict[str, Any]:
     """Measure one multiple of the capacity."""
-    profile_ = profile(multiple * capacity, capacity, seconds)
-    _, record = run(Job(profile_, (("127.0.0.1", port),), workers), lambda *_: None)
+    load_profile = profile(multiple * capacity, capacity, seconds)
+    _, record = run(Job(load_profile, (("127.0.0.1", port),), workers), lambda *_: None)
     during = OutcomeStats()
     for second in range(UNCOUNTED_SECONDS, seconds):
         during.merge(record.seconds[second])
--- a/bench/spread_log.py
+++ b/bench/spread_log.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 from typing import Any
 
-from myrtlecourse.spread import messages as said
-from myrtlecourse.spread import replica_events as at
+from myrtlecourse.spread import messages as msg
+from myrtlecourse.spread import replica_events as events
 from myrtlecourse.spread.log_file import LogFile
 from myrtlecourse.spread.messages import Purge, Settings, Site
 from myrtlecourse.spread.replica import Replica
@@ -37,24 +37,24 @@
         self.acknowledged_at: dict[int, float] = {}
         self.syncs = self.message_count = 0
 
-    def post(self, name: str, event: at.ReplicaEvent) -> None:
+    def post(self, name: str, event: events.ReplicaEvent) -> None:
         pending = [(name, event)]
         while pending:
             name, event = pending.pop(0)
             for action in self.replicas[name].handle(time.monotonic(), event):
                 match action:
-                    case said.Send(to, words):
+                    case msg.Send(to, messages):
                         self.message_count += 1
-                        pending.append((to, said.Received(name, words)))
-                    case at.Store(number, records):
+                        pending.append((to, msg.Received(name, messages)))
+                    case events.Store(number, records):
                         self.syncs += 1
                         written = self.pool.submit(self.files[name].append, records)
                         self.stores.append((name, number, written))
-                    case at.Acknowledge(ticket, _):
+                    case events.Acknowledge(ticket, _):
                         self.acknowledged_at[ticket] = time.monotonic()
-                    case at.Refuse(ticket, reason):
+                    case events.Refuse(ticket, reason):
                         raise SystemExit(f"{ticket}: {reason}")
-                    case said.SetTimer(when):
+                    case msg.SetTimer(when):
                         self.wake_up_at[name] = when
 
     def step(self) -> None:
@@ -63,17 +63,17 @@
         for write in [s for s in self.stores if s[2].done()]:
             self.stores.remove(write)
             write[2].result()
-            self.post(write[0], at.Stored(write[1]))
+            self.post(write[0], events.Stored(write[1]))
         for name, when in self.wake_up_at.items():
             if when <= now:
-                self.post(name, said.TimerFired())
+                self.post(name, msg.TimerFired())
         time.sleep(0.0005)
 
 
 def measure(folder: Path, rate: float, seconds: float) -> dict[str, Any]:
     """Propose entries at a rate for some seconds."""
     nodes = ControlNodes(folder)
-    nodes.post(NAMES[0], at.LeadershipGained(1))
+    nodes.post(NAMES[0], events.LeadershipGained(1))
     while nodes.replicas[NAMES[0]].leader is None or not nodes.replicas[NAMES[0]].leader.is_open:
         nodes.step()
     began, cpu_before, proposed_at = time.monotonic(), time.process_time(), list[float]()
@@ -81,10 +81,12 @@
         now = time.monotonic()
         while len(proposed_at) < min(now - began, seconds) * rate:
             proposed_at.append(now)
-            nodes.post(NAMES[0], at.Propose(len(proposed_at), Purge(len(proposed_at).to_bytes(8, "big"))))
+            nodes.post(NAMES[0], events.Propose(len(proposed_at), Purge(len(proposed_at).to_bytes(8, "big"))))
         nodes.step()
     took, cpu_before = time.monotonic() - began, time.process_time() - cpu_before
-    latencies = sorted(nodes.acknowledged_at[ticket] - time_ for ticket, time_ in enumerate(proposed_at, 1))
+    latencies = sorted(
+        nodes.acknowledged_at[ticket] - proposed for ticket, proposed in enumerate(proposed_at, 1)
+    )
     nodes.pool.shutdown()
     return {
         "asked_per_s": rate,
--- a/bench/spread_plain.py
+++ b/bench/spread_plain.py
@@ -18,7 +18,7 @@
 from myrtlecourse.peers.wire import HEAD
 from myrtlecourse.sim.core import Core
 from myrtlecourse.sim.places import Network, Place, laid_out
-from myrtlecourse.spread import messages as said
+from myrtlecourse.spread import messages as msg
 
 REGIONS, SITES, ROUTERS, PARTS, CONTROL = 43, 650, 16_000, 6_700, 20
 SEND_INTERVAL = 0.1  # seconds between two sends of the holder, as `pause` has it
@@ -41,7 +41,7 @@
 class Unicast:
     """The first alternative: the holder sends new entries to each member, and retransmits them."""
 
-    def __init__(self, sites: tuple[said.Site, ...], seed: int, loss: float, budget: float) -> None:
+    def __init__(self, sites: tuple[msg.Site, ...], seed: int, loss: float, budget: float) -> None:
         """`budget` is the bytes per second that the holder may send."""
         self.core = Core(seed)
         regions = sorted({s.region for s in sites})
@@ -81,8 +81,8 @@
             self.sent[member], self.progress_at[member] = self.acknowledged[member], now
         while self.sent[member] < last and self.credit >= LONGEST:
             first = self.sent[member] + 1
-            count = min(last + 1 - first, (self.max_payload - 20) // said.KEY_BYTES)
-            size = LONGEST - self.max_payload + 20 + said.KEY_BYTES * count
+            count = min(last + 1 - first, (self.max_payload - 20) // msg.KEY_BYTES)
+            size = LONGEST - self.max_payload + 20 + msg.KEY_BYTES * count
             self.credit -= size
             self.bytes += size
             self.datagrams += 1
--- a/bench/spread_scale.py
+++ b/bench/spread_scale.py
@@ -36,7 +36,7 @@
 from myrtlecourse.peers.gossip import MOST_MEMBERS
 from myrtlecourse.sim.places import laid_out
 from myrtlecourse.sim.spread import Member, World
-from myrtlecourse.spread import messages as said
+from myrtlecourse.spread import messages as msg
 
 PURGE_RATE, CHANGE_RATE = 100.0, 0.72  # per second
 DRAIN_SECONDS = 4.0  # seconds without load at the end
@@ -44,7 +44,7 @@
 Fault = Callable[["SpreadRun", NDArray[Any]], list[Member]]
 
 
-def scaled_sites(scale: float) -> tuple[said.Site, ...]:
+def scaled_sites(scale: float) -> tuple[msg.Site, ...]:
     """Return a share of the fleet, with regions of full size as far as possible."""
     sites = max(4, round(SITES * scale))
     return laid_out(max(2, round(REGIONS * scale)), sites, round(ROUTERS * scale), round(PARTS * scale))
@@ -66,7 +66,7 @@
         control = max(3, round(CONTROL * min(1.0, 2 * scale)))
         if large_last:
             whole = [s for s in scaled_sites(1.0) if s.region == "r00"]
-            layout += tuple(said.Site(f"z{s.name}", "z", s.routers, s.parts) for s in whole)
+            layout += tuple(msg.Site(f"z{s.name}", "z", s.routers, s.parts) for s in whole)
         self.world = World(layout, control, seed, entries, pause=pause)
         self.world.network.loss = loss
         self.began_at = time.perf_counter()
@@ -89,7 +89,7 @@
         judge = self.world.judge
         figures: Figures = {}
         within = (judge.proposed >= since) & (judge.proposed < until)
-        kinds = np.array([isinstance(e, said.Change) for e in judge.log])
+        kinds = np.array([isinstance(e, msg.Change) for e in judge.log])
         for name, kind in (("purge", False), ("change", True)):
             numbers = np.flatnonzero(within[: len(kinds)] & (kinds == kind))
             if not len(numbers):
@@ -124,14 +124,14 @@
         figures: Figures = {}
         for what, at in (("bytes", 0), ("datagrams", 1)):
             sums = np.array([second[at] for second in self.world.seconds[first : last + 1]])
-            each = np.diff(sums, axis=0)
-            for name, those in (
+            rates = np.diff(sums, axis=0)
+            for name, selected in (
                 ("holder", np.arange(len(tiers)) == self.world.members[self.world.holder].index),
                 *((f"tier{t}", tiers == t) for t in range(4)),
             ):
-                if those.any():
-                    figures[f"{name}.{what}.mean"] = (float(each[:, those].mean()), f"{what}/s")
-                    figures[f"{name}.{what}.most"] = (float(each[:, those].max()), f"{what}/s")
+                if selected.any():
+                    figures[f"{name}.{what}.mean"] = (float(rates[:, selected].mean()), f"{what}/s")
+                    figures[f"{name}.{what}.most"] = (float(rates[:, selected].max()), f"{what}/s")
         return figures
 
     def recovery_times(self, members: list[Member], within: float) -> Figures:
@@ -168,13 +168,13 @@
 def final_checks(run: SpreadRun) -> Figures:
     """Check that all members agree at the end, and return the totals of the run."""
     world = run.world
-    settled = world.settle(60.0)
-    if settled is not None:
+    agreed_after = world.settle(60.0)
+    if agreed_after is not None:
         world.check_same()
     took = time.perf_counter() - run.began_at
     return {
         "joined": (math.inf if run.joined is None else 3.0 + run.joined, "s"),
-        "all_same_after": (math.inf if settled is None else settled, "s"),
+        "all_same_after": (math.inf if agreed_after is None else agreed_after, "s"),
         "members": (float(len(world.each)), "members"),
         "entries": (float(len(world.judge.log) - 1), "entries"),
         "refused": (float(world.refused), "entries"),
--- a/bench/spread_sockets.py
+++ b/bench/spread_sockets.py
@@ -48,10 +48,10 @@
         assert self.process.stdout is not None
         return self.process.stdout.readline()
 
-    def command(self, *words: str) -> Any:
+    def command(self, *arguments: str) -> Any:
         """Send a command and return its answer."""
         assert self.process.stdin is not None
-        self.process.stdin.write(" ".join(words) + "\n")
+        self.process.stdin.write(" ".join(arguments) + "\n")
         self.process.stdin.flush()
         return json.loads(self.read_line())
 
--- a/myrtlecourse/scale/measuring.py
+++ b/myrtlecourse/scale/measuring.py
@@ -62,7 +62,7 @@
     """What a child process writes to standard output."""
 
     form: Form
-    calibration_s: float
+    calibration: float
     values: tuple[float, ...]
 
 
@@ -98,7 +98,7 @@
         report = msgspec.json.decode(output, type=ChildReport)
     except msgspec.DecodeError as e:
         raise MeasureError(f"{name} at {size}: {e}") from e
-    return report.form, Point(size, report.values, report.calibration_s, round(others, 3))
+    return report.form, Point(size, report.values, report.calibration, round(others, 3))
 
 
 def measure_slope(name: str, compiled: str, progress: Callable[[str], None]) -> Slope:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -46,12 +46,12 @@
 
 def test_the_command_writes_page_and_picture(tmp_path: Path) -> None:
     (tmp_path / "capacity").mkdir()
-    told = Results(1, 8, (make_slope("list.stop"),), (make_measure("change.whole.plain", 1.25),))
-    capacity_results.write_file(tmp_path / "capacity/a.json", told)
+    results = Results(1, 8, (make_slope("list.stop"),), (make_measure("change.whole.plain", 1.25),))
+    capacity_results.write_file(tmp_path / "capacity/a.json", results)
     done = CliRunner().invoke(main, ["page", "--docs", str(tmp_path)])
     assert done.exit_code == 0, done.output
     text = (tmp_path / "CAPACITY.md").read_text()
-    assert text == render_page(told) and "1.25 s (1.12 s to 1.38 s)" in text
+    assert text == render_page(results) and "1.25 s (1.12 s to 1.38 s)" in text
     assert (tmp_path / "capacity/slopes.png").read_bytes().startswith(b"\x89PNG")
 
 
@@ -69,10 +69,10 @@
 
 
 def test_what_does_not_fit_comes_first_and_the_worst_before_the_others() -> None:
-    told = Results(
+    results = Results(
         1, 8, (make_slope("list.stop", 1e-4), make_slope("list.change", 1e-5), make_slope("list.memory", 1.0))
     )
-    text = render_page(told)
+    text = render_page(results)
     first = text.index("## What does not fit")
     assert first < text.index("## By role")
     part = text[first : text.index("## By role")]
@@ -104,17 +104,17 @@
         make_measure(f"spread.router.{n}", v, u)
         for n, v, u in zip(names, (0.01, 9e7, 2e4, 1e4), ("core", "B", "B/s", "B/s"), strict=True)
     )
-    told = {
+    rows = {
         r.item: r
         for r in role_costs.spread_rows(Estimates(Results(1, 8, (), tuple(values))))
         if r.role == role_costs.ROUTER_ROLE
     }
-    assert told["processor, measured"].budget_ratio == pytest.approx(0.01 / 0.046)
-    assert told["memory, measured"].budget_ratio == pytest.approx(90 / 64)
-    assert told["bytes in and out, measured"].budget_ratio == pytest.approx(30 / 27)
+    assert rows["processor, measured"].budget_ratio == pytest.approx(0.01 / 0.046)
+    assert rows["memory, measured"].budget_ratio == pytest.approx(90 / 64)
+    assert rows["bytes in and out, measured"].budget_ratio == pytest.approx(30 / 27)
     assert (
-        told["messages in, measured"].estimate is None
-        and told["messages in, measured"].state == role_costs.DISABLED
+        rows["messages in, measured"].estimate is None
+        and rows["messages in, measured"].state == role_costs.DISABLED
     )
     assert {r.state for r in role_costs.spread_rows(Estimates(EMPTY))} == {
         role_costs.DISABLED
@@ -122,8 +122,8 @@
 
 
 def test_a_sum_with_a_part_that_was_not_measured_is_not_measured() -> None:
-    book = Estimates(Results(1, 8, (make_slope("seal.open"),)))
-    costs = [r.estimate for r in role_costs.relay_rows(book) if r.item == "opening and sealing them"]
+    estimates = Estimates(Results(1, 8, (make_slope("seal.open"),)))
+    costs = [r.estimate for r in role_costs.relay_rows(estimates) if r.item == "opening and sealing them"]
     assert costs[0] is not None and costs[1:] == [None] * 4
     assert costs[0].value == pytest.approx(1e-5 * (100 + 62_000 / 86_400))
     one = (make_measure("spread.router.bytes_in", 1.0, "B/s"),)
@@ -152,19 +152,19 @@
 
 
 def test_a_figure_is_as_measured_where_it_was_and_foretold_elsewhere() -> None:
-    book = Estimates(Results(1, 8, (make_slope("list.stop", last=2.0),)))
-    seen, told = book.at_size("list.stop", 6700), book.at_size("list.stop", 20_000)
-    assert seen is not None and told is not None
-    assert seen.value == pytest.approx(0.134) and seen.law_holds and "foretold" not in seen.source
-    assert not told.law_holds and "foretold" in told.source
-    assert book.at_size("list.take", 6700) is None and book.measure("none") is None
+    estimates = Estimates(Results(1, 8, (make_slope("list.stop", last=2.0),)))
+    measured, predicted = estimates.at_size("list.stop", 6700), estimates.at_size("list.stop", 20_000)
+    assert measured is not None and predicted is not None
+    assert measured.value == pytest.approx(0.134) and measured.law_holds and "foretold" not in measured.source
+    assert not predicted.law_holds and "foretold" in predicted.source
+    assert estimates.at_size("list.take", 6700) is None and estimates.measure("none") is None
 
 
 def test_a_figure_is_marked_by_the_run_at_its_own_size() -> None:
     even = make_slope("list.stop")
     points = tuple(msgspec.structs.replace(p, others=0.3 if p.size == 156 else 0.0) for p in even.points)
-    book = Estimates(Results(1, 8, (msgspec.structs.replace(even, points=points),)))
-    marks = {n: f.exclusive for n in (156, 6700, 20_000) if (f := book.at_size("list.stop", n))}
+    estimates = Estimates(Results(1, 8, (msgspec.structs.replace(even, points=points),)))
+    marks = {n: f.exclusive for n in (156, 6700, 20_000) if (f := estimates.at_size("list.stop", n))}
     assert marks == {156: False, 6700: True, 20_000: False}
 
 
@@ -176,12 +176,12 @@
     value: float, low: float, high: float, factor: float
 ) -> None:
     one = Estimate(value, value * low, value * high, "s", "a")
-    for found in (
+    for estimate in (
         one.multiplied(factor, "2 x {}"),
         one.added(one),
         one.inverted("1 / {}", "1/s", lambda v: 1 / v),
     ):
-        assert found.low <= found.value <= found.high and "a" in found.source
+        assert estimate.low <= estimate.value <= estimate.high and "a" in estimate.source
     assert one.multiplied(factor, "{}").value == pytest.approx(value * factor)
     assert one.added(one).value == pytest.approx(2 * value)
 
@@ -191,8 +191,8 @@
         calculated(1.0, "s", "a"),
         Estimate(1.0, 1.0, 1.0, "s", "b", law_holds=False, exclusive=False),
     )
-    for found in (sure.added(doubtful), doubtful.added(sure), doubtful.multiplied(2.0, "2 x {}")):
-        assert "does not hold" in found.annotated_source and "shared machine" in found.annotated_source
+    for estimate in (sure.added(doubtful), doubtful.added(sure), doubtful.multiplied(2.0, "2 x {}")):
+        assert "does not hold" in estimate.annotated_source and "shared machine" in estimate.annotated_source
     assert sure.annotated_source == "a"
 
 
@@ -232,13 +232,13 @@
 
 def with_field(path: str, value: Any) -> dict[str, Any]:
     """Return the valid file with one field changed; `path` leads to the field."""
-    told = msgspec.json.decode(msgspec.json.encode(GOOD))
-    at, *steps = told, *path.split(".")
+    changed = msgspec.json.decode(msgspec.json.encode(GOOD))
+    container, *steps = changed, *path.split(".")
     for step in steps[:-1]:
-        at = at[int(step)] if step.isdigit() else at[step]
+        container = container[int(step)] if step.isdigit() else container[step]
     last = steps[-1]
-    at[int(last) if last.isdigit() else last] = value
-    return dict(told)
+    container[int(last) if last.isdigit() else last] = value
+    return dict(changed)
 
 
 BAD = [
@@ -312,17 +312,17 @@
 
 
 def test_results_come_back_as_they_were_written(tmp_path: Path) -> None:
-    told = Results(1, 8, (make_slope("list.stop"),), (make_measure("a.b", 1.0),))
-    capacity_results.write_file(tmp_path / "x.json", told)
-    assert capacity_results.read_file(tmp_path / "x.json") == told
+    results = Results(1, 8, (make_slope("list.stop"),), (make_measure("a.b", 1.0),))
+    capacity_results.write_file(tmp_path / "x.json", results)
+    assert capacity_results.read_file(tmp_path / "x.json") == results
 
 
 def test_new_results_replace_those_of_their_name_alone() -> None:
     old = Results(1, 4, (make_slope("list.stop"), make_slope("list.take")), (make_measure("a.b", 1.0),))
     new = Results(1, 8, (make_slope("list.take", 2.0),), (make_measure("c", 3.0),))
-    found = capacity_results.merge_results(old, new)
-    assert found.slopes == (old.slopes[0], new.slopes[0]) and found.cores == 8
-    assert [m.name for m in found.measures] == ["a.b", "c"] and capacity_results.merge_results(
+    merged = capacity_results.merge_results(old, new)
+    assert merged.slopes == (old.slopes[0], new.slopes[0]) and merged.cores == 8
+    assert [m.name for m in merged.measures] == ["a.b", "c"] and capacity_results.merge_results(
         None, new
     ) == new
 
--- a/tests/test_scale_fit.py
+++ b/tests/test_scale_fit.py
@@ -37,18 +37,18 @@
 
 def make_repeats(law: Law, noise: float, seed: int, sizes: tuple[int, ...] = SIZES) -> dict[int, list[float]]:
     """Return repeats that follow a law, each increased by up to a share of it, as noise only adds time."""
-    chance = random.Random(seed)
-    return {n: [law.at(n) * chance.uniform(1.0, 1.0 + noise) for _ in range(9)] for n in sizes}
+    rng = random.Random(seed)
+    return {n: [law.at(n) * rng.uniform(1.0, 1.0 + noise) for _ in range(9)] for n in sizes}
 
 
 @pytest.mark.parametrize("law", LAWS, ids=lambda law: law.name)
 @pytest.mark.parametrize("noise", [0.0, 0.02])
 def test_a_known_law_is_found_again_and_foretells(law: Law, noise: float) -> None:
     for seed in range(5):
-        found, tried = check(make_repeats(law, noise, seed))
-        assert tried.size == 6400 and tried.holds
-        assert tried.predicted.low <= law.at(6400) <= tried.predicted.high
-        assert found.law.name == law.name
+        fitted, validation = check(make_repeats(law, noise, seed))
+        assert validation.size == 6400 and validation.holds
+        assert validation.predicted.low <= law.at(6400) <= validation.predicted.high
+        assert fitted.law.name == law.name
 
 
 def test_a_repeat_that_others_disturbed_changes_nothing() -> None:
@@ -59,8 +59,8 @@
 
 def test_a_size_is_left_out_of_the_fit_that_foretells_it() -> None:
     repeats = make_repeats(LAWS[2], 0.0, 1)
-    found = fit(repeats | {400: [1.2 * v for v in repeats[400]]})
-    assert found.law.name == "n" and found.worst_error == pytest.approx(1 - 1 / 1.2)
+    fitted = fit(repeats | {400: [1.2 * v for v in repeats[400]]})
+    assert fitted.law.name == "n" and fitted.worst_error == pytest.approx(1 - 1 / 1.2)
 
 
 def test_the_largest_size_is_not_seen_by_the_fit_that_foretells_it() -> None:
@@ -91,10 +91,10 @@
 
 
 def test_noise_that_hides_the_law_does_not_count() -> None:
-    chance = random.Random(4)
+    rng = random.Random(4)
     verdicts = []
     for _ in range(10):
-        repeats = {n: [n * chance.lognormvariate(0, 2.0) for _ in range(3)] for n in SIZES}
+        repeats = {n: [n * rng.lognormvariate(0, 2.0) for _ in range(3)] for n in SIZES}
         verdicts.append(check(repeats)[1].holds)
     assert sum(verdicts) <= 2
 
@@ -107,15 +107,15 @@
 def test_whatever_was_measured_a_fit_never_falls_and_lies_in_its_interval(
     repeats: dict[int, list[float]], at: int
 ) -> None:
-    found = fit(repeats)
-    assert found.law.base >= 0 and found.law.slope >= 0 and found.law.name in SHAPES
-    assert found.held_out <= found.worst_error
-    told = found.predict(at)
-    assert 0 <= told.low <= told.value <= told.high
+    fitted = fit(repeats)
+    assert fitted.law.base >= 0 and fitted.law.slope >= 0 and fitted.law.name in SHAPES
+    assert fitted.held_out <= fitted.worst_error
+    predicted = fitted.predict(at)
+    assert 0 <= predicted.low <= predicted.value <= predicted.high
     # at least as wide as the law's largest error at a held-out size
-    assert told.low <= told.value * max(0.0, 1 - found.worst_error) + 1e-12
-    assert told.high >= told.value * (1 + found.worst_error) * (1 - 1e-12)
-    assert found.law.at(2 * at) >= found.law.at(at)
+    assert predicted.low <= predicted.value * max(0.0, 1 - fitted.worst_error) + 1e-12
+    assert predicted.high >= predicted.value * (1 + fitted.worst_error) * (1 - 1e-12)
+    assert fitted.law.at(2 * at) >= fitted.law.at(at)
 
 
 @settings(max_examples=40)
@@ -158,21 +158,21 @@
 
 @given(st.lists(st.floats(0.1, 100), min_size=1, max_size=20))
 def test_a_middle_lies_among_its_values(values: list[float]) -> None:
-    found = median_interval(values)
-    assert min(values) <= found.low <= found.value <= found.high <= max(values)
+    interval = median_interval(values)
+    assert min(values) <= interval.low <= interval.value <= interval.high <= max(values)
 
 
 def test_the_interval_is_narrower_with_more_repeats() -> None:
-    chance = random.Random(5)
-    values = [chance.uniform(1, 2) for _ in range(400)]
+    rng = random.Random(5)
+    values = [rng.uniform(1, 2) for _ in range(400)]
     few, many = median_interval(values[:8]), median_interval(values)
     assert many.high - many.low < few.high - few.low
 
 
 def test_a_fit_is_the_same_each_time() -> None:
     repeats = make_repeats(LAWS[3], 0.05, 6)
-    found: list[Fit] = [fit(repeats), fit(dict(reversed(repeats.items())))]
-    assert found[0].law == found[1].law
+    fits: list[Fit] = [fit(repeats), fit(dict(reversed(repeats.items())))]
+    assert fits[0].law == fits[1].law
     assert fit(repeats).predict(10**5) == fit(repeats).predict(10**5)
 
 
--- a/tests/test_scale_processes.py
+++ b/tests/test_scale_processes.py
@@ -73,9 +73,9 @@
 class RunProcess:
     """A run in a subprocess, with its descendants."""
 
-    def __init__(self, *words: str) -> None:
+    def __init__(self, *arguments: str) -> None:
         self.process = subprocess.Popen(
-            [sys.executable, *words], stdout=subprocess.DEVNULL, stderr=subprocess.PIPE, text=True
+            [sys.executable, *arguments], stdout=subprocess.DEVNULL, stderr=subprocess.PIPE, text=True
         )
         self.lines: list[str] = []
         self.timer = threading.Timer(TIMEOUT, self.process.kill)
@@ -110,8 +110,8 @@
 def start_time_of(pid: int) -> str:
     """Return a process's start time, which tells it from a later process with its id; empty if none."""
     with suppress(OSError):
-        words = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-        return words[19]
+        fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+        return fields[19]
     return ""
 
 
@@ -193,8 +193,8 @@
     code, lines = started.end()
     assert code == 1
     # all other lines show progress
-    [told] = [line for line in lines if not line.startswith(("running: ", "ending: "))]
-    assert told.startswith(f"myrtlecourse scale: {name}") and "died (exit -9) while running" in told
+    [error] = [line for line in lines if not line.startswith(("running: ", "ending: "))]
+    assert error.startswith(f"myrtlecourse scale: {name}") and "died (exit -9) while running" in error
     assert not started.surviving()
 
 
@@ -211,9 +211,9 @@
     started.read_until("running: ")
     started.process.kill()
     started.process.wait()
-    until = time.monotonic() + TIMEOUT
+    deadline = time.monotonic() + TIMEOUT
     while started.surviving():
-        assert time.monotonic() < until, f"still there: {started.surviving()}"
+        assert time.monotonic() < deadline, f"still there: {started.surviving()}"
         time.sleep(0.05)
 
 
@@ -225,8 +225,8 @@
         run.read_until("running")
         code, lines = run.end()
         assert code == 1
-        [told] = [line for line in lines if line != "running"]
-        assert told.startswith("memory: the run has taken") and "the limit is" in told
+        [error] = [line for line in lines if line != "running"]
+        assert error.startswith("memory: the run has taken") and "the limit is" in error
         assert not run.surviving()
     finally:
         close(run)
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -70,16 +70,16 @@
 
 @pytest.mark.parametrize(("text", "place", "bounds"), BAD)
 def test_a_bad_scenario_is_one_line_and_starts_nothing(
-    text: str, place: str, bounds: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    text: str, location: str, bounds: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(subprocess, "Popen", _refuse)
     path = write_scenario(tmp_path, text)
     for more in ([], ["--plan"]):
-        told = CliRunner().invoke(scale, ["run", str(path), *more])
-        assert told.exit_code == 2
-        assert told.stdout == ""
-        assert len(told.stderr.strip().splitlines()) == 1
-        assert str(path) in told.stderr and place in told.stderr and bounds in told.stderr
+        result = CliRunner().invoke(scale, ["run", str(path), *more])
+        assert result.exit_code == 2
+        assert result.stdout == ""
+        assert len(result.stderr.strip().splitlines()) == 1
+        assert str(path) in result.stderr and location in result.stderr and bounds in result.stderr
 
 
 def _refuse(*_: Any, **__: Any) -> None:
@@ -98,12 +98,12 @@
         ["--json", str(tmp_path)],
         ["--folder", str(file / "below")],
     ):
-        told = CliRunner().invoke(scale, ["run", str(path), "--quiet", *options])
-        assert told.exit_code == 2, told.output
-        assert told.stderr.count("\n") == 1 and options[1] in told.stderr
+        result = CliRunner().invoke(scale, ["run", str(path), "--quiet", *options])
+        assert result.exit_code == 2, result.output
+        assert result.stderr.count("\n") == 1 and options[1] in result.stderr
     assert not list(tmp_path.glob("*.json"))
-    told = CliRunner().invoke(scale, ["run", str(tmp_path / "absent.toml")])
-    assert told.exit_code == 2 and "absent.toml" in told.stderr
+    result = CliRunner().invoke(scale, ["run", str(tmp_path / "absent.toml")])
+    assert result.exit_code == 2 and "absent.toml" in result.stderr
 
 
 def test_looking_whether_results_can_be_written_leaves_no_file_and_harms_none(tmp_path: Path) -> None:
@@ -119,41 +119,41 @@
 ) -> None:
     monkeypatch.setattr(subprocess, "Popen", _refuse)
     path = write_scenario(tmp_path, "hollow = 250\nper_process = 100\nrouters = 2\n[peers]")
-    told = CliRunner().invoke(scale, ["run", str(path), "--plan"])
-    assert told.exit_code == 0, told.output
-    made = make_plan(read_scenario(path))
-    assert f"{made.processes} processes (limit {MAX_PROCESSES})" in told.stdout
-    assert f"{made.memory / MB:,.0f} MB expected" in told.stdout
+    result = CliRunner().invoke(scale, ["run", str(path), "--plan"])
+    assert result.exit_code == 0, result.output
+    run_plan = make_plan(read_scenario(path))
+    assert f"{run_plan.processes} processes (limit {MAX_PROCESSES})" in result.stdout
+    assert f"{run_plan.memory / MB:,.0f} MB expected" in result.stdout
 
 
 def test_what_takes_too_much_is_not_begun(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(subprocess, "Popen", _refuse)
     path = write_scenario(tmp_path, "hollow = 20000")
     for more in ([], ["--plan"]):
-        told = CliRunner().invoke(scale, ["run", str(path), "--memory-mb", "1000", *more])
-        assert told.exit_code == 2
-        assert "memory: the run would take" in told.stderr and "the limit is 1,000 MB" in told.stderr
-        assert told.stderr.count("\n") == 1
+        result = CliRunner().invoke(scale, ["run", str(path), "--memory-mb", "1000", *more])
+        assert result.exit_code == 2
+        assert "memory: the run would take" in result.stderr and "the limit is 1,000 MB" in result.stderr
+        assert result.stderr.count("\n") == 1
 
 
 def test_no_more_than_the_most_processes_are_begun() -> None:
-    guard = ResourceLimits(10**15)
+    limits = ResourceLimits(10**15)
     others = make_plan(Scenario(hollow=1)).processes - 1
-    make_plan(Scenario(hollow=MAX_PROCESSES - others, per_process=1)).check_limits(guard)
+    make_plan(Scenario(hollow=MAX_PROCESSES - others, per_process=1)).check_limits(limits)
     with pytest.raises(ResourceLimitError, match=f"processes: the run would take {MAX_PROCESSES + 1}"):
-        make_plan(Scenario(hollow=MAX_PROCESSES - others + 1, per_process=1)).check_limits(guard)
+        make_plan(Scenario(hollow=MAX_PROCESSES - others + 1, per_process=1)).check_limits(limits)
 
 
 def test_sockets_are_bounded_by_what_a_process_may_open(monkeypatch: pytest.MonkeyPatch) -> None:
-    made = make_plan(Scenario(hollow=300, per_process=300))
-    guard = ResourceLimits(10**12)
-    made.check_limits(guard)
-    most = max(part.sockets for part in made.groups)
-    monkeypatch.setattr(resource, "getrlimit", lambda _: (most, most))
-    made.check_limits(guard)
-    monkeypatch.setattr(resource, "getrlimit", lambda _: (most - 1, most - 1))
-    with pytest.raises(ResourceLimitError, match=f"sockets: .* {most}, and the limit is {most - 1}"):
-        made.check_limits(guard)
+    run_plan = make_plan(Scenario(hollow=300, per_process=300))
+    limits = ResourceLimits(10**12)
+    run_plan.check_limits(limits)
+    largest = max(part.sockets for part in run_plan.groups)
+    monkeypatch.setattr(resource, "getrlimit", lambda _: (largest, largest))
+    run_plan.check_limits(limits)
+    monkeypatch.setattr(resource, "getrlimit", lambda _: (largest - 1, largest - 1))
+    with pytest.raises(ResourceLimitError, match=f"sockets: .* {largest}, and the limit is {largest - 1}"):
+        run_plan.check_limits(limits)
 
 
 @st.composite
@@ -187,23 +187,23 @@
 
 @given(scenarios(), st.floats(0.01, 1.0))
 def test_restarts_take_their_share_of_the_hollow_members(scenario: Scenario, share: float) -> None:
-    told = msgspec.structs.replace(
+    changed = msgspec.structs.replace(
         scenario, faults=msgspec.convert(({"what": "restart", "at": 1, "share": share},), type=FAULTS)
     )
-    [(at, numbers)] = told.restarts()
+    [(at, numbers)] = changed.restarts()
     assert at == 1.0 and len(numbers) == max(1, round(scenario.hollow * share))
     assert all(scenario.routers <= number < scenario.members for number in numbers)
-    assert told.restarts() == [(at, numbers)]
+    assert changed.restarts() == [(at, numbers)]
 
 
 FAULTS = next(f.type for f in msgspec.structs.fields(Scenario) if f.name == "faults")
 
 
 def test_real_routers_are_told_of_the_whole_fleet_and_its_regions() -> None:
-    told = Scenario(regions=2, zones=5, sites=9, hollow=7, peers=msgspec.convert({}, PEERS)).fleet_scenario()
-    assert told.zones == ("zone-0", "zone-1", "zone-2", "zone-3", "zone-4")
-    assert told.peers is not None
-    assert told.peers.regions == {
+    fleet = Scenario(regions=2, zones=5, sites=9, hollow=7, peers=msgspec.convert({}, PEERS)).fleet_scenario()
+    assert fleet.zones == ("zone-0", "zone-1", "zone-2", "zone-3", "zone-4")
+    assert fleet.peers is not None
+    assert fleet.peers.regions == {
         "region-0": ("zone-0", "zone-2", "zone-4"),
         "region-1": ("zone-1", "zone-3"),
     }
@@ -213,10 +213,10 @@
 def test_a_zone_is_missed_by_chance_hardly_ever_before_the_auditor_blames_a_router() -> None:
     boxes = msgspec.convert({"kinds": [{"name": "std", "boxes": 60}]}, Scenario).kinds
     for zones in (1, 2, 12, 60, 138):
-        told = Scenario(zones=zones, sites=zones, regions=min(zones, 43), kinds=boxes).fleet_scenario()
-        sends, there = told.rules.zone_sends, min(zones, 60)
+        fleet = Scenario(zones=zones, sites=zones, regions=min(zones, 43), kinds=boxes).fleet_scenario()
+        sends, used_zones = fleet.rules.zone_sends, min(zones, 60)
         assert sends >= 60.0
-        assert there == 1 or there * (1 - 1 / there) ** sends <= 1e-9
+        assert used_zones == 1 or used_zones * (1 - 1 / used_zones) ** sends <= 1e-9
 
 
 PEERS = next(f.type for f in msgspec.structs.fields(Scenario) if f.name == "peers")
@@ -231,12 +231,12 @@
 
 
 def test_a_guard_allows_its_bounds_and_no_more() -> None:
-    guard = ResourceLimits(memory=10 * MB, processes=3)
-    guard.require(10 * MB, 3, "it would take")
+    limits = ResourceLimits(memory=10 * MB, processes=3)
+    limits.require(10 * MB, 3, "it would take")
     with pytest.raises(ResourceLimitError, match="memory: it would take 11 MB, and the limit is 10 MB"):
-        guard.require(11 * MB, 3, "it would take")
+        limits.require(11 * MB, 3, "it would take")
     with pytest.raises(ResourceLimitError, match="processes: it would take 4, and the limit is 3"):
-        guard.require(10 * MB, 4, "it would take")
+        limits.require(10 * MB, 4, "it would take")
     half = machine_memory() // 2
     assert ResourceLimits.of_machine().memory == ResourceLimits.of_machine(10 * half).memory == half
     assert ResourceLimits.of_machine(MB).memory == MB
@@ -304,15 +304,15 @@
         InForceRecord(9.5, 3, "a", "in_service", 7),
         InForceRecord(4.0, 4, "a", "terminated", 5),  # of a process that was killed
     ]
-    told = in_force_times(changes, records, {1, 2, 3})
-    assert told == InForceTimes(3, 3, reached=7, missing=2, p50_s=2.0, p99_s=8.5, last_s=8.5)
+    times = in_force_times(changes, records, {1, 2, 3})
+    assert times == InForceTimes(3, 3, reached=7, missing=2, p50_s=2.0, p99_s=8.5, last_s=8.5)
 
 
 def test_what_is_seen_before_a_change_is_not_its_effect() -> None:
-    told = in_force_times(
+    times = in_force_times(
         [ListChange(3.0, "a", "terminated", 0)], [InForceRecord(2.0, 1, "a", "terminated", 0)], {1}
     )
-    assert (told.reached, told.missing, told.p50_s) == (0, 1, None)
+    assert (times.reached, times.missing, times.p50_s) == (0, 1, None)
 
 
 @given(
@@ -322,23 +322,23 @@
     ),
 )
 def test_no_change_is_lost_or_counted_twice(changes: list[Any], records: list[Any]) -> None:
-    told = in_force_times(
+    times = in_force_times(
         [ListChange(at, name, "in_service", since) for at, name, since in changes],
         [InForceRecord(at, member, name, "in_service", since) for at, member, name, since in records],
         {1, 2},
     )
-    assert told.reached + told.missing == told.changes * 2 == len(changes) * 2
-    assert told.missing >= 0
-    if told.reached:
-        assert told.p50_s is not None and told.p99_s is not None and told.last_s is not None
-        assert 0.0 <= told.p50_s <= told.p99_s <= told.last_s <= 9.0
+    assert times.reached + times.missing == times.changes * 2 == len(changes) * 2
+    assert times.missing >= 0
+    if times.reached:
+        assert times.p50_s is not None and times.p99_s is not None and times.last_s is not None
+        assert 0.0 <= times.p50_s <= times.p99_s <= times.last_s <= 9.0
 
 
 @given(st.lists(st.floats(0, 1), min_size=1).map(sorted), st.floats(0.01, 1.0))
 def test_a_quantile_is_the_least_that_so_many_are_not_above(ordered: list[float], share: float) -> None:
-    found = quantile(ordered, share)
-    assert found in ordered
-    assert found == ordered[math.ceil(share * len(ordered)) - 1]
+    value = quantile(ordered, share)
+    assert value in ordered
+    assert value == ordered[math.ceil(share * len(ordered)) - 1]
     assert quantile([], share) is None
 
 
@@ -348,9 +348,9 @@
 class HollowFleet:
     """A stand-in fleet without routers, with its hollow members."""
 
-    def __init__(self, folder: Path, **told: Any) -> None:
+    def __init__(self, folder: Path, **fields: Any) -> None:
         self.folder = folder
-        self.scenario = msgspec.convert({"hollow": 3, "per_process": 2} | told, Scenario)
+        self.scenario = msgspec.convert({"hollow": 3, "per_process": 2} | fields, Scenario)
         self.log = seen.ObservationLog(folder / "fleet.jsonl")
         self.counts = Counts()
 
@@ -390,21 +390,23 @@
 
 def test_hollow_members_take_changes_from_discovery_and_are_not_judged(tmp_path: Path) -> None:
     async def play() -> None:
-        async with HollowFleet(tmp_path) as stand:
-            ground, counts = stand.fleet, stand.counts
-            await stand.until(lambda: len(ground.discovery.waiting) == 3)  # all members watch the list
+        async with HollowFleet(tmp_path) as hollow:
+            fleet, counts = hollow.fleet, hollow.counts
+            await hollow.until(lambda: len(fleet.discovery.waiting) == 3)  # all members watch the list
             assert not counts.in_force  # the initial list is not a change
-            ground.begin()
-            entry = ground.layout.entries["std-1"]
+            fleet.begin()
+            entry = fleet.layout.entries["std-1"]
             for status in ("terminating", "terminated"):
-                ground.discovery.notice(0.0, replace(entry, status=status))
-                await stand.until(lambda status=status: sum(r.status == status for r in counts.in_force) == 3)
-            for _, _, member in stand.members:
+                fleet.discovery.notice(0.0, replace(entry, status=status))
+                await hollow.until(
+                    lambda status=status: sum(r.status == status for r in counts.in_force) == 3
+                )
+            for _, _, member in hollow.members:
                 assert "std-1" not in member.host.router.servers and "std-2" in member.host.router.servers
-            told = in_force_times(ground.changes, counts.in_force, {1, 2, 3})
-            assert (told.changes, told.reached, told.missing) == (2, 6, 0)
-            assert ground.calls["hollow"] >= 3 and not ground.calls["router"]
-            assert ground.bytes_in["hollow"] > 0 and ground.bytes_out["hollow"] > 0
+            times = in_force_times(fleet.changes, counts.in_force, {1, 2, 3})
+            assert (times.changes, times.reached, times.missing) == (2, 6, 0)
+            assert fleet.calls["hollow"] >= 3 and not fleet.calls["router"]
+            assert fleet.bytes_in["hollow"] > 0 and fleet.bytes_out["hollow"] > 0
 
     asyncio.run(play())
     kinds = {type(each) for each in seen.read_log(tmp_path / "fleet.jsonl")}
@@ -415,37 +417,37 @@
     tmp_path: Path,
 ) -> None:
     async def play() -> None:
-        async with HollowFleet(tmp_path) as stand:
-            counts = stand.counts
-            entry = replace(stand.fleet.layout.entries["std-1"], status="terminated")
-            stand.fleet.discovery.notice(0.0, entry)
-            await stand.until(lambda: len(counts.in_force) == 3)
-            place, job, former = stand.members.pop(0)
+        async with HollowFleet(tmp_path) as hollow:
+            counts = hollow.counts
+            entry = replace(hollow.fleet.layout.entries["std-1"], status="terminated")
+            hollow.fleet.discovery.notice(0.0, entry)
+            await hollow.until(lambda: len(counts.in_force) == 3)
+            place, job, former = hollow.members.pop(0)
             former.host.timers.call_later(3600.0, lambda _: None, None)
-            armed = former.host.timers.loop_timer
+            timer = former.host.timers.loop_timer
             former.close()
-            again = HollowMember(place, job, counts)
-            stand.members.append((place, job, again))
-            await again.start(restarted=True)
-            assert "std-1" in again.host.router.servers
-            await stand.until(lambda: len(counts.in_force) == 4)
+            restarted = HollowMember(place, job, counts)
+            hollow.members.append((place, job, restarted))
+            await restarted.start(restarted=True)
+            assert "std-1" in restarted.host.router.servers
+            await hollow.until(lambda: len(counts.in_force) == 4)
             assert counts.in_force[-1].member == place.number
-            assert "std-1" not in again.host.router.servers
+            assert "std-1" not in restarted.host.router.servers
             # nothing of the stopped member may act: it would call discovery and listen beside the new one
-            assert armed is not None and armed.cancelled()
+            assert timer is not None and timer.cancelled()
 
     asyncio.run(play())
 
 
 def test_hollow_members_gossip_with_all_others_by_the_real_code(tmp_path: Path) -> None:
     async def play() -> None:
-        async with HollowFleet(tmp_path, peers={"interval": 0.1}, regions=2, zones=2, sites=2) as stand:
-            agents = [m.speaker.agent for _, _, m in stand.members if m.speaker is not None]
+        async with HollowFleet(tmp_path, peers={"interval": 0.1}, regions=2, zones=2, sites=2) as hollow:
+            agents = [m.speaker.agent for _, _, m in hollow.members if m.speaker is not None]
             assert len(agents) == 3
-            await stand.until(lambda: all(a.gossip.present(0.0).total() >= 3 for a in agents))
-            assert stand.counts.datagrams_in >= 3
-            assert stand.counts.datagram_bytes_in > stand.counts.datagrams_in
-            for _, _, member in stand.members:
+            await hollow.until(lambda: all(a.gossip.present(0.0).total() >= 3 for a in agents))
+            assert hollow.counts.datagrams_in >= 3
+            assert hollow.counts.datagram_bytes_in > hollow.counts.datagrams_in
+            for _, _, member in hollow.members:
                 datagrams, size = member.sent_totals()
                 assert 0 < datagrams < size
             assert {a.part.zone for a in agents} == {"zone-0", "zone-1"}
@@ -455,7 +457,7 @@
 
 
 def test_a_scenario_file_is_read_whole() -> None:
-    told = read_scenario(Path(__file__).parent.parent / "demo" / "scale.toml")
-    assert 200 <= told.hollow <= 400 and told.routers == 2 and told.peers is not None
+    scenario = read_scenario(Path(__file__).parent.parent / "demo" / "scale.toml")
+    assert 200 <= scenario.hollow <= 400 and scenario.routers == 2 and scenario.peers is not None
     with pytest.raises(ScenarioError, match="nowhere.toml: No such file"):
         read_scenario(Path("nowhere.toml"))
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -37,14 +37,14 @@
 @pytest.mark.processes
 @pytest.mark.parametrize("name", SPECS)
 def test_every_slope_gives_a_cost_for_each_repeat(name: str) -> None:
-    found = SPECS[name].run(min(SPECS[name].sizes), 3)
-    assert len(found) == 3 and all(cost > 0 for cost in found)
+    costs = SPECS[name].run(min(SPECS[name].sizes), 3)
+    assert len(costs) == 3 and all(cost > 0 for cost in costs)
 
 
 def test_lists_are_spelled_as_discovery_spells_them() -> None:
     entry = Entry("cache-1", "zone-1", "kind-1", 3, 1.0, since=5.0)
-    told = fleet_spelled(entry, "127.0.0.1:1", 0.0)
-    assert all(line.keys() == told.keys() for line in slopes.list_entries(3))
+    expected = fleet_spelled(entry, "127.0.0.1:1", 0.0)
+    assert all(fields.keys() == expected.keys() for fields in slopes.list_entries(3))
     whole, members = slopes.parse_list(slopes.encode_list(slopes.list_entries(300), True))
     assert whole and len({m.entry.server for m in members}) == len({m.address for m in members}) == 300
 
@@ -123,9 +123,9 @@
 
 @pytest.mark.processes
 def test_a_child_measures_one_size_and_tells_form_and_calibration() -> None:
-    form, found = measuring.measure_point("list.bytes", 105, "")
-    assert form == "sources" and found.size == 105 and found.calibration > 0
-    assert found.values == (float(len(slopes.encode_list(slopes.list_entries(105), True))),) * 3
+    form, point = measuring.measure_point("list.bytes", 105, "")
+    assert form == "sources" and point.size == 105 and point.calibration > 0
+    assert point.values == (float(len(slopes.encode_list(slopes.list_entries(105), True))),) * 3
 
 
 @pytest.mark.processes
@@ -184,10 +184,10 @@
     assert (
         "list.parse (sources): n, held out 0.0%; at 20 foretold 20" in done.output and "counts" in done.output
     )
-    found = capacity_results.read_file(file)
-    assert [s.name for s in found.slopes] == ["list.parse"]
-    assert [m.name for m in found.measures] == ["known.share_4", "known.datagrams_4", "known.bytes_4"]
-    assert found.slopes[0].repeats[20] == (20.0, 20.0, 20.0)
+    stored = capacity_results.read_file(file)
+    assert [s.name for s in stored.slopes] == ["list.parse"]
+    assert [m.name for m in stored.measures] == ["known.share_4", "known.datagrams_4", "known.bytes_4"]
+    assert stored.slopes[0].repeats[20] == (20.0, 20.0, 20.0)
 
 
 def test_forms_are_not_mixed_in_a_slope(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -202,16 +202,18 @@
         start = command[command.index("--router") + 1]
         assert "myrtlecourse.__main__" in start and "/compiled" in start
         size = command[command.index("--value") + 1]
-        each = {"64": [1e-4, 1.1e-4, 1.2e-4], "262144": [2e-3] * 3}[size]
-        told = {size: {"rates": {}, "core_seconds_each": {"bare relay": [1e-5, 2e-5, 3e-5], start: each}}}
-        Path(command[command.index("--json") + 1]).write_bytes(orjson.dumps(told))
+        core_seconds = {"64": [1e-4, 1.1e-4, 1.2e-4], "262144": [2e-3] * 3}[size]
+        results = {
+            size: {"rates": {}, "core_seconds_each": {"bare relay": [1e-5, 2e-5, 3e-5], start: core_seconds}}
+        }
+        Path(command[command.index("--json") + 1]).write_bytes(orjson.dumps(results))
         return b""
 
     monkeypatch.setattr(measuring, "run_command", bench)
-    found = {
+    measures = {
         m.name: m for name in measuring.ROUTER_MEASURES for m in measuring.measure_router(name, "/compiled")
     }
-    assert found["router.router_requests"].value == pytest.approx(1 / 1.1e-4, rel=1e-4)
-    assert found["router.router_bytes"].value == pytest.approx(262_144 / 2e-3, rel=1e-4)
-    assert found["router.relay_requests"].value == pytest.approx(50_000)
-    assert {m.form for m in found.values()} == {"compiled"} and len(found) == 4
+    assert measures["router.router_requests"].value == pytest.approx(1 / 1.1e-4, rel=1e-4)
+    assert measures["router.router_bytes"].value == pytest.approx(262_144 / 2e-3, rel=1e-4)
+    assert measures["router.relay_requests"].value == pytest.approx(50_000)
+    assert {m.form for m in measures.values()} == {"compiled"} and len(measures) == 4
