--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -68,7 +68,7 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "place", "bounds"), BAD)
+@pytest.mark.parametrize(("text", "location", "bounds"), BAD)
 def test_a_bad_scenario_is_one_line_and_starts_nothing(
     text: str, location: str, bounds: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
