--- a/bench/led_return.py
+++ b/bench/led_return.py
@@ -16,8 +16,8 @@
 from myrtlecourse.sim.routers import SimRouter
 from myrtlecourse.sim.world import World
 from myrtlecourse.zones import core
-from myrtlecourse.zones.core import Register, Zones
-from myrtlecourse.zones.verdict import WHOLE, Order, Standing
+from myrtlecourse.zones.core import Register, ZoneCoordinator
+from myrtlecourse.zones.exit_rule import FULL_SHARE, ZoneMode, ZoneState
 
 DUTY = "return"
 CHECK_INTERVAL = 0.1  # seconds
@@ -92,7 +92,7 @@
         self.chance = world.core.stream("led")
         self.names = tuple(r.name for r in world.routers)
         self.router_duties: dict[str, RouterDuty] = {}
-        self.continue_return: Callable[..., bool] = Zones._go_on
+        self.continue_return: Callable[..., bool] = ZoneCoordinator._step_return
         for router in world.routers:
             self._follow(router)
 
@@ -111,24 +111,24 @@
         """Deliver a datagram."""
         self.router_duties[to].post(msg.MessagesReceived(sender, items))
 
-    def apply_share(self, zones: Zones, now: float, zone: int, share: int) -> None:
+    def apply_share(self, zones: ZoneCoordinator, now: float, zone: int, share: int) -> None:
         """Apply the share that an order names."""
         register = zones.registers.get((zones.home, zone), Register())
-        standing = register.standing
-        if standing.order is Order.BACK and standing.share != share:
-            order = Order.BACK if share > 0 else Order.IN
-            zones._set(now, zone, Standing(standing.epoch + 1, order, standing.flaps, 0, share), "ordered")
+        state = register.state
+        if state.mode is ZoneMode.BACK and state.share != share:
+            mode = ZoneMode.BACK if share > 0 else ZoneMode.IN
+            zones._set_state(now, zone, ZoneState(state.epoch + 1, mode, state.flaps, 0, share), "ordered")
 
-    def next_order(self, zones: Zones, now: float) -> msg.Value:
+    def next_order(self, zones: ZoneCoordinator, now: float) -> msg.Value:
         """Return the next order: the usual rule's next step of each zone that is returning."""
         entries = []
         for (home, zone), register in zones.registers.items():
-            if home == zones.home and register.standing.order is Order.BACK:
+            if home == zones.home and register.state.mode is ZoneMode.BACK:
                 self.continue_return(zones, now, zone, register)
-                after = zones.registers[home, zone].standing
-                share = 0 if after.order is not Order.BACK else after.share
-                entries.append(zone << SHARE_BITS | min(share, WHOLE))
-            elif home == zones.home and register.standing.epoch and zone in zones.returns.began:
+                after = zones.registers[home, zone].state
+                share = 0 if after.mode is not ZoneMode.BACK else after.share
+                entries.append(zone << SHARE_BITS | min(share, FULL_SHARE))
+            elif home == zones.home and register.state.epoch and zone in zones.returns.began_at:
                 entries.append(zone << SHARE_BITS)
         # zones whose return has ended stay in the order with their full share until their next return
         zones_in_order = {n >> SHARE_BITS for n in entries}
@@ -147,12 +147,12 @@
             (holding.value for holding in holdings if holding is not None and holding.acting), default=()
         )
 
-    def _is_in(self, zones: Zones, zone: int) -> bool:
-        return zones.registers.get((zones.home, zone), Register()).standing.order is Order.IN
+    def _is_in(self, zones: ZoneCoordinator, zone: int) -> bool:
+        return zones.registers.get((zones.home, zone), Register()).state.mode is ZoneMode.IN
 
     def __enter__(self) -> ReturnDuty:
-        core.Zones._go_on = lambda *_: False  # type: ignore[method-assign]
+        core.ZoneCoordinator._step_return = lambda *_: False  # type: ignore[method-assign]
         return self
 
     def __exit__(self, *_: object) -> None:
-        core.Zones._go_on = self.continue_return  # type: ignore[method-assign]
+        core.ZoneCoordinator._step_return = self.continue_return  # type: ignore[method-assign]
--- a/bench/spread_plain.py
+++ b/bench/spread_plain.py
@@ -12,10 +12,10 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from myrtlecourse.peers.gossip import PACE, Gossip
+from myrtlecourse.peers.gossip import TICK_INTERVAL, Gossip
 from myrtlecourse.peers.records import EPOCH
-from myrtlecourse.peers.seal import LONGEST, SEAL, Dropped
-from myrtlecourse.peers.wire import HEAD
+from myrtlecourse.peers.seal import MAX_DATAGRAM, SEAL_SIZE, Dropped
+from myrtlecourse.peers.wire import HEADER_SIZE
 from myrtlecourse.sim.core import Core
 from myrtlecourse.sim.places import Network, Place, laid_out
 from myrtlecourse.spread import messages as msg
@@ -51,7 +51,7 @@
         self.holder = Place(0, len(sites))
         places = [(Place(regions.index(s.region), i), s) for i, s in enumerate(sites)]
         self.members = [p for p, s in places for _ in (*s.routers, *s.parts)]
-        self.max_payload = LONGEST - SEAL - HEAD - 20  # 20 bytes are reserved for a name
+        self.max_payload = MAX_DATAGRAM - SEAL_SIZE - HEADER_SIZE - 20  # 20 bytes are reserved for a name
         count = len(self.members)
         self.acknowledged, self.sent, self.progress_at = [0] * count, [0] * count, [0.0] * count
         self.out_of_order: list[set[int]] = [set() for _ in range(count)]
@@ -68,7 +68,7 @@
         self.credit = min(self.budget, self.credit + self.budget * SEND_INTERVAL)
         count = len(self.members)
         for _ in range(count):
-            if self.credit < LONGEST:
+            if self.credit < MAX_DATAGRAM:
                 return
             self._send(self.next_member)
             self.next_member = (self.next_member + 1) % count
@@ -79,10 +79,10 @@
             self.progress_at[member] = now
         elif now > self.progress_at[member] + RETRANSMIT_AFTER:
             self.sent[member], self.progress_at[member] = self.acknowledged[member], now
-        while self.sent[member] < last and self.credit >= LONGEST:
+        while self.sent[member] < last and self.credit >= MAX_DATAGRAM:
             first = self.sent[member] + 1
             count = min(last + 1 - first, (self.max_payload - 20) // msg.KEY_BYTES)
-            size = LONGEST - self.max_payload + 20 + msg.KEY_BYTES * count
+            size = MAX_DATAGRAM - self.max_payload + 20 + msg.KEY_BYTES * count
             self.credit -= size
             self.bytes += size
             self.datagrams += 1
@@ -165,7 +165,7 @@
         self.proposed_at: list[float] = []
         self.received_at: dict[str, dict[int, float]] = {n: {} for n in names}
         for name in names:
-            self.core.after(PACE * rng.random(), self._tick, name)
+            self.core.after(TICK_INTERVAL * rng.random(), self._tick, name)
 
     def _wall_time(self) -> float:
         return EPOCH + self.core.now
@@ -176,7 +176,7 @@
         return (len(self.proposed_at) - keys, *([2**32 - 1] * (2 * keys)))
 
     def _tick(self, name: str) -> None:
-        self.core.after(PACE, self._tick, name)
+        self.core.after(TICK_INTERVAL, self._tick, name)
         status = self._status if name == self.source else tuple
         for datagram in self.members[name].tick(self.core.now, self._wall_time(), status):
             for pause in self.network.fate(self.places[name], self.places[datagram.to]):
@@ -189,15 +189,15 @@
         except Dropped:
             return
         for record in records:
-            if record.said:
-                for number in range(record.said[0], record.said[0] + len(record.said) // 2):
+            if record.payload:
+                for number in range(record.payload[0], record.payload[0] + len(record.payload) // 2):
                     self.received_at[name].setdefault(number, now)
-                gossip.stir(now)
+                gossip.spread_urgently(now)
 
     def propose(self) -> None:
         """Propose one more purge."""
         self.proposed_at.append(self.core.now)
-        self.members[self.source].stir(self.core.now)
+        self.members[self.source].spread_urgently(self.core.now)
 
 
 def measure_gossip(members: int, seed: int, loss: float, rate: float) -> Figures:
@@ -215,7 +215,7 @@
     others = [n for n in run.members if n != run.source]
     deadline = run.core.now + 4.0
     while run.core.now < deadline and any(len(run.received_at[n]) < len(run.proposed_at) for n in others):
-        run.core.run(run.core.now + PACE)
+        run.core.run(run.core.now + TICK_INTERVAL)
     latencies = np.array(
         [[run.received_at[n].get(i, np.nan) for i in range(len(run.proposed_at))] for n in others]
     )
--- a/bench/spread_scale.py
+++ b/bench/spread_scale.py
@@ -33,7 +33,7 @@
     measure_unicast,
     percentiles,
 )
-from myrtlecourse.peers.gossip import MOST_MEMBERS
+from myrtlecourse.peers.gossip import MAX_MEMBERS
 from myrtlecourse.sim.places import laid_out
 from myrtlecourse.sim.spread import Member, World
 from myrtlecourse.spread import messages as msg
@@ -288,7 +288,7 @@
         case "unicast":
             return measure_unicast(scale, seed, loss, options.budget, options.rate)
         case "gossip":
-            return measure_gossip(min(MOST_MEMBERS, round(MOST_MEMBERS * scale)), seed, loss, options.rate)
+            return measure_gossip(min(MAX_MEMBERS, round(MAX_MEMBERS * scale)), seed, loss, options.rate)
         case what:
             return measure_fault(
                 SpreadRun(scale, seed, loss, 2 * seconds, pause), seconds, seconds, FAULTS[what], seconds
--- a/bench/zone_exit.py
+++ b/bench/zone_exit.py
@@ -209,15 +209,15 @@
         len({router for at, router in during_fault if s <= at - FAULT_AT < s + 0.1})
         for s in np.arange(0, 4, 0.1)
     ]
-    meeting = world.routers[0].meeting
-    if meeting is not None:
+    peer_network = world.routers[0].peer_network
+    if peer_network is not None:
         left: dict[str, float] = {}
-        for at, router, zones, origin in meeting.orders:
+        for at, router, zones, origin in peer_network.orders:
             if (zones or origin) and at - began >= FAULT_AT:
                 left.setdefault(router, at - began - FAULT_AT)
         figures |= exit_times(left, routers)
-        figures["turns"] = most_reversals(meeting.orders)
-        figures["bytes_a_second"] = meeting.bytes / routers / RUN_SECONDS
+        figures["turns"] = most_reversals(peer_network.orders)
+        figures["bytes_a_second"] = peer_network.bytes / routers / RUN_SECONDS
     return figures
 
 
--- a/bench/zone_return.py
+++ b/bench/zone_return.py
@@ -34,7 +34,7 @@
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.sim.world import World
 from myrtlecourse.zones import pace
-from myrtlecourse.zones.verdict import WHOLE
+from myrtlecourse.zones.exit_rule import FULL_SHARE
 
 ZONES = ("north", "south", "west")
 LOST_ZONE = "south"
@@ -199,20 +199,22 @@
         return sent[LOST_ZONE] / max(1, sent.total())
 
 
-def fixed_ramp(seconds: float) -> Callable[[int, float, pace.View, float], int]:
+def fixed_ramp(seconds: float) -> Callable[[int, float, pace.ReturnView, float], int]:
     """Return a step function for a fixed ramp, which ends after some seconds whatever is observed."""
 
-    def step(share: int, age: float, view: pace.View, origin_rate: float) -> int:
-        return min(WHOLE, share + math.floor(WHOLE * age / seconds)) if age >= seconds / 16 else share
+    def step(share: int, age: float, view: pace.ReturnView, origin_rate: float) -> int:
+        return (
+            min(FULL_SHARE, share + math.floor(FULL_SHARE * age / seconds)) if age >= seconds / 16 else share
+        )
 
     return step
 
 
 def play(routers: int, case: str, strategy: str, rate: float, seed: int) -> dict[str, Any]:
     """Play a case with one strategy."""
-    original_step = pace.step
+    original_step = pace.next_share
     if strategy.startswith("ramp"):
-        pace.step = fixed_ramp(float(strategy.split()[1]))
+        pace.next_share = fixed_ramp(float(strategy.split()[1]))
     try:
         world = World(scenario(routers, case, strategy), profile(rate), seed)
         stats = FleetStats(world)
@@ -228,7 +230,7 @@
         with ReturnDuty(world) if strategy == "duty" else nullcontext():
             result = world.run()
     finally:
-        pace.step = original_step
+        pace.next_share = original_step
     # if the zone fails again, only the last return is reported
     last_return = RETURN_AT + (6.0 if case == "again" else 0.0)
     usual_share = float(np.mean([stats.zone_share(s) for s in range(int(FAULT_AT) - 4, int(FAULT_AT))]))
@@ -254,9 +256,9 @@
         "of_zone": [stats.zone_share(s) for s in range(int(RUN_SECONDS) - 1)],
         "breaches": {k: v for k, v in result.verdict["breaches"].items() if v},
     }
-    meeting = world.routers[0].meeting
-    if meeting is not None:
-        figures["bytes_a_second"] = meeting.bytes / routers / RUN_SECONDS
+    peer_network = world.routers[0].peer_network
+    if peer_network is not None:
+        figures["bytes_a_second"] = peer_network.bytes / routers / RUN_SECONDS
     return figures
 
 
--- a/myrtlecourse/address/keeper.py
+++ b/myrtlecourse/address/keeper.py
@@ -17,7 +17,7 @@
 from myrtlecourse.election import messages as said
 from myrtlecourse.election.core import Election, Role
 from myrtlecourse.net.rate_limited_log import RateLimitedLog
-from myrtlecourse.peers.end import End, Endpoint
+from myrtlecourse.peers.peer_socket import Endpoint, PeerSocket
 from myrtlecourse.peers.wire import Wire
 
 EMPTY_TIME = 1.0  # seconds for what was taken to end, of the lease that still stands
@@ -26,7 +26,7 @@
 bounded = RateLimitedLog(log)
 
 
-class Keeper(End[said.Message]):
+class Keeper(PeerSocket[said.Message]):
     """One instance."""
 
     def __init__(
@@ -83,7 +83,7 @@
             self.post(said.AbilityReported(self.able() and not stood))
             await asyncio.sleep(LOOK)
 
-    def heard(self, sender: str, message: said.Message) -> None:
+    def message_received(self, sender: str, message: said.Message) -> None:
         self.post(said.MessageReceived(sender, message))
 
     def post(self, event: said.Event) -> None:
@@ -145,7 +145,7 @@
             raise said.ElectionError("name: it can't be another while it runs, nor be heard elsewhere")
         self.post(said.SettingsChanged(settings))
         self.settings, self.peers = settings, peers
-        self.wire.members(settings.voters)
+        self.wire.set_members(settings.voters)
 
     def move(self, to: str) -> str:
         """Hand the address over; answers with why not, or nothing."""
@@ -186,4 +186,4 @@
             await self.leaving  # the release goes out, and the address is withdrawn
             await asyncio.sleep(0)
         self.words.close()
-        self.leave()
+        self.close_socket()
--- a/myrtlecourse/peers/end.py
+++ b/myrtlecourse/peers/peer_socket.py
@@ -1,4 +1,4 @@
-"""One process's end of a wire: its socket, and what every holder of one does with datagrams and a timer."""
+"""The UDP socket for sealed messages between processes, and one timer; drivers derive from it."""
 
 from __future__ import annotations
 
@@ -10,30 +10,34 @@
 
 from myrtlecourse.net.rate_limited_log import RateLimitedLog
 from myrtlecourse.peers.seal import Dropped
-from myrtlecourse.peers.wire import Sign, Wire
+from myrtlecourse.peers.wire import Control, Wire
 
 bounded = RateLimitedLog(logging.getLogger(__name__))
 Endpoint = tuple[str, int]
 Message = TypeVar("Message")
 
 
-class End(asyncio.DatagramProtocol, Generic[Message]):
-    """Sends, hears and greets; what a message means is in `heard`."""
+class PeerSocket(asyncio.DatagramProtocol, Generic[Message]):
+    """Sends and receives datagrams and answers greetings; subclasses implement `message_received`."""
 
     def __init__(self, wire: Wire[Message], peers: dict[str, Endpoint]) -> None:
         self.wire = wire
         self.peers = peers
         self.loop: asyncio.AbstractEventLoop
         self.transport: asyncio.DatagramTransport | None = None
-        self.wake: asyncio.TimerHandle | None = None
+        self.timer: asyncio.TimerHandle | None = None
         self.sent = self.bytes_sent = 0
 
-    def heard(self, sender: str, message: Message) -> None:
-        """A message has come, sealed for this process and taken once."""
+    def message_received(self, sender: str, message: Message) -> None:
+        """Process a message, which was sealed for this process and is passed on once."""
         raise NotImplementedError
 
     async def listen(self, bind: Endpoint) -> Endpoint:
-        """Open the socket; answers with where it is. Raises OSError."""
+        """Open the socket and return its address.
+
+        Raises:
+            OSError: the address can't be used.
+        """
         self.loop = asyncio.get_running_loop()
         transport, _ = await self.loop.create_datagram_endpoint(lambda: self, local_addr=bind)
         self.transport = transport
@@ -41,7 +45,7 @@
         return host, port
 
     def send(self, to: str, data: bytes) -> None:
-        """A datagram for another, if it is known where that is; it may be lost."""
+        """Send a datagram to a member, if its address is known; it may be lost."""
         if self.transport is not None and to in self.peers:
             self.sent += 1
             self.bytes_sent += len(data)
@@ -51,27 +55,27 @@
         try:
             sender, message = self.wire.open(data)
         except Dropped as e:
-            bounded.log(logging.WARNING, "a datagram of %s:%s was dropped: %s", addr[0], addr[1], e)
+            bounded.log(logging.WARNING, "dropped a datagram from %s:%s: %s", addr[0], addr[1], e)
             return
-        if message is Sign.STALE:
+        if message is Control.STALE:
             self.send(sender, self.wire.hello(sender))
-        elif not isinstance(message, Sign):
-            self.heard(sender, message)
+        elif not isinstance(message, Control):
+            self.message_received(sender, message)
 
     def error_received(self, exc: Exception) -> None:
-        bounded.log(logging.INFO, "another router was not reached: %s", exc)
+        bounded.log(logging.INFO, "another router can't be reached: %s", exc)
 
     def call_at(self, at: float, call: Callable[[], None]) -> None:
-        """Call when a time on the monotonic clock has come, in place of the call before; infinity: never."""
-        if self.wake is not None:
-            self.wake.cancel()
+        """Call `call` at a time on the monotonic clock, never for infinity; replaces the call set before."""
+        if self.timer is not None:
+            self.timer.cancel()
         if at < float("inf"):
-            self.wake = self.loop.call_later(max(0.0, at - time.monotonic()), call)
+            self.timer = self.loop.call_later(max(0.0, at - time.monotonic()), call)
 
-    def leave(self) -> None:
-        """Close the socket; nothing is called any more."""
-        if self.wake is not None:
-            self.wake.cancel()
+    def close_socket(self) -> None:
+        """Close the socket and cancel the timer."""
+        if self.timer is not None:
+            self.timer.cancel()
         if self.transport is not None:
             self.transport.close()
             self.transport = None
--- a/myrtlecourse/scale/hollow.py
+++ b/myrtlecourse/scale/hollow.py
@@ -31,11 +31,11 @@
 from myrtlecourse.net.servers import CacheConnection
 from myrtlecourse.operators import read_operators
 from myrtlecourse.overload.core import CoreAdmission
-from myrtlecourse.peers.speaker import Speaker
+from myrtlecourse.peers.gossip_socket import GossipSocket
 from myrtlecourse.scale.child_process import wait_for_end
 from myrtlecourse.scale.scenario import MemberPlace
 from myrtlecourse.zones.agent import Agent
-from myrtlecourse.zones.setup import part
+from myrtlecourse.zones.setup import agent_settings
 
 REPORT_INTERVAL = 1.0  # seconds between two reports of counts
 TERMINATED = "terminated"
@@ -77,7 +77,7 @@
     in_force: list[InForceRecord] = field(default_factory=list)  # since the previous report
 
 
-class CountingSpeaker(Speaker):
+class CountingGossipSocket(GossipSocket):
     """A member's gossip socket that counts the datagrams received; the gossip itself counts those sent."""
 
     counts: Counts
@@ -107,9 +107,9 @@
             WatchTimeouts.from_settings(settings),
         )
         self.host.list_updates.apply = self._apply_list
-        self.speaker: CountingSpeaker | None = None
+        self.gossip_socket: CountingGossipSocket | None = None
         if job.operators is not None:
-            self.speaker = self._make_speaker(config, job.operators)
+            self.gossip_socket = self._make_gossip_socket(config, job.operators)
 
     def _configuration(self, job: HollowJob) -> dict[str, Any]:
         """Return the configuration that the platform would give this member."""
@@ -120,18 +120,18 @@
             own |= {"peer_listen": job.gossip_addresses[number], "peers": list(job.gossip_addresses)}
         return configuration | own
 
-    def _make_speaker(self, config: Config, operators: Path) -> CountingSpeaker:
+    def _make_gossip_socket(self, config: Config, operators: Path) -> CountingGossipSocket:
         table = read_operators(operators).fleet
-        gossip = part(table, config) if table is not None else None
+        gossip = agent_settings(table, config) if table is not None else None
         if gossip is None:
             raise ConfigError(f"{operators}: contains no gossip settings")
-        agent_part, peers, bind = gossip
+        own_settings, peers, bind = gossip
         clock = self.host.clock.now
-        agent = Agent(agent_part, clock(), time.time(), config.seed)
-        speaker = CountingSpeaker(agent, bind, peers, clock, self.host.post)
-        speaker.counts = self.counts
+        agent = Agent(own_settings, clock(), time.time(), config.seed)
+        gossip_socket = CountingGossipSocket(agent, bind, peers, clock, self.host.post)
+        gossip_socket.counts = self.counts
         self.host.set_observer(agent)
-        return speaker
+        return gossip_socket
 
     def _subscribe(self) -> None:
         self.discovery.subscribe()
@@ -144,8 +144,8 @@
         self.host.submit_list(api.ListKind.SAVED, self.config.known)
         if not self.config.settings.subscribe:
             self.discovery.subscribe()
-        if self.speaker is not None:
-            await self.speaker.start(shared=restarted)
+        if self.gossip_socket is not None:
+            await self.gossip_socket.start(shared=restarted)
 
     def _apply_list(self, update: ListUpdate) -> None:
         """Apply a list update, and record the server states that the decision module now has."""
@@ -168,14 +168,14 @@
 
     def sent_totals(self) -> tuple[int, int]:
         """Return the number of datagrams sent and their bytes."""
-        gossip = self.speaker.agent.gossip if self.speaker is not None else None
+        gossip = self.gossip_socket.agent.gossip if self.gossip_socket is not None else None
         return (0, 0) if gossip is None else (gossip.sent, gossip.bytes_sent)
 
     def close(self) -> None:
         """Stop the member: its timers and connections end."""
         self.discovery.close()
-        if self.speaker is not None:
-            self.speaker.close()
+        if self.gossip_socket is not None:
+            self.gossip_socket.close()
         if self.host.timers.loop_timer is not None:
             self.host.timers.loop_timer.cancel()
 
--- a/myrtlecourse/scale/measuring.py
+++ b/myrtlecourse/scale/measuring.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from myrtlecourse import policy
-from myrtlecourse.peers.gossip import PACE, Gossip, State
+from myrtlecourse.peers.gossip import TICK_INTERVAL, Gossip, State
 from myrtlecourse.scale import calibration
 from myrtlecourse.scale.capacity_results import Form, Measure, Point, Slope, round_significant
 from myrtlecourse.scale.fit import median_interval
@@ -176,14 +176,14 @@
         for i, name in enumerate(roster)
     }
     waiting: list[tuple[str, bytes]] = []
-    for _ in range(round(ROSTER_START_SECONDS / PACE)):
-        now += PACE
+    for _ in range(round(ROSTER_START_SECONDS / TICK_INTERVAL)):
+        now += TICK_INTERVAL
         arrived, waiting = waiting, []
         for to, data in arrived:
             members[to].receive(data, now, WALL_CLOCK + now)
         for gossip in members.values():
             waiting += [(d.to, d.data) for d in gossip.tick(now, WALL_CLOCK + now, lambda: ())]
-    alive = sum(g.state(m, now) is State.ALIVE for g in members.values() for m in g.heard_by)
+    alive = sum(g.state(m, now) is State.ALIVE for g in members.values() for m in g.peers)
     sent, bytes_sent = sum(g.sent for g in members.values()), sum(g.bytes_sent for g in members.values())
     return (
         alive / (count * (count - 1)),
--- a/myrtlecourse/scale/role_costs.py
+++ b/myrtlecourse/scale/role_costs.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 
 from myrtlecourse.net.host import DEADLINE_MARGIN
-from myrtlecourse.peers.gossip import CARRIED, GONE, MOST_MEMBERS, SUSPECT
-from myrtlecourse.peers.seal import LONGEST
+from myrtlecourse.peers.gossip import GONE_FACTOR, MAX_MEMBERS, RECORDS_PER_DATAGRAM, SUSPECT_INTERVALS
+from myrtlecourse.peers.seal import MAX_DATAGRAM
 from myrtlecourse.scale.estimates import Estimate, Estimates, calculated
 
 # The fleet that is planned for in two years.
@@ -182,19 +182,19 @@
     role, module = ROUTER_ROLE, "`peers/gossip.py`"
     members = calculated(ROUTERS, "", "routers of the fleet")
     yield CostRow(
-        role, "members of one roster, the whole fleet in it", members, "", MOST_MEMBERS, module=module
+        role, "members of one roster, the whole fleet in it", members, "", MAX_MEMBERS, module=module
     )
     for count, slope, scope in (
         (ROUTERS_PER_SITE, "agent.region", "its site's, a region's zones"),
         (ROUTERS_PER_SITE, "agent.second", "its site's, all zones"),
-        (MOST_MEMBERS, "agent.second", "the most it takes, all zones"),
+        (MAX_MEMBERS, "agent.second", "the most it takes, all zones"),
         (ROUTERS, "agent.second", "the whole fleet's, all zones"),
     ):
         cost = scaled(estimates.at_size(slope, count), 1.0, "{}", "core")
-        state = IN_USE if count <= MOST_MEMBERS else MISSING
+        state = IN_USE if count <= MAX_MEMBERS else MISSING
         what = f"gossip and verdicts, a roster of {count:,} ({scope})"
         yield CostRow(role, what, cost, f"{slope} at {count:,}", CPU_BUDGET, False, module, state)
-    for count in (ROUTERS_PER_SITE, MOST_MEMBERS):
+    for count in (ROUTERS_PER_SITE, MAX_MEMBERS):
         for kind, what, budget in (
             ("share", "share known 20 s after all started at once", None),
             ("bytes", "gossip's bytes out in those 20 s", BANDWIDTH_BUDGET),
@@ -237,7 +237,9 @@
         yield CostRow(role, "messages in", received, "", None, False, SPREAD_MODULE, state)
         yield CostRow(role, "messages out", sent, "", None, False, SPREAD_MODULE, state)
         bandwidth = calculated(
-            rate * LONGEST * (1 + fan_out), "B/s", f"{rate_text} x {LONGEST} B x (1 + {fan_out_text})"
+            rate * MAX_DATAGRAM * (1 + fan_out),
+            "B/s",
+            f"{rate_text} x {MAX_DATAGRAM} B x (1 + {fan_out_text})",
         )
         yield CostRow(
             role,
@@ -368,5 +370,5 @@
 
     Repeats the arithmetic of `Gossip.state`, for calm gossip at an interval of 1 s.
     """
-    cycles = max(1.0, math.log2(members) / 2, members / CARRIED)
-    return SUSPECT * cycles * (1 + GONE)
+    cycles = max(1.0, math.log2(members) / 2, members / RECORDS_PER_DATAGRAM)
+    return SUSPECT_INTERVALS * cycles * (1 + GONE_FACTOR)
--- a/myrtlecourse/scale/slopes.py
+++ b/myrtlecourse/scale/slopes.py
@@ -26,10 +26,10 @@
 from myrtlecourse.net.origin import OriginConnection
 from myrtlecourse.net.pool import Pool
 from myrtlecourse.net.servers import CacheConnection
-from myrtlecourse.peers.gossip import CARRIED, PACE, VERSION, Datagram, Gossip
-from myrtlecourse.peers.records import EPOCH, Record, started
+from myrtlecourse.peers.gossip import RECORDS_PER_DATAGRAM, TICK_INTERVAL, VERSION, Datagram, Gossip
+from myrtlecourse.peers.records import EPOCH, Record, start_number
 from myrtlecourse.peers.seal import Seal
-from myrtlecourse.zones.agent import Agent, Part
+from myrtlecourse.zones.agent import Agent, AgentSettings
 
 # Successive halves of the fleet size that is planned for, so that hash tables, which grow by doubling, have
 # the same load factor at each size; and the number of servers in one region.
@@ -238,14 +238,14 @@
     return tuple(f"router-{i:05d}" for i in range(count))
 
 
-def fill_roster(gossip: Gossip, status: tuple[int, ...], rng: random.Random, now: float) -> None:
+def fill_roster(gossip: Gossip, payload: tuple[int, ...], rng: random.Random, now: float) -> None:
     """Make a member know all others, as after a long time: the ages of their records are spread evenly."""
-    cycle = max(1.0, len(gossip.members) / CARRIED)
+    cycle = max(1.0, len(gossip.members) / RECORDS_PER_DATAGRAM)
     for i, member in gossip.members.items():
-        if i != gossip.me:
+        if i != gossip.own_id:
             made_at = now - rng.uniform(0.0, cycle)
-            member.record = Record(i, started(WALL_CLOCK), 1_000_000, i % 138, status, made_at)
-            member.told = rng.randrange(1, 4)
+            member.record = Record(i, start_number(WALL_CLOCK), 1_000_000, i % 138, payload, made_at)
+            member.times_sent = rng.randrange(1, 4)
 
 
 def reseal(datagram: Datagram, to: str) -> bytes:
@@ -268,18 +268,18 @@
     """Measure one repeat of `member_second`."""
     rng, now = random.Random(seed), 1000.0
     me, other = (
-        Agent(Part(name, roster_names(size), "zone-001", GOSSIP_KEY), now, WALL_CLOCK, seed)
+        Agent(AgentSettings(name, roster_names(size), "zone-001", GOSSIP_KEY), now, WALL_CLOCK, seed)
         for name in roster_names(2)
     )
-    status = other.zones.said(now)
+    payload = other.zones.payload(now)
     for agent in (me, other):
         agent.servers_listed({f"zone-{z:03d}": 48 for z in range(max(1, zones))})
-        fill_roster(agent.gossip, status, rng, now)
+        fill_roster(agent.gossip, payload, rng, now)
         agent.tick(now, WALL_CLOCK)
     spent = 0.0
-    for _ in range(round(OBSERVED_SECONDS / PACE)):
-        now += PACE
-        sent = [reseal(d, me.part.name) for d in other.tick(now, WALL_CLOCK).datagrams]
+    for _ in range(round(OBSERVED_SECONDS / TICK_INTERVAL)):
+        now += TICK_INTERVAL
+        sent = [reseal(d, me.settings.name) for d in other.tick(now, WALL_CLOCK).datagrams]
         before = time.thread_time()
         for data in sent:
             if zones:
@@ -289,7 +289,7 @@
         if zones:
             me.tick(now, WALL_CLOCK)
         else:
-            me.gossip.tick(now, WALL_CLOCK, lambda: status)
+            me.gossip.tick(now, WALL_CLOCK, lambda: payload)
         spent += time.thread_time() - before
     return spent / OBSERVED_SECONDS
 
--- a/myrtlecourse/spread/codec.py
+++ b/myrtlecourse/spread/codec.py
@@ -12,8 +12,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from myrtlecourse.peers.seal import LONGEST, SEAL, Dropped
-from myrtlecourse.peers.wire import HEAD
+from myrtlecourse.peers.seal import MAX_DATAGRAM, SEAL_SIZE, Dropped
+from myrtlecourse.peers.wire import HEADER_SIZE
 from myrtlecourse.spread import messages as msg
 from myrtlecourse.spread.messages import (
     DIGEST_RANGES,
@@ -36,7 +36,7 @@
 Key = Annotated[bytes, Meta(min_length=KEY_BYTES, max_length=KEY_BYTES)]
 SubjectOrNone = Annotated[bytes, Meta(max_length=KEY_BYTES)]  # a subject, or empty
 Value = Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)]
-Keys = Annotated[bytes, Meta(min_length=KEY_BYTES, max_length=LONGEST)]  # of consecutive purges
+Keys = Annotated[bytes, Meta(min_length=KEY_BYTES, max_length=MAX_DATAGRAM)]  # of consecutive purges
 
 
 class _Change(Struct, array_like=True, forbid_unknown_fields=True):
@@ -53,7 +53,7 @@
     value: Value
 
 
-Entries = Annotated[tuple[Keys | _Change, ...], Meta(max_length=LONGEST)]
+Entries = Annotated[tuple[Keys | _Change, ...], Meta(max_length=MAX_DATAGRAM)]
 
 
 class WireMessage(Struct, array_like=True, forbid_unknown_fields=True):
@@ -118,7 +118,7 @@
 class _TableRows(WireMessage, tag=8):
     message_type = msg.TableRows
     range: Annotated[int, Meta(ge=0, lt=DIGEST_RANGES)]
-    rows: Annotated[tuple[_Row, ...], Meta(max_length=LONGEST)]
+    rows: Annotated[tuple[_Row, ...], Meta(max_length=MAX_DATAGRAM)]
     more: bool
 
 
@@ -173,7 +173,7 @@
     epoch: Number
     upto: Number
     after: SubjectOrNone
-    rows: Annotated[tuple[_Row, ...], Meta(max_length=LONGEST)]
+    rows: Annotated[tuple[_Row, ...], Meta(max_length=MAX_DATAGRAM)]
     more: bool
 
 
@@ -204,7 +204,7 @@
 
 def max_payload(name: str) -> int:
     """Return how many bytes the parts of a datagram from this sender may take; equals `Wire.room`."""
-    return LONGEST - SEAL - HEAD - len(name.encode())
+    return MAX_DATAGRAM - SEAL_SIZE - HEADER_SIZE - len(name.encode())
 
 
 def encode_entries(entries: tuple[Entry, ...]) -> list[Any]:
--- a/myrtlecourse/spread/driver.py
+++ b/myrtlecourse/spread/driver.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from myrtlecourse.net.rate_limited_log import RateLimitedLog
-from myrtlecourse.peers.end import End, Endpoint
+from myrtlecourse.peers.peer_socket import Endpoint, PeerSocket
 from myrtlecourse.peers.wire import Wire
 from myrtlecourse.spread import messages as msg
 from myrtlecourse.spread import replica_events as events
@@ -30,7 +30,7 @@
 ProposalCallback = Callable[[events.Acknowledge | events.Refuse], None]
 
 
-class Driver(End[tuple[msg.Message, ...]]):
+class Driver(PeerSocket[tuple[msg.Message, ...]]):
     """The I/O around one process's node and replica."""
 
     def __init__(
@@ -101,7 +101,7 @@
                 # In a thread, because reading a long log would block clients for too long.
                 self.log_file = await asyncio.to_thread(LogFile, self.folder)
         except (OSError, events.LogError):
-            self.leave()
+            self.close_socket()
             raise
         now = time.monotonic()
         self.node = Node(self.settings, now, self.random.getrandbits(32))
@@ -122,7 +122,7 @@
 
     # Events and actions
 
-    def heard(self, sender: str, message: tuple[msg.Message, ...]) -> None:
+    def message_received(self, sender: str, message: tuple[msg.Message, ...]) -> None:
         for_replica = tuple(each for each in message if isinstance(each, msg.LOG_MESSAGES))
         for_node = tuple(each for each in message if not isinstance(each, msg.LOG_MESSAGES))
         if for_replica:
@@ -232,7 +232,7 @@
         """Stop sending, so that this member's lease expires and others wait for it no longer than that."""
         log.error("spread: this process has stopped participating: %s", reason)
         self.failure = reason
-        self.leave()
+        self.close_socket()
 
     # Timers
 
@@ -291,4 +291,4 @@
             except OSError as e:
                 log.error("spread: the file of applied entries can't be written: %s", e)
             self.applied_log = None
-        self.leave()
+        self.close_socket()
--- a/tests/spread_world.py
+++ b/tests/spread_world.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from myrtlecourse.peers.seal import SEAL
-from myrtlecourse.peers.wire import HEAD
+from myrtlecourse.peers.seal import SEAL_SIZE
+from myrtlecourse.peers.wire import HEADER_SIZE
 from myrtlecourse.spread import messages as msg
 from myrtlecourse.spread.codec import SpreadCodec, max_payload
 from myrtlecourse.spread.messages import Change, Entry, Purge, Received, Settings, Site
@@ -239,7 +239,9 @@
         size = CODEC.size(messages)
         if size > max_payload(name):
             raise Broken(f"{name} sends {size} bytes in one datagram")
-        self.sent[name, process.ordinal].append((process.now(self.time), SEAL + HEAD + len(name) + size))
+        self.sent[name, process.ordinal].append(
+            (process.now(self.time), SEAL_SIZE + HEADER_SIZE + len(name) + size)
+        )
         messages = CODEC.read(CODEC.parts(messages))
         self.message_counts.update(type(word) for word in messages)
         if self.random.random() < self.faults.loss or (name in self.partition) != (to in self.partition):
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -442,16 +442,16 @@
 def test_hollow_members_gossip_with_all_others_by_the_real_code(tmp_path: Path) -> None:
     async def play() -> None:
         async with HollowFleet(tmp_path, peers={"interval": 0.1}, regions=2, zones=2, sites=2) as hollow:
-            agents = [m.speaker.agent for _, _, m in hollow.members if m.speaker is not None]
+            agents = [m.gossip_socket.agent for _, _, m in hollow.members if m.gossip_socket is not None]
             assert len(agents) == 3
-            await hollow.until(lambda: all(a.gossip.present(0.0).total() >= 3 for a in agents))
+            await hollow.until(lambda: all(a.gossip.member_counts(0.0).total() >= 3 for a in agents))
             assert hollow.counts.datagrams_in >= 3
             assert hollow.counts.datagram_bytes_in > hollow.counts.datagrams_in
             for _, _, member in hollow.members:
                 datagrams, size = member.sent_totals()
                 assert 0 < datagrams < size
-            assert {a.part.zone for a in agents} == {"zone-0", "zone-1"}
-            assert all(len(a.part.members) == 4 for a in agents)  # the real router is one of them
+            assert {a.settings.zone for a in agents} == {"zone-0", "zone-1"}
+            assert all(len(a.settings.members) == 4 for a in agents)  # the real router is one of them
 
     asyncio.run(play())
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Leaving zones as a fleet: the rule, what merges, and what the decision module does with an order."""
+"""Leaving zones as a fleet: the exit rule, the merge of states, and how the decision module obeys orders."""
 
 from __future__ import annotations
 
@@ -23,18 +23,34 @@
 from myrtlecourse.interface import Reachability
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.operators import read_operators
-from myrtlecourse.peers.records import ROOM, Record, width
+from myrtlecourse.peers.gossip_socket import GossipSocket
+from myrtlecourse.peers.records import MAX_PAYLOAD_SIZE, Record, encoded_size
 from myrtlecourse.peers.seal import Dropped, Seal, ident
-from myrtlecourse.peers.speaker import Speaker
 from myrtlecourse.policy import Router, tuning
 from myrtlecourse.sim.world import World
-from myrtlecourse.zones import verdict
-from myrtlecourse.zones.agent import Agent, Part
-from myrtlecourse.zones.core import FRESH, ORIGIN, REST, TRIALS_A_SECOND, UNBELIEVED, Zones, ZonesError
-from myrtlecourse.zones.evidence import LONG, PERIOD, RUN, Counts, Tally, heard, told
-from myrtlecourse.zones.setup import speaker
+from myrtlecourse.zones import exit_rule
+from myrtlecourse.zones.agent import Agent, AgentSettings
+from myrtlecourse.zones.core import (
+    IGNORED_AFTER_STALL,
+    MAX_RECORD_AGE,
+    NO_PEERS_GRACE,
+    ORIGIN,
+    TRIALS_PER_SECOND,
+    ZoneCoordinator,
+    ZonesError,
+)
+from myrtlecourse.zones.exit_rule import ALL_ROUTERS, MIN_OUT, Evidence, ZoneHealth, ZoneMode, ZoneState
+from myrtlecourse.zones.setup import make_gossip_socket
+from myrtlecourse.zones.tallies import (
+    LONG_PERIODS,
+    PERIOD,
+    RUN_TTL,
+    AttemptCounts,
+    Tally,
+    decode_tallies,
+    encode_tallies,
+)
 from myrtlecourse.zones.tiers import Tiers
-from myrtlecourse.zones.verdict import ALL, HOLD, Look, Order, Standing, Sum
 from tests.driver import Driver, entry
 from tests.driver import settings as conf
 from tests.loopback import needs_sources
@@ -42,159 +58,174 @@
 counts = st.integers(0, 20)
 tallies = st.builds(Tally, counts, counts, counts, counts, counts, counts, counts)
 standings = st.builds(
-    Standing, st.integers(0, 3), st.sampled_from(Order), st.integers(0, verdict.MOST_FLAPS), st.integers(0, 2)
+    ZoneState,
+    st.integers(0, 3),
+    st.sampled_from(ZoneMode),
+    st.integers(0, exit_rule.MAX_FLAPS),
+    st.integers(0, 2),
 )
 
 
 @given(standings, standings, standings)
 def test_registers_merge_the_same_in_any_order_and_any_number_of_times(
-    a: Standing, b: Standing, c: Standing
+    a: ZoneState, b: ZoneState, c: ZoneState
 ) -> None:
     results = set()
     for x, y, z in permutations((a, b, c)):
         results.add(x.merged(y).merged(z))
         results.add(x.merged(y.merged(z)).merged(y))
     assert len(results) == 1
-    assert verdict.standing(a.number(), a.by) == a
+    assert exit_rule.decode_state(a.encode(), a.ordered_by) == a
 
 
-@given(st.dictionaries(st.integers(1, 65_535), tallies, max_size=40), st.integers(0, ROOM))
+@given(st.dictionaries(st.integers(1, 65_535), tallies, max_size=40), st.integers(0, MAX_PAYLOAD_SIZE))
 def test_tallies_come_as_they_went_and_within_their_room(each: dict[int, Tally], room: int) -> None:
-    numbers = told(each, room)
-    assert sum(map(width, numbers)) <= max(1, room)
-    came, rest = heard((*numbers, 5, 6))
+    numbers = encode_tallies(each, room)
+    assert sum(map(encoded_size, numbers)) <= max(1, room)
+    decoded, rest = decode_tallies((*numbers, 5, 6))
     assert rest == (5, 6)
-    assert all(came[zone] == each[zone] for zone in came)
+    assert all(decoded[zone] == each[zone] for zone in decoded)
 
 
 @given(st.lists(st.integers(0, 2**32), max_size=60))
 def test_numbers_that_say_nothing_are_taken_for_nothing(numbers: list[int]) -> None:
-    zones = Zones("a", "north", 0.0)
-    zones.hear(1.0, Record(5, 1, 1, 2, tuple(numbers), 1.0))
+    zones = ZoneCoordinator("a", "north", 0.0)
+    zones.receive_record(1.0, Record(5, 1, 1, 2, tuple(numbers), 1.0))
     zones.tick(1.0, [Record(5, 1, 1, 2, tuple(numbers), 1.0)], {zones.home: 2}, True)
     assert len(zones.registers) <= 64
 
 
 def test_counts_go_with_their_periods() -> None:
-    own = Counts(100.0)
+    own = AttemptCounts(100.0)
     own.add(100.0, 7, Reachability.ANSWERED)
     own.add(100.3, 7, Reachability.SILENT)
     assert own.tallies(100.3)[7] == Tally(1, 0, 1, 1, 0, 1, 1)
     assert own.tallies(100.8)[7] == Tally(0, 0, 0, 1, 0, 1, 1)
-    assert own.tallies(100.3 + LONG * PERIOD) == {7: Tally(run=1)}
-    assert own.tallies(100.3 + RUN + 0.1) == {}
+    assert own.tallies(100.3 + LONG_PERIODS * PERIOD) == {7: Tally(failures_in_row=1)}
+    assert own.tallies(100.3 + RUN_TTL + 0.1) == {}
     own.add(1000.0, 7, Reachability.REFUSED)
     assert own.tallies(1000.0)[7] == Tally(0, 1, 0, 0, 1, 0, 1)
 
 
 @pytest.mark.parametrize(
-    ("seen", "word"),
+    ("evidence", "health"),
     [
-        (Sum(2, 0, 0), Look.UNKNOWN),
-        (Sum(20, 0, 0), Look.WELL),
-        (Sum(1, 20, 0, 3), Look.GONE),
-        (Sum(1, 2, 20, 3), Look.SILENT),
-        (Sum(10, 10, 0, 3), Look.HALF),
-        (Sum(10, 0, 10, 3), Look.SLOW),
+        (Evidence(2, 0, 0), ZoneHealth.UNKNOWN),
+        (Evidence(20, 0, 0), ZoneHealth.HEALTHY),
+        (Evidence(1, 20, 0, 3), ZoneHealth.REFUSED),
+        (Evidence(1, 2, 20, 3), ZoneHealth.SILENT),
+        (Evidence(10, 10, 0, 3), ZoneHealth.HALF_DEAD),
+        (Evidence(10, 0, 10, 3), ZoneHealth.SLOW),
     ],
 )
-def test_what_it_looks_like_in_a_word(seen: Sum, word: Look) -> None:
-    assert verdict.look(seen) is word
+def test_what_it_looks_like_in_a_word(evidence: Evidence, health: ZoneHealth) -> None:
+    assert exit_rule.zone_health(evidence) is health
 
 
 def test_half_a_zone_or_a_slow_one_is_not_left_and_one_witness_does_not_do() -> None:
-    assert verdict.dark(Sum(0, 9, 0, 2), 6) and verdict.dark(Sum(0, 0, 9, 2), 6)
-    assert not verdict.dark(Sum(0, 50, 0, 1), 6)
-    few = Sum(40, 2, 3, 3, run=5, runners=3)  # before each left the servers out by itself
-    assert verdict.dark(few, 6) and not verdict.dark(replace(few, lately=1), 6)
-    assert not verdict.dark(replace(few, runners=1), 6)
-    assert not verdict.dark(replace(few, others=2), 6)  # some have been answered since
-    assert verdict.dark(Sum(0, 50, 0, 1), 1)  # the only router of its zone
-    assert not verdict.dark(Sum(10, 10, 0, 6), 6) and not verdict.dark(Sum(10, 0, 20, 6), 6)
-    own, rest = Sum(0, 0, 0), Sum(0, 20, 0, 4)
-    assert verdict.left(own, rest, 3, 9) is rest  # who has not met it follows
-    assert verdict.left(Sum(9, 0, 0), rest, 3, 9) is None  # who reaches it stays
-    seldom = Sum(1, 0, 0, heard_long=1)  # who has been answered by it, if seldom, stays as well
-    assert verdict.left(seldom, rest, 3, 9) is None
-    assert verdict.left(replace(seldom, run=2, runners=1), rest, 3, 9) is rest
+    assert exit_rule.is_unreachable(Evidence(0, 9, 0, 2), 6) and exit_rule.is_unreachable(
+        Evidence(0, 0, 9, 2), 6
+    )
+    assert not exit_rule.is_unreachable(Evidence(0, 50, 0, 1), 6)
+    # the answers are from before each router banned the servers by itself
+    few = Evidence(40, 2, 3, 3, failures_in_row=5, routers_in_run=3)
+    assert exit_rule.is_unreachable(few, 6) and not exit_rule.is_unreachable(
+        replace(few, answered_short=1), 6
+    )
+    assert not exit_rule.is_unreachable(replace(few, routers_in_run=1), 6)
+    # two routers have been answered since
+    assert not exit_rule.is_unreachable(replace(few, routers_answered=2), 6)
+    assert exit_rule.is_unreachable(Evidence(0, 50, 0, 1), 1)  # the only router of its zone
+    assert not exit_rule.is_unreachable(Evidence(10, 10, 0, 6), 6) and not exit_rule.is_unreachable(
+        Evidence(10, 0, 20, 6), 6
+    )
+    own, rest = Evidence(0, 0, 0), Evidence(0, 20, 0, 4)
+    # routers without attempts of their own follow the fleet
+    assert exit_rule.exit_evidence(own, rest, 3, 9) is rest
+    assert exit_rule.exit_evidence(Evidence(9, 0, 0), rest, 3, 9) is None  # routers that reach the zone stay
+    seldom = Evidence(1, 0, 0, answered_long=1)  # a single answer suffices to stay
+    assert exit_rule.exit_evidence(seldom, rest, 3, 9) is None
+    assert exit_rule.exit_evidence(replace(seldom, failures_in_row=2, routers_in_run=1), rest, 3, 9) is rest
 
 
 class Fleet:
-    """Zones of several routers that hear one another at once, on one clock."""
+    """Coordinators of several routers, which receive one another's records at once, on one clock."""
 
     def __init__(self, *homes: str) -> None:
         self.now = 1000.0
-        self.each = {f"r{i}": Zones(f"r{i}", home, self.now) for i, home in enumerate(homes)}
+        self.each = {f"r{i}": ZoneCoordinator(f"r{i}", home, self.now) for i, home in enumerate(homes)}
         self.number = 0
         for zones in self.each.values():
-            zones.zones({"north": 2, "south": 2, "west": 2})
+            zones.set_zone_sizes({"north": 2, "south": 2, "west": 2})
 
     def attempts(self, zone: str, reach: Reachability, *names: str, times: int = 3) -> None:
         for name in names or self.each:
             for _ in range(times):
-                self.each[name].ended(self.now, zone, reach)
+                self.each[name].attempt_ended(self.now, zone, reach)
 
     def run(self, seconds: float, apart: tuple[str, ...] = ()) -> None:
         for _ in range(round(seconds / 0.1)):
             self.now += 0.1
             self.number += 1
             records = {
-                name: Record(z.me, 1, self.number, z.home, z.said(self.now), self.now)
+                name: Record(z.own_id, 1, self.number, z.home, z.payload(self.now), self.now)
                 for name, z in self.each.items()
             }
             members = {z.home: sum(o.home == z.home for o in self.each.values()) for z in self.each.values()}
             for name, zones in self.each.items():
                 side = [r for n, r in records.items() if n != name and (n in apart) is (name in apart)]
                 for record in side:
-                    zones.hear(self.now, record)
+                    zones.receive_record(self.now, record)
                 zones.tick(self.now, side, members, True)
 
     def left(self) -> dict[str, frozenset[str]]:
-        return {name: z.given.zones for name, z in self.each.items()}
+        return {name: z.current_order.zones for name, z in self.each.items()}
 
 
-SIX = ("north", "north", "south", "south", "west", "west")
+SIX_ROUTERS = ("north", "north", "south", "south", "west", "west")
 
 
 @pytest.mark.parametrize("reach", [Reachability.REFUSED, Reachability.SILENT])
 def test_a_dead_zone_is_left_by_all_also_by_those_that_have_not_met_it(reach: Reachability) -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     fleet.attempts("south", reach, "r0", "r2", "r3")
     fleet.run(0.3)
     assert set(fleet.left().values()) == {frozenset({"south"})}
-    assert fleet.each["r5"].given.trial_interval == 2 / TRIALS_A_SECOND
+    assert fleet.each["r5"].current_order.trial_interval == 2 / TRIALS_PER_SECOND
 
 
 def test_a_router_that_alone_can_t_reach_a_zone_takes_nobody_with_it_and_is_told_so() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     for _ in range(15):
         fleet.attempts("south", Reachability.SILENT, "r0")
         fleet.attempts("south", Reachability.ANSWERED, "r1", "r2", "r3", "r4", "r5")
         fleet.run(0.2)
     assert set(fleet.left().values()) == {frozenset()}
-    assert ident("south", 2) in fleet.each["r0"].alone
+    assert ident("south", 2) in fleet.each["r0"].isolated_from
     assert any("alone" in c.text for c in fleet.each["r0"].changes)
     assert not any("alone" in c.text for c in fleet.each["r1"].changes)
 
 
 def test_a_cut_is_left_by_those_that_it_cuts_off_alone() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     for _ in range(5):
         fleet.attempts(ORIGIN, Reachability.REFUSED, "r2", "r3")
         fleet.attempts("north", Reachability.REFUSED, "r2", "r3")
         fleet.attempts(ORIGIN, Reachability.ANSWERED, "r0", "r1", "r4", "r5")
         fleet.attempts("north", Reachability.ANSWERED, "r0", "r1", "r4", "r5")
         fleet.run(0.2)
-    given = {name: (z.given.zones, z.given.origin_unreachable) for name, z in fleet.each.items()}
+    given = {
+        name: (z.current_order.zones, z.current_order.origin_unreachable) for name, z in fleet.each.items()
+    }
     assert given["r2"] == given["r3"] == (frozenset({"north"}), True)
     assert {given[n] for n in ("r0", "r1", "r4", "r5")} == {(frozenset(), False)}
 
 
 def test_a_zone_that_is_back_is_returned_to_after_its_hold_and_flapping_makes_that_longer() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     outs = []
     for _ in range(3):
-        for _ in range(6):  # what was counted before its return says nothing
+        for _ in range(6):  # counts from before the return must not matter
             fleet.attempts("south", Reachability.REFUSED, times=1)
             fleet.run(0.2)
         assert set(fleet.left().values()) == {frozenset({"south"})}
@@ -203,42 +234,42 @@
             fleet.attempts("south", Reachability.ANSWERED, "r0", "r2", "r4", times=1)
             fleet.run(0.5)
         outs.append(fleet.now - began)
-    assert outs[0] >= HOLD and outs[1] >= 2 * HOLD and outs[2] >= 4 * HOLD
-    assert outs[0] <= HOLD + LONG * PERIOD + 1.0
+    assert outs[0] >= MIN_OUT and outs[1] >= 2 * MIN_OUT and outs[2] >= 4 * MIN_OUT
+    assert outs[0] <= MIN_OUT + LONG_PERIODS * PERIOD + 1.0
 
 
 def test_a_trial_that_comes_through_is_followed_by_more_of_them_soon() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     fleet.attempts("south", Reachability.REFUSED)
-    fleet.run(HOLD + 1.0)
-    seldom = fleet.each["r0"].given.trial_interval
+    fleet.run(MIN_OUT + 1.0)
+    seldom = fleet.each["r0"].current_order.trial_interval
     fleet.attempts("south", Reachability.ANSWERED, "r1", times=1)
     fleet.run(0.2)
-    assert fleet.left()["r0"] and fleet.each["r0"].given.trial_interval <= seldom / 2
-    fleet.run(LONG * PERIOD + 1.0)
-    assert fleet.left()["r0"] and fleet.each["r0"].given.trial_interval == seldom
+    assert fleet.left()["r0"] and fleet.each["r0"].current_order.trial_interval <= seldom / 2
+    fleet.run(LONG_PERIODS * PERIOD + 1.0)
+    assert fleet.left()["r0"] and fleet.each["r0"].current_order.trial_interval == seldom
 
 
 def test_trials_that_fail_keep_it_out_and_what_came_before_brings_nobody_back() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     fleet.attempts("south", Reachability.ANSWERED, times=30)
     fleet.run(0.6)
     for _ in range(20):
         fleet.attempts("south", Reachability.REFUSED, times=1)
         fleet.run(0.5)
     assert set(fleet.left().values()) == {frozenset({"south"})}
-    assert {z.registers[z.home, ident("south", 2)].standing.epoch for z in fleet.each.values()} == {1}
+    assert {z.registers[z.home, ident("south", 2)].state.epoch for z in fleet.each.values()} == {1}
 
 
 def test_a_split_takes_nobody_out_who_can_reach_the_zone() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     for _ in range(10):
         fleet.attempts("south", Reachability.REFUSED, "r0", "r2", "r4")
         fleet.attempts("south", Reachability.ANSWERED, "r1", "r3", "r5")
         fleet.run(0.2, apart=("r0", "r2", "r4"))
     left = fleet.left()
     assert {left[n] for n in ("r0", "r2", "r4")} == {frozenset({"south"})}
-    for _ in range(5):  # whole again: those that reach it are not taken along by the word of the others
+    for _ in range(5):  # after the split: the others' state must not make those leave that reach the zone
         fleet.attempts("south", Reachability.ANSWERED, "r1", "r3", "r5")
         fleet.run(0.2)
         left = fleet.left()
@@ -246,82 +277,89 @@
 
 
 def test_who_hears_nobody_goes_by_itself_again() -> None:
-    fleet = Fleet(*SIX)
+    fleet = Fleet(*SIX_ROUTERS)
     fleet.attempts("south", Reachability.REFUSED)
     fleet.run(0.3)
     zones = fleet.each["r0"]
-    assert zones.given.zones
-    zones.tick(fleet.now, [], {zones.home: 1}, believes=False)
-    assert zones.given.zones  # for a moment it stays as it was
-    zones.tick(fleet.now + REST, [], {zones.home: 1}, believes=False)
-    assert zones.given == api.ZoneExit(
-        spill_limit=zones.spill, trial_interval=zones.given.trial_interval, paced_return=True
+    assert zones.current_order.zones
+    zones.tick(fleet.now, [], {zones.home: 1}, peers_heard=False)
+    assert zones.current_order.zones  # during the grace time, the order stays
+    zones.tick(fleet.now + NO_PEERS_GRACE, [], {zones.home: 1}, peers_heard=False)
+    assert zones.current_order == api.ZoneExit(
+        spill_limit=zones.spill, trial_interval=zones.current_order.trial_interval, paced_return=True
     )
 
 
 def test_a_process_that_stood_still_counts_nothing_of_that_time() -> None:
-    zones = Zones("r0", "north", 1000.0)
-    zones.zones({"south": 2})
-    zones.ended(1000.0, "south", Reachability.REFUSED)
-    zones.stood_still(1005.0)
-    for _ in range(50):  # all that timed out meanwhile, for no fault of the zone
-        zones.ended(1005.1, "south", Reachability.SILENT)
+    zones = ZoneCoordinator("r0", "north", 1000.0)
+    zones.set_zone_sizes({"south": 2})
+    zones.attempt_ended(1000.0, "south", Reachability.REFUSED)
+    zones.process_stalled(1005.0)
+    for _ in range(50):  # attempts that timed out because of the stall
+        zones.attempt_ended(1005.1, "south", Reachability.SILENT)
     assert zones.counts.tallies(1005.1) == {}
-    zones.ended(1005.0 + UNBELIEVED, "south", Reachability.SILENT)
+    zones.attempt_ended(1005.0 + IGNORED_AFTER_STALL, "south", Reachability.SILENT)
     assert zones.counts.tallies(1005.6)
 
 
 def test_records_that_are_old_say_nothing() -> None:
-    zones = Zones("r0", "north", 1000.0)
-    zones.zones({"south": 2})
-    bad = told({ident("south", 2): Tally(0, 9, 0, 0, 9, 0)}, ROOM)
-    stale = [Record(i, 1, 1, zones.home, bad, 1000.0 - FRESH - 0.1) for i in (5, 6, 7)]
+    zones = ZoneCoordinator("r0", "north", 1000.0)
+    zones.set_zone_sizes({"south": 2})
+    bad = encode_tallies({ident("south", 2): Tally(0, 9, 0, 0, 9, 0)}, MAX_PAYLOAD_SIZE)
+    stale = [Record(i, 1, 1, zones.home, bad, 1000.0 - MAX_RECORD_AGE - 0.1) for i in (5, 6, 7)]
     for record in stale:
-        zones.hear(1000.0, record)
+        zones.receive_record(1000.0, record)
     zones.tick(1000.0, stale, {zones.home: 4}, True)
-    assert not zones.given.zones
+    assert not zones.current_order.zones
 
 
 def test_doubts_of_some_that_are_no_news_take_no_newcomer_out() -> None:
-    """Routers that started anew left four zones and the origin by single doubts of others, seconds old."""
-    zones = Zones("r0", "north", 1000.0)
-    zones.zones({"south": 2})
-    doubt = told({ident("south", 2): Tally(0, 0, 0, 9, 0, 1, 1)}, ROOM)
+    """Restarted routers left four zones and the origin on others' single failures, which were seconds old."""
+    zones = ZoneCoordinator("r0", "north", 1000.0)
+    zones.set_zone_sizes({"south": 2})
+    doubt = encode_tallies({ident("south", 2): Tally(0, 0, 0, 9, 0, 1, 1)}, MAX_PAYLOAD_SIZE)
     for age in (1.0, 0.2):
         records = [Record(i, 1, int(1 / age), zones.home, doubt, 1000.0 - age) for i in range(5, 12)]
         records += [
             Record(
-                i, 1, int(1 / age), zones.home, told({ident("south", 2): Tally(heard_long=5)}, ROOM), 999.8
+                i,
+                1,
+                int(1 / age),
+                zones.home,
+                encode_tallies({ident("south", 2): Tally(answered_long=5)}, MAX_PAYLOAD_SIZE),
+                999.8,
             )
             for i in range(12, 16)
         ]
         for record in records:
-            zones.hear(1000.0, record)
+            zones.receive_record(1000.0, record)
         zones.tick(1000.0, records, {zones.home: 12}, True)
-        assert not zones.given.zones
+        assert not zones.current_order.zones
 
 
 def test_an_operator_s_order_holds_everywhere_until_it_ends_and_by_whom_is_known() -> None:
-    fleet = Fleet(*SIX)
-    fleet.each["r4"].order(fleet.now, "south", Order.ORDERED_OUT, 5.0)
+    fleet = Fleet(*SIX_ROUTERS)
+    fleet.each["r4"].order_zone(fleet.now, "south", ZoneMode.ORDERED_OUT, 5.0)
     fleet.attempts("south", Reachability.ANSWERED, times=5)
     fleet.run(0.3)
     assert set(fleet.left().values()) == {frozenset({"south"})}
-    assert fleet.each["r0"].given.forced_zones == frozenset({"south"})
-    assert fleet.each["r0"].registers[ALL, ident("south", 2)].standing.by == ident("r4")
+    assert fleet.each["r0"].current_order.forced_zones == frozenset({"south"})
+    assert fleet.each["r0"].registers[ALL_ROUTERS, ident("south", 2)].state.ordered_by == ident("r4")
     fleet.run(5.5)
     assert set(fleet.left().values()) == {frozenset()}
     fleet.attempts("south", Reachability.REFUSED)
-    fleet.each["r1"].order(fleet.now, "south", Order.ORDERED_IN, 5.0)
+    fleet.each["r1"].order_zone(fleet.now, "south", ZoneMode.ORDERED_IN, 5.0)
     fleet.run(0.3)
-    assert set(fleet.left().values()) == {frozenset()}  # in, whatever the evidence says
+    assert set(fleet.left().values()) == {frozenset()}  # in use, whatever the evidence is
     with pytest.raises(ZonesError, match="nowhere"):
-        fleet.each["r1"].order(fleet.now, "nowhere", Order.ORDERED_OUT, 5.0)
+        fleet.each["r1"].order_zone(fleet.now, "nowhere", ZoneMode.ORDERED_OUT, 5.0)
 
 
 @given(
     st.lists(
-        st.tuples(st.sampled_from(["north", "south"]), st.sampled_from(Reachability), st.sampled_from(SIX)),
+        st.tuples(
+            st.sampled_from(["north", "south"]), st.sampled_from(Reachability), st.sampled_from(SIX_ROUTERS)
+        ),
         max_size=60,
     ),
     st.randoms(use_true_random=False),
@@ -329,42 +367,42 @@
 def test_routers_of_a_zone_that_have_heard_the_same_say_the_same(
     ends: list[tuple[str, Reachability, str]], chance: object
 ) -> None:
-    """Whatever order records come in, and however often."""
-    senders = [Zones(f"s{i}", home, 1000.0) for i, home in enumerate(SIX)]
+    """The order and the number of copies of the records make no difference."""
+    senders = [ZoneCoordinator(f"s{i}", home, 1000.0) for i, home in enumerate(SIX_ROUTERS)]
     for i, (zone, reach, _) in enumerate(ends):
-        senders[i % 6].zones({"north": 2, "south": 2})
-        senders[i % 6].ended(1000.0, zone, reach)
-    records = [Record(z.me, 1, 1, z.home, z.said(1000.1), 1000.1) for z in senders]
+        senders[i % 6].set_zone_sizes({"north": 2, "south": 2})
+        senders[i % 6].attempt_ended(1000.0, zone, reach)
+    records = [Record(z.own_id, 1, 1, z.home, z.payload(1000.1), 1000.1) for z in senders]
     found = set()
     for name in ("a", "b"):
-        zones = Zones(name, "north", 1000.0)
-        zones.zones({"north": 2, "south": 2, "west": 2})
+        zones = ZoneCoordinator(name, "north", 1000.0)
+        zones.set_zone_sizes({"north": 2, "south": 2, "west": 2})
         shuffled = records * 2
         chance.shuffle(shuffled)  # type: ignore[attr-defined]
         for record in shuffled:
-            zones.hear(1000.1, record)
+            zones.receive_record(1000.1, record)
         zones.tick(1000.1, records, {zones.home: 3, 1: 4}, True)
-        found.add(zones.given)
+        found.add(zones.current_order)
     assert len(found) == 1
 
 
 # The decision module
 
 
-def fleet_of(**zones: str) -> tuple[api.ServerEntry, ...]:
+def server_entries(**zones: str) -> tuple[api.ServerEntry, ...]:
     return tuple(entry(name, zone=zone) for name, zone in zones.items())
 
 
-FOUR = fleet_of(a="north", b="north", c="south", d="south")
+FOUR_SERVERS = server_entries(a="north", b="north", c="south", d="south")
 
 
 def driver(**changes: object) -> Driver:
     d = Driver(conf(**changes))
-    d.list(*FOUR)
+    d.list(*FOUR_SERVERS)
     return d
 
 
-def sent_to(d: Driver, count: int) -> set[str]:
+def servers_used(d: Driver, count: int) -> set[str]:
     found = set()
     for i in range(count):
         name = f"{len(d.sends)}-{len(d.ended)}"
@@ -377,15 +415,15 @@
 
 def test_nothing_new_goes_to_a_zone_that_is_left_but_trials_and_all_comes_back() -> None:
     d = driver()
-    assert sent_to(d, 40) == {"a", "b", "c", "d"}
+    assert servers_used(d, 40) == {"a", "b", "c", "d"}
     d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=100.0, trial_interval=1e9))
-    assert sent_to(d, 40) == {"a", "b"}
+    assert servers_used(d, 40) == {"a", "b"}
     d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=100.0, trial_interval=0.001))
     d.now += 10.0
-    assert {"c", "d"} & sent_to(d, 40)
+    assert {"c", "d"} & servers_used(d, 40)
     d.feed(api.ZoneExit())
     d.now += 1.0
-    assert sent_to(d, 60) == {"a", "b", "c", "d"}
+    assert servers_used(d, 60) == {"a", "b", "c", "d"}
 
 
 def test_a_forced_zone_gets_no_trial() -> None:
@@ -396,29 +434,31 @@
         )
     )
     d.now += 10.0
-    assert sent_to(d, 60) == {"a", "b"}
+    assert servers_used(d, 60) == {"a", "b"}
 
 
 def test_with_all_zones_left_it_stays_where_it_is() -> None:
     d = driver()
     d.feed(api.ZoneExit(frozenset({"north", "south"}), spill_limit=100.0, trial_interval=1e9))
-    assert sent_to(d, 40) == {"a", "b", "c", "d"}
+    assert servers_used(d, 40) == {"a", "b", "c", "d"}
 
 
 def test_servers_that_have_started_since_are_not_meant() -> None:
     d = driver()
     d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=100.0, trial_interval=1e9))
     d.now += 5.0
-    d.list(FOUR[0], FOUR[1], FOUR[2], entry("d", zone="south", listed_start=d.now - 1.0))
-    d.now += 20.0  # warm
-    assert sent_to(d, 60) == {"a", "b", "d"}
+    d.list(
+        FOUR_SERVERS[0], FOUR_SERVERS[1], FOUR_SERVERS[2], entry("d", zone="south", listed_start=d.now - 1.0)
+    )
+    d.now += 20.0  # past the slow start
+    assert servers_used(d, 60) == {"a", "b", "d"}
 
 
 def test_a_router_that_lists_the_zone_only_now_leaves_it_too() -> None:
     d = Driver(conf())
     d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=100.0, trial_interval=1e9))
-    d.list(*FOUR)
-    assert sent_to(d, 40) <= {"a", "b"}
+    d.list(*FOUR_SERVERS)
+    assert servers_used(d, 40) <= {"a", "b"}
 
 
 @given(st.integers(0, 2**16), st.floats(1.0, 4.0), st.integers(50, 400))
@@ -426,7 +466,7 @@
     seed: int, spill: float, count: int
 ) -> None:
     d = Driver(conf(), seed)
-    d.list(*FOUR)
+    d.list(*FOUR_SERVERS)
     d.feed(api.ZoneExit(frozenset({"south"}), spill_limit=spill, trial_interval=1e9))
     stays = moved = 0
     for i in range(count):
@@ -469,25 +509,25 @@
 
 def test_an_origin_out_of_reach_is_asked_by_trials_alone_while_hits_go_on() -> None:
     d = Driver(conf(cache_aside=True, origin_kind="origin"))
-    d.list(*FOUR, entry("o", kind="origin", zone="north"))
+    d.list(*FOUR_SERVERS, entry("o", kind="origin", zone="north"))
     d.feed(api.ZoneExit(origin_unreachable=True, trial_interval=1e9))
     for i in range(10):
         d.request(f"q{i}", key=f"k{i}")
         d.end(f"q{i}", api.Status.MISS if i % 2 else api.Status.OK)
-        if i % 2:  # it waits a while, and has time to come back elsewhere
+        if i % 2:  # it waits, but is refused early enough for a retry elsewhere
             assert f"q{i}" in d.open
             d.wait(0.9)
         assert d.ended[f"q{i}"] == ("refused" if i % 2 else "served")
     assert not any("o" in sent for sent in d.sends.values())
     d.feed(api.ZoneExit())
-    d.now += 1.1  # spread over the routers
+    d.now += 1.1  # routers resume at different times
     d.request("later", key="x")
     d.end("later", api.Status.MISS)
     assert d.sends["later"][-1] == "o"
 
 
 def test_the_watch_is_told_once_of_each_attempt() -> None:
-    told_of: list[tuple[str, bool, Reachability]] = []
+    reported: list[tuple[str, bool, Reachability]] = []
 
     class Watch:
         def attempt_ended(
@@ -499,10 +539,10 @@
             pressed: bool = False,
             missed: bool = False,
         ) -> None:
-            told_of.append((zone, origin, reach))
+            reported.append((zone, origin, reach))
 
         def servers_listed(self, zones: Mapping[str, int]) -> None:
-            raise AssertionError("the host tells this")
+            raise AssertionError("the host calls this")
 
     d = driver()
     d.router.observer = Watch()
@@ -511,13 +551,13 @@
     ):
         d.request(f"q{i}", key="k")
         d.end(f"q{i}", status)
-    assert [reach for _, _, reach in told_of[:4]] == [
+    assert [reach for _, _, reach in reported[:4]] == [
         Reachability.ANSWERED,
         Reachability.REFUSED,
         Reachability.REFUSED,
         Reachability.ANSWERED,
     ]
-    assert {zone for zone, _, _ in told_of} <= {"north", "south"} and not any(o for _, o, _ in told_of)
+    assert {zone for zone, _, _ in reported} <= {"north", "south"} and not any(o for _, o, _ in reported)
 
 
 # Whole fleets in virtual time, with the same modules
@@ -541,14 +581,14 @@
         "pieces": [{"seconds": 13.0, "rate": 300}],
         "classes": [{"name": "read", "aim": 0.5, "deadline": 1.5}],
     }
-    told_of = msgspec.convert(plain | changes, Scenario)
-    return World(told_of, msgspec.convert(load | {"keys": {"count": 200}}, Profile))
+    scenario = msgspec.convert(plain | changes, Scenario)
+    return World(scenario, msgspec.convert(load | {"keys": {"count": 200}}, Profile))
 
 
-def last_left(played: World) -> dict[str, frozenset[str]]:
-    meeting = played.routers[0].meeting
-    assert meeting is not None
-    return {who: zones for _, who, zones, _ in meeting.orders}
+def last_zones_left(played: World) -> dict[str, frozenset[str]]:
+    peer_network = played.routers[0].peer_network
+    assert peer_network is not None
+    return {who: zones for _, who, zones, _ in peer_network.orders}
 
 
 def test_two_zones_at_once_are_left_and_one_with_its_routers_and_the_list_s_silence() -> None:
@@ -558,7 +598,7 @@
     played = world(faults)
     result = played.run()
     assert result.verdict["kept"], result.verdict["named"]
-    assert set(last_left(played).values()) == {frozenset({"south", "west"})}
+    assert set(last_zones_left(played).values()) == {frozenset({"south", "west"})}
 
 
 def test_half_a_zone_or_a_slow_one_is_left_by_nobody() -> None:
@@ -568,7 +608,7 @@
     played = world(faults)
     result = played.run()
     assert result.verdict["kept"], result.verdict["named"]
-    assert not any(last_left(played).values())
+    assert not any(last_zones_left(played).values())
 
 
 def test_a_fleet_of_one_zone_has_nowhere_to_go_and_stays() -> None:
@@ -578,8 +618,8 @@
     assert result.record.all.counts["served"] > 0.6 * result.record.all.counts["scheduled"]
 
 
-class Deaf(Router):
-    """Broken on purpose: hears of no order."""
+class IgnoresOrders(Router):
+    """A router with a deliberate fault: it ignores orders to leave zones."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         return [] if isinstance(event, api.ZoneExit) else super().handle(now, event)
@@ -592,7 +632,7 @@
     assert played.run().verdict["breaches"]["stayed"] == 0
     wrong = world(faults, rules={"zone_dials": 30.0}, routers=40)
     for router in wrong.routers:
-        router.make = Deaf
+        router.make = IgnoresOrders
         router.start(list(wrong.layout.entries.values()))
     assert wrong.run().verdict["breaches"]["stayed"] > 0
 
@@ -618,12 +658,12 @@
     left = frozenset({gone})
     had = moved = 0.0
     for zone, count in routers.items():
-        lost = tiers.lost(zone, sizes, left)
+        lost = tiers.lost_share(zone, sizes, left)
         had += count * (1.0 - lost)
-        moved += count * (tiers.spill(bound, zone, sizes, left, routers) - 1.0) * (1.0 - lost)
-    # no router may lose all of its load: then nothing stays that the bound could go by
+        moved += count * (tiers.spill_bound(bound, zone, sizes, left, routers) - 1.0) * (1.0 - lost)
+    # This holds only if no router loses all of its load: else no load is left to measure the bound by.
     assert moved <= (bound - 1.0) * had * (1 + 1e-9) + 1e-9
-    assert Tiers().spill(bound, "north", sizes, left, routers) == bound
+    assert Tiers().spill_bound(bound, "north", sizes, left, routers) == bound
 
 
 def test_the_own_zone_is_asked_most_and_its_region_takes_over_when_it_is_left() -> None:
@@ -634,7 +674,7 @@
 
     def shares() -> dict[str, float]:
         seen = Counter[str]()
-        d.now += 2 * tuning.EXCLUSION_TIME  # so that those that are back are asked again
+        d.now += 2 * tuning.EXCLUSION_TIME  # until servers that are back in use are asked again
         for i in range(600):
             name = f"{d.now}-{i}"
             d.request(name, key=f"k{i}")
@@ -664,30 +704,34 @@
     played = world(faults, peers=peers | {"elsewhere": 0.1}, rules=rules)
     result = played.run()
     assert result.verdict["kept"], result.verdict["named"]
-    assert set(last_left(played).values()) == {frozenset({"south"})}
+    assert set(last_zones_left(played).values()) == {frozenset({"south"})}
     assert result.record.all.counts["served"] > 0.9 * result.record.all.counts["scheduled"]
 
 
-def part_of(**changes: Any) -> Part:
+def agent_settings(**changes: Any) -> AgentSettings:
     plain = {"name": "a", "members": ("a", "b"), "zone": "north", "key": b"k" * 16}
-    return Part(**(plain | changes))
+    return AgentSettings(**(plain | changes))
 
 
 def test_another_part_is_taken_whole_or_not_at_all() -> None:
-    agent = Agent(part_of(), 0.0, 0.0, 1)
+    agent = Agent(agent_settings(), 0.0, 0.0, 1)
     agent.servers_listed({"north": 2, "south": 2})
     assert agent.tick(0.1, 0.1).events == []
     tiers = Tiers({}, 1.0, 0.5)
-    agent.change(part_of(members=("a", "b", "c"), spill=2.0, tiers=tiers, also=(b"j" * 16,), interval=2.0))
+    agent.reconfigure(
+        agent_settings(
+            members=("a", "b", "c"), spill=2.0, tiers=tiers, accepted_keys=(b"j" * 16,), interval=2.0
+        )
+    )
     assert agent.tick(0.2, 0.2).events == [api.ZonePreferences({"south": 0.5})]
     assert [m["name"] for m in agent.status(0.2)["members"]] == ["a", "b", "c"]
     assert agent.zones.spill == 2.0 and agent.gossip.interval == 2.0
-    before = agent.part
-    wrong = ({"zone": "south"}, {"members": ("b", "c")}, {"key": b"short"}, {"also": (b"short",)})
+    before = agent.settings
+    wrong = ({"zone": "south"}, {"members": ("b", "c")}, {"key": b"short"}, {"accepted_keys": (b"short",)})
     for change in wrong:
-        with pytest.raises(ValueError, match=r"others|among|least"):
-            agent.change(part_of(**change))
-        assert agent.part is before and len(agent.gossip.members) == 3
+        with pytest.raises(ValueError, match=r"can't change|among|least"):
+            agent.reconfigure(agent_settings(**change))
+        assert agent.settings is before and len(agent.gossip.members) == 3
 
 
 def test_a_new_key_goes_round_without_a_word_lost() -> None:
@@ -701,10 +745,10 @@
         Seal("b", *steps[3]).open(Seal("a", *steps[0]).pack("b", [1, 2]), 2, 1)
 
 
-# Its place in the operators' file
+# The table in the operators' file
 
 
-GOOD = """
+VALID_FILE = """
 [fleet]
 key_file = "KEY"
 name = "a"
@@ -714,7 +758,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ("[fleet]", "[flet]", "flet"),
         ("zone =", "zones =", "zones"),
@@ -731,20 +775,20 @@
     ],
 )
 def test_a_file_that_can_t_hold_is_named_with_its_place(
-    old: str, new: str, said: str, tmp_path: Path
+    old: str, new: str, message: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "router.toml"
-    path.write_text(GOOD)
+    path.write_text(VALID_FILE)
     table = read_operators(path).fleet
     assert table is not None and table.spill == 3.0
-    path.write_text(GOOD.replace(old, new))
-    with pytest.raises(ConfigError, match=said) as told_of:
+    path.write_text(VALID_FILE.replace(old, new))
+    with pytest.raises(ConfigError, match=message) as error:
         read_operators(path)
-    assert "router.toml" in str(told_of.value)
+    assert "router.toml" in str(error.value)
 
 
-def config(talk: bool, **more: Any) -> Config:
-    settings = {"classes": [{"name": "read"}], "zone": "north", "me": 1, "limits": {"peers": talk}}
+def config(peers_allowed: bool, **more: Any) -> Config:
+    settings = {"classes": [{"name": "read"}], "zone": "north", "me": 1, "limits": {"peers": peers_allowed}}
     known = {"index": 1, "snapshot": True, "endpoints": []}
     plain = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "known": known}
     return read_config(json.dumps(plain | {"settings": settings} | more).encode())
@@ -757,28 +801,28 @@
     path.write_text(f'[fleet]\nkey_file = "{key}"\n')
     table = read_operators(path).fleet
     assert table is not None
-    there = {"peer_listen": "127.0.0.1:7", "peers": ["127.0.0.1:6", "127.0.0.1:7"]}
+    addresses = {"peer_listen": "127.0.0.1:7", "peers": ["127.0.0.1:6", "127.0.0.1:7"]}
 
-    def made(conf: Config) -> Speaker | None:
+    def make(conf: Config) -> GossipSocket | None:
         assert table is not None
-        return speaker(table, conf, lambda: 0.0, lambda event: None)
+        return make_gossip_socket(table, conf, lambda: 0.0, lambda event: None)
 
-    assert made(config(False, **there)) is None and made(config(True)) is None
-    end = made(config(True, **there))
+    assert make(config(False, **addresses)) is None and make(config(True)) is None
+    end = make(config(True, **addresses))
     assert end is not None
-    assert (end.agent.part.name, end.agent.part.zone, end.bind) == ("1", "north", ("127.0.0.1", 7))
-    path.write_text(GOOD.replace("KEY", str(key)))
+    assert (end.agent.settings.name, end.agent.settings.zone, end.bind) == ("1", "north", ("127.0.0.1", 7))
+    path.write_text(VALID_FILE.replace("KEY", str(key)))
     table = read_operators(path).fleet
-    end = made(config(False))
+    end = make(config(False))
     assert end is not None and end.bind == ("127.0.0.1", 7001) and set(end.peers) == {"a", "b"}
     key.write_bytes(b"short")
     with pytest.raises(ConfigError, match="fleet"):
-        made(config(False))
+        make(config(False))
     with pytest.raises(ConfigError, match=r"peers\[0\]"):
         config(True, peer_listen="127.0.0.1:7", peers=["here"])
 
 
-GONE = ("peers", "zones", "operators", "address", "duties", "election", "checked")
+OPTIONAL_PACKAGES = ("peers", "zones", "operators", "address", "duties", "election", "checked")
 
 
 @pytest.mark.processes
@@ -788,4 +832,4 @@
     )
     loaded = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
     assert "policy.router" in loaded
-    assert not any(f"myrtlecourse.{part}" in loaded for part in GONE)
+    assert not any(f"myrtlecourse.{part}" in loaded for part in OPTIONAL_PACKAGES)
