--- a/myrtlecourse/scale/hollow.py
+++ b/myrtlecourse/scale/hollow.py
@@ -1,8 +1,8 @@
-"""Hollow members: routers without their data path, hundreds to a process and its one loop.
+"""Hollow members: routers without a data path, hundreds of them in one process and event loop.
 
-Each runs what a router runs, from the platform's configuration to gossip: the decision module in its host,
-with timers, discovery's client and the socket to the others. It has no listener, so that no request comes
-and nothing is ever sent to a cache server.
+Each runs a router's control code, from the platform's configuration to gossip: the decision module in its
+host, with timers, the discovery client and the gossip socket. It has no listener, so it gets no requests and
+never sends anything to a cache server. Kubemark tests the control plane of Kubernetes in the same way.
 """
 
 from __future__ import annotations
@@ -32,30 +32,30 @@
 from myrtlecourse.operators import read_operators
 from myrtlecourse.overload.core import CoreAdmission
 from myrtlecourse.peers.gossip_socket import GossipSocket
-from myrtlecourse.scale.child import told_to_end
-from myrtlecourse.scale.scenario import Place
+from myrtlecourse.scale.child_process import wait_for_end
+from myrtlecourse.scale.scenario import MemberPlace
 from myrtlecourse.zones.agent import Agent
 from myrtlecourse.zones.setup import agent_settings
 
-TELLS = 1.0  # seconds between two words with counts
-GONE = "terminated"
+REPORT_INTERVAL = 1.0  # seconds between two reports of counts
+TERMINATED = "terminated"
 
 
 @dataclass(frozen=True)
-class Job:
-    """One process of them."""
+class HollowJob:
+    """The parameters of one process of hollow members."""
 
-    configuration: dict[str, Any]  # that all share
-    heard_at: tuple[str, ...]  # of all members, by their numbers; none: no gossip
-    operators: Path | None  # the operators' file
-    members: tuple[Place, ...]
+    configuration: dict[str, Any]  # shared by all members
+    gossip_addresses: tuple[str, ...]  # of all members, by member number; empty: no gossip
+    operators: Path | None  # the operators' file; None: no gossip
+    members: tuple[MemberPlace, ...]
     restarts: tuple[tuple[float, frozenset[int]], ...]
     log: Path
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
-    """A member's decisions have taken another state of a server."""
+class InForceRecord:
+    """A member's decision module has applied a new state of a server."""
 
     at: float  # the machine's monotonic clock
     member: int
@@ -66,19 +66,19 @@
 
 @dataclass
 class Counts:
-    """What a process came to since it was told to begin, when it last told."""
+    """What a process of hollow members has measured since the run began."""
 
     at: float = 0.0
-    cpu: float = 0.0  # seconds of processor
+    cpu: float = 0.0  # processor seconds
     datagrams_in: int = 0
     datagrams_out: int = 0
     datagram_bytes_in: int = 0
     datagram_bytes_out: int = 0
-    in_force: list[InForce] = field(default_factory=list)  # since it told before
+    in_force: list[InForceRecord] = field(default_factory=list)  # since the previous report
 
 
-class CountingSpeaker(GossipSocket):
-    """A member's end, with what comes to it counted; what it sends its gossip counts."""
+class CountingGossipSocket(GossipSocket):
+    """A member's gossip socket that counts the datagrams received; the gossip itself counts those sent."""
 
     counts: Counts
 
@@ -89,12 +89,12 @@
 
 
 class HollowMember:
-    """One life of one member."""
+    """One hollow member, from its start to its end; a restarted member is another object."""
 
-    def __init__(self, place: Place, job: Job, counts: Counts) -> None:
+    def __init__(self, place: MemberPlace, job: HollowJob, counts: Counts) -> None:
         self.place = place
         self.counts = counts
-        config = self.config = read_config(orjson.dumps(self._told(job)))
+        config = self.config = read_config(orjson.dumps(self._configuration(job)))
         settings = config.settings
         dial, idle = settings.dial_timeout, settings.connection_idle
         pools = Pool(CacheConnection, 1, dial, idle), Pool(OriginConnection, 1, dial, idle)
@@ -106,73 +106,76 @@
             self.host.discovery_failed,
             WatchTimeouts.from_settings(settings),
         )
-        self.host.list_updates.apply = self._take_list
-        self.speaker: CountingSpeaker | None = None
+        self.host.list_updates.apply = self._apply_list
+        self.gossip_socket: CountingGossipSocket | None = None
         if job.operators is not None:
-            self.speaker = self._speaker(config, job.operators)
+            self.gossip_socket = self._make_gossip_socket(config, job.operators)
 
-    def _told(self, job: Job) -> dict[str, Any]:
-        """What the platform tells it."""
-        told, number = job.configuration, self.place.number
-        settings = told["settings"] | {"me": number, "zone": self.place.zone}
+    def _configuration(self, job: HollowJob) -> dict[str, Any]:
+        """Return the configuration that the platform would give this member."""
+        configuration, number = job.configuration, self.place.number
+        settings = configuration["settings"] | {"me": number, "zone": self.place.zone}
         own: dict[str, Any] = {"seed": f"{number:x}", "settings": settings}
-        if job.heard_at:
-            own |= {"peer_listen": job.heard_at[number], "peers": list(job.heard_at)}
-        return told | own
+        if job.gossip_addresses:
+            own |= {"peer_listen": job.gossip_addresses[number], "peers": list(job.gossip_addresses)}
+        return configuration | own
 
-    def _speaker(self, config: Config, operators: Path) -> CountingSpeaker:
+    def _make_gossip_socket(self, config: Config, operators: Path) -> CountingGossipSocket:
         table = read_operators(operators).fleet
-        told = agent_settings(table, config) if table is not None else None
-        if told is None:
-            raise ConfigError(f"{operators}: no gossip in it")
-        taken, peers, bind = told
+        gossip = agent_settings(table, config) if table is not None else None
+        if gossip is None:
+            raise ConfigError(f"{operators}: contains no gossip settings")
+        own_settings, peers, bind = gossip
         clock = self.host.clock.now
-        agent = Agent(taken, clock(), time.time(), config.seed)
-        speaker = CountingSpeaker(agent, bind, peers, clock, self.host.post)
-        speaker.counts = self.counts
+        agent = Agent(own_settings, clock(), time.time(), config.seed)
+        gossip_socket = CountingGossipSocket(agent, bind, peers, clock, self.host.post)
+        gossip_socket.counts = self.counts
         self.host.set_observer(agent)
-        return speaker
+        return gossip_socket
 
     def _subscribe(self) -> None:
         self.discovery.subscribe()
 
-    async def start(self, again: bool) -> None:
-        """Begin with the list first given; `again`: its own former life may still be listening."""
+    async def start(self, restarted: bool) -> None:
+        """Start with the initial list.
+
+        A `restarted` member shares its gossip address, because its earlier socket may still be open.
+        """
         self.host.submit_list(api.ListKind.SAVED, self.config.known)
         if not self.config.settings.subscribe:
             self.discovery.subscribe()
-        if self.speaker is not None:
-            await self.speaker.start(shared=again)
+        if self.gossip_socket is not None:
+            await self.gossip_socket.start(shared=restarted)
 
-    def _take_list(self, news: ListUpdate) -> None:
-        """Note what is in force once its decisions have it."""
+    def _apply_list(self, update: ListUpdate) -> None:
+        """Apply a list update, and record the server states that the decision module now has."""
         before = dict(self.host.members)
-        self.host.apply_list(news)
+        self.host.apply_list(update)
         now, after = time.monotonic(), self.host.members
-        for name, new in after.items():
-            old = before.get(name)
-            if old is None or old.entry != new.entry:
-                status = "in_service" if new.entry.ready else "terminating"
-                self._in_force(now, new, status)
-        for name, old in before.items():
+        for name, current in after.items():
+            previous = before.get(name)
+            if previous is None or previous.entry != current.entry:
+                status = "in_service" if current.entry.ready else "terminating"
+                self._record_in_force(now, current, status)
+        for name, previous in before.items():
             if name not in after:
-                self._in_force(now, old, GONE)
+                self._record_in_force(now, previous, TERMINATED)
 
-    def _in_force(self, now: float, listed: Listed, status: str) -> None:
+    def _record_in_force(self, now: float, listed: Listed, status: str) -> None:
         since_ms = round(listed.entry.listed_start * 1000)
-        record = InForce(now, self.place.number, listed.entry.server, status, since_ms)
+        record = InForceRecord(now, self.place.number, listed.entry.server, status, since_ms)
         self.counts.in_force.append(record)
 
-    def sent(self) -> tuple[int, int]:
-        """Datagrams and bytes that it has sent."""
-        gossip = self.speaker.agent.gossip if self.speaker is not None else None
+    def sent_totals(self) -> tuple[int, int]:
+        """Return the number of datagrams sent and their bytes."""
+        gossip = self.gossip_socket.agent.gossip if self.gossip_socket is not None else None
         return (0, 0) if gossip is None else (gossip.sent, gossip.bytes_sent)
 
     def close(self) -> None:
-        """End it; nothing of it acts any more."""
+        """Stop the member: its timers and connections end."""
         self.discovery.close()
-        if self.speaker is not None:
-            self.speaker.close()
+        if self.gossip_socket is not None:
+            self.gossip_socket.close()
         if self.host.timers.loop_timer is not None:
             self.host.timers.loop_timer.cancel()
 
@@ -180,79 +183,81 @@
 class HollowProcess:
     """All members of one process."""
 
-    def __init__(self, job: Job, words: Any) -> None:
+    def __init__(self, job: HollowJob, connection: Any) -> None:
         self.job = job
-        self.words = words
+        self.connection = connection
         self.counts = Counts()
-        self.before = held(os.getpid())[0]
+        self.resident_before = held(os.getpid())[0]
         self.members = {p.number: HollowMember(p, job, self.counts) for p in job.members}
-        self.former = [0, 0]  # datagrams and bytes that former lives sent
-        self.cpu = 0.0
-        self.sent = (0, 0)  # before it was told to begin
+        self.former_sent = [0, 0]  # datagrams and bytes sent by members before they were restarted
+        self.cpu_before = 0.0
+        self.sent_before = (0, 0)  # datagrams and bytes sent before the run began
         self.starting: set[asyncio.Task[None]] = set()
         self.loop = asyncio.get_running_loop()
 
-    async def live(self) -> None:
-        """From the start to the end of all members."""
+    async def run(self) -> None:
+        """Start all members, run until the parent ends the run, and close them."""
         for member in self.members.values():
-            await member.start(again=False)
-        self.words.send(("ready", self.memory()))
-        await told_to_end(self.words, self._begin)
-        self._tell()
-        self.words.send(("ended", self.memory()))
+            await member.start(restarted=False)
+        self.connection.send(("ready", self.member_memory()))
+        await wait_for_end(self.connection, self._begin_measuring)
+        self._report()
+        self.connection.send(("ended", self.member_memory()))
         for member in self.members.values():
             member.close()
 
-    def memory(self) -> float:
-        """Resident MB for each member, beyond what the process had without any."""
-        return (held(os.getpid())[0] - self.before) / len(self.members)
+    def member_memory(self) -> float:
+        """Return the resident MB per member, without what the process had before it created any."""
+        return (held(os.getpid())[0] - self.resident_before) / len(self.members)
 
-    def _begin(self) -> None:
-        # what each took to start is no part of what it costs to run
-        self.cpu, self.sent = time.process_time(), self._all_sent()
+    def _begin_measuring(self) -> None:
+        # the cost of starting the members is excluded
+        self.cpu_before, self.sent_before = time.process_time(), self._total_sent()
         self.counts.datagrams_in = self.counts.datagram_bytes_in = 0
         self.counts.in_force.clear()
         for at, numbers in self.job.restarts:
-            self.loop.call_later(at, self._restart, numbers)
-        self.loop.call_later(TELLS, self._tell_again)
+            self.loop.call_later(at, self._restart_members, numbers)
+        self.loop.call_later(REPORT_INTERVAL, self._report_periodically)
 
-    def _restart(self, numbers: frozenset[int]) -> None:
+    def _restart_members(self, numbers: frozenset[int]) -> None:
         for number in numbers & self.members.keys():
             former = self.members[number]
             former.close()
-            for i, count in enumerate(former.sent()):
-                self.former[i] += count
+            for i, count in enumerate(former.sent_totals()):
+                self.former_sent[i] += count
             member = self.members[number] = HollowMember(former.place, self.job, self.counts)
-            task = self.loop.create_task(member.start(again=True))
+            task = self.loop.create_task(member.start(restarted=True))
             self.starting.add(task)
             task.add_done_callback(self.starting.discard)
 
-    def _all_sent(self) -> tuple[int, int]:
-        each = [member.sent() for member in self.members.values()]
-        return self.former[0] + sum(e[0] for e in each), self.former[1] + sum(e[1] for e in each)
+    def _total_sent(self) -> tuple[int, int]:
+        totals = [member.sent_totals() for member in self.members.values()]
+        return self.former_sent[0] + sum(e[0] for e in totals), self.former_sent[1] + sum(
+            e[1] for e in totals
+        )
 
-    def _tell_again(self) -> None:
-        self._tell()
-        self.loop.call_later(TELLS, self._tell_again)
+    def _report_periodically(self) -> None:
+        self._report()
+        self.loop.call_later(REPORT_INTERVAL, self._report_periodically)
 
-    def _tell(self) -> None:
-        counts, sent = self.counts, self._all_sent()
-        counts.at, counts.cpu = time.monotonic(), time.process_time() - self.cpu
-        counts.datagrams_out = sent[0] - self.sent[0]
-        counts.datagram_bytes_out = sent[1] - self.sent[1]
-        self.words.send(("counts", counts))
+    def _report(self) -> None:
+        counts, sent = self.counts, self._total_sent()
+        counts.at, counts.cpu = time.monotonic(), time.process_time() - self.cpu_before
+        counts.datagrams_out = sent[0] - self.sent_before[0]
+        counts.datagram_bytes_out = sent[1] - self.sent_before[1]
+        self.connection.send(("counts", counts))
         counts.in_force.clear()
 
 
-def work(job: Job, words: Any) -> None:
-    """One process of hollow members."""
-    gc.set_threshold(10_000, 10, 10)  # as a router has it (`__main__.py`)
+def run_process(job: HollowJob, connection: Any) -> None:
+    """Run one process of hollow members."""
+    gc.set_threshold(10_000, 10, 10)  # the same thresholds as in a router (`__main__.py`)
     logging.basicConfig(
         filename=job.log, level=logging.WARNING, format="%(asctime)s %(levelname)s %(message)s"
     )
 
     async def live() -> None:
-        await HollowProcess(job, words).live()
+        await HollowProcess(job, connection).run()
 
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
         runner.run(live())
--- a/myrtlecourse/scale/page.py
+++ b/myrtlecourse/scale/page.py
@@ -1,4 +1,7 @@
-"""docs/CAPACITY.md from the results: the same results give the same page, and no figure of it is typed."""
+"""Generates docs/CAPACITY.md from the results.
+
+The same results give the same page; no figure on it is entered by hand.
+"""
 
 from __future__ import annotations
 
@@ -6,14 +9,22 @@
 from itertools import groupby
 
 from myrtlecourse.net.host import DEADLINE_MARGIN
-from myrtlecourse.scale import roles
-from myrtlecourse.scale.book import Book, Figure, spelled
-from myrtlecourse.scale.calibration import shared
+from myrtlecourse.scale import role_costs
+from myrtlecourse.scale.calibration import is_shared
+from myrtlecourse.scale.capacity_results import Measure, Results, Slope
+from myrtlecourse.scale.estimates import Estimate, Estimates, format_value
 from myrtlecourse.scale.fit import check
-from myrtlecourse.scale.results import Measure, Results, Slope
-from myrtlecourse.scale.roles import CHANGES, REGIONS, ROUTERS, SERVERS, SITE, VIEW, Row
+from myrtlecourse.scale.role_costs import (
+    CHANGE_RATE,
+    REGIONS,
+    ROUTERS,
+    ROUTERS_PER_SITE,
+    SERVERS,
+    SERVERS_PER_REGION,
+    CostRow,
+)
 
-NONE = "not measured"
+NOT_MEASURED = "not measured"
 PICTURE = "capacity/slopes.png"
 HOPS = (
     ("tool", "from the tool to a control machine"),
@@ -37,227 +48,277 @@
 from the results in `docs/capacity/`; nothing here is typed by hand, and a test fails when page and results
 differ. A figure names its slope or measure; brackets hold its 95% interval; one with a formula is arithmetic.
 Processor times are of one thread, on the machine of the results. A stop of a router's loop stands beside the
-{spelled(DEADLINE_MARGIN, "s")} by which routers answer before their clients' deadlines."""
+{format_value(DEADLINE_MARGIN, "s")} by which routers answer before their clients' deadlines."""
 
 
-def table(head: Sequence[str], body: Iterable[Sequence[str]]) -> str:
-    """A table in Markdown."""
-    lines = [head, ["---"] * len(head), *body]
-    return "\n".join(f"| {' | '.join(cell.replace('|', '/') for cell in line)} |" for line in lines)
+def markdown_table(header: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+    """Return a Markdown table."""
+    lines = [header, ["---"] * len(header), *rows]
+    return "\n".join(f"| {' | '.join(text.replace('|', '/') for text in row)} |" for row in lines)
 
 
-def cell(figure: Figure | None) -> str:
-    """A figure, or that there is none."""
-    return NONE if figure is None else str(figure)
+def estimate_cell(estimate: Estimate | None) -> str:
+    """Return the text of an estimate, or of a missing one."""
+    return NOT_MEASURED if estimate is None else str(estimate)
 
 
-def times(factor: float | None) -> str:
-    """How many times the budget."""
+def ratio_cell(factor: float | None) -> str:
+    """Return the text of the ratio of cost to budget."""
     return "" if factor is None else f"{factor:.2g}" if factor < 100 else f"{factor:,.0f}"
 
 
-def budget(row: Row) -> str:
-    """What a row may cost, or has to reach."""
+def budget_cell(row: CostRow) -> str:
+    """Return the text of a row's budget."""
     if row.budget is None:
         return "none given"
-    unit = row.figure.unit if row.figure else roles.UNITS[row.budget]
-    return ("at least " if row.least else "") + spelled(row.budget, unit)
+    unit = row.estimate.unit if row.estimate else role_costs.BUDGET_UNITS[row.budget]
+    return ("at least " if row.is_minimum else "") + format_value(row.budget, unit)
 
 
-def source(row: Row) -> str:
-    """Where a row's figure is from, or the name under which it is missed."""
-    return row.figure.origin if row.figure else f"`{row.named}`"
+def source_cell(row: CostRow) -> str:
+    """Return the source of a row's estimate, or the name of the missing measurement."""
+    return row.estimate.annotated_source if row.estimate else f"`{row.missing}`"
 
 
-def misfits(rows: list[Row]) -> str:
-    """What is over its budget, the worst first."""
-    over = [r for r in rows if (r.factor or 0.0) > 1.0]
-    over.sort(key=lambda r: -(r.factor or 0.0))
-    body = [(r.role, r.what, cell(r.figure), budget(r), times(r.factor), source(r), r.state) for r in over]
-    head = ("role", "what", "at the size to come", "budget", "times its budget", "from", "state")
-    absent = sum(r.figure is None for r in rows)
-    unsure = sum(r.figure is not None and not r.figure.holds for r in rows)
+def over_budget_section(rows: list[CostRow]) -> str:
+    """Return the section on costs over their budget, the worst first."""
+    over = [r for r in rows if (r.budget_ratio or 0.0) > 1.0]
+    over.sort(key=lambda r: -(r.budget_ratio or 0.0))
+    cells = [
+        (
+            r.role,
+            r.item,
+            estimate_cell(r.estimate),
+            budget_cell(r),
+            ratio_cell(r.budget_ratio),
+            source_cell(r),
+            r.state,
+        )
+        for r in over
+    ]
+    header = ("role", "what", "at the size to come", "budget", "times its budget", "from", "state")
+    absent = sum(r.estimate is None for r in rows)
+    unsure = sum(r.estimate is not None and not r.estimate.law_holds for r in rows)
     text = (
-        f"{len(over)} of {len(rows)} rows are over their budget; {absent} are {NONE}, "
+        f"{len(over)} of {len(rows)} rows are over their budget; {absent} are {NOT_MEASURED}, "
         f"and {unsure} not foretold, as the law does not hold."
     )
     return (
-        f"## What does not fit\n\n{text}\n\n{table(head, body)}"
+        f"## What does not fit\n\n{text}\n\n{markdown_table(header, cells)}"
         if over
         else f"## What does not fit\n\n{text}"
     )
 
 
-def by_role(rows: list[Row]) -> str:
-    """A table for each role."""
-    head = ("what", "at the size to come", "budget", "times its budget", "from", "carried by", "state")
+def role_section(rows: list[CostRow]) -> str:
+    """Return the section with a table for each role."""
+    header = ("what", "at the size to come", "budget", "times its budget", "from", "carried by", "state")
     parts = ["## By role"]
-    for role, mine in groupby(sorted(rows, key=lambda r: r.role), key=lambda r: r.role):
-        body = [
-            (r.what, cell(r.figure), budget(r), times(r.factor), source(r), r.carrier, r.state) for r in mine
+    for role, role_rows in groupby(sorted(rows, key=lambda r: r.role), key=lambda r: r.role):
+        cells = [
+            (
+                r.item,
+                estimate_cell(r.estimate),
+                budget_cell(r),
+                ratio_cell(r.budget_ratio),
+                source_cell(r),
+                r.module,
+                r.state,
+            )
+            for r in role_rows
         ]
-        parts.append(f"### {role.capitalize()}\n\n{table(head, body)}")
+        parts.append(f"### {role.capitalize()}\n\n{markdown_table(header, cells)}")
     return "\n\n".join(parts)
 
 
-def clock(book: Book, kind: str, limit: float) -> str:
-    """A change or a purge, hop by hop, by the clock."""
-    body = [[what, *(cell(book.of(f"{kind}.{hop}.{case}")) for case, _ in CASES)] for hop, what in HOPS]
-    head = ("hop", *(what for _, what in CASES))
+def propagation_section(estimates: Estimates, kind: str, limit: float) -> str:
+    """Return the section on the time that a change or a purge takes, hop by hop."""
+    cells = [
+        [what, *(estimate_cell(estimates.measure(f"{kind}.{hop}.{case}")) for case, _ in CASES)]
+        for hop, what in HOPS
+    ]
+    header = ("hop", *(what for _, what in CASES))
     hops, cases = ("`, `".join(name for name, _ in part) for part in (HOPS, CASES))
-    missed = f"Measures named `{kind}.HOP.CASE` (`{hops}`; `{cases}`)."
-    force = ""
+    names_note = f"Measures named `{kind}.HOP.CASE` (`{hops}`; `{cases}`)."
+    note = ""
     if kind == "change":
-        turns = [f"{cell(book.at('list.change', n))} with {n:,} servers listed" for n in (SERVERS, VIEW)]
-        least = "(`list.change`, processor time: the least that the clock shows)"
-        force = f" Taken at a router: {', '.join(turns)} {least}."
-    return f"### A {kind}, everywhere within {limit:g} s\n\n{table(head, body)}\n\n{missed}{force}"
-
-
-def events(book: Book) -> str:
-    """The ordinary year: what each event sets off, and what it costs the others."""
-    change, stop, octets = (book.at(f"list.{w}", SERVERS) for w in ("change", "stop", "bytes"))
-    after = spelled(roles.forgotten_after(SITE), "s")
-
-    def cost(figure: Figure | None, factor: float, formula: str, unit: str | None = None) -> str:
-        found = roles.per(figure, factor, formula, unit)
-        return f"{found} ({found.origin})" if found else NONE
-
-    def days(share: int, of: int = 1) -> str:
-        return f"{of * share / roles.MACHINES:,.0f} a day ({of:,} x {share:,} / {roles.MACHINES:,})"
-
-    place, zone = roles.MACHINES / roles.SITES, SERVERS / roles.ZONES
-    apart = CHANGES * 3600
-    told = book.of("change.whole.plain")
-    # no reader may take the spread's time for that of lists, which discovery brings
-    heard = f"{cell(told)} (`change.whole.plain`, were it carried by `spread/`, which it is not)"
-    each = "one change of the list at every router"
-    body = [
+        changes = [
+            f"{estimate_cell(estimates.at_size('list.change', n))} with {n:,} servers listed"
+            for n in (SERVERS, SERVERS_PER_REGION)
+        ]
+        remark = "(`list.change`, processor time: the least that the clock shows)"
+        note = f" Taken at a router: {', '.join(changes)} {remark}."
+    return (
+        f"### A {kind}, everywhere within {limit:g} s\n\n"
+        f"{markdown_table(header, cells)}\n\n{names_note}{note}"
+    )
+
+
+def event_section(estimates: Estimates) -> str:
+    """Return the section on the events of an ordinary year, and what they cost the other machines."""
+    change, stop, list_bytes = (
+        estimates.at_size(f"list.{name}", SERVERS) for name in ("change", "stop", "bytes")
+    )
+    after = format_value(role_costs.time_until_forgotten(ROUTERS_PER_SITE), "s")
+
+    def cost(estimate: Estimate | None, factor: float, formula: str, unit: str | None = None) -> str:
+        multiple = role_costs.scaled(estimate, factor, formula, unit)
+        return f"{multiple} ({multiple.annotated_source})" if multiple else NOT_MEASURED
+
+    def days(machines: int, events: int = 1) -> str:
+        return (
+            f"{events * machines / role_costs.MACHINES:,.0f} a day "
+            f"({events:,} x {machines:,} / {role_costs.MACHINES:,})"
+        )
+
+    machines_per_site, servers_per_zone = role_costs.MACHINES / role_costs.SITES, SERVERS / role_costs.ZONES
+    hourly_changes = CHANGE_RATE * 3600
+    spread_time = estimates.measure("change.whole.plain")
+    # Routers get their lists from discovery, not from `spread/`: the text must not suggest otherwise.
+    delay_text = (
+        f"{estimate_cell(spread_time)} (`change.whole.plain`, were it carried by `spread/`, which it is not)"
+    )
+    effect = "one change of the list at every router"
+    cells = [
         (
             "a cache server fails",
-            days(SERVERS, roles.FAILED),
-            each,
-            heard,
+            days(SERVERS, role_costs.FAILURES_PER_DAY),
+            effect,
+            delay_text,
             cost(change, ROUTERS, f"{ROUTERS:,} x {{}}") + " of the fleet's processors",
         ),
         (
             "a router fails",
-            days(ROUTERS, roles.FAILED),
+            days(ROUTERS, role_costs.FAILURES_PER_DAY),
             "its site's roster forgets it",
-            f"{after} (`Gossip.state` with {SITE} members, arithmetic)",
+            f"{after} (`Gossip.state` with {ROUTERS_PER_SITE} members, arithmetic)",
             "nothing: no list names routers",
         ),
         (
             "a cache server restarts",
-            days(SERVERS, roles.RESTARTED),
+            days(SERVERS, role_costs.RESTARTS_PER_DAY),
             "two changes of the list at every router",
-            heard,
+            delay_text,
             cost(change, 2, "2 x {}") + " of each router's loop",
         ),
         (
             "a router restarts",
-            days(ROUTERS, roles.RESTARTED),
+            days(ROUTERS, role_costs.RESTARTS_PER_DAY),
             "it asks for the whole list",
             cost(stop, 1, "{}") + " of its own processor",
             cost(
-                octets,
-                roles.RESTARTED * ROUTERS / roles.MACHINES,
-                f"{roles.RESTARTED:,} x {ROUTERS:,} / {roles.MACHINES:,} x {{}}",
+                list_bytes,
+                role_costs.RESTARTS_PER_DAY * ROUTERS / role_costs.MACHINES,
+                f"{role_costs.RESTARTS_PER_DAY:,} x {ROUTERS:,} / {role_costs.MACHINES:,} x {{}}",
             )
             + " a day from discovery",
         ),
         (
             "a rack or switch goes",
             "once a week",
-            f"at most a site: {place:.3g} machines ({roles.MACHINES:,} / {roles.SITES})",
-            heard,
-            cost(change, place, f"at most {place:.3g} x {{}}") + " of each router's loop, told one by one",
+            f"at most a site: {machines_per_site:.3g} machines "
+            f"({role_costs.MACHINES:,} / {role_costs.SITES})",
+            delay_text,
+            cost(change, machines_per_site, f"at most {machines_per_site:.3g} x {{}}")
+            + " of each router's loop, told one by one",
         ),
         (
             "a zone goes",
             "once or twice a year",
-            f"{zone:.3g} cache servers at once ({SERVERS:,} / {roles.ZONES})",
-            heard,
-            cost(change, zone, f"{zone:.3g} x {{}}") + " of each router's loop, told one by one",
+            f"{servers_per_zone:.3g} cache servers at once ({SERVERS:,} / {role_costs.ZONES})",
+            delay_text,
+            cost(change, servers_per_zone, f"{servers_per_zone:.3g} x {{}}")
+            + " of each router's loop, told one by one",
         ),
         (
             "regions lose each other for an hour",
             "now and then",
-            f"{apart:,.0f} changes pile up (62,000 / 24)",
-            cost(change, apart, f"{apart:,.0f} x {{}}")
+            f"{hourly_changes:,.0f} changes pile up (62,000 / 24)",
+            cost(change, hourly_changes, f"{hourly_changes:,.0f} x {{}}")
             + " one by one; "
             + cost(stop, 1, "{}")
             + " as a whole list",
-            cost(octets, ROUTERS / REGIONS, f"{ROUTERS:,} / {REGIONS} x {{}}")
+            cost(list_bytes, ROUTERS / REGIONS, f"{ROUTERS:,} / {REGIONS} x {{}}")
             + " for the whole lists of one region's routers",
         ),
     ]
-    head = ("event", "how often", "sets off", "until all is well", "costs the others")
-    return f"## The ordinary year\n\n{table(head, body)}"
+    header = ("event", "how often", "sets off", "until all is well", "costs the others")
+    return f"## The ordinary year\n\n{markdown_table(header, cells)}"
 
 
-def views(book: Book) -> str:
-    """What grows with the whole fleet at each router, beside a region's view."""
-    slopes = [s for s in book.slopes.values() if s.by == "servers in the list"]
-    body = [
-        (s.what, cell(book.at(s.name, SERVERS)), cell(book.at(s.name, VIEW)), f"`{s.name}`") for s in slopes
+def region_section(estimates: Estimates) -> str:
+    """Return the section that compares the costs of the whole fleet with those of one region."""
+    slopes = [s for s in estimates.slopes.values() if s.by == "servers in the list"]
+    cells = [
+        (
+            s.what,
+            estimate_cell(estimates.at_size(s.name, SERVERS)),
+            estimate_cell(estimates.at_size(s.name, SERVERS_PER_REGION)),
+            f"`{s.name}`",
+        )
+        for s in slopes
     ]
     rosters = (
-        f"gossip and verdicts for a second: a roster of {ROUTERS:,} and all zones, of {SITE} and a region's",
-        cell(book.at("agent.second", ROUTERS)),
-        cell(book.at("agent.region", SITE)),
+        f"gossip and verdicts for a second: a roster of {ROUTERS:,} and all zones, "
+        f"of {ROUTERS_PER_SITE} and a region's",
+        estimate_cell(estimates.at_size("agent.second", ROUTERS)),
+        estimate_cell(estimates.at_size("agent.region", ROUTERS_PER_SITE)),
         "`agent.second`, `agent.region`",
     )
-    lead = f"""These grow with the whole fleet at each router. A region's view holds {VIEW} cache servers
-({SERVERS:,} / {REGIONS}) and the {SITE} routers of the own site. Routing takes such a list as it
+    introduction = f"""\
+These grow with the whole fleet at each router. A region's view holds {SERVERS_PER_REGION} cache servers
+({SERVERS:,} / {REGIONS}) and the {ROUTERS_PER_SITE} routers of the own site. Routing takes such a list as it
 stands; what is missing is who gives each region its part."""
-    head = ("what", f"whole fleet: {SERVERS:,}", f"region's view: {VIEW}", "from")
-    return f"## What grows with the whole fleet\n\n{lead}\n\n{table(head, [*body, rosters])}"
+    header = ("what", f"whole fleet: {SERVERS:,}", f"region's view: {SERVERS_PER_REGION}", "from")
+    return (
+        f"## What grows with the whole fleet\n\n{introduction}\n\n{markdown_table(header, [*cells, rosters])}"
+    )
 
 
-def slope_line(slope: Slope) -> tuple[str, ...]:
-    """A slope, its law, and how that stood its check."""
-    law, tried = check(slope.repeats)
-    foretold, last = tried.foretold, max(slope.points, key=lambda p: p.size)
+def slope_row(slope: Slope) -> tuple[str, ...]:
+    """Return the table row of a slope: its law, and the check of the law."""
+    fitted, validation = check(slope.repeats)
+    predicted, last = validation.predicted, max(slope.points, key=lambda p: p.size)
     unit = slope.unit
-    said = (
-        f"{spelled(foretold.value, unit)} ({spelled(foretold.low, unit)} to {spelled(foretold.high, unit)})"
+    predicted_text = (
+        f"{format_value(predicted.value, unit)} "
+        f"({format_value(predicted.low, unit)} to {format_value(predicted.high, unit)})"
     )
-    ratio = f"{tried.measured / last.calibration:.3g}" if unit == "s" else ""
+    ratio = f"{validation.measured / last.calibration:.3g}" if unit == "s" else ""
     return (
         f"`{slope.name}`",
         slope.what,
         slope.by,
         slope.form,
-        law.law.name,
-        f"{law.held_out:.1%}",
-        f"{tried.size:,}",
-        said,
-        spelled(tried.measured, unit),
-        "counts" if tried.counts else "**does not hold**",
+        fitted.law.name,
+        f"{fitted.held_out:.1%}",
+        f"{validation.size:,}",
+        predicted_text,
+        format_value(validation.measured, unit),
+        "counts" if validation.holds else "**does not hold**",
         ratio,
-        "**shared**" if shared(slope.others) else "alone",
+        "**shared**" if is_shared(slope.others) else "alone",
         f"`{slope.command}`",
     )
 
 
-def measure_line(found: Measure) -> tuple[str, ...]:
-    """A measure."""
-    values = [spelled(v, found.unit) for v in (found.value, found.low, found.high)]
+def measure_row(measure: Measure) -> tuple[str, ...]:
+    """Return the table row of a measure."""
+    values = [format_value(v, measure.unit) for v in (measure.value, measure.low, measure.high)]
     return (
-        f"`{found.name}`",
-        found.what,
+        f"`{measure.name}`",
+        measure.what,
         f"{values[0]} ({values[1]} to {values[2]})",
-        str(found.repeats),
-        found.form,
-        "**shared**" if shared(found.others) else "alone",
-        f"`{found.command}`",
+        str(measure.repeats),
+        measure.form,
+        "**shared**" if is_shared(measure.others) else "alone",
+        f"`{measure.command}`",
     )
 
 
-def measured(results: Results) -> str:
-    """All slopes and measures."""
-    slopes = table(
+def measurement_section(results: Results) -> str:
+    """Return the section with all slopes and measures."""
+    slopes = markdown_table(
         (
             "slope",
             "what",
@@ -273,20 +334,20 @@
             "machine",
             "command",
         ),
-        map(slope_line, results.slopes),
+        map(slope_row, results.slopes),
     )
-    measures = table(
+    measures = markdown_table(
         ("measure", "what", "value", "repeats", "form", "machine", "command"),
-        map(measure_line, results.measures),
+        map(measure_row, results.measures),
     )
-    paces = [p.calibration for slope in results.slopes for p in slope.points] or [0.0]
-    pace = f"{spelled(min(paces), 's')} to {spelled(max(paces), 's')}"
+    calibrations = [p.calibration for slope in results.slopes for p in slope.points] or [0.0]
+    calibration_range = f"{format_value(min(calibrations), 's')} to {format_value(max(calibrations), 's')}"
     return f"""## What was measured
 
 Each slope is fitted up to a quarter of its largest size and foretells that. It counts if what was
 measured there lies in the interval, and that is no wider than what is foretold. Fits go by the least of the
 repeats, as disturbances only add; figures at a size above are medians. The calibration loop beside each
-size took {pace} of processor time; "calibration loops" is the cost measured at the largest size
+size took {calibration_range} of processor time; "calibration loops" is the cost measured at the largest size
 in such loops. A run is "shared" if others used over a tenth of the machine meanwhile. The machine had
 {results.cores} cores. The command wants `--out FILE` too, and `--compiled FOLDER` for the compiled form.
 
@@ -297,19 +358,22 @@
 {measures}"""
 
 
-def page(results: Results) -> str:
-    """The page's text."""
-    book = Book(results)
-    rows = roles.rows(book)
-    times_part = [clock(book, "change", roles.CHANGE_TIME), clock(book, "purge", roles.PURGE_TIME)]
+def render_page(results: Results) -> str:
+    """Return the text of the page."""
+    estimates = Estimates(results)
+    rows = role_costs.all_rows(estimates)
+    propagation = [
+        propagation_section(estimates, "change", role_costs.MAX_CHANGE_TIME),
+        propagation_section(estimates, "purge", role_costs.MAX_PURGE_TIME),
+    ]
     parts = [
         INTRO,
-        misfits(rows),
-        by_role(rows),
+        over_budget_section(rows),
+        role_section(rows),
         "## By the clock",
-        *times_part,
-        events(book),
-        views(book),
-        measured(results),
+        *propagation,
+        event_section(estimates),
+        region_section(estimates),
+        measurement_section(results),
     ]
     return "\n\n".join(parts) + "\n"
