--- a/bench/address_move.py
+++ b/bench/address_move.py
@@ -24,11 +24,11 @@
 
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.audit.auditor import Auditor
-from myrtlecourse.fleet.reserved_ports import free
+from myrtlecourse.fleet.address_switch import AddressSwitch
+from myrtlecourse.fleet.loopback_fleet import Fleet
+from myrtlecourse.fleet.reserved_ports import free_address
 from myrtlecourse.fleet.routers import COMMAND, Router
 from myrtlecourse.fleet.scenario import Scenario
-from myrtlecourse.fleet.stand_in import Fleet
-from myrtlecourse.fleet.switch import Switch
 from myrtlecourse.load.generator import Generator
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.load.requests import plan_requests
@@ -73,23 +73,23 @@
         self.fleet = fleet
         self.folder = folder
         self.names = fleet.routers
-        self.switch = Switch({n: free() for n in self.names})
+        self.switch = AddressSwitch({n: free_address() for n in self.names})
         self.routers = {n: Router(n, COMMAND, folder, observe) for n in self.names}
         (folder / "key").write_bytes(os.urandom(32))
 
     async def start(self) -> None:
         """Bring all up."""
         await self.switch.start()
-        await self.switch.relays.join({n: free() for n in self.names})
+        await self.switch.relays.open({n: free_address() for n in self.names})
         for name in self.names:
             await self.start_one(name)
 
     def file(self, name: str) -> Path:
         """A router's operators' file."""
         switch = self.switch
-        at = {n: switch.relays.at.get((name, n), switch.voters[n]) for n in self.names}
+        at = {n: switch.relays.send_addresses.get((name, n), switch.voter_addresses[n]) for n in self.names}
         peers = ", ".join(f'{{name = "{n}", at = "{host}:{port}"}}' for n, (host, port) in at.items())
-        host, port = switch.told_at
+        host, port = switch.control_address
         path = self.folder / f"{name}.toml"
         path.write_text(
             f'[address]\nname = "{name}"\npeers = [{peers}]\nkey_file = "{self.folder / "key"}"\n'
@@ -190,7 +190,7 @@
         first = await place.holder()
         began = time.monotonic()
         await place.routers[first].end(kill=True)
-        place.switch.gone(first)
+        place.switch.drop_router(first)
         told.append(seen.RouterDown(began, SERVICE, True))
         second = await place.holder(first)
         moves.append(time.monotonic() - began)
--- a/bench/duty_move.py
+++ b/bench/duty_move.py
@@ -22,7 +22,7 @@
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.duties import messages as said
 from myrtlecourse.duties.codec import DutyCodec, split
-from myrtlecourse.fleet.duty_logs import observed
+from myrtlecourse.fleet.duty_logs import read_observations
 from myrtlecourse.fleet.routers import COMMAND
 from myrtlecourse.fleet.scenario import Scenario
 from myrtlecourse.fleet.session import play
@@ -86,8 +86,8 @@
         began = next(
             o.at for o in seen.merge_logs(sorted(folder.glob("*.jsonl"))) if isinstance(o, seen.RequestSent)
         )
-        took = [o for o in observed(folder) if isinstance(o, seen.HoldsDuty) and o.token]
-        steps = sum(isinstance(o, seen.StepDone) for o in observed(folder))
+        took = [o for o in read_observations(folder) if isinstance(o, seen.HoldsDuty) and o.token]
+        steps = sum(isinstance(o, seen.StepDone) for o in read_observations(folder))
     gaps, holder = [], ""
     for i in range(times):
         at = began + BEGIN + SPACE * i
--- a/bench/led_return.py
+++ b/bench/led_return.py
@@ -54,7 +54,7 @@
         world = self.led.world
         for action in self.duties.handle(world.core.now, event):
             if isinstance(action, said.Send):
-                for pause in world.ways.fate((self.router.name, action.to)):
+                for pause in world.ways.delivery_delays((self.router.name, action.to)):
                     world.core.after(pause, self.led.arrive, self.router.name, action.to, action.items)
             elif isinstance(action, said.SetTimer):
                 if self.wake is not None:
--- a/bench/rig.py
+++ b/bench/rig.py
@@ -21,8 +21,8 @@
 import msgspec
 from uvloop import new_event_loop
 
+from myrtlecourse.fleet.loopback_fleet import Fleet
 from myrtlecourse.fleet.scenario import Scenario
-from myrtlecourse.fleet.stand_in import Fleet
 
 ROOT = Path(__file__).resolve().parent.parent
 VALUE = 64  # bytes of a value, unless told
--- a/bench/spread_sockets.py
+++ b/bench/spread_sockets.py
@@ -20,7 +20,7 @@
 import numpy as np
 
 from myrtlecourse.fleet.hollow_spread import Job
-from myrtlecourse.fleet.reserved_ports import free
+from myrtlecourse.fleet.reserved_ports import free_address
 from myrtlecourse.spread.messages import Settings, Site
 from myrtlecourse.spread.tree import CONTROL, LEAF, REGION_RELAY, SITE_RELAY, Tree
 
@@ -108,7 +108,7 @@
     """One run's figures."""
     each = roles()
     names = [name for some in each.values() for name in some]
-    at = {name: "{}:{}".format(*free()) for name in names}
+    at = {name: "{}:{}".format(*free_address()) for name in names}
 
     def peers(some: tuple[str, ...]) -> list[dict[str, str]]:
         return [{"name": name, "at": at[name]} for name in some]
--- a/bench/zone_exit.py
+++ b/bench/zone_exit.py
@@ -24,7 +24,7 @@
 import numpy as np
 
 from myrtlecourse.audit import observations as seen
-from myrtlecourse.fleet.routers import COMMAND, zones_left
+from myrtlecourse.fleet.routers import COMMAND, zone_exits
 from myrtlecourse.fleet.scenario import Scenario
 from myrtlecourse.fleet.session import play
 from myrtlecourse.load.profile import Profile
@@ -228,7 +228,7 @@
     """Seconds from the fault until each router said that it leaves something."""
     found: dict[str, float] = {}
     for log in sorted(folder.glob("router-*.log")):
-        for at, zones in zones_left(log):
+        for at, zones in zone_exits(log):
             if zones and at >= sums.fault_at:
                 found.setdefault(log.stem, at - sums.fault_at)
     return found
--- a/bench/zone_return.py
+++ b/bench/zone_return.py
@@ -28,9 +28,9 @@
 
 from bench.led_return import Led
 from myrtlecourse.audit import observations as seen
-from myrtlecourse.fleet.box import Box, Request
 from myrtlecourse.fleet.layout import ORIGIN
 from myrtlecourse.fleet.scenario import Scenario
+from myrtlecourse.fleet.server_models import CacheServerModel, Request
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.sim.world import World
 from myrtlecourse.zones import pace
@@ -133,16 +133,16 @@
         arrive: Callable[[float, Request], Any] = box.arrive
 
         def watched(now: float, request: Request) -> Any:
-            work = box.draw.work(request)
+            work = box.draws.work_of(request)
             self.work.append((now, work))
             self.sum += work
             while self.work[0][0] < now - HALF:
                 self.sum -= self.work.popleft()[1]
             if self.at() > BACK:
                 able = sum(
-                    b.kind.cores * b.kind.speed * b.station.pace.share(now) * HALF
+                    b.kind.cores * b.kind.speed * b.core_queue.core_speed.capacity_share(now) * HALF
                     for b in self.zone
-                    if isinstance(b, Box)
+                    if isinstance(b, CacheServerModel)
                 )
                 self.most_work = max(self.most_work, self.sum / able)
             return arrive(now, request)
--- a/myrtlecourse/fleet/switch.py
+++ b/myrtlecourse/fleet/address_switch.py
@@ -13,45 +13,45 @@
 import time
 from contextlib import suppress
 
-from myrtlecourse.fleet.reserved_ports import free
-from myrtlecourse.fleet.ways import Relays, Ways
+from myrtlecourse.fleet.datagram_network import DatagramNetwork, Relays
+from myrtlecourse.fleet.reserved_ports import free_address
 
 LONGEST_LINE = 256
 CHUNK = 64 * 1024
 
 
-class Switch:
+class AddressSwitch:
     """The network round one service address."""
 
     def __init__(self, routers: dict[str, tuple[str, int]], seed: int = 1) -> None:
         """Takes where each router listens for clients."""
         self.routers = routers
-        self.ways = Ways(seed)  # of voters' datagrams
-        self.relays = Relays(self.ways)
-        self.deaf: set[str] = set()  # routers whose announcements are lost
-        self.late = 0.0  # seconds that an announcement takes
+        self.network = DatagramNetwork(seed)  # of voters' datagrams
+        self.relays = Relays(self.network)
+        self.ignored_routers: set[str] = set()  # routers whose announcements are lost
+        self.announcement_delay = 0.0  # seconds that an announcement takes
         self.holder = ""
         self.history: list[tuple[float, str, str]] = []  # when, what, who
-        self.open: dict[asyncio.StreamWriter, str] = {}  # to clients: of which router
+        self.client_routers: dict[asyncio.StreamWriter, str] = {}  # to clients: of which router
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
         """Open its ports."""
-        self.control = await asyncio.start_server(self._told, "127.0.0.1", 0, limit=LONGEST_LINE)
-        self.told_at: tuple[str, int] = self.control.sockets[0].getsockname()
-        self.address = free()  # nobody is there yet: who connects is refused
+        self.control = await asyncio.start_server(self._handle_control, "127.0.0.1", 0, limit=LONGEST_LINE)
+        self.control_address: tuple[str, int] = self.control.sockets[0].getsockname()
+        self.address = free_address()  # nobody is there yet: who connects is refused
         self.server: asyncio.Server | None = None
 
     @property
-    def voters(self) -> dict[str, tuple[str, int]]:
+    def voter_addresses(self) -> dict[str, tuple[str, int]]:
         """Where each hears the others."""
-        return self.relays.heard_at
+        return self.relays.listen_addresses
 
     def split(self, one: set[str]) -> None:
         """Cut some voters off from the others."""
-        self.ways.split(self.voters, one)
+        self.network.split(self.voter_addresses, one)
 
-    async def _told(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_control(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """A router announces or withdraws."""
         with suppress(ConnectionError, ValueError):
             words = (await reader.readline()).decode("ascii", "replace").split()
@@ -59,35 +59,35 @@
             if name not in self.routers or words[0] not in ("announce", "withdraw"):
                 writer.write(b"no\n")
             else:
-                await asyncio.sleep(self.late)
-                if name not in self.deaf:
-                    await self._hear(words[0], name)
+                await asyncio.sleep(self.announcement_delay)
+                if name not in self.ignored_routers:
+                    await self._handle_event(words[0], name)
                 writer.write(b"ok\n")
         writer.close()
 
-    async def _hear(self, what: str, name: str) -> None:
+    async def _handle_event(self, what: str, name: str) -> None:
         self.history.append((time.monotonic(), what, name))
         if what == "announce":
             if self.server is None:
-                self.server = await asyncio.start_server(self._client, *self.address, backlog=512)
+                self.server = await asyncio.start_server(self._relay_client, *self.address, backlog=512)
             self.holder = name
-            for client in [w for w, router in self.open.items() if router != name]:
+            for client in [w for w, router in self.client_routers.items() if router != name]:
                 self._reset(client)
         elif self.holder == name:
-            self._nobody()
+            self._release_address()
 
-    def _nobody(self) -> None:
+    def _release_address(self) -> None:
         """Whoever connects is refused: where the address is nobody's, no machine answers for it."""
         self.holder = ""
         if self.server is not None:
             self.server.close()
             self.server = None
 
-    def gone(self, name: str) -> None:
+    def drop_router(self, name: str) -> None:
         """A router's machine is gone, and with it the connections that it had."""
         if self.holder == name:
-            self._nobody()
-        for client in [w for w, router in self.open.items() if router == name]:
+            self._release_address()
+        for client in [w for w, router in self.client_routers.items() if router == name]:
             self._reset(client)
 
     @staticmethod
@@ -96,28 +96,31 @@
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.transport.abort()
 
-    async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _relay_client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """A client comes to whoever has the address; without anybody it is refused."""
         name = self.holder
-        self.open[writer] = name
+        self.client_routers[writer] = name
         try:
-            there, back = await asyncio.open_connection(*self.routers[name])
+            router_reader, router_writer = await asyncio.open_connection(*self.routers[name])
         except (KeyError, OSError):
             self._reset(writer)
-            self.open.pop(writer, None)
+            self.client_routers.pop(writer, None)
             return
-        ways = [asyncio.create_task(self._pass(reader, back)), asyncio.create_task(self._pass(there, writer))]
-        self.tasks |= set(ways)
-        await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
-        for way in ways:
-            self.tasks.discard(way)
-            way.cancel()
-        for each in (back, writer):
+        copies = [
+            asyncio.create_task(self._copy(reader, router_writer)),
+            asyncio.create_task(self._copy(router_reader, writer)),
+        ]
+        self.tasks |= set(copies)
+        await asyncio.wait(copies, return_when=asyncio.FIRST_COMPLETED)
+        for task in copies:
+            self.tasks.discard(task)
+            task.cancel()
+        for each in (router_writer, writer):
             each.close()
-        self.open.pop(writer, None)
+        self.client_routers.pop(writer, None)
 
     @staticmethod
-    async def _pass(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _copy(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(ConnectionError):
             while data := await reader.read(CHUNK):
                 writer.write(data)
@@ -127,6 +130,6 @@
         """End it."""
         self.control.close()
         self.relays.close()
-        self._nobody()
+        self._release_address()
         for task in self.tasks:
             task.cancel()
--- a/myrtlecourse/fleet/commands.py
+++ b/myrtlecourse/fleet/commands.py
@@ -19,15 +19,15 @@
 from myrtlecourse.fleet.faults import Step
 from myrtlecourse.fleet.routers import COMMAND, RouterError
 from myrtlecourse.fleet.scenario import ScenarioError, read_scenario
-from myrtlecourse.fleet.session import Outcome, SessionError, Standing, play, stand
+from myrtlecourse.fleet.session import Outcome, RunningFleet, SessionError, play, run_alone
 from myrtlecourse.fleet.session import audit as judge
 from myrtlecourse.load import report
 from myrtlecourse.load.commands import EXIT_UNUSABLE, Progress, write_json
 from myrtlecourse.load.profile import ProfileError, read_profile
 from myrtlecourse.load.run import RunError
 
-BROKEN = 1  # exit code when a rule was broken or a router ended by itself
-SHOWN = 20  # breaches printed
+EXIT_RULE_BROKEN = 1  # exit code when a rule was broken or a router ended by itself
+MAX_BREACHES_SHOWN = 20  # breaches printed
 
 
 def show_verdict(verdict: dict[str, Any], console: Console) -> None:
@@ -38,10 +38,10 @@
     for rule, count in verdict["rules"].items():
         table.add_row(rule, f"{count:,}" if count else "none")
     console.print(table)
-    for b in verdict["named"][:SHOWN]:
+    for b in verdict["named"][:MAX_BREACHES_SHOWN]:
         told = (f"{b['at']:9.3f} s", b["what"], b["router"], b["request"], b["box"], b["detail"])
         console.print("  ".join(t for t in told if t), markup=False, highlight=False)
-    more = sum(verdict["breaches"].values()) - SHOWN
+    more = sum(verdict["breaches"].values()) - MAX_BREACHES_SHOWN
     if more > 0:
         console.print(f"and {more:,} more")
 
@@ -59,9 +59,9 @@
     )
 
 
-def marks(steps: list[Step]) -> list[tuple[float, str]]:
+def step_marks(steps: list[Step]) -> list[tuple[float, str]]:
     """What happened when, for the picture."""
-    return [(s.at, f"{s.do.replace('_', ' ')} {s.target}") for s in steps]
+    return [(s.at, f"{s.action.replace('_', ' ')} {s.target}") for s in steps]
 
 
 @click.command()
@@ -116,7 +116,12 @@
         if profile is None:
             with asyncio.Runner(loop_factory=new_event_loop) as runner:
                 faults = runner.run(
-                    stand(told, folder, command if routers else None, lambda s: _tell(s, folder, console))
+                    run_alone(
+                        told,
+                        folder,
+                        command if routers else None,
+                        lambda s: _print_addresses(s, folder, console),
+                    )
                 )
             verdict: dict[str, Any] = judge(folder, told.rules)
             figures: dict[str, Any] = {}
@@ -141,14 +146,14 @@
         write_json(json_file, figures | {"verdict": verdict, "router_faults": faults})
     if html_file is not None and profile is not None:
         console.print(f"The page is {html_file}", markup=False, highlight=False)
-    sys.exit(0 if verdict["kept"] and not faults else BROKEN)
+    sys.exit(0 if verdict["kept"] and not faults else EXIT_RULE_BROKEN)
 
 
-def _tell(standing: Standing, folder: Path, console: Console) -> None:
+def _print_addresses(running: RunningFleet, folder: Path, console: Console) -> None:
     """Where everything is."""
-    for router in standing.routers.each if standing.routers else ():
+    for router in running.routers.members if running.routers else ():
         console.print(f"{router.name} listens on {router.address[0]}:{router.address[1]}", highlight=False)
-    for name in () if standing.routers else standing.fleet.routers:
+    for name in () if running.routers else running.fleet.routers:
         console.print(
             f"RELAY_CONFIG={folder / name}.json python -m myrtlecourse", markup=False, highlight=False
         )
@@ -158,7 +163,7 @@
 def _write_page(file: Path, figures: dict[str, Any], scenario: Path, outcome: Outcome) -> None:
     from myrtlecourse.load.page import page  # noqa: PLC0415  (plots take a second to import)
 
-    file.write_text(page(figures, f"{scenario.stem}: a run", marks(outcome.steps), outcome.verdict))
+    file.write_text(page(figures, f"{scenario.stem}: a run", step_marks(outcome.steps), outcome.verdict))
 
 
 @click.command()
@@ -179,4 +184,4 @@
         click.echo(msgspec.json.encode(verdict))
     else:
         show_verdict(verdict, Console())
-    sys.exit(0 if verdict["kept"] else BROKEN)
+    sys.exit(0 if verdict["kept"] else EXIT_RULE_BROKEN)
--- a/myrtlecourse/fleet/ways.py
+++ b/myrtlecourse/fleet/datagram_network.py
@@ -13,23 +13,23 @@
 from myrtlecourse.fleet.faults import Step
 from myrtlecourse.fleet.reserved_ports import ReservedPort, reserve
 
-Way = tuple[str, str]  # from whom to whom
+Direction = tuple[str, str]  # from whom to whom
 
 
-class Ways:
+class DatagramNetwork:
     """What becomes of what is sent."""
 
     def __init__(self, seed: int = 1) -> None:
         self.chance = random.Random(f"{seed} ways")
-        self.cuts: dict[str, frozenset[Way]] = {}  # by a name for each: nothing comes through on these
+        self.cuts: dict[str, frozenset[Direction]] = {}  # by a name for each: nothing comes through on these
         self.loss = 0.0  # share of datagrams
         self.copies = 0.0  # share that comes once more
         self.delay = 0.0  # seconds at least
-        self.spread = 0.0  # seconds more at most: those of two differ, so that they pass one another
+        self.jitter = 0.0  # seconds more at most: those of two differ, so that they pass one another
 
-    def cut(self, name: str, ways: Iterable[Way]) -> None:
+    def cut(self, name: str, directions: Iterable[Direction]) -> None:
         """Cut some ways; with none, mend what was cut under that name."""
-        self.cuts[name] = frozenset(ways)
+        self.cuts[name] = frozenset(directions)
         if not self.cuts[name]:
             del self.cuts[name]
 
@@ -38,39 +38,39 @@
         each = list(names)
         self.cut("split", {(a, b) for a in each for b in each if (a in one) is not (b in one)})
 
-    def fate(self, way: Way) -> list[float]:
+    def delivery_delays(self, direction: Direction) -> list[float]:
         """Seconds after which a datagram comes, once for each time that it does."""
-        if any(way in cut for cut in self.cuts.values()):
+        if any(direction in cut for cut in self.cuts.values()):
             return []
         if self.loss and self.chance.random() < self.loss:
             return []
         times = 2 if self.copies and self.chance.random() < self.copies else 1
-        return [self.delay + (self.chance.random() * self.spread if self.spread else 0.0)] * times
+        return [self.delay + (self.chance.random() * self.jitter if self.jitter else 0.0)] * times
 
 
-def part(ways: Ways, names: Iterable[str], step: Step) -> None:
+def apply_split(directions: DatagramNetwork, names: Iterable[str], step: Step) -> None:
     """Let a scenario's split begin or end; one way, those it names hear and are not heard."""
     some, each = set(step.routers), list(names)
     cut = {(a, b) for a in each for b in each if (a in some) is not (b in some)}
     if step.value:
         cut = {(a, b) for a, b in cut if a in some}
-    ways.cut(f"split {sorted(some)} {step.value}", cut if step.do == "split" else ())
+    directions.cut(f"split {sorted(some)} {step.value}", cut if step.action == "split" else ())
 
 
 class Relay(asyncio.DatagramProtocol):
     """The socket of one way."""
 
-    def __init__(self, relays: Relays, way: Way) -> None:
+    def __init__(self, relays: Relays, direction: Direction) -> None:
         self.relays = relays
-        self.way = way
+        self.direction = direction
         self.transport: asyncio.DatagramTransport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)  # the loop's own is none by name
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        there = self.relays.heard_at[self.way[1]]
-        for pause in self.relays.ways.fate(self.way):
+        there = self.relays.listen_addresses[self.direction[1]]
+        for pause in self.relays.network.delivery_delays(self.direction):
             if pause:
                 self.relays.loop.call_later(pause, self._send, data, there)
             else:
@@ -84,14 +84,14 @@
 class Relays:
     """A socket for each way."""
 
-    def __init__(self, ways: Ways) -> None:
-        self.ways = ways
-        self.heard_at: dict[str, tuple[str, int]] = {}  # where each router hears the others
-        self.at: dict[Way, tuple[str, int]] = {}  # where to send for another
+    def __init__(self, directions: DatagramNetwork) -> None:
+        self.network = directions
+        self.listen_addresses: dict[str, tuple[str, int]] = {}  # where each router hears the others
+        self.send_addresses: dict[Direction, tuple[str, int]] = {}  # where to send for another
         self.transports: list[asyncio.DatagramTransport] = []
         self.reserved: list[ReservedPort] = []
 
-    def places(self, names: Iterable[str]) -> dict[str, tuple[str, int]]:
+    def reserve_addresses(self, names: Iterable[str]) -> dict[str, tuple[str, int]]:
         """An address for each router to hear the others at, free just now.
 
         Each is kept from other fleets on this machine until these relays end.
@@ -100,17 +100,17 @@
         self.reserved += found.values()
         return {name: each.address for name, each in found.items()}
 
-    async def join(self, heard_at: dict[str, tuple[str, int]]) -> None:
+    async def open(self, listen_addresses: dict[str, tuple[str, int]]) -> None:
         """Open a way between any two."""
-        self.heard_at = heard_at
+        self.listen_addresses = listen_addresses
         self.loop = asyncio.get_running_loop()
-        for way in [(a, b) for a in heard_at for b in heard_at if a != b]:
+        for direction in [(a, b) for a in listen_addresses for b in listen_addresses if a != b]:
             transport, _ = await self.loop.create_datagram_endpoint(
-                lambda way=way: Relay(self, way),  # type: ignore[misc]
+                lambda direction=direction: Relay(self, direction),  # type: ignore[misc]
                 local_addr=("127.0.0.1", 0),
             )
             self.transports.append(transport)
-            self.at[way] = transport.get_extra_info("sockname")
+            self.send_addresses[direction] = transport.get_extra_info("sockname")
 
     def close(self) -> None:
         """End them."""
--- a/myrtlecourse/fleet/discovery_server.py
+++ b/myrtlecourse/fleet/discovery_server.py
@@ -14,7 +14,7 @@
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.fleet.origin_server import HttpConnection
 from myrtlecourse.fleet.ports import Port
-from myrtlecourse.fleet.registry import Entry, Registry, spelled
+from myrtlecourse.fleet.registry import Entry, Registry, entry_to_json
 
 PATH = "/registry/instances"
 LONGEST_WAIT = 60.0  # seconds
@@ -28,10 +28,10 @@
         super().__init__(port)
         self.server = server
         self.index: int | None = None
-        self.calls = False  # one is out
-        self.wait: asyncio.TimerHandle | None = None
+        self.call_open = False  # one is out
+        self.wait_timer: asyncio.TimerHandle | None = None
 
-    def asked(self, head: h11.Request, body: bytes) -> None:
+    def on_request(self, head: h11.Request, body: bytes) -> None:
         url = urlsplit(head.target.decode("latin-1"))
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         after, wait = query.get("after"), query.get("wait_ms", "0")
@@ -42,29 +42,29 @@
             self.reply(400, b"after and wait_ms are whole numbers")
             return
         self.index = None if after is None else int(after)
-        self._called("begun")
+        self._observe_call("begun")
         self.server.call(self, min(LONGEST_WAIT, int(wait) / 1000))
 
-    def _called(self, how: str) -> None:
-        if self.calls is (how == "begun"):
+    def _observe_call(self, how: str) -> None:
+        if self.call_open is (how == "begun"):
             return
-        self.calls = how == "begun"
+        self.call_open = how == "begun"
         self.server.observe(seen.DiscoveryCall(time.monotonic(), self.port.router, how))
 
-    def tell(self, status: int, body: bytes) -> None:
+    def answer(self, status: int, body: bytes) -> None:
         """Answer the call."""
-        if self.wait is not None:
-            self.wait.cancel()
-            self.wait = None
+        if self.wait_timer is not None:
+            self.wait_timer.cancel()
+            self.wait_timer = None
         self.server.waiting.discard(self)
-        self._called("ended" if status == 200 else "failed")
+        self._observe_call("ended" if status == 200 else "failed")
         self.reply(status, body)
 
-    def ended(self) -> None:
-        if self.wait is not None:
-            self.wait.cancel()
+    def on_closed(self) -> None:
+        if self.wait_timer is not None:
+            self.wait_timer.cancel()
         self.server.waiting.discard(self)
-        self._called("failed")
+        self._observe_call("failed")
 
 
 class DiscoveryServer:
@@ -79,13 +79,13 @@
         self.ports: dict[str, Port] = {}
         self.addresses: dict[tuple[str, str], str] = {}  # by router and server
         self.waiting: set[DiscoveryConnection] = set()
-        self.ended_entries: dict[str, Entry] = {}  # no longer in the list
-        self.free_at = 0.0  # when the calls so far are worked through
+        self.removed_entries: dict[str, Entry] = {}  # no longer in the list
+        self.busy_until = 0.0  # when the calls so far are worked through
         self.timer: asyncio.TimerHandle | None = None
         self.loop = asyncio.get_running_loop()
         self.epoch = time.time() - time.monotonic()
         for entry in registry.listed.values():
-            self._listed(entry)
+            self._observe_change(entry)
 
     async def listen(self, routers: list[str]) -> None:
         """Listen for each router."""
@@ -93,29 +93,29 @@
             self.ports[router] = Port(router, 0.0, 100, lambda port: DiscoveryConnection(port, self))
             await self.ports[router].listen()
 
-    def notice(self, at: float, entry: Entry) -> None:
+    def schedule(self, at: float, entry: Entry) -> None:
         """From that time on the list says so."""
-        self.registry.notice(at, entry)
+        self.registry.schedule(at, entry)
         self._schedule()
 
     def _schedule(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if (due := self.registry.due()) < math.inf:
+        if (due := self.registry.next_change()) < math.inf:
             self.timer = self.loop.call_later(max(0.0, due - time.monotonic()), self._advance)
 
-    def _listed(self, entry: Entry) -> None:
+    def _observe_change(self, entry: Entry) -> None:
         self.observe(seen.ListChanged(time.monotonic(), entry.name, entry.status, max(0.0, entry.since)))
 
     def _advance(self) -> None:
         self.timer = None
         for entry in self.registry.advance(time.monotonic()):
-            self._listed(entry)
+            self._observe_change(entry)
             if entry.status == "terminated":
-                self.ended_entries[entry.name] = entry
+                self.removed_entries[entry.name] = entry
             else:
-                self.ended_entries.pop(entry.name, None)
+                self.removed_entries.pop(entry.name, None)
         for connection in list(self.waiting):
             self._answer_if_new(connection)
         self._schedule()
@@ -124,11 +124,15 @@
         """A router asks: it is answered in its turn, a watch once there is something newer."""
         self.waiting.add(connection)
         if not self._answer_if_new(connection):
-            connection.wait = self.loop.call_later(wait, self._answer, connection)
+            connection.wait_timer = self.loop.call_later(wait, self._answer, connection)
 
     def _answer_if_new(self, connection: DiscoveryConnection) -> bool:
         index = connection.index
-        if index is not None and 0 < index <= self.registry.index and not self.registry.after(index)[1]:
+        if (
+            index is not None
+            and 0 < index <= self.registry.index
+            and not self.registry.entries_after(index)[1]
+        ):
             return False
         self._answer(connection)
         return True
@@ -139,35 +143,35 @@
             return
         self.waiting.discard(connection)
         now = time.monotonic()
-        lines = 1 + len(self.registry.after(connection.index)[1])
-        self.free_at = max(now, self.free_at) + lines / self.lines_a_second
-        self.loop.call_later(self.free_at - now, self._write, connection)
+        lines = 1 + len(self.registry.entries_after(connection.index)[1])
+        self.busy_until = max(now, self.busy_until) + lines / self.lines_a_second
+        self.loop.call_later(self.busy_until - now, self._write, connection)
 
     def document(self, router: str, index: int | None) -> tuple[bytes, list[Entry]]:
         """The list, or what is newer than an index, as one router is told it."""
-        whole, entries = self.registry.after(index)
-        endpoints = [spelled(e, self.addresses[router, e.name], self.epoch) for e in entries]
-        told = {"index": self.registry.index, "snapshot": whole, "endpoints": endpoints}
-        if whole:
-            entries = entries + list(self.ended_entries.values())  # told by its absence
-        return msgspec.json.encode(told), entries
+        full, entries = self.registry.entries_after(index)
+        endpoints = [entry_to_json(e, self.addresses[router, e.name], self.epoch) for e in entries]
+        payload = {"index": self.registry.index, "snapshot": full, "endpoints": endpoints}
+        if full:
+            entries = entries + list(self.removed_entries.values())  # told by its absence
+        return msgspec.json.encode(payload), entries
 
     def _write(self, connection: DiscoveryConnection) -> None:
-        if not connection.open or not connection.calls:
+        if not connection.open or not connection.call_open:
             return
         router = connection.port.router
         body, entries = self.document(router, connection.index)
         now = time.monotonic()
         for entry in entries:
             self.observe(seen.ListEntrySent(now, router, entry.name, entry.status, max(0.0, entry.since)))
-        connection.tell(200, body)
+        connection.answer(200, body)
 
-    def away(self) -> None:
+    def stop_serving(self) -> None:
         """Watches end and calls are refused."""
         for port in self.ports.values():
-            port.end()
+            port.stop()
 
-    async def back(self) -> None:
+    async def resume(self) -> None:
         """Calls are taken again."""
         for port in self.ports.values():
             await port.listen()
--- a/myrtlecourse/fleet/duty_logs.py
+++ b/myrtlecourse/fleet/duty_logs.py
@@ -7,33 +7,34 @@
 
 from myrtlecourse.audit import observations as seen
 
-OBEYS = re.compile(r" duty (\S+): obeys \S+ under token (\d+) from ([\d.]+)$", re.MULTILINE)
-RESTS = re.compile(r" duty (\S+): obeys nobody since ([\d.]+)$", re.MULTILINE)
-HELD = re.compile(r" duty (\S+): held here under token (\d+), .* at ([\d.]+)$", re.MULTILINE)
-LOST = re.compile(r" duty (\S+): held here no more: .* at ([\d.]+)$", re.MULTILINE)
-STEPS = "steps.log"
+FOLLOWS_LINE = re.compile(r" duty (\S+): obeys \S+ under token (\d+) from ([\d.]+)$", re.MULTILINE)
+NO_HOLDER_LINE = re.compile(r" duty (\S+): obeys nobody since ([\d.]+)$", re.MULTILINE)
+HELD_LINE = re.compile(r" duty (\S+): held here under token (\d+), .* at ([\d.]+)$", re.MULTILINE)
+LOST_LINE = re.compile(r" duty (\S+): held here no more: .* at ([\d.]+)$", re.MULTILINE)
+STEPS_FILE = "steps.log"
 
 
 def step_command(folder: Path, duty: str, router: str) -> tuple[str, ...]:
     """A duty's command that writes down when it was run, for which step and under which token."""
-    line = f'read -r at _ </proc/uptime; echo "$at {duty} {router} $2 $3" >>{folder / STEPS}'
+    line = f'read -r at _ </proc/uptime; echo "$at {duty} {router} $2 $3" >>{folder / STEPS_FILE}'
     return "/bin/sh", "-c", line, "sh"
 
 
-def observed(folder: Path) -> list[seen.Observation]:
+def read_observations(folder: Path) -> list[seen.Observation]:
     """All of it, in the order of its times."""
     found: list[seen.Observation] = []
     for log in folder.glob("router-*.log"):
         text, router = log.read_text(), log.stem
         found += [
-            seen.FollowsHolder(float(at), router, duty, int(token)) for duty, token, at in OBEYS.findall(text)
+            seen.FollowsHolder(float(at), router, duty, int(token))
+            for duty, token, at in FOLLOWS_LINE.findall(text)
         ]
-        found += [seen.FollowsNobody(float(at), router, duty) for duty, at in RESTS.findall(text)]
+        found += [seen.FollowsNobody(float(at), router, duty) for duty, at in NO_HOLDER_LINE.findall(text)]
         found += [
-            seen.HoldsDuty(float(at), router, duty, int(token)) for duty, token, at in HELD.findall(text)
+            seen.HoldsDuty(float(at), router, duty, int(token)) for duty, token, at in HELD_LINE.findall(text)
         ]
-        found += [seen.HoldsDuty(float(at), router, duty, 0) for duty, at in LOST.findall(text)]
-    steps = folder / STEPS
+        found += [seen.HoldsDuty(float(at), router, duty, 0) for duty, at in LOST_LINE.findall(text)]
+    steps = folder / STEPS_FILE
     for line in steps.read_text().splitlines() if steps.exists() else []:
         at, duty, router, step, token = line.split()
         found.append(seen.StepDone(float(at), router, duty, int(step), int(token)))
@@ -44,7 +45,7 @@
 def holder_of(folder: Path, duty: str) -> str:
     """Who holds a duty now, as routers' logs have it; empty: nobody."""
     holder = ""
-    for what in observed(folder):
+    for what in read_observations(folder):
         if isinstance(what, seen.HoldsDuty) and what.duty == duty:
             if what.token:
                 holder = what.router
--- a/myrtlecourse/fleet/hollow_spread.py
+++ b/myrtlecourse/fleet/hollow_spread.py
@@ -44,7 +44,7 @@
     applied: bool = True
 
 
-class Hollow:
+class HollowMembers:
     """The members of one process."""
 
     def __init__(self, job: Job) -> None:
@@ -52,12 +52,12 @@
         self.listen = {name: parse_address(at) for name, at in job.members.items()}
         self.applied = job.applied
         # any member does to read the table with, but for control machines, which want more
-        some = next(site["routers"][0]["name"] for site in job.spread["site"])
-        table = msgspec.convert(job.spread | {"name": some}, Spread)
+        any_member = next(site["routers"][0]["name"] for site in job.spread["site"])
+        table = msgspec.convert(job.spread | {"name": any_member}, Spread)
         self.settings, self.peers, self.keys = table.settings(), peer_addresses(table), read_keys(table)
         self.applied_bytes = table.applied_bytes
-        self.keepers: dict[str, Driver] = {}
-        self.before = [0, 0]  # datagrams and bytes of members that are gone
+        self.drivers: dict[str, Driver] = {}
+        self.earlier_traffic = [0, 0]  # datagrams and bytes of members that are gone
 
     async def start(self, *names: str) -> None:
         """Start members."""
@@ -68,34 +68,37 @@
                 folder.mkdir(exist_ok=True)
             applied = self.folder / f"{name}.applied" if self.applied else None
             settings = replace(self.settings, name=name)
-            keeper = Driver(settings, self.peers, self.keys, applied, self.applied_bytes, folder)
-            self.keepers[name] = keeper
-            await keeper.start(self.listen[name], shared=False)
+            driver = Driver(settings, self.peers, self.keys, applied, self.applied_bytes, folder)
+            self.drivers[name] = driver
+            await driver.start(self.listen[name], shared=False)
 
     async def kill(self, *names: str) -> None:
         """Let members vanish: nothing more is said, heard or written."""
         for name in names:
-            keeper = self.keepers.pop(name)
-            self.before = [self.before[0] + keeper.sent, self.before[1] + keeper.bytes_sent]
-            keeper.leave()
-            keeper.failure = "it has vanished"
-            for task in keeper.tasks:
+            driver = self.drivers.pop(name)
+            self.earlier_traffic = [
+                self.earlier_traffic[0] + driver.sent,
+                self.earlier_traffic[1] + driver.bytes_sent,
+            ]
+            driver.leave()
+            driver.failure = "it has vanished"
+            for task in driver.tasks:
                 task.cancel()
-            if keeper.applied_log is not None:
-                os.close(keeper.applied_log.file)
-                keeper.applied_log = None
-            if keeper.log_file is not None:
-                keeper.log_file.close()
+            if driver.applied_log is not None:
+                os.close(driver.applied_log.file)
+                driver.applied_log = None
+            if driver.log_file is not None:
+                driver.log_file.close()
 
     async def take(self, name: str, token: str) -> None:
         """A duty without an election: whoever gives orders sees to it that one holds it."""
-        keeper = self.keepers[name]
-        keeper.held_token = lambda: int(token)
-        keeper.gain_leadership(int(token))
+        driver = self.drivers[name]
+        driver.held_token = lambda: int(token)
+        driver.gain_leadership(int(token))
 
     async def send(self, name: str, rate: str, seconds: str) -> dict[str, Any]:
         """Propose purges at a steady rate."""
-        keeper, began, numbers = self.keepers[name], time.monotonic(), list[int]()
+        driver, began, numbers = self.drivers[name], time.monotonic(), list[int]()
         count = round(float(rate) * float(seconds))
         answered, refused = asyncio.Event(), list[str]()
 
@@ -109,7 +112,7 @@
 
         for each in range(count):
             await asyncio.sleep(max(0.0, began + each / float(rate) - time.monotonic()))
-            keeper.propose(Purge(os.urandom(8)), answer)
+            driver.propose(Purge(os.urandom(8)), answer)
         await answered.wait()
         return {"last": max(numbers, default=0), "refused": refused, "took": time.monotonic() - began}
 
@@ -118,21 +121,21 @@
         used = resource.getrusage(resource.RUSAGE_SELF)
         pages = int(Path("/proc/self/statm").read_text().split()[1])
         return {
-            "members": len(self.keepers),
+            "members": len(self.drivers),
             "cpu_s": used.ru_utime + used.ru_stime,
             "at": time.monotonic(),
-            "sent": self.before[0] + sum(k.sent for k in self.keepers.values()),
-            "bytes_sent": self.before[1] + sum(k.bytes_sent for k in self.keepers.values()),
+            "sent": self.earlier_traffic[0] + sum(k.sent for k in self.drivers.values()),
+            "bytes_sent": self.earlier_traffic[1] + sum(k.bytes_sent for k in self.drivers.values()),
             "resident_mb": pages * os.sysconf("SC_PAGE_SIZE") / 1e6,
-            "vouching": sum(k.status()["vouches"] for k in self.keepers.values()),
+            "vouching": sum(k.status()["vouches"] for k in self.drivers.values()),
         }
 
     async def status(self, name: str) -> dict[str, Any]:
         """A member's, as operators see it."""
-        return self.keepers[name].status()
+        return self.drivers[name].status()
 
 
-async def serve(hollow: Hollow) -> None:
+async def serve(hollow: HollowMembers) -> None:
     """Take orders until the input ends."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader()
@@ -148,7 +151,7 @@
 
 async def main(path: Path) -> None:
     """Play what a job says."""
-    hollow = Hollow(msgspec.json.decode(path.read_bytes(), type=Job))
+    hollow = HollowMembers(msgspec.json.decode(path.read_bytes(), type=Job))
     await hollow.start(*hollow.listen)
     print("ready", flush=True)
     await serve(hollow)
--- a/myrtlecourse/fleet/layout.py
+++ b/myrtlecourse/fleet/layout.py
@@ -8,10 +8,10 @@
 from dataclasses import replace
 from typing import Any
 
-from myrtlecourse.fleet.box import Box, Draw, Receipts
 from myrtlecourse.fleet.faults import Step, zone_of
 from myrtlecourse.fleet.registry import Entry
 from myrtlecourse.fleet.scenario import RequestClass, Scenario
+from myrtlecourse.fleet.server_models import CacheServerModel, RandomDraws, WriteReceipts
 
 ORIGIN = "origin"
 
@@ -21,12 +21,12 @@
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
-        self.kinds = scenario.boxes()
+        self.kinds = scenario.cache_servers()
         self.routers = [f"router-{i}" for i in range(scenario.routers)]
         self.zones = {name: zone_of(scenario, i) for i, name in enumerate(self.kinds)}
         self.cells = {name: i // scenario.cell for i, name in enumerate(self.kinds)}
-        self.draw = Draw(scenario.seed)
-        self.receipts: dict[str, Receipts] = {}
+        self.draws = RandomDraws(scenario.seed)
+        self.receipts: dict[str, WriteReceipts] = {}
         self.entries = {e.name: e for e in self._entries()}
 
     def _entries(self) -> list[Entry]:
@@ -42,41 +42,41 @@
         """The boxes that drop each other's repeats of a class, by a name of theirs."""
         return {"all": "all", "zone": f"zone {self.zones[name]}"}.get(kind.group, f"cell {self.cells[name]}")
 
-    def box(self, name: str) -> Box:
+    def server_model(self, name: str) -> CacheServerModel:
         """A box as it stands at the start."""
 
-        def receipts(kind: RequestClass) -> Receipts:
-            return self.receipts.setdefault(self.group(name, kind), Receipts())
+        def receipts(kind: RequestClass) -> WriteReceipts:
+            return self.receipts.setdefault(self.group(name, kind), WriteReceipts())
 
-        scenario, aside = self.scenario, self.scenario.origin is not None
-        return Box(name, self.kinds[name], scenario.rules, self.draw, receipts, aside)
+        scenario, cache_aside = self.scenario, self.scenario.origin is not None
+        return CacheServerModel(name, self.kinds[name], scenario.rules, self.draws, receipts, cache_aside)
 
-    def distances(self, zone: str) -> dict[str, float]:
+    def delays_from(self, zone: str) -> dict[str, float]:
         """How far each router is from a zone, one way (seconds)."""
         return {
             router: 0.0 if zone_of(self.scenario, i) == zone else self.scenario.delay
             for i, router in enumerate(self.routers)
         }
 
-    def noticed(self, step: Step, now: float, started: float, listed: bool) -> tuple[float, Entry] | None:
+    def list_change(self, step: Step, now: float, started: float, listed: bool) -> tuple[float, Entry] | None:
         """What discovery notices of a fault, and when; `listed` tells whether the box is in the list."""
         if step.target == ORIGIN:
             return None  # it is no cache server, and stays in the list
-        late, entry = self.scenario.discovery, replace(self.entries[step.target], since=started)
-        match step.do:
+        discovery, entry = self.scenario.discovery, replace(self.entries[step.target], since=started)
+        match step.action:
             case "drain":
                 return now, replace(entry, status="terminating")
             case "end":
                 return now, replace(entry, status="terminated")
-            case "crash" if step.lasts > late.notice:
-                return now + late.notice, replace(entry, status="terminated")
-            case "cut" if step.lasts > late.silent_notice:
-                return now + late.silent_notice, replace(entry, status="terminated")
+            case "crash" if step.duration > discovery.notice:
+                return now + discovery.notice, replace(entry, status="terminated")
+            case "cut" if step.duration > discovery.silent_notice:
+                return now + discovery.silent_notice, replace(entry, status="terminated")
             case "join" if not listed:
-                return now + late.added, entry
+                return now + discovery.added, entry
         return None
 
-    def added(self, name: str, started: float) -> tuple[float, Entry]:
+    def list_addition(self, name: str, started: float) -> tuple[float, Entry]:
         """When a box that has started is listed, and how."""
         return started + self.scenario.discovery.added, replace(self.entries[name], since=started)
 
@@ -97,7 +97,7 @@
             for c in scenario.classes
         ]
         rules = scenario.rules
-        talk = {"peers": True} if scenario.peers is not None else {}
+        peer_limits = {"peers": True} if scenario.peers is not None else {}
         return {
             "classes": classes,
             "familyInfo": {"mode": "aside", "originKind": len(kinds) - 1} if scenario.origin else {},
@@ -109,7 +109,7 @@
                 "mostTries": 6,
                 "secondCopies": True,
             }
-            | talk,
+            | peer_limits,
             "me": number,
             "siblings": scenario.routers,
             "membershipMode": "subscribe",
--- a/myrtlecourse/fleet/operators.py
+++ b/myrtlecourse/fleet/operators.py
@@ -12,14 +12,14 @@
 
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.fleet.faults import Step
-from myrtlecourse.fleet.routers import CALL_TIME, YES_TIME, Router, RouterError
+from myrtlecourse.fleet.routers import CALL_TIME, READY_TIME, Router, RouterError
 
-ASKING = 0.1  # seconds between two questions to a router
-AGAIN = 0.05  # before a call is made again that was not answered with yes
+READY_INTERVAL = 0.1  # seconds between two questions to a router
+RETRY_PAUSE = 0.05  # before a call is made again that was not answered with yes
 MOST_SAMPLES = 1_000_000  # of answers' times
 
 
-def held(pid: int) -> tuple[float, int]:
+def process_usage(pid: int) -> tuple[float, int]:
     """What a process holds: MB of its memory that is resident, and descriptors (Linux, proc(5))."""
     folder = Path(f"/proc/{pid}")
     pages = (folder / "status").read_text().split("VmRSS:")[1].split()[0]
@@ -31,58 +31,58 @@
 
     def __init__(self, routers: list[Router]) -> None:
         self.routers = routers
-        self.answers: list[float] = []  # seconds that answers took
+        self.answer_times: list[float] = []  # seconds that answers took
         self.unanswered = 0
         self.memory = 0.0  # MB of all processes of one router together, at most
         self.descriptors = 0
         self.faults: list[str] = []
-        self.asking = [asyncio.ensure_future(self._ask(router)) for router in routers]
+        self.tasks = [asyncio.ensure_future(self._poll(router)) for router in routers]
 
-    async def _ask(self, router: Router) -> None:
+    async def _poll(self, router: Router) -> None:
         while True:
-            await asyncio.sleep(ASKING)
+            await asyncio.sleep(READY_INTERVAL)
             began = time.monotonic()
             try:
                 await router.call("GET", "ready")
             except (RouterError, OSError, ValueError, IndexError, TimeoutError):
-                if router.ops is not None and router.wanted:
+                if router.ops is not None and router.should_run:
                     self.unanswered += 1
             else:
-                if len(self.answers) < MOST_SAMPLES:
-                    self.answers.append(time.monotonic() - began)
+                if len(self.answer_times) < MOST_SAMPLES:
+                    self.answer_times.append(time.monotonic() - began)
             with suppress(OSError, IndexError):
-                each = [held(pid) for pid in router.pids()]
+                each = [process_usage(pid) for pid in router.pids()]
                 self.memory = max(self.memory, sum(memory for memory, _ in each))
                 self.descriptors = max(self.descriptors, sum(count for _, count in each))
 
-    async def hand(self, router: Router, step: Step) -> None:
+    async def change_service(self, router: Router, step: Step) -> None:
         """Call for a box until the router says yes, as staff would: a process may just be ending."""
-        until = time.monotonic() + YES_TIME
+        until = time.monotonic() + READY_TIME
         while time.monotonic() < until:
             with suppress(RouterError, OSError, ValueError, IndexError, TimeoutError):
-                if await router.call("PUT", f"cache-servers/{step.target}/{step.do}") == 200:
-                    back = step.do == "online"
+                if await router.call("PUT", f"cache-servers/{step.target}/{step.action}") == 200:
+                    back = step.action == "online"
                     router.observe(seen.BanAcknowledged(time.monotonic(), router.name, step.target, back))
                     return
-            await asyncio.sleep(AGAIN)
-        self.faults.append(f"{router.name} did not say yes to {step.do} {step.target}")
+            await asyncio.sleep(RETRY_PAUSE)
+        self.faults.append(f"{router.name} did not say yes to {step.action} {step.target}")
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Nobody asks any more."""
-        for each in self.asking:
+        for each in self.tasks:
             each.cancel()
 
     def figures(self) -> dict[str, Any]:
         """What was measured: times in milliseconds, memory in MB; JSON-able."""
-        times = np.array(self.answers or [0.0]) * 1000
+        times = np.array(self.answer_times or [0.0]) * 1000
         p50, p99 = np.quantile(times, [0.5, 0.99])
         return {
-            "calls": len(self.answers),
+            "calls": len(self.answer_times),
             "unanswered": self.unanswered,
             "owed_ms": CALL_TIME * 1000,
             "answer_ms": {"p50": float(p50), "p99": float(p99), "max": float(times.max())},
-            "upgrades": sum(len(r.yes) for r in self.routers),
-            "yes_s": sorted(took for r in self.routers for took in r.yes),
+            "upgrades": sum(len(r.ready_delays) for r in self.routers),
+            "yes_s": sorted(took for r in self.routers for took in r.ready_delays),
             "memory_mb": self.memory,
             "descriptors": self.descriptors,
         }
--- a/myrtlecourse/fleet/origin_server.py
+++ b/myrtlecourse/fleet/origin_server.py
@@ -11,12 +11,12 @@
 import h11
 
 from myrtlecourse.audit import observations as seen
-from myrtlecourse.fleet.box import Ended, How, OriginStore, Request
-from myrtlecourse.fleet.box_server import request_of, sent, value_for
+from myrtlecourse.fleet.cache_server import attempt_received, parse_request, value_for
+from myrtlecourse.fleet.core_queue import WorkItem
 from myrtlecourse.fleet.layout import ORIGIN as NAME
-from myrtlecourse.fleet.ports import Port, Served
+from myrtlecourse.fleet.ports import Port, ServerConnection
 from myrtlecourse.fleet.scenario import RequestClass, Scenario
-from myrtlecourse.fleet.station import Piece
+from myrtlecourse.fleet.server_models import Answer, AnswerKind, OriginModel, Request
 from myrtlecourse.net.command import MAX_VALUE, Command, CommandError, read_info
 
 REASONS = {
@@ -28,7 +28,7 @@
 }
 
 
-class HttpConnection(Served):
+class HttpConnection(ServerConnection):
     """An HTTP/1.1 connection of a stand-in: whole requests in, one answer each."""
 
     def __init__(self, port: Port) -> None:
@@ -37,17 +37,17 @@
         self.head: h11.Request | None = None
         self.body = b""
         self.began = 0.0
-        self.owed = False
+        self.answer_owed = False
 
-    def busy(self) -> bool:
-        return self.owed or self.head is not None
+    def is_busy(self) -> bool:
+        return self.answer_owed or self.head is not None
 
-    def asked(self, head: h11.Request, body: bytes) -> None:
+    def on_request(self, head: h11.Request, body: bytes) -> None:
         """A request has come whole."""
         raise NotImplementedError
 
-    def took(self, data: bytes, began: float) -> None:
-        if not self.busy():
+    def on_data(self, data: bytes, began: float) -> None:
+        if not self.is_busy():
             self.began = began
         try:
             self.http.receive_data(data)
@@ -68,8 +68,8 @@
                 case h11.EndOfMessage():
                     head, self.head = self.head, None
                     assert head is not None
-                    self.owed = True
-                    self.asked(head, self.body)
+                    self.answer_owed = True
+                    self.on_request(head, self.body)
                 case _:
                     return  # no more has come, or the last answer is still owed
 
@@ -85,7 +85,7 @@
         if body:
             data += self.http.send(h11.Data(data=body)) or b""
         data += self.http.send(h11.EndOfMessage()) or b""
-        self.owed = False
+        self.answer_owed = False
         self.write(data)
         if self.http.our_state is h11.MUST_CLOSE or self.http.our_state is h11.ERROR:
             self.close()
@@ -100,9 +100,9 @@
     def __init__(self, port: Port, server: OriginServer) -> None:
         super().__init__(port)
         self.server = server
-        self.piece: Piece | None = None
+        self.current_item: WorkItem | None = None
 
-    def asked(self, head: h11.Request, body: bytes) -> None:
+    def on_request(self, head: h11.Request, body: bytes) -> None:
         headers = dict(head.headers)
         if head.target in (b"/health/live", b"/stats"):
             self.reply(200, b"ok")
@@ -114,16 +114,16 @@
                 raise CommandError("not a fetch or a write")
             value = body if head.method == b"PUT" else None
             command = Command(head.method, key, name, info, int(info["d"]), value)
-            request = request_of(command, self.server.classes, self.port.router, False)
+            request = parse_request(command, self.server.classes, self.port.router, False)
         except CommandError as e:
             self.reply(400, str(e).encode())
             return
-        self.piece = self.server.take(self, request, self.began)
+        self.current_item = self.server.accept(self, request, self.began)
 
-    def ended(self) -> None:
-        if self.piece is not None:
-            self.server.left(self.piece)
-            self.piece = None
+    def on_closed(self) -> None:
+        if self.current_item is not None:
+            self.server.abandon(self.current_item)
+            self.current_item = None
 
 
 class OriginServer:
@@ -131,16 +131,16 @@
 
     def __init__(
         self,
-        store: OriginStore,
+        model: OriginModel,
         scenario: Scenario,
         observe: Callable[[seen.Observation], None],
-        answered: Callable[[Ended], None],
+        on_answer: Callable[[Answer], None],
     ) -> None:
-        self.store = store
+        self.model = model
         self.classes: dict[str, RequestClass] = {c.name: c for c in scenario.classes}
         self.observe = observe
-        self.answered = answered
-        self.senders: dict[Request, OriginConnection] = {}
+        self.on_answer = on_answer
+        self.connections: dict[Request, OriginConnection] = {}
         self.ports: dict[str, Port] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.loop = asyncio.get_running_loop()
@@ -148,32 +148,34 @@
     async def listen(self, routers: dict[str, float]) -> None:
         """Listen for each router, which is so many seconds away."""
         for router, delay in routers.items():
-            most = self.store.origin.connections
-            self.ports[router] = Port(router, delay, most, lambda port: OriginConnection(port, self))
+            max_connections = self.model.origin.connections
+            self.ports[router] = Port(
+                router, delay, max_connections, lambda port: OriginConnection(port, self)
+            )
             await self.ports[router].listen()
 
-    def take(self, connection: OriginConnection, request: Request, began: float) -> Piece | None:
+    def accept(self, connection: OriginConnection, request: Request, began: float) -> WorkItem | None:
         """A fetch or a write has come whole; None when it has been answered."""
         now = time.monotonic()
-        self.observe(sent(request, NAME, began, request.request_class.group))
-        piece = self.store.arrive(now, request)
-        if piece is None:
+        self.observe(attempt_received(request, NAME, began, request.request_class.group))
+        item = self.model.arrive(now, request)
+        if item is None:
             self.observe(seen.NeverRan(now, request.id, NAME))
             connection.reply(503, b"", [(b"Not-Started", b"1")])
             return None
-        self.senders[request] = connection
+        self.connections[request] = connection
         self._schedule()
-        return piece
+        return item
 
-    def left(self, piece: Piece) -> None:
+    def abandon(self, item: WorkItem) -> None:
         """The router waits no more."""
-        assert isinstance(piece.request, Request)
-        self.senders.pop(piece.request, None)
-        self.store.left(time.monotonic(), piece)
+        assert isinstance(item.request, Request)
+        self.connections.pop(item.request, None)
+        self.model.abandon(time.monotonic(), item)
         self._schedule()
 
     def _schedule(self) -> None:
-        due = self.store.station.due()
+        due = self.model.core_queue.next_end()
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -183,29 +185,29 @@
     def _work(self) -> None:
         self.timer = None
         now = time.monotonic()
-        while (ended := self.store.ended(now)) is not None:
-            connection = self.senders.pop(ended.request, None)
-            if ended.ran:
-                self.observe(seen.WriteExecuted(now, ended.request.id, NAME, ended.request.idempotency))
-            self.answered(ended)
+        while (answer := self.model.next_answer(now)) is not None:
+            connection = self.connections.pop(answer.request, None)
+            if answer.executed:
+                self.observe(seen.WriteExecuted(now, answer.request.id, NAME, answer.request.idempotency))
+            self.on_answer(answer)
             if connection is None:
                 continue
-            connection.piece = None
-            if ended.how is How.ERROR:
+            connection.current_item = None
+            if answer.kind is AnswerKind.ERROR:
                 connection.reply(500, b"failed")
             else:
-                connection.reply(200, value_for(ended.request.id, ended.version, ended.size))
+                connection.reply(200, value_for(answer.request.id, answer.version, answer.size))
         self._schedule()
 
-    def pace(self, factor: float) -> None:
+    def set_speed(self, factor: float) -> None:
         """It works so many times as fast."""
-        self.store.station.pace.change(time.monotonic(), factor)
+        self.model.core_queue.core_speed.set_factor(time.monotonic(), factor)
         self._schedule()
 
     def drop_idle(self) -> None:
         """Close what has stood idle for too long."""
         for port in self.ports.values():
-            port.drop_idle(time.monotonic() - self.store.origin.idle)
+            port.drop_idle(time.monotonic() - self.model.origin.idle)
 
     def close(self) -> None:
         """The stand-in ends."""
--- a/myrtlecourse/fleet/registry.py
+++ b/myrtlecourse/fleet/registry.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-KEPT = 1000  # changes; who is farther behind gets the whole list
+MAX_CHANGES = 1000  # changes; who is farther behind gets the whole list
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,23 +34,23 @@
         self.index = 1
         self.listed = {e.name: e for e in entries}
         self.changes: list[tuple[int, Entry]] = []
-        self.coming: list[tuple[float, int, Entry]] = []
-        self.numbers = 0
+        self.pending: list[tuple[float, int, Entry]] = []
+        self.sequence = 0
 
-    def notice(self, at: float, entry: Entry) -> None:
+    def schedule(self, at: float, entry: Entry) -> None:
         """From that time on the list says so."""
-        self.numbers += 1
-        heapq.heappush(self.coming, (at, self.numbers, entry))
+        self.sequence += 1
+        heapq.heappush(self.pending, (at, self.sequence, entry))
 
-    def due(self) -> float:
+    def next_change(self) -> float:
         """When the list next changes; infinite when nothing is coming."""
-        return self.coming[0][0] if self.coming else math.inf
+        return self.pending[0][0] if self.pending else math.inf
 
     def advance(self, now: float) -> list[Entry]:
         """List what has been noticed by now, as one change of the index; answers with what is new."""
         new = []
-        while self.coming and self.coming[0][0] <= now:
-            entry = heapq.heappop(self.coming)[2]
+        while self.pending and self.pending[0][0] <= now:
+            entry = heapq.heappop(self.pending)[2]
             if self.listed.get(entry.name) != entry:
                 new.append(entry)
                 if entry.status == "terminated":
@@ -60,10 +60,10 @@
         if new:
             self.index += 1
             self.changes += [(self.index, e) for e in new]
-            del self.changes[:-KEPT]
+            del self.changes[:-MAX_CHANGES]
         return new
 
-    def after(self, index: int | None) -> tuple[bool, list[Entry]]:
+    def entries_after(self, index: int | None) -> tuple[bool, list[Entry]]:
         """Whether the whole list is told to one who has seen that index, and the entries for it."""
         oldest = self.changes[0][0] if self.changes else self.index + 1
         if index is None or not 0 < index <= self.index or index < min(oldest, self.index) - 1:
@@ -71,7 +71,7 @@
         return False, [e for i, e in self.changes if i > index]
 
 
-def spelled(entry: Entry, address: str, epoch: float) -> dict[str, Any]:
+def entry_to_json(entry: Entry, address: str, epoch: float) -> dict[str, Any]:
     """An entry in discovery's JSON; `epoch` is Unix time minus the caller's clock."""
     since = 0 if entry.since == -math.inf else round((entry.since + epoch) * 1000)
     return {
--- a/myrtlecourse/fleet/reserved_ports.py
+++ b/myrtlecourse/fleet/reserved_ports.py
@@ -63,7 +63,7 @@
 _recent: deque[ReservedPort] = deque()
 
 
-def free() -> tuple[str, int]:
+def free_address() -> tuple[str, int]:
     """An address that is free just now, for a process that is told where to listen.
 
     It stays reserved until so many more were given that its owner's test is over.
--- a/myrtlecourse/fleet/routers.py
+++ b/myrtlecourse/fleet/routers.py
@@ -24,17 +24,17 @@
 COMMAND = shlex.join(["sh", "-c", f"trap '' HUP; exec {shlex.quote(sys.executable)} -m myrtlecourse"])
 START_TIME = 30.0  # seconds to listen
 LONGEST_DEADLINE = 3.0  # seconds, of those that count for a router's end (PROTOCOL)
-KILLED = 0.7  # seconds after SIGTERM and the longest deadline, at which SIGKILL comes at the earliest
+KILL_GRACE = 0.7  # seconds after SIGTERM and the longest deadline, at which SIGKILL comes at the earliest
 HALF_A_COMMAND = b"*4\r\n$5\r\nC.GET\r\n$3\r\nke"
 LISTENING = b"listening on "
-CALLED = b"operators call "
+TAKES_CALLS = b"operators call "
 CALL_TIME = 1.0  # seconds in which a call is owed its answer
 SIGNAL_PAUSE = 0.02  # seconds between two of a series
-YES_TIME = 6.0  # seconds in which a router that is started beside itself has to be ready
+READY_TIME = 6.0  # seconds in which a router that is started beside itself has to be ready
 
 
-RETURNS = re.compile(r"^(\S+ \S+) INFO zones coming back: (.*)$", re.MULTILINE)
-LEAVES = re.compile(r"^(\S+ \S+) INFO zones left: (.*)$", re.MULTILINE)
+RETURN_LINE = re.compile(r"^(\S+ \S+) INFO zones coming back: (.*)$", re.MULTILINE)
+EXIT_LINE = re.compile(r"^(\S+ \S+) INFO zones left: (.*)$", re.MULTILINE)
 
 
 class RouterError(RuntimeError):
@@ -53,37 +53,39 @@
         self.log = folder / f"{name}.log"
         self.observe = observe
         self.process: asyncio.subprocess.Process | None = None
-        self.older: asyncio.subprocess.Process | None = None  # that it took over from
+        self.previous_process: asyncio.subprocess.Process | None = None  # that it took over from
         self.address: tuple[str, int] = ("127.0.0.1", 0)
-        self.wanted = False  # it is to run
-        self.end_time = LONGEST_DEADLINE + KILLED  # seconds after SIGTERM until SIGKILL
+        self.should_run = False  # it is to run
+        self.end_time = LONGEST_DEADLINE + KILL_GRACE  # seconds after SIGTERM until SIGKILL
         self.crashes = 0
-        self.temporary = folder / f"{name}.tmp"  # common to its processes
-        self.listening: socket.socket | None = None  # held for them, where they are started beside themselves
+        self.temporary_folder = folder / f"{name}.tmp"  # common to its processes
+        self.listening_socket: socket.socket | None = (
+            None  # held for them, where they are started beside themselves
+        )
         self.ops: tuple[str, int] | None = None
-        self.operators: Path | None = None  # the operators' file
-        self.yes: list[float] = []  # seconds from each upgrade's start to its yes
+        self.operators_file: Path | None = None  # the operators' file
+        self.ready_delays: list[float] = []  # seconds from each upgrade's start to its yes
 
     def configure(self, configuration: dict[str, Any]) -> None:
         """What the platform tells it, with the address that it has had before."""
         listen = f"{self.address[0]}:{self.address[1]}"
         longest = max(each["giveUp"] for each in configuration["settings"]["classes"])
-        self.end_time = min(LONGEST_DEADLINE, longest) + KILLED
+        self.end_time = min(LONGEST_DEADLINE, longest) + KILL_GRACE
         self.config.write_text(json.dumps(configuration | {"listen": listen}))
 
-    def hold_socket(self) -> None:
+    def open_listening_socket(self) -> None:
         """Listen for its processes, which inherit the socket; nothing waits in none of them then."""
-        self.listening = socket.create_server(self.address, backlog=512)
-        self.address = self.listening.getsockname()
-        self.temporary.mkdir(exist_ok=True)
+        self.listening_socket = socket.create_server(self.address, backlog=512)
+        self.address = self.listening_socket.getsockname()
+        self.temporary_folder.mkdir(exist_ok=True)
 
     def _environment(self) -> dict[str, str]:
         environment = os.environ | {"RELAY_CONFIG": str(self.config)}
-        if self.operators is not None:
-            environment["MYRTLECOURSE_FILE"] = str(self.operators)
-        if self.listening is not None:
-            environment["RELAY_LISTEN_FD"] = str(self.listening.fileno())
-            environment["TMPDIR"] = str(self.temporary)
+        if self.operators_file is not None:
+            environment["MYRTLECOURSE_FILE"] = str(self.operators_file)
+        if self.listening_socket is not None:
+            environment["RELAY_LISTEN_FD"] = str(self.listening_socket.fileno())
+            environment["TMPDIR"] = str(self.temporary_folder)
         return environment
 
     async def start(self, beside: asyncio.subprocess.Process | None = None) -> None:
@@ -93,7 +95,7 @@
             self.process = await asyncio.create_subprocess_exec(
                 *shlex.split(self.command),
                 env=self._environment(),
-                pass_fds=() if self.listening is None else (self.listening.fileno(),),
+                pass_fds=() if self.listening_socket is None else (self.listening_socket.fileno(),),
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
@@ -101,23 +103,23 @@
         if beside is None:
             # before it can send anything: what is known of the process before holds not for this one
             self.observe(seen.RouterUp(time.monotonic(), self.name))
-        self.wanted = True
+        self.should_run = True
         until = time.monotonic() + START_TIME
-        wanted = LISTENING if self.listening is None else CALLED
-        while wanted not in (text := self.log.read_bytes()[written:]):
+        expected_line = LISTENING if self.listening_socket is None else TAKES_CALLS
+        while expected_line not in (text := self.log.read_bytes()[written:]):
             if self.process.returncode is not None or time.monotonic() > until:
                 raise RouterError(f"{self.name} did not start:\n{text.decode(errors='replace')[-2000:]}")
             await asyncio.sleep(0.02)
         host, _, port = text.split(LISTENING)[1].split()[0].decode().rpartition(":")
         self.address = host, int(port)
-        if CALLED in text:
-            host, _, port = text.split(CALLED)[1].split()[0].decode().rpartition(":")
+        if TAKES_CALLS in text:
+            host, _, port = text.split(TAKES_CALLS)[1].split()[0].decode().rpartition(":")
             self.ops = host, int(port)
         self.watch = asyncio.create_task(self._watch(self.process))
 
     def pids(self) -> list[int]:
         """Its processes that run: two while it is started beside itself."""
-        each = [p for p in (self.process, self.older) if p is not None and p.returncode is None]
+        each = [p for p in (self.process, self.previous_process) if p is not None and p.returncode is None]
         return [p.pid for p in each]
 
     async def call(self, method: str, path: str) -> int:
@@ -137,13 +139,13 @@
         It is one router to everyone else: nothing of it is observed.
         """
         old, began = self.process, time.monotonic()
-        self.older = old
+        self.previous_process = old
         await self.start(beside=old)
         while await self.call("GET", "ready") != 200:
-            if time.monotonic() > began + YES_TIME:
-                raise RouterError(f"{self.name} started beside itself and was not ready in {YES_TIME:g} s")
+            if time.monotonic() > began + READY_TIME:
+                raise RouterError(f"{self.name} started beside itself and was not ready in {READY_TIME:g} s")
             await asyncio.sleep(0.05)
-        self.yes.append(time.monotonic() - began)
+        self.ready_delays.append(time.monotonic() - began)
         if old is not None and old.returncode is None:
             old.terminate()
             try:
@@ -155,7 +157,7 @@
     async def _watch(self, process: asyncio.subprocess.Process) -> None:
         """Notice when it ends by itself: what it held is lost, and counts so."""
         await process.wait()
-        if self.wanted and process is self.process:
+        if self.should_run and process is self.process:
             self.crashes += 1
             self.observe(seen.RouterDown(time.monotonic(), self.name, False))
 
@@ -185,7 +187,7 @@
             self._signal(process, signal.SIGTERM if number % 2 else signal.SIGHUP)
             await asyncio.sleep(SIGNAL_PAUSE)
 
-    async def crowd(self, clients: int, begun: bool, seconds: float) -> None:
+    async def open_idle_clients(self, clients: int, begun: bool, seconds: float) -> None:
         """Clients that come all at once, say nothing or half a command, and stay for so long."""
         come = [self._idle_client(begun, seconds) for _ in range(clients)]
         await asyncio.gather(*come, return_exceptions=True)
@@ -205,7 +207,7 @@
         """Kill it, or ask it to end, with further signals beside; SIGKILL comes once its time is over."""
         if self.process is None or self.process.returncode is not None:
             return
-        self.wanted = False
+        self.should_run = False
         series = asyncio.create_task(self._signal_series(self.process, signals))
         if kill:
             self.observe(seen.RouterDown(time.monotonic(), self.name, True))
@@ -222,25 +224,25 @@
         self.observe(seen.RouterExited(now, self.name) if kill else seen.RouterDown(now, self.name, False))
 
 
-def zones_back(log: Path) -> list[tuple[float, dict[str, float]]]:
+def zone_returns(log: Path) -> list[tuple[float, dict[str, float]]]:
     """When a router said how much counts of zones that come back, on the machine's monotonic clock."""
     offset = time.time() - time.monotonic()
-    found = []
-    for at, told in RETURNS.findall(log.read_text()):
+    failures = []
+    for at, told in RETURN_LINE.findall(log.read_text()):
         wall = datetime.strptime(at, "%Y-%m-%d %H:%M:%S,%f").timestamp()
         each = [] if told == "none" else [word.rpartition("=") for word in told.split()]
-        found.append((wall - offset, {zone: float(share) for zone, _, share in each}))
-    return found
+        failures.append((wall - offset, {zone: float(share) for zone, _, share in each}))
+    return failures
 
 
-def zones_left(log: Path) -> list[tuple[float, frozenset[str]]]:
+def zone_exits(log: Path) -> list[tuple[float, frozenset[str]]]:
     """When a router said that it leaves zones, on the machine's monotonic clock, and which."""
     offset = time.time() - time.monotonic()
-    found = []
-    for at, names in LEAVES.findall(log.read_text()):
+    failures = []
+    for at, names in EXIT_LINE.findall(log.read_text()):
         wall = datetime.strptime(at, "%Y-%m-%d %H:%M:%S,%f").timestamp()
-        found.append((wall - offset, frozenset(names.split(", ")) - {"none"}))
-    return found
+        failures.append((wall - offset, frozenset(names.split(", ")) - {"none"}))
+    return failures
 
 
 class Routers:
@@ -249,7 +251,7 @@
     def __init__(
         self, names: list[str], command: str, folder: Path, observe: Callable[[seen.Observation], None]
     ) -> None:
-        self.each = [Router(name, command, folder, observe) for name in names]
+        self.members = [Router(name, command, folder, observe) for name in names]
         self.restarts: set[asyncio.Task[None]] = set()
         self.faults: list[str] = []
 
@@ -257,41 +259,43 @@
         self, configuration: Callable[[int], dict[str, Any]], operators: Callable[[str], Path] | None = None
     ) -> None:
         """Start all, side by side; `operators` gives each its operators' file."""
-        for number, router in enumerate(self.each):
+        for number, router in enumerate(self.members):
             if operators is not None:
-                router.operators = operators(router.name)
+                router.operators_file = operators(router.name)
             if "ops" in configuration(number):
-                router.hold_socket()
+                router.open_listening_socket()
             router.configure(configuration(number))
-        await asyncio.gather(*(router.start() for router in self.each))
-        for number, router in enumerate(self.each):  # at the same address from now on
+        await asyncio.gather(*(router.start() for router in self.members))
+        for number, router in enumerate(self.members):  # at the same address from now on
             router.configure(configuration(number))
 
-    def do(self, step: Step) -> None:
+    def apply_step(self, step: Step) -> None:
         """Restart one, kill it and start it again, or start it beside itself."""
-        router = self.each[int(step.target.rpartition("-")[2])]
-        if step.do == "go_on":
+        router = self.members[int(step.target.rpartition("-")[2])]
+        if step.action == "go_on":
             router.stall(False)  # also one that was told to end since: nothing else would let it go on
             return
-        if not router.wanted:
+        if not router.should_run:
             return  # it is ending or starting already
-        if step.do == "reload":
+        if step.action == "reload":
             router.reload()
             return
-        if step.do in ("crowd", "crowd_begun"):
-            self.soon(router.crowd(round(step.value), step.do == "crowd_begun", step.lasts))
+        if step.action in ("crowd", "crowd_begun"):
+            self.run_in_background(
+                router.open_idle_clients(round(step.value), step.action == "crowd_begun", step.duration)
+            )
             return
-        if step.do == "upgrade":
-            self.soon(self._upgrade(router))
+        if step.action == "upgrade":
+            self.run_in_background(self._upgrade(router))
             return
-        if step.do == "stall":
-            router.observe(seen.RouterStalled(time.monotonic(), router.name, step.lasts))
+        if step.action == "stall":
+            router.observe(seen.RouterStalled(time.monotonic(), router.name, step.duration))
             router.stall(True)
             return
-        router.wanted = False
-        self.soon(self._restart(router, step))
+        router.should_run = False
+        self.run_in_background(self._restart(router, step))
 
-    def soon(self, work: Coroutine[Any, Any, None]) -> None:
+    def run_in_background(self, work: Coroutine[Any, Any, None]) -> None:
         """Do something beside the rest; it is waited for at the end."""
         task = asyncio.ensure_future(work)
         self.restarts.add(task)
@@ -305,7 +309,7 @@
 
     async def _restart(self, router: Router, step: Step) -> None:
         try:
-            await router.end(kill=step.do == "kill", signals=round(step.value))
+            await router.end(kill=step.action == "kill", signals=round(step.value))
             await router.start()
         except RouterError as e:
             self.faults.append(str(e))
@@ -314,13 +318,13 @@
         """End all."""
         if self.restarts:
             await asyncio.wait(self.restarts)
-        await asyncio.gather(*(router.end(kill=False) for router in self.each))
+        await asyncio.gather(*(router.end(kill=False) for router in self.members))
 
-    def found(self) -> list[str]:
+    def failures(self) -> list[str]:
         """What went wrong with the processes themselves."""
         crashed = [
             f"{r.name} ended by itself, or not with 0 ({r.crashes} times): see {r.log}"
-            for r in self.each
+            for r in self.members
             if r.crashes
         ]
         return self.faults + crashed
--- a/myrtlecourse/fleet/scenario.py
+++ b/myrtlecourse/fleet/scenario.py
@@ -26,7 +26,7 @@
     """A scenario that can't be used; the message names the file and the field."""
 
 
-class Kind(Struct, forbid_unknown_fields=True, frozen=True):
+class ServerKind(Struct, forbid_unknown_fields=True, frozen=True):
     """A kind of cache box and how many there are of it."""
 
     name: Name
@@ -99,7 +99,7 @@
     elsewhere: Share = 1.0
 
 
-class DutyOf(Struct, forbid_unknown_fields=True, frozen=True):
+class DutySpec(Struct, forbid_unknown_fields=True, frozen=True):
     """A duty in numbered steps, whose command writes down that it was run."""
 
     name: Name
@@ -112,7 +112,7 @@
     """Duties that one router holds at a time, over the network of `peers`."""
 
     voters: Annotated[tuple[int, ...], Meta(min_length=1, max_length=7)]  # routers, counted from 0
-    each: Annotated[tuple[DutyOf, ...], Meta(min_length=1, max_length=16)]
+    each: Annotated[tuple[DutySpec, ...], Meta(min_length=1, max_length=16)]
     memory: bool = True  # each router has a file of its own
     heartbeat: Positive = 0.1
     lease: Positive = 0.5
@@ -325,7 +325,7 @@
     zones: Annotated[tuple[Name, ...], Meta(min_length=1, max_length=16)] = ("a",)
     delay: Time = 0.0  # one way between two zones
     cell: Count = 4  # boxes that remember keyed writes for one another
-    kinds: Annotated[tuple[Kind, ...], Meta(min_length=1)] = (Kind("std", 4),)
+    kinds: Annotated[tuple[ServerKind, ...], Meta(min_length=1)] = (ServerKind("std", 4),)
     origin: Origin | None = None  # none: boxes get what they lack by themselves, and run writes
     discovery: Discovery = Discovery()
     peers: Peers | None = None  # none: routers share nothing
@@ -345,7 +345,7 @@
             raise ValueError("a name stands twice in `zones`")
         if self.duties is not None and self.peers is None:
             raise ValueError("duties: they go over the network of `[peers]`")
-        boxes = set(self.boxes())
+        boxes = set(self.cache_servers())
         for i, fault in enumerate(self.faults):
             self._check(f"faults[{i}] ({fault.__struct_config__.tag})", fault, boxes)
 
@@ -383,11 +383,11 @@
         if holder is not None and holder not in [d.name for d in (self.duties.each if self.duties else ())]:
             raise ValueError(f"{where}: no duty is named {holder!r}")
 
-    def operated(self) -> bool:
+    def has_operator_work(self) -> bool:
         """Whether routers are called by operators, or started beside themselves."""
         return any(isinstance(fault, Hand | Upgrade) for fault in self.faults)
 
-    def boxes(self) -> dict[str, Kind]:
+    def cache_servers(self) -> dict[str, ServerKind]:
         """The boxes at the start, by name."""
         return {f"{kind.name}-{i}": kind for kind in self.kinds for i in range(kind.boxes)}
 
--- a/myrtlecourse/fleet/session.py
+++ b/myrtlecourse/fleet/session.py
@@ -18,13 +18,13 @@
 
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.audit.auditor import Auditor, Rules
-from myrtlecourse.fleet.duty_logs import holder_of, observed, step_command
+from myrtlecourse.fleet.datagram_network import Relays
+from myrtlecourse.fleet.duty_logs import holder_of, read_observations, step_command
 from myrtlecourse.fleet.faults import Step, hot_keys, steps
+from myrtlecourse.fleet.loopback_fleet import Fleet
 from myrtlecourse.fleet.operators import Operators
 from myrtlecourse.fleet.routers import RouterError, Routers
 from myrtlecourse.fleet.scenario import Duties, Peers, Scenario
-from myrtlecourse.fleet.stand_in import Fleet
-from myrtlecourse.fleet.ways import Relays
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.load.record import Record
 from myrtlecourse.load.run import Job, run
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class Standing:
+class RunningFleet:
     """A fleet that is up, with its routers if it has any."""
 
     fleet: Fleet
@@ -48,30 +48,30 @@
     log: seen.ObservationLog
     operators: Operators | None = None  # where the scenario has work for them
 
-    def where(self) -> dict[str, Any]:
+    def router_addresses(self) -> dict[str, Any]:
         """Where routers are, or the configurations to start them with."""
-        return {"routers": [r.address for r in self.routers.each] if self.routers else []}
+        return {"routers": [r.address for r in self.routers.members] if self.routers else []}
 
     async def close(self) -> list[str]:
         """End all; answers with what went wrong with the routers' processes."""
         if self.operators is not None:
-            self.operators.end()
+            self.operators.stop()
         if self.routers is not None:
             await self.routers.end()
         self.fleet.close()
         await asyncio.sleep(0)  # so that connections which end are seen
         self.log.close()
-        found = self.routers.found() if self.routers is not None else []
+        found = self.routers.failures() if self.routers is not None else []
         return found + (self.operators.faults if self.operators is not None else [])
 
-    def do(self, step: Step) -> None:
+    def apply_step(self, step: Step) -> None:
         """What happens to routers."""
         assert self.routers is not None
-        if self.operators is not None and step.do in ("offline", "online"):
-            for router in self.routers.each:
-                self.routers.soon(self.operators.hand(router, step))
+        if self.operators is not None and step.action in ("offline", "online"):
+            for router in self.routers.members:
+                self.routers.run_in_background(self.operators.change_service(router, step))
         else:
-            self.routers.do(step)
+            self.routers.apply_step(step)
 
 
 def operators_file(peers: Peers, duties: Duties | None, relays: Relays, folder: Path, name: str) -> Path:
@@ -93,8 +93,11 @@
 
 def duties_table(duties: Duties, relays: Relays, folder: Path, name: str) -> str:
     """Its part in duties; each other router is heard at the end of a way of its own."""
-    heard_at = relays.heard_at
-    at = {other: "{}:{}".format(*relays.at.get((name, other), heard_at[other])) for other in heard_at}
+    listen_addresses = relays.listen_addresses
+    at = {
+        other: "{}:{}".format(*relays.send_addresses.get((name, other), listen_addresses[other]))
+        for other in listen_addresses
+    }
     peers = ", ".join(f'{{name = "{other}", at = "{place}"}}' for other, place in at.items())
     lines = [
         "[duties]",
@@ -114,7 +117,7 @@
     return "\n".join(lines) + "\n"
 
 
-async def stand_up(scenario: Scenario, folder: Path, command: str | None) -> Standing:
+async def start_fleet(scenario: Scenario, folder: Path, command: str | None) -> RunningFleet:
     """Bring up a fleet and, with a command, its routers.
 
     Observations, configurations and logs are written into the folder. Raises RouterError.
@@ -122,67 +125,67 @@
     log = seen.ObservationLog(folder / LOG)
     fleet = Fleet(scenario, log.add)
     await fleet.listen()
-    standing = Standing(fleet, None, log)
+    running = RunningFleet(fleet, None, log)
     if command is None:
         for number, name in enumerate(fleet.routers):
             (folder / f"{name}.json").write_text(json.dumps(fleet.configuration(number)))
-        return standing
-    standing.routers = Routers(fleet.routers, command, folder, log.add)
-    fleet.of_routers = standing.do
+        return running
+    running.routers = Routers(fleet.routers, command, folder, log.add)
+    fleet.apply_to_routers = running.apply_step
     fleet.holder_of = partial(holder_of, folder)
     try:
         file = None
         if scenario.peers is not None:
             file = partial(operators_file, scenario.peers, scenario.duties, fleet.duty_relays, folder)
-        await standing.routers.start(fleet.configuration, file)
+        await running.routers.start(fleet.configuration, file)
     except RouterError:
-        await standing.close()
+        await running.close()
         raise
-    if scenario.operated():
-        standing.operators = Operators(standing.routers.each)
-    return standing
+    if scenario.has_operator_work():
+        running.operators = Operators(running.routers.members)
+    return running
 
 
-def work(scenario: Scenario, folder: Path, command: str, words: Any) -> None:
+def fleet_process(scenario: Scenario, folder: Path, command: str, pipe: Any) -> None:
     """The fleet's process: stands up, begins when it is told, ends when it is told."""
     # the parent hears of SIGINT and tells: the verdict on what ran is still wanted
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
-    async def live() -> None:
-        standing = await stand_up(scenario, folder, command)
-        words.send(("ready", standing.where()))
+    async def run_fleet() -> None:
+        running = await start_fleet(scenario, folder, command)
+        pipe.send(("ready", running.router_addresses()))
         loop, told = asyncio.get_running_loop(), asyncio.Event()
 
-        def hear() -> None:
+        def on_message() -> None:
             try:
-                word = words.recv()
+                message = pipe.recv()
             except EOFError:  # the parent is gone
-                word = "end"
-            if word == "begin":
-                standing.fleet.begin()
+                message = "end"
+            if message == "begin":
+                running.fleet.begin()
             else:
-                loop.remove_reader(words.fileno())
+                loop.remove_reader(pipe.fileno())
                 told.set()
 
-        loop.add_reader(words.fileno(), hear)
+        loop.add_reader(pipe.fileno(), on_message)
         await told.wait()
-        faults = await standing.close()
-        service = standing.operators.figures() if standing.operators is not None else None
-        words.send(("ended", (faults, service)))
+        faults = await running.close()
+        service = running.operators.figures() if running.operators is not None else None
+        pipe.send(("ended", (faults, service)))
 
     try:
         with asyncio.Runner(loop_factory=new_event_loop) as runner:
-            runner.run(live())
+            runner.run(run_fleet())
     except Exception as e:
-        words.send(("fault", str(e) or type(e).__name__))
+        pipe.send(("fault", str(e) or type(e).__name__))
 
 
-def heard(words: Any, child: Any, wanted: str, within: float) -> Any:
+def receive(pipe: Any, child: Any, wanted: str, within: float) -> Any:
     """The next word of the fleet's process."""
-    if not words.poll(within):
+    if not pipe.poll(within):
         raise SessionError(f"the fleet was not {wanted} within {within:g} s")
     try:
-        what, value = words.recv()
+        what, value = pipe.recv()
     except EOFError:
         child.join(1.0)
         raise SessionError(f"the fleet's process died (exit {child.exitcode})") from None
@@ -216,20 +219,20 @@
     Raises SessionError, and what a run of load raises.
     """
     context = multiprocessing.get_context("spawn")
-    words, theirs = context.Pipe()
-    child = context.Process(target=work, args=(scenario, folder, command, theirs), daemon=False)
+    pipe, theirs = context.Pipe()
+    child = context.Process(target=fleet_process, args=(scenario, folder, command, theirs), daemon=False)
     child.start()
     theirs.close()
     try:
-        where = heard(words, child, "ready", START_TIME)
+        router_addresses = receive(pipe, child, "ready", START_TIME)
         profile = replace(profile, hot=profile.hot + hot_keys(scenario))
-        addresses = tuple((host, port) for host, port in where["routers"])
+        addresses = tuple((host, port) for host, port in router_addresses["routers"])
         job = Job(profile, addresses, workers, scenario.seconds, observations=folder)
-        took, record = run(job, progress, lambda: words.send("begin"))
-        words.send("end")
-        faults, service = heard(words, child, "ended", END_TIME)
+        took, record = run(job, progress, lambda: pipe.send("begin"))
+        pipe.send("end")
+        faults, service = receive(pipe, child, "ended", END_TIME)
     finally:
-        words.close()
+        pipe.close()
         child.join(END_TIME)
         if child.is_alive():
             child.terminate()
@@ -239,7 +242,7 @@
 
 def audit(folder: Path, rules: Rules) -> dict[str, Any]:
     """Judge the observations in a folder. Raises ObservationError."""
-    if told := observed(folder):
+    if told := read_observations(folder):
         log = seen.ObservationLog(folder / DUTIES_LOG)
         for each in told:
             log.add(each)
@@ -253,26 +256,26 @@
     return auditor.verdict()
 
 
-async def stand(
-    scenario: Scenario, folder: Path, command: str | None, told: Callable[[Standing], None]
+async def run_alone(
+    scenario: Scenario, folder: Path, command: str | None, told: Callable[[RunningFleet], None]
 ) -> list[str]:
     """Stand alone until the scenario is over or a signal comes; it begins with the first router's call."""
-    standing = await stand_up(scenario, folder, command)
+    running = await start_fleet(scenario, folder, command)
     loop, over = asyncio.get_running_loop(), asyncio.Event()
     for each in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(each, over.set)
     began = False
-    add = standing.fleet.discovery.observe
+    add = running.fleet.discovery.observe
 
     def watch(what: seen.Observation) -> None:
         nonlocal began
         if not began and isinstance(what, seen.DiscoveryCall):
             began = True
-            standing.fleet.begin()
+            running.fleet.begin()
             loop.call_later(scenario.seconds, over.set)
         add(what)
 
-    standing.fleet.discovery.observe = watch
-    told(standing)
+    running.fleet.discovery.observe = watch
+    told(running)
     await over.wait()
-    return await standing.close()
+    return await running.close()
--- a/myrtlecourse/scale/commands.py
+++ b/myrtlecourse/scale/commands.py
@@ -14,7 +14,7 @@
 from rich.table import Table
 
 from myrtlecourse.audit.observations import ObservationError
-from myrtlecourse.fleet.commands import BROKEN, show_verdict
+from myrtlecourse.fleet.commands import EXIT_RULE_BROKEN, show_verdict
 from myrtlecourse.fleet.routers import COMMAND
 from myrtlecourse.load.commands import EXIT_UNUSABLE, write_json
 from myrtlecourse.scale.capacity_commands import register
@@ -192,7 +192,7 @@
     try:
         results = Run(told, where, command, guard, look_on).play()
     except (ScaleError, GuardError, ObservationError) as e:
-        give_up(e, BROKEN)
+        give_up(e, EXIT_RULE_BROKEN)
     results = msgspec.structs.replace(results, command=["myrtlecourse", *sys.argv[1:]])
     show_results(results, Console())
     show_verdict(results.verdict, Console())
@@ -200,4 +200,4 @@
         console.print(fault, markup=False, highlight=False)
     if json_file is not None:
         write_json(json_file, results)
-    sys.exit(0 if results.verdict["kept"] and not results.router_faults else BROKEN)
+    sys.exit(0 if results.verdict["kept"] and not results.router_faults else EXIT_RULE_BROKEN)
--- a/myrtlecourse/scale/ground.py
+++ b/myrtlecourse/scale/ground.py
@@ -18,10 +18,10 @@
 
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.fleet.discovery_server import DiscoveryConnection, DiscoveryServer
+from myrtlecourse.fleet.loopback_fleet import Fleet
 from myrtlecourse.fleet.ports import Port
 from myrtlecourse.fleet.routers import Routers
-from myrtlecourse.fleet.session import LOG, Standing, operators_file
-from myrtlecourse.fleet.stand_in import Fleet
+from myrtlecourse.fleet.session import LOG, RunningFleet, operators_file
 from myrtlecourse.scale.child import told_to_end
 from myrtlecourse.scale.scenario import Scenario
 
@@ -81,9 +81,9 @@
         super().__init__(port, server)
         self.ground = ground
 
-    def took(self, data: bytes, began: float) -> None:
+    def on_data(self, data: bytes, began: float) -> None:
         self.ground.bytes_in[role_of(self.port.router)] += len(data)
-        super().took(data, began)
+        super().on_data(data, began)
 
     def write(self, data: bytes) -> None:
         self.ground.bytes_out[role_of(self.port.router)] += len(data)
@@ -111,15 +111,15 @@
         server = self.discovery
         make = partial(CountedConnection, server=server, ground=self)
         for port in server.ports.values():
-            port.make = make
+            port.make_connection = make
         for number, group in enumerate(self.scale.groups() if self.of_hollow else ()):
             # twice: a call's connection may still be open while the next one comes
             port = server.ports[f"{HOLLOW}-{number}"] = Port(f"{HOLLOW}-{number}", 0.0, 2 * len(group), make)
             await port.listen()
         if self.scale.peers is not None:
             names = [str(n) for n in range(self.scale.routers, self.scale.members)]
-            places = [self.relays.heard_at[r] for r in self.routers]
-            places += self.relays.places(names).values()
+            places = [self.relays.listen_addresses[r] for r in self.routers]
+            places += self.relays.reserve_addresses(names).values()
             self.heard = tuple(f"{host}:{port}" for host, port in places)
 
     def configuration(self, number: int) -> dict[str, Any]:
@@ -134,8 +134,8 @@
         shared = self.configuration(0)
         ports = [p for name, p in self.discovery.ports.items() if role_of(name) == HOLLOW]
         return Ready(
-            routers=tuple(r.address for r in routers.each),
-            pids=tuple(pid for r in routers.each for pid in r.pids()),
+            routers=tuple(r.address for r in routers.members),
+            pids=tuple(pid for r in routers.members for pid in r.pids()),
             configuration={k: v for k, v in shared.items() if k not in ("name", "discovery")},
             discovery=tuple(f"127.0.0.1:{port.number}" for port in ports),
             heard_at=self.heard,
@@ -170,7 +170,7 @@
     ground = Ground(scenario, log, command is None)
     await ground.listen()
     routers = Routers(ground.routers if command is not None else [], command or "", folder, log.add)
-    standing = Standing(ground, routers, log)
+    standing = RunningFleet(ground, routers, log)
     try:
         file = None
         if ground.scenario.peers is not None:
--- a/myrtlecourse/scale/hollow.py
+++ b/myrtlecourse/scale/hollow.py
@@ -21,7 +21,7 @@
 
 from myrtlecourse import interface as api
 from myrtlecourse.config import Config, ConfigError, read_config
-from myrtlecourse.fleet.operators import held
+from myrtlecourse.fleet.operators import process_usage
 from myrtlecourse.net.discovery import Discovery, WatchTimeouts
 from myrtlecourse.net.host import Host
 from myrtlecourse.net.list_updates import ListUpdate
@@ -184,7 +184,7 @@
         self.job = job
         self.words = words
         self.counts = Counts()
-        self.before = held(os.getpid())[0]
+        self.before = process_usage(os.getpid())[0]
         self.members = {p.number: HollowMember(p, job, self.counts) for p in job.members}
         self.former = [0, 0]  # datagrams and bytes that former lives sent
         self.cpu = 0.0
@@ -205,7 +205,7 @@
 
     def memory(self) -> float:
         """Resident MB for each member, beyond what the process had without any."""
-        return (held(os.getpid())[0] - self.before) / len(self.members)
+        return (process_usage(os.getpid())[0] - self.before) / len(self.members)
 
     def _begin(self) -> None:
         # what each took to start is no part of what it costs to run
--- a/myrtlecourse/scale/scenario.py
+++ b/myrtlecourse/scale/scenario.py
@@ -72,7 +72,7 @@
     per_process: Annotated[int, Meta(ge=1, le=2000)] = 100  # hollow members
     routers: Annotated[int, Meta(ge=1, le=40)] = 1  # real ones
     rate: Annotated[float, Meta(gt=0.0, le=20_000.0)] = 50.0  # requests, to the real routers
-    kinds: Annotated[tuple[fleet.Kind, ...], Meta(min_length=1)] = (fleet.Kind("std", 4),)
+    kinds: Annotated[tuple[fleet.ServerKind, ...], Meta(min_length=1)] = (fleet.ServerKind("std", 4),)
     discovery: fleet.Discovery = fleet.Discovery()
     peers: Gossip | None = None  # none: members share nothing
     faults: tuple[Fault, ...] = ()
--- a/myrtlecourse/sim/commands.py
+++ b/myrtlecourse/sim/commands.py
@@ -10,7 +10,7 @@
 from rich.console import Console
 from rich.progress import Progress
 
-from myrtlecourse.fleet.commands import BROKEN, marks, show_verdict
+from myrtlecourse.fleet.commands import EXIT_RULE_BROKEN, show_verdict, step_marks
 from myrtlecourse.fleet.scenario import Scenario, ScenarioError
 from myrtlecourse.load import report
 from myrtlecourse.load.commands import EXIT_UNUSABLE, write_json
@@ -74,9 +74,9 @@
         from myrtlecourse.load.page import page  # noqa: PLC0415  (plots take a second to import)
 
         html_file.write_text(
-            page(figures, f"{scenario.stem}, simulated", marks(result.steps), result.verdict)
+            page(figures, f"{scenario.stem}, simulated", step_marks(result.steps), result.verdict)
         )
-    sys.exit(0 if result.verdict["kept"] else BROKEN)
+    sys.exit(0 if result.verdict["kept"] else EXIT_RULE_BROKEN)
 
 
 def _read(scenario: Path, profile: Path | None, changes: list[str]) -> tuple[Scenario, Profile]:
@@ -148,7 +148,7 @@
     write_find(out, find)
     broken = ", ".join(f"{kind} {count}" for kind, count in find.breaches.items())
     click.echo(f"{hunt.tried:,} schedules; found: {broken}; {len(find.scenario.faults)} faults, in {out}")
-    sys.exit(BROKEN)
+    sys.exit(EXIT_RULE_BROKEN)
 
 
 def show_result(result: Result, console: Console) -> None:
--- a/myrtlecourse/sim/discovery.py
+++ b/myrtlecourse/sim/discovery.py
@@ -37,14 +37,14 @@
 
     def notice(self, at: float, entry: Entry) -> None:
         """From that time on the list says so."""
-        self.registry.notice(at, entry)
+        self.registry.schedule(at, entry)
         self._schedule()
 
     def _schedule(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if (due := self.registry.due()) < math.inf:
+        if (due := self.registry.next_change()) < math.inf:
             self.timer = self.core.at(due, self._advance)
 
     def _listed(self, entry: Entry) -> None:
@@ -80,7 +80,7 @@
 
     def _tell(self, router: SimRouter) -> None:
         """Answer a watch in its turn; what it is told is what stands then."""
-        lines = 1 + len(self.registry.after(self.seen[router.name])[1])
+        lines = 1 + len(self.registry.entries_after(self.seen[router.name])[1])
         self.free_at = max(self.core.now, self.free_at) + lines / self.lines_a_second
         self.watches[router.name] = router, self.registry.index
         self.core.at(self.free_at, self._written, router, router.life)
@@ -88,7 +88,7 @@
     def _written(self, router: SimRouter, life: int) -> None:
         if router.name not in self.watches or router.life != life or not router.up:
             return
-        whole, entries = self.registry.after(self.seen[router.name])
+        whole, entries = self.registry.entries_after(self.seen[router.name])
         if not entries:
             return
         self.seen[router.name] = self.registry.index
--- a/myrtlecourse/sim/meeting.py
+++ b/myrtlecourse/sim/meeting.py
@@ -6,8 +6,8 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
+from myrtlecourse.fleet.datagram_network import DatagramNetwork
 from myrtlecourse.fleet.scenario import Peers
-from myrtlecourse.fleet.ways import Ways
 from myrtlecourse.peers.gossip import PACE
 from myrtlecourse.peers.records import EPOCH
 from myrtlecourse.peers.seal import Dropped
@@ -24,7 +24,7 @@
 class Meeting:
     """Where the routers of a fleet hear of one another."""
 
-    def __init__(self, core: Core, ways: Ways, routers: list[SimRouter], told: Peers) -> None:
+    def __init__(self, core: Core, ways: DatagramNetwork, routers: list[SimRouter], told: Peers) -> None:
         self.core = core
         self.ways = ways
         self.routers = {r.name: r for r in routers}
@@ -65,7 +65,7 @@
         for datagram in done.datagrams:
             self.datagrams += 1
             self.bytes += len(datagram.data)
-            for pause in self.ways.fate((router.name, datagram.to)):
+            for pause in self.ways.delivery_delays((router.name, datagram.to)):
                 self.core.after(pause, self._arrive, self.routers[datagram.to], datagram.data)
         if done.left is not None:
             self.orders.append((self.core.now, router.name, done.left.zones, done.left.origin_unreachable))
--- a/myrtlecourse/sim/routers.py
+++ b/myrtlecourse/sim/routers.py
@@ -8,11 +8,11 @@
 from typing import TYPE_CHECKING, Any
 
 from myrtlecourse import interface as api
-from myrtlecourse.fleet.box import Request
+from myrtlecourse.fleet.core_queue import WorkItem
 from myrtlecourse.fleet.layout import ORIGIN
 from myrtlecourse.fleet.registry import Entry
 from myrtlecourse.fleet.scenario import RequestClass
-from myrtlecourse.fleet.station import Piece
+from myrtlecourse.fleet.server_models import Request
 from myrtlecourse.net.discovery import STATES
 from myrtlecourse.net.host import DEADLINE_MARGIN
 from myrtlecourse.policy import Router
@@ -34,7 +34,7 @@
     node: Node | None
     sent_at: float
     timer: Event | None = None
-    piece: Piece | None = None  # the work it is at its node
+    piece: WorkItem | None = None  # the work it is at its node
     fresh: bool = False
     began: float = 0.0
     over: bool = False
--- a/myrtlecourse/sim/search.py
+++ b/myrtlecourse/sim/search.py
@@ -56,7 +56,7 @@
     def __init__(self, base: Scenario, chance: random.Random) -> None:
         self.base = base
         self.chance = chance
-        self.boxes = list(base.boxes())
+        self.boxes = list(base.cache_servers())
 
     def _at(self) -> float:
         return round(self.chance.uniform(0.0, self.base.seconds * 0.8), 3)
--- a/myrtlecourse/sim/servers.py
+++ b/myrtlecourse/sim/servers.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING, Protocol
 
 from myrtlecourse.audit import observations as seen
-from myrtlecourse.fleet.box import Box, Ended, How, OriginStore, Request
-from myrtlecourse.fleet.station import Piece, Station
+from myrtlecourse.fleet.core_queue import CoreQueue, WorkItem
+from myrtlecourse.fleet.server_models import Answer, AnswerKind, CacheServerModel, OriginModel, Request
 from myrtlecourse.interface import Status
 from myrtlecourse.sim.core import Core, Event
 
@@ -21,10 +21,10 @@
 class Model(Protocol):
     """What a node needs of the model it stands round."""
 
-    station: Station
+    core_queue: CoreQueue
 
-    def arrive(self, now: float, request: Request) -> Piece | None: ...
-    def ended(self, now: float) -> Ended | None: ...
+    def arrive(self, now: float, request: Request) -> WorkItem | None: ...
+    def next_answer(self, now: float) -> Answer | None: ...
 
 
 class Node:
@@ -59,7 +59,7 @@
         self.unreached: set[str] = set()  # routers whose way here is cut
         self.spoilt = 0.0
         self.chance = core.stream(f"spoilt {name}")
-        self.answered: Callable[[Node, Ended], None] = lambda node, ended: None
+        self.answered: Callable[[Node, Answer], None] = lambda node, ended: None
         self.fell: Callable[[Node], None] = lambda node: None
         self.work = 0.0  # seconds of a core that answered requests
 
@@ -110,8 +110,8 @@
             )
         )
         piece = self.model.arrive(now, request)
-        if isinstance(self.model, Box) and self.model.fallen is not None:
-            self.observe(seen.ColdServerOverloaded(now, self.name, self.model.fallen))
+        if isinstance(self.model, CacheServerModel) and self.model.overload_by_router is not None:
+            self.observe(seen.ColdServerOverloaded(now, self.name, self.model.overload_by_router))
             self.end()
             self.fell(self)
             attempt.end(Status.RESET)
@@ -129,33 +129,33 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if (due := self.model.station.due()) < math.inf:
+        if (due := self.model.core_queue.next_end()) < math.inf:
             self.timer = self.core.at(due, self._work)
 
     def _work(self) -> None:
         self.timer = None
         now = self.core.now
-        while (ended := self.model.ended(now)) is not None:
+        while (ended := self.model.next_answer(now)) is not None:
             attempt = self.out.pop(ended.request, None)
-            if ended.ran:
+            if ended.executed:
                 self.observe(seen.WriteExecuted(now, ended.request.id, self.name, ended.request.idempotency))
-            if ended.how in (How.MISS, How.BUSY):
+            if ended.kind in (AnswerKind.MISS, AnswerKind.BUSY):
                 self.observe(seen.NeverRan(now, ended.request.id, self.name))
             self.answered(self, ended)
             if attempt is not None:
                 piece, attempt.piece = attempt.piece, None
-                if ended.how is not How.MISS and piece is not None:
+                if ended.kind is not AnswerKind.MISS and piece is not None:
                     self.work += piece.work
                 self._answer(attempt, self._status(ended))
         self.schedule()
 
-    def _status(self, ended: Ended) -> Status:
-        match ended.how:
-            case How.MISS:
+    def _status(self, ended: Answer) -> Status:
+        match ended.kind:
+            case AnswerKind.MISS:
                 return Status.MISS
-            case How.BUSY:
+            case AnswerKind.BUSY:
                 return Status.FULL
-            case How.ERROR:
+            case AnswerKind.ERROR:
                 return Status.ERROR
         return Status.RESET if self.spoilt and self.chance.random() < self.spoilt else Status.OK
 
@@ -178,10 +178,10 @@
         piece, attempt.piece = attempt.piece, None
         if piece is not None and isinstance(piece.request, Request):
             self.out.pop(piece.request, None)
-            if isinstance(self.model, OriginStore):
-                self.model.left(self.core.now, piece)
+            if isinstance(self.model, OriginModel):
+                self.model.abandon(self.core.now, piece)
             else:
-                self.model.station.cancel(self.core.now, piece)
+                self.model.core_queue.cancel(self.core.now, piece)
             self.schedule()
 
     def freeze(self, frozen: bool) -> None:
@@ -217,7 +217,7 @@
 
     def pace(self, factor: float) -> None:
         """Its cores work so many times as fast."""
-        self.model.station.pace.change(self.core.now, factor)
+        self.model.core_queue.core_speed.set_factor(self.core.now, factor)
         self.schedule()
 
     def reset(self) -> None:
@@ -227,7 +227,7 @@
         self.held = []
         for attempt in out:
             if attempt.piece is not None:
-                self.model.station.cancel(self.core.now, attempt.piece)
+                self.model.core_queue.cancel(self.core.now, attempt.piece)
                 attempt.piece = None
             self.core.after(HOP, attempt.end, Status.RESET)
         self.schedule()
@@ -237,5 +237,5 @@
         self.up = False
         self.frozen = False
         self.reset()
-        self.model.station.clear()
+        self.model.core_queue.clear()
         self.schedule()
--- a/myrtlecourse/sim/world.py
+++ b/myrtlecourse/sim/world.py
@@ -13,12 +13,12 @@
 from myrtlecourse import interface as api
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.audit.auditor import Auditor
-from myrtlecourse.fleet.box import Box, Ended, How, OriginStore, Request
+from myrtlecourse.fleet.datagram_network import DatagramNetwork, apply_split
 from myrtlecourse.fleet.faults import PEERS, Step, hot_keys, steps, zone_of
 from myrtlecourse.fleet.layout import ORIGIN, Layout
 from myrtlecourse.fleet.registry import Registry
 from myrtlecourse.fleet.scenario import Scenario
-from myrtlecourse.fleet.ways import Ways, part
+from myrtlecourse.fleet.server_models import Answer, AnswerKind, CacheServerModel, OriginModel, Request
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.load.record import Record
 from myrtlecourse.policy import Router
@@ -85,7 +85,7 @@
         self.missed: OrderedDict[str, list[Node]] = OrderedDict()
         self.nodes: dict[str, Node] = {name: self._box(name) for name in self.layout.kinds}
         if scenario.origin is not None:
-            self.nodes[ORIGIN] = self._origin(OriginStore(scenario.origin, self.layout.draw))
+            self.nodes[ORIGIN] = self._origin(OriginModel(scenario.origin, self.layout.draws))
         entries = list(self.layout.entries.values())
         self.registry = Registry(entries)
         self.discovery = SimDiscovery(
@@ -104,10 +104,10 @@
         ]
         for name, zone in self.layout.zones.items():
             self.auditor.judge(seen.ServerZone(self.core.now, name, zone))
-        self.ways = Ways(scenario.seed)  # between routers
+        self.ways = DatagramNetwork(scenario.seed)  # between routers
         if scenario.peers is not None:
             told, ways = scenario.peers, self.ways
-            ways.loss, ways.copies, ways.delay, ways.spread = told.loss, told.copies, told.delay, told.spread
+            ways.loss, ways.copies, ways.delay, ways.jitter = told.loss, told.copies, told.delay, told.spread
             met = Meeting(self.core, ways, self.routers, told)
             for i, router in enumerate(self.routers):
                 router.meeting, router.zone = met, zone_of(scenario, i)
@@ -123,15 +123,17 @@
         def group(request: Request) -> str:
             return self.layout.group(name, request.request_class)
 
-        distances = self.layout.distances(self.layout.zones[name])
+        distances = self.layout.delays_from(self.layout.zones[name])
         idle = self.layout.kinds[name].idle
-        node = Node(self.core, name, self.layout.box(name), distances, idle, group, self.auditor.judge)
+        node = Node(
+            self.core, name, self.layout.server_model(name), distances, idle, group, self.auditor.judge
+        )
         node.answered = self._answered
         node.fell = self._fell
         return node
 
-    def _origin(self, store: OriginStore) -> Node:
-        distances = self.layout.distances(self.scenario.zones[0])
+    def _origin(self, store: OriginModel) -> Node:
+        distances = self.layout.delays_from(self.scenario.zones[0])
         node = Node(
             self.core,
             ORIGIN,
@@ -144,61 +146,61 @@
         node.answered = self._fetched
         return node
 
-    def _answered(self, node: Node, ended: Ended) -> None:
+    def _answered(self, node: Node, ended: Answer) -> None:
         """A box has answered: what it lacks is kept there once the origin has it."""
-        if ended.how is How.MISS:
+        if ended.kind is AnswerKind.MISS:
             self.missed.setdefault(ended.request.id, []).append(node)
             while len(self.missed) > MISSES:
                 self.missed.popitem(last=False)
 
-    def _fetched(self, node: Node, ended: Ended) -> None:
+    def _fetched(self, node: Node, ended: Answer) -> None:
         """The origin has answered."""
-        self.fetches += ended.how is How.HIT
+        self.fetches += ended.kind is AnswerKind.HIT
         lacking = self.missed.pop(ended.request.id, [])
-        if ended.how is How.RECEIPT:
+        if ended.kind is AnswerKind.RECEIPT:
             for box in self.nodes.values():
-                if isinstance(box.model, Box):
+                if isinstance(box.model, CacheServerModel):
                     box.model.memory.drop(ended.request.key)
-        elif ended.how is How.HIT:
+        elif ended.kind is AnswerKind.HIT:
             for box in lacking:
-                if box.up and isinstance(box.model, Box):
+                if box.up and isinstance(box.model, CacheServerModel):
                     box.model.memory.put(self.core.now, ended.request.key, ended.version, ended.size)
 
     def _fell(self, node: Node) -> None:
-        self._to_list(Step(0.0, "crash", node.name, lasts=math.inf))
+        self._to_list(Step(0.0, "crash", node.name, duration=math.inf))
 
     def _do(self, step: Step) -> None:
         """Let one fault happen."""
         if step.target.startswith("router-"):
             # at an upgrade one process goes on for the other: what both share is of sockets and files
             router = self.routers[int(step.target.rpartition("-")[2])]
-            if step.do in ("stall", "go_on"):
+            if step.action in ("stall", "go_on"):
                 self._stall(router, step)
-            elif step.do in ("restart", "kill"):  # the others are the host's matter, not the decisions'
-                self._restart(router, step.do == "kill")
+            elif step.action in ("restart", "kill"):  # the others are the host's matter, not the decisions'
+                self._restart(router, step.action == "kill")
         elif step.target == PEERS:
-            part(self.ways, self.layout.routers, step)
+            apply_split(self.ways, self.layout.routers, step)
         elif step.target == "discovery":
-            self.discovery.away(step.do == "away")
-        elif step.do in ("offline", "online"):
+            self.discovery.away(step.action == "away")
+        elif step.action in ("offline", "online"):
             self._hand(step)
         else:
             self._to_node(step, self.nodes[step.target])
 
     def _stall(self, router: SimRouter, step: Step) -> None:
-        if step.do == "stall":
-            self.auditor.judge(seen.RouterStalled(self.core.now, router.name, step.lasts))
-        router.stall(step.do == "stall")
+        if step.action == "stall":
+            self.auditor.judge(seen.RouterStalled(self.core.now, router.name, step.duration))
+        router.stall(step.action == "stall")
 
     def _to_node(self, step: Step, node: Node) -> None:
-        self.auditor.judge(seen.ScenarioStep(self.core.now, step.target, step.do, step.routers))
-        match step.do:
+        self.auditor.judge(seen.ScenarioStep(self.core.now, step.target, step.action, step.routers))
+        match step.action:
             case "part" | "mend":
-                node.part(step.routers, step.do == "part")
+                node.part(step.routers, step.action == "part")
             case "freeze" | "thaw":
-                node.freeze(step.do == "freeze")
+                node.freeze(step.action == "freeze")
             case "cut" | "join":
-                node.cut(step.do == "cut")
+                node.cut(step.action == "cut")
             case "crash" | "end":
                 node.end()
             case "start":
@@ -207,7 +209,7 @@
                 node.end()
                 self._run(node)  # the list is not told: that is the operators' business
             case "refuse" | "accept":
-                node.refusing = step.do == "refuse"
+                node.refusing = step.action == "refuse"
             case "reset":
                 node.reset()
             case "idle_drop":
@@ -220,7 +222,7 @@
 
     def _hand(self, step: Step) -> None:
         """Operators take a box out at every router that runs, or give it back."""
-        back = step.do == "online"
+        back = step.action == "online"
         for router in self.routers:
             if router.taking and not router.ending:
                 now, box = self.core.now, step.target
@@ -230,12 +232,12 @@
     def _start(self, node: Node) -> None:
         """A new process, which the list will tell of."""
         if self._run(node):
-            self.discovery.notice(*self.layout.added(node.name, self.core.now))
+            self.discovery.notice(*self.layout.list_addition(node.name, self.core.now))
 
     def _run(self, node: Node) -> bool:
         """A new process, empty and cold; what has fallen stays down."""
         box = node.model
-        if not isinstance(box, Box) or node.up or box.fallen is not None:
+        if not isinstance(box, CacheServerModel) or node.up or box.overload_by_router is not None:
             return False
         box.start(self.core.now)
         node.up = True
@@ -244,9 +246,9 @@
 
     def _to_list(self, step: Step) -> None:
         model = self.nodes[step.target].model
-        started = model.started if isinstance(model, Box) else -math.inf
+        started = model.started_at if isinstance(model, CacheServerModel) else -math.inf
         listed = step.target in self.registry.listed
-        noticed = self.layout.noticed(step, self.core.now, started, listed)
+        noticed = self.layout.list_change(step, self.core.now, started, listed)
         if noticed is not None:
             self.discovery.notice(*noticed)
 
@@ -275,7 +277,10 @@
 
     def margins(self) -> dict[str, float]:
         """How close each limit came to being broken, 1 at the limit."""
-        pushed = max((n.model.closest for n in self.nodes.values() if isinstance(n.model, Box)), default=0.0)
+        pushed = max(
+            (n.model.max_load_ratio for n in self.nodes.values() if isinstance(n.model, CacheServerModel)),
+            default=0.0,
+        )
         return dict(self.auditor.margins) | {"cold_pushed": pushed}
 
     def run(self, progress: Callable[[float], None] = lambda at: None, until_broken: bool = False) -> Result:
--- a/myrtlecourse/soak/cases.py
+++ b/myrtlecourse/soak/cases.py
@@ -44,7 +44,7 @@
         scenario = self.scenario
         fault_names = ", ".join(str(f.__struct_config__.tag) for f in scenario.faults)
         steps = f", clock {'/'.join(f'{s:+g}' for _, s in self.system.steps)}" if self.system.steps else ""
-        size = f"{scenario.routers} routers, {len(scenario.boxes())} servers"
+        size = f"{scenario.routers} routers, {len(scenario.cache_servers())} servers"
         return f"{size}: {fault_names}; {self.system.per_million}/million calls fail{steps}"
 
 
@@ -81,9 +81,9 @@
         )
         return SoakCase(self.seed, scenario, self._profile(), self._system())
 
-    def _server_kind(self) -> fleet.Kind:
+    def _server_kind(self) -> fleet.ServerKind:
         rng = self.rng
-        return fleet.Kind(
+        return fleet.ServerKind(
             "std",
             boxes=self.server_count,
             cores=2,
--- a/tests/spread_fleet.py
+++ b/tests/spread_fleet.py
@@ -16,8 +16,8 @@
 
 import orjson
 
-from myrtlecourse.fleet.reserved_ports import free
-from myrtlecourse.fleet.ways import Relay, Relays, Ways
+from myrtlecourse.fleet.datagram_network import DatagramNetwork, Relay, Relays
+from myrtlecourse.fleet.reserved_ports import free_address
 from tests.loopback import format_address
 from tests.test_service import Process, Site, site
 
@@ -120,10 +120,10 @@
     def __init__(self, folder: Path, here: Site) -> None:
         self.folder = folder
         self.here = here
-        self.ways = Ways()
+        self.ways = DatagramNetwork()
         self.relays = Relays(self.ways)
-        self.heard_at = {name: free() for name in NAMES}
-        self.duties_at = {name: free() for name in CONTROL}
+        self.heard_at = {name: free_address() for name in NAMES}
+        self.duties_at = {name: free_address() for name in CONTROL}
         self.processes: dict[str, Process] = {}
         self.member_processes: dict[str, MemberProcess] = {}
         self.acknowledged: dict[int, Entry] = {}
@@ -134,14 +134,14 @@
     async def start_all(self) -> None:
         """Start all processes."""
         loop = self.relays.loop = asyncio.get_running_loop()
-        self.relays.heard_at = self.heard_at
+        self.relays.listen_addresses = self.heard_at
         for way in [(group, name) for group in GROUPS for name in NAMES]:
             transport, _ = await loop.create_datagram_endpoint(
                 lambda way=way: Relay(self.relays, way),  # type: ignore[misc]
                 local_addr=("127.0.0.1", 0),
             )
             self.relays.transports.append(transport)
-            self.relays.at[way] = transport.get_extra_info("sockname")
+            self.relays.send_addresses[way] = transport.get_extra_info("sockname")
         await asyncio.gather(
             *(self.start(name) for name in (*CONTROL, *EAST)),
             *(self.start_member_process(group) for group in ("parts", "west")),
@@ -151,7 +151,7 @@
         """Return the table of all members of a group; each reaches the others through its own relays."""
 
         def peers(names: tuple[str, ...]) -> list[dict[str, str]]:
-            return [{"name": n, "at": format_address(self.relays.at[group, n])} for n in names]
+            return [{"name": n, "at": format_address(self.relays.send_addresses[group, n])} for n in names]
 
         sites = [
             {"name": "east-1", "region": "east", "routers": peers(EAST), "parts": peers(PARTS)},
--- a/tests/test_address.py
+++ b/tests/test_address.py
@@ -24,8 +24,8 @@
 from myrtlecourse.address.votes import VotesError, read_votes, write_votes
 from myrtlecourse.config import ConfigError
 from myrtlecourse.election import messages as said
-from myrtlecourse.fleet.reserved_ports import free
-from myrtlecourse.fleet.switch import Switch
+from myrtlecourse.fleet.address_switch import AddressSwitch
+from myrtlecourse.fleet.reserved_ports import free_address
 from myrtlecourse.operators import read_operators
 from myrtlecourse.peers.seal import LONGEST, WINDOW, Dropped
 from myrtlecourse.peers.wire import Sign, Wire
@@ -323,7 +323,7 @@
 class Places:
     """Three real routers behind a switch, each before the caches of one site."""
 
-    def __init__(self, folder: Path, here: Site, switch: Switch, duty: bool) -> None:
+    def __init__(self, folder: Path, here: Site, switch: AddressSwitch, duty: bool) -> None:
         self.duty = duty  # the address is one of the duties
         self.folder = folder
         self.here = here
@@ -336,14 +336,20 @@
     ) -> Path:
         """A router's operators' file."""
         peers = [
-            {"name": n, "at": format_address(self.switch.relays.at.get((name, n), self.switch.voters[n]))}
+            {
+                "name": n,
+                "at": format_address(
+                    self.switch.relays.send_addresses.get((name, n), self.switch.voter_addresses[n])
+                ),
+            }
             for n in voters
         ]
         lines = ", ".join(f'{{name = "{p["name"]}", at = "{p["at"]}"}}' for p in peers)
         file = self.folder / f"{name}.toml"
         if self.duty:
             file.write_text(
-                f'[address]\nswitch = "{format_address(self.switch.told_at)}"\n[duties]\nname = "{name}"\n'
+                f'[address]\nswitch = "{format_address(self.switch.control_address)}"\n'
+                f'[duties]\nname = "{name}"\n'
                 f"peers = [{lines}]\nvoters = {orjson.dumps(voters).decode()}\nunheard = 1.5\n"
                 f'key_file = "{self.folder / key}"\nmemory_file = "{self.folder / name}.memory"\n'
                 f"heartbeat = 0.1\nlease = 0.5\nsettle = 0.2\nunwell = 0.3\n{more}"
@@ -352,7 +358,7 @@
         file.write_text(
             f'[address]\nname = "{name}"\npeers = [{lines}]\nkey_file = "{self.folder / key}"\n'
             f'votes_file = "{self.folder / name}.votes"\n'
-            f'switch = "{told_at or format_address(self.switch.told_at)}"\n'
+            f'switch = "{told_at or format_address(self.switch.control_address)}"\n'
             f"heartbeat = 0.1\nlease = 0.5\nsettle = 0.2\nunwell = 0.3\n{more}"
         )
         return file
@@ -389,9 +395,9 @@
 @asynccontextmanager
 async def places(folder: Path, duty: bool = False) -> AsyncIterator[Places]:
     async with site(folder) as here:
-        switch = Switch({name: free() for name in THREE})
+        switch = AddressSwitch({name: free_address() for name in THREE})
         await switch.start()
-        await switch.relays.join({name: free() for name in THREE})
+        await switch.relays.open({name: free_address() for name in THREE})
         made = Places(folder, here, switch, duty)
         try:
             await asyncio.gather(*(made.start(name) for name in THREE))
@@ -480,7 +486,7 @@
     async def scenario() -> None:
         async with places(tmp_path) as there:
             first = await there.holder()
-            there.switch.deaf.add(first)  # its withdrawal is lost as well
+            there.switch.ignored_routers.add(first)  # its withdrawal is lost as well
             there.switch.split({first})
             second = await there.holder(first)
             assert not (await status(there.routers[first]))["holds"]
@@ -489,7 +495,7 @@
             assert await direct.ended()
             assert not any(request == "split" for _, request in there.here.seen)
             there.switch.split(set())
-            there.switch.deaf.clear()
+            there.switch.ignored_routers.clear()
             while (await status(there.routers[first]))["word_given_to"] != second:
                 await asyncio.sleep(0.01)
             assert there.switch.holder == second
@@ -574,9 +580,9 @@
         async with places(tmp_path) as there:
             first = await there.holder()
             (tmp_path / "new").write_bytes(b"another common key of voters")
-            other = Switch(there.switch.routers)
+            other = AddressSwitch(there.switch.routers)
             await other.start()
-            at = format_address(other.told_at)
+            at = format_address(other.control_address)
             also = 'also_key_files = ["{}"]\n'
             for number, (key, taken) in enumerate((("key", "new"), ("new", "key"), ("new", ""))):
                 for name in THREE:
--- a/tests/test_duty_faults.py
+++ b/tests/test_duty_faults.py
@@ -21,7 +21,7 @@
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.fleet.routers import COMMAND, Router
 from myrtlecourse.fleet.scenario import Scenario
-from myrtlecourse.fleet.session import Outcome, Standing, play, stand_up
+from myrtlecourse.fleet.session import Outcome, RunningFleet, play, start_fleet
 from myrtlecourse.load.profile import Profile
 
 pytestmark = pytest.mark.processes
@@ -206,10 +206,10 @@
         ('name = "tidy"', 'name = "untidy"', "file not taken"),
     ):
         for router in each:
-            assert router.operators is not None and router.process is not None
-            text = router.operators.read_text()
+            assert router.operators_file is not None and router.process is not None
+            text = router.operators_file.read_text()
             assert old in text
-            router.operators.write_text(text.replace(old, new))
+            router.operators_file.write_text(text.replace(old, new))
             router.process.send_signal(signal.SIGHUP)
         while not all(answer in router.log.read_text() for router in each):
             await asyncio.sleep(0.05)
@@ -231,9 +231,9 @@
 def test_staff_see_the_duties_and_move_one(tmp_path: Path) -> None:
     upgrade = [{"what": "upgrade", "at": 80_000.0, "router": 0}]  # gives the routers an operators' address
 
-    async def looked_at(standing: Standing) -> None:
+    async def looked_at(standing: RunningFleet) -> None:
         assert standing.routers is not None
-        each = standing.routers.each
+        each = standing.routers.members
         until = time.monotonic() + 60.0  # each look starts a process
 
         async def ask(*words: str, at: int = 3) -> tuple[int, str]:
@@ -290,7 +290,7 @@
         assert await each[0].call("PUT", "duties/purge/fly") == 404
 
     async def fleet() -> None:
-        standing = await stand_up(scenario(upgrade), tmp_path, COMMAND)
+        standing = await start_fleet(scenario(upgrade), tmp_path, COMMAND)
         try:
             await looked_at(standing)
         finally:
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -15,8 +15,8 @@
 
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.fleet.faults import Step
+from myrtlecourse.fleet.loopback_fleet import Fleet
 from myrtlecourse.fleet.scenario import Scenario
-from myrtlecourse.fleet.stand_in import Fleet
 from tests.loopback import Link, command, run
 
 KIND = {"name": "b", "boxes": 2, "cores": 1, "connections": 3, "idle": 60.0}
@@ -42,10 +42,10 @@
         self.fleet.close()
 
     def do(self, what: str, target: str = "b-0", value: float = 0.0, lasts: float = 0.0) -> None:
-        self.fleet.do(Step(0.0, what, target, value, lasts))
+        self.fleet.apply_step(Step(0.0, what, target, value, lasts))
 
     async def link(self, router: str = "router-0", target: str = "b-0") -> Link:
-        port = self.fleet.boxes[target].ports[router].number
+        port = self.fleet.cache_servers[target].ports[router].number
         return Link(*await asyncio.open_connection("127.0.0.1", port))
 
     async def refused(self, target: str = "b-0") -> bool:
@@ -123,7 +123,7 @@
     async def scenario() -> None:
         late = {"notice": 0.0, "added": 0.0}
         async with Stand(discovery=late, origin={"time": 0.001}) as stand:
-            stand.fleet.boxes["b-0"].box.memory.put(0.0, "k", 1, 10)
+            stand.fleet.cache_servers["b-0"].model.memory.put(0.0, "k", 1, 10)
             link = await stand.link()
             index = (await stand.document())["index"]
             watch = asyncio.create_task(stand.document(f"?after={index}&wait_ms=9000"))
@@ -135,8 +135,11 @@
             stand.do("start")
             entry = (await watch)["endpoints"][0]
             assert entry["status"] == "in_service" and abs(entry["since_ms"] / 1000 - time.time()) < 5.0
-            box = stand.fleet.boxes["b-0"].box
-            assert box.memory.size == 0 and box.station.pace.share(box.started) == box.kind.cold
+            box = stand.fleet.cache_servers["b-0"].model
+            assert (
+                box.memory.size == 0
+                and box.core_queue.core_speed.capacity_share(box.started_at) == box.kind.cold
+            )
             ask(link := await stand.link(), "r1")
             assert await link.resp() == [None, b"miss", None]
             told = [o.status for o in stand.told if isinstance(o, seen.ListEntrySent) and o.box == "b-0"]
--- a/tests/test_fleet_models.py
+++ b/tests/test_fleet_models.py
@@ -11,11 +11,19 @@
 from hypothesis import strategies as st
 
 from myrtlecourse.audit.auditor import Rules
-from myrtlecourse.fleet.box import Box, Draw, How, Memory, OriginStore, Receipts, Request
+from myrtlecourse.fleet.core_queue import CoreQueue, CoreSpeed, WorkItem
 from myrtlecourse.fleet.faults import hot_keys, steps
 from myrtlecourse.fleet.registry import Entry, Registry
-from myrtlecourse.fleet.scenario import Kind, Origin, RequestClass, ScenarioError, read_scenario
-from myrtlecourse.fleet.station import Pace, Piece, Station
+from myrtlecourse.fleet.scenario import Origin, RequestClass, ScenarioError, ServerKind, read_scenario
+from myrtlecourse.fleet.server_models import (
+    AnswerKind,
+    CacheMemory,
+    CacheServerModel,
+    OriginModel,
+    RandomDraws,
+    Request,
+    WriteReceipts,
+)
 
 READ = RequestClass("read", work=0.1, spread=0.0)
 BOOK = RequestClass("book", work=0.1, spread=0.0, effect="guarded", window=5.0)
@@ -27,10 +35,12 @@
     return Request(name, key, kind, "router-0", **fields)  # type: ignore[arg-type]
 
 
-def box(receipts: Receipts | None = None, started: float = -math.inf, **fields: object) -> Box:
-    known = receipts or Receipts()
-    kind = Kind("std", handshake=0.0, **fields)  # type: ignore[arg-type]
-    return Box("std-0", kind, Rules(), Draw(1), lambda _: known, True, started)
+def box(
+    receipts: WriteReceipts | None = None, started: float = -math.inf, **fields: object
+) -> CacheServerModel:
+    known = receipts or WriteReceipts()
+    kind = ServerKind("std", handshake=0.0, **fields)  # type: ignore[arg-type]
+    return CacheServerModel("std-0", kind, Rules(), RandomDraws(1), lambda _: known, True, started)
 
 
 @given(
@@ -39,25 +49,25 @@
 def test_work_done_and_when_it_is_done_are_inverse(
     started: float, cold: float, warm_up: float, changes: list[tuple[float, float]], after: float
 ) -> None:
-    pace, now = Pace(2.0, started, cold, warm_up), started
+    pace, now = CoreSpeed(2.0, started, cold, warm_up), started
     for pause, factor in changes:
-        before = pace.done(now + pause)
+        before = pace.work_done(now + pause)
         now += pause
-        pace.change(now, factor)
-        assert pace.done(now) == pytest.approx(before)
-    work = pace.done(now + after)
-    assert pace.when(work) == pytest.approx(now + after, abs=1e-6)
-    assert pace.done(now + after + 1.0) > work
+        pace.set_factor(now, factor)
+        assert pace.work_done(now) == pytest.approx(before)
+    work = pace.work_done(now + after)
+    assert pace.time_of_work(work) == pytest.approx(now + after, abs=1e-6)
+    assert pace.work_done(now + after + 1.0) > work
 
 
 def test_a_core_that_is_halted_ends_nothing_and_goes_on_where_it_stood() -> None:
-    station = Station(1, 10, Pace(1.0))
-    station.take(0.0, Piece(1.0, 9.0, "a"))
-    station.pace.change(0.4, 0.0)
-    assert station.due() == math.inf and station.ended(5.0) is None
-    station.pace.change(7.0, 1.0)
-    assert station.due() == pytest.approx(7.6)
-    assert (ended := station.ended(7.6)) is not None and ended.request == "a"
+    station = CoreQueue(1, 10, CoreSpeed(1.0))
+    station.add(0.0, WorkItem(1.0, 9.0, "a"))
+    station.core_speed.set_factor(0.4, 0.0)
+    assert station.next_end() == math.inf and station.next_finished(5.0) is None
+    station.core_speed.set_factor(7.0, 1.0)
+    assert station.next_end() == pytest.approx(7.6)
+    assert (ended := station.next_finished(7.6)) is not None and ended.request == "a"
 
 
 @given(
@@ -66,19 +76,19 @@
 def test_pieces_end_as_a_queue_before_so_many_cores_has_it(
     arrivals: list[tuple[float, float]], cores: int
 ) -> None:
-    station, free, now, expected = Station(cores, 1000, Pace(1.0)), [0.0] * cores, 0.0, []
+    station, free, now, expected = CoreQueue(cores, 1000, CoreSpeed(1.0)), [0.0] * cores, 0.0, []
     ends: list[float] = []
 
     def collect(until: float) -> None:
-        while (due := station.due()) <= until:
-            ended = station.ended(due)
+        while (due := station.next_end()) <= until:
+            ended = station.next_finished(due)
             assert ended is not None
             ends.append(due)
 
     for pause, work in arrivals:
         now += pause
         collect(now)
-        assert station.take(now, Piece(work, math.inf, None))
+        assert station.add(now, WorkItem(work, math.inf, None))
         first = free.index(min(free))
         free[first] = max(now, free[first]) + work
         expected.append(free[first])
@@ -87,19 +97,19 @@
 
 
 def test_what_is_cancelled_makes_room_and_never_ends() -> None:
-    station, pieces = Station(1, 1, Pace(1.0)), [Piece(1.0, 9.0, i) for i in range(3)]
-    assert [station.take(0.0, p) for p in pieces] == [True, True, False]
+    station, pieces = CoreQueue(1, 1, CoreSpeed(1.0)), [WorkItem(1.0, 9.0, i) for i in range(3)]
+    assert [station.add(0.0, p) for p in pieces] == [True, True, False]
     station.cancel(0.5, pieces[0])
-    assert station.held == 1 and station.due() == pytest.approx(1.5)
+    assert station.size == 1 and station.next_end() == pytest.approx(1.5)
     station.cancel(0.5, pieces[0])
-    assert station.held == 1
-    assert station.take(0.5, pieces[2])
+    assert station.size == 1
+    assert station.add(0.5, pieces[2])
     station.cancel(0.6, pieces[2])
-    assert station.ended(1.5) is pieces[1] and station.due() == math.inf
+    assert station.next_finished(1.5) is pieces[1] and station.next_end() == math.inf
 
 
 def test_memory_drops_what_was_used_longest_ago_and_forgets_what_is_old() -> None:
-    memory = Memory(100, ttl=10.0)
+    memory = CacheMemory(100, ttl=10.0)
     memory.put(0.0, "a", 1, 40)
     memory.put(1.0, "b", 1, 40)
     assert memory.get(2.0, "a") == (1, 40)
@@ -113,24 +123,24 @@
 def test_a_miss_is_quick_and_a_hit_is_the_whole_work() -> None:
     it = box(miss=0.1)
     assert it.arrive(0.0, request("r1")) is not None
-    assert it.station.due() == pytest.approx(0.01)
-    ended = it.ended(0.01)
-    assert ended is not None and ended.how is How.MISS
+    assert it.core_queue.next_end() == pytest.approx(0.01)
+    ended = it.next_answer(0.01)
+    assert ended is not None and ended.kind is AnswerKind.MISS
     it.memory.put(0.02, "k", 7, 300)
     it.arrive(1.0, request("r2"))
-    ended = it.ended(1.1)
-    assert ended is not None and (ended.how, ended.version, ended.size) == (How.HIT, 7, 300)
+    ended = it.next_answer(1.1)
+    assert ended is not None and (ended.kind, ended.version, ended.size) == (AnswerKind.HIT, 7, 300)
 
 
 def test_a_repeat_within_its_window_gets_its_receipt_and_does_not_run() -> None:
-    receipts = Receipts()
+    receipts = WriteReceipts()
     one, other = box(receipts), box(receipts)
     ran = []
     for at, it, name in ((0.0, one, "r1"), (3.0, other, "r2"), (9.0, one, "r3")):
         it.arrive(at, request(name, BOOK, write=True, idempotency="5c0f"))
-        ended = it.ended(at + 0.5)
-        assert ended is not None and ended.how is How.RECEIPT
-        ran.append(ended.ran)
+        ended = it.next_answer(at + 0.5)
+        assert ended is not None and ended.kind is AnswerKind.RECEIPT
+        ran.append(ended.executed)
     assert ran == [True, False, True]
 
 
@@ -139,8 +149,8 @@
     it.memory.put(0.0, "k", 1, 10)
     for name in ("r1", "r2"):
         it.arrive(0.0, request(name, time_left=0.15))
-    first, second = it.ended(0.1), it.ended(0.2)
-    assert first and second and (first.how, second.how) == (How.HIT, How.BUSY)
+    first, second = it.next_answer(0.1), it.next_answer(0.2)
+    assert first and second and (first.kind, second.kind) == (AnswerKind.HIT, AnswerKind.BUSY)
 
 
 @pytest.mark.parametrize(("times_capacity", "falls"), [(3.0, False), (6.0, True)])
@@ -151,39 +161,39 @@
     gap = READ.work / (times_capacity * 2 * 0.5)
     for i in range(round(1.5 / gap)):
         it.arrive(10.0 + i * gap, request(f"r{i}"))
-    assert (it.fallen is not None) is falls
+    assert (it.overload_by_router is not None) is falls
     if falls:
-        assert it.fallen is not None and list(it.fallen) == ["router-0"]
+        assert it.overload_by_router is not None and list(it.overload_by_router) == ["router-0"]
 
 
 def test_a_warm_box_does_not_fall() -> None:
     it = box(cores=1, queue=0)
     for i in range(1000):
         it.arrive(i * 0.001, request(f"r{i}"))
-    assert it.fallen is None
+    assert it.overload_by_router is None
 
 
 def test_the_origin_finishes_a_write_that_has_begun_though_its_router_left() -> None:
-    store = OriginStore(Origin(slots=1, time=0.1, queue=1), Draw(1))
+    store = OriginModel(Origin(slots=1, time=0.1, queue=1), RandomDraws(1))
     pieces = [store.arrive(0.0, request(f"w{i}", BOOK, write=True)) for i in range(3)]
     assert pieces[0] and pieces[1] and pieces[2] is None
-    store.left(0.05, pieces[0])
-    store.left(0.05, pieces[1])
-    ended = store.ended(0.1)
-    assert ended is not None and ended.request.id == "w0" and ended.ran
-    assert store.ended(1.0) is None
+    store.abandon(0.05, pieces[0])
+    store.abandon(0.05, pieces[1])
+    ended = store.next_answer(0.1)
+    assert ended is not None and ended.request.id == "w0" and ended.executed
+    assert store.next_answer(1.0) is None
 
 
 def test_the_list_is_late_and_tells_each_what_it_has_not_seen() -> None:
     entries = [Entry(n, "a", "std", 0, 1.0) for n in ("b1", "b2")]
     registry = Registry(entries)
-    assert registry.after(None) == (True, entries)
-    registry.notice(3.0, replace(entries[0], status="terminated"))
-    assert registry.due() == 3.0 and not registry.advance(2.9)
+    assert registry.entries_after(None) == (True, entries)
+    registry.schedule(3.0, replace(entries[0], status="terminated"))
+    assert registry.next_change() == 3.0 and not registry.advance(2.9)
     assert [e.name for e in registry.advance(3.0)] == ["b1"]
-    assert registry.after(1) == (False, [registry.changes[0][1]])
-    assert registry.after(2) == (False, [])
-    assert registry.after(None) == (True, entries[1:]) and registry.after(99)[0]
+    assert registry.entries_after(1) == (False, [registry.changes[0][1]])
+    assert registry.entries_after(2) == (False, [])
+    assert registry.entries_after(None) == (True, entries[1:]) and registry.entries_after(99)[0]
 
 
 def test_a_scenario_gives_the_same_faults_each_time_and_names_what_is_wrong(tmp_path: Path) -> None:
@@ -196,9 +206,9 @@
     )
     found = steps(read_scenario(file))
     assert found == steps(read_scenario(file))
-    drained = [(s.at, s.target) for s in found if s.do == "drain"]
+    drained = [(s.at, s.target) for s in found if s.action == "drain"]
     assert [at for at, _ in drained] == [5, 5, 8, 8] and len({box for _, box in drained}) == 4
-    assert [(s.at, s.value) for s in found if s.do == "pace"] == [(2, 0.25), (3, 1.0)]
+    assert [(s.at, s.value) for s in found if s.action == "pace"] == [(2, 0.25), (3, 1.0)]
     assert hot_keys(read_scenario(file))[0].share == 0.5
 
 
--- a/tests/test_fleet_ports.py
+++ b/tests/test_fleet_ports.py
@@ -9,8 +9,8 @@
 import pytest
 
 from myrtlecourse.fleet import reserved_ports
-from myrtlecourse.fleet.ports import Port, Served
-from myrtlecourse.fleet.reserved_ports import RECENT, ReservedPort, free, reserve
+from myrtlecourse.fleet.ports import Port, ServerConnection
+from myrtlecourse.fleet.reserved_ports import RECENT, ReservedPort, free_address, reserve
 from tests.loopback import run
 
 
@@ -29,10 +29,10 @@
     """Another fleet took the port of a server that was down, which never came back."""
 
     async def scenario() -> None:
-        port, other = Port("router-0", 0.0, 10, Served), Port("router-0", 0.0, 10, Served)
+        port, other = Port("router-0", 0.0, 10, ServerConnection), Port("router-0", 0.0, 10, ServerConnection)
         await port.listen()
         number = port.number
-        port.end()
+        port.stop()
         while True:  # until the kernel has nothing left at the port itself
             with socket.socket() as probe:
                 try:
@@ -73,8 +73,8 @@
 
 
 def test_what_was_given_lately_is_not_given_again() -> None:
-    assert len({free() for _ in range(RECENT)}) == RECENT
-    free()
+    assert len({free_address() for _ in range(RECENT)}) == RECENT
+    free_address()
     assert len(reserved_ports._recent) == RECENT
 
 
@@ -82,19 +82,19 @@
     """The second start found its own port in use; an end in the middle was forgotten."""
 
     async def scenario() -> None:
-        port = Port("router-0", 0.0, 10, Served)
+        port = Port("router-0", 0.0, 10, ServerConnection)
         await asyncio.gather(port.listen(), port.listen())
         assert await connects(port)
         for _ in range(5):
-            port.end()
+            port.stop()
             starting = asyncio.ensure_future(port.listen())
             await asyncio.sleep(0)
-            port.end()
+            port.stop()
             await starting
             assert not await connects(port)
             starting = asyncio.ensure_future(port.listen())
             await asyncio.sleep(0)
-            port.end()
+            port.stop()
             await asyncio.gather(starting, port.listen())
             assert await connects(port)
         port.close()
--- a/tests/test_fleet_routers.py
+++ b/tests/test_fleet_routers.py
@@ -14,7 +14,7 @@
 
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.fleet.faults import Step
-from myrtlecourse.fleet.ports import cut_off
+from myrtlecourse.fleet.ports import set_packet_drop
 from myrtlecourse.fleet.routers import Router, Routers
 
 pytestmark = pytest.mark.processes
@@ -99,13 +99,13 @@
         routers = Routers(
             ["router-0"], shlex.join([sys.executable, "-c", ENDS, "0"]), tmp_path, lambda _: None
         )
-        (router,) = routers.each
+        (router,) = routers.members
         router.config.write_text("{}")
         router.end_time = 20.0
         await router.start()
         began = time.monotonic()
         for what in ("stall", "restart", "go_on"):
-            routers.do(Step(0.0, what, "router-0"))
+            routers.apply_step(Step(0.0, what, "router-0"))
         await asyncio.wait(routers.restarts)
         await routers.end()
         return time.monotonic() - began, router.crashes
@@ -116,6 +116,6 @@
 
 def test_a_cut_that_is_mended_twice_is_mended() -> None:
     with socket.socket() as one:
-        cut_off(one, True)
-        cut_off(one, False)
-        cut_off(one, False)
+        set_packet_drop(one, True)
+        set_packet_drop(one, False)
+        set_packet_drop(one, False)
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -39,13 +39,13 @@
 
 def test_a_hand_is_three_steps_and_an_upgrade_one() -> None:
     told = scenario()
-    assert [(s.at, s.do, s.target) for s in steps(told)] == [
+    assert [(s.at, s.action, s.target) for s in steps(told)] == [
         (1.0, "offline", "std-1"),
         (2.0, "upgrade", "router-0"),
         (4.2, "bounce", "std-1"),
         (5.0, "online", "std-1"),
     ]
-    assert told.operated() and not scenario(faults=[]).operated()
+    assert told.has_operator_work() and not scenario(faults=[]).has_operator_work()
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet_sockets.py
+++ b/tests/test_fleet_sockets.py
@@ -9,8 +9,8 @@
 
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.audit.auditor import Auditor
+from myrtlecourse.fleet.loopback_fleet import Fleet
 from myrtlecourse.fleet.scenario import Scenario
-from myrtlecourse.fleet.stand_in import Fleet
 from myrtlecourse.load.generator import Generator
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.load.requests import plan_requests
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -388,7 +388,7 @@
             ground.begin()
             entry = ground.layout.entries["std-1"]
             for status in ("terminating", "terminated"):
-                ground.discovery.notice(0.0, replace(entry, status=status))
+                ground.discovery.schedule(0.0, replace(entry, status=status))
                 await stand.until(lambda status=status: sum(r.status == status for r in counts.in_force) == 3)
             for _, _, member in stand.members:
                 assert "std-1" not in member.host.router.servers and "std-2" in member.host.router.servers
@@ -409,7 +409,7 @@
         async with Stand(tmp_path) as stand:
             counts = stand.counts
             entry = replace(stand.ground.layout.entries["std-1"], status="terminated")
-            stand.ground.discovery.notice(0.0, entry)
+            stand.ground.discovery.schedule(0.0, entry)
             await stand.until(lambda: len(counts.in_force) == 3)
             place, job, former = stand.members.pop(0)
             former.host.timers.call_later(3600.0, lambda _: None, None)
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -15,7 +15,7 @@
 from myrtlecourse import interface as api
 from myrtlecourse import policy
 from myrtlecourse.fleet.registry import Entry
-from myrtlecourse.fleet.registry import spelled as fleet_spelled
+from myrtlecourse.fleet.registry import entry_to_json as fleet_spelled
 from myrtlecourse.peers.gossip import VERSION, Datagram
 from myrtlecourse.peers.seal import LONGEST, Dropped, Seal
 from myrtlecourse.scale import measuring, results, slopes
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -15,9 +15,9 @@
 import numpy as np
 import pytest
 
-from myrtlecourse.fleet.box import Memory
+from myrtlecourse.fleet.core_queue import CoreQueue, CoreSpeed, WorkItem
 from myrtlecourse.fleet.scenario import Scenario, ScenarioError
-from myrtlecourse.fleet.station import Pace, Piece, Station
+from myrtlecourse.fleet.server_models import CacheMemory
 from myrtlecourse.load.profile import Profile, ProfileError
 from myrtlecourse.policy import Router
 from myrtlecourse.sim.core import Core, Event
@@ -98,7 +98,7 @@
     assert result.verdict["kept"], result.verdict["named"]
     assert figures["scheduled"] == sum(figures[k] for k in ("served", "refused", "failed", "left")) > 500
     assert figures["in_time"] > 0.8 * figures["scheduled"]
-    assert {"crash", "cut", "kill", "away", "drain"} <= {s.do for s in result.steps}
+    assert {"crash", "cut", "kill", "away", "drain"} <= {s.action for s in result.steps}
     assert 0 < result.fetches < result.attempts
 
 
@@ -126,7 +126,7 @@
 
 @pytest.mark.parametrize(("cores", "used"), [(1, 0.5), (1, 0.8), (4, 0.7), (8, 0.8)])
 def test_waiting_times_are_those_of_an_m_m_c_queue(cores: int, used: float) -> None:
-    core, station, chance = Core(1), Station(cores, 10**6, Pace(1.0)), random.Random(cores)
+    core, station, chance = Core(1), CoreQueue(cores, 10**6, CoreSpeed(1.0)), random.Random(cores)
     waits: list[float] = []
     came: list[tuple[float, float]] = []
     count, rate = 100_000, used * cores
@@ -136,19 +136,19 @@
     def arrive() -> None:
         work = chance.expovariate(1.0)
         came.append((core.now, work))
-        station.take(core.now, Piece(work, math.inf, len(came) - 1))
+        station.add(core.now, WorkItem(work, math.inf, len(came) - 1))
         if len(waits) < count:
             core.after(chance.expovariate(rate), arrive)
         look()
 
     def look() -> None:
-        while (piece := station.ended(core.now)) is not None:
+        while (piece := station.next_finished(core.now)) is not None:
             assert isinstance(piece.request, int)
             at, work = came[piece.request]
             waits.append(core.now - at - work)
         if timers:
             timers.pop().cancel()
-        if (due := station.due()) < math.inf:
+        if (due := station.next_end()) < math.inf:
             timers.append(core.at(due, look))
 
     arrive()
@@ -166,7 +166,7 @@
         middle = (low + high) / 2
         low, high = (middle, high) if (1 - np.exp(-popularity * middle)).sum() < room else (low, middle)
     expected = (popularity * (1 - np.exp(-popularity * low))).sum()
-    memory, hits = Memory(room, math.inf), 0
+    memory, hits = CacheMemory(room, math.inf), 0
     drawn = np.random.Generator(np.random.PCG64(1)).choice(keys, 60_000, p=popularity)
     for i, key in enumerate(drawn):
         found = memory.get(i, str(key)) is not None
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -64,7 +64,7 @@
     assert 3 <= len(case.scenario.faults) <= MAX_FAULTS
     assert all(step.at >= MARGIN for step in steps(case.scenario))
     assert case.profile.seconds < seconds
-    assert str(len(case.scenario.boxes())) in case.summary()
+    assert str(len(case.scenario.cache_servers())) in case.summary()
 
 
 def test_all_troubles_are_drawn() -> None:
--- a/tests/test_spread_operators.py
+++ b/tests/test_spread_operators.py
@@ -25,7 +25,7 @@
 
 from myrtlecourse.cli import main
 from myrtlecourse.config import ConfigError
-from myrtlecourse.fleet.reserved_ports import free
+from myrtlecourse.fleet.reserved_ports import free_address
 from myrtlecourse.operators import read_operators
 from myrtlecourse.ops.calls import KEY, MAX_VALUE, Answer, Call, Exchange, Kind, read_call
 from myrtlecourse.spread import messages as msg
@@ -382,7 +382,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.peers = {n: free() for n in (*CONTROL, "a", "b", "p")}
+        self.peers = {n: free_address() for n in (*CONTROL, "a", "b", "p")}
         self.by_name: dict[str, Driver] = {}
 
     def make(self, name: str) -> Driver:
--- a/tests/test_spread_processes.py
+++ b/tests/test_spread_processes.py
@@ -91,10 +91,10 @@
         deployment.ways.cut("west", ())
         await deployment.check_complete()
 
-        deployment.ways.loss, deployment.ways.copies, deployment.ways.spread = 0.1, 0.2, 0.05
+        deployment.ways.loss, deployment.ways.copies, deployment.ways.jitter = 0.1, 0.2, 0.05
         await deployment.send(60)
         await deployment.check_complete()
-        deployment.ways.loss = deployment.ways.copies = deployment.ways.spread = 0.0
+        deployment.ways.loss = deployment.ways.copies = deployment.ways.jitter = 0.0
 
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             forger = Wire("c1", NAMES, KEY, 1, SpreadCodec())
--- a/tests/test_zone_exit.py
+++ b/tests/test_zone_exit.py
@@ -17,9 +17,9 @@
 import pytest
 
 from myrtlecourse.audit import observations as seen
-from myrtlecourse.fleet.routers import COMMAND, KILLED, LONGEST_DEADLINE, Router, zones_left
+from myrtlecourse.fleet.routers import COMMAND, KILL_GRACE, LONGEST_DEADLINE, Router, zone_exits
 from myrtlecourse.fleet.scenario import Scenario
-from myrtlecourse.fleet.session import Outcome, play, stand_up
+from myrtlecourse.fleet.session import Outcome, play, start_fleet
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.zones.verdict import HOLD
 
@@ -78,7 +78,7 @@
         each = list(seen.merge_logs(sorted(folder.glob("*.jsonl"))))
         self.began = next(o.at for o in each if isinstance(o, seen.RequestSent))
         self.left = {
-            log.stem: [(at - self.began, zones) for at, zones in zones_left(log)]
+            log.stem: [(at - self.began, zones) for at, zones in zone_exits(log)]
             for log in sorted(folder.glob("router-*.log"))
         }
         self.logs = {log.stem: log.read_text() for log in sorted(folder.glob("router-*.log"))}
@@ -214,7 +214,7 @@
     played = Played(tmp_path, scenario(faults))
     played.kept()
     after = [at for at, zones in played.left["router-0"] if at > AT + 2.0 and zones == SOUTH]
-    assert len(after) == 1 and after[0] < AT + 2.0 + LONGEST_DEADLINE + KILLED + SOON, played.left
+    assert len(after) == 1 and after[0] < AT + 2.0 + LONGEST_DEADLINE + KILL_GRACE + SOON, played.left
 
 
 TIERS = {"regions": {"coast": ["north", "south"]}, "own_region": 0.3, "elsewhere": 0.1}
@@ -262,14 +262,14 @@
     lines = [(f'key_file = "{old}"', f'also_key_files = ["{new}"]'), (f'key_file = "{new}"', "spill = 2.0")]
     for number, line in enumerate(lines):
         for router in routers:
-            assert router.operators is not None and router.process is not None
-            router.operators.write_text("[fleet]\n" + "\n".join(line))
+            assert router.operators_file is not None and router.process is not None
+            router.operators_file.write_text("[fleet]\n" + "\n".join(line))
             router.process.send_signal(signal.SIGHUP)
         while not all(r.log.read_text().count("new settings of the fleet") > number for r in routers):
             await asyncio.sleep(0.05)
     first = routers[0]
-    assert first.operators is not None and first.process is not None
-    first.operators.write_text("[fleet]\nkey_file = 7")
+    assert first.operators_file is not None and first.process is not None
+    first.operators_file.write_text("[fleet]\nkey_file = 7")
     first.process.send_signal(signal.SIGHUP)
     while "operators' file not taken" not in first.log.read_text():
         await asyncio.sleep(0.05)
@@ -280,18 +280,18 @@
     upgrade = [{"what": "upgrade", "at": 80_000.0, "router": 0}]  # so that routers have an operators' address
 
     async def fleet() -> None:
-        standing = await stand_up(scenario(upgrade), tmp_path, COMMAND)
+        standing = await start_fleet(scenario(upgrade), tmp_path, COMMAND)
         assert standing.routers is not None
-        routers = standing.routers.each
+        routers = standing.routers.members
         assert await routers[4].call("PUT", "zones/south/out?seconds=30") == 200
         assert await routers[4].call("PUT", "zones/nowhere/out") == 404
         assert await routers[4].call("PUT", "zones/south/out?seconds=x") == 400
         until = time.monotonic() + 10.0
-        while not all(e[-1][1] == SOUTH for e in map(zones_left, logs) if e or time.monotonic() > until):
+        while not all(e[-1][1] == SOUTH for e in map(zone_exits, logs) if e or time.monotonic() > until):
             await asyncio.sleep(0.1)
-        while not all(zones_left(log) for log in logs) and time.monotonic() < until:
+        while not all(zone_exits(log) for log in logs) and time.monotonic() < until:
             await asyncio.sleep(0.1)
-        assert all(zones_left(log)[-1][1] == SOUTH for log in logs)
+        assert all(zone_exits(log)[-1][1] == SOUTH for log in logs)
         at = "{}:{}".format(*routers[1].ops)  # type: ignore[misc]
         child = await asyncio.create_subprocess_exec(
             *(sys.executable, "-m", "myrtlecourse", "fleet-status", at, "--json"),
@@ -305,9 +305,9 @@
         assert await routers[2].call("PUT", "zones/west/hold?seconds=30") == 200
         assert await routers[0].call("PUT", "zones/south/in?seconds=5") == 200
         await reloaded(tmp_path, routers)
-        while not all(not zones_left(log)[-1][1] for log in logs) and time.monotonic() < until:
+        while not all(not zone_exits(log)[-1][1] for log in logs) and time.monotonic() < until:
             await asyncio.sleep(0.1)
-        assert all(not zones_left(log)[-1][1] for log in logs)
+        assert all(not zone_exits(log)[-1][1] for log in logs)
         assert not await standing.close()
 
     logs = [tmp_path / f"router-{n}.log" for n in range(ROUTERS)]
--- a/tests/test_zone_return.py
+++ b/tests/test_zone_return.py
@@ -17,7 +17,7 @@
 from myrtlecourse import interface as api
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.audit.auditor import Auditor, Rules
-from myrtlecourse.fleet.routers import zones_back
+from myrtlecourse.fleet.routers import zone_returns
 from myrtlecourse.interface import Reachability
 from myrtlecourse.peers.gossip import Gossip
 from myrtlecourse.peers.seal import ident
@@ -387,7 +387,7 @@
 def returned(played: Played, folder: Path) -> dict[str, list[tuple[float, float]]]:
     """When each router went to which share of the south, in seconds since the load began."""
     return {
-        log.stem: [(at - played.began, told.get("south", 1.0)) for at, told in zones_back(log)]
+        log.stem: [(at - played.began, told.get("south", 1.0)) for at, told in zone_returns(log)]
         for log in sorted(folder.glob("router-*.log"))
     }
 
--- a/tests/wrong_router.py
+++ b/tests/wrong_router.py
@@ -9,7 +9,7 @@
 from itertools import cycle
 from typing import cast
 
-from myrtlecourse.fleet.stand_in import Fleet
+from myrtlecourse.fleet.loopback_fleet import Fleet
 from myrtlecourse.net.resp import INCOMPLETE, Message, Reader, encode_command
 
 Parts = list[bytes]
@@ -22,7 +22,7 @@
         self.fleet = fleet
         self.name = fleet.routers[0]
         self.way = getattr(self, way)
-        self.boxes: Iterator[str] = cycle(fleet.boxes)
+        self.boxes: Iterator[str] = cycle(fleet.cache_servers)
         self.serving: set[asyncio.Task[None]] = set()
         self.later: set[asyncio.Task[None]] = set()
 
@@ -51,7 +51,7 @@
     async def attempt(self, box: str, parts: Parts) -> Message:
         """Send it on a new connection; answers with what comes."""
         reader, writer = await asyncio.open_connection(
-            "127.0.0.1", self.fleet.boxes[box].ports[self.name].number
+            "127.0.0.1", self.fleet.cache_servers[box].ports[self.name].number
         )
         try:
             writer.write(encode_command(parts))
@@ -134,8 +134,8 @@
 
     async def pushes_cold_boxes(self, parts: Parts, writer: asyncio.StreamWriter) -> None:
         for entry in await self.ask_list():
-            box = self.fleet.boxes[entry["name"]].box
-            if entry["since_ms"] and box.fallen is None:
+            box = self.fleet.cache_servers[entry["name"]].model
+            if entry["since_ms"] and box.overload_by_router is None:
                 more = [[parts[0], b"k%d" % i, b"%b-%d" % (parts[2], i), *parts[3:]] for i in range(40)]
                 flood = (self.attempt(entry["name"], each) for each in more)
                 await asyncio.gather(*flood, return_exceptions=True)
