--- a/myrtlecourse/fleet/address_switch.py
+++ b/myrtlecourse/fleet/address_switch.py
@@ -1,8 +1,9 @@
-"""A stand-in for the network before routers whose address moves: who announced last has it.
+"""A stand-in for the network in front of routers that share a moving service address.
 
-Routers announce and withdraw by a line (`announce NAME TERM`, `withdraw NAME`). Clients connect to one port
-and come to the holder; with the address their open connections move too, and are reset. Voters' datagrams go
-through it, so that segments can be split, one way as well, and what is announced can come late or be lost.
+Routers announce and withdraw the address with a line (`announce NAME TERM`, `withdraw NAME`); the last router
+to announce it holds it. Clients connect to one port and reach the holder; when the address moves, their open
+connections are reset. Datagrams of voters pass through relays, so that the network can be partitioned in both
+directions or in one. Announcements can be delayed or lost.
 """
 
 from __future__ import annotations
@@ -16,43 +17,45 @@
 from myrtlecourse.fleet.datagram_network import DatagramNetwork, Relays
 from myrtlecourse.fleet.reserved_ports import free_address
 
-LONGEST_LINE = 256
+MAX_LINE_LENGTH = 256
 CHUNK = 64 * 1024
 
 
 class AddressSwitch:
-    """The network round one service address."""
+    """The network around one service address."""
 
     def __init__(self, routers: dict[str, tuple[str, int]], seed: int = 1) -> None:
-        """Takes where each router listens for clients."""
+        """Create the network; `routers` gives the address at which each router listens for clients."""
         self.routers = routers
-        self.network = DatagramNetwork(seed)  # of voters' datagrams
+        self.network = DatagramNetwork(seed)  # carries the datagrams of voters
         self.relays = Relays(self.network)
         self.ignored_routers: set[str] = set()  # routers whose announcements are lost
-        self.announcement_delay = 0.0  # seconds that an announcement takes
+        self.announcement_delay = 0.0  # seconds until an announcement takes effect
         self.holder = ""
-        self.history: list[tuple[float, str, str]] = []  # when, what, who
-        self.client_routers: dict[asyncio.StreamWriter, str] = {}  # to clients: of which router
+        self.history: list[tuple[float, str, str]] = []  # time, event and router
+        # The router that each client is connected to.
+        self.client_routers: dict[asyncio.StreamWriter, str] = {}
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Open its ports."""
-        self.control = await asyncio.start_server(self._handle_control, "127.0.0.1", 0, limit=LONGEST_LINE)
+        """Open the ports."""
+        self.control = await asyncio.start_server(self._handle_control, "127.0.0.1", 0, limit=MAX_LINE_LENGTH)
         self.control_address: tuple[str, int] = self.control.sockets[0].getsockname()
-        self.address = free_address()  # nobody is there yet: who connects is refused
+        # Nobody listens there before the first announcement: connections are refused.
+        self.address = free_address()
         self.server: asyncio.Server | None = None
 
     @property
     def voter_addresses(self) -> dict[str, tuple[str, int]]:
-        """Where each hears the others."""
+        """The address at which each voter receives the others' datagrams."""
         return self.relays.listen_addresses
 
     def split(self, one: set[str]) -> None:
-        """Cut some voters off from the others."""
+        """Partition the network between some voters and the others."""
         self.network.split(self.voter_addresses, one)
 
     async def _handle_control(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """A router announces or withdraws."""
+        """Handle a router's announcement or withdrawal."""
         with suppress(ConnectionError, ValueError):
             words = (await reader.readline()).decode("ascii", "replace").split()
             name = words[1] if len(words) > 1 else ""
@@ -77,14 +80,14 @@
             self._release_address()
 
     def _release_address(self) -> None:
-        """Whoever connects is refused: where the address is nobody's, no machine answers for it."""
+        """Refuse connections: without a holder, no machine answers for the address."""
         self.holder = ""
         if self.server is not None:
             self.server.close()
             self.server = None
 
     def drop_router(self, name: str) -> None:
-        """A router's machine is gone, and with it the connections that it had."""
+        """Handle the loss of a router's machine: its connections are reset."""
         if self.holder == name:
             self._release_address()
         for client in [w for w, router in self.client_routers.items() if router == name]:
@@ -97,7 +100,7 @@
         writer.transport.abort()
 
     async def _relay_client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """A client comes to whoever has the address; without anybody it is refused."""
+        """Relay a client's connection to the holder; without a holder it is reset."""
         name = self.holder
         self.client_routers[writer] = name
         try:
@@ -127,7 +130,7 @@
                 await writer.drain()
 
     def close(self) -> None:
-        """End it."""
+        """Close all ports and connections."""
         self.control.close()
         self.relays.close()
         self._release_address()
--- a/myrtlecourse/fleet/cache_server.py
+++ b/myrtlecourse/fleet/cache_server.py
@@ -1,4 +1,4 @@
-"""A cache box on sockets: RESP2 in and out, with what it does left to `box.py`."""
+"""A cache server on sockets: speaks RESP2 and leaves its behaviour to the model in `server_models.py`."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 from myrtlecourse.net.resp import INCOMPLETE, Message, Reader, RespError, split_command
 
 MAX_ITEMS = 16
-SWEEP_INTERVAL = 0.25  # seconds between looks for idle connections
+SWEEP_INTERVAL = 0.25  # seconds between checks for idle connections
 BUSY = b"-BUSY\r\n"
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
 FIXED_REPLIES = {b"PING": b"+PONG\r\n", b"CLIENT": b"+OK\r\n", b"SELECT": b"+OK\r\n", b"INFO": b"-NOPERM\r\n"}
 
 
 def value_for(request: str, version: int, size: int) -> bytes:
-    """A value of about so many bytes that names the request it was made for."""
+    """Return a value of about `size` bytes that names the request it was made for."""
     return f"{request} v{version} ".encode().ljust(size, b".")
 
 
 def parse_request(
     command: Command, classes: dict[str, RequestClass], router: str, new_connection: bool
 ) -> Request:
-    """A router's command as the models take it."""
-    kind = classes.get(command.info.get("c", ""))
-    if kind is None:
+    """Return a router's command as the request that the models take. Raises CommandError."""
+    request_class = classes.get(command.info.get("c", ""))
+    if request_class is None:
         raise CommandError(f"unknown class {command.info.get('c')!r}")
     return Request(
         id=command.request_id.decode(),
         key=command.key.decode("latin-1"),
-        request_class=kind,
+        request_class=request_class,
         router=router,
         write=command.is_write,
         idempotency=command.info.get("k", ""),
@@ -49,32 +49,32 @@
 
 
 def attempt_received(request: Request, server: str, began: float, group: str) -> seen.AttemptReceived:
-    """What the auditor is told of an attempt."""
-    kind = request.request_class
+    """Return the observation that an attempt has arrived at a server."""
+    request_class = request.request_class
     return seen.AttemptReceived(
         time.monotonic(),
         request.id,
         server,
         request.router,
         began,
-        kind.effect,
+        request_class.effect,
         group,
-        kind.window if request.idempotency else 0.0,
+        request_class.window if request.idempotency else 0.0,
         request.idempotency,
         began + request.time_left,
     )
 
 
 class CacheServerConnection(ServerConnection):
-    """A router's connection to a box: commands in order, each answered before the next begins."""
+    """A router's connection to a cache server: commands are answered in order, one at a time."""
 
     def __init__(self, port: Port, server: CacheServer) -> None:
         super().__init__(port)
         self.server = server
         self.reader = Reader(MAX_ITEMS, MAX_VALUE, MAX_VALUE + 8192)
-        self.began = 0.0  # when the first byte of the next command came
+        self.began = 0.0  # time of the first byte of the next command
         self.commands: deque[tuple[Message, float]] = deque()
-        self.current_item: WorkItem | None = None  # the attempt that is out
+        self.current_item: WorkItem | None = None  # the attempt that is being served
         self.first_attempt = True
 
     def is_busy(self) -> bool:
@@ -117,7 +117,7 @@
         self.current_item = self.server.accept(self, request, began)
 
     def send_answer(self, data: bytes) -> None:
-        """The answer of the attempt that was out."""
+        """Write the answer of the current attempt and begin the next command."""
         self.current_item = None
         self.write(data)
         self._next()
@@ -129,7 +129,7 @@
 
 
 class CacheServer:
-    """A box, its ports, and what faults do to it."""
+    """A cache server with its ports and the effects of faults on it."""
 
     def __init__(
         self,
@@ -143,7 +143,7 @@
         self.group = group
         self.observe = observe
         self.chance = random.Random(f"{scenario.seed} spoilt {model.name}")
-        self.corrupt_share = 0.0  # share of answers
+        self.corrupt_share = 0.0  # share of answers that are corrupted
         self.connections: dict[Request, CacheServerConnection] = {}
         self.ports: dict[str, Port] = {}
         self.timer: asyncio.TimerHandle | None = None
@@ -154,7 +154,7 @@
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     async def listen(self, routers: dict[str, float]) -> None:
-        """Listen for each router, which is so many seconds away."""
+        """Listen for each router; `routers` gives the one-way delay to each in seconds."""
         for router, delay in routers.items():
             max_connections = self.model.kind.connections
             self.ports[router] = Port(
@@ -163,7 +163,7 @@
             await self.ports[router].listen()
 
     def accept(self, connection: CacheServerConnection, request: Request, began: float) -> WorkItem | None:
-        """An attempt has come whole; None when it has been answered."""
+        """Accept a fully received attempt. Return None if it has been answered already."""
         now = time.monotonic()
         self.observe(attempt_received(request, self.model.name, began, self.group(request.request_class)))
         item = self.model.arrive(now, request)
@@ -181,7 +181,7 @@
         return item
 
     def abandon(self, item: WorkItem) -> None:
-        """The router waits no more."""
+        """Cancel an attempt whose router no longer waits."""
         assert isinstance(item.request, Request)
         self.connections.pop(item.request, None)
         self.model.core_queue.cancel(time.monotonic(), item)
@@ -196,7 +196,7 @@
             self.timer = self.loop.call_later(max(0.0, due - time.monotonic()), self._work)
 
     def _work(self) -> None:
-        """Answer all that has ended."""
+        """Send all answers that are ready."""
         self.timer = None
         now = time.monotonic()
         while (answer := self.model.next_answer(now)) is not None:
@@ -230,7 +230,7 @@
         connection.send_answer(reply)
 
     def _spoil(self, connection: CacheServerConnection, reply: bytes) -> None:
-        """An answer that is none, in one of several ways."""
+        """Send a corrupt answer of one of four kinds and close the connection."""
         index = self.chance.randrange(4)
         corrupt_answers = (
             reply[: len(reply) // 2],
@@ -242,14 +242,14 @@
         connection.close()
 
     def _sweep(self) -> None:
-        """Close what has stood idle for too long."""
+        """Close connections that have been idle for too long."""
         if not self.ports or not next(iter(self.ports.values())).frozen:
             for port in self.ports.values():
                 port.drop_idle(time.monotonic() - self.model.kind.idle)
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     def freeze(self, frozen: bool) -> None:
-        """The process stands still, or goes on."""
+        """Freeze the process, or let it continue."""
         now = time.monotonic()
         self.model.core_queue.core_speed.set_factor(now, 0.0 if frozen else 1.0)
         for port in self.ports.values():
@@ -257,12 +257,12 @@
         self._schedule()
 
     def set_speed(self, factor: float) -> None:
-        """Its cores work so many times as fast."""
+        """Multiply the normal speed of the cores by `factor`."""
         self.model.core_queue.core_speed.set_factor(time.monotonic(), factor)
         self._schedule()
 
     def stop(self) -> None:
-        """The process ends."""
+        """Stop the process: all connections are reset and queued work is lost."""
         self.running = False
         self.connections.clear()
         self.model.core_queue.clear()
@@ -271,7 +271,7 @@
             port.stop()
 
     async def start(self) -> float:
-        """A new process, empty and cold; answers with the time of its start. What has fallen stays down."""
+        """Start a new process, empty and cold, and return its start time. A collapsed server stays down."""
         now = time.monotonic()
         if self.running or self.model.overload_by_router is not None:
             return self.model.started_at
@@ -283,7 +283,7 @@
         return now
 
     def close(self) -> None:
-        """The stand-in ends."""
+        """Stop the server and release its ports."""
         self.sweep_timer.cancel()
         self.stop()
         for port in self.ports.values():
--- a/myrtlecourse/fleet/commands.py
+++ b/myrtlecourse/fleet/commands.py
@@ -1,4 +1,4 @@
-"""`myrtlecourse fleet` and `myrtlecourse audit`: their options, and what they print."""
+"""The commands `myrtlecourse fleet` and `myrtlecourse audit`: their options and output."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 from myrtlecourse.load.profile import ProfileError, read_profile
 from myrtlecourse.load.run import RunError
 
-EXIT_RULE_BROKEN = 1  # exit code when a rule was broken or a router ended by itself
-MAX_BREACHES_SHOWN = 20  # breaches printed
+EXIT_RULE_BROKEN = 1  # exit code when a rule was broken or a router exited unexpectedly
+MAX_BREACHES_SHOWN = 20
 
 
 def show_verdict(verdict: dict[str, Any], console: Console) -> None:
-    """Print what the auditor found."""
+    """Print the auditor's verdict."""
     table = Table(title="The four rules")
     table.add_column("rule")
     table.add_column("breaches", justify="right")
@@ -39,28 +39,28 @@
         table.add_row(rule, f"{count:,}" if count else "none")
     console.print(table)
     for b in verdict["named"][:MAX_BREACHES_SHOWN]:
-        told = (f"{b['at']:9.3f} s", b["what"], b["router"], b["request"], b["box"], b["detail"])
-        console.print("  ".join(t for t in told if t), markup=False, highlight=False)
+        fields = (f"{b['at']:9.3f} s", b["what"], b["router"], b["request"], b["box"], b["detail"])
+        console.print("  ".join(f for f in fields if f), markup=False, highlight=False)
     more = sum(verdict["breaches"].values()) - MAX_BREACHES_SHOWN
     if more > 0:
-        console.print(f"and {more:,} more")
+        console.print(f"and {more:,} more breaches")
 
 
 def show_service(service: dict[str, Any], console: Console) -> None:
-    """Print what operators measured."""
-    took, yes = service["answer_ms"], service["yes_s"]
+    """Print the operators' measurements."""
+    latency, ready_delays = service["answer_ms"], service["yes_s"]
     console.print(
-        f"operators: {service['calls']:,} answers, p50 {took['p50']:.1f} ms, p99 {took['p99']:.1f} ms, "
-        f"max {took['max']:.1f} ms, {service['unanswered']} not within {service['owed_ms']:g} ms; "
+        f"operators: {service['calls']:,} answers, p50 {latency['p50']:.1f} ms, p99 {latency['p99']:.1f} ms, "
+        f"max {latency['max']:.1f} ms, {service['unanswered']} not within {service['owed_ms']:g} ms; "
         f"{service['upgrades']} upgrades"
-        + (f", yes after {yes[0]:.2f} to {yes[-1]:.2f} s" if yes else "")
+        + (f", ready after {ready_delays[0]:.2f} to {ready_delays[-1]:.2f} s" if ready_delays else "")
         + f"; at most {service['memory_mb']:.0f} MB and {service['descriptors']} descriptors for one router",
         highlight=False,
     )
 
 
 def step_marks(steps: list[Step]) -> list[tuple[float, str]]:
-    """What happened when, for the picture."""
+    """Return the times and labels of steps for charts."""
     return [(s.at, f"{s.action.replace('_', ' ')} {s.target}") for s in steps]
 
 
@@ -69,18 +69,20 @@
 @click.option(
     "--load", "profile", type=click.Path(path_type=Path), help="send this profile's load to real routers"
 )
-@click.option("--routers", is_flag=True, help="start real routers (with --load always)")
-@click.option("--router", "command", default=COMMAND, help="how to start one; it is told RELAY_CONFIG")
+@click.option("--routers", is_flag=True, help="start real routers (always with --load)")
+@click.option(
+    "--router", "command", default=COMMAND, help="command that starts a router; it gets RELAY_CONFIG"
+)
 @click.option(
     "--workers", type=click.IntRange(1, 256), default=1, show_default=True, help="processes that send"
 )
 @click.option(
     "--folder",
     type=click.Path(path_type=Path, file_okay=False),
-    help="for observations, configurations and logs; else a temporary one, told at the start",
+    help="for observations, configurations and logs; by default a temporary one, printed at the start",
 )
 @click.option("--json", "json_file", type=click.Path(path_type=Path), help="write the figures there")
-@click.option("--html", "html_file", type=click.Path(path_type=Path), help="write a page with pictures there")
+@click.option("--html", "html_file", type=click.Path(path_type=Path), help="write a page with charts there")
 @click.option("--quiet", is_flag=True, help="no progress")
 def fleet(
     scenario: Path,
@@ -93,41 +95,41 @@
     html_file: Path | None,
     quiet: bool,
 ) -> None:
-    """Stand in for a fleet: cache boxes, origin and discovery on loopback, with faults in their time.
+    """Run a stand-in fleet on loopback: cache servers, origin and discovery, with the scenario's faults.
 
     \b
     myrtlecourse fleet demo/rough.toml --load demo/load.toml --html report.html
     myrtlecourse fleet demo/calm.toml --routers
     myrtlecourse fleet demo/calm.toml --folder seen
 
-    With --load: real routers, load, and the auditor's verdict on the four rules. With --routers: they stand
-    until the scenario is over, and load is sent by hand. With neither, the folder holds what to start routers
-    with (RELAY_CONFIG).
+    With --load: real routers, load, and the auditor's verdict on the four rules. With --routers: the routers
+    run until the scenario is over, and load is sent by hand. With neither, the folder holds configurations to
+    start routers with (RELAY_CONFIG).
 
-    Exit code 0, 1 when a rule was broken or a router ended by itself, 2 when it could not begin.
+    Exit code 0, 1 when a rule was broken or a router exited unexpectedly, 2 when it could not begin.
     """
     console = Console(stderr=True)
     folder = folder or Path(tempfile.mkdtemp(prefix="myrtlecourse-"))
     try:
-        told = read_scenario(scenario)
+        spec = read_scenario(scenario)
         folder.mkdir(parents=True, exist_ok=True)
-        for old in folder.glob("*.jsonl"):  # of an earlier run: they would be judged with this one
+        for old in folder.glob("*.jsonl"):  # files of an earlier run would be audited with this one
             old.unlink()
         if profile is None:
             with asyncio.Runner(loop_factory=new_event_loop) as runner:
                 faults = runner.run(
                     run_alone(
-                        told,
+                        spec,
                         folder,
                         command if routers else None,
                         lambda s: _print_addresses(s, folder, console),
                     )
                 )
-            verdict: dict[str, Any] = judge(folder, told.rules)
+            verdict: dict[str, Any] = judge(folder, spec.rules)
             figures: dict[str, Any] = {}
         else:
             with Progress(console, quiet) as progress:
-                outcome = play(told, read_profile(profile), folder, command, workers, progress)
+                outcome = play(spec, read_profile(profile), folder, command, workers, progress)
             faults, verdict = outcome.faults, outcome.verdict
             figures = outcome.record.figures(outcome.seconds)
             report.show(figures, Console())
@@ -150,7 +152,7 @@
 
 
 def _print_addresses(running: RunningFleet, folder: Path, console: Console) -> None:
-    """Where everything is."""
+    """Print the addresses of the routers, or the commands to start them with."""
     for router in running.routers.members if running.routers else ():
         console.print(f"{router.name} listens on {router.address[0]}:{router.address[1]}", highlight=False)
     for name in () if running.routers else running.fleet.routers:
@@ -161,17 +163,17 @@
 
 
 def _write_page(file: Path, figures: dict[str, Any], scenario: Path, outcome: Outcome) -> None:
-    from myrtlecourse.load.page import page  # noqa: PLC0415  (plots take a second to import)
+    from myrtlecourse.load.page import page  # noqa: PLC0415  (importing the plot library takes a second)
 
     file.write_text(page(figures, f"{scenario.stem}: a run", step_marks(outcome.steps), outcome.verdict))
 
 
 @click.command()
 @click.argument("folder", type=click.Path(path_type=Path, file_okay=False))
-@click.option("--scenario", type=click.Path(path_type=Path), help="whose figures of the rules hold")
+@click.option("--scenario", type=click.Path(path_type=Path), help="scenario whose limits for the rules apply")
 @click.option("--json", "as_json", is_flag=True, help="print JSON")
 def audit(folder: Path, scenario: Path | None, as_json: bool) -> None:
-    """Judge the four rules from the observations in a folder (*.jsonl), of a fleet and of clients.
+    """Audit the four rules from the observations in a folder (*.jsonl), of a fleet and of clients.
 
     Exit code 0, 1 when a rule was broken, 2 when the folder can't be read.
     """
--- a/myrtlecourse/fleet/core_queue.py
+++ b/myrtlecourse/fleet/core_queue.py
@@ -1,9 +1,9 @@
-"""Cores that work through a queue, at a speed that changes; no I/O, no clock: times come in as seconds.
+"""Cores that serve a queue at a speed that varies; no I/O and no clock: times are passed in, in seconds.
 
-Each core does one piece of work after another, in the order in which they came (an M/G/c queue, first come
-first served). The speed of the cores is a function of time: cold after a start, slowed or halted by faults.
-What is counted is therefore not time but work done by a core since the beginning, its integral. A piece ends
-when that has grown by the work it is, whatever the speed does meanwhile.
+Each core serves one item after another, first come, first served (an M/G/c queue). The speed of the cores is
+a function of time: low after a start, reduced or zero during faults. The queue therefore counts not time but
+the work that a core has done since the beginning, the integral of its speed. An item ends when that integral
+has grown by the item's work, however the speed varies meanwhile.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 class CoreSpeed:
-    """The work that one core has done since the beginning, and when it will have done so much.
+    """The speed of a core as a function of time, and the work that it has done by a given time.
 
-    From `started` on the speed climbs evenly from `cold` of the whole to all of it within `warm_up` seconds.
-    `factor` slows it beside that; 0 halts it.
+    After `started` the speed rises linearly from the share `cold` to the full speed within `warm_up` seconds.
+    `factor` multiplies it; 0 halts the core.
     """
 
     def __init__(
@@ -29,18 +29,16 @@
         self.cold = cold
         self.warm_up = warm_up
         self.factor = 1.0
-        self.base = (
-            0.0,
-            self._warm_integral(0.0),
-        )  # work done up to when the factor last changed, and the climb then
+        # Work done until the factor was last changed, and the warm-up integral at that time.
+        self.base = (0.0, self._warm_integral(0.0))
 
     def capacity_share(self, now: float) -> float:
-        """The share of the whole capacity that is there, faults aside."""
+        """Return the share of the full capacity that is available, without regard to faults."""
         age = now - self.started
         return 1.0 if age >= self.warm_up else self.cold + (1 - self.cold) * max(0.0, age) / self.warm_up
 
     def _warm_integral(self, now: float) -> float:
-        """The integral of `share` since the start, or since 0 where it is long ago."""
+        """Return the integral of `capacity_share` since the start, or since 0 if the start is at -inf."""
         if self.started == -math.inf:
             return now
         age = max(0.0, now - self.started)
@@ -49,24 +47,24 @@
         return self.cold * age + (1 - self.cold) * age * age / (2 * self.warm_up)
 
     def _time_of_integral(self, integral: float) -> float:
-        """When the integral is so much: the inverse."""
+        """Return the time at which the warm-up integral has a value; the inverse of `_warm_integral`."""
         if self.started == -math.inf:
             return integral
         whole = self.warm_up * (1 + self.cold) / 2
         if integral >= whole:
             return self.started + self.warm_up + (integral - whole)
-        # the form of the root that neither takes the difference of two near numbers nor divides by the slope,
-        # which may be nothing, or without end
+        # This form of the root neither subtracts two nearly equal numbers nor divides by the slope, which may
+        # be zero or infinite.
         rise = 2 * (1 - self.cold) * (integral / self.warm_up)
         return self.started + 2 * integral / (self.cold + math.sqrt(self.cold**2 + rise))
 
     def work_done(self, now: float) -> float:
-        """Work of one core up to now."""
+        """Return the work that one core has done until now."""
         work, warm = self.base
         return work + self.factor * self.speed * (self._warm_integral(now) - warm)
 
     def time_of_work(self, work: float) -> float:
-        """When one core will have done so much, if the factor stays; infinite while it is halted."""
+        """Return when one core will have done this work if the factor stays; infinite while it is halted."""
         done, warm = self.base
         if work <= done:
             return self._time_of_integral(warm)
@@ -75,40 +73,40 @@
         return self._time_of_integral(warm + (work - done) / (self.factor * self.speed))
 
     def set_factor(self, now: float, factor: float) -> None:
-        """From now on the cores are so many times as fast."""
+        """Multiply the speed of the cores by `factor` from now on."""
         self.base = (self.work_done(now), self._warm_integral(now))
         self.factor = factor
 
 
 @dataclass(slots=True, eq=False)
 class WorkItem:
-    """One piece of work: a request that was taken."""
+    """One item of work: a request that was accepted."""
 
     work: float  # seconds of a core of speed 1
-    deadline: float  # when its client stops waiting
+    deadline: float  # time at which the client stops waiting
     request: object
-    finished: bool = False  # it has been cancelled or has ended
+    finished: bool = False  # whether it has been cancelled or has ended
 
 
 class CoreQueue:
-    """So many cores with a queue before them."""
+    """A number of cores with a common queue."""
 
     def __init__(self, cores: int, max_waiting: int, core_speed: CoreSpeed) -> None:
         self.cores = cores
         self.max_waiting = max_waiting
         self.core_speed = core_speed
         self.waiting: deque[WorkItem] = deque()
-        self.running: list[tuple[float, int, WorkItem]] = []  # by the work done at which each ends
+        self.running: list[tuple[float, int, WorkItem]] = []  # ordered by the work done at which each ends
         self.sequence = 0
-        self.cancelled_waiting = 0  # of those that wait
+        self.cancelled_waiting = 0  # number of cancelled items that are still in `waiting`
 
     @property
     def size(self) -> int:
-        """Pieces that run or wait."""
+        """The number of items that run or wait."""
         return len(self.running) + len(self.waiting) - self.cancelled_waiting
 
     def add(self, now: float, item: WorkItem) -> bool:
-        """Take a piece, unless the queue is full."""
+        """Queue an item and return True, or return False if the queue is full."""
         if len(self.running) < self.cores:
             self._run(self.core_speed.work_done(now), item)
             return True
@@ -122,7 +120,7 @@
         heapq.heappush(self.running, (done + item.work, self.sequence, item))
 
     def cancel(self, now: float, item: WorkItem) -> None:
-        """Stop working on a piece, or forget that it waits."""
+        """Stop working on an item, or remove it from the queue."""
         if item.finished:
             return
         item.finished = True
@@ -136,7 +134,7 @@
         self.cancelled_waiting += 1
 
     def _fill(self, done: float) -> None:
-        """Give free cores what waits."""
+        """Start waiting items on free cores."""
         while self.waiting and len(self.running) < self.cores:
             item = self.waiting.popleft()
             if item.finished:
@@ -145,15 +143,15 @@
                 self._run(done, item)
 
     def next_end(self) -> float:
-        """When the next piece ends; infinite when none will."""
+        """Return when the next item ends; infinite if none will."""
         return self.core_speed.time_of_work(self.running[0][0]) if self.running else math.inf
 
     def next_finished(self, now: float) -> WorkItem | None:
-        """The next piece that has ended by now, in order; None when no more has.
+        """Return the next item that has ended by now, in order, or None.
 
-        A core begins its next piece when it ended the last one, not when the caller came to ask.
+        A core starts its next item at the time when the last one ended, not at the time of this call.
         """
-        # a billionth of grace: a timer set for that very time may come a rounding early
+        # 1e-9 s of tolerance: a timer set for exactly this time may fire early by a rounding error.
         if not self.running or self.running[0][0] > self.core_speed.work_done(now) + 1e-9:
             return None
         done, _, item = heapq.heappop(self.running)
@@ -162,7 +160,7 @@
         return item
 
     def clear(self) -> None:
-        """Forget everything, as a process does that ends."""
+        """Remove all items, as the end of a process does."""
         self.waiting.clear()
         self.running.clear()
         self.cancelled_waiting = 0
--- a/myrtlecourse/fleet/datagram_network.py
+++ b/myrtlecourse/fleet/datagram_network.py
@@ -1,6 +1,6 @@
-"""The ways of datagrams from one router to another: lost, late, copied, cut; and their sockets.
+"""A network between routers that loses, delays, duplicates and cuts datagrams, and its sockets.
 
-What becomes of a datagram is drawn by the seed without I/O, for sockets and for virtual time alike.
+The fate of each datagram is drawn from the seed without I/O, both for sockets and for virtual time.
 """
 
 from __future__ import annotations
@@ -13,33 +13,34 @@
 from myrtlecourse.fleet.faults import Step
 from myrtlecourse.fleet.reserved_ports import ReservedPort, reserve
 
-Direction = tuple[str, str]  # from whom to whom
+Direction = tuple[str, str]  # sender and receiver
 
 
 class DatagramNetwork:
-    """What becomes of what is sent."""
+    """Decides the fate of each datagram."""
 
     def __init__(self, seed: int = 1) -> None:
         self.chance = random.Random(f"{seed} ways")
-        self.cuts: dict[str, frozenset[Direction]] = {}  # by a name for each: nothing comes through on these
-        self.loss = 0.0  # share of datagrams
-        self.copies = 0.0  # share that comes once more
+        self.cuts: dict[str, frozenset[Direction]] = {}  # by name: directions in which no datagram arrives
+        self.loss = 0.0  # share of datagrams that are lost
+        self.copies = 0.0  # share of datagrams that arrive twice
         self.delay = 0.0  # seconds at least
-        self.jitter = 0.0  # seconds more at most: those of two differ, so that they pass one another
+        # Upper bound in seconds of an additional delay that is drawn for each datagram and so reorders them.
+        self.jitter = 0.0
 
     def cut(self, name: str, directions: Iterable[Direction]) -> None:
-        """Cut some ways; with none, mend what was cut under that name."""
+        """Cut some directions under a name; an empty `directions` ends that cut."""
         self.cuts[name] = frozenset(directions)
         if not self.cuts[name]:
             del self.cuts[name]
 
     def split(self, names: Iterable[str], one: set[str]) -> None:
-        """Cut some routers off from the others, both ways."""
+        """Partition some routers from the others, in both directions."""
         each = list(names)
         self.cut("split", {(a, b) for a in each for b in each if (a in one) is not (b in one)})
 
     def delivery_delays(self, direction: Direction) -> list[float]:
-        """Seconds after which a datagram comes, once for each time that it does."""
+        """Return the delay in seconds of each copy of a datagram that arrives; empty if it is lost."""
         if any(direction in cut for cut in self.cuts.values()):
             return []
         if self.loss and self.chance.random() < self.loss:
@@ -48,17 +49,17 @@
         return [self.delay + (self.chance.random() * self.jitter if self.jitter else 0.0)] * times
 
 
-def apply_split(directions: DatagramNetwork, names: Iterable[str], step: Step) -> None:
-    """Let a scenario's split begin or end; one way, those it names hear and are not heard."""
-    some, each = set(step.routers), list(names)
-    cut = {(a, b) for a in each for b in each if (a in some) is not (b in some)}
+def apply_split(network: DatagramNetwork, names: Iterable[str], step: Step) -> None:
+    """Begin or end a scenario's split; in a one-way split the named routers receive but cannot send."""
+    named, each = set(step.routers), list(names)
+    cut = {(a, b) for a in each for b in each if (a in named) is not (b in named)}
     if step.value:
-        cut = {(a, b) for a, b in cut if a in some}
-    directions.cut(f"split {sorted(some)} {step.value}", cut if step.action == "split" else ())
+        cut = {(a, b) for a, b in cut if a in named}
+    network.cut(f"split {sorted(named)} {step.value}", cut if step.action == "split" else ())
 
 
 class Relay(asyncio.DatagramProtocol):
-    """The socket of one way."""
+    """The socket of one direction."""
 
     def __init__(self, relays: Relays, direction: Direction) -> None:
         self.relays = relays
@@ -66,42 +67,44 @@
         self.transport: asyncio.DatagramTransport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.DatagramTransport, transport)  # the loop's own is none by name
+        # asyncio's own class does not inherit from DatagramTransport
+        self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        there = self.relays.listen_addresses[self.direction[1]]
+        address = self.relays.listen_addresses[self.direction[1]]
         for pause in self.relays.network.delivery_delays(self.direction):
             if pause:
-                self.relays.loop.call_later(pause, self._send, data, there)
+                self.relays.loop.call_later(pause, self._send, data, address)
             else:
-                self._send(data, there)
+                self._send(data, address)
 
-    def _send(self, data: bytes, there: tuple[str, int]) -> None:
+    def _send(self, data: bytes, address: tuple[str, int]) -> None:
         if not self.transport.is_closing():
-            self.transport.sendto(data, there)
+            self.transport.sendto(data, address)
 
 
 class Relays:
-    """A socket for each way."""
+    """A socket for each direction between two routers."""
 
-    def __init__(self, directions: DatagramNetwork) -> None:
-        self.network = directions
-        self.listen_addresses: dict[str, tuple[str, int]] = {}  # where each router hears the others
-        self.send_addresses: dict[Direction, tuple[str, int]] = {}  # where to send for another
+    def __init__(self, network: DatagramNetwork) -> None:
+        self.network = network
+        self.listen_addresses: dict[str, tuple[str, int]] = {}  # where each router receives
+        # Where the first router sends to reach the second.
+        self.send_addresses: dict[Direction, tuple[str, int]] = {}
         self.transports: list[asyncio.DatagramTransport] = []
         self.reserved: list[ReservedPort] = []
 
     def reserve_addresses(self, names: Iterable[str]) -> dict[str, tuple[str, int]]:
-        """An address for each router to hear the others at, free just now.
+        """Return a free address for each router to receive at.
 
-        Each is kept from other fleets on this machine until these relays end.
+        Other fleets on this machine do not use these ports until `close`.
         """
-        found = {name: reserve() for name in names}
-        self.reserved += found.values()
-        return {name: each.address for name, each in found.items()}
+        ports = {name: reserve() for name in names}
+        self.reserved += ports.values()
+        return {name: each.address for name, each in ports.items()}
 
     async def open(self, listen_addresses: dict[str, tuple[str, int]]) -> None:
-        """Open a way between any two."""
+        """Open a relay for each pair of routers and direction."""
         self.listen_addresses = listen_addresses
         self.loop = asyncio.get_running_loop()
         for direction in [(a, b) for a in listen_addresses for b in listen_addresses if a != b]:
@@ -113,7 +116,7 @@
             self.send_addresses[direction] = transport.get_extra_info("sockname")
 
     def close(self) -> None:
-        """End them."""
+        """Close the sockets and release the ports."""
         for transport in self.transports:
             transport.close()
         for each in self.reserved:
--- a/myrtlecourse/fleet/discovery_server.py
+++ b/myrtlecourse/fleet/discovery_server.py
@@ -1,4 +1,4 @@
-"""Discovery on sockets: the list over HTTP/1.1, asked or watched; what it holds is `registry.py`'s."""
+"""Discovery on sockets: serves the list of `registry.py` over HTTP/1.1 to single calls and watches."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from myrtlecourse.fleet.registry import Entry, Registry, entry_to_json
 
 PATH = "/registry/instances"
-LONGEST_WAIT = 60.0  # seconds
-IDLE = 30.0  # seconds after which an idle connection is closed
+MAX_WAIT = 60.0  # seconds that a watch waits for a change
+IDLE_TIMEOUT = 30.0  # seconds after which an idle connection is closed
 
 
 class DiscoveryConnection(HttpConnection):
-    """A router's call, or its watch."""
+    """A router's connection for single calls and watches."""
 
     def __init__(self, port: Port, server: DiscoveryServer) -> None:
         super().__init__(port)
         self.server = server
         self.index: int | None = None
-        self.call_open = False  # one is out
+        self.call_open = False  # whether a call is waiting for its answer
         self.wait_timer: asyncio.TimerHandle | None = None
 
     def on_request(self, head: h11.Request, body: bytes) -> None:
@@ -39,11 +39,11 @@
             self.reply(404)
             return
         if not wait.isdigit() or after is not None and not after.isdigit():
-            self.reply(400, b"after and wait_ms are whole numbers")
+            self.reply(400, b"after and wait_ms must be whole numbers")
             return
         self.index = None if after is None else int(after)
         self._observe_call("begun")
-        self.server.call(self, min(LONGEST_WAIT, int(wait) / 1000))
+        self.server.call(self, min(MAX_WAIT, int(wait) / 1000))
 
     def _observe_call(self, how: str) -> None:
         if self.call_open is (how == "begun"):
@@ -68,7 +68,7 @@
 
 
 class DiscoveryServer:
-    """One service behind all routers: calls are worked through in turn, at so many lines a second."""
+    """The one service behind all routers: serves calls in order, at a limited rate of list entries."""
 
     def __init__(
         self, registry: Registry, lines_a_second: float, observe: Callable[[seen.Observation], None]
@@ -79,8 +79,8 @@
         self.ports: dict[str, Port] = {}
         self.addresses: dict[tuple[str, str], str] = {}  # by router and server
         self.waiting: set[DiscoveryConnection] = set()
-        self.removed_entries: dict[str, Entry] = {}  # no longer in the list
-        self.busy_until = 0.0  # when the calls so far are worked through
+        self.removed_entries: dict[str, Entry] = {}  # entries that are no longer in the list
+        self.busy_until = 0.0  # time at which all calls so far are served
         self.timer: asyncio.TimerHandle | None = None
         self.loop = asyncio.get_running_loop()
         self.epoch = time.time() - time.monotonic()
@@ -94,7 +94,7 @@
             await self.ports[router].listen()
 
     def schedule(self, at: float, entry: Entry) -> None:
-        """From that time on the list says so."""
+        """Change the list at the given time."""
         self.registry.schedule(at, entry)
         self._schedule()
 
@@ -121,7 +121,7 @@
         self._schedule()
 
     def call(self, connection: DiscoveryConnection, wait: float) -> None:
-        """A router asks: it is answered in its turn, a watch once there is something newer."""
+        """Queue a router's call; a watch is answered once the list is newer than the index it names."""
         self.waiting.add(connection)
         if not self._answer_if_new(connection):
             connection.wait_timer = self.loop.call_later(wait, self._answer, connection)
@@ -138,7 +138,7 @@
         return True
 
     def _answer(self, connection: DiscoveryConnection) -> None:
-        """Work through the call; what it is told is what stands when its turn comes."""
+        """Serve a call in its turn; the answer holds the list as it is then."""
         if connection not in self.waiting:
             return
         self.waiting.discard(connection)
@@ -148,12 +148,13 @@
         self.loop.call_later(self.busy_until - now, self._write, connection)
 
     def document(self, router: str, index: int | None) -> tuple[bytes, list[Entry]]:
-        """The list, or what is newer than an index, as one router is told it."""
+        """Return the whole list or the changes after an index, as a router's JSON document and as entries."""
         full, entries = self.registry.entries_after(index)
         endpoints = [entry_to_json(e, self.addresses[router, e.name], self.epoch) for e in entries]
         payload = {"index": self.registry.index, "snapshot": full, "endpoints": endpoints}
         if full:
-            entries = entries + list(self.removed_entries.values())  # told by its absence
+            # The whole list tells these by their absence.
+            entries = entries + list(self.removed_entries.values())
         return msgspec.json.encode(payload), entries
 
     def _write(self, connection: DiscoveryConnection) -> None:
@@ -167,22 +168,22 @@
         connection.answer(200, body)
 
     def stop_serving(self) -> None:
-        """Watches end and calls are refused."""
+        """End all watches and refuse calls."""
         for port in self.ports.values():
             port.stop()
 
     async def resume(self) -> None:
-        """Calls are taken again."""
+        """Accept calls again."""
         for port in self.ports.values():
             await port.listen()
 
     def drop_idle(self) -> None:
-        """Close what nobody asks on."""
+        """Close idle connections."""
         for port in self.ports.values():
-            port.drop_idle(time.monotonic() - IDLE)
+            port.drop_idle(time.monotonic() - IDLE_TIMEOUT)
 
     def close(self) -> None:
-        """The stand-in ends."""
+        """Stop serving and release the ports."""
         if self.timer is not None:
             self.timer.cancel()
         for port in self.ports.values():
--- a/myrtlecourse/fleet/faults.py
+++ b/myrtlecourse/fleet/faults.py
@@ -1,6 +1,6 @@
-"""A scenario's faults as single steps in time, drawn by its seed; no I/O.
+"""Converts the faults of a scenario into single steps in time; random choices follow the seed; no I/O.
 
-The same steps are played on sockets and in virtual time.
+The same steps are applied on sockets and in virtual time.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """What happens to one part of the fleet: `do` to `target` at so many seconds after the start.
+    """One change to a part of the fleet: `action` is applied to `target`, `at` seconds after the start.
 
-    `target` is a box, `origin`, `discovery`, `router-N` or `holder-DUTY-N` (who holds a duty when the fault
-    with that number begins); `value` is the factor of a pace, the share of spoilt answers, or how many
-    further signals come at a restart; `lasts` tells how long it will be so, where a later step ends it.
+    `target` is a cache server, `origin`, `discovery`, `router-N` or `holder-DUTY-N` (the holder of a duty
+    when fault number N begins). `value` is a speed factor, the share of corrupt answers, or the number of
+    further signals at a restart. `duration` is how long the effect lasts if a later step ends it.
     """
 
     at: float
@@ -26,24 +26,24 @@
     target: str
     value: float = 0.0
     duration: float = 0.0
-    routers: tuple[str, ...] = ()  # whom it concerns; none: all
+    routers: tuple[str, ...] = ()  # routers that it concerns; empty for all
 
 
-PEERS = "peers"  # the target of what happens between routers
+PEERS = "peers"  # the target of steps between routers
 
 
 def zone_of(scenario: scenarios.Scenario, number: int) -> str:
-    """The zone of a router, or of a box by its place among all boxes: in turns."""
+    """Return the zone of a router or of a cache server by its number; numbers go round the zones."""
     return scenario.zones[number % len(scenario.zones)]
 
 
 def holder_target(duty: str, number: int) -> str:
-    """Who holds a duty when a fault begins, by the fault's number."""
+    """Return the target that stands for the holder of a duty when the fault with this number begins."""
     return f"holder-{duty}-{number}"
 
 
 def steps(scenario: scenarios.Scenario) -> list[Step]:
-    """All steps in their order."""
+    """Return all steps of a scenario in the order of their times."""
     chance = random.Random(f"{scenario.seed} faults")
     result: list[Step] = []
     for number, fault in enumerate(scenario.faults):
@@ -62,7 +62,7 @@
     at = fault.at
 
     def begin_and_end(first: str, last: str, target: str, value: float = 0.0) -> list[Step]:
-        seconds: float = getattr(fault, "seconds")  # noqa: B009  (of those faults that last)
+        seconds: float = getattr(fault, "seconds")  # noqa: B009  (only faults with a duration get here)
         return [Step(at, first, target, value, seconds), Step(at + seconds, last, target)]
 
     match fault:
@@ -96,10 +96,10 @@
         case scenarios.Replace():
             return _replacement_steps(scenario, fault, chance)
         case scenarios.Hand():
-            # the restart lies in between, after the time in which routers may still send
+            # The restart comes late enough that routers which may still send have stopped.
             down = Step(at + fault.seconds * 0.8, "bounce", fault.box)
             return [Step(at, "offline", fault.box), down, Step(at + fault.seconds, "online", fault.box)]
-    return []  # a hot key is the load's part
+    return []  # hot keys belong to the load
 
 
 def _router_steps(fault: scenarios.Restart | scenarios.Upgrade | scenarios.Stall, number: int) -> list[Step]:
@@ -117,7 +117,7 @@
 
 
 def _process_steps(fault: scenarios.Reload | scenarios.Crowd) -> list[Step]:
-    """What comes to a router's process: signals, or a crowd."""
+    """Return the steps of faults that act on a router from outside: signals and idle clients."""
     target = f"router-{fault.router}"
     if isinstance(fault, scenarios.Reload):
         return [Step(fault.at + i * fault.pause, "reload", target) for i in range(fault.times)]
@@ -135,7 +135,7 @@
 def _partition_steps(
     scenario: scenarios.Scenario, fault: scenarios.Split | scenarios.Unreached, number: int
 ) -> list[Step]:
-    """What happens between some routers and the others, or some servers."""
+    """Return the steps of partitions between routers, or between routers and servers."""
     numbers = fault.routers or [n for n in range(scenario.routers) if zone_of(scenario, n) == fault.zone]
     routers = tuple(f"router-{n}" for n in numbers)
     if isinstance(fault, scenarios.Split) and fault.holder is not None:
@@ -177,7 +177,7 @@
 
 
 def hot_keys(scenario: scenarios.Scenario) -> tuple[HotKeys, ...]:
-    """What the load beside the fleet must ask for."""
+    """Return the hot keys that the load has to request."""
     return tuple(
         HotKeys(at=f.at, seconds=f.seconds, share=f.share, keys=f.keys)
         for f in scenario.faults
--- a/myrtlecourse/fleet/hollow_spread.py
+++ b/myrtlecourse/fleet/hollow_spread.py
@@ -1,14 +1,14 @@
-"""Many members of a spread in one process: real keepers on real sockets, and nothing of a router beside.
+"""Many members of a spread in one process: real drivers on real sockets, without the rest of a router.
 
-`python -m myrtlecourse.fleet.hollow_spread JOB.json` starts the members that the file names and says `ready`.
-It takes orders as lines on its standard input, and answers each with one line of JSON:
+`python -m myrtlecourse.fleet.hollow_spread JOB.json` starts the members that the file names and prints
+`ready`. It reads commands as lines from standard input and answers each with one line of JSON:
 
-    kill NAME...             let members vanish, without a word to anybody
-    start NAME...            start them anew, as processes that remember nothing but a log
-    take NAME TOKEN          let a control machine write the log under a token
-    send NAME RATE SECONDS   let it propose so many purges a second; answers when all are answered
-    figures                  what it took so far: processor time, bytes, memory
-    status NAME              as operators see it
+    kill NAME...             let members vanish without notice to the others
+    start NAME...            start them again, as processes with nothing but their logs
+    take NAME TOKEN          make a control node the leader under a token
+    send NAME RATE SECONDS   propose so many purges per second; answers when all are answered
+    figures                  processor time, bytes and memory used so far
+    status NAME              the status as operators see it
 """
 
 from __future__ import annotations
@@ -36,11 +36,11 @@
 
 
 class Job(Struct, forbid_unknown_fields=True, frozen=True):
-    """What one process plays."""
+    """The members of one process."""
 
-    spread: dict[str, Any]  # the table as members have it, without name, listen, duty and files
-    members: dict[str, str]  # that this process plays, and where each listens
-    folder: str  # of applied files and logs
+    spread: dict[str, Any]  # the table of the members without name, listen, duty and files
+    members: dict[str, str]  # the listening address of each member of this process
+    folder: str  # holds the files of applied entries and the logs
     applied: bool = True
 
 
@@ -51,13 +51,13 @@
         self.folder = Path(job.folder)
         self.listen = {name: parse_address(at) for name, at in job.members.items()}
         self.applied = job.applied
-        # any member does to read the table with, but for control machines, which want more
+        # Any member's name is valid for reading the table, except a control node's, which needs more fields.
         any_member = next(site["routers"][0]["name"] for site in job.spread["site"])
         table = msgspec.convert(job.spread | {"name": any_member}, Spread)
         self.settings, self.peers, self.keys = table.settings(), peer_addresses(table), read_keys(table)
         self.applied_bytes = table.applied_bytes
         self.drivers: dict[str, Driver] = {}
-        self.earlier_traffic = [0, 0]  # datagrams and bytes of members that are gone
+        self.earlier_traffic = [0, 0]  # datagrams and bytes of members that have been killed
 
     async def start(self, *names: str) -> None:
         """Start members."""
@@ -73,7 +73,7 @@
             await driver.start(self.listen[name], shared=False)
 
     async def kill(self, *names: str) -> None:
-        """Let members vanish: nothing more is said, heard or written."""
+        """Let members vanish: they no longer send, receive or write anything."""
         for name in names:
             driver = self.drivers.pop(name)
             self.earlier_traffic = [
@@ -81,7 +81,7 @@
                 self.earlier_traffic[1] + driver.bytes_sent,
             ]
             driver.leave()
-            driver.failure = "it has vanished"
+            driver.failure = "it was killed"
             for task in driver.tasks:
                 task.cancel()
             if driver.applied_log is not None:
@@ -91,66 +91,66 @@
                 driver.log_file.close()
 
     async def take(self, name: str, token: str) -> None:
-        """A duty without an election: whoever gives orders sees to it that one holds it."""
+        """Make a control node the leader without an election; the caller ensures that there is only one."""
         driver = self.drivers[name]
         driver.held_token = lambda: int(token)
         driver.gain_leadership(int(token))
 
     async def send(self, name: str, rate: str, seconds: str) -> dict[str, Any]:
-        """Propose purges at a steady rate."""
+        """Propose purges at a steady rate and wait for all answers."""
         driver, began, numbers = self.drivers[name], time.monotonic(), list[int]()
         count = round(float(rate) * float(seconds))
         answered, refused = asyncio.Event(), list[str]()
 
-        def answer(told: Acknowledge | Refuse) -> None:
-            if isinstance(told, Acknowledge):
-                numbers.append(told.number)
+        def on_answer(result: Acknowledge | Refuse) -> None:
+            if isinstance(result, Acknowledge):
+                numbers.append(result.number)
             else:
-                refused.append(told.reason)
+                refused.append(result.reason)
             if len(numbers) + len(refused) == count:
                 answered.set()
 
         for each in range(count):
             await asyncio.sleep(max(0.0, began + each / float(rate) - time.monotonic()))
-            driver.propose(Purge(os.urandom(8)), answer)
+            driver.propose(Purge(os.urandom(8)), on_answer)
         await answered.wait()
         return {"last": max(numbers, default=0), "refused": refused, "took": time.monotonic() - began}
 
     async def figures(self) -> dict[str, Any]:
-        """What it took since the process began."""
+        """Return the resources used since the process started."""
         used = resource.getrusage(resource.RUSAGE_SELF)
         pages = int(Path("/proc/self/statm").read_text().split()[1])
         return {
             "members": len(self.drivers),
             "cpu_s": used.ru_utime + used.ru_stime,
             "at": time.monotonic(),
-            "sent": self.earlier_traffic[0] + sum(k.sent for k in self.drivers.values()),
-            "bytes_sent": self.earlier_traffic[1] + sum(k.bytes_sent for k in self.drivers.values()),
+            "sent": self.earlier_traffic[0] + sum(d.sent for d in self.drivers.values()),
+            "bytes_sent": self.earlier_traffic[1] + sum(d.bytes_sent for d in self.drivers.values()),
             "resident_mb": pages * os.sysconf("SC_PAGE_SIZE") / 1e6,
-            "vouching": sum(k.status()["vouches"] for k in self.drivers.values()),
+            "vouching": sum(d.status()["vouches"] for d in self.drivers.values()),
         }
 
     async def status(self, name: str) -> dict[str, Any]:
-        """A member's, as operators see it."""
+        """Return a member's status as operators see it."""
         return self.drivers[name].status()
 
 
 async def serve(hollow: HollowMembers) -> None:
-    """Take orders until the input ends."""
+    """Execute commands until the input ends."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    orders: dict[str, Callable[..., Awaitable[dict[str, Any] | None]]] = {
+    commands: dict[str, Callable[..., Awaitable[dict[str, Any] | None]]] = {
         each.__name__: each
         for each in (hollow.kill, hollow.start, hollow.take, hollow.send, hollow.figures, hollow.status)
     }
     while line := await reader.readline():
-        verb, *words = line.decode().split()
-        print(json.dumps(await orders[verb](*words)), flush=True)
+        command, *arguments = line.decode().split()
+        print(json.dumps(await commands[command](*arguments)), flush=True)
 
 
 async def main(path: Path) -> None:
-    """Play what a job says."""
+    """Start the members of a job and serve commands."""
     hollow = HollowMembers(msgspec.json.decode(path.read_bytes(), type=Job))
     await hollow.start(*hollow.listen)
     print("ready", flush=True)
--- a/myrtlecourse/fleet/layout.py
+++ b/myrtlecourse/fleet/layout.py
@@ -1,6 +1,6 @@
-"""What a scenario's fleet consists of, and what discovery notices of a fault; no I/O.
+"""The parts of a scenario's fleet and the changes of the list that follow a fault; no I/O.
 
-The stand-in on sockets and the simulator take it from here.
+The stand-in fleet on sockets and the simulator both use it.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Layout:
-    """Names, zones and cells, the list at the start, and the settings of routers."""
+    """Names, zones and cells, the list at the start, and the settings of the routers."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -39,11 +39,11 @@
         return entries
 
     def group(self, name: str, kind: RequestClass) -> str:
-        """The boxes that drop each other's repeats of a class, by a name of theirs."""
+        """Return the name of the group of servers that recognise each other's repeats of a class."""
         return {"all": "all", "zone": f"zone {self.zones[name]}"}.get(kind.group, f"cell {self.cells[name]}")
 
     def server_model(self, name: str) -> CacheServerModel:
-        """A box as it stands at the start."""
+        """Return the model of a cache server as it is at the start."""
 
         def receipts(kind: RequestClass) -> WriteReceipts:
             return self.receipts.setdefault(self.group(name, kind), WriteReceipts())
@@ -52,17 +52,19 @@
         return CacheServerModel(name, self.kinds[name], scenario.rules, self.draws, receipts, cache_aside)
 
     def delays_from(self, zone: str) -> dict[str, float]:
-        """How far each router is from a zone, one way (seconds)."""
+        """Return the one-way delay from each router to a zone, in seconds."""
         return {
             router: 0.0 if zone_of(self.scenario, i) == zone else self.scenario.delay
             for i, router in enumerate(self.routers)
         }
 
-    def list_change(self, step: Step, now: float, started: float, listed: bool) -> tuple[float, Entry] | None:
-        """What discovery notices of a fault, and when; `listed` tells whether the box is in the list."""
+    def list_change(
+        self, step: Step, now: float, started_at: float, listed: bool
+    ) -> tuple[float, Entry] | None:
+        """Return the time and entry of the list's change after a step, or None; `listed`: as of now."""
         if step.target == ORIGIN:
-            return None  # it is no cache server, and stays in the list
-        discovery, entry = self.scenario.discovery, replace(self.entries[step.target], since=started)
+            return None  # the origin stays in the list
+        discovery, entry = self.scenario.discovery, replace(self.entries[step.target], since=started_at)
         match step.action:
             case "drain":
                 return now, replace(entry, status="terminating")
@@ -76,12 +78,12 @@
                 return now + discovery.added, entry
         return None
 
-    def list_addition(self, name: str, started: float) -> tuple[float, Entry]:
-        """When a box that has started is listed, and how."""
-        return started + self.scenario.discovery.added, replace(self.entries[name], since=started)
+    def list_addition(self, name: str, started_at: float) -> tuple[float, Entry]:
+        """Return when a server that has started is listed, and its entry."""
+        return started_at + self.scenario.discovery.added, replace(self.entries[name], since=started_at)
 
     def settings(self, number: int) -> dict[str, Any]:
-        """The settings that routers of this fleet have, in the form that hosts read."""
+        """Return the settings of a router, in the form of the configuration file."""
         scenario = self.scenario
         kinds = [k.name for k in scenario.kinds] + ([ORIGIN] if scenario.origin else [])
         classes = [
--- a/myrtlecourse/fleet/loopback_fleet.py
+++ b/myrtlecourse/fleet/loopback_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of a scenario on loopback, and its faults in their time."""
+"""The fleet of a scenario on loopback, with its faults at their times."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 from myrtlecourse.fleet.scenario import Scenario
 from myrtlecourse.fleet.server_models import Answer, AnswerKind, OriginModel
 
-SWEEP = 0.25  # seconds between looks for idle connections of origin and discovery
-MISSES = 100_000  # that wait for the origin's answer; the oldest are forgotten
+SWEEP_INTERVAL = 0.25  # seconds between checks for idle connections of origin and discovery
+MAX_PENDING_MISSES = 100_000  # misses that wait for the origin's answer; the oldest are dropped
 
 
 class Fleet:
-    """Boxes, origin and discovery of a scenario."""
+    """The cache servers, origin and discovery of a scenario."""
 
     def __init__(self, scenario: Scenario, observe: Callable[[seen.Observation], None]) -> None:
         self.scenario = scenario
@@ -48,15 +48,16 @@
         self.discovery = DiscoveryServer(self.registry, scenario.discovery.lines_a_second, observe)
         self.network = DatagramNetwork(scenario.seed)  # between routers
         self.relays = Relays(self.network)
-        self.duty_relays = Relays(self.network)  # of words on duties
-        self.missed_by: OrderedDict[str, list[CacheServer]] = (
-            OrderedDict()
-        )  # request: the boxes that lacked it
+        self.duty_relays = Relays(self.network)  # for the datagrams of duties
+        # By request: the servers that missed its value.
+        self.missed_by: OrderedDict[str, list[CacheServer]] = OrderedDict()
         self.timers: list[asyncio.TimerHandle] = []
         self.tasks: set[asyncio.Task[None]] = set()
-        self.holders_at_fault: dict[str, str] = {}  # who held a duty when a fault began
+        # The holder of a duty when a fault began, by the target that stands for it.
+        self.holders_at_fault: dict[str, str] = {}
         self.holder_of: Callable[[str], str] = lambda duty: ""
-        self.apply_to_routers: Callable[[Step], None] = lambda step: None  # whose processes are another's
+        # Applies steps to processes of routers, which the fleet does not own.
+        self.apply_to_routers: Callable[[Step], None] = lambda step: None
 
     def _make_server(self, name: str) -> CacheServer:
         group = partial(self.layout.group, name)
@@ -101,32 +102,32 @@
         self.discovery.drop_idle()
         if self.origin is not None:
             self.origin.drop_idle()
-        self.sweeping = self.loop.call_later(SWEEP, self._sweep)
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     def _record_miss(self, request: str, server: CacheServer) -> None:
-        """A box lacked what a request asked for: once the origin has answered, it is kept there."""
+        """Record a miss, so that the server stores the value once the origin has answered."""
         self.missed_by.setdefault(request, []).append(server)
-        while len(self.missed_by) > MISSES:
+        while len(self.missed_by) > MAX_PENDING_MISSES:
             self.missed_by.popitem(last=False)
 
     def _record_collapse(self, server: CacheServer) -> None:
-        """A box was pushed over; it stays down, which discovery notices."""
-        fall = Step(0.0, "crash", server.model.name, duration=math.inf)
-        self._update_list(fall)
+        """Schedule the removal of a collapsed server, which stays down, from the list."""
+        step = Step(0.0, "crash", server.model.name, duration=math.inf)
+        self._update_list(step)
 
     def _on_origin_answer(self, answer: Answer) -> None:
-        """The origin has answered."""
-        lacking = self.missed_by.pop(answer.request.id, [])
+        """Store the origin's answer at the servers that missed it; a write drops the value everywhere."""
+        missing_servers = self.missed_by.pop(answer.request.id, [])
         if answer.kind is AnswerKind.RECEIPT:
             for server in self.cache_servers.values():
                 server.model.memory.drop(answer.request.key)
         elif answer.kind is AnswerKind.HIT:
-            for server in lacking:
+            for server in missing_servers:
                 if server.running:
                     server.model.memory.put(time.monotonic(), answer.request.key, answer.version, answer.size)
 
     def configuration(self, number: int) -> dict[str, Any]:
-        """What the platform would tell a router (DEPLOY): where to find everything, and the settings."""
+        """Return the configuration of a router (DEPLOY): the addresses of everything, and the settings."""
         name = self.routers[number]
         known, _ = self.discovery.document(name, None)
         return {
@@ -140,21 +141,24 @@
         } | self._peer_configuration(name)
 
     def _peer_configuration(self, name: str) -> dict[str, Any]:
-        """Where operators call a router, and where it meets the others, if they do."""
-        told: dict[str, Any] = {"ops": "127.0.0.1:0"} if self.scenario.has_operator_work() else {}
+        """Return the addresses for operators' calls and for peers, if the scenario has them."""
+        addresses: dict[str, Any] = {"ops": "127.0.0.1:0"} if self.scenario.has_operator_work() else {}
         listen_addresses = self.relays.listen_addresses
         if listen_addresses:
-            each = [self.relays.send_addresses.get((name, other), listen_addresses[other]) for other in self.routers]
-            told["peer_listen"] = "{}:{}".format(*listen_addresses[name])
-            told["peers"] = [f"{host}:{port}" for host, port in each]
-        return told
+            each = [
+                self.relays.send_addresses.get((name, other), listen_addresses[other])
+                for other in self.routers
+            ]
+            addresses["peer_listen"] = "{}:{}".format(*listen_addresses[name])
+            addresses["peers"] = [f"{host}:{port}" for host, port in each]
+        return addresses
 
     def begin(self) -> None:
-        """The scenario's time begins now."""
+        """Start the scenario's time now."""
         self.timers = [self.loop.call_later(step.at, self.apply_step, step) for step in steps(self.scenario)]
 
     def apply_step(self, step: Step) -> None:
-        """Let one thing happen."""
+        """Apply one step."""
         step = self._resolve_holders(step)
         if step.target.startswith("router-"):
             self.apply_to_routers(step)
@@ -173,8 +177,10 @@
             self._apply_to_server(step, self.cache_servers[step.target])
 
     def _resolve_holders(self, step: Step) -> Step:
-        """The step with whoever held a duty, when its fault began, by name; nobody is taken for the first
-        router."""
+        """Return the step with targets that stand for the holder of a duty replaced by a router's name.
+
+        The holder is the one at the beginning of the fault, or the first router if there is none.
+        """
         for target in (step.target, *step.routers):
             if target.startswith("holder-") and target not in self.holders_at_fault:
                 duty = target.removeprefix("holder-").rpartition("-")[0]
@@ -205,15 +211,13 @@
                 self._run_in_background(self._start(server))
             case "bounce":
                 server.stop()
-                self._run_in_background(
-                    server.start()
-                )  # the list is not told: that is the operators' business
+                self._run_in_background(server.start())  # the list does not show it
         for port in server.ports.values():
             self._apply_to_port(step, port)
         self._update_list(step)
 
     def _apply_to_port(self, step: Step, port: Port) -> None:
-        """What a box's network does."""
+        """Apply a step that acts on a server's network."""
         match step.action:
             case "cut" | "join":
                 port.cut(step.action == "cut")
@@ -229,16 +233,18 @@
                 port.drop_idle(time.monotonic())
 
     def _update_list(self, step: Step) -> None:
-        """What discovery notices of it, and when."""
-        started = self.cache_servers[step.target].model.started_at
-        change = self.layout.list_change(step, time.monotonic(), started, step.target in self.registry.listed)
+        """Schedule the change of the list that follows a step."""
+        started_at = self.cache_servers[step.target].model.started_at
+        change = self.layout.list_change(
+            step, time.monotonic(), started_at, step.target in self.registry.listed
+        )
         if change is not None:
             self.discovery.schedule(*change)
 
     async def _start(self, server: CacheServer) -> None:
-        started = await server.start()
+        started_at = await server.start()
         if server.model.overload_by_router is None:
-            self.discovery.schedule(*self.layout.list_addition(server.model.name, started))
+            self.discovery.schedule(*self.layout.list_addition(server.model.name, started_at))
 
     def _run_in_background(self, work: Any) -> None:
         task = asyncio.ensure_future(work)
@@ -246,10 +252,10 @@
         task.add_done_callback(self.tasks.discard)
 
     def close(self) -> None:
-        """End all of it."""
+        """Stop all parts and release their ports."""
         for timer in self.timers:
             timer.cancel()
-        self.sweeping.cancel()
+        self.sweep_timer.cancel()
         for server in self.cache_servers.values():
             server.close()
         if self.origin is not None:
--- a/myrtlecourse/fleet/operators.py
+++ b/myrtlecourse/fleet/operators.py
@@ -1,4 +1,4 @@
-"""Operators of a stand-in fleet: they call routers, ask whether each is ready, and count what that took."""
+"""Operators of a stand-in fleet: they call routers, poll whether each is ready, and measure the answers."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from myrtlecourse.fleet.faults import Step
 from myrtlecourse.fleet.routers import CALL_TIME, READY_TIME, Router, RouterError
 
-READY_INTERVAL = 0.1  # seconds between two questions to a router
-RETRY_PAUSE = 0.05  # before a call is made again that was not answered with yes
-MOST_SAMPLES = 1_000_000  # of answers' times
+READY_INTERVAL = 0.1  # seconds between two readiness calls to a router
+RETRY_PAUSE = 0.05  # seconds before a call is repeated that did not succeed
+MAX_SAMPLES = 1_000_000  # answer times that are kept
 
 
 def process_usage(pid: int) -> tuple[float, int]:
-    """What a process holds: MB of its memory that is resident, and descriptors (Linux, proc(5))."""
+    """Return the resident memory of a process in MB and its number of open descriptors (Linux, proc(5))."""
     folder = Path(f"/proc/{pid}")
     pages = (folder / "status").read_text().split("VmRSS:")[1].split()[0]
     return int(pages) / 1024, sum(1 for _ in (folder / "fd").iterdir())
 
 
 class Operators:
-    """Whoever is on call for a fleet's routers."""
+    """The operators of a fleet's routers."""
 
     def __init__(self, routers: list[Router]) -> None:
         self.routers = routers
-        self.answer_times: list[float] = []  # seconds that answers took
+        self.answer_times: list[float] = []  # seconds
         self.unanswered = 0
-        self.memory = 0.0  # MB of all processes of one router together, at most
+        self.memory = 0.0  # MB of all processes of one router together, the highest value
         self.descriptors = 0
         self.faults: list[str] = []
         self.tasks = [asyncio.ensure_future(self._poll(router)) for router in routers]
@@ -48,15 +48,15 @@
                 if router.ops is not None and router.should_run:
                     self.unanswered += 1
             else:
-                if len(self.answer_times) < MOST_SAMPLES:
+                if len(self.answer_times) < MAX_SAMPLES:
                     self.answer_times.append(time.monotonic() - began)
             with suppress(OSError, IndexError):
-                each = [process_usage(pid) for pid in router.pids()]
-                self.memory = max(self.memory, sum(memory for memory, _ in each))
-                self.descriptors = max(self.descriptors, sum(count for _, count in each))
+                usage = [process_usage(pid) for pid in router.pids()]
+                self.memory = max(self.memory, sum(memory for memory, _ in usage))
+                self.descriptors = max(self.descriptors, sum(count for _, count in usage))
 
     async def change_service(self, router: Router, step: Step) -> None:
-        """Call for a box until the router says yes, as staff would: a process may just be ending."""
+        """Ban a server or lift the ban at a router; repeats the call, as a process may be just ending."""
         until = time.monotonic() + READY_TIME
         while time.monotonic() < until:
             with suppress(RouterError, OSError, ValueError, IndexError, TimeoutError):
@@ -65,15 +65,15 @@
                     router.observe(seen.BanAcknowledged(time.monotonic(), router.name, step.target, back))
                     return
             await asyncio.sleep(RETRY_PAUSE)
-        self.faults.append(f"{router.name} did not say yes to {step.action} {step.target}")
+        self.faults.append(f"{router.name} did not confirm {step.action} of {step.target}")
 
     def stop(self) -> None:
-        """Nobody asks any more."""
-        for each in self.tasks:
-            each.cancel()
+        """Stop polling."""
+        for task in self.tasks:
+            task.cancel()
 
     def figures(self) -> dict[str, Any]:
-        """What was measured: times in milliseconds, memory in MB; JSON-able."""
+        """Return the measurements for JSON: times in milliseconds, memory in MB."""
         times = np.array(self.answer_times or [0.0]) * 1000
         p50, p99 = np.quantile(times, [0.5, 0.99])
         return {
--- a/myrtlecourse/fleet/origin_server.py
+++ b/myrtlecourse/fleet/origin_server.py
@@ -1,4 +1,4 @@
-"""The origin on sockets: HTTP/1.1 in and out, with what it does left to `box.py`."""
+"""The origin on sockets: speaks HTTP/1.1 and leaves its behaviour to the model in `server_models.py`."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class HttpConnection(ServerConnection):
-    """An HTTP/1.1 connection of a stand-in: whole requests in, one answer each."""
+    """An HTTP/1.1 connection of a stand-in server: reads whole requests and answers each once."""
 
     def __init__(self, port: Port) -> None:
         super().__init__(port)
@@ -43,7 +43,7 @@
         return self.answer_owed or self.head is not None
 
     def on_request(self, head: h11.Request, body: bytes) -> None:
-        """A request has come whole."""
+        """Handle a request that has arrived completely."""
         raise NotImplementedError
 
     def on_data(self, data: bytes, began: float) -> None:
@@ -71,10 +71,10 @@
                     self.answer_owed = True
                     self.on_request(head, self.body)
                 case _:
-                    return  # no more has come, or the last answer is still owed
+                    return  # no more data, or the last answer is still owed
 
     def reply(self, status: int, body: bytes = b"", headers: list[tuple[bytes, bytes]] | None = None) -> None:
-        """Answer what was asked."""
+        """Answer the current request."""
         if self.transport.is_closing() or not self.open:
             return
         length = [(b"Content-Length", b"%d" % len(body))]
@@ -127,7 +127,7 @@
 
 
 class OriginServer:
-    """The origin, its ports, and what faults do to it."""
+    """The origin with its ports and the effects of faults on it."""
 
     def __init__(
         self,
@@ -146,7 +146,7 @@
         self.loop = asyncio.get_running_loop()
 
     async def listen(self, routers: dict[str, float]) -> None:
-        """Listen for each router, which is so many seconds away."""
+        """Listen for each router; `routers` gives the one-way delay to each in seconds."""
         for router, delay in routers.items():
             max_connections = self.model.origin.connections
             self.ports[router] = Port(
@@ -155,7 +155,7 @@
             await self.ports[router].listen()
 
     def accept(self, connection: OriginConnection, request: Request, began: float) -> WorkItem | None:
-        """A fetch or a write has come whole; None when it has been answered."""
+        """Accept a fully received fetch or write. Return None if it has been answered already."""
         now = time.monotonic()
         self.observe(attempt_received(request, NAME, began, request.request_class.group))
         item = self.model.arrive(now, request)
@@ -168,7 +168,7 @@
         return item
 
     def abandon(self, item: WorkItem) -> None:
-        """The router waits no more."""
+        """Handle that the router no longer waits."""
         assert isinstance(item.request, Request)
         self.connections.pop(item.request, None)
         self.model.abandon(time.monotonic(), item)
@@ -200,17 +200,17 @@
         self._schedule()
 
     def set_speed(self, factor: float) -> None:
-        """It works so many times as fast."""
+        """Multiply the normal speed by `factor`."""
         self.model.core_queue.core_speed.set_factor(time.monotonic(), factor)
         self._schedule()
 
     def drop_idle(self) -> None:
-        """Close what has stood idle for too long."""
+        """Close connections that have been idle for too long."""
         for port in self.ports.values():
             port.drop_idle(time.monotonic() - self.model.origin.idle)
 
     def close(self) -> None:
-        """The stand-in ends."""
+        """Stop the timer and release the ports."""
         if self.timer is not None:
             self.timer.cancel()
         for port in self.ports.values():
--- a/myrtlecourse/fleet/ports.py
+++ b/myrtlecourse/fleet/ports.py
@@ -1,6 +1,7 @@
-"""Listening sockets of a stand-in, one for each router, and what can go wrong with a connection.
+"""Listening sockets of stand-in servers, one for each router, and faults of their connections.
 
-A router is told addresses of its own: what comes in at one is from that router, whose distance it has.
+Each router is given addresses of its own: the port of a connection tells which router it comes from, and with
+it the delay.
 """
 
 from __future__ import annotations
@@ -18,33 +19,32 @@
 from myrtlecourse.fleet.reserved_ports import ReservedPort, reserve
 
 BACKLOG = 1024
-SO_ATTACH_FILTER, SO_DETACH_FILTER = 26, 27  # of Linux (socket(7)); not named in the socket module
-DROP_ALL = ctypes.create_string_buffer(
-    struct.pack("HBBI", 0x06, 0, 0, 0)
-)  # BPF: return 0 bytes of each packet
-PROGRAM = struct.pack("HL", 1, ctypes.addressof(DROP_ALL))
+SO_ATTACH_FILTER, SO_DETACH_FILTER = 26, 27  # Linux (socket(7)); the socket module has no names for them
+# BPF program that accepts 0 bytes of each packet.
+DROP_ALL = ctypes.create_string_buffer(struct.pack("HBBI", 0x06, 0, 0, 0))
+DROP_FILTER = struct.pack("HL", 1, ctypes.addressof(DROP_ALL))
 
 
 def set_packet_drop(target: socket.socket, cut: bool) -> None:
-    """Drop all that comes to a socket before TCP sees it, as a network does that is cut; or do so no more.
+    """Drop all packets that arrive at a socket, as a cut network does, or stop dropping them.
 
-    Nothing is acknowledged: the sender's kernel sends it again, and goes on doing so. Connections that are
-    being made don't come up.
+    TCP does not see the packets. Nothing is acknowledged, so the sender's kernel retransmits. Connections
+    that are being established do not come up.
     """
     if cut:
-        target.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, PROGRAM)
+        target.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, DROP_FILTER)
         return
-    with suppress(FileNotFoundError):  # mended before: two cuts may overlap
+    with suppress(FileNotFoundError):  # two cuts may overlap, and the first end removes the filter
         target.setsockopt(socket.SOL_SOCKET, SO_DETACH_FILTER, 0)
 
 
 def socket_of(transport: asyncio.Transport) -> socket.socket:
-    """A transport's socket, for its options."""
+    """Return a transport's socket."""
     return cast(socket.socket, transport.get_extra_info("socket"))
 
 
 class DelayedStream:
-    """One direction of a connection: gives what is put in after the delay, in order, its end last."""
+    """One direction of a connection: delivers data in order after a delay, and the end of the stream last."""
 
     def __init__(
         self, delay: float, deliver: Callable[[bytes, float], None], on_end: Callable[[], None]
@@ -57,7 +57,7 @@
         self.loop = asyncio.get_running_loop()
 
     def send(self, data: bytes | None, began: float | None = None) -> None:
-        """Send bytes on their way, or with None the end; `began` is when they came, unless that is now."""
+        """Send data, or the end of the stream with None; `began` is the arrival time, by default now."""
         began = time.monotonic() if began is None else began
         if not self.delay and not self.paused and not self.in_transit:
             self._deliver(data, began)
@@ -67,7 +67,7 @@
             self._schedule()
 
     def set_paused(self, paused: bool) -> None:
-        """Let nothing out, or let out what has come meanwhile."""
+        """Stop delivering, or deliver what has arrived meanwhile."""
         self.paused = paused
         if not paused and self.in_transit:
             self._schedule()
@@ -90,7 +90,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """A connection that a stand-in has accepted. What is its protocol's is in `took` and `busy`."""
+    """A connection that a stand-in server has accepted; subclasses implement the protocol."""
 
     def __init__(self, port: Port) -> None:
         self.port = port
@@ -98,25 +98,26 @@
         self.outgoing = DelayedStream(port.delay, self._write, self._close_transport)
         self.idle_since = time.monotonic()
         self.open = True
-        self.cut_at: float | None = None  # when the network was last cut, until something has come since
+        # Time of the latest cut of the network until data has arrived since.
+        self.cut_at: float | None = None
 
     def on_data(self, data: bytes, began: float) -> None:
-        """Bytes have come; `began` is when they did."""
+        """Handle data; `began` is the time at which it arrived."""
         raise NotImplementedError
 
     def is_busy(self) -> bool:
-        """Whether an answer is owed."""
+        """Return whether an answer is owed."""
         raise NotImplementedError
 
     def on_closed(self) -> None:
-        """The other side has gone, or it was closed."""
+        """Handle the end of the connection by either side."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.port.add(self)
 
     def data_received(self, data: bytes) -> None:
-        # what was written into a cut was sent then: its kernel has only now brought it through
+        # Data written during a cut was sent at that time; the sender's kernel delivers it only now.
         self.incoming.send(data, self.cut_at)
         self.cut_at = None
 
@@ -125,7 +126,7 @@
             self.on_data(data, began)
 
     def write(self, data: bytes) -> None:
-        """Answer; the connection is idle from now on, unless something waits behind."""
+        """Write an answer; the connection counts as idle from now on unless more requests are waiting."""
         self.idle_since = time.monotonic()
         self.outgoing.send(data)
 
@@ -134,7 +135,7 @@
             self.transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        # in its turn: a process that stood still reads what came before it sees that its client has gone
+        # Queued behind earlier data: a frozen process reads that before it sees the end of the connection.
         self.incoming.send(None)
 
     def _on_end(self) -> None:
@@ -144,30 +145,30 @@
             self.on_closed()
 
     def close(self) -> None:
-        """Close once what was written is out."""
+        """Close the connection after all written data has been sent."""
         self.outgoing.send(None)
 
     def _close_transport(self) -> None:
         self.transport.close()
 
     def drop(self) -> None:
-        """Reset, and forget at once, as a process that ends."""
+        """Reset the connection and forget it at once, as the end of a process does."""
         self.reset()
         self._on_end()
 
     def reset(self) -> None:
-        """End with a reset, whatever is out."""
+        """Reset the connection, whatever is still unsent."""
         if not self.transport.is_closing():
             socket_of(self.transport).setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.transport.abort()
 
     def freeze(self, frozen: bool) -> None:
-        """The process stands still: it acts on nothing. What comes is kept for later, with its time."""
+        """Freeze the process or let it continue; data that arrives meanwhile keeps its arrival time."""
         self.incoming.set_paused(frozen)
         self.outgoing.set_paused(frozen)
 
     def cut(self, cut: bool) -> None:
-        """The network between is cut, or whole again."""
+        """Cut the network between both sides, or restore it."""
         self.outgoing.set_paused(cut)
         self.cut_at = time.monotonic() if cut else self.cut_at
         if not self.transport.is_closing():
@@ -175,7 +176,7 @@
 
 
 class Port:
-    """Where one router finds a stand-in."""
+    """The address at which one router reaches a stand-in server."""
 
     def __init__(
         self,
@@ -185,12 +186,12 @@
         make_connection: Callable[[Port], ServerConnection],
     ) -> None:
         self.router = router
-        self.delay = delay  # seconds one way
-        self.max_connections = max_connections  # connections
+        self.delay = delay  # seconds, one way
+        self.max_connections = max_connections
         self.make_connection = make_connection
         self.connections: set[ServerConnection] = set()
-        self.reserved: ReservedPort | None = None  # from the first time it listens, until it is closed
-        self.should_listen = False  # to listen
+        self.reserved: ReservedPort | None = None  # from the first `listen` until `close`
+        self.should_listen = False  # False while it refuses connections
         self.server: asyncio.Server | None = None
         self.listen_lock = asyncio.Lock()
         self.frozen = False
@@ -198,11 +199,11 @@
 
     @property
     def number(self) -> int:
-        """The port, once it has listened; else 0."""
+        """The port number, or 0 before the first `listen`."""
         return 0 if self.reserved is None else self.reserved.number
 
     async def listen(self) -> None:
-        """Take connections; at the same address as before, if there was one."""
+        """Accept connections, at the same address as before if there was one."""
         self.should_listen = True
         async with self.listen_lock:
             if self.server is None and self.should_listen:
@@ -231,13 +232,13 @@
             self.server = None
 
     def close(self) -> None:
-        """End it, and give its port back."""
+        """Stop, and release the port."""
         self.stop()
         if self.reserved is not None:
             self.reserved.release()
 
     def add(self, connection: ServerConnection) -> None:
-        """A connection has come up."""
+        """Add a new connection, or reset it if there are too many."""
         if len(self.connections) >= self.max_connections:
             connection.reset()
             return
@@ -246,13 +247,13 @@
             connection.freeze(True)
 
     def freeze(self, frozen: bool) -> None:
-        """Halt or go on."""
+        """Freeze all connections or let them continue."""
         self.frozen = frozen
         for connection in list(self.connections):
             connection.freeze(frozen)
 
     def cut(self, cut: bool) -> None:
-        """Cut the network, or mend it."""
+        """Cut the network or restore it."""
         self.is_cut = cut
         if self.server is not None:
             set_packet_drop(self.listening_socket, cut)
@@ -265,13 +266,13 @@
             connection.reset()
 
     def drop_idle(self, before: float) -> None:
-        """Close what has been idle since before then."""
+        """Close connections that have been idle since before the given time."""
         for connection in list(self.connections):
             if not connection.is_busy() and connection.idle_since <= before:
                 connection.close()
 
     def stop(self) -> None:
-        """As a process that ends: nothing listens, everything is reset."""
+        """Stop listening and reset all connections, as the end of a process does."""
         self.refuse()
         for connection in list(self.connections):
             connection.drop()
--- a/myrtlecourse/fleet/registry.py
+++ b/myrtlecourse/fleet/registry.py
@@ -1,7 +1,7 @@
-"""The list of cache servers as discovery tells it: late, and in versions; no I/O, no clock.
+"""The list of cache servers as discovery publishes it: delayed and versioned; no I/O and no clock.
 
-Facts come in when they happen; they are listed when discovery notices them. A change has the index of the
-list that first holds it, so that whoever has seen an index can be told what is newer.
+Changes are scheduled when they happen and listed when discovery notices them. Each change has the index of
+the first list that contains it, so that a caller that names an index can be sent only what is newer.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-MAX_CHANGES = 1000  # changes; who is farther behind gets the whole list
+MAX_CHANGES = 1000  # changes that are kept; a caller that has missed more gets the whole list
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One server as it is listed; `since` is in seconds on the caller's clock, -inf for long ago."""
+    """The list's entry of one server; `since` is in seconds on the caller's clock, -inf for long ago."""
 
     name: str
     zone: str
@@ -28,7 +28,7 @@
 
 
 class Registry:
-    """The list and its changes."""
+    """The list and its latest changes."""
 
     def __init__(self, entries: list[Entry]) -> None:
         self.index = 1
@@ -38,16 +38,16 @@
         self.sequence = 0
 
     def schedule(self, at: float, entry: Entry) -> None:
-        """From that time on the list says so."""
+        """List this entry from the given time on."""
         self.sequence += 1
         heapq.heappush(self.pending, (at, self.sequence, entry))
 
     def next_change(self) -> float:
-        """When the list next changes; infinite when nothing is coming."""
+        """Return when the list next changes; infinite if no change is scheduled."""
         return self.pending[0][0] if self.pending else math.inf
 
     def advance(self, now: float) -> list[Entry]:
-        """List what has been noticed by now, as one change of the index; answers with what is new."""
+        """List the entries that are due as one change of the index and return those that changed."""
         new = []
         while self.pending and self.pending[0][0] <= now:
             entry = heapq.heappop(self.pending)[2]
@@ -64,7 +64,7 @@
         return new
 
     def entries_after(self, index: int | None) -> tuple[bool, list[Entry]]:
-        """Whether the whole list is told to one who has seen that index, and the entries for it."""
+        """Return whether a caller that has seen `index` gets the whole list, and the entries for it."""
         oldest = self.changes[0][0] if self.changes else self.index + 1
         if index is None or not 0 < index <= self.index or index < min(oldest, self.index) - 1:
             return True, list(self.listed.values())
@@ -72,7 +72,7 @@
 
 
 def entry_to_json(entry: Entry, address: str, epoch: float) -> dict[str, Any]:
-    """An entry in discovery's JSON; `epoch` is Unix time minus the caller's clock."""
+    """Return an entry in the JSON form of discovery; `epoch` is Unix time minus the caller's clock."""
     since = 0 if entry.since == -math.inf else round((entry.since + epoch) * 1000)
     return {
         "name": entry.name,
--- a/myrtlecourse/fleet/reserved_ports.py
+++ b/myrtlecourse/fleet/reserved_ports.py
@@ -1,8 +1,8 @@
-"""Ports on loopback for stand-ins, each reserved against all other stand-ins of this machine.
+"""Ports on loopback for stand-in servers, each reserved against all other stand-ins of this machine.
 
-A reservation is a socket of the abstract Unix namespace that is named after the port (unix(7)): it says
-nothing about the port itself, which its owner may bind, close and bind again, and the kernel drops it when
-the process ends.
+A reservation is a socket of the abstract Unix namespace that is named after the port (unix(7)). It does not
+occupy the port itself, which its owner may bind, close and bind again, and the kernel removes it when the
+process ends.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from collections import deque
 
 HOST = "127.0.0.1"
-PORTS = (10_000, 30_000)  # below those that the system gives out by itself
+PORTS = (10_000, 30_000)  # below the range of ephemeral ports
 PREFIX = "\0myrtlecourse port "
-RECENT = 200  # reservations behind `free`
+RECENT = 200  # latest reservations of `free_address`
 
 
 class ReservedPort:
-    """A port that no other stand-in draws until it is released."""
+    """A port that no other stand-in uses until it is released."""
 
     def __init__(self, number: int) -> None:
-        """Reserve it. Raises OSError with EADDRINUSE if it is reserved or bound, by whomever."""
+        """Reserve a port. Raises OSError with EADDRINUSE if it is reserved or bound by any process."""
         self.number = number
         self._reservation = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         try:
@@ -34,11 +34,11 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Its host and number."""
+        """The host and port number."""
         return HOST, self.number
 
     def release(self) -> None:
-        """Let others draw it."""
+        """Release the reservation."""
         self._reservation.close()
 
 
@@ -50,7 +50,7 @@
 
 
 def reserve() -> ReservedPort:
-    """Reserve a port at random. Raises OSError if the system has no more sockets."""
+    """Reserve a random port. Raises OSError if the system has no more sockets."""
     chance = random.SystemRandom()
     while True:
         try:
@@ -64,9 +64,9 @@
 
 
 def free_address() -> tuple[str, int]:
-    """An address that is free just now, for a process that is told where to listen.
+    """Return an address that is free now, for a process that is given its address to listen at.
 
-    It stays reserved until so many more were given that its owner's test is over.
+    It stays reserved until RECENT more addresses were returned; the test that uses it is over by then.
     """
     if len(_recent) == RECENT:
         _recent.popleft().release()
--- a/myrtlecourse/fleet/routers.py
+++ b/myrtlecourse/fleet/routers.py
@@ -1,4 +1,4 @@
-"""Real routers as processes before a stand-in fleet: started, ended, killed and started again."""
+"""Real routers as processes in front of a stand-in fleet: started, ended, killed and restarted."""
 
 from __future__ import annotations
 
@@ -20,29 +20,27 @@
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.fleet.faults import Step
 
-# as `run` in the deploy file: a new configuration in the midst of a start ends no process
+# As `run` in the deploy file: a SIGHUP for a new configuration during a start ends no process.
 COMMAND = shlex.join(["sh", "-c", f"trap '' HUP; exec {shlex.quote(sys.executable)} -m myrtlecourse"])
-START_TIME = 30.0  # seconds to listen
-LONGEST_DEADLINE = 3.0  # seconds, of those that count for a router's end (PROTOCOL)
-KILL_GRACE = 0.7  # seconds after SIGTERM and the longest deadline, at which SIGKILL comes at the earliest
-HALF_A_COMMAND = b"*4\r\n$5\r\nC.GET\r\n$3\r\nke"
+START_TIME = 30.0  # seconds until a router listens
+LONGEST_DEADLINE = 3.0  # seconds; the longest deadline that counts for a router's end (PROTOCOL)
+KILL_GRACE = 0.7  # seconds; SIGKILL comes no earlier than this after SIGTERM and the longest deadline
+PARTIAL_COMMAND = b"*4\r\n$5\r\nC.GET\r\n$3\r\nke"
 LISTENING = b"listening on "
 TAKES_CALLS = b"operators call "
-CALL_TIME = 1.0  # seconds in which a call is owed its answer
-SIGNAL_PAUSE = 0.02  # seconds between two of a series
-READY_TIME = 6.0  # seconds in which a router that is started beside itself has to be ready
-
-
+CALL_TIME = 1.0  # seconds in which a call must be answered
+SIGNAL_PAUSE = 0.02  # seconds between two signals of a series
+READY_TIME = 6.0  # seconds in which the new process of an upgrade must be ready
 RETURN_LINE = re.compile(r"^(\S+ \S+) INFO zones coming back: (.*)$", re.MULTILINE)
 EXIT_LINE = re.compile(r"^(\S+ \S+) INFO zones left: (.*)$", re.MULTILINE)
 
 
 class RouterError(RuntimeError):
-    """A router that did not start, or ended by itself; the message holds the end of its log."""
+    """A router did not start, or exited unexpectedly; the message holds the end of its log."""
 
 
 class Router:
-    """One router's process, under the same name and address each time it is started."""
+    """One router's process; each start uses the same name and address."""
 
     def __init__(
         self, name: str, command: str, folder: Path, observe: Callable[[seen.Observation], None]
@@ -53,28 +51,29 @@
         self.log = folder / f"{name}.log"
         self.observe = observe
         self.process: asyncio.subprocess.Process | None = None
-        self.previous_process: asyncio.subprocess.Process | None = None  # that it took over from
+        # The process that an upgrade replaces.
+        self.previous_process: asyncio.subprocess.Process | None = None
         self.address: tuple[str, int] = ("127.0.0.1", 0)
-        self.should_run = False  # it is to run
-        self.end_time = LONGEST_DEADLINE + KILL_GRACE  # seconds after SIGTERM until SIGKILL
+        self.should_run = False  # False while it is not started or is meant to end
+        self.end_time = LONGEST_DEADLINE + KILL_GRACE  # seconds from SIGTERM to SIGKILL
         self.crashes = 0
-        self.temporary_folder = folder / f"{name}.tmp"  # common to its processes
-        self.listening_socket: socket.socket | None = (
-            None  # held for them, where they are started beside themselves
-        )
+        self.temporary_folder = folder / f"{name}.tmp"  # shared by its processes
+        # Inherited by its processes if the scenario upgrades routers.
+        self.listening_socket: socket.socket | None = None
         self.ops: tuple[str, int] | None = None
-        self.operators_file: Path | None = None  # the operators' file
-        self.ready_delays: list[float] = []  # seconds from each upgrade's start to its yes
+        self.operators_file: Path | None = None
+        # Seconds from the start of each upgrade until the new process was ready.
+        self.ready_delays: list[float] = []
 
     def configure(self, configuration: dict[str, Any]) -> None:
-        """What the platform tells it, with the address that it has had before."""
+        """Write the configuration that the platform gives it, with the address of earlier starts."""
         listen = f"{self.address[0]}:{self.address[1]}"
         longest = max(each["giveUp"] for each in configuration["settings"]["classes"])
         self.end_time = min(LONGEST_DEADLINE, longest) + KILL_GRACE
         self.config.write_text(json.dumps(configuration | {"listen": listen}))
 
     def open_listening_socket(self) -> None:
-        """Listen for its processes, which inherit the socket; nothing waits in none of them then."""
+        """Open a listening socket for its processes to inherit; new connections wait in no single process."""
         self.listening_socket = socket.create_server(self.address, backlog=512)
         self.address = self.listening_socket.getsockname()
         self.temporary_folder.mkdir(exist_ok=True)
@@ -88,8 +87,8 @@
             environment["TMPDIR"] = str(self.temporary_folder)
         return environment
 
-    async def start(self, beside: asyncio.subprocess.Process | None = None) -> None:
-        """Start it, and wait until it listens and, where operators call, until it takes their calls."""
+    async def start(self, replaced: asyncio.subprocess.Process | None = None) -> None:
+        """Start the process and wait until it listens and, if operators call it, accepts their calls."""
         written = self.log.stat().st_size if self.log.exists() else 0
         with self.log.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
@@ -100,8 +99,9 @@
                 stdout=log,
                 stderr=log,
             )
-        if beside is None:
-            # before it can send anything: what is known of the process before holds not for this one
+        if replaced is None:
+            # Observed before the process can send anything: knowledge of the previous process does not apply
+            # to this one.
             self.observe(seen.RouterUp(time.monotonic(), self.name))
         self.should_run = True
         until = time.monotonic() + START_TIME
@@ -118,14 +118,14 @@
         self.watch = asyncio.create_task(self._watch(self.process))
 
     def pids(self) -> list[int]:
-        """Its processes that run: two while it is started beside itself."""
-        each = [p for p in (self.process, self.previous_process) if p is not None and p.returncode is None]
-        return [p.pid for p in each]
+        """Return the ids of its running processes: two during an upgrade."""
+        running = [p for p in (self.process, self.previous_process) if p is not None and p.returncode is None]
+        return [p.pid for p in running]
 
     async def call(self, method: str, path: str) -> int:
-        """An operator's call; answers with its status."""
+        """Make an operator's call and return its status. Raises RouterError, OSError or TimeoutError."""
         if self.ops is None:
-            raise RouterError(f"{self.name} takes no calls")
+            raise RouterError(f"{self.name} accepts no operators' calls")
         async with asyncio.timeout(CALL_TIME):
             reader, writer = await asyncio.open_connection(*self.ops)
             writer.write(f"{method} /control/{path} HTTP/1.1\r\nHost: {self.name}\r\n\r\n".encode())
@@ -134,16 +134,18 @@
         return int(answer.split(b" ", 2)[1])
 
     async def upgrade(self) -> None:
-        """Start it again beside itself; the old process is asked to end when the new one says yes.
+        """Start a second process and ask the old one to end once the new one is ready.
 
-        It is one router to everyone else: nothing of it is observed.
+        All others see one router throughout: nothing is observed. Raises RouterError.
         """
         old, began = self.process, time.monotonic()
         self.previous_process = old
-        await self.start(beside=old)
+        await self.start(replaced=old)
         while await self.call("GET", "ready") != 200:
             if time.monotonic() > began + READY_TIME:
-                raise RouterError(f"{self.name} started beside itself and was not ready in {READY_TIME:g} s")
+                raise RouterError(
+                    f"{self.name}: the new process was not ready within {READY_TIME:g} s of an upgrade"
+                )
             await asyncio.sleep(0.05)
         self.ready_delays.append(time.monotonic() - began)
         if old is not None and old.returncode is None:
@@ -155,56 +157,57 @@
                 await old.wait()
 
     async def _watch(self, process: asyncio.subprocess.Process) -> None:
-        """Notice when it ends by itself: what it held is lost, and counts so."""
+        """Notice that the process exits unexpectedly; its requests are lost and count as such."""
         await process.wait()
         if self.should_run and process is self.process:
             self.crashes += 1
             self.observe(seen.RouterDown(time.monotonic(), self.name, False))
 
     def stall(self, stopped: bool) -> None:
-        """Let its process stand still, or go on."""
+        """Stop the process, or let it continue."""
         if self.process is not None:
             self._signal(self.process, signal.SIGSTOP if stopped else signal.SIGCONT)
 
     def reload(self) -> None:
-        """Tell its process to read its configuration anew."""
+        """Tell the process to reload its configuration."""
         if self.process is not None:
             self._signal(self.process, signal.SIGHUP)
 
     @staticmethod
     def _signal(process: asyncio.subprocess.Process, which: signal.Signals) -> None:
-        """Send a signal to a process that runs.
+        """Send a signal to a running process.
 
-        Not by the process object, which looks whether it has ended and so takes its exit code from the loop.
+        This does not use the process object, which polls for the end of the process and so takes its exit
+        code from the event loop.
         """
         if process.returncode is None:
             with suppress(ProcessLookupError):
                 os.kill(process.pid, which)
 
     async def _signal_series(self, process: asyncio.subprocess.Process, count: int) -> None:
-        """SIGHUP and SIGTERM by turns, in quick succession, beside its end."""
+        """Send SIGHUP and SIGTERM in turn, in quick succession, while the process ends."""
         for number in range(count):
             self._signal(process, signal.SIGTERM if number % 2 else signal.SIGHUP)
             await asyncio.sleep(SIGNAL_PAUSE)
 
     async def open_idle_clients(self, clients: int, begun: bool, seconds: float) -> None:
-        """Clients that come all at once, say nothing or half a command, and stay for so long."""
-        come = [self._idle_client(begun, seconds) for _ in range(clients)]
-        await asyncio.gather(*come, return_exceptions=True)
+        """Connect many clients at once that send nothing or half a command and stay for `seconds`."""
+        connections = [self._idle_client(begun, seconds) for _ in range(clients)]
+        await asyncio.gather(*connections, return_exceptions=True)
 
     async def _idle_client(self, begun: bool, seconds: float) -> None:
         async with asyncio.timeout(seconds):
             reader, writer = await asyncio.open_connection(*self.address)
             try:
                 if begun:
-                    writer.write(HALF_A_COMMAND)
+                    writer.write(PARTIAL_COMMAND)
                 while await reader.read(1024):
                     pass
             finally:
                 writer.close()
 
     async def end(self, kill: bool, signals: int = 0) -> None:
-        """Kill it, or ask it to end, with further signals beside; SIGKILL comes once its time is over."""
+        """Kill the process, or ask it to end and send further signals; SIGKILL follows after `end_time`."""
         if self.process is None or self.process.returncode is not None:
             return
         self.should_run = False
@@ -225,24 +228,24 @@
 
 
 def zone_returns(log: Path) -> list[tuple[float, dict[str, float]]]:
-    """When a router said how much counts of zones that come back, on the machine's monotonic clock."""
+    """Return the logged shares of returning zones, with times on the machine's monotonic clock."""
     offset = time.time() - time.monotonic()
-    failures = []
-    for at, told in RETURN_LINE.findall(log.read_text()):
+    result = []
+    for at, shares in RETURN_LINE.findall(log.read_text()):
         wall = datetime.strptime(at, "%Y-%m-%d %H:%M:%S,%f").timestamp()
-        each = [] if told == "none" else [word.rpartition("=") for word in told.split()]
-        failures.append((wall - offset, {zone: float(share) for zone, _, share in each}))
-    return failures
+        words = [] if shares == "none" else [word.rpartition("=") for word in shares.split()]
+        result.append((wall - offset, {zone: float(share) for zone, _, share in words}))
+    return result
 
 
 def zone_exits(log: Path) -> list[tuple[float, frozenset[str]]]:
-    """When a router said that it leaves zones, on the machine's monotonic clock, and which."""
+    """Return the logged zones that a router has left, with times on the machine's monotonic clock."""
     offset = time.time() - time.monotonic()
-    failures = []
+    result = []
     for at, names in EXIT_LINE.findall(log.read_text()):
         wall = datetime.strptime(at, "%Y-%m-%d %H:%M:%S,%f").timestamp()
-        failures.append((wall - offset, frozenset(names.split(", ")) - {"none"}))
-    return failures
+        result.append((wall - offset, frozenset(names.split(", ")) - {"none"}))
+    return result
 
 
 class Routers:
@@ -252,13 +255,13 @@
         self, names: list[str], command: str, folder: Path, observe: Callable[[seen.Observation], None]
     ) -> None:
         self.members = [Router(name, command, folder, observe) for name in names]
-        self.restarts: set[asyncio.Task[None]] = set()
+        self.tasks: set[asyncio.Task[None]] = set()
         self.faults: list[str] = []
 
     async def start(
         self, configuration: Callable[[int], dict[str, Any]], operators: Callable[[str], Path] | None = None
     ) -> None:
-        """Start all, side by side; `operators` gives each its operators' file."""
+        """Start all routers concurrently; `operators` returns the operators' file of each."""
         for number, router in enumerate(self.members):
             if operators is not None:
                 router.operators_file = operators(router.name)
@@ -266,14 +269,14 @@
                 router.open_listening_socket()
             router.configure(configuration(number))
         await asyncio.gather(*(router.start() for router in self.members))
-        for number, router in enumerate(self.members):  # at the same address from now on
+        for number, router in enumerate(self.members):  # with the address that each has from now on
             router.configure(configuration(number))
 
     def apply_step(self, step: Step) -> None:
-        """Restart one, kill it and start it again, or start it beside itself."""
+        """Apply a step to its router: a signal, idle clients, a restart or an upgrade."""
         router = self.members[int(step.target.rpartition("-")[2])]
         if step.action == "go_on":
-            router.stall(False)  # also one that was told to end since: nothing else would let it go on
+            router.stall(False)  # also if it was asked to end since: nothing else would let it continue
             return
         if not router.should_run:
             return  # it is ending or starting already
@@ -296,10 +299,10 @@
         self.run_in_background(self._restart(router, step))
 
     def run_in_background(self, work: Coroutine[Any, Any, None]) -> None:
-        """Do something beside the rest; it is waited for at the end."""
+        """Run a task in the background; `end` waits for it."""
         task = asyncio.ensure_future(work)
-        self.restarts.add(task)
-        task.add_done_callback(self.restarts.discard)
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
 
     async def _upgrade(self, router: Router) -> None:
         try:
@@ -315,15 +318,15 @@
             self.faults.append(str(e))
 
     async def end(self) -> None:
-        """End all."""
-        if self.restarts:
-            await asyncio.wait(self.restarts)
+        """End all routers."""
+        if self.tasks:
+            await asyncio.wait(self.tasks)
         await asyncio.gather(*(router.end(kill=False) for router in self.members))
 
     def failures(self) -> list[str]:
-        """What went wrong with the processes themselves."""
+        """Return what went wrong with the processes themselves."""
         crashed = [
-            f"{r.name} ended by itself, or not with 0 ({r.crashes} times): see {r.log}"
+            f"{r.name} exited unexpectedly or with a nonzero code ({r.crashes} times): see {r.log}"
             for r in self.members
             if r.crashes
         ]
--- a/myrtlecourse/fleet/server_models.py
+++ b/myrtlecourse/fleet/server_models.py
@@ -1,7 +1,8 @@
-"""A cache box, and the origin behind it, as they behave: what they keep, how long they take, when they fall.
+"""Models of a cache server and of the origin behind it: stored values, service times, collapse under load.
 
-No I/O and no clock: times are seconds on the caller's clock, and what is random is drawn from the scenario's
-seed and the request's id, so that the same requests meet the same box in a simulator and on sockets.
+The models do no I/O and read no clock: times are seconds on the caller's clock. Random values are drawn from
+the scenario's seed and the request's id, so that the same requests meet the same behaviour in the simulator
+and on sockets.
 """
 
 from __future__ import annotations
@@ -17,25 +18,28 @@
 from myrtlecourse.fleet.core_queue import CoreQueue, CoreSpeed, WorkItem
 from myrtlecourse.fleet.scenario import Origin, RequestClass, ServerKind
 
-OVERLOAD_SLACK = 0.1  # of the budget of a window, for chance
+OVERLOAD_SLACK = 0.1  # share of the work budget of a window that is added for chance
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class Request:
-    """What comes to a box or the origin: one attempt of a router. Each is itself alone, whatever its id."""
+    """One attempt of a router as it arrives at a server.
+
+    Requests are compared by identity, as two attempts may have the same id.
+    """
 
     id: str
     key: str
     request_class: RequestClass
     router: str
     write: bool = False
-    idempotency: str = ""  # a keyed write's key
-    time_left: float = 1.0  # for which its router will wait
-    new_connection: bool = False  # first on a new connection
+    idempotency: str = ""  # idempotency key of a keyed write, or empty
+    time_left: float = 1.0  # seconds that the router will wait for the answer
+    new_connection: bool = False  # whether it is the first request on its connection
 
 
 class AnswerKind(Enum):
-    """What a box answers."""
+    """The kinds of answers of a server."""
 
     HIT = "hit"
     MISS = "miss"
@@ -46,24 +50,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """An answer: to which request, what, and the value's version and size."""
+    """An answer with the request that it belongs to and the version and size of the value."""
 
     request: Request
     kind: AnswerKind
     version: int = 0
     size: int = 0
-    executed: bool = False  # a write took effect, and not only its receipt was found
+    executed: bool = False  # whether a write took effect, rather than its receipt being found
 
 
 class WriteReceipts:
-    """What a group of servers knows of keyed writes: each key's receipt, for its window."""
+    """The receipts of keyed writes that a group of servers shares, each kept for its class's window."""
 
     def __init__(self) -> None:
-        self.expires_at: OrderedDict[str, float] = OrderedDict()  # by key, until when, oldest first
+        self.expires_at: OrderedDict[str, float] = OrderedDict()  # by idempotency key, the oldest first
         self.last_version = 0
 
     def record_write(self, now: float, key: str, window: float) -> bool:
-        """Whether a write with this key runs; a repeat within its window does not. No key: it always does."""
+        """Return whether a write is executed: always without a key, else unless the key repeats in its window."""
         while self.expires_at and next(iter(self.expires_at.values())) <= now:
             self.expires_at.popitem(last=False)
         if key and self.expires_at.get(key, -math.inf) > now:
@@ -76,16 +80,17 @@
 
 
 class CacheMemory:
-    """The values a box keeps: least recently used ones go first (LRU), old ones are not found."""
+    """The values of a cache server: evicts the least recently used ones (LRU) and expires old ones."""
 
     def __init__(self, max_bytes: int, ttl: float) -> None:
         self.max_bytes = max_bytes
         self.ttl = ttl
-        self.entries: OrderedDict[str, tuple[int, int, float]] = OrderedDict()  # version, bytes, until
+        # Version, bytes and time of expiry.
+        self.entries: OrderedDict[str, tuple[int, int, float]] = OrderedDict()
         self.size = 0
 
     def get(self, now: float, key: str) -> tuple[int, int] | None:
-        """A value's version and size."""
+        """Return the version and size of a value, or None if it is missing or expired."""
         found = self.entries.get(key)
         if found is None:
             return None
@@ -96,7 +101,7 @@
         return found[:2]
 
     def put(self, now: float, key: str, version: int, size: int) -> None:
-        """Keep a value, in place of what was used longest ago."""
+        """Store a value and evict the least recently used ones that no longer fit."""
         self.drop(key)
         if size > self.max_bytes:
             return
@@ -106,33 +111,35 @@
             self.drop(next(iter(self.entries)))
 
     def drop(self, key: str) -> None:
-        """Forget a value."""
+        """Remove a value."""
         found = self.entries.pop(key, None)
         if found is not None:
             self.size -= found[1]
 
 
 class RandomDraws:
-    """What chance gives a request: its work and whether it fails. The same id gets the same."""
+    """Random properties of a request: its work and whether it fails. Equal ids give equal values."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
 
     def work_of(self, request: Request) -> float:
-        """Lognormal, with the class's mean."""
-        kind = request.request_class
-        if not kind.work or not kind.spread:
-            return kind.work
-        chance = random.Random(f"{self.seed} work {request.id}")
-        return kind.work * math.exp(chance.gauss(-(kind.spread**2) / 2, kind.spread))
+        """Return the work of a request in seconds of a core; lognormal with the mean of its class."""
+        request_class = request.request_class
+        if not request_class.work or not request_class.spread:
+            return request_class.work
+        generator = random.Random(f"{self.seed} work {request.id}")
+        return request_class.work * math.exp(
+            generator.gauss(-(request_class.spread**2) / 2, request_class.spread)
+        )
 
-    def should_fail(self, request: Request, where: str, share: float) -> bool:
-        """Whether this attempt ends in an error."""
-        return bool(share) and random.Random(f"{self.seed} {where} {request.id}").random() < share
+    def should_fail(self, request: Request, server: str, share: float) -> bool:
+        """Return whether this attempt ends in an error."""
+        return bool(share) and random.Random(f"{self.seed} {server} {request.id}").random() < share
 
 
 class CacheServerModel:
-    """One cache box."""
+    """Model of one cache server."""
 
     def __init__(
         self,
@@ -148,27 +155,25 @@
         self.kind = kind
         self.rules = rules
         self.draws = draws
-        self.receipts = receipts  # of the group that drops each other's repeats of a class
-        self.cache_aside = cache_aside  # what it lacks is its router's to get
-        self.max_load_ratio = 0.0  # to falling over, 1 at the limit
+        self.receipts = receipts  # returns the receipts of the group that recognises repeats of a class
+        self.cache_aside = cache_aside  # whether routers fetch missing values from the origin
+        self.max_load_ratio = 0.0  # highest work offered while cold, as a share of what makes it collapse
         self.start(started_at)
 
     def start(self, now: float) -> None:
-        """Begin as a new process: empty and, unless it has run for ever, cold."""
+        """Start a new process: empty and, unless it started at -inf, cold."""
         self.started_at = now
         core_speed = CoreSpeed(self.kind.speed, now, self.kind.cold, self.kind.warm_up)
         self.core_queue = CoreQueue(self.kind.cores, self.kind.queue, core_speed)
         self.memory = CacheMemory(self.kind.memory, self.kind.ttl)
-        self.recent_arrivals: deque[tuple[float, str, float]] = (
-            deque()
-        )  # when, router, work of what came while cold
-        self.offered_work = 0.0  # work in that window
-        self.overload_by_router: dict[str, float] | None = (
-            None  # work of each router in the window in which it fell
-        )
+        # Time, router and work of the latest arrivals while cold.
+        self.recent_arrivals: deque[tuple[float, str, float]] = deque()
+        self.offered_work = 0.0  # work of the arrivals in `recent_arrivals`
+        # After a collapse: the work that each router sent in the window before it.
+        self.overload_by_router: dict[str, float] | None = None
 
     def arrive(self, now: float, request: Request) -> WorkItem | None:
-        """Take an attempt whose last byte has come; None: turned away, or it has pushed the box over."""
+        """Queue a fully received attempt. Return None if it is refused or makes the server collapse."""
         work = self.draws.work_of(request)
         if self._overloads(now, request.router, work):
             return None
@@ -180,7 +185,7 @@
         return item if self.core_queue.add(now, item) else None
 
     def _overloads(self, now: float, router: str, work: float) -> bool:
-        """Count what reaches a cold box, refused or not; whether that is more than it stands."""
+        """Count an arrival at a cold server, refused or not, and return whether it makes it collapse."""
         window = self.rules.fall_window
         if now - self.started_at > self.kind.warm_up + window:
             return False
@@ -188,8 +193,8 @@
         self.offered_work += work
         while self.recent_arrivals[0][0] < now - window:
             self.offered_work -= self.recent_arrivals.popleft()[2]
-        able = self.kind.cores * self.kind.speed * self.core_queue.core_speed.capacity_share(now)
-        budget = self.rules.fall_multiple * able * window * (1 + OVERLOAD_SLACK)
+        capacity = self.kind.cores * self.kind.speed * self.core_queue.core_speed.capacity_share(now)
+        budget = self.rules.fall_multiple * capacity * window * (1 + OVERLOAD_SLACK)
         self.max_load_ratio = max(self.max_load_ratio, min(1.0, self.offered_work / budget))
         if self.offered_work <= budget:
             return False
@@ -200,7 +205,7 @@
         return True
 
     def next_answer(self, now: float) -> Answer | None:
-        """The next answer that is ready."""
+        """Return the next answer that is ready, or None."""
         item = self.core_queue.next_finished(now)
         if item is None:
             return None
@@ -227,7 +232,7 @@
 
 
 class OriginModel:
-    """The origin: slow, with room for few. It runs writes, and drops the repeats of keyed ones."""
+    """Model of the origin: slow, with few slots. It executes writes and recognises repeats of keyed ones."""
 
     def __init__(self, origin: Origin, draws: RandomDraws) -> None:
         self.origin = origin
@@ -236,21 +241,21 @@
         self.core_queue = CoreQueue(origin.slots, origin.queue, CoreSpeed(1.0))
 
     def arrive(self, now: float, request: Request) -> WorkItem | None:
-        """Take a fetch or a write whose last byte has come; None when there is no room."""
+        """Queue a fully received fetch or write. Return None if the queue is full."""
         kind = request.request_class
         work = self.origin.time * (self.draws.work_of(request) / kind.work if kind.work else 1.0)
         item = WorkItem(work, now + request.time_left, request)
         return item if self.core_queue.add(now, item) else None
 
     def abandon(self, now: float, item: WorkItem) -> None:
-        """Its router waits no more: a fetch ends, a write that has begun goes on."""
+        """Handle that the router stopped waiting: cancels the item unless it is a write in execution."""
         request = item.request
         assert isinstance(request, Request)
         if not request.write or not any(p is item for _, _, p in self.core_queue.running):
             self.core_queue.cancel(now, item)
 
     def next_answer(self, now: float) -> Answer | None:
-        """The next answer that is ready; None when there is none yet."""
+        """Return the next answer that is ready, or None."""
         item = self.core_queue.next_finished(now)
         if item is None:
             return None
--- a/myrtlecourse/fleet/session.py
+++ b/myrtlecourse/fleet/session.py
@@ -1,4 +1,4 @@
-"""A fleet's whole life in a process of its own, and a run of load, routers and fleet with its verdict."""
+"""Runs a fleet in a process of its own, and a scenario with load and real routers up to its verdict."""
 
 from __future__ import annotations
 
@@ -31,41 +31,41 @@
 
 LOG = "fleet.jsonl"
 DUTIES_LOG = "duties.jsonl"
-START_TIME = 60.0  # seconds for the fleet and its routers to be ready
-END_TIME = 15.0  # seconds for all to end
+START_TIME = 60.0  # seconds until the fleet and its routers are ready
+END_TIME = 15.0  # seconds until everything has ended
 
 
 class SessionError(RuntimeError):
-    """A fleet that could not be brought up, or that died."""
+    """A fleet could not be started, or its process died."""
 
 
 @dataclass
 class RunningFleet:
-    """A fleet that is up, with its routers if it has any."""
+    """A running fleet, with its routers if it has any."""
 
     fleet: Fleet
     routers: Routers | None
     log: seen.ObservationLog
-    operators: Operators | None = None  # where the scenario has work for them
+    operators: Operators | None = None  # only if the scenario has work for them
 
     def router_addresses(self) -> dict[str, Any]:
-        """Where routers are, or the configurations to start them with."""
+        """Return the addresses of the routers, if any."""
         return {"routers": [r.address for r in self.routers.members] if self.routers else []}
 
     async def close(self) -> list[str]:
-        """End all; answers with what went wrong with the routers' processes."""
+        """End everything and return what went wrong with the routers' processes."""
         if self.operators is not None:
             self.operators.stop()
         if self.routers is not None:
             await self.routers.end()
         self.fleet.close()
-        await asyncio.sleep(0)  # so that connections which end are seen
+        await asyncio.sleep(0)  # lets closed connections be observed
         self.log.close()
-        found = self.routers.failures() if self.routers is not None else []
-        return found + (self.operators.faults if self.operators is not None else [])
+        failures = self.routers.failures() if self.routers is not None else []
+        return failures + (self.operators.faults if self.operators is not None else [])
 
     def apply_step(self, step: Step) -> None:
-        """What happens to routers."""
+        """Apply a step that concerns routers."""
         assert self.routers is not None
         if self.operators is not None and step.action in ("offline", "online"):
             for router in self.routers.members:
@@ -75,7 +75,7 @@
 
 
 def operators_file(peers: Peers, duties: Duties | None, relays: Relays, folder: Path, name: str) -> Path:
-    """A router's operators' file, by which it leaves zones with the others and has its part in duties."""
+    """Write a router's operators' file, for leaving zones together with other routers and for duties."""
     key = folder / "peers.key"
     if not key.exists():
         key.write_bytes(os.urandom(32))
@@ -92,7 +92,7 @@
 
 
 def duties_table(duties: Duties, relays: Relays, folder: Path, name: str) -> str:
-    """Its part in duties; each other router is heard at the end of a way of its own."""
+    """Return the `[duties]` table of a router; it reaches each other router through a relay."""
     listen_addresses = relays.listen_addresses
     at = {
         other: "{}:{}".format(*relays.send_addresses.get((name, other), listen_addresses[other]))
@@ -118,9 +118,9 @@
 
 
 async def start_fleet(scenario: Scenario, folder: Path, command: str | None) -> RunningFleet:
-    """Bring up a fleet and, with a command, its routers.
+    """Start a fleet and, with a command, its routers.
 
-    Observations, configurations and logs are written into the folder. Raises RouterError.
+    Writes observations, configurations and logs into the folder. Raises RouterError.
     """
     log = seen.ObservationLog(folder / LOG)
     fleet = Fleet(scenario, log.add)
@@ -147,28 +147,28 @@
 
 
 def fleet_process(scenario: Scenario, folder: Path, command: str, pipe: Any) -> None:
-    """The fleet's process: stands up, begins when it is told, ends when it is told."""
-    # the parent hears of SIGINT and tells: the verdict on what ran is still wanted
+    """Run the fleet's process: start it, begin and end it on messages from the parent."""
+    # The parent handles SIGINT and sends a message: the verdict on what has run is still wanted.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
     async def run_fleet() -> None:
         running = await start_fleet(scenario, folder, command)
         pipe.send(("ready", running.router_addresses()))
-        loop, told = asyncio.get_running_loop(), asyncio.Event()
+        loop, end = asyncio.get_running_loop(), asyncio.Event()
 
         def on_message() -> None:
             try:
                 message = pipe.recv()
-            except EOFError:  # the parent is gone
+            except EOFError:  # the parent has exited
                 message = "end"
             if message == "begin":
                 running.fleet.begin()
             else:
                 loop.remove_reader(pipe.fileno())
-                told.set()
+                end.set()
 
         loop.add_reader(pipe.fileno(), on_message)
-        await told.wait()
+        await end.wait()
         faults = await running.close()
         service = running.operators.figures() if running.operators is not None else None
         pipe.send(("ended", (faults, service)))
@@ -181,29 +181,29 @@
 
 
 def receive(pipe: Any, child: Any, wanted: str, within: float) -> Any:
-    """The next word of the fleet's process."""
+    """Return the next message of the fleet's process. Raises SessionError if it is late or unexpected."""
     if not pipe.poll(within):
         raise SessionError(f"the fleet was not {wanted} within {within:g} s")
     try:
-        what, value = pipe.recv()
+        kind, value = pipe.recv()
     except EOFError:
         child.join(1.0)
         raise SessionError(f"the fleet's process died (exit {child.exitcode})") from None
-    if what != wanted:
+    if kind != wanted:
         raise SessionError(str(value))
     return value
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What a run came to."""
+    """The result of a run."""
 
     seconds: float
     record: Record
     verdict: dict[str, Any]
     faults: list[str]  # of the routers' processes
     steps: list[Step]
-    service: dict[str, Any] | None = None  # what operators measured
+    service: dict[str, Any] | None = None  # the operators' measurements
 
 
 def play(
@@ -214,15 +214,15 @@
     workers: int,
     progress: Callable[[float, dict[str, int]], None],
 ) -> Outcome:
-    """Play a scenario with real routers under load, and judge it.
+    """Run a scenario with real routers under load, and audit it.
 
-    Raises SessionError, and what a run of load raises.
+    Raises SessionError and the exceptions of a load run.
     """
     context = multiprocessing.get_context("spawn")
-    pipe, theirs = context.Pipe()
-    child = context.Process(target=fleet_process, args=(scenario, folder, command, theirs), daemon=False)
+    pipe, child_pipe = context.Pipe()
+    child = context.Process(target=fleet_process, args=(scenario, folder, command, child_pipe), daemon=False)
     child.start()
-    theirs.close()
+    child_pipe.close()
     try:
         router_addresses = receive(pipe, child, "ready", START_TIME)
         profile = replace(profile, hot=profile.hot + hot_keys(scenario))
@@ -241,10 +241,10 @@
 
 
 def audit(folder: Path, rules: Rules) -> dict[str, Any]:
-    """Judge the observations in a folder. Raises ObservationError."""
-    if told := read_observations(folder):
+    """Audit the observations in a folder. Raises ObservationError."""
+    if observations := read_observations(folder):
         log = seen.ObservationLog(folder / DUTIES_LOG)
-        for each in told:
+        for each in observations:
             log.add(each)
         log.close()
     paths = sorted(folder.glob("*.jsonl"))
@@ -257,9 +257,12 @@
 
 
 async def run_alone(
-    scenario: Scenario, folder: Path, command: str | None, told: Callable[[RunningFleet], None]
+    scenario: Scenario, folder: Path, command: str | None, on_started: Callable[[RunningFleet], None]
 ) -> list[str]:
-    """Stand alone until the scenario is over or a signal comes; it begins with the first router's call."""
+    """Run a fleet without load until the scenario is over or a signal arrives.
+
+    The scenario's time starts with a router's first call to discovery.
+    """
     running = await start_fleet(scenario, folder, command)
     loop, over = asyncio.get_running_loop(), asyncio.Event()
     for each in (signal.SIGINT, signal.SIGTERM):
@@ -267,15 +270,15 @@
     began = False
     add = running.fleet.discovery.observe
 
-    def watch(what: seen.Observation) -> None:
+    def watch(observation: seen.Observation) -> None:
         nonlocal began
-        if not began and isinstance(what, seen.DiscoveryCall):
+        if not began and isinstance(observation, seen.DiscoveryCall):
             began = True
             running.fleet.begin()
             loop.call_later(scenario.seconds, over.set)
-        add(what)
+        add(observation)
 
     running.fleet.discovery.observe = watch
-    told(running)
+    on_started(running)
     await over.wait()
     return await running.close()
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -1,4 +1,4 @@
-"""What the stand-in fleet's faults look like from a router's end of a socket, and a whole run by command."""
+"""The faults of the stand-in fleet as seen through a router's sockets, and a whole run by command."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     "kinds": [KIND],
     "classes": [{"name": "read", "work": 0.0, "size": 40}, {"name": "book", "effect": "guarded"}],
 }
-ANSWER_TIME = 0.2  # seconds in which a healthy stand-in answers many times over
+ANSWER_TIME = 0.2  # seconds; a healthy stand-in answers much faster
 
 
 class Stand:
@@ -72,7 +72,7 @@
 
 
 async def silent(link: Link) -> bool:
-    """Whether nothing comes for a while."""
+    """Return whether nothing arrives for a while."""
     try:
         async with asyncio.timeout(ANSWER_TIME):
             await link.resp()
@@ -112,7 +112,7 @@
             before = time.monotonic()
             stand.do("thaw")
             assert (await link.resp())[0].startswith(b"r1 ")
-            # what was sent before it was given up is seen as sent then
+            # an attempt sent before its connection was closed is observed with the time at which it was sent
             late = [o for o in stand.told if isinstance(o, seen.AttemptReceived) and o.id == "r2"]
             assert len(late) == 1 and late[0].began < before - ANSWER_TIME / 2
 
@@ -315,5 +315,5 @@
     paths = [str(tmp_path / a) if a in ("none.toml", "none", "s.toml", "f") else a for a in arguments]
     child = [sys.executable, "-m", "myrtlecourse", *paths]
     done = subprocess.run(child, capture_output=True, text=True, timeout=60, check=False)
-    # a long path is broken over lines
+    # the console wraps a long path over lines
     assert done.returncode == code and named in done.stderr.replace("\n", ""), done.stderr
--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -1,4 +1,4 @@
-"""What many routers' logs say together."""
+"""Tests of the summary of many routers' logs."""
 
 from bench.fleet_logs import KINDS, OTHERS, count
 
--- a/tests/test_fleet_models.py
+++ b/tests/test_fleet_models.py
@@ -1,4 +1,4 @@
-"""The stand-in fleet's models: no sockets, no clock."""
+"""Tests of the stand-in fleet's models, without sockets or clock."""
 
 from __future__ import annotations
 
@@ -216,7 +216,7 @@
     ("text", "named"),
     [
         ('faults = [{what = "freeze", at = 1, box = "none", seconds = 1}]', "faults[0] (freeze)"),
-        ('faults = [{what = "silence", at = 1, seconds = 1}]', "wants `box` or `zone`"),
+        ('faults = [{what = "silence", at = 1, seconds = 1}]', "needs either `box` or `zone`"),
         ('faults = [{what = "silence", at = 1, seconds = 1, zone = "x"}]', "no zone"),
         ('faults = [{what = "slow", at = 1, seconds = 1, box = "origin"}]', "no box"),
         ('faults = [{what = "restart", at = 1, router = 1}]', "1 routers"),
--- a/tests/test_fleet_ports.py
+++ b/tests/test_fleet_ports.py
@@ -1,4 +1,4 @@
-"""A stand-in's ports: reserved while nothing listens, right through starts and ends in succession."""
+"""Tests of the stand-in servers' ports: reserved while nothing listens, also across quick starts and stops."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 async def connects(port: Port) -> bool:
-    """Whether somebody listens at a port."""
+    """Return whether somebody listens at a port."""
     assert port.reserved is not None
     try:
         _, writer = await asyncio.open_connection(*port.reserved.address)
@@ -26,14 +26,14 @@
 
 
 def test_a_port_that_nobody_listens_at_is_drawn_by_no_other_stand_in(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Another fleet took the port of a server that was down, which never came back."""
+    """Another fleet must not get the port of a server that is down, or the server cannot restart there."""
 
     async def scenario() -> None:
         port, other = Port("router-0", 0.0, 10, ServerConnection), Port("router-0", 0.0, 10, ServerConnection)
         await port.listen()
         number = port.number
         port.stop()
-        while True:  # until the kernel has nothing left at the port itself
+        while True:  # until the kernel has released the port itself
             with socket.socket() as probe:
                 try:
                     probe.bind(("127.0.0.1", number))
@@ -79,7 +79,7 @@
 
 
 def test_a_server_that_starts_twice_or_ends_while_it_starts_does_as_it_was_told_last() -> None:
-    """The second start found its own port in use; an end in the middle was forgotten."""
+    """Guards against a second start that finds its own port in use, and a stop during a start that is lost."""
 
     async def scenario() -> None:
         port = Port("router-0", 0.0, 10, ServerConnection)
--- a/tests/test_fleet_routers.py
+++ b/tests/test_fleet_routers.py
@@ -1,4 +1,4 @@
-"""A router's process as the stand-in fleet observes it."""
+"""Tests of the observations of a router's process."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def test_a_start_is_observed_before_its_process_can_do_anything(tmp_path: Path) -> None:
-    """Noted later, what a new process sends at once was judged by what the one before had been told."""
+    """If the start is observed late, the new process is judged by what the previous one was told."""
     told: list[seen.Observation] = []
 
     async def start() -> None:
@@ -43,7 +43,7 @@
 
 
 def test_a_killed_router_is_gone_once_its_process_has_ended(tmp_path: Path) -> None:
-    """What came to it between the signal and its end counted as lost, as if nobody had killed it."""
+    """Requests that arrive between the signal and the end of the process must not count as lost."""
     told: list[seen.Observation] = []
     gone: list[float] = []
 
@@ -93,7 +93,7 @@
 
 
 def test_a_router_that_is_told_to_end_while_it_stands_still_goes_on_when_it_was_to(tmp_path: Path) -> None:
-    """It stood until it was killed, and what it had taken counted as lost."""
+    """Otherwise it stays stopped until it is killed, and its requests count as lost."""
 
     async def play() -> tuple[float, int]:
         routers = Routers(
@@ -106,7 +106,7 @@
         began = time.monotonic()
         for what in ("stall", "restart", "go_on"):
             routers.apply_step(Step(0.0, what, "router-0"))
-        await asyncio.wait(routers.restarts)
+        await asyncio.wait(routers.tasks)
         await routers.end()
         return time.monotonic() - began, router.crashes
 
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -1,4 +1,4 @@
-"""Operators' work on a stand-in fleet: upgrades and hands in a scenario, judged with the rest."""
+"""Operators' work on a stand-in fleet: upgrades and bans in a scenario, judged with the rest."""
 
 from __future__ import annotations
 
@@ -67,13 +67,13 @@
 
 @pytest.mark.parametrize(("at", "breaches"), [(9.0, 0), (11.9, 0), (12.2, 1), (14.0, 1), (20.1, 0)])
 def test_the_auditor_holds_a_router_to_its_yes(at: float, breaches: int) -> None:
-    """Bans hold whatever the list says, after the grace, and end with one call back."""
+    """Bans apply whatever the list says, after the grace period, until a call lifts them."""
     auditor = Auditor(Rules())
     told: list[seen.Observation] = [
         seen.RouterUp(1.0, "n"),
         seen.BanAcknowledged(10.0, "n", "a"),
         seen.ListEntrySent(11.0, "n", "a", "in_service", 11.0),
-        seen.BanAcknowledged(11.5, "n", "a"),  # calls out may be repeated; the first one counts
+        seen.BanAcknowledged(11.5, "n", "a"),  # calls that ban may be repeated; the first one counts
         seen.BanAcknowledged(20.0, "n", "a", back=True),
         sent(at, "a"),
         sent(at + 0.1, "b"),
@@ -92,7 +92,7 @@
 
 
 class Deaf(Router):
-    """Broken on purpose: hears of no ban."""
+    """A deliberately broken policy: ignores bans."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         return [] if isinstance(event, api.ServerBanned) else super().handle(now, event)
--- a/tests/test_fleet_sockets.py
+++ b/tests/test_fleet_sockets.py
@@ -1,4 +1,4 @@
-"""The stand-in fleet on sockets, with a router that is wrong on purpose and with a real one."""
+"""The stand-in fleet on sockets, with a deliberately wrong router and with a correct one."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 async def audited(
     way: str, kind: dict[str, Any], faults: list[dict[str, Any]] | None = None, seconds: float = 0.4
 ) -> tuple[dict[str, int], Generator]:
-    """The breaches by kind of a router that is wrong in one way."""
+    """Return the breaches by kind of a router that is wrong in one way, and the load generator."""
     told: list[seen.Observation] = []
     fleet = Fleet(msgspec.convert(SCENARIO | {"faults": faults or []}, Scenario), told.append)
     await fleet.listen()
--- a/tests/wrong_router.py
+++ b/tests/wrong_router.py
@@ -1,4 +1,4 @@
-"""A router that breaks one rule, on purpose and on sockets: the auditor must catch it."""
+"""A router on sockets that deliberately breaks one rule; the auditor must detect it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class WrongRouter:
-    """Passes each command to a box and its value back, but for what `way` names."""
+    """Passes each command to a cache server and its value back, except for the fault that `way` names."""
 
     def __init__(self, fleet: Fleet, way: str) -> None:
         self.fleet = fleet
@@ -27,7 +27,7 @@
         self.later: set[asyncio.Task[None]] = set()
 
     async def listen(self) -> tuple[str, int]:
-        """Serve clients; answers with the address."""
+        """Serve clients and return the address."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self.server.sockets[0].getsockname()
         return host, port
@@ -40,7 +40,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.serving.add(cast("asyncio.Task[None]", asyncio.current_task()))
         commands = Reader(16, 65536, 70000)
-        with suppress(ConnectionError):  # its client goes away as it likes
+        with suppress(ConnectionError):  # clients may disconnect at any time
             while data := await reader.read(65536):
                 commands.feed(data)
                 while (message := commands.next_message()) is not INCOMPLETE:
@@ -49,7 +49,7 @@
         writer.close()
 
     async def attempt(self, box: str, parts: Parts) -> Message:
-        """Send it on a new connection; answers with what comes."""
+        """Send a command on a new connection and return the answer."""
         reader, writer = await asyncio.open_connection(
             "127.0.0.1", self.fleet.cache_servers[box].ports[self.name].number
         )
@@ -59,14 +59,14 @@
             while (message := answers.next_message()) is INCOMPLETE:
                 data = await reader.read(65536)
                 if not data:
-                    raise ConnectionError("the box ended it")
+                    raise ConnectionError("the cache server closed the connection")
                 answers.feed(data)
             return message
         finally:
             writer.close()
 
     async def ask_list(self) -> list[dict[str, str]]:
-        """Discovery's whole list."""
+        """Return discovery's whole list."""
         port = self.fleet.discovery.ports[self.name].number
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"GET /registry/instances HTTP/1.1\r\nHost: d\r\nConnection: close\r\n\r\n")
@@ -103,7 +103,7 @@
         self.say(writer, answer)
 
     async def makes_values(self, parts: Parts, writer: asyncio.StreamWriter) -> None:
-        self.say(writer, [b"not what a box has made", None, None])
+        self.say(writer, [b"not a value of a cache server", None, None])
 
     async def sends_after_end(self, parts: Parts, writer: asyncio.StreamWriter) -> None:
         writer.write(b"-BUSY\r\n")
