--- a/myrtlecourse/fleet/__init__.py
+++ b/myrtlecourse/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The stand-in fleet: cache boxes, an origin and discovery, with faults on time, and the auditor."""
+"""The stand-in fleet: cache servers, an origin and discovery on loopback, with scheduled faults."""
--- a/myrtlecourse/fleet/address_switch.py
+++ b/myrtlecourse/fleet/address_switch.py
@@ -57,20 +57,20 @@
     async def _handle_control(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Handle a router's announcement or withdrawal."""
         with suppress(ConnectionError, ValueError):
-            words = (await reader.readline()).decode("ascii", "replace").split()
-            name = words[1] if len(words) > 1 else ""
-            if name not in self.routers or words[0] not in ("announce", "withdraw"):
+            fields = (await reader.readline()).decode("ascii", "replace").split()
+            name = fields[1] if len(fields) > 1 else ""
+            if name not in self.routers or fields[0] not in ("announce", "withdraw"):
                 writer.write(b"no\n")
             else:
                 await asyncio.sleep(self.announcement_delay)
                 if name not in self.ignored_routers:
-                    await self._handle_event(words[0], name)
+                    await self._handle_event(fields[0], name)
                 writer.write(b"ok\n")
         writer.close()
 
-    async def _handle_event(self, what: str, name: str) -> None:
-        self.history.append((time.monotonic(), what, name))
-        if what == "announce":
+    async def _handle_event(self, event: str, name: str) -> None:
+        self.history.append((time.monotonic(), event, name))
+        if event == "announce":
             if self.server is None:
                 self.server = await asyncio.start_server(self._relay_client, *self.address, backlog=512)
             self.holder = name
--- a/myrtlecourse/fleet/cache_server.py
+++ b/myrtlecourse/fleet/cache_server.py
@@ -142,7 +142,7 @@
         self.classes = {c.name: c for c in scenario.classes}
         self.group = group
         self.observe = observe
-        self.chance = random.Random(f"{scenario.seed} spoilt {model.name}")
+        self.generator = random.Random(f"{scenario.seed} spoilt {model.name}")
         self.corrupt_share = 0.0  # share of answers that are corrupted
         self.connections: dict[Request, CacheServerConnection] = {}
         self.ports: dict[str, Port] = {}
@@ -224,14 +224,14 @@
             case _:
                 value = value_for(answer.request.id, answer.version, answer.size)
                 reply = b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (len(value), value)
-                if self.corrupt_share and self.chance.random() < self.corrupt_share:
-                    self._spoil(connection, reply)
+                if self.corrupt_share and self.generator.random() < self.corrupt_share:
+                    self._send_corrupt(connection, reply)
                     return
         connection.send_answer(reply)
 
-    def _spoil(self, connection: CacheServerConnection, reply: bytes) -> None:
+    def _send_corrupt(self, connection: CacheServerConnection, reply: bytes) -> None:
         """Send a corrupt answer of one of four kinds and close the connection."""
-        index = self.chance.randrange(4)
+        index = self.generator.randrange(4)
         corrupt_answers = (
             reply[: len(reply) // 2],
             b"*3\r\n$3000000000\r\n",
--- a/myrtlecourse/fleet/datagram_network.py
+++ b/myrtlecourse/fleet/datagram_network.py
@@ -20,7 +20,7 @@
     """Decides the fate of each datagram."""
 
     def __init__(self, seed: int = 1) -> None:
-        self.chance = random.Random(f"{seed} ways")
+        self.generator = random.Random(f"{seed} ways")
         self.cuts: dict[str, frozenset[Direction]] = {}  # by name: directions in which no datagram arrives
         self.loss = 0.0  # share of datagrams that are lost
         self.copies = 0.0  # share of datagrams that arrive twice
@@ -43,10 +43,10 @@
         """Return the delay in seconds of each copy of a datagram that arrives; empty if it is lost."""
         if any(direction in cut for cut in self.cuts.values()):
             return []
-        if self.loss and self.chance.random() < self.loss:
+        if self.loss and self.generator.random() < self.loss:
             return []
-        times = 2 if self.copies and self.chance.random() < self.copies else 1
-        return [self.delay + (self.chance.random() * self.jitter if self.jitter else 0.0)] * times
+        times = 2 if self.copies and self.generator.random() < self.copies else 1
+        return [self.delay + (self.generator.random() * self.jitter if self.jitter else 0.0)] * times
 
 
 def apply_split(network: DatagramNetwork, names: Iterable[str], step: Step) -> None:
--- a/myrtlecourse/fleet/faults.py
+++ b/myrtlecourse/fleet/faults.py
@@ -44,7 +44,7 @@
 
 def steps(scenario: scenarios.Scenario) -> list[Step]:
     """Return all steps of a scenario in the order of their times."""
-    chance = random.Random(f"{scenario.seed} faults")
+    generator = random.Random(f"{scenario.seed} faults")
     result: list[Step] = []
     for number, fault in enumerate(scenario.faults):
         if isinstance(fault, scenarios.Reload | scenarios.Crowd):
@@ -54,11 +54,13 @@
         elif isinstance(fault, scenarios.Split | scenarios.Unreached):
             result += _partition_steps(scenario, fault, number)
         else:
-            result += _fault_steps(scenario, fault, chance)
+            result += _fault_steps(scenario, fault, generator)
     return sorted(result, key=lambda s: s.at)
 
 
-def _fault_steps(scenario: scenarios.Scenario, fault: scenarios.Fault, chance: random.Random) -> list[Step]:
+def _fault_steps(
+    scenario: scenarios.Scenario, fault: scenarios.Fault, generator: random.Random
+) -> list[Step]:
     at = fault.at
 
     def begin_and_end(first: str, last: str, target: str, value: float = 0.0) -> list[Step]:
@@ -94,7 +96,7 @@
         case scenarios.Reset() | scenarios.IdleDrop():
             return [Step(at, "reset" if isinstance(fault, scenarios.Reset) else "idle_drop", fault.box)]
         case scenarios.Replace():
-            return _replacement_steps(scenario, fault, chance)
+            return _replacement_steps(scenario, fault, generator)
         case scenarios.Hand():
             # The restart comes late enough that routers which may still send have stopped.
             down = Step(at + fault.seconds * 0.8, "bounce", fault.box)
@@ -159,11 +161,11 @@
 
 
 def _replacement_steps(
-    scenario: scenarios.Scenario, fault: scenarios.Replace, chance: random.Random
+    scenario: scenarios.Scenario, fault: scenarios.Replace, generator: random.Random
 ) -> list[Step]:
     servers = [fault.box] if fault.box is not None else list(scenario.cache_servers())
     if fault.box is None:
-        chance.shuffle(servers)
+        generator.shuffle(servers)
         servers = servers[: round(len(servers) * fault.share)]
     result = []
     for i, server in enumerate(servers):
--- a/myrtlecourse/fleet/reserved_ports.py
+++ b/myrtlecourse/fleet/reserved_ports.py
@@ -51,10 +51,10 @@
 
 def reserve() -> ReservedPort:
     """Reserve a random port. Raises OSError if the system has no more sockets."""
-    chance = random.SystemRandom()
+    generator = random.SystemRandom()
     while True:
         try:
-            return ReservedPort(chance.randrange(*PORTS))
+            return ReservedPort(generator.randrange(*PORTS))
         except OSError as e:
             if e.errno != errno.EADDRINUSE:
                 raise
--- a/myrtlecourse/fleet/scenario.py
+++ b/myrtlecourse/fleet/scenario.py
@@ -225,9 +225,8 @@
     router: Annotated[int, Meta(ge=0)] | None = None  # by number, or
     holder: str | None = None  # the holder of this duty when the fault begins
     kill: bool = False
-    signals: Annotated[int, Meta(ge=0, le=1000)] = (
-        0  # SIGHUP and SIGTERM in turn, sent beside the signal that ends it
-    )
+    # Further SIGHUP and SIGTERM in turn, sent while it ends.
+    signals: Annotated[int, Meta(ge=0, le=1000)] = 0
 
 
 class Stall(Struct, forbid_unknown_fields=True, frozen=True, tag="stall", tag_field="what"):
@@ -337,12 +336,12 @@
     faults: tuple[Fault, ...] = ()
 
     def __post_init__(self) -> None:
-        for what, names in (
+        for table, names in (
             ("kinds", [k.name for k in self.kinds]),
             ("classes", [c.name for c in self.classes]),
         ):
             if len(set(names)) < len(names):
-                raise ValueError(f"duplicate name in `{what}`")
+                raise ValueError(f"duplicate name in `{table}`")
         if len(set(self.zones)) < len(self.zones):
             raise ValueError("duplicate name in `zones`")
         if self.duties is not None and self.peers is None:
@@ -351,39 +350,39 @@
         for i, fault in enumerate(self.faults):
             self._check(f"faults[{i}] ({fault.__struct_config__.tag})", fault, servers)
 
-    def _check(self, where: str, fault: Fault, names: set[str]) -> None:
+    def _check(self, field: str, fault: Fault, names: set[str]) -> None:
         box = getattr(fault, "box", None)
         may_be_origin = isinstance(fault, Slow | Silence | Unreached)
         known = names | ({"origin"} if self.origin and may_be_origin else set())
         if box is not None and box not in known:
-            raise ValueError(f"{where}: no box is named {box!r}; there are {', '.join(sorted(known))}")
+            raise ValueError(f"{field}: no box is named {box!r}; there are {', '.join(sorted(known))}")
         if isinstance(fault, Silence | Crash) and (fault.box is None) == (fault.zone is None):
-            raise ValueError(f"{where}: needs either `box` or `zone`")
+            raise ValueError(f"{field}: needs either `box` or `zone`")
         if isinstance(fault, Unreached) and (fault.box is None) == (fault.boxes is None):
-            raise ValueError(f"{where}: needs either `box` or `boxes`")
+            raise ValueError(f"{field}: needs either `box` or `boxes`")
         if isinstance(fault, Unreached | Split):
             any_router = bool(fault.routers) or getattr(fault, "holder", None) is not None
             if any_router == (fault.zone is not None):
-                raise ValueError(f"{where}: needs either `routers` or `zone`")
+                raise ValueError(f"{field}: needs either `routers` or `zone`")
             if any(not 0 <= n < self.routers for n in fault.routers):
-                raise ValueError(f"{where}: there are {self.routers} routers, counted from 0")
+                raise ValueError(f"{field}: there are {self.routers} routers, counted from 0")
         if isinstance(fault, Split) and self.peers is None:
-            raise ValueError(f"{where}: needs `[peers]`: routers exchange nothing without it")
+            raise ValueError(f"{field}: needs `[peers]`: routers exchange nothing without it")
         for zone in (getattr(fault, "zone", None), getattr(fault, "boxes", None)):
             if zone is not None and zone not in self.zones:
-                raise ValueError(f"{where}: no zone is named {zone!r}")
+                raise ValueError(f"{field}: no zone is named {zone!r}")
         if isinstance(fault, Restart | Upgrade | Stall | Reload | Crowd):
-            self._check_router(where, fault.router, getattr(fault, "holder", None))
+            self._check_router(field, fault.router, getattr(fault, "holder", None))
         elif isinstance(fault, Split) and fault.holder is not None:
-            self._check_router(where, None, fault.holder)
+            self._check_router(field, None, fault.holder)
 
-    def _check_router(self, where: str, router: int | None, holder: str | None) -> None:
+    def _check_router(self, field: str, router: int | None, holder: str | None) -> None:
         if (router is None) == (holder is None):
-            raise ValueError(f"{where}: needs either `router` or `holder`")
+            raise ValueError(f"{field}: needs either `router` or `holder`")
         if router is not None and router >= self.routers:
-            raise ValueError(f"{where}: there are {self.routers} routers, counted from 0")
+            raise ValueError(f"{field}: there are {self.routers} routers, counted from 0")
         if holder is not None and holder not in [d.name for d in (self.duties.each if self.duties else ())]:
-            raise ValueError(f"{where}: no duty is named {holder!r}")
+            raise ValueError(f"{field}: no duty is named {holder!r}")
 
     def has_operator_work(self) -> bool:
         """Return whether operators call the routers or upgrade them."""
--- a/myrtlecourse/fleet/server_models.py
+++ b/myrtlecourse/fleet/server_models.py
@@ -67,7 +67,7 @@
         self.last_version = 0
 
     def record_write(self, now: float, key: str, window: float) -> bool:
-        """Return whether a write is executed: always without a key, else unless the key repeats in its window."""
+        """Return whether a write is executed, which it is unless its key repeats within the window."""
         while self.expires_at and next(iter(self.expires_at.values())) <= now:
             self.expires_at.popitem(last=False)
         if key and self.expires_at.get(key, -math.inf) > now:
--- a/tests/test_fleet_models.py
+++ b/tests/test_fleet_models.py
@@ -61,13 +61,13 @@
 
 
 def test_a_core_that_is_halted_ends_nothing_and_goes_on_where_it_stood() -> None:
-    station = CoreQueue(1, 10, CoreSpeed(1.0))
-    station.add(0.0, WorkItem(1.0, 9.0, "a"))
-    station.core_speed.set_factor(0.4, 0.0)
-    assert station.next_end() == math.inf and station.next_finished(5.0) is None
-    station.core_speed.set_factor(7.0, 1.0)
-    assert station.next_end() == pytest.approx(7.6)
-    assert (ended := station.next_finished(7.6)) is not None and ended.request == "a"
+    queue = CoreQueue(1, 10, CoreSpeed(1.0))
+    queue.add(0.0, WorkItem(1.0, 9.0, "a"))
+    queue.core_speed.set_factor(0.4, 0.0)
+    assert queue.next_end() == math.inf and queue.next_finished(5.0) is None
+    queue.core_speed.set_factor(7.0, 1.0)
+    assert queue.next_end() == pytest.approx(7.6)
+    assert (ended := queue.next_finished(7.6)) is not None and ended.request == "a"
 
 
 @given(
@@ -76,19 +76,19 @@
 def test_pieces_end_as_a_queue_before_so_many_cores_has_it(
     arrivals: list[tuple[float, float]], cores: int
 ) -> None:
-    station, free, now, expected = CoreQueue(cores, 1000, CoreSpeed(1.0)), [0.0] * cores, 0.0, []
+    queue, free, now, expected = CoreQueue(cores, 1000, CoreSpeed(1.0)), [0.0] * cores, 0.0, []
     ends: list[float] = []
 
     def collect(until: float) -> None:
-        while (due := station.next_end()) <= until:
-            ended = station.next_finished(due)
+        while (due := queue.next_end()) <= until:
+            ended = queue.next_finished(due)
             assert ended is not None
             ends.append(due)
 
     for pause, work in arrivals:
         now += pause
         collect(now)
-        assert station.add(now, WorkItem(work, math.inf, None))
+        assert queue.add(now, WorkItem(work, math.inf, None))
         first = free.index(min(free))
         free[first] = max(now, free[first]) + work
         expected.append(free[first])
@@ -97,15 +97,15 @@
 
 
 def test_what_is_cancelled_makes_room_and_never_ends() -> None:
-    station, pieces = CoreQueue(1, 1, CoreSpeed(1.0)), [WorkItem(1.0, 9.0, i) for i in range(3)]
-    assert [station.add(0.0, p) for p in pieces] == [True, True, False]
-    station.cancel(0.5, pieces[0])
-    assert station.size == 1 and station.next_end() == pytest.approx(1.5)
-    station.cancel(0.5, pieces[0])
-    assert station.size == 1
-    assert station.add(0.5, pieces[2])
-    station.cancel(0.6, pieces[2])
-    assert station.next_finished(1.5) is pieces[1] and station.next_end() == math.inf
+    queue, items = CoreQueue(1, 1, CoreSpeed(1.0)), [WorkItem(1.0, 9.0, i) for i in range(3)]
+    assert [queue.add(0.0, p) for p in items] == [True, True, False]
+    queue.cancel(0.5, items[0])
+    assert queue.size == 1 and queue.next_end() == pytest.approx(1.5)
+    queue.cancel(0.5, items[0])
+    assert queue.size == 1
+    assert queue.add(0.5, items[2])
+    queue.cancel(0.6, items[2])
+    assert queue.next_finished(1.5) is items[1] and queue.next_end() == math.inf
 
 
 def test_memory_drops_what_was_used_longest_ago_and_forgets_what_is_old() -> None:
@@ -121,14 +121,14 @@
 
 
 def test_a_miss_is_quick_and_a_hit_is_the_whole_work() -> None:
-    it = box(miss=0.1)
-    assert it.arrive(0.0, request("r1")) is not None
-    assert it.core_queue.next_end() == pytest.approx(0.01)
-    ended = it.next_answer(0.01)
+    server = box(miss=0.1)
+    assert server.arrive(0.0, request("r1")) is not None
+    assert server.core_queue.next_end() == pytest.approx(0.01)
+    ended = server.next_answer(0.01)
     assert ended is not None and ended.kind is AnswerKind.MISS
-    it.memory.put(0.02, "k", 7, 300)
-    it.arrive(1.0, request("r2"))
-    ended = it.next_answer(1.1)
+    server.memory.put(0.02, "k", 7, 300)
+    server.arrive(1.0, request("r2"))
+    ended = server.next_answer(1.1)
     assert ended is not None and (ended.kind, ended.version, ended.size) == (AnswerKind.HIT, 7, 300)
 
 
@@ -136,20 +136,20 @@
     receipts = WriteReceipts()
     one, other = box(receipts), box(receipts)
     ran = []
-    for at, it, name in ((0.0, one, "r1"), (3.0, other, "r2"), (9.0, one, "r3")):
-        it.arrive(at, request(name, BOOK, write=True, idempotency="5c0f"))
-        ended = it.next_answer(at + 0.5)
+    for at, server, name in ((0.0, one, "r1"), (3.0, other, "r2"), (9.0, one, "r3")):
+        server.arrive(at, request(name, BOOK, write=True, idempotency="5c0f"))
+        ended = server.next_answer(at + 0.5)
         assert ended is not None and ended.kind is AnswerKind.RECEIPT
         ran.append(ended.executed)
     assert ran == [True, False, True]
 
 
 def test_what_waited_past_its_deadline_is_turned_away() -> None:
-    it = box(cores=1)
-    it.memory.put(0.0, "k", 1, 10)
+    server = box(cores=1)
+    server.memory.put(0.0, "k", 1, 10)
     for name in ("r1", "r2"):
-        it.arrive(0.0, request(name, time_left=0.15))
-    first, second = it.next_answer(0.1), it.next_answer(0.2)
+        server.arrive(0.0, request(name, time_left=0.15))
+    first, second = server.next_answer(0.1), server.next_answer(0.2)
     assert first and second and (first.kind, second.kind) == (AnswerKind.HIT, AnswerKind.BUSY)
 
 
@@ -157,28 +157,28 @@
 def test_a_cold_box_falls_when_it_is_sent_too_much_also_of_what_it_refuses(
     times_capacity: float, falls: bool
 ) -> None:
-    it = box(started=10.0, cores=2, queue=0, cold=0.5, warm_up=8.0)
+    server = box(started=10.0, cores=2, queue=0, cold=0.5, warm_up=8.0)
     gap = READ.work / (times_capacity * 2 * 0.5)
     for i in range(round(1.5 / gap)):
-        it.arrive(10.0 + i * gap, request(f"r{i}"))
-    assert (it.overload_by_router is not None) is falls
+        server.arrive(10.0 + i * gap, request(f"r{i}"))
+    assert (server.overload_by_router is not None) is falls
     if falls:
-        assert it.overload_by_router is not None and list(it.overload_by_router) == ["router-0"]
+        assert server.overload_by_router is not None and list(server.overload_by_router) == ["router-0"]
 
 
 def test_a_warm_box_does_not_fall() -> None:
-    it = box(cores=1, queue=0)
+    server = box(cores=1, queue=0)
     for i in range(1000):
-        it.arrive(i * 0.001, request(f"r{i}"))
-    assert it.overload_by_router is None
+        server.arrive(i * 0.001, request(f"r{i}"))
+    assert server.overload_by_router is None
 
 
 def test_the_origin_finishes_a_write_that_has_begun_though_its_router_left() -> None:
     store = OriginModel(Origin(slots=1, time=0.1, queue=1), RandomDraws(1))
-    pieces = [store.arrive(0.0, request(f"w{i}", BOOK, write=True)) for i in range(3)]
-    assert pieces[0] and pieces[1] and pieces[2] is None
-    store.abandon(0.05, pieces[0])
-    store.abandon(0.05, pieces[1])
+    items = [store.arrive(0.0, request(f"w{i}", BOOK, write=True)) for i in range(3)]
+    assert items[0] and items[1] and items[2] is None
+    store.abandon(0.05, items[0])
+    store.abandon(0.05, items[1])
     ended = store.next_answer(0.1)
     assert ended is not None and ended.request.id == "w0" and ended.executed
     assert store.next_answer(1.0) is None
--- a/tests/test_fleet_ports.py
+++ b/tests/test_fleet_ports.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in servers' ports: reserved while nothing listens, also across quick starts and stops."""
+"""Tests of stand-in servers' ports: reserved while nothing listens, also across quick starts and stops."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
 
 
 def test_a_server_that_starts_twice_or_ends_while_it_starts_does_as_it_was_told_last() -> None:
-    """Guards against a second start that finds its own port in use, and a stop during a start that is lost."""
+    """Guards against a second start that finds its own port in use, and a stop lost during a start."""
 
     async def scenario() -> None:
         port = Port("router-0", 0.0, 10, ServerConnection)
