--- a/myrtlecourse/duties/setup.py
+++ b/myrtlecourse/duties/setup.py
@@ -12,7 +12,7 @@
 from myrtlecourse.duties.driver import DutyDriver
 from myrtlecourse.duties.memory import MemoryFileError, read_memories
 from myrtlecourse.net.pool import parse_address
-from myrtlecourse.peers.end import Endpoint
+from myrtlecourse.peers.peer_socket import Endpoint
 
 if TYPE_CHECKING:
     from myrtlecourse.duties.messages import Settings
--- a/myrtlecourse/fleet/hollow_spread.py
+++ b/myrtlecourse/fleet/hollow_spread.py
@@ -80,7 +80,7 @@
                 self.earlier_traffic[0] + driver.sent,
                 self.earlier_traffic[1] + driver.bytes_sent,
             ]
-            driver.leave()
+            driver.close_socket()
             driver.failure = "it was killed"
             for task in driver.tasks:
                 task.cancel()
--- a/myrtlecourse/scale/slopes.py
+++ b/myrtlecourse/scale/slopes.py
@@ -26,10 +26,10 @@
 from myrtlecourse.net.origin import OriginConnection
 from myrtlecourse.net.pool import Pool
 from myrtlecourse.net.servers import CacheConnection
-from myrtlecourse.peers.gossip import CARRIED, PACE, VERSION, Datagram, Gossip
-from myrtlecourse.peers.records import EPOCH, Record, started
+from myrtlecourse.peers.gossip import RECORDS_PER_DATAGRAM, TICK_INTERVAL, VERSION, Datagram, Gossip
+from myrtlecourse.peers.records import EPOCH, Record, start_number
 from myrtlecourse.peers.seal import Seal
-from myrtlecourse.zones.agent import Agent, Part
+from myrtlecourse.zones.agent import Agent, AgentSettings
 
 # halves of the size to come, so that tables which double are as full at each; and a region's view
 SERVERS = (105, 156, 209, 419, 838, 1675, 6700)
@@ -235,12 +235,12 @@
 
 def acquaint(gossip: Gossip, said: tuple[int, ...], chance: random.Random, now: float) -> None:
     """Let it know all others, as a member does that has run for long: news of each comes by turns."""
-    turn = max(1.0, len(gossip.members) / CARRIED)
+    turn = max(1.0, len(gossip.members) / RECORDS_PER_DATAGRAM)
     for i, member in gossip.members.items():
-        if i != gossip.me:
+        if i != gossip.own_id:
             made_at = now - chance.uniform(0.0, turn)
-            member.record = Record(i, started(WALL), 1_000_000, i % 138, said, made_at)
-            member.told = chance.randrange(1, 4)
+            member.record = Record(i, start_number(WALL), 1_000_000, i % 138, said, made_at)
+            member.times_sent = chance.randrange(1, 4)
 
 
 def readdressed(datagram: Datagram, to: str) -> bytes:
@@ -261,16 +261,18 @@
 def watched(size: int, seed: int, zones: int) -> float:
     """One repeat of `member_second`."""
     chance, now = random.Random(seed), 1000.0
-    me, other = (Agent(Part(name, names(size), "zone-001", KEY), now, WALL, seed) for name in names(2))
-    said = other.zones.said(now)
+    me, other = (
+        Agent(AgentSettings(name, names(size), "zone-001", KEY), now, WALL, seed) for name in names(2)
+    )
+    said = other.zones.payload(now)
     for agent in (me, other):
         agent.servers_listed({f"zone-{z:03d}": 48 for z in range(max(1, zones))})
         acquaint(agent.gossip, said, chance, now)
         agent.tick(now, WALL)
     spent = 0.0
-    for _ in range(round(WATCHED / PACE)):
-        now += PACE
-        sent = [readdressed(d, me.part.name) for d in other.tick(now, WALL).datagrams]
+    for _ in range(round(WATCHED / TICK_INTERVAL)):
+        now += TICK_INTERVAL
+        sent = [readdressed(d, me.settings.name) for d in other.tick(now, WALL).datagrams]
         before = time.thread_time()
         for data in sent:
             if zones:
--- a/tests/wrong_zones.py
+++ b/tests/wrong_zones.py
@@ -1,4 +1,4 @@
-"""A real router that leaves zones wrongly in one way, on purpose: `python -m tests.wrong_zones WAY`."""
+"""A real router with one deliberate fault in leaving zones: `python -m tests.wrong_zones FAULT`."""
 
 from __future__ import annotations
 
@@ -10,53 +10,57 @@
 from myrtlecourse import __main__
 from myrtlecourse.peers import gossip
 from myrtlecourse.policy.zone_exit import ZoneExitControl
-from myrtlecourse.zones import pace, verdict
-from myrtlecourse.zones.evidence import Tally
-from myrtlecourse.zones.verdict import WHOLE, Sum
+from myrtlecourse.zones import exit_rule, pace
+from myrtlecourse.zones.exit_rule import FULL_SHARE, Evidence
+from myrtlecourse.zones.tallies import Tally
 
 
 def counts_twice() -> None:
-    """What does not come through counts again with each record that repeats it, as if others had seen it."""
-    added = verdict.added
+    """Counts failures again with each record that repeats them, as if more routers had seen them."""
+    plain_sum = exit_rule.sum_tallies
 
-    def again(tallies: object) -> Sum:
+    def sum_with_repeats(tallies: object) -> Evidence:
         each: list[Tally] = list(tallies)  # type: ignore[call-overload]
-        return added([*each, *(t for t in each if t.bad_long and not t.heard for _ in range(49))])
+        return plain_sum([*each, *(t for t in each if t.failed_long and not t.answered for _ in range(49))])
 
-    verdict.added = again
+    exit_rule.sum_tallies = sum_with_repeats
 
 
 def believes_one() -> None:
-    """One router's word is enough, whatever the others reach."""
-    verdict.dark = lambda seen, members, enough=1: seen.silent + seen.refused >= verdict.ENOUGH
-    verdict.CONTRADICTED, verdict.ENOUGH = math.inf, 1
+    """Leaves a zone on the evidence of one router, whatever the others reach."""
+    exit_rule.is_unreachable = lambda evidence, members, min_attempts=1: (
+        evidence.silent + evidence.refused >= exit_rule.MIN_ATTEMPTS
+    )
+    exit_rule.CONTRADICTING_SHARE, exit_rule.MIN_ATTEMPTS = math.inf, 1
 
 
 def has_no_hysteresis() -> None:
-    """Comes back with the first answer, and leaves at the first doubt."""
-    verdict.HOLD, verdict.DARK, verdict.ENOUGH = 0.0, 0.3, 2
-    verdict.back = lambda tallies: any(t.heard_long for t in tallies)
+    """Returns with the first answer, and leaves after few failures."""
+    exit_rule.MIN_OUT, exit_rule.UNREACHABLE_SHARE, exit_rule.MIN_ATTEMPTS = 0.0, 0.3, 2
+    exit_rule.is_back = lambda tallies: any(t.answered_long for t in tallies)
 
 
 def moves_all() -> None:
-    """Sends survivors whatever has lost its server."""
+    """Moves all requests that lost their server to the survivors."""
     ZoneExitControl.allow_move = lambda self, value, highest_value: True  # type: ignore[method-assign]
 
 
 def returns_at_once() -> None:
-    """Returns to all of a zone with the first trials that come through."""
-    pace.FIRST = WHOLE
-    pace.step = lambda share, age, view, origin_rate: WHOLE
+    """Returns to all of a zone after the first answered trials."""
+    pace.FIRST_SHARE = FULL_SHARE
+    pace.next_share = lambda share, age, view, origin_rate: FULL_SHARE
 
 
 def needs_no_proof() -> None:
-    """Goes on by the clock, whatever the zone that comes back bears."""
-    usual = pace.step
-    pace.step = lambda share, age, view, origin_rate: usual(share, age, pace.View(20, routers=1.0), 0.0)
+    """Takes the next step of a return after a fixed time, however overloaded the zone is."""
+    usual = pace.next_share
+    pace.next_share = lambda share, age, view, origin_rate: usual(
+        share, age, pace.ReturnView(20, routers_share=1.0), 0.0
+    )
 
 
 def one_of_another_version() -> None:
-    """One router of the fleet, by its configuration's name: not wrong, but older or newer than the others."""
+    """Gives one router of the fleet another protocol version, as an older or newer release has."""
     if Path(os.environ["RELAY_CONFIG"]).stem == "router-1":
         gossip.VERSION += 1
 
