--- a/bench/address_move.py
+++ b/bench/address_move.py
@@ -25,11 +25,11 @@
 
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.audit.auditor import Auditor
-from myrtlecourse.fleet.reserved_ports import free
+from myrtlecourse.fleet.address_switch import AddressSwitch
+from myrtlecourse.fleet.loopback_fleet import Fleet
+from myrtlecourse.fleet.reserved_ports import free_address
 from myrtlecourse.fleet.routers import COMMAND, Router
 from myrtlecourse.fleet.scenario import Scenario
-from myrtlecourse.fleet.stand_in import Fleet
-from myrtlecourse.fleet.switch import Switch
 from myrtlecourse.load.generator import Generator
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.load.requests import plan_requests
@@ -74,23 +74,25 @@
         self.fleet = fleet
         self.folder = folder
         self.names = fleet.routers
-        self.switch = Switch({n: free() for n in self.names})
+        self.switch = AddressSwitch({n: free_address() for n in self.names})
         self.routers = {n: Router(n, COMMAND, folder, observe) for n in self.names}
         (folder / "key").write_bytes(os.urandom(32))
 
     async def start(self) -> None:
         """Start everything."""
         await self.switch.start()
-        await self.switch.relays.join({n: free() for n in self.names})
+        await self.switch.relays.open({n: free_address() for n in self.names})
         for name in self.names:
             await self.start_router(name)
 
     def write_operators_file(self, name: str) -> Path:
         """Write a router's operators' file, and return its path."""
         switch = self.switch
-        addresses = {n: switch.relays.at.get((name, n), switch.voters[n]) for n in self.names}
+        addresses = {
+            n: switch.relays.send_addresses.get((name, n), switch.voter_addresses[n]) for n in self.names
+        }
         peers = ", ".join(f'{{name = "{n}", at = "{host}:{port}"}}' for n, (host, port) in addresses.items())
-        host, port = switch.told_at
+        host, port = switch.control_address
         path = self.folder / f"{name}.toml"
         path.write_text(
             f'[address]\nname = "{name}"\npeers = [{peers}]\nkey_file = "{self.folder / "key"}"\n'
@@ -197,7 +199,7 @@
         first = await service.wait_for_holder()
         began = time.monotonic()
         await service.routers[first].end(kill=True)
-        service.switch.gone(first)
+        service.switch.drop_router(first)
         observations.append(seen.RouterDown(began, SERVICE, True))
         second = await service.wait_for_holder(first)
         moves.append(time.monotonic() - began)
--- a/bench/duty_move.py
+++ b/bench/duty_move.py
@@ -23,7 +23,7 @@
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.duties import messages as msg
 from myrtlecourse.duties.codec import DutyCodec, split
-from myrtlecourse.fleet.duty_logs import observed
+from myrtlecourse.fleet.duty_logs import read_observations
 from myrtlecourse.fleet.routers import COMMAND
 from myrtlecourse.fleet.scenario import Scenario
 from myrtlecourse.fleet.session import play
@@ -88,8 +88,8 @@
         began = next(
             o.at for o in seen.merge_logs(sorted(folder.glob("*.jsonl"))) if isinstance(o, seen.RequestSent)
         )
-        takeovers = [o for o in observed(folder) if isinstance(o, seen.HoldsDuty) and o.token]
-        steps = sum(isinstance(o, seen.StepDone) for o in observed(folder))
+        takeovers = [o for o in read_observations(folder) if isinstance(o, seen.HoldsDuty) and o.token]
+        steps = sum(isinstance(o, seen.StepDone) for o in read_observations(folder))
     gaps, holder = [], ""
     for i in range(times):
         at = began + FIRST_FAULT_AT + FAULT_INTERVAL * i
--- a/bench/led_return.py
+++ b/bench/led_return.py
@@ -54,7 +54,7 @@
         world = self.return_duty.world
         for action in self.duties.handle(world.core.now, event):
             if isinstance(action, msg.Send):
-                for pause in world.ways.fate((self.router.name, action.to)):
+                for pause in world.ways.delivery_delays((self.router.name, action.to)):
                     world.core.after(
                         pause, self.return_duty.deliver, self.router.name, action.to, action.items
                     )
--- a/bench/spread_sockets.py
+++ b/bench/spread_sockets.py
@@ -21,7 +21,7 @@
 import numpy as np
 
 from myrtlecourse.fleet.hollow_spread import Job
-from myrtlecourse.fleet.reserved_ports import free
+from myrtlecourse.fleet.reserved_ports import free_address
 from myrtlecourse.spread.messages import Settings, Site
 from myrtlecourse.spread.tree import CONTROL, LEAF, REGION_RELAY, SITE_RELAY, Tree
 
@@ -113,7 +113,7 @@
     """Run once and return the figures."""
     members = process_members()
     names = [name for group in members.values() for name in group]
-    addresses = {name: "{}:{}".format(*free()) for name in names}
+    addresses = {name: "{}:{}".format(*free_address()) for name in names}
 
     def peers(group: tuple[str, ...]) -> list[dict[str, str]]:
         return [{"name": name, "at": addresses[name]} for name in group]
--- a/bench/zone_exit.py
+++ b/bench/zone_exit.py
@@ -24,7 +24,7 @@
 import numpy as np
 
 from myrtlecourse.audit import observations as seen
-from myrtlecourse.fleet.routers import COMMAND, zones_left
+from myrtlecourse.fleet.routers import COMMAND, zone_exits
 from myrtlecourse.fleet.scenario import Scenario
 from myrtlecourse.fleet.session import play
 from myrtlecourse.load.profile import Profile
@@ -238,7 +238,7 @@
     """Return the seconds from the fault until each router logged that it left something."""
     exits: dict[str, float] = {}
     for log in sorted(folder.glob("router-*.log")):
-        for at, zones in zones_left(log):
+        for at, zones in zone_exits(log):
             if zones and at >= stats.fault_at:
                 exits.setdefault(log.stem, at - stats.fault_at)
     return exits
--- a/bench/zone_return.py
+++ b/bench/zone_return.py
@@ -28,9 +28,9 @@
 
 from bench.led_return import ReturnDuty
 from myrtlecourse.audit import observations as seen
-from myrtlecourse.fleet.box import Box, Request
 from myrtlecourse.fleet.layout import ORIGIN
 from myrtlecourse.fleet.scenario import Scenario
+from myrtlecourse.fleet.server_models import CacheServerModel, Request
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.sim.world import World
 from myrtlecourse.zones import pace
@@ -141,16 +141,16 @@
         arrive: Callable[[float, Request], Any] = box.arrive
 
         def watched(now: float, request: Request) -> Any:
-            work = box.draw.work(request)
+            work = box.draws.work_of(request)
             self.recent_work.append((now, work))
             self.recent_work_sum += work
             while self.recent_work[0][0] < now - WORK_WINDOW:
                 self.recent_work_sum -= self.recent_work.popleft()[1]
             if self.elapsed() > RETURN_AT:
                 able = sum(
-                    b.kind.cores * b.kind.speed * b.station.pace.share(now) * WORK_WINDOW
+                    b.kind.cores * b.kind.speed * b.core_queue.core_speed.capacity_share(now) * WORK_WINDOW
                     for b in self.zone_servers
-                    if isinstance(b, Box)
+                    if isinstance(b, CacheServerModel)
                 )
                 self.peak_work = max(self.peak_work, self.recent_work_sum / able)
             return arrive(now, request)
--- /dev/null
+++ b/myrtlecourse/fleet/core_queue.py
@@ -0,0 +1,166 @@
+"""Cores that serve a queue at a speed that varies; no I/O and no clock: times are passed in, in seconds.
+
+Each core serves one item after another, first come, first served (an M/G/c queue). The speed of the cores is
+a function of time: low after a start, reduced or zero during faults. The queue therefore counts not time but
+the work that a core has done since the beginning, the integral of its speed. An item ends when that integral
+has grown by the item's work, however the speed varies meanwhile.
+"""
+
+from __future__ import annotations
+
+import heapq
+import math
+from collections import deque
+from dataclasses import dataclass
+
+
+class CoreSpeed:
+    """The speed of a core as a function of time, and the work that it has done by a given time.
+
+    After `started` the speed rises linearly from the share `cold` to the full speed within `warm_up` seconds.
+    `factor` multiplies it; 0 halts the core.
+    """
+
+    def __init__(
+        self, speed: float, started: float = -math.inf, cold: float = 1.0, warm_up: float = 0.0
+    ) -> None:
+        self.speed = speed
+        self.started = started
+        self.cold = cold
+        self.warm_up = warm_up
+        self.factor = 1.0
+        # Work done until the factor was last changed, and the warm-up integral at that time.
+        self.base = (0.0, self._warm_integral(0.0))
+
+    def capacity_share(self, now: float) -> float:
+        """Return the share of the full capacity that is available, without regard to faults."""
+        age = now - self.started
+        return 1.0 if age >= self.warm_up else self.cold + (1 - self.cold) * max(0.0, age) / self.warm_up
+
+    def _warm_integral(self, now: float) -> float:
+        """Return the integral of `capacity_share` since the start, or since 0 if the start is at -inf."""
+        if self.started == -math.inf:
+            return now
+        age = max(0.0, now - self.started)
+        if age >= self.warm_up:
+            return age - self.warm_up * (1 - self.cold) / 2
+        return self.cold * age + (1 - self.cold) * age * age / (2 * self.warm_up)
+
+    def _time_of_integral(self, integral: float) -> float:
+        """Return the time at which the warm-up integral has a value; the inverse of `_warm_integral`."""
+        if self.started == -math.inf:
+            return integral
+        whole = self.warm_up * (1 + self.cold) / 2
+        if integral >= whole:
+            return self.started + self.warm_up + (integral - whole)
+        # This form of the root neither subtracts two nearly equal numbers nor divides by the slope, which may
+        # be zero or infinite.
+        rise = 2 * (1 - self.cold) * (integral / self.warm_up)
+        return self.started + 2 * integral / (self.cold + math.sqrt(self.cold**2 + rise))
+
+    def work_done(self, now: float) -> float:
+        """Return the work that one core has done until now."""
+        work, warm = self.base
+        return work + self.factor * self.speed * (self._warm_integral(now) - warm)
+
+    def time_of_work(self, work: float) -> float:
+        """Return when one core will have done this work if the factor stays; infinite while it is halted."""
+        done, warm = self.base
+        if work <= done:
+            return self._time_of_integral(warm)
+        if not self.factor:
+            return math.inf
+        return self._time_of_integral(warm + (work - done) / (self.factor * self.speed))
+
+    def set_factor(self, now: float, factor: float) -> None:
+        """Multiply the speed of the cores by `factor` from now on."""
+        self.base = (self.work_done(now), self._warm_integral(now))
+        self.factor = factor
+
+
+@dataclass(slots=True, eq=False)
+class WorkItem:
+    """One item of work: a request that was accepted."""
+
+    work: float  # seconds of a core of speed 1
+    deadline: float  # time at which the client stops waiting
+    request: object
+    finished: bool = False  # whether it has been cancelled or has ended
+
+
+class CoreQueue:
+    """A number of cores with a common queue."""
+
+    def __init__(self, cores: int, max_waiting: int, core_speed: CoreSpeed) -> None:
+        self.cores = cores
+        self.max_waiting = max_waiting
+        self.core_speed = core_speed
+        self.waiting: deque[WorkItem] = deque()
+        self.running: list[tuple[float, int, WorkItem]] = []  # ordered by the work done at which each ends
+        self.sequence = 0
+        self.cancelled_waiting = 0  # number of cancelled items that are still in `waiting`
+
+    @property
+    def size(self) -> int:
+        """The number of items that run or wait."""
+        return len(self.running) + len(self.waiting) - self.cancelled_waiting
+
+    def add(self, now: float, item: WorkItem) -> bool:
+        """Queue an item and return True, or return False if the queue is full."""
+        if len(self.running) < self.cores:
+            self._run(self.core_speed.work_done(now), item)
+            return True
+        if len(self.waiting) - self.cancelled_waiting >= self.max_waiting:
+            return False
+        self.waiting.append(item)
+        return True
+
+    def _run(self, done: float, item: WorkItem) -> None:
+        self.sequence += 1
+        heapq.heappush(self.running, (done + item.work, self.sequence, item))
+
+    def cancel(self, now: float, item: WorkItem) -> None:
+        """Stop working on an item, or remove it from the queue."""
+        if item.finished:
+            return
+        item.finished = True
+        for i, (_, _, other) in enumerate(self.running):
+            if other is item:
+                self.running[i] = self.running[-1]
+                self.running.pop()
+                heapq.heapify(self.running)
+                self._fill(self.core_speed.work_done(now))
+                return
+        self.cancelled_waiting += 1
+
+    def _fill(self, done: float) -> None:
+        """Start waiting items on free cores."""
+        while self.waiting and len(self.running) < self.cores:
+            item = self.waiting.popleft()
+            if item.finished:
+                self.cancelled_waiting -= 1
+            else:
+                self._run(done, item)
+
+    def next_end(self) -> float:
+        """Return when the next item ends; infinite if none will."""
+        return self.core_speed.time_of_work(self.running[0][0]) if self.running else math.inf
+
+    def next_finished(self, now: float) -> WorkItem | None:
+        """Return the next item that has ended by now, in order, or None.
+
+        A core starts its next item at the time when the last one ended, not at the time of this call.
+        """
+        # 1e-9 s of tolerance: a timer set for exactly this time may fire early by a rounding error.
+        if not self.running or self.running[0][0] > self.core_speed.work_done(now) + 1e-9:
+            return None
+        done, _, item = heapq.heappop(self.running)
+        item.finished = True
+        self._fill(done)
+        return item
+
+    def clear(self) -> None:
+        """Remove all items, as the end of a process does."""
+        self.waiting.clear()
+        self.running.clear()
+        self.cancelled_waiting = 0
--- a/myrtlecourse/fleet/layout.py
+++ b/myrtlecourse/fleet/layout.py
@@ -1,6 +1,6 @@
-"""What a scenario's fleet consists of, and what discovery notices of a fault; no I/O.
+"""The parts of a scenario's fleet and the changes of the list that follow a fault; no I/O.
 
-The stand-in on sockets and the simulator take it from here.
+The stand-in fleet on sockets and the simulator both use it.
 """
 
 from __future__ import annotations
@@ -8,25 +8,25 @@
 from dataclasses import replace
 from typing import Any
 
-from myrtlecourse.fleet.box import Box, Draw, Receipts
 from myrtlecourse.fleet.faults import Step, zone_of
 from myrtlecourse.fleet.registry import Entry
 from myrtlecourse.fleet.scenario import RequestClass, Scenario
+from myrtlecourse.fleet.server_models import CacheServerModel, RandomDraws, WriteReceipts
 
 ORIGIN = "origin"
 
 
 class Layout:
-    """Names, zones and cells, the list at the start, and the settings of routers."""
+    """Names, zones and cells, the list at the start, and the settings of the routers."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
-        self.kinds = scenario.boxes()
+        self.kinds = scenario.cache_servers()
         self.routers = [f"router-{i}" for i in range(scenario.routers)]
         self.zones = {name: zone_of(scenario, i) for i, name in enumerate(self.kinds)}
         self.cells = {name: i // scenario.cell for i, name in enumerate(self.kinds)}
-        self.draw = Draw(scenario.seed)
-        self.receipts: dict[str, Receipts] = {}
+        self.draws = RandomDraws(scenario.seed)
+        self.receipts: dict[str, WriteReceipts] = {}
         self.entries = {e.name: e for e in self._entries()}
 
     def _entries(self) -> list[Entry]:
@@ -39,49 +39,51 @@
         return entries
 
     def group(self, name: str, kind: RequestClass) -> str:
-        """The boxes that drop each other's repeats of a class, by a name of theirs."""
+        """Return the name of the group of servers that recognise each other's repeats of a class."""
         return {"all": "all", "zone": f"zone {self.zones[name]}"}.get(kind.group, f"cell {self.cells[name]}")
 
-    def box(self, name: str) -> Box:
-        """A box as it stands at the start."""
+    def server_model(self, name: str) -> CacheServerModel:
+        """Return the model of a cache server as it is at the start."""
 
-        def receipts(kind: RequestClass) -> Receipts:
-            return self.receipts.setdefault(self.group(name, kind), Receipts())
+        def receipts(kind: RequestClass) -> WriteReceipts:
+            return self.receipts.setdefault(self.group(name, kind), WriteReceipts())
 
-        scenario, aside = self.scenario, self.scenario.origin is not None
-        return Box(name, self.kinds[name], scenario.rules, self.draw, receipts, aside)
+        scenario, cache_aside = self.scenario, self.scenario.origin is not None
+        return CacheServerModel(name, self.kinds[name], scenario.rules, self.draws, receipts, cache_aside)
 
-    def distances(self, zone: str) -> dict[str, float]:
-        """How far each router is from a zone, one way (seconds)."""
+    def delays_from(self, zone: str) -> dict[str, float]:
+        """Return the one-way delay from each router to a zone, in seconds."""
         return {
             router: 0.0 if zone_of(self.scenario, i) == zone else self.scenario.delay
             for i, router in enumerate(self.routers)
         }
 
-    def noticed(self, step: Step, now: float, started: float, listed: bool) -> tuple[float, Entry] | None:
-        """What discovery notices of a fault, and when; `listed` tells whether the box is in the list."""
+    def list_change(
+        self, step: Step, now: float, started_at: float, listed: bool
+    ) -> tuple[float, Entry] | None:
+        """Return the time and entry of the list's change after a step, or None; `listed`: as of now."""
         if step.target == ORIGIN:
-            return None  # it is no cache server, and stays in the list
-        late, entry = self.scenario.discovery, replace(self.entries[step.target], since=started)
-        match step.do:
+            return None  # the origin stays in the list
+        discovery, entry = self.scenario.discovery, replace(self.entries[step.target], since=started_at)
+        match step.action:
             case "drain":
                 return now, replace(entry, status="terminating")
             case "end":
                 return now, replace(entry, status="terminated")
-            case "crash" if step.lasts > late.notice:
-                return now + late.notice, replace(entry, status="terminated")
-            case "cut" if step.lasts > late.silent_notice:
-                return now + late.silent_notice, replace(entry, status="terminated")
+            case "crash" if step.duration > discovery.notice:
+                return now + discovery.notice, replace(entry, status="terminated")
+            case "cut" if step.duration > discovery.silent_notice:
+                return now + discovery.silent_notice, replace(entry, status="terminated")
             case "join" if not listed:
-                return now + late.added, entry
+                return now + discovery.added, entry
         return None
 
-    def added(self, name: str, started: float) -> tuple[float, Entry]:
-        """When a box that has started is listed, and how."""
-        return started + self.scenario.discovery.added, replace(self.entries[name], since=started)
+    def list_addition(self, name: str, started_at: float) -> tuple[float, Entry]:
+        """Return when a server that has started is listed, and its entry."""
+        return started_at + self.scenario.discovery.added, replace(self.entries[name], since=started_at)
 
     def settings(self, number: int) -> dict[str, Any]:
-        """The settings that routers of this fleet have, in the form that hosts read."""
+        """Return the settings of a router, in the form of the configuration file."""
         scenario = self.scenario
         kinds = [k.name for k in scenario.kinds] + ([ORIGIN] if scenario.origin else [])
         classes = [
@@ -97,7 +99,7 @@
             for c in scenario.classes
         ]
         rules = scenario.rules
-        talk = {"peers": True} if scenario.peers is not None else {}
+        peer_limits = {"peers": True} if scenario.peers is not None else {}
         return {
             "classes": classes,
             "familyInfo": {"mode": "aside", "originKind": len(kinds) - 1} if scenario.origin else {},
@@ -109,7 +111,7 @@
                 "mostTries": 6,
                 "secondCopies": True,
             }
-            | talk,
+            | peer_limits,
             "me": number,
             "siblings": scenario.routers,
             "membershipMode": "subscribe",
--- a/myrtlecourse/scale/hollow.py
+++ b/myrtlecourse/scale/hollow.py
@@ -21,7 +21,7 @@
 
 from myrtlecourse import interface as api
 from myrtlecourse.config import Config, ConfigError, read_config
-from myrtlecourse.fleet.operators import held
+from myrtlecourse.fleet.operators import process_usage
 from myrtlecourse.net.discovery import Discovery, WatchTimeouts
 from myrtlecourse.net.host import Host
 from myrtlecourse.net.list_updates import ListUpdate
@@ -187,7 +187,7 @@
         self.job = job
         self.connection = connection
         self.counts = Counts()
-        self.resident_before = held(os.getpid())[0]
+        self.resident_before = process_usage(os.getpid())[0]
         self.members = {p.number: HollowMember(p, job, self.counts) for p in job.members}
         self.former_sent = [0, 0]  # datagrams and bytes sent by members before they were restarted
         self.cpu_before = 0.0
@@ -208,7 +208,7 @@
 
     def member_memory(self) -> float:
         """Return the resident MB per member, without what the process had before it created any."""
-        return (held(os.getpid())[0] - self.resident_before) / len(self.members)
+        return (process_usage(os.getpid())[0] - self.resident_before) / len(self.members)
 
     def _begin_measuring(self) -> None:
         # the cost of starting the members is excluded
--- a/myrtlecourse/scale/scenario.py
+++ b/myrtlecourse/scale/scenario.py
@@ -78,7 +78,7 @@
     per_process: Annotated[int, Meta(ge=1, le=2000)] = 100  # hollow members in one process
     routers: Annotated[int, Meta(ge=1, le=40)] = 1  # number of real routers
     rate: Annotated[float, Meta(gt=0.0, le=20_000.0)] = 50.0  # requests per second, sent to the real routers
-    kinds: Annotated[tuple[fleet.Kind, ...], Meta(min_length=1)] = (fleet.Kind("std", 4),)
+    kinds: Annotated[tuple[fleet.ServerKind, ...], Meta(min_length=1)] = (fleet.ServerKind("std", 4),)
     discovery: fleet.Discovery = fleet.Discovery()
     peers: Gossip | None = None  # None: members don't gossip
     faults: tuple[Fault, ...] = ()
--- a/myrtlecourse/scale/stand_in_fleet.py
+++ b/myrtlecourse/scale/stand_in_fleet.py
@@ -18,10 +18,10 @@
 
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.fleet.discovery_server import DiscoveryConnection, DiscoveryServer
+from myrtlecourse.fleet.loopback_fleet import Fleet
 from myrtlecourse.fleet.ports import Port
 from myrtlecourse.fleet.routers import Routers
-from myrtlecourse.fleet.session import LOG, Standing, operators_file
-from myrtlecourse.fleet.stand_in import Fleet
+from myrtlecourse.fleet.session import LOG, RunningFleet, operators_file
 from myrtlecourse.scale.child_process import wait_for_end
 from myrtlecourse.scale.scenario import Scenario
 
@@ -86,9 +86,9 @@
         super().__init__(port, server)
         self.fleet = fleet
 
-    def took(self, data: bytes, began: float) -> None:
+    def on_data(self, data: bytes, began: float) -> None:
         self.fleet.bytes_in[role_of(self.port.router)] += len(data)
-        super().took(data, began)
+        super().on_data(data, began)
 
     def write(self, data: bytes) -> None:
         self.fleet.bytes_out[role_of(self.port.router)] += len(data)
@@ -116,7 +116,7 @@
         server = self.discovery
         make = partial(CountedConnection, server=server, fleet=self)
         for port in server.ports.values():
-            port.make = make
+            port.make_connection = make
         for number, group in enumerate(self.scale_scenario.members_by_process() if self.for_hollow else ()):
             # twice as many connections as members: a call may begin before the previous connection is closed
             port = server.ports[f"{HOLLOW_PREFIX}-{number}"] = Port(
@@ -125,8 +125,8 @@
             await port.listen()
         if self.scale_scenario.peers is not None:
             names = [str(n) for n in range(self.scale_scenario.routers, self.scale_scenario.members)]
-            addresses = [self.relays.heard_at[r] for r in self.routers]
-            addresses += self.relays.places(names).values()
+            addresses = [self.relays.listen_addresses[r] for r in self.routers]
+            addresses += self.relays.reserve_addresses(names).values()
             self.gossip_addresses = tuple(f"{host}:{port}" for host, port in addresses)
 
     def configuration(self, number: int) -> dict[str, Any]:
@@ -141,8 +141,8 @@
         shared = self.configuration(0)
         ports = [p for name, p in self.discovery.ports.items() if role_of(name) == HOLLOW_PREFIX]
         return StandInReady(
-            routers=tuple(r.address for r in routers.each),
-            pids=tuple(pid for r in routers.each for pid in r.pids()),
+            routers=tuple(r.address for r in routers.members),
+            pids=tuple(pid for r in routers.members for pid in r.pids()),
             configuration={k: v for k, v in shared.items() if k not in ("name", "discovery")},
             discovery=tuple(f"127.0.0.1:{port.number}" for port in ports),
             gossip_addresses=self.gossip_addresses,
@@ -189,7 +189,7 @@
     fleet = ScaleFleet(scenario, log, command is None)
     await fleet.listen()
     routers = Routers(fleet.routers if command is not None else [], command or "", folder, log.add)
-    standing = Standing(fleet, routers, log)
+    standing = RunningFleet(fleet, routers, log)
     try:
         write_operators_file = None
         if fleet.scenario.peers is not None:
--- a/myrtlecourse/sim/peer_network.py
+++ b/myrtlecourse/sim/peer_network.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
+from myrtlecourse.fleet.datagram_network import DatagramNetwork
 from myrtlecourse.fleet.scenario import Peers
-from myrtlecourse.fleet.ways import Ways
 from myrtlecourse.peers.gossip import TICK_INTERVAL
 from myrtlecourse.peers.records import EPOCH
 from myrtlecourse.peers.seal import Dropped
@@ -23,7 +23,7 @@
 class PeerNetwork:
     """Carries the datagrams between the agents of a fleet's routers."""
 
-    def __init__(self, core: Core, ways: Ways, routers: list[SimRouter], settings: Peers) -> None:
+    def __init__(self, core: Core, ways: DatagramNetwork, routers: list[SimRouter], settings: Peers) -> None:
         self.core = core
         self.ways = ways
         self.routers = {r.name: r for r in routers}
@@ -64,7 +64,7 @@
         for datagram in result.datagrams:
             self.datagrams += 1
             self.bytes += len(datagram.data)
-            for delay in self.ways.fate((router.name, datagram.to)):
+            for delay in self.ways.delivery_delays((router.name, datagram.to)):
                 self.core.after(delay, self._arrive, self.routers[datagram.to], datagram.data)
         if result.zones_left is not None:
             self.orders.append(
--- a/tests/test_fleet_ports.py
+++ b/tests/test_fleet_ports.py
@@ -1,4 +1,4 @@
-"""A stand-in's ports: reserved while nothing listens, right through starts and ends in succession."""
+"""Tests of stand-in servers' ports: reserved while nothing listens, also across quick starts and stops."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 import pytest
 
 from myrtlecourse.fleet import reserved_ports
-from myrtlecourse.fleet.ports import Port, Served
-from myrtlecourse.fleet.reserved_ports import RECENT, ReservedPort, free, reserve
+from myrtlecourse.fleet.ports import Port, ServerConnection
+from myrtlecourse.fleet.reserved_ports import RECENT, ReservedPort, free_address, reserve
 from tests.loopback import run
 
 
 async def connects(port: Port) -> bool:
-    """Whether somebody listens at a port."""
+    """Return whether somebody listens at a port."""
     assert port.reserved is not None
     try:
         _, writer = await asyncio.open_connection(*port.reserved.address)
@@ -26,14 +26,14 @@
 
 
 def test_a_port_that_nobody_listens_at_is_drawn_by_no_other_stand_in(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Another fleet took the port of a server that was down, which never came back."""
+    """Another fleet must not get the port of a server that is down, or the server cannot restart there."""
 
     async def scenario() -> None:
-        port, other = Port("router-0", 0.0, 10, Served), Port("router-0", 0.0, 10, Served)
+        port, other = Port("router-0", 0.0, 10, ServerConnection), Port("router-0", 0.0, 10, ServerConnection)
         await port.listen()
         number = port.number
-        port.end()
-        while True:  # until the kernel has nothing left at the port itself
+        port.stop()
+        while True:  # until the kernel has released the port itself
             with socket.socket() as probe:
                 try:
                     probe.bind(("127.0.0.1", number))
@@ -73,28 +73,28 @@
 
 
 def test_what_was_given_lately_is_not_given_again() -> None:
-    assert len({free() for _ in range(RECENT)}) == RECENT
-    free()
+    assert len({free_address() for _ in range(RECENT)}) == RECENT
+    free_address()
     assert len(reserved_ports._recent) == RECENT
 
 
 def test_a_server_that_starts_twice_or_ends_while_it_starts_does_as_it_was_told_last() -> None:
-    """The second start found its own port in use; an end in the middle was forgotten."""
+    """Guards against a second start that finds its own port in use, and a stop lost during a start."""
 
     async def scenario() -> None:
-        port = Port("router-0", 0.0, 10, Served)
+        port = Port("router-0", 0.0, 10, ServerConnection)
         await asyncio.gather(port.listen(), port.listen())
         assert await connects(port)
         for _ in range(5):
-            port.end()
+            port.stop()
             starting = asyncio.ensure_future(port.listen())
             await asyncio.sleep(0)
-            port.end()
+            port.stop()
             await starting
             assert not await connects(port)
             starting = asyncio.ensure_future(port.listen())
             await asyncio.sleep(0)
-            port.end()
+            port.stop()
             await asyncio.gather(starting, port.listen())
             assert await connects(port)
         port.close()
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -397,7 +397,7 @@
             fleet.begin()
             entry = fleet.layout.entries["std-1"]
             for status in ("terminating", "terminated"):
-                fleet.discovery.notice(0.0, replace(entry, status=status))
+                fleet.discovery.schedule(0.0, replace(entry, status=status))
                 await hollow.until(
                     lambda status=status: sum(r.status == status for r in counts.in_force) == 3
                 )
@@ -420,7 +420,7 @@
         async with HollowFleet(tmp_path) as hollow:
             counts = hollow.counts
             entry = replace(hollow.fleet.layout.entries["std-1"], status="terminated")
-            hollow.fleet.discovery.notice(0.0, entry)
+            hollow.fleet.discovery.schedule(0.0, entry)
             await hollow.until(lambda: len(counts.in_force) == 3)
             place, job, former = hollow.members.pop(0)
             former.host.timers.call_later(3600.0, lambda _: None, None)
