--- a/myrtlecourse/duties/core.py
+++ b/myrtlecourse/duties/core.py
@@ -18,7 +18,7 @@
 from myrtlecourse.duties.messages import Duty, Item, Memory, Message, ObeyedOrder, Settings
 from myrtlecourse.election import messages as election
 from myrtlecourse.election.core import Election, Role
-from myrtlecourse.election.question_numbers import QuestionNumbers
+from myrtlecourse.election.request_ids import RequestIds
 
 # largest factor of the pause after failed holdings, so that a duty that no router can hold is still tried now
 # and then
@@ -43,7 +43,7 @@
         self.settings = settings
         self.now = now
         self.rng = random.Random(seed)
-        self.question_numbers = QuestionNumbers(self.rng)
+        self.request_ids = RequestIds(self.rng)
         self.duties: dict[str, Duty] = {}
         self.duty_names: dict[int, str] = {}
         self.elections: dict[str, Election] = {}
@@ -75,7 +75,7 @@
             self.duties[duty.name] = duty
             self.duty_names[duty.number] = duty.name
             self.elections[duty.name] = Election(
-                settings.election(duty), before, now, number, self.question_numbers
+                settings.election(duty), before, now, number, self.request_ids
             )
             self.members[duty.name] = Member(duty, memory, now, first_stamp)
 
@@ -213,12 +213,12 @@
         if self.order_sent:
             for name, holding in list(self.holdings.items()):
                 if name not in self.release_deadlines:
-                    holding.order_early(self.now)
+                    holding.schedule_orders_early(self.now)
                     self._run_holding(name, holding)
         self._deliver_own()
         if self.heartbeat_sent:
             for name, duty_election in self.elections.items():
-                self._carry_out(name, duty_election.heartbeat_early(self.now))
+                self._carry_out(name, duty_election.send_heartbeat_early(self.now))
         for name in self.members:
             self._report_expiry(name)
 
--- a/myrtlecourse/duties/holding.py
+++ b/myrtlecourse/duties/holding.py
@@ -80,7 +80,7 @@
             elif member not in self.answered:
                 yield member, messages.Survey(self.token)
 
-    def order_early(self, now: float) -> None:
+    def schedule_orders_early(self, now: float) -> None:
         """Sends orders a little early, as another holding sends now, so that they share a datagram."""
         if self.acting and self.send_at - now < EARLY_WINDOW * self.duty.good_for / ORDERS_PER_VALIDITY:
             self.send_at = min(now, self.send_at)
--- a/myrtlecourse/election/core.py
+++ b/myrtlecourse/election/core.py
@@ -16,7 +16,7 @@
 import random
 from enum import Enum
 
-from myrtlecourse.election.ballot import Ballot
+from myrtlecourse.election.vote_count import VoteCount
 from myrtlecourse.election.invitations import Invitations
 from myrtlecourse.election.lease import Lease
 from myrtlecourse.election.messages import (
@@ -48,7 +48,7 @@
     Withdrawn,
 )
 from myrtlecourse.election.offer import Offer
-from myrtlecourse.election.question_numbers import QuestionNumbers
+from myrtlecourse.election.request_ids import RequestIds
 
 # share of a heartbeat; if less time than this is left until the next one, it is sent early
 EARLY_WINDOW = 0.6
@@ -68,33 +68,28 @@
     """One instance's part in the election."""
 
     def __init__(
-        self,
-        settings: Settings,
-        saved: Saved,
-        now: float,
-        seed: int,
-        question_numbers: QuestionNumbers | None = None,
+        self, settings: Settings, saved: Saved, now: float, seed: int, request_ids: RequestIds | None = None
     ) -> None:
         """Starts as a backup that promises no lease yet, as a promise given before the start may still hold.
 
-        The elections of one process share `question_numbers`.
+        The elections of one process share `request_ids`.
         """
         self.settings = settings
         self.saved = saved
         # the term that it started in, if it has not voted in it
-        self.starting_term = saved.term if not saved.voted else -1
+        self.initial_term = saved.term if not saved.voted else -1
         self.random = random.Random(seed)
         self.now = now
         self.actions: list[Action] = []
         self.role = Role.BACKUP
         self.startup_wait_until = now + settings.lease
-        self.answered_question = -1  # number of the question that its last vote answered
+        self.answered_request_id = -1  # number of the question that its last vote answered
         self.promise = ("", 0)  # receiver of the last promise, and its term
         self.promise_until = -math.inf
         self.highest_held_term = -1  # highest term in which an instance is known to have held the lease
         self.campaign_at = math.inf
-        self.question_numbers = question_numbers or QuestionNumbers(self.random)
-        self.ballot = Ballot()
+        self.request_ids = request_ids or RequestIds(self.random)
+        self.vote_count = VoteCount()
         self.lease = Lease()
         self.heartbeat_at = math.inf
         self.able_since = math.inf
@@ -173,7 +168,7 @@
                 self._send_heartbeat()
         elif (
             self.role in (Role.PRE_VOTE, Role.CAMPAIGNING)
-            and self.now >= self.ballot.asked_at + settings.heartbeat
+            and self.now >= self.vote_count.asked_at + settings.heartbeat
         ):
             # no majority answered in time; answers that come later belong to an outdated question
             self._become_backup()
@@ -181,14 +176,14 @@
             self._campaign_for_offer()
         elif self.role is Role.BACKUP and settings.is_voter:
             self._invite_candidates()
-            if self._promised_to_another("") or not self._may_campaign():
+            if self._promised_to_other_than("") or not self._may_campaign():
                 self.campaign_at = math.inf
             elif self.campaign_at == math.inf:
                 # the most preferred candidate campaigns first; preference matters only in a vacancy
                 turn = settings.turn + self.random.random()
                 self.campaign_at = self.now + turn * settings.heartbeat / 2
             elif self.now >= self.campaign_at:
-                self._start_trial()
+                self._start_pre_vote()
 
     def _may_campaign(self) -> bool:
         return self.settings.may_hold and self.now >= self._may_campaign_from()
@@ -199,7 +194,7 @@
 
     def _invite_candidates(self) -> None:
         """Invites candidates without a vote to campaign, if no instance holds the lease."""
-        vacant = self.now >= self.startup_wait_until and not self._promised_to_another("")
+        vacant = self.now >= self.startup_wait_until and not self._promised_to_other_than("")
         for name in self.invitations.candidates_due(self.now, vacant, self.settings):
             self.actions.append(Send(name, Invite(self.term)))
 
@@ -209,7 +204,7 @@
             times = [self.heartbeat_at, self.lease_until - self.settings.heartbeat / 2]
             return min([*times, self.unable_since + self.settings.unwell])
         if self.role in (Role.PRE_VOTE, Role.CAMPAIGNING):
-            return self.ballot.asked_at + self.settings.heartbeat
+            return self.vote_count.asked_at + self.settings.heartbeat
         if self.role is Role.LEAVING:
             return math.inf
         if self.offer.is_open(self.now):
@@ -229,15 +224,15 @@
 
     # Promises and votes
 
-    def _term_only_from_start(self) -> bool:
+    def _in_initial_term(self) -> bool:
         """Whether this voter is in its term only because it started in it.
 
         Then a lower term is no evidence against a holder. Terms may start from the time of the process's
         start, so a voter that started later would deny an earlier holder until the next election.
         """
-        return self.term == self.starting_term and not self.saved.voted
+        return self.term == self.initial_term and not self.saved.voted
 
-    def _promised_to_another(self, other_than: str) -> bool:
+    def _promised_to_other_than(self, other_than: str) -> bool:
         """Whether a promise to an instance other than `other_than` still holds."""
         return self.now < self.promise_until and self.promise[0] != other_than
 
@@ -245,13 +240,13 @@
         """Whether a vote may be granted: one in each term, and none while a promise to another holds."""
         if not self.settings.is_voter or sender not in self.settings.candidates:
             return False
-        if self.now < self.startup_wait_until or self._promised_to_another(sender):
+        if self.now < self.startup_wait_until or self._promised_to_other_than(sender):
             return False
         if self.role in (Role.HOLDER, Role.LEAVING):
             return False
         # the term serves as a fencing token: a process that has forgotten its term must not get the same one
         # again
-        may_vote = self.saved.voted == "" or (self.saved.voted, self.answered_question) == (
+        may_vote = self.saved.voted == "" or (self.saved.voted, self.answered_request_id) == (
             sender,
             ask.number,
         )
@@ -301,14 +296,14 @@
         if self.role is Role.BACKUP and self._may_campaign():
             self._adopt_term(invite.term)
             if not self.settings.is_voter:
-                self._start_trial()
+                self._start_pre_vote()
 
     def _on_take(self, sender: str, take: Take) -> None:
         """Starts to campaign for an offered lease, and repeats it until some instance holds it or the offer
         ends."""
         if not self.settings.may_hold or self.role in (Role.HOLDER, Role.LEAVING):
             return
-        if take.term < self.term and self.promise != (sender, take.term) and not self._term_only_from_start():
+        if take.term < self.term and self.promise != (sender, take.term) and not self._in_initial_term():
             return
         if self.promise == (sender, take.term):
             self.promise_until = -math.inf
@@ -323,7 +318,11 @@
         A voter that gets the request before the former holder's release denies it, so the campaign is
         repeated.
         """
-        if self.now >= self.offer.campaign_at and self._may_campaign() and not self._promised_to_another(""):
+        if (
+            self.now >= self.offer.campaign_at
+            and self._may_campaign()
+            and not self._promised_to_other_than("")
+        ):
             self.offer.record_attempt(self.now, self.settings.heartbeat / 2)
             self._start_campaign()
 
@@ -336,16 +335,16 @@
                 self._become_backup()
             if self.saved != Saved(ask.term, sender):
                 self._save(ask.term, sender)
-            self.answered_question = ask.number
+            self.answered_request_id = ask.number
             self._give_promise(sender, ask.term)
         self.actions.append(Send(sender, Grant(ask.term, ask.number, ask.trial)))
 
     def _on_grant(self, sender: str, grant: Grant) -> None:
         if self.role not in (Role.PRE_VOTE, Role.CAMPAIGNING):
             return
-        if not self.ballot.count_grant(sender, grant, self.settings):
+        if not self.vote_count.count_grant(sender, grant, self.settings):
             return
-        if self.ballot.trial:
+        if self.vote_count.pre_vote:
             self._start_campaign()
         else:
             self._become_holder()
@@ -354,7 +353,7 @@
         if self.role in (Role.BACKUP, Role.LEAVING):
             self._adopt_term(term)
         # a holder continues until its lease ends: there may be no holder in the higher term
-        elif self.role is not Role.HOLDER and self.ballot.count_denial(sender, term, self.settings):
+        elif self.role is not Role.HOLDER and self.vote_count.count_denial(sender, term, self.settings):
             self._on_denied_by_majority()
 
     def _on_denied_by_majority(self) -> None:
@@ -362,16 +361,16 @@
 
         Without this a handover could fail, as the named successor is asked to campaign just once.
         """
-        denied = self.ballot
+        denied = self.vote_count
         self._become_backup()
         self._adopt_term(denied.highest_denier_term)
         if not denied.term_too_low:
             return
-        if denied.trial:
-            self._start_trial()
+        if denied.pre_vote:
+            self._start_pre_vote()
         else:
             self._start_campaign()
-        self.ballot.is_retry = True
+        self.vote_count.is_retry = True
 
     def _on_beat(self, sender: str, beat: Beat) -> None:
         """Promises the holder another lease, whatever terms were tried without success in the meantime.
@@ -383,7 +382,7 @@
             return
         if (
             beat.term < self.highest_held_term
-            or self._promised_to_another(sender)
+            or self._promised_to_other_than(sender)
             or self.role in (Role.HOLDER, Role.LEAVING)
         ):
             self.actions.append(Send(sender, Deny(self.term)))
@@ -408,7 +407,7 @@
 
     # Acquiring and giving up the lease
 
-    def _start_trial(self) -> None:
+    def _start_pre_vote(self) -> None:
         self.role = Role.PRE_VOTE
         self._ask_voters(self.term + 1, trial=True)
 
@@ -418,16 +417,16 @@
         self._ask_voters(self.term, trial=False)
 
     def _ask_voters(self, term: int, trial: bool) -> None:
-        self.ballot = Ballot(term, self.question_numbers.number_at(self.now), trial, self.now)
+        self.vote_count = VoteCount(term, self.request_ids.id_at(self.now), trial, self.now)
         if self.settings.is_voter:
-            self.ballot.granted.add(self.settings.name)
-        self._send_to_voters(Ask(term, self.ballot.number, trial))
+            self.vote_count.granted.add(self.settings.name)
+        self._send_to_voters(Ask(term, self.vote_count.number, trial))
         if self.settings.majority == 1 and self.settings.is_voter:
-            self._on_grant(self.settings.name, Grant(term, self.ballot.number, trial))
+            self._on_grant(self.settings.name, Grant(term, self.vote_count.number, trial))
 
     def _become_holder(self) -> None:
         self.role = Role.HOLDER
-        self.lease.start(self.ballot.granted, self.ballot.asked_at)
+        self.lease.start(self.vote_count.granted, self.vote_count.asked_at)
         self.lease.update(self.settings, self.now)
         if not self.holds(self.now):
             self._become_backup()  # the deciding vote came too late for the lease
@@ -440,13 +439,13 @@
 
     def _send_heartbeat(self) -> None:
         """Requests another lease from all voters."""
-        number = self.question_numbers.number_at(self.now)
+        number = self.request_ids.id_at(self.now)
         self.lease.record_request(number, self.now, self.settings.lease)
         self.heartbeat_at = self.now + self.settings.heartbeat
         self._send_to_voters(Beat(self.term, number))
         self.lease.update(self.settings, self.now)
 
-    def heartbeat_early(self, now: float) -> list[Action]:
+    def send_heartbeat_early(self, now: float) -> list[Action]:
         """Sends the heartbeat a little early, because another duty of this process sends one now: a single
         datagram then renews the leases of all of them."""
         self.now, self.actions = max(now, self.now), []
--- a/myrtlecourse/election/question_numbers.py
+++ b/myrtlecourse/election/request_ids.py
@@ -6,7 +6,7 @@
 import random
 
 
-class QuestionNumbers:
+class RequestIds:
     """Numbers the questions of this process.
 
     Questions asked at the same moment share a number, so that one answer can serve several duties. Numbering
@@ -17,7 +17,7 @@
         self.number = rng.getrandbits(48)
         self.last_time = -math.inf
 
-    def number_at(self, now: float) -> int:
+    def id_at(self, now: float) -> int:
         """Returns the number of the questions that are asked at this time."""
         if now != self.last_time:
             self.number, self.last_time = self.number + 1, now
--- a/myrtlecourse/election/ballot.py
+++ b/myrtlecourse/election/vote_count.py
@@ -8,12 +8,12 @@
 
 
 @dataclass(slots=True)
-class Ballot:
+class VoteCount:
     """The question that a candidate asked last, and the answers to it."""
 
     term: int = -1
     number: int = 0
-    trial: bool = False
+    pre_vote: bool = False
     asked_at: float = 0.0
     is_retry: bool = False  # asked once more because the previous term was too low for a majority
     granted: set[str] = field(default_factory=set)
@@ -22,7 +22,7 @@
 
     def count_grant(self, sender: str, grant: Grant, settings: Settings) -> bool:
         """Counts a grant of this question and returns whether a majority has granted it."""
-        if (grant.number, grant.trial) != (self.number, self.trial) or sender not in settings.voters:
+        if (grant.number, grant.trial) != (self.number, self.pre_vote) or sender not in settings.voters:
             return False
         self.granted.add(sender)
         return len(self.granted) >= settings.majority
--- a/myrtlecourse/evidence.py
+++ b/myrtlecourse/evidence.py
@@ -142,7 +142,7 @@
         """Return whether a later attempt has been answered."""
         return self.latest_answered_send > sent_at
 
-    def trial_due(self, now: float, pause: float) -> bool:
+    def probe_due(self, now: float, pause: float) -> bool:
         """Return whether for `pause` seconds nothing has been answered and nothing sent.
 
         When lost attempts hold all slots, nothing is sent that could overtake them, and they would never
--- a/myrtlecourse/policy/limits.py
+++ b/myrtlecourse/policy/limits.py
@@ -38,7 +38,7 @@
         )
 
 
-def record_failure(
+def record_outcome(
     now: float, server: Server, failed: bool, count: int, ramp_time: float, random: Random
 ) -> None:
     """Count consecutive failures and exclude a server that has too many.
--- a/myrtlecourse/policy/members.py
+++ b/myrtlecourse/policy/members.py
@@ -87,11 +87,11 @@
             shares = {}  # a gradual return gains nothing either
         for server in caches:
             server.ring_share = shares.get(server.entry.zone, 1.0)
-            now_left = server in excluded
-            if now_left and not server.zone_left:
-                server.zone_left, server.excluded_until = True, math.inf
-            elif server.zone_left and not now_left:
-                server.zone_left, server.consecutive_failures, server.exclusion_time = False, 0, 0.0
+            now_excluded = server in excluded
+            if now_excluded and not server.zone_excluded:
+                server.zone_excluded, server.excluded_until = True, math.inf
+            elif server.zone_excluded and not now_excluded:
+                server.zone_excluded, server.consecutive_failures, server.exclusion_time = False, 0, 0.0
                 self.failing.discard(server)
                 # jittered, so that not all routers return at once
                 server.excluded_until = self.now + self.random.random() * tuning.EXCLUSION_TIME
--- a/myrtlecourse/policy/router.py
+++ b/myrtlecourse/policy/router.py
@@ -149,7 +149,7 @@
                 or not last.open
                 or pending.queued
                 or pending.streaming
-                or not last.server.zone_left
+                or not last.server.zone_excluded
             ):
                 continue
             if self.retry_budget >= 1:  # what is in flight there will not be answered
@@ -228,7 +228,7 @@
     def _set_overdue_timer(self, pending: PendingRequest, attempt: Attempt) -> None:
         """Set a timer for when an unanswered attempt will be more likely lost than late."""
         server = attempt.server
-        overdue = self._overdue_after(server) if server.is_cache else self._trial_delay(server)
+        overdue = self._overdue_after(server) if server.is_cache else self._probe_delay(server)
         if overdue and self.now < pending.deadline:
             age = self.now - attempt.sent_at
             pause = overdue - age if age < overdue else overdue
@@ -353,7 +353,7 @@
         if stalled or event.status not in UNANSWERED:
             at_once = stalled or event.status is api.Status.CONNECT_FAILED and self._rarely_sends()
             failed = stalled or verdict is Verdict.FAILED
-            self._record_failure(attempt.server, failed, tuning.EXCLUSION_FAILURES if at_once else 1)
+            self._record_outcome(attempt.server, failed, tuning.EXCLUSION_FAILURES if at_once else 1)
         attempt.server.last_used_at = self.now
         lost = event.status is api.Status.CONNECT_FAILED
         self.keep_factor = (
--- a/myrtlecourse/policy/selection.py
+++ b/myrtlecourse/policy/selection.py
@@ -10,7 +10,7 @@
 from myrtlecourse import interface as api
 from myrtlecourse.evidence import OVERDUE_FACTOR
 from myrtlecourse.policy import tuning
-from myrtlecourse.policy.limits import record_failure
+from myrtlecourse.policy.limits import record_outcome
 from myrtlecourse.policy.members import Members
 from myrtlecourse.policy.popularity import Popularity
 from myrtlecourse.policy.state import Attempt, PendingRequest, Server
@@ -52,9 +52,9 @@
             # protects cold servers: all routers skip the same points, and nothing spills over to a cold one.
             # A key whose own server is still returning goes to no other returning server: it would move
             # twice.
-            pending.moved = pending.moved or (rank > server.ring_share and not passed)
+            pending.displaced = pending.displaced or (rank > server.ring_share and not passed)
             usable = min(server.ring_share, share / self.slow_start.max_warmth) if cold else share
-            if rank > usable or server in passed or (share < 1 and (passed or pending.moved)):
+            if rank > usable or server in passed or (share < 1 and (passed or pending.displaced)):
                 continue
             passed.add(server)
             if cold and not self._accepts_when_cold(server):
@@ -65,31 +65,31 @@
                 flow -= (1 + tuning.EPSILON) * share * server.size / self.sizes.total
                 if flow <= 0 and server.reported_load * self.random.random() <= cap:
                     return server
-            elif server.zone_left and self.zone_exit is not None:
-                if self._may_try_left_zone(pending, server):
+            elif server.zone_excluded and self.zone_exit is not None:
+                if self._may_probe_excluded_zone(pending, server):
                     return server
-                pending.moved = pending.moved or len(passed) == 1
+                pending.displaced = pending.displaced or len(passed) == 1
             elif server.in_flight >= server.limit and not self._is_silent(server):
                 full += 1
                 if full >= tuning.MAX_FULL_SERVERS:
                     break
         return first  # if all are over the cap, the first is as good as any and likeliest to have the key
 
-    def _may_try_left_zone(self, pending: PendingRequest, server: Server) -> bool:
+    def _may_probe_excluded_zone(self, pending: PendingRequest, server: Server) -> bool:
         """Return whether a read may test a zone that was left; if it fails, it is repeated elsewhere."""
         safe = (
             pending.request_class.effect is api.Effect.SAFE
             and not pending.request.write
             and not pending.attempts
         )
-        return safe and self.zone_exit is not None and self.zone_exit.allow_trial(self.now, server.entry.zone)
+        return safe and self.zone_exit is not None and self.zone_exit.allow_probe(self.now, server.entry.zone)
 
     def _may_move(self, pending: PendingRequest) -> bool:
         """Return whether the remaining servers can take another request that has lost its server."""
         if self.zone_exit is None or pending.attempts:
             return True
-        if not pending.moved:
-            self.zone_exit.record_unmoved()
+        if not pending.displaced:
+            self.zone_exit.earn_move_credit()
             return True
         highest = max(c.value for c in self.settings.classes.values())
         return self.zone_exit.allow_move(pending.request_class.value, highest)
@@ -135,13 +135,13 @@
         rate = self.request_count / max(self.now - self.started_at, self.min_aim) / max(1, len(self.caches))
         return rate * tuning.EXCLUSION_TIME < tuning.EXCLUSION_FAILURES
 
-    def _record_failure(self, server: Server, failed: bool, count: int = 1) -> None:
+    def _record_outcome(self, server: Server, failed: bool, count: int = 1) -> None:
         caches, failing = len(self.caches), len(self.failing) - (server in self.failing)
         if self.zone_exit is not None:
-            caches -= sum(s.zone_left for s in self.caches.values())
-            failing -= sum(s.zone_left for s in self.failing if s is not server)
+            caches -= sum(s.zone_excluded for s in self.caches.values())
+            failing -= sum(s.zone_excluded for s in self.failing if s is not server)
         too_many = failing + 1 > tuning.MAX_EXCLUDED_SHARE * caches
-        record_failure(self.now, server, failed and not too_many, count, self.settings.ramp_time, self.random)
+        record_outcome(self.now, server, failed and not too_many, count, self.settings.ramp_time, self.random)
         if (
             server.consecutive_failures >= tuning.EXCLUSION_FAILURES
             and self.caches.get(server.entry.server) is server
@@ -161,7 +161,7 @@
         if self.now >= slow_start.cold_until:
             return False
         if self.now >= slow_start.next_measure_at:
-            servers = [s for s in self.caches.values() if not s.zone_left]
+            servers = [s for s in self.caches.values() if not s.zone_excluded]
             slow_start.measure(self.now, ramp, [(self._warmth(s), s.size) for s in servers])
         return True
 
@@ -193,7 +193,7 @@
         chance = slow_start.accept_probability(server.entry.server, fair, len(self.caches), multiple)
         if self.random.random() < chance:
             return True
-        return slow_start.has_free_send(self.now, server, settings.fall_window, settings.router_count)
+        return slow_start.below_minimum_rate(self.now, server, settings.fall_window, settings.router_count)
 
     def _class_permits(self, pending: PendingRequest, server: Server | None) -> bool:
         """Return whether the class permits another attempt at this server or, with None, a refusal."""
@@ -224,7 +224,7 @@
         usual = self.unit_latency * (1 + server.reported_load) if server.is_cache else 0.0
         return server.evidence.overdue_after() or OVERDUE_FACTOR * usual
 
-    def _trial_delay(self, origin: Server) -> float:
+    def _probe_delay(self, origin: Server) -> float:
         return origin.evidence.overdue_after() or tuning.FIRST_ANSWER_SHARE * self.min_aim
 
     def _is_unanswered(self, attempt: Attempt) -> bool:
@@ -260,9 +260,9 @@
         """Return whether a fetch may start: below the limit, or as a trial when all in flight may be lost."""
         zone_exit = self.zone_exit
         if zone_exit is not None and zone_exit.current.origin_unreachable:
-            return zone_exit.allow_origin_trial(self.now)  # other requests would try to connect in vain
+            return zone_exit.allow_origin_probe(self.now)  # other requests would try to connect in vain
         if self.now < origin.excluded_until:
             return False
         if origin.in_flight < origin.limit:
             return True
-        return origin.evidence.trial_due(self.now + tuning.TIMER_ROUNDING, self._trial_delay(origin))
+        return origin.evidence.probe_due(self.now + tuning.TIMER_ROUNDING, self._probe_delay(origin))
--- a/myrtlecourse/policy/slow_start.py
+++ b/myrtlecourse/policy/slow_start.py
@@ -72,7 +72,7 @@
         fresh = (1 - tuning.REFUSED_RETRY_SHARE) * capacity
         return fresh / max(peak - tuning.REFUSED_RETRY_SHARE * capacity, fresh)
 
-    def has_free_send(self, now: float, server: Server, window: float, router_count: int) -> bool:
+    def below_minimum_rate(self, now: float, server: Server, window: float, router_count: int) -> bool:
         """Return whether a cold server can take another request, however cold it is."""
         times = self.recent_sends.get(server)
         own = tuning.FREE_COLD_SENDS // router_count
--- a/myrtlecourse/policy/state.py
+++ b/myrtlecourse/policy/state.py
@@ -30,7 +30,7 @@
     consecutive_failures: int = 0
     exclusion_time: float = 0.0  # length of its latest exclusion
     excluded_until: float = -math.inf  # time before which it gets no new requests
-    zone_left: bool = False  # whether the fleet has left its zone
+    zone_excluded: bool = False  # whether the fleet has left its zone
     ring_share: float = 1.0  # share of its points that counts, while its zone returns
     evidence: Evidence = field(default_factory=Evidence)
 
@@ -82,7 +82,7 @@
     queued: bool  # whether it waits for capacity of the origin, or for any server
     streaming: bool
     missed_servers: list[Server]  # servers without its key: a fetch stores it there
-    moved: bool  # whether it goes to another server than its own, as the fleet has left that one's zone
+    displaced: bool  # whether it goes to another server than its own, as the fleet has left that one's zone
 
     def __init__(
         self,
@@ -101,7 +101,7 @@
         self.queued = False
         self.streaming = False
         self.missed_servers = []
-        self.moved = False
+        self.displaced = False
 
     def open_attempts(self) -> int:
         return sum(a.open for a in self.attempts)
--- a/myrtlecourse/policy/zone_exit.py
+++ b/myrtlecourse/policy/zone_exit.py
@@ -13,20 +13,20 @@
 
     def __init__(self, generator: random.Random) -> None:
         self.current = api.ZoneExit()
-        self.left_at: dict[str, float] = {}  # time of the exit by zone
+        self.exited_at: dict[str, float] = {}  # time of the exit by zone
         self.random = generator
         self.move_credit = tuning.MOVE_CREDIT  # requests that may move at once
-        self.next_trial_at = 0.0
-        self.next_origin_trial_at = 0.0
+        self.next_probe_at = 0.0
+        self.next_origin_probe_at = 0.0
 
     def apply(self, now: float, exit_: api.ZoneExit) -> None:
         """Apply a new state of the exit; zones that were left before keep their time."""
-        self.left_at = {zone: self.left_at.get(zone, now) for zone in exit_.zones}
+        self.exited_at = {zone: self.exited_at.get(zone, now) for zone in exit_.zones}
         # spread over one interval, as all routers learn of it at the same time
         first = now + exit_.trial_interval * self.random.random()
-        self.next_trial_at = min(self.next_trial_at, first) if self.current.zones else first
-        self.next_origin_trial_at = (
-            min(self.next_origin_trial_at, first) if self.current.origin_unreachable else first
+        self.next_probe_at = min(self.next_probe_at, first) if self.current.zones else first
+        self.next_origin_probe_at = (
+            min(self.next_origin_probe_at, first) if self.current.origin_unreachable else first
         )
         self.current = exit_
 
@@ -35,10 +35,10 @@
 
         A server that has started since its zone was left does get some, unless the fleet paces the return.
         """
-        left_at = self.left_at.get(entry.zone)
-        return left_at is not None and (self.current.paced_return or entry.start_time <= left_at)
+        exited_at = self.exited_at.get(entry.zone)
+        return exited_at is not None and (self.current.paced_return or entry.start_time <= exited_at)
 
-    def record_unmoved(self) -> None:
+    def earn_move_credit(self) -> None:
         """Count a request that goes to its own server: others may move in proportion."""
         gain = self.current.spill_limit - 1.0
         # the bound allows several moves between two requests that stay, as is usual where few stay
@@ -58,16 +58,16 @@
         self.move_credit -= 1.0
         return True
 
-    def allow_trial(self, now: float, zone: str) -> bool:
+    def allow_probe(self, now: float, zone: str) -> bool:
         """Return whether a request may test if a zone that was left is reachable again, and count it."""
-        if now < self.next_trial_at or zone in self.current.forced_zones:
+        if now < self.next_probe_at or zone in self.current.forced_zones:
             return False
-        self.next_trial_at = now + self.current.trial_interval * self.random.uniform(0.5, 1.5)
+        self.next_probe_at = now + self.current.trial_interval * self.random.uniform(0.5, 1.5)
         return True
 
-    def allow_origin_trial(self, now: float) -> bool:
+    def allow_origin_probe(self, now: float) -> bool:
         """Return whether a request may test if the origin is reachable again, and count it."""
-        if now < self.next_origin_trial_at:
+        if now < self.next_origin_probe_at:
             return False
-        self.next_origin_trial_at = now + self.current.trial_interval * self.random.uniform(0.5, 1.5)
+        self.next_origin_probe_at = now + self.current.trial_interval * self.random.uniform(0.5, 1.5)
         return True
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -74,12 +74,12 @@
 class BreaksPromises(Election):
     """Faulty on purpose: a promise to a less preferred candidate does not bind it."""
 
-    def _promised_to_another(self, other_than: str) -> bool:
+    def _promised_to_other_than(self, other_than: str) -> bool:
         preferred = other_than or self.settings.name
         order = self.settings.voters
         if self.promise[0] and order.index(preferred) < order.index(self.promise[0]):
             return False
-        return super()._promised_to_another(other_than)
+        return super()._promised_to_other_than(other_than)
 
 
 class VotesAtOnce(Election):
@@ -392,7 +392,7 @@
                     now, messages.MessageReceived(sender, messages.Grant(asks[0].term, asks[0].number, True))
                 )
     late = now + settings().lease
-    answer = messages.Grant(election.term, election.ballot.number, False)
+    answer = messages.Grant(election.term, election.vote_count.number, False)
     assert not any(
         isinstance(a, messages.Announce) for a in election.handle(late, messages.MessageReceived("b", answer))
     )
@@ -549,7 +549,8 @@
     voter.handle(now, messages.TimerFired())
     for trial in (True, False):
         voter.handle(
-            now, messages.MessageReceived("b", messages.Grant(voter.term + trial, voter.ballot.number, trial))
+            now,
+            messages.MessageReceived("b", messages.Grant(voter.term + trial, voter.vote_count.number, trial)),
         )
     for _ in range(int(3600 * hours / config.heartbeat)):
         now += config.heartbeat
@@ -695,7 +696,7 @@
         if event is not None:
             holder.handle(now, messages.MessageReceived("a", event))
         for voter in ("a", "b"):
-            grant = messages.Grant(holder.term + trial, holder.ballot.number, trial)
+            grant = messages.Grant(holder.term + trial, holder.vote_count.number, trial)
             holder.handle(now, messages.MessageReceived(voter, grant))
     assert holder.holds(now)
     holder.handle(now, messages.Move("y"))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -854,7 +854,7 @@
     d.list(*fleet("a", "b", "c", "d"))
     for server in d.router.servers.values():
         for _ in range(2 * tuning.EXCLUSION_FAILURES):
-            d.router._record_failure(server, True)
+            d.router._record_outcome(server, True)
     assert sum(s.excluded_until > d.now for s in d.router.servers.values()) == 2
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -232,13 +232,13 @@
 def test_a_lone_router_sends_a_few_calls_whatever_a_cold_server_can_do() -> None:
     slow_start, server = SlowStart(0.0), Server(entry("a"))
     for at in (0.0, 0.1, 0.2):
-        assert slow_start.has_free_send(at, server, 1.0, router_count=1)
+        assert slow_start.below_minimum_rate(at, server, 1.0, router_count=1)
         slow_start.record_send(at, server)
-    assert not slow_start.has_free_send(0.9, server, 1.0, router_count=1)
-    assert slow_start.has_free_send(1.0, server, 1.0, router_count=1)
-    assert not slow_start.has_free_send(0.3, server, 1.0, router_count=2)
-    assert slow_start.has_free_send(1.25, server, 1.0, router_count=3)
-    assert not slow_start.has_free_send(9.0, server, 1.0, router_count=4)  # others may have sent theirs
+    assert not slow_start.below_minimum_rate(0.9, server, 1.0, router_count=1)
+    assert slow_start.below_minimum_rate(1.0, server, 1.0, router_count=1)
+    assert not slow_start.below_minimum_rate(0.3, server, 1.0, router_count=2)
+    assert slow_start.below_minimum_rate(1.25, server, 1.0, router_count=3)
+    assert not slow_start.below_minimum_rate(9.0, server, 1.0, router_count=4)  # others may have sent theirs
 
 
 def test_a_server_of_popular_keys_takes_a_smaller_part_of_what_comes() -> None:
