--- a/myrtlecourse/election/core.py
+++ b/myrtlecourse/election/core.py
@@ -16,7 +16,6 @@
 import random
 from enum import Enum
 
-from myrtlecourse.election.vote_count import VoteCount
 from myrtlecourse.election.invitations import Invitations
 from myrtlecourse.election.lease import Lease
 from myrtlecourse.election.messages import (
@@ -49,6 +48,7 @@
 )
 from myrtlecourse.election.offer import Offer
 from myrtlecourse.election.request_ids import RequestIds
+from myrtlecourse.election.vote_count import VoteCount
 
 # share of a heartbeat; if less time than this is left until the next one, it is sent early
 EARLY_WINDOW = 0.6
