--- a/myrtlecourse/policy/popularity.py
+++ b/myrtlecourse/policy/popularity.py
@@ -6,7 +6,7 @@
 class Popularity:
     """Counts requests per key; all counts are halved once per warm-up time.
 
-    Needed to detect hot keys: the load of one router alone is too low to show them at the servers.
+    The counts detect hot keys: the requests of one router alone load a server too little to show them there.
     """
 
     def __init__(self, now: float) -> None:
--- a/myrtlecourse/policy/sizes.py
+++ b/myrtlecourse/policy/sizes.py
@@ -13,12 +13,11 @@
     """Running totals over the servers. A change costs the same however many servers there are."""
 
     def __init__(self) -> None:
-        self.declared: dict[Server, float] = {}  # size of each server; 0 if its weight is missing
+        self.declared: dict[Server, float] = {}  # size of each server by its weight; 0 if that is missing
         self.size_counts: dict[float, int] = {}  # number of servers of each size
         self.largest = 1.0  # also the size of servers without a weight
-        self.unit = (
-            1.0  # size at which a server gets all its points: a power of two, so that it rarely changes
-        )
+        # size at which a server gets tuning.POINTS points: a power of two, so that it rarely changes
+        self.unit = 1.0
         self.total = 0.0
         self.reported_total = 0.0  # sum of the reported loads
         self.largest_is_stale = False  # the largest size may have changed
@@ -48,15 +47,15 @@
             return
         self.total -= server.size
         self.reported_total -= server.reported_load
-        left = self.size_counts[declared] - 1
-        if left:
-            self.size_counts[declared] = left
+        remaining = self.size_counts[declared] - 1
+        if remaining:
+            self.size_counts[declared] = remaining
         else:
             del self.size_counts[declared]
             self.largest_is_stale = self.largest_is_stale or declared == self.largest
 
     def refresh(self) -> bool:
-        """Update the largest size after all changes. Returns whether the unit of points has changed."""
+        """Update the largest size after all changes. Return whether the unit of points has changed."""
         if not self.largest_is_stale:
             return False
         self.largest_is_stale = False
--- a/myrtlecourse/policy/state.py
+++ b/myrtlecourse/policy/state.py
@@ -12,26 +12,26 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A listed server and what this router knows of it. Times are in seconds."""
+    """A listed server and what this router knows of it. Times are in seconds on the router's clock."""
 
     entry: api.ServerEntry
     is_cache: bool = True  # False for an origin server
     started_at: float = 0.0  # time of its latest start; 0: long ago
     banned: bool = False  # whether operators have banned it
-    in_flight: int = 0  # number of own attempts that hold a slot, as their answers may still start
-    size: float = 1.0  # its weight, or where weights fall with load, the largest of its kind
+    in_flight: int = 0  # number of this router's attempts that hold a slot
+    size: float = 1.0  # its weight, or where weights fall with load, the largest weight of its kind
     reported_load: float = 0.0  # requests in flight per unit of size, of all routers, some seconds ago
     ring_points: int = 0  # its virtual nodes on the ring
     ring_number: int = -1  # its number on the ring, while it has points
-    limit: float = tuning.INITIAL_LIMIT  # upper bound of own attempts in flight
+    limit: float = tuning.INITIAL_LIMIT  # upper bound of `in_flight`, adapted by `limits.py`
     limit_cut_at: float = -math.inf
     latency_ratio: float = 0.0  # smoothed latency of answers as a share of the target
     last_used_at: float = 0.0  # end of the latest attempt
     consecutive_failures: int = 0
     exclusion_time: float = 0.0  # length of its latest exclusion
     excluded_until: float = -math.inf  # time before which it gets no new requests
-    zone_excluded: bool = False  # whether the fleet has left its zone
-    ring_share: float = 1.0  # share of its points that counts, while its zone returns
+    zone_excluded: bool = False  # whether the fleet has excluded its zone
+    ring_share: float = 1.0  # share of its points that counts: below 1 while its zone returns gradually
     evidence: Evidence = field(default_factory=Evidence)
 
     @property
@@ -49,7 +49,7 @@
     sent_at: float
     open: bool
     may_have_run: bool  # False once an outcome proves that the server did not execute it
-    holds_slot: bool  # whether its answer may still start and is not more likely lost than late
+    holds_slot: bool  # True until its answer starts, it ends, or its answer is more likely lost than late
     response_begun: bool  # whether a long answer has started
     overdue: bool  # whether it was reported as overdue to the reachability observer
 
@@ -64,14 +64,14 @@
         self.overdue = False
 
     def release_slot(self) -> None:
-        """Release its slot for other attempts."""
+        """Release this attempt's slot at its server for other attempts."""
         self.server.in_flight -= self.holds_slot
         self.holds_slot = False
 
 
 @dataclass(slots=True, eq=False, init=False)
 class PendingRequest:
-    """A request without its final answer so far."""
+    """A request that has not got its final answer yet."""
 
     request: api.Request
     request_class: api.RequestClass
@@ -80,9 +80,9 @@
     to_origin: bool
     attempts: list[Attempt]
     queued: bool  # whether it waits for capacity of the origin, or for any server
-    streaming: bool
-    missed_servers: list[Server]  # servers without its key: a fetch stores it there
-    displaced: bool  # whether it goes to another server than its own, as the fleet has left that one's zone
+    streaming: bool  # whether the client has received the first bytes of an answer
+    missed_servers: list[Server]  # servers that did not have its key: a fetch stores the key there
+    displaced: bool  # whether a zone exit sends it to another server than its key's own one
 
     def __init__(
         self,
@@ -104,4 +104,5 @@
         self.displaced = False
 
     def open_attempts(self) -> int:
+        """Return the number of attempts that have not ended."""
         return sum(a.open for a in self.attempts)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -475,7 +475,7 @@
         held = d.router.requests.get(f"q{i}")
         if server:
             assert held is not None
-            moved, stays = moved + held.displaced, stays + (not held.moved)
+            moved, stays = moved + held.displaced, stays + (not held.displaced)
             d.end(f"q{i}", api.Status.OK)
         assert f"q{i}" in d.ended
         assert moved <= 16 + (spill - 1.0) * stays
