--- a/myrtlecourse/evidence.py
+++ b/myrtlecourse/evidence.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt proves about its server. All other decisions learn from this one verdict.
+"""What the end of an attempt proves about its server: its verdict, on which all decisions rely.
 
 A missing answer while later requests were answered means that a packet or connection was lost; it says
 nothing about the server's load. If nothing is answered for a while, the server has stalled or is gone. Only
@@ -27,12 +27,12 @@
 class Verdict(Enum):
     """What an outcome says about its server."""
 
-    ANSWERED = "answered"  # normally: its latency is a valid sample
+    ANSWERED = "answered"  # the server answered normally, and the latency is a valid sample
     CROWDED = "crowded"  # the server refused the attempt unprocessed, as it is full
-    FAILED = "failed"  # fast, and without information about the load
+    FAILED = "failed"  # an error or a broken connection: often fast, it says nothing about the load
     LOST = "lost"  # a later attempt has been answered
     STALLED = "stalled"  # no later attempt has been answered in time
-    INCONCLUSIVE = "nothing"  # given up before an answer was due, or not sent
+    INCONCLUSIVE = "nothing"  # the attempt was given up before an answer was due, or not sent
 
 
 def reachability_of(status: Status, verdict: Verdict) -> Reachability | None:
@@ -82,7 +82,7 @@
         count = 0.0
         for i in range(last):
             count += self.counts[i]
-        # samples in a bucket count as spread evenly on a logarithmic scale: else the share would jump
+        # samples of a bucket count as spread evenly on a logarithmic scale; otherwise the share would jump
         low = FIRST_BUCKET * BUCKET_RATIO ** (last - 1)
         part = math.log(limit / low) / math.log(BUCKET_RATIO) if limit > low else 0.0
         return (count + min(1.0, part) * self.counts[last]) / self.total
@@ -90,14 +90,14 @@
     def quantile(self, share: float) -> float:
         """Return the latency (seconds) of a quantile, rounded up to the bound of its bucket.
 
-        Returns 0 without samples.
+        Return 0 without samples.
         """
         if not self.total:
             return 0.0
-        left = share * self.total
+        remaining = share * self.total
         for i, count in enumerate(self.counts):
-            left -= count
-            if left <= 0 and count:
+            remaining -= count
+            if remaining <= 0 and count:
                 return float(FIRST_BUCKET * BUCKET_RATIO**i)
         return float(FIRST_BUCKET * BUCKET_RATIO ** (BUCKETS - 1))
 
@@ -123,7 +123,7 @@
     def __init__(self) -> None:
         self.usual_latency = 0.0  # smoothed latency of answers (seconds), 0 before the first
         self.latencies = Latencies()
-        self.unanswered_since = math.inf  # the first send since the latest answer
+        self.unanswered_since = math.inf  # time of the first send since the latest answer
         self.last_answer_at = -math.inf
         self.last_sent_at = -math.inf
         self.latest_answered_send = -math.inf  # send time of the latest answered attempt
@@ -139,19 +139,20 @@
         return OVERDUE_FACTOR * max(self.usual_latency, MIN_USUAL_LATENCY) if self.usual_latency else 0.0
 
     def is_overtaken(self, sent_at: float) -> bool:
-        """Return whether a later attempt has been answered."""
+        """Return whether an attempt sent after this time has been answered."""
         return self.latest_answered_send > sent_at
 
     def probe_due(self, now: float, pause: float) -> bool:
-        """Return whether for `pause` seconds nothing has been answered and nothing sent.
+        """Return whether for `pause` seconds the server has answered nothing and nothing was sent to it.
 
         When lost attempts hold all slots, nothing is sent that could overtake them, and they would never
-        count as lost. A trial above the limit solves that.
+        count as lost. A probe above the limit solves that: its answer proves them lost.
         """
         return now - self._silent_since() >= pause and now - self.last_sent_at >= pause
 
     def _silent_since(self) -> float:
-        """Return the time of the latest answer or, if there is one, of the first unanswered send since."""
+        """Return the time of the first unanswered send since the latest answer or, without one, of that
+        answer."""
         return self.last_answer_at if self.unanswered_since == math.inf else self.unanswered_since
 
     def is_lost(self, now: float, sent_at: float) -> bool:
@@ -166,7 +167,7 @@
     def judge(self, now: float, sent_at: float, status: Status, latency: float) -> Verdict:
         """Return what the end of an attempt proves, and add its latency as a sample if it is a valid one.
 
-        To be called once for each attempt. `latency` is in seconds, without delays of the own process.
+        Must be called once for each attempt. `latency` is in seconds, without delays in this process.
         """
         if status is Status.NOT_SENT:
             return Verdict.INCONCLUSIVE
@@ -176,7 +177,7 @@
             return Verdict.LOST if self.is_overtaken(sent_at) else Verdict.STALLED
         stall = self.overdue_after()
         # when a stall ends, all delayed answers arrive at once: as samples they would make a healthy server
-        # look slow until as many others have come
+        # look slow until as many other samples have come
         held_up = sent_at < self.resumed_at and now - sent_at >= stall
         if stall and now - self._silent_since() >= stall:
             self.resumed_at = now
--- a/myrtlecourse/interface.py
+++ b/myrtlecourse/interface.py
@@ -21,7 +21,7 @@
 
 
 class Effect(Enum):
-    """Whether a request of a class may be executed more than once."""
+    """Whether requests of a class may be executed more than once."""
 
     SAFE = "safe"  # idempotent
     KEYED = "keyed"  # servers of one group drop repeats of its idempotency key for a limited time
@@ -64,12 +64,12 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"  # the server refused it, as its queue is full
+    FULL = "full"  # the server refused the attempt, as its queue is full
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"  # the connection broke
     CANCELLED = "cancelled"
-    NOT_SENT = "moot"  # the host did not send it
+    NOT_SENT = "moot"  # the host did not send the attempt
     MISS = "miss"  # the server does not have the key
 
 
@@ -86,7 +86,7 @@
 
     FIRST = "first"
     RETRY = "retry"
-    HEDGE = "hedge"  # another attempt is more likely lost than late
+    HEDGE = "hedge"  # the previous attempt is more likely lost than late
     STORED = "stored"  # the fetch that the request waited for has stored its key
     ORIGIN = "origin"  # the origin has capacity for another fetch
     NO_SERVER = "no-server"  # no server may get the request
@@ -95,16 +95,12 @@
     NO_REPEAT = "no-repeat"  # the class does not permit another attempt
     NO_PLACE = "no-place"  # the origin has no capacity in time
     COLD = "cold"  # all servers are cold and can take no more requests yet
-    ZONE_LEFT = "zone-left"  # the fleet has left the server's zone, and the other servers can take no more
+    ZONE_LEFT = "zone-left"  # the fleet has excluded the server's zone; other servers can take no more
     UNKNOWN = ""
 
 
-NEVER_RAN = (
-    Status.FULL,
-    Status.CONNECT_FAILED,
-    Status.NOT_SENT,
-    Status.MISS,
-)  # the outcome proves that it did not run
+# statuses that prove that the server has not executed the request
+NEVER_RAN = (Status.FULL, Status.CONNECT_FAILED, Status.NOT_SENT, Status.MISS)
 
 
 @dataclass(slots=True, frozen=True)
@@ -112,7 +108,7 @@
     """A class of requests and what its clients expect. Times are in seconds."""
 
     name: str
-    aim: float  # target for the time from the request to its answer
+    aim: float  # target latency: the time from the request to its answer that its clients expect
     effect: Effect = Effect.SAFE
     group: DedupGroup = DedupGroup.ALL
     repeat_window: float = 0.0  # time for which servers drop repeats of a keyed request
@@ -128,7 +124,7 @@
     cache_aside: bool = False  # routers, not cache servers, fetch misses from the origin
     origin_kind: str | None = None  # the kind of the list's entries that are origins
     live_weights: bool = False  # listed weights fall with the load of their server
-    subscribe: bool = False  # list changes are sent only on request
+    subscribe: bool = False  # the list and its changes have to be requested with `Subscribe`
     hedging: bool = False  # a request may have several attempts in flight at once
     may_cancel: bool = False  # attempts may be cancelled
     max_attempts: int = 1  # maximum per request
@@ -159,7 +155,7 @@
     cell: int = 0
     weight: float = 0.0
     listed_start: float = 0.0  # Unix time of its latest start by the clock of the list's writer; 0: long ago
-    # the same time on the host's clock, if that is another one
+    # the same time on the clock of the router's host (the program that runs it), if that is another clock
     local_start: float | None = field(default=None, compare=False)
 
     @property
@@ -169,7 +165,7 @@
 
     @property
     def start_time(self) -> float:
-        """The time of its latest start on the host's clock; 0: long ago."""
+        """The time of its latest start on the clock that the host passes to the router; 0: long ago."""
         return self.listed_start if self.local_start is None else self.local_start
 
 
@@ -198,7 +194,7 @@
     """Operators have lifted a ban. The server was restarted meanwhile: what was learned of it is void."""
 
     server: str
-    returned_at: float  # time of the lifting on the host's clock (s); routers that learn of it later need it
+    returned_at: float  # when the ban was lifted, on the router's clock (s); the event may arrive later
 
 
 @dataclass(slots=True, frozen=True)
@@ -252,12 +248,12 @@
 
     request: str
     attempt: int
-    read_delay: float = 0.0  # seconds for which they lay unread, as the host's process was busy
+    read_delay: float = 0.0  # seconds for which these bytes lay unread, as the host's process was busy
 
 
 @dataclass(slots=True, unsafe_hash=True, init=False)
 class Outcome:
-    """The end of an attempt. `request_ended`: the request has ended, too."""
+    """The end of an attempt; `latency` is in seconds. `request_ended`: the request has ended, too."""
 
     request: str
     attempt: int
@@ -338,15 +334,15 @@
 
 @dataclass(slots=True, frozen=True)
 class ZoneExit:
-    """The zones that the fleet has left, all of them; an empty exit ends the former one.
-
-    Cache servers of `zones` get no new requests, except for a trial every `trial_interval` seconds at zones
-    that are not in `forced_zones` (those that operators have taken out). Servers that have started since
-    the exit are not affected, unless the return is paced (`paced_return`). Requests that lose their server
-    move to another one as long as the surviving servers get no more than `spill_limit` times their normal
-    traffic; the rest is refused at once, the requests of the least value first. `origin_unreachable`: this
-    router can't reach the origin either. `return_shares`: for each zone that is coming back, the share of
-    its servers' ring points that counts so far; all routers choose the same points.
+    """All zones that the fleet has excluded; an empty exit ends the former one.
+
+    Cache servers of `zones` get no new requests, except for a probe every `trial_interval` seconds at zones
+    that are not in `forced_zones` (those that operators have excluded). Servers that have started since the
+    exit are not affected, unless the return is paced (`paced_return`). Displaced requests, whose own server
+    is in an excluded zone, move to another server as long as the remaining servers get no more than
+    `spill_limit` times their normal traffic; the rest is refused at once, the requests of the least value
+    first. `origin_unreachable`: this router can't reach the origin. `return_shares`: for each zone that is
+    returning, the share of its servers' ring points that counts so far; all routers choose the same points.
     """
 
     zones: frozenset[str] = frozenset()
@@ -360,7 +356,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ZonePreferences:
-    """The preference for each zone's cache servers: a factor on their size on the ring.
+    """The preference for each zone's cache servers: a factor on their size, by which they get ring points.
 
     The factor of a zone that is not named is 1.
     """
@@ -389,8 +385,9 @@
 class Send:
     """Start an attempt. The attempts of a request are numbered from 0 in the order sent.
 
-    `write_by`: the time by which the last byte has to be written, as servers drop repeats only for a limited
-    time. A host that gets to it later does not send it and reports `Status.NOT_SENT`.
+    `write_by` is the send deadline: the time by which the last byte has to be sent, as servers drop repeats
+    only for a limited time. A host that can't meet it does not send the attempt and reports
+    `Status.NOT_SENT`.
     """
 
     request: str
--- a/myrtlecourse/policy/members.py
+++ b/myrtlecourse/policy/members.py
@@ -1,4 +1,4 @@
-"""The listed servers: which are known, which may get requests, and their points on the ring."""
+"""The listed servers: which are known, which may get requests, and their points on the hash ring."""
 
 from __future__ import annotations
 
@@ -24,9 +24,10 @@
         self.random = random.Random(seed)
         self.now = now
         self.actions: list[api.Action] = []
-        self.zone_exit: ZoneExitControl | None = None  # set while the fleet has left zones
-        self.servers: dict[str, Server] = {}
-        self.banned: set[str] = set()  # names of servers, listed or not
+        # set while the fleet has excluded zones, or this router can't reach the origin
+        self.zone_exit: ZoneExitControl | None = None
+        self.servers: dict[str, Server] = {}  # all listed servers by name
+        self.banned: set[str] = set()  # names of banned servers, listed or not
         self.unbanned_at: dict[str, float] = {}  # times at which bans ended, while servers may be cold
         self.caches: dict[str, Server] = {}  # cache servers that may get requests
         self.origins: dict[str, Server] = {}  # origin servers that may get requests
@@ -37,7 +38,7 @@
         self.largest_by_kind: dict[str, float] = {}  # largest weight seen per kind, where weights are live
         self.stale_points: dict[Server, None] = {}  # servers whose number of points is out of date
         self.zone_weights: Mapping[str, float] = {}  # preference for each zone's cache servers
-        self.list_failures = 0
+        self.list_failures = 0  # consecutive attempts to get the list that failed
 
     def _apply_list(self, event: api.ServerList) -> None:
         """Apply a list or changes to it; what was learned of known servers stays.
@@ -76,15 +77,15 @@
             self._place_servers([server])
 
     def _apply_zone_exit(self) -> None:
-        """Exclude the servers of zones that were left, and readmit those of zones that have returned."""
+        """Exclude the servers of zones that the fleet excludes, and readmit those of returned zones."""
         zone_exit = self.zone_exit
         shares = zone_exit.current.return_shares if zone_exit is not None else {}
         caches = self.caches.values()
         excluded = {s for s in caches if zone_exit is not None and zone_exit.excludes(s.entry)}
         if len(excluded) == len(caches):
-            excluded.clear()  # with no server outside these zones, leaving them gains nothing
+            excluded.clear()  # no server outside these zones could take their requests
         if all(s in excluded or s.entry.zone in shares for s in caches):
-            shares = {}  # a gradual return gains nothing either
+            shares = {}  # no other server could take the requests that a gradual return withholds
         for server in caches:
             server.ring_share = shares.get(server.entry.zone, 1.0)
             now_excluded = server in excluded
@@ -93,12 +94,12 @@
             elif server.zone_excluded and not now_excluded:
                 server.zone_excluded, server.consecutive_failures, server.exclusion_time = False, 0, 0.0
                 self.failing.discard(server)
-                # jittered, so that not all routers return at once
+                # jittered, so that not all routers send requests to the server again at once
                 server.excluded_until = self.now + self.random.random() * tuning.EXCLUSION_TIME
                 server.limit = min(server.limit, tuning.INITIAL_LIMIT)
 
     def _resume_origin(self) -> None:
-        """Resume fetches slowly: otherwise all routers would send their misses to the origin at once."""
+        """Resume fetches from the origin slowly: otherwise all routers would send their misses at once."""
         for origin in self.origins.values():
             origin.limit = 1.0
             pause = self.random.random() * tuning.ORIGIN_RETURN_SPREAD
@@ -112,8 +113,8 @@
     def _schedule_list_retry(self) -> None:
         """Retry the list after a doubling, jittered pause, so that routers don't call at the same time."""
         self.list_failures += 1
-        # drains depend on the list: changes to a pushed list bind at once, others soon after the discovery is
-        # reachable again
+        # Drains depend on the list. Changes to a list that is sent on subscription bind at once; others have
+        # to bind soon after the discovery service is reachable again.
         longest = tuning.MAX_LIST_RETRY_PAUSE
         if not self.settings.subscribe:
             longest = min(longest, self.settings.drain_grace / 8)
@@ -122,13 +123,14 @@
         self.actions.append(api.Log(f"list unavailable, {self.list_failures} consecutive failures"))
 
     def _is_origin(self, entry: api.ServerEntry) -> bool:
+        """Return whether an entry is an origin server, from which routers fetch misses."""
         return self.settings.cache_aside and entry.kind == self.settings.origin_kind
 
     def _add_server(self, entry: api.ServerEntry, former: Server | None = None) -> Server:
         """Add a server of which nothing is known; it takes over the points of its former process."""
         origin = self._is_origin(entry)
-        # a start time in the future would count as cold until then and longer; and the list may not show yet
-        # the restart for which operators had banned the server
+        # A server with a start time in the future would count as cold until then and longer. And the list may
+        # not show yet the restart during a ban that operators have lifted.
         started = max(min(entry.start_time, self.now), self.unbanned_at.get(entry.server, 0.0))
         banned = not origin and entry.server in self.banned
         server = self.servers[entry.server] = Server(entry, not origin, started, banned)
@@ -147,7 +149,8 @@
     def _cold_duration(self) -> float:
         """Return the seconds after its start for which a cache server counts as cold.
 
-        Includes the window in which the warm-up ends, as all requests of that window are counted together.
+        This includes the window in which the warm-up ends, as a server counts all requests of a window
+        together.
         """
         return self.settings.ramp_time + self.settings.fall_window
 
@@ -157,14 +160,14 @@
             self.ring.set_points(server, 0)
 
     def _forget_server(self, name: str) -> Server | None:
-        """Remove a server from everything but the ring."""
+        """Remove a server from all collections but the ring, and return it, if it is known."""
         server = self.servers.pop(name, None)
         if server is not None:
             self._exclude(server)
         return server
 
     def _exclude(self, server: Server) -> None:
-        """Stop sending requests to a server."""
+        """Remove a server from those that may get requests."""
         for group in (self.caches, self.origins):
             if group.get(server.entry.server) is server:
                 del group[server.entry.server]
@@ -209,7 +212,10 @@
             self.actions.append(api.SetTimer(self.settings.tick, "ring"))
 
     def _classify(self, server: Server) -> bool:
-        """Assign a server to its group. Returns whether the sizes of others of its kind have grown, too."""
+        """Add a server to the caches or the origins, or exclude it.
+
+        Return whether the sizes of other servers of its kind have grown, too.
+        """
         name = server.entry.server
         if not server.ready or self.servers.get(name) is not server:
             self._exclude(server)
@@ -223,9 +229,10 @@
         return False
 
     def _update_size(self, server: Server) -> bool:
-        """Set a cache server's size: its weight or, where weights are live, the largest of its kind.
+        """Set a cache server's size: its weight or, where weights are live, the largest weight of its kind.
 
         Live weights fall with load and arrive late: used on the ring, they would move keys with every list.
+        Return whether the largest weight has grown, so that the sizes of other servers are out of date.
         """
         weight = size = server.entry.weight
         grown, reported = False, 0.0
@@ -247,8 +254,8 @@
 def _restarted(known: api.ServerEntry, entry: api.ServerEntry) -> bool:
     """Return whether an entry shows a later process than the known one.
 
-    After a step of the wall clock, a later start may have an earlier time. Otherwise an earlier time means
-    that the list is old.
+    After a step of the wall clock, a later start may be listed with an earlier time; this is assumed where
+    the host's clock is another one (`local_start`). Otherwise an earlier time means that the list is old.
     """
     return (
         entry.listed_start > known.listed_start
--- a/myrtlecourse/policy/request_queue.py
+++ b/myrtlecourse/policy/request_queue.py
@@ -14,13 +14,13 @@
 
     def __init__(self) -> None:
         self.heap: list[tuple[float, int, int, PendingRequest]] = []
-        # by key: the request that fetches it, and those that wait for that fetch
+        # key -> the request that fetches it, and its followers: the requests that wait for that fetch
         self.fetches: dict[str, tuple[PendingRequest, list[PendingRequest]]] = {}
-        self.sequence = 0
+        self.sequence = 0  # number of requests added so far: orders those of equal priority by age
         self.last_sweep_at = -math.inf
 
     def join_fetch(self, pending: PendingRequest) -> bool:
-        """Join another request's fetch of the same key. If there is none, the request starts one."""
+        """Join another request's fetch of the same key, or start a fetch. Return whether there was one."""
         key = pending.request.key
         if not pending.to_origin or pending.request.write or key is None:
             return False
@@ -35,7 +35,7 @@
         heapq.heappush(self.heap, (-pending.request_class.value, -popularity, self.sequence, pending))
 
     def pop(self) -> PendingRequest | None:
-        """Remove and return the first request that still waits."""
+        """Remove and return the first request that still waits; None if there is none."""
         while self.heap:
             pending = heapq.heappop(self.heap)[-1]
             if pending.queued:
@@ -55,13 +55,14 @@
         return self.fetches.pop(key)[1]
 
     def sweep_due(self, now: float, tick: float) -> bool:
-        """Return whether to look through the whole queue, which would cost too much for each request."""
+        """Return whether to search the whole queue for late requests now: at most once per tick, as it would
+        cost too much for each request."""
         if now < self.last_sweep_at + tick:
             return False
         self.last_sweep_at = now
         return True
 
     def compact(self) -> None:
-        """Remove requests that have ended; they would pile up behind those of more value."""
+        """Remove requests that have ended; they would accumulate behind those of higher value."""
         self.heap = [q for q in self.heap if q[-1].queued]
         heapq.heapify(self.heap)
--- a/myrtlecourse/policy/ring.py
+++ b/myrtlecourse/policy/ring.py
@@ -15,8 +15,8 @@
 
 from myrtlecourse.policy.state import Server
 
-# A point is a number of 60 bits, which compiled code stores without an object: the bits of its position that
-# follow the bucket number, then the number of its server, then the number of the node
+# A point is stored as a number of 60 bits, which compiled code handles without an object: the bits of its
+# position that follow the bucket number, then the number of its server, then the number of the node
 BUCKET_BITS = 13
 SERVER_BITS = 16
 NODE_BITS = 7
@@ -27,8 +27,8 @@
 OWNER_BITS = SERVER_BITS + NODE_BITS
 DROPPED_BITS = 64 - BUCKET_BITS - KEPT_BITS  # the last bits of a position, which are not stored
 KEPT_MASK = (1 << KEPT_BITS) - 1
-BULK_SERVERS = 64  # number of servers changed at once from which on whole buckets are sorted
-BULK_BATCH = 1024  # servers per sort: until then, each of their points is an object
+BULK_SERVERS = 64  # least number of servers changed at once for which whole buckets are sorted
+BULK_BATCH = 1024  # servers per sort, which bounds memory: until the sort, each of their points is an object
 
 
 def ring_hash(text: str) -> tuple[int, ...]:
@@ -43,9 +43,9 @@
 
 
 def kept_nodes(server: str, count: int) -> list[int]:
-    """Return the stored bits of the first virtual nodes of a server, bucket number included.
+    """Return the positions of the first `count` virtual nodes of a server, without the bits not stored.
 
-    A larger count adds nodes and moves none.
+    Each still starts with its bucket number. A larger count adds nodes and moves none.
     """
     digests = _digests(server, count)
     # unpacked as 32-bit halves: compiled code stores these, and the results, without objects
@@ -134,7 +134,7 @@
         ]
 
     def _assign_number(self, server: Server) -> bool:
-        """Give a server a number unless it has one. Returns False when none is left."""
+        """Give a server a number unless it has one. Return False if no number is free."""
         if server.ring_number >= 0:
             return True
         if self.free_numbers:
@@ -148,6 +148,7 @@
         return True
 
     def _set_count(self, server: Server, count: int) -> None:
+        """Record a server's number of points, and free its number if it has none."""
         if count == server.ring_points:
             return
         self.point_count += count - server.ring_points
@@ -158,29 +159,30 @@
             server.ring_number = -1
 
     def transfer_points(self, former: Server, server: Server) -> None:
-        """Move the points of a former process to the server of the same name that replaces it."""
+        """Transfer the points of a server to the later process of the same name that replaces it."""
         server.ring_points, former.ring_points = former.ring_points, 0
         server.ring_number, former.ring_number = former.ring_number, -1
         if server.ring_number >= 0:
             self.servers[server.ring_number] = server
 
-    def walk(self, key: str, most: int) -> Iterator[tuple[Server, float]]:
-        """Yield the servers clockwise from a key, point by point, each with the point's relative rank.
+    def walk(self, key: str, max_points: int) -> Iterator[tuple[Server, float]]:
+        """Yield the servers clockwise from a key, point by point, each with the point's rank.
 
-        The rank is the point's number among those of its server, scaled to between 0 and 1. The walk visits
-        at most `most` points and ends after one turn of the ring.
+        The rank is the point's number among those of its server, scaled to between 0 and 1: a share of 0.3 of
+        a server's points consists of those with a rank below 0.3. The walk visits at most `max_points` points
+        and ends after one round of the ring.
         """
         position = ring_hash(key)[0]
         number = bucket_of(position)
         bucket = self.buckets[number]
-        at = bisect_left(bucket, point_of(position, 0, 0))
-        for _ in range(min(most, self.point_count)):
-            while at >= len(bucket):
+        index = bisect_left(bucket, point_of(position, 0, 0))
+        for _ in range(min(max_points, self.point_count)):
+            while index >= len(bucket):
                 number = (number + 1) % BUCKETS
                 bucket = self.buckets[number]
-                at = 0
-            point = bucket[at]
-            at += 1
+                index = 0
+            point = bucket[index]
+            index += 1
             server = self.servers[point >> NODE_BITS & (MAX_SERVERS - 1)]
             if server is not None:
                 yield server, ((point & (MAX_NODES - 1)) + 0.5) / server.ring_points
--- a/myrtlecourse/policy/router.py
+++ b/myrtlecourse/policy/router.py
@@ -52,7 +52,7 @@
         if self.admission is None:
             return None
         pause = self.admission.retry_delay(now, request_class, tenant, is_retry, keyed, read_delay)
-        # spends no work on a request whose deadline has passed
+        # a request whose deadline has passed is refused, as work on it would be wasted
         return pause if pause is not None or time_left > self.settings.tick else 0.0
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
@@ -67,7 +67,7 @@
         elif isinstance(event, api.ServerList):
             self._on_list(event)
         elif isinstance(event, api.DiscoveryChanged):
-            self.list_failures = 0  # the pause belongs to the former discovery
+            self.list_failures = 0  # the failures are those of the former discovery service
             self._subscribe()
         elif isinstance(event, (api.ServerBanned, api.BanLifted)):
             self._on_ban_change(event)
@@ -87,7 +87,7 @@
         return self.actions
 
     def _on_streaming(self, event: api.Streaming) -> None:
-        """Release the slot early, as slow clients would hold it for long, and cancel the other attempts."""
+        """Release the slot as an answer starts, as slow clients would hold it long; cancel other attempts."""
         answered = self.attempts.get((event.request, event.attempt))
         if answered is None:
             return
@@ -102,7 +102,7 @@
         self._serve_queue()
 
     def _on_ban_change(self, event: api.ServerBanned | api.BanLifted) -> None:
-        """Apply a ban or lift it; one lift ends all bans and voids what was learned of the server."""
+        """Apply a ban or lift it; lifting ends all bans of a server and voids what was learned of it."""
         if isinstance(event, api.ServerBanned):
             self.banned.add(event.server)
             self._update_ban(event.server)
@@ -131,7 +131,7 @@
         self._rebuild_ring()
 
     def _on_zone_exit(self, exit_: api.ZoneExit) -> None:
-        """Leave zones or the origin, or return to them, as the fleet does."""
+        """Apply the fleet's decision to exclude zones or the origin, or to return to them."""
         before = self.zone_exit
         if not exit_.zones and not exit_.origin_unreachable and not exit_.return_shares:
             self.zone_exit = None
@@ -152,7 +152,7 @@
                 or not last.server.zone_excluded
             ):
                 continue
-            if self.retry_budget >= 1:  # what is in flight there will not be answered
+            if self.retry_budget >= 1:  # attempts in flight at an excluded zone will not be answered
                 self._send_again(pending, last)
 
     def _on_list(self, event: api.ServerList) -> None:
@@ -165,7 +165,7 @@
             self.list_failures = 0
         else:
             self._subscribe()
-        # queued requests wait for an origin or for any server; looking at them on each list costs too much
+        # queued requests wait for an origin or for any server; processing them on each list costs too much
         if before != (self.ring.point_count > 0, list(self.origins.values())):
             self._advance_queued()
 
@@ -237,7 +237,7 @@
             )
 
     def _on_overdue(self, pending: PendingRequest) -> None:
-        """Release the slots of lost attempts, which would hold them until the deadline, and send another."""
+        """Release the slots of lost attempts, which they would hold until the deadline, and send another."""
         last = pending.attempts[-1]
         for attempt in pending.attempts:
             if attempt.open and attempt.server.evidence.is_lost(self.now, attempt.sent_at):
@@ -254,10 +254,10 @@
         if late and self.retry_budget >= 1 and self._send_again(pending, last):
             return
         if last.holds_slot and (not late or pending.to_origin):
-            self._set_overdue_timer(pending, last)  # the usual latency has grown, or it may be overtaken yet
+            self._set_overdue_timer(pending, last)  # latencies have grown, or a later one may overtake it
 
     def _send_again(self, pending: PendingRequest, last: Attempt) -> bool:
-        """Send another attempt: to the same server if it has answered others since, as it has the key."""
+        """Send another attempt: to the same server, which has the key, if it has answered others since."""
         server: Server | None = last.server
         if pending.to_origin:
             server = None if last.holds_slot else self._best_origin()
@@ -294,29 +294,29 @@
                 self._set_wait_timer(pending)
 
     def _close_idle(self, server: Server | None) -> None:
-        """Close idle connections that have cost more than a new one: connection tables are limited."""
+        """Close connections once staying idle costs more than a new one: connection tables are limited."""
         cost = self.settings.connection_cost
         if server is None or server.in_flight or not cost:
             return
         rate = self.request_count / max(self.now - self.started_at, self.min_aim) * self.settings.router_count
         keep = self.keep_factor * self.settings.handshake_cost / cost * 100 * len(self.caches) / rate
-        left = server.last_used_at + keep - self.now
-        if left < self.settings.tick:
+        pause = server.last_used_at + keep - self.now
+        if pause < self.settings.tick:
             self.actions.append(api.CloseIdle(server.entry.server))
-        elif left < self.settings.connection_idle:
-            self.actions.append(api.SetTimer(left, "idle:" + server.entry.server))
+        elif pause < self.settings.connection_idle:
+            self.actions.append(api.SetTimer(pause, "idle:" + server.entry.server))
 
     def _finish(self, pending: PendingRequest, reason: api.Reason = api.Reason.UNKNOWN) -> None:
         """Send the final answer: a refusal where the class permits one, else a failure."""
         if pending.streaming or pending.open_attempts():
-            # no longer queued: the end of its open attempts ends it, and the queue might be served too late
+            # the end of its open attempts ends it; queued any longer, it might be sent to the origin too late
             pending.queued = False
             if not any(a.open and not a.server.is_cache for a in pending.attempts):
                 self._release_followers(pending, served=False)
             return
         name = pending.request.request
         origin = self._best_origin() if pending.to_origin else None
-        # the time after which the reason for the refusal has likely passed: earlier retries would fail, too
+        # the time until the reason for the refusal has likely passed: earlier retries would fail, too
         wait = (
             origin.evidence.usual_latency * (1 + len(self.queue.heap) / origin.limit)
             if origin
@@ -375,7 +375,7 @@
             self._serve_queue()
 
     def _learn_from(self, attempt: Attempt, status: api.Status, latency: float) -> Verdict:
-        """Learn from an attempt's end, or from the start of a long answer; its end only shows a failure."""
+        """Learn from an attempt's end or the start of a long answer, whose end then only shows a failure."""
         server = attempt.server
         if attempt.response_begun:
             ended = Verdict.ANSWERED if status is api.Status.OK else Verdict.INCONCLUSIVE
@@ -387,7 +387,7 @@
         return verdict
 
     def _notify_observer(self, attempt: Attempt, event: api.Outcome, verdict: Verdict) -> None:
-        """Report an attempt's end, once; one reported as overdue is reported again if it is answered."""
+        """Report an attempt's end once; one reported as overdue is reported again only if it is answered."""
         proven, server = reachability_of(event.status, verdict), attempt.server
         if self.observer is None or proven is None or (proven is api.Reachability.SILENT and attempt.overdue):
             return
@@ -473,7 +473,7 @@
                 self._finish(pending, api.Reason.NO_PLACE)
         if not queue.sweep_due(self.now, self.settings.tick):
             return
-        # refused early, clients still have time for a retry
+        # late requests are refused early, so that their clients still have time for a retry
         origin = self._best_origin()
         late = [q[-1] for q in queue.heap if q[-1].queued and self.now >= self._latest_start(q[-1], origin)]
         for pending in late:
--- a/myrtlecourse/policy/selection.py
+++ b/myrtlecourse/policy/selection.py
@@ -37,12 +37,12 @@
         """Walk the ring from the request's key, and return the server to send it to, or None.
 
         The load of a hot key is spread over the servers clockwise from it, in proportion to their capacity:
-        each gets up to (1 + epsilon) times its fair share of all requests. A random offset into the key's load
-        selects the server whose part contains it; for a key that is not hot, this is the first server.
+        each gets up to (1 + epsilon) times its fair share of all requests. A random offset into the key's
+        load selects the server whose part contains it; for a key that is not hot, this is the first server.
         """
         key = pending.request.key if pending.request.key is not None else pending.request.request
         load_offset = self.random.random() * self._key_share(key)
-        # a server with a higher reported load is skipped only with a probability that grows with its load: all
+        # a server with a higher reported load is skipped with a probability that grows with its load: all
         # routers read the same late report, and would otherwise all skip it at once
         load_bound = (1 + tuning.EPSILON) * max(1.0, self.sizes.mean_reported())
         visited: set[Server] = set()
@@ -61,8 +61,8 @@
             share = self._usable_share(server)
             # The key's own server is in a zone that is still returning, and this point does not count yet.
             pending.displaced = pending.displaced or (rank > server.ring_share and not visited)
-            # A cold server uses only the share of its points that its warmth permits: all routers skip the same
-            # points (those of higher rank). It gets no request that another server could not take, and a
+            # A cold server uses only the share of its points that its warmth permits: all routers skip the
+            # same points (those of higher rank). It gets no request that another server could not take, and a
             # returning server gets no displaced request: the key would move twice.
             usable = min(server.ring_share, share / self.slow_start.max_warmth) if cold else share
             if rank > usable or server in visited or (share < 1 and (visited or pending.displaced)):
@@ -117,7 +117,7 @@
         return self.popularity.record(self.now, key, self.settings.ramp_time, len(self.caches))
 
     def _would_be_late(self, pending: PendingRequest, server: Server) -> bool:
-        """Return whether to treat a request as too late, with a probability that rises with its expected wait.
+        """Return whether to treat a request as too late: more likely, the longer its expected wait.
 
         Without this check, servers fill up so far that all their answers are late.
         """
@@ -199,7 +199,7 @@
         age = self.now - server.started_at
         if server.started_at <= 0 or age >= self._cold_duration():
             return 1.0
-        # When attempts fail, clients retry, which multiplies the traffic just when servers can take the least.
+        # When attempts fail, clients retry, which multiplies the traffic just when servers can take least.
         # And where the settings say that a server collapses at little more traffic than its capacity, an
         # overload makes a cold server collapse early.
         reduction = self.success_rate * min(1.0, self.settings.fall_multiple / tuning.COLD_CAPACITY_MULTIPLE)
@@ -266,8 +266,8 @@
         cache servers usually take.
 
         An overdue attempt alone does not prove that its server is unreachable: misses are fast, so after them
-        the first hits look overdue. Attempts at the origin prove nothing here: where a router, as one of many,
-        waits for a single answer, a slow origin is not unreachable.
+        the first hits look overdue. Attempts at the origin prove nothing here: where a router, as one of
+        many, waits for a single answer, a slow origin is not unreachable.
         """
         server = attempt.server
         waited_long = server.is_cache and self.now - attempt.sent_at >= OVERDUE_FACTOR * self.unit_latency
@@ -277,8 +277,8 @@
         """Return the latest time at which to start a request at the origin; later ones are not sent.
 
         A fetch for a read needs enough time to be completed, as an abandoned one is not even stored at cache
-        servers; a write, which stores nothing there, needs less. While the origin has spare capacity, no other
-        request needs it, and the probability FAIR_CHANCE of a timely answer is enough.
+        servers; a write, which stores nothing there, needs less. While the origin has spare capacity, no
+        other request needs it, and the probability FAIR_CHANCE of a timely answer is enough.
         """
         if origin is None:
             return pending.deadline
--- a/myrtlecourse/policy/slow_start.py
+++ b/myrtlecourse/policy/slow_start.py
@@ -15,11 +15,13 @@
 
 
 class SlowStart:
-    """The counts of one router."""
+    """One router's measurements for the slow start: first choices, the fleet's warmth, and recent sends."""
 
     def __init__(self, now: float) -> None:
-        self.first_choices: dict[str, int] = {}  # requests by the first server on the ring for their key
-        self.total = 0
+        self.first_choices: dict[
+            str, int
+        ] = {}  # server -> requests for whose key it is the first on the ring
+        self.total = 0  # sum of these counts
         self.halve_at = now
         self.cold_until = -math.inf  # when the last cold server will be warm
         self.next_measure_at = -math.inf
@@ -29,7 +31,7 @@
         self.refused = False  # whether a cold server has refused the request at hand
 
     def server_started(self, started_at: float, duration: float) -> None:
-        """Note the start of a server that is cold for `duration` seconds."""
+        """Record the start of a server that is cold for `duration` seconds."""
         self.cold_until = max(self.cold_until, started_at + duration)
         self.next_measure_at = -math.inf
 
@@ -61,9 +63,10 @@
     def accept_probability(self, server: str, fair_share: float, server_count: int, multiple: float) -> float:
         """Return the probability with which a cold server accepts a request that the ring assigns to it.
 
-        `fair_share` is its share of the total size; popular keys bring some servers more. `multiple`
-        is the multiple of its capacity at which a server collapses, while all its points count. Clients send
-        a part of the refused requests again, so the probability falls faster than the fleet's capacity.
+        `fair_share` is its share of the total size; servers with popular keys get more requests than that.
+        `multiple` is the multiple of its capacity at which a server collapses, while all its points count.
+        Clients send a part of the refused requests again, so the probability falls faster than the fleet's
+        capacity.
         """
         prior = tuning.FIRST_CHOICE_PRIOR * server_count
         arriving = (self.first_choices.get(server, 0) + prior * fair_share) / (self.total + prior)
@@ -73,7 +76,8 @@
         return fresh / max(peak - tuning.REFUSED_RETRY_SHARE * capacity, fresh)
 
     def below_minimum_rate(self, now: float, server: Server, window: float, router_count: int) -> bool:
-        """Return whether a cold server can take another request, however cold it is."""
+        """Return whether this router has sent a cold server fewer requests within the window than any server
+        can take, however cold it is; the routers divide this number."""
         times = self.recent_sends.get(server)
         own = tuning.FREE_COLD_SENDS // router_count
         return own > 0 and (times is None or len(times) < own or times[-own] <= now - window)
--- a/myrtlecourse/policy/zone_exit.py
+++ b/myrtlecourse/policy/zone_exit.py
@@ -46,8 +46,8 @@
     def earn_move_credit(self) -> None:
         """Count a request that goes to its key's own server: displaced requests may move in proportion."""
         gain = self.current.spill_limit - 1.0
-        # the bound allows several moves between two requests that are not displaced: where most servers are in
-        # excluded zones, that is the usual ratio
+        # the bound allows several moves between two requests that are not displaced, which is the usual ratio
+        # where most servers are in excluded zones
         self.move_credit = min(
             max(tuning.MOVE_CREDIT, tuning.MOVE_CREDIT_FACTOR * gain), self.move_credit + gain
         )
