--- a/myrtlecourse/duties/codec.py
+++ b/myrtlecourse/duties/codec.py
@@ -29,7 +29,7 @@
 
 
 def encoded_groups(items: tuple[Item, ...]) -> Iterator[tuple[list[Any], int]]:
-    """Yields the encoded messages, those that share a number as one, each with the number of its items."""
+    """Yield the encoded messages, those that share a number as one, each with the number of its items."""
     grouped: dict[tuple[int, int], list[Any]] = {}
     for duty, message in items:
         kind = KIND_NUMBERS[type(message)]
@@ -42,7 +42,7 @@
 
 
 def split(items: tuple[Item, ...], room: int) -> Iterator[tuple[Item, ...]]:
-    """Splits items into datagrams that take at most `room` bytes each."""
+    """Split items into datagrams that take at most `room` bytes each."""
     codec, remaining = DutyCodec(), list(items)
     while remaining:
         count = len(remaining)
@@ -56,11 +56,11 @@
     """Encodes and decodes the messages of members."""
 
     def parts(self, message: tuple[Item, ...]) -> list[Any]:
-        """Returns the parts of a datagram."""
+        """Return the parts of a datagram."""
         return [encoded for encoded, _ in encoded_groups(message)]
 
     def read(self, parts: list[Any]) -> tuple[Item, ...]:
-        """Returns the messages after checking them. Raises Dropped."""
+        """Return the messages after checking them. Raises Dropped."""
         items: list[Item] = []
         for encoded in parts:
             if not isinstance(encoded, list) or len(encoded) < 2 or type(encoded[0]) is not int:
@@ -71,7 +71,7 @@
         return tuple(items)
 
     def _read(self, kind: type[Message], values: list[Any]) -> list[Item]:
-        """Returns the items of one encoded message after checking them. Raises Dropped."""
+        """Return the items of one encoded message after checking them. Raises Dropped."""
         if issubclass(kind, GROUPED):
             if len(values) % 2 == 0 or any(type(v) is not int or not 0 <= v < INTEGER_LIMIT for v in values):
                 raise Dropped("malformed")
@@ -85,7 +85,7 @@
 
     @staticmethod
     def _value(wanted: Any, value: Any) -> Any:
-        """Returns the value of a field after checking it. Raises Dropped."""
+        """Return the value of a field after checking it. Raises Dropped."""
         if wanted == "Value":
             if not isinstance(value, list) or len(value) > messages.MAX_STATE_LENGTH:
                 raise Dropped("malformed")
--- a/myrtlecourse/duties/command_work.py
+++ b/myrtlecourse/duties/command_work.py
@@ -29,7 +29,7 @@
         self.child: asyncio.subprocess.Process | None = None
 
     async def run(self, *arguments: str) -> bool:
-        """Runs the command with these arguments; returns whether it exited with code 0 in time."""
+        """Run the command with these arguments; returns whether it exited with code 0 in time."""
         try:
             child = await asyncio.create_subprocess_exec(
                 *self.command, *arguments, stdin=asyncio.subprocess.DEVNULL, start_new_session=True
@@ -58,7 +58,7 @@
         return code == 0
 
     def kill_running(self) -> None:
-        """Kills the command that runs now, if any."""
+        """Kill the command that runs now, if any."""
         if self.child is not None and self.child.returncode is None:
             with suppress(ProcessLookupError):
                 self.child.kill()
@@ -155,10 +155,10 @@
         self.driver.post(messages.WorkStopped(self.duty))
 
     def on_committed(self, token: int, number: int) -> None:
-        """Does nothing, as the duty has no orders."""
+        """Do nothing, as the duty has no orders."""
 
     def poll(self) -> None:
-        """Does nothing, as no work is timed."""
+        """Do nothing, as no work is timed."""
 
     async def close(self) -> None:
         if self.current is not None:
--- a/myrtlecourse/duties/commands.py
+++ b/myrtlecourse/duties/commands.py
@@ -28,7 +28,7 @@
 
 
 def table_of(at: str, router_status: dict[str, Any]) -> Table:
-    """Returns a table of the duties as one router sees them."""
+    """Return a table of the duties as one router sees them."""
     able = "" if router_status["able"] else ", not able to hold"
     table = Table(
         title=f"{at}: router {router_status['name']}{able}; voters {', '.join(router_status['voters'])}"
--- a/myrtlecourse/duties/core.py
+++ b/myrtlecourse/duties/core.py
@@ -82,7 +82,7 @@
     # Permissions at this moment
 
     def acting_token(self, now: float, name: str) -> int | None:
-        """Returns the token under which this process may act for a duty now, or None.
+        """Return the token under which this process may act for a duty now, or None.
 
         Must be called before each effect, not once for several.
         """
@@ -95,13 +95,13 @@
         return holding.token if holding.acting and not holding.revoking else None
 
     def order_in_force(self, now: float, name: str) -> ObeyedOrder | None:
-        """Returns the order that this member obeys now; None: the duty's safe default applies."""
+        """Return the order that this member obeys now; None: the duty's safe default applies."""
         return self.members[name].order_in_force(now)
 
     # Events
 
     def handle(self, now: float, event: messages.Event) -> list[messages.Action]:
-        """Handles one event and returns the actions to be carried out, in order. Raises DutiesError."""
+        """Handle one event and returns the actions to be carried out, in order. Raises DutiesError."""
         self.now = max(now, self.now)
         self._validate(event)
         self.actions, self.outgoing = [], defaultdict(list)
@@ -152,7 +152,7 @@
         self._carry_out(name, self.elections[name].handle(self.now, event))
 
     def _carry_out(self, name: str, actions: list[election.Action]) -> None:
-        """Carries out the actions of a duty's election."""
+        """Carry out the actions of a duty's election."""
         for action in actions:
             match action:
                 case election.Save():
@@ -180,7 +180,7 @@
             self.actions.append(messages.Acquired(name, term, ()))
 
     def _withdraw(self, name: str, reason: str) -> None:
-        """Stops acting, as the lease has ended or is given up, and starts to revoke the orders in force."""
+        """Stop acting, as the lease has ended or is given up, and starts to revoke the orders in force."""
         holding = self.holdings.get(name)
         if name in self.held_without_orders:
             self.held_without_orders.discard(name)
@@ -193,7 +193,7 @@
         self.release_deadlines[name] = self.now + 2 * self.settings.heartbeat
 
     def _release(self, name: str, holding: Holding) -> None:
-        """Revokes the orders of a holding, and releases its lease once none is in force or the wait has
+        """Revoke the orders of a holding, and releases its lease once none is in force or the wait has
         lasted long enough."""
         for member, message in holding.revoke(self.now):
             self._send(name, member, message)
@@ -203,7 +203,7 @@
             self._post_to_election(name, election.Withdrawn(all_clear))
 
     def _do_due_work(self) -> None:
-        """Does everything that is due, for all duties."""
+        """Do everything that is due, for all duties."""
         for name in list(self.holdings):
             self._run_holding(name, self.holdings[name])
         while self.own_messages:
@@ -223,20 +223,20 @@
             self._report_expiry(name)
 
     def _deliver_own(self) -> None:
-        """Delivers this process's messages to itself, and its answers to them."""
+        """Deliver this process's messages to itself, and its answers to them."""
         while self.own_messages:
             number, message = self.own_messages.popleft()
             self._on_message(self.duty_names[number], self.settings.name, message)
 
     def _report_expiry(self, name: str) -> None:
-        """Reports once that a member's order has expired, or was dropped in favour of a later holder."""
+        """Report once that a member's order has expired, or was dropped in favour of a later holder."""
         member = self.members[name]
         if not member.expiry_reported and member.order_in_force(self.now) is None:
             member.expiry_reported = True
             self.actions.append(messages.ObeysNobody(name, min(self.now, member.order_ended_at)))
 
     def _run_holding(self, name: str, holding: Holding) -> None:
-        """Does what is due for a holding: releases it, resigns, starts to act, or sends its messages."""
+        """Do what is due for a holding: releases it, resigns, starts to act, or sends its messages."""
         if name in self.release_deadlines:
             self._release(name, holding)
             return
@@ -266,7 +266,7 @@
             )
 
     def _validate(self, event: messages.Event) -> None:
-        """Refuses an invalid event before anything has been done, so that work in progress is not disturbed.
+        """Refuse an invalid event before anything has been done, so that work in progress is not disturbed.
         Raises DutiesError."""
         match event:
             case messages.SetState(name, value):
@@ -357,7 +357,7 @@
                 )
 
     def _on_holder_message(self, name: str, sender: str, message: messages.Survey | messages.Order) -> None:
-        """Applies a holder's message, and answers it once the changes that must persist are stored."""
+        """Apply a holder's message, and answers it once the changes that must persist are stored."""
         if sender not in self.elections[name].settings.candidates:
             return
         # reports an order that expired before this message arrived, which a stop of the process would hide
@@ -391,7 +391,7 @@
         self._send(name, sender, answer)
 
     def _next_due(self) -> float:
-        """Returns when something is due next."""
+        """Return when something is due next."""
         times = [*self.timers.values(), *(holding.next_due(self.now) for holding in self.holdings.values())]
         times += [self.release_deadlines[n] for n in self.release_deadlines if n in self.holdings]
         times += [m.obeyed.until for m in self.members.values() if not m.expiry_reported]
@@ -400,7 +400,7 @@
     # For operators
 
     def status(self, now: float) -> dict[str, Any]:
-        """Returns the state of all duties for operators, ready for JSON. Times are in seconds."""
+        """Return the state of all duties for operators, ready for JSON. Times are in seconds."""
         rows = []
         for name, duty_election in self.elections.items():
             member, holding = self.members[name], self.holdings.get(name)
--- a/myrtlecourse/duties/driver.py
+++ b/myrtlecourse/duties/driver.py
@@ -48,7 +48,7 @@
         """Called every POLL_INTERVAL seconds."""
 
     async def close(self) -> None:
-        """Ends the work in progress."""
+        """End the work in progress."""
 
 
 class DutyDriver(PeerSocket[tuple[messages.Item, ...]]):
@@ -89,7 +89,7 @@
         self.message_log = MessageLog()
 
     async def start(self, bind: Endpoint, shared: bool) -> None:
-        """Starts to listen and takes part.
+        """Start to listen and takes part.
 
         If another process of this router may still listen (`shared`, during an upgrade), retries until the
         address is free. Raises OSError.
@@ -115,7 +115,7 @@
                 await asyncio.sleep(RETRY_PAUSE)
 
     async def _poll(self) -> None:
-        """Reports whether this process can hold duties; it can't if its event loop was stalled."""
+        """Report whether this process can hold duties; it can't if its event loop was stalled."""
         while True:
             now = time.monotonic()
             stalled = now - self.polled_at > self.settings.unwell + POLL_INTERVAL
@@ -128,16 +128,16 @@
             await asyncio.sleep(POLL_INTERVAL)
 
     def acting_token(self, duty: str) -> int | None:
-        """Returns the token under which this process may act for a duty now, or None."""
+        """Return the token under which this process may act for a duty now, or None."""
         return self.duties.acting_token(time.monotonic(), duty)
 
     def message_received(self, sender: str, message: tuple[messages.Item, ...]) -> None:
-        """Passes a datagram of another member on to the duties."""
+        """Pass a datagram of another member on to the duties."""
         self.message_log.received(sender, message)
         self.post(messages.MessagesReceived(sender, message))
 
     def post(self, event: messages.Event) -> None:
-        """Passes an event to the duties and carries out their actions. Raises DutiesError."""
+        """Pass an event to the duties and carries out their actions. Raises DutiesError."""
         for action in self.duties.handle(time.monotonic(), event):
             self._carry_out(action)
 
@@ -165,7 +165,7 @@
                 self.call_at(at, lambda: self.post(messages.TimerFired()))
 
     def _notify_work(self, action: messages.Acquired | messages.Lost | messages.Committed) -> None:
-        """Tells a duty's work that the duty was acquired or lost, or that an order is committed."""
+        """Tell a duty's work that the duty was acquired or lost, or that an order is committed."""
         work = self.works.get(action.duty)
         match action:
             case messages.Acquired(duty, token, value):
@@ -190,7 +190,7 @@
             log.info("duty %s: obeys %s from %.6f", order.duty, holder, time.monotonic())
 
     def _do_once_written(self, action: messages.Send | messages.Committed) -> None:
-        """Delays an action until the memory is on disk, so that no promise is sent before it is stored."""
+        """Delay an action until the memory is on disk, so that no promise is sent before it is stored."""
         if self.writing is not None:
             if len(self.waiting_for_disk) >= MAX_WAITING:
                 self._drop_waiting_messages()
@@ -203,7 +203,7 @@
             self._notify_work(action)
 
     def _drop_waiting_messages(self) -> None:
-        """Drops the waiting messages, so that a disk that hangs does not exhaust the memory.
+        """Drop the waiting messages, so that a disk that hangs does not exhaust the memory.
 
         Late messages are of no use and will be asked for again; commits have to be reported all the same.
         """
@@ -212,7 +212,7 @@
         ]
 
     def _send_stamps(self, outgoing: messages.Send) -> None:
-        """Sends the stamps of answers that wait for the disk.
+        """Send the stamps of answers that wait for the disk.
 
         Orders repeat these stamps; without them, orders would expire while a slow disk writes.
         """
@@ -226,7 +226,7 @@
         )
 
     async def _write(self, path: Path) -> None:
-        """Writes the memory in a thread, as a disk may block for longer than a lease."""
+        """Write the memory in a thread, as a disk may block for longer than a lease."""
         while self.unwritten is not None or self.waiting_for_disk:
             memories, waiting_for_disk = self.unwritten, self.waiting_for_disk
             self.unwritten, self.waiting_for_disk = None, []
@@ -262,7 +262,7 @@
     def change(
         self, settings: messages.Settings, peers: dict[str, Endpoint], keys: tuple[bytes, tuple[bytes, ...]]
     ) -> None:
-        """Applies new settings and keys; at most one member and one voter may have been added or removed.
+        """Apply new settings and keys; at most one member and one voter may have been added or removed.
 
         Raises:
             ValueError: more than that has changed; nothing is applied.
@@ -277,7 +277,7 @@
         self.peers = peers
 
     def move(self, duty: str, to: str) -> str:
-        """Hands a duty over; returns the reason if it is refused, else an empty string."""
+        """Hand a duty over; returns the reason if it is refused, else an empty string."""
         try:
             self.post(messages.Move(duty, to))
         except messages.DutiesError as e:
@@ -285,7 +285,7 @@
         return ""
 
     def status(self) -> dict[str, Any]:
-        """Returns the state of all duties for operators, ready for JSON."""
+        """Return the state of all duties for operators, ready for JSON."""
         duties_status = self.duties.status(time.monotonic())
         return duties_status | {
             "able": self.able(),
@@ -296,7 +296,7 @@
         }
 
     async def close(self) -> None:
-        """Hands over the duties held here, tells the other routers, and closes."""
+        """Hand over the duties held here, tells the other routers, and closes."""
         self.closing = True
         held = [name for name in self.duties.duties if self.acting_token(name) is not None]
         for name in held:
--- a/myrtlecourse/duties/holding.py
+++ b/myrtlecourse/duties/holding.py
@@ -51,7 +51,7 @@
         self.send_at = now
 
     def change_settings(self, settings: Settings) -> None:
-        """Applies settings with other members.
+        """Apply settings with other members.
 
         The answers of members that were removed no longer count, as the new majorities do not contain them.
         """
@@ -66,7 +66,7 @@
     # Sending
 
     def messages_due(self, now: float) -> Iterable[tuple[str, Message]]:
-        """Yields the messages to each member, if it is time for them."""
+        """Yield the messages to each member, if it is time for them."""
         if now < self.send_at or self.revoking:
             return
         self.send_at = (
@@ -81,7 +81,7 @@
                 yield member, messages.Survey(self.token)
 
     def schedule_orders_early(self, now: float) -> None:
-        """Sends orders a little early, as another holding sends now, so that they share a datagram."""
+        """Send orders a little early, as another holding sends now, so that they share a datagram."""
         if self.acting and self.send_at - now < EARLY_WINDOW * self.duty.good_for / ORDERS_PER_VALIDITY:
             self.send_at = min(now, self.send_at)
 
@@ -95,7 +95,7 @@
     # Receiving
 
     def on_known(self, now: float, member: str, known: messages.Known) -> None:
-        """Handles a member's report of the last order that it accepted."""
+        """Handle a member's report of the last order that it accepted."""
         if known.token != self.token:
             return
         self.answered.add(member)
@@ -120,23 +120,23 @@
         )
 
     def start_acting(self, now: float) -> None:
-        """Starts to act: from now on the holder sends orders of its own."""
+        """Start to act: from now on the holder sends orders of its own."""
         self.acting = True
         self.number = 1
         self.send_at = now
         self.last_accepted = dict.fromkeys(self.answered, now)
 
     def set_state(self, now: float, value: Value) -> int:
-        """Sets another state, which is ordered at once, and returns the number of the order."""
+        """Set another state, which is ordered at once, and returns the number of the order."""
         self.number += 1
         self.value = value
         self.send_at = now
         return self.number
 
     def on_taken(self, now: float, member: str, taken: messages.Taken) -> tuple[Message | None, bool]:
-        """Handles a member's answer to an order.
+        """Handle a member's answer to an order.
 
-        Returns an order to send again at once, if the member could not accept the last one for lack of a
+        Return an order to send again at once, if the member could not accept the last one for lack of a
         fresh stamp, and whether a majority has now accepted a later order than before.
         """
         if taken.token != self.token or not (self.acting or self.revoking):
@@ -161,7 +161,7 @@
         return None, advanced
 
     def unanswered_for(self, now: float) -> float:
-        """Returns the seconds since a majority of the members last answered."""
+        """Return the seconds since a majority of the members last answered."""
         if not self.acting:
             return 0.0
         times = sorted(self.last_accepted.values(), reverse=True)
@@ -169,13 +169,13 @@
         return now - times[needed - 1] if len(times) >= needed else now - self.started_at
 
     def responsive_members(self, now: float) -> set[str]:
-        """Returns the members that answered recently."""
+        """Return the members that answered recently."""
         return {m for m, at in self.last_accepted.items() if now - at <= self.duty.good_for}
 
     # Giving up
 
     def revoke(self, now: float) -> Iterable[tuple[str, Message]]:
-        """Yields orders that end all orders, for the members that may still obey one."""
+        """Yield orders that end all orders, for the members that may still obey one."""
         self.may_obey_until = {member: until for member, until in self.may_obey_until.items() if now < until}
         if not self.revoking:
             self.revoking = True
@@ -191,7 +191,7 @@
         return not any(now < until for until in self.may_obey_until.values())
 
     def next_due(self, now: float) -> float:
-        """Returns when something is due next."""
+        """Return when something is due next."""
         if self.revoking:
             return min([self.send_at, *self.may_obey_until.values()]) if self.may_obey_until else now
         if self.acting:
--- a/myrtlecourse/duties/member.py
+++ b/myrtlecourse/duties/member.py
@@ -41,7 +41,7 @@
         self.order_ended_at = math.inf  # when the last obeyed order ends, as known when it was accepted
 
     def stamp(self, now: float) -> int:
-        """Returns the time in milliseconds as this process counts it.
+        """Return the time in milliseconds as this process counts it.
 
         It starts at a random number, so that a stamp of the previous process, which a holder may still
         repeat, is not taken for one of this process; it would lie in the future, and the order would be
@@ -50,11 +50,11 @@
         return self.first_stamp + int((now - self.started_at) * MILLISECONDS)
 
     def order_in_force(self, now: float) -> ObeyedOrder | None:
-        """Returns the order that is obeyed now, or None."""
+        """Return the order that is obeyed now, or None."""
         return self.obeyed if now < self.obeyed.until else None
 
     def survey(self, now: float, survey: messages.Survey) -> Message:
-        """Answers a holder that asks for the last accepted order; lower tokens are refused from now on."""
+        """Answer a holder that asks for the last accepted order; lower tokens are refused from now on."""
         if survey.token < self.promised:
             return messages.Outdated(self.promised)
         self.promised = survey.token
@@ -63,7 +63,7 @@
         return messages.Known(survey.token, self.token, self.number, self.fresh, self.stamp(now), self.value)
 
     def order(self, now: float, sender: str, order: messages.Order) -> Message:
-        """Accepts an order, and obeys it while it is valid."""
+        """Accept an order, and obeys it while it is valid."""
         if order.token < self.promised:
             self.dropped_orders += 1
             return messages.Outdated(self.promised)
@@ -90,5 +90,5 @@
         return messages.Taken(order.token, order.number, True, self.stamp(now))
 
     def memory(self, term: int, voted: str) -> Memory:
-        """Returns what has to be stored."""
+        """Return what has to be stored."""
         return Memory(term, voted, self.promised, self.token, self.number, self.value)
--- a/myrtlecourse/duties/memory.py
+++ b/myrtlecourse/duties/memory.py
@@ -48,7 +48,7 @@
 
 
 def read_memories(path: Path) -> dict[str, Memory] | None:
-    """Returns what was stored last, by duty; None if there is no file.
+    """Return what was stored last, by duty; None if there is no file.
 
     Raises:
         MemoryFileError: the file is damaged, foreign or of a newer version. Starting as if nothing had been
@@ -76,7 +76,7 @@
 
 
 def write_memories(path: Path, memories: dict[str, Memory]) -> None:
-    """Stores the memories; they are on the disk when this returns, as messages that rely on them are sent
+    """Store the memories; they are on the disk when this returns, as messages that rely on them are sent
     next.
 
     Raises OSError.
--- a/myrtlecourse/duties/message_log.py
+++ b/myrtlecourse/duties/message_log.py
@@ -25,11 +25,11 @@
         self.on = os.environ.get(VARIABLE, "") == ELECTIONS
 
     def sent(self, receiver: str, items: tuple[Item, ...]) -> None:
-        """Logs messages that are sent, or that are sent once the disk has been written."""
+        """Log messages that are sent, or that are sent once the disk has been written."""
         self._write("to", receiver, items)
 
     def received(self, sender: str, items: tuple[Item, ...]) -> None:
-        """Logs messages that have arrived and are about to be handled."""
+        """Log messages that have arrived and are about to be handled."""
         self._write("from", sender, items)
 
     def _write(self, direction: str, peer: str, items: tuple[Item, ...]) -> None:
--- a/myrtlecourse/duties/messages.py
+++ b/myrtlecourse/duties/messages.py
@@ -41,7 +41,7 @@
         return ident(self.name, 2)
 
     def candidates(self, members: tuple[str, ...]) -> tuple[str, ...]:
-        """Returns the members that may hold the duty, the most preferred first.
+        """Return the members that may hold the duty, the most preferred first.
 
         Without a preference, rendezvous hashing (Thaler and Ravishankar, 1998) distributes the duties over
         the members.
@@ -91,7 +91,7 @@
             self.election(duty)
 
     def election(self, duty: Duty) -> election_messages.Settings:
-        """Returns the settings of one duty's election. Raises DutiesError."""
+        """Return the settings of one duty's election. Raises DutiesError."""
         try:
             return election_messages.Settings(
                 *(self.name, self.voters, self.heartbeat, self.lease, self.drift, self.settle, self.unwell),
@@ -107,7 +107,7 @@
         return len(self.members) // 2 + 1
 
     def order_lifetime(self, good_for: float) -> float:
-        """Returns the seconds, on any clock, after which no member obeys an order of this validity any
+        """Return the seconds, on any clock, after which no member obeys an order of this validity any
         more."""
         return good_for * (1 + self.drift) / (1 - self.drift)
 
--- a/myrtlecourse/duties/setup.py
+++ b/myrtlecourse/duties/setup.py
@@ -20,18 +20,18 @@
 
 
 def peers(table: Duties) -> dict[str, Endpoint]:
-    """Returns the address on which each member receives messages."""
+    """Return the address on which each member receives messages."""
     return {p.name: parse_address(p.at) for p in table.peers}
 
 
 def keys(table: Duties) -> tuple[bytes, tuple[bytes, ...]]:
-    """Returns the key to seal datagrams with, and those that are accepted as well. Raises ConfigError."""
+    """Return the key to seal datagrams with, and those that are accepted as well. Raises ConfigError."""
     also = (read_key(Path(file), "duties.also_key_files") for file in table.also_key_files)
     return read_key(Path(table.key_file), "duties.key_file"), tuple(also)
 
 
 def make_driver(table: Duties, settings: Settings, able: Callable[[], bool]) -> DutyDriver:
-    """Returns a router's driver; `settings` are those of the table, extended by the duties that it does not
+    """Return a router's driver; `settings` are those of the table, extended by the duties that it does not
     list.
 
     Raises:
--- a/myrtlecourse/duties/steps.py
+++ b/myrtlecourse/duties/steps.py
@@ -46,7 +46,7 @@
         self.next_step_at = math.inf  # on the monotonic clock
 
     def on_acquired(self, now: float, wall: float, token: int, value: Value) -> list[StepTask]:
-        """Starts a holding of the duty; `wall` is the Unix time in seconds."""
+        """Start a holding of the duty; `wall` is the Unix time in seconds."""
         self.token = token
         self.claimed, self.ended, self.claimed_at = value if len(value) == 3 else (0, 0, 0)
         self.claim_order, self.running = None, False
@@ -56,11 +56,11 @@
         return [StepTask(StepAction.UNFINISHED, self.claimed)] if self.claimed > self.ended else []
 
     def on_lost(self) -> None:
-        """Ends the holding."""
+        """End the holding."""
         self.token, self.next_step_at, self.claim_order = 0, math.inf, None
 
     def tick(self, now: float, wall: float, last_order: int) -> list[StepTask]:
-        """Claims the next step when it is due; `last_order` is the number of the holder's last order."""
+        """Claim the next step when it is due; `last_order` is the number of the holder's last order."""
         if not self.token or now < self.next_step_at or self.running or self.claim_order is not None:
             return []
         self.claimed, self.claimed_at = self.claimed + 1, int(wall)
@@ -69,14 +69,14 @@
         return [StepTask(StepAction.SET_STATE, self.claimed, self._value())]
 
     def on_committed(self, token: int, number: int) -> list[StepTask]:
-        """Runs the claimed step once its claim is committed."""
+        """Run the claimed step once its claim is committed."""
         if token != self.token or self.claim_order is None or number < self.claim_order:
             return []
         self.claim_order, self.running = None, True
         return [StepTask(StepAction.RUN, self.claimed)]
 
     def on_finished(self, token: int) -> list[StepTask]:
-        """Records that the step has ended, whatever its result."""
+        """Record that the step has ended, whatever its result."""
         if token != self.token or not self.running:
             return []
         self.running, self.ended = False, self.claimed
--- a/myrtlecourse/election/core.py
+++ b/myrtlecourse/election/core.py
@@ -1,13 +1,18 @@
-"""A lease on one duty, such as the service address, granted by a majority of voters; events in, actions out.
+"""Election of the holder of one duty, such as the service address; events in, actions out.
 
-Terms, votes and the trial before a vote are those of Raft (Ongaro and Ousterhout, 2014; section 9.6 of
-Ongaro's thesis for the trial, there called pre-vote); there is no log. The lease is that of Gray and Cheriton
+The holder has a lease that a majority of voters grants. Terms, votes and pre-votes (messages with `trial`
+set) are those of Raft (Ongaro and Ousterhout, 2014; section 9.6 of Ongaro's thesis for the pre-vote); there
+is no replicated log. The lease is that of Gray and Cheriton
 (1989): a voter's promise excludes all other holders for a time on its own clock. The holder counts this time
 from before it sent the request, and shortens it by the amount that two clocks may drift apart. Two leases at
 the same time would need promises of two majorities, and any two majorities share a voter.
 
-Candidates need no vote of their own. A candidate that is no voter campaigns when it is invited, as only
-voters know of a vacancy.
+A candidate need not be a voter. One that is not campaigns when a voter invites it: heartbeats go to voters
+only, so only they know that no instance holds the lease.
+
+A holder steps down when it can't serve, resigns, hands the lease over, or its lease expires. It first stops
+acting (`Withdraw`) and, once nothing is accepted any more (`Withdrawn`), frees the voters from their promises
+(`Release`) and, in a handover, asks its successor to campaign (`Take`).
 """
 
 from __future__ import annotations
@@ -50,7 +55,7 @@
 from myrtlecourse.election.request_ids import RequestIds
 from myrtlecourse.election.vote_count import VoteCount
 
-# share of a heartbeat; if less time than this is left until the next one, it is sent early
+# part of the heartbeat interval; a heartbeat that is due within this time may be sent early
 EARLY_WINDOW = 0.6
 
 
@@ -58,10 +63,10 @@
     """The state of an instance."""
 
     BACKUP = "backup"
-    PRE_VOTE = "trying"  # asks whether votes would be granted
-    CAMPAIGNING = "standing"  # asks for votes
+    PRE_VOTE = "trying"  # asks the voters whether they would grant a vote
+    CAMPAIGNING = "standing"  # asks the voters for their votes
     HOLDER = "holder"
-    LEAVING = "leaving"  # withdraws and has not released the lease yet
+    STEPPING_DOWN = "leaving"  # no longer acts as the holder, but has not released the lease yet
 
 
 class Election:
@@ -70,23 +75,25 @@
     def __init__(
         self, settings: Settings, saved: Saved, now: float, seed: int, request_ids: RequestIds | None = None
     ) -> None:
-        """Starts as a backup that promises no lease yet, as a promise given before the start may still hold.
+        """Start as a backup, which grants nothing for the time of a lease.
 
-        The elections of one process share `request_ids`.
+        A promise that the previous process gave may still hold, and promises are not stored. The elections of one process share `request_ids`.
         """
         self.settings = settings
         self.saved = saved
-        # the term that it started in, if it has not voted in it
+        # the term at the start, if the voter has not voted in it; otherwise -1, which no term equals
         self.initial_term = saved.term if not saved.voted else -1
         self.random = random.Random(seed)
         self.now = now
         self.actions: list[Action] = []
         self.role = Role.BACKUP
         self.startup_wait_until = now + settings.lease
-        self.answered_request_id = -1  # number of the question that its last vote answered
+        self.answered_request_id = -1  # id of the request that the last vote answered
         self.promise = ("", 0)  # receiver of the last promise, and its term
         self.promise_until = -math.inf
-        self.highest_held_term = -1  # highest term in which an instance is known to have held the lease
+        self.highest_held_term = (
+            -1
+        )  # highest term in which an instance is known to have held the lease; -1: none
         self.campaign_at = math.inf
         self.request_ids = request_ids or RequestIds(self.random)
         self.vote_count = VoteCount()
@@ -94,7 +101,7 @@
         self.heartbeat_at = math.inf
         self.able_since = math.inf
         self.unable_since = now
-        self.successor = ""
+        self.successor = ""  # candidate to which the lease is being handed over; empty: none in particular
         self.offer = Offer()
         self.no_campaign_until = -math.inf
         self.invitations = Invitations()
@@ -112,13 +119,14 @@
     def holds(self, now: float) -> bool:
         """Whether this instance holds the lease at this moment, by its own clock.
 
-        Must be checked before each accept: a process that was stopped finds, when it resumes, connections
-        that arrived while it was the holder.
+        Must be checked before each connection is accepted: a process that was stopped finds, when it resumes,
+        connections that arrived while it was the holder. As a safety margin, a holder counts as such only
+        until half a heartbeat before its lease ends.
         """
         return self.role is Role.HOLDER and now < self.lease_until - self.settings.heartbeat / 2
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Handles one event and returns the actions to be carried out, in order.
+        """Handle one event and return the actions to be carried out, in order.
 
         Raises:
             ElectionError: the new settings can't be applied now; nothing was changed.
@@ -127,7 +135,7 @@
             self.check_change(max(now, self.now), event.settings)
         self.now, self.actions = max(now, self.now), []
         if self.role is Role.HOLDER and not self.holds(self.now):
-            self._start_withdrawal("the lease has expired")
+            self._step_down("the lease has expired")
         match event:
             case MessageReceived(sender, message):
                 known = sender in self.settings.voters or sender in self.settings.candidates
@@ -150,7 +158,7 @@
         return self.actions
 
     def _other_voters(self) -> list[str]:
-        """Returns the voters except this instance."""
+        """Return the voters except this instance."""
         return [v for v in self.settings.voters if v != self.settings.name]
 
     def _send_to_voters(self, message: Message) -> None:
@@ -159,18 +167,18 @@
     # Timed work
 
     def _do_due_work(self) -> None:
-        """Does everything that is due by now."""
+        """Do everything that is due by now."""
         settings = self.settings
         if self.role is Role.HOLDER:
             if self.now >= self.unable_since + settings.unwell:
-                self._start_withdrawal("not able to serve")
+                self._step_down("not able to serve")
             elif self.now >= self.heartbeat_at:
                 self._send_heartbeat()
         elif (
             self.role in (Role.PRE_VOTE, Role.CAMPAIGNING)
             and self.now >= self.vote_count.asked_at + settings.heartbeat
         ):
-            # no majority answered in time; answers that come later belong to an outdated question
+            # no majority answered in time, and answers to this request will no longer be counted
             self._become_backup()
         if self.role is Role.BACKUP and self.offer.is_open(self.now):
             self._campaign_for_offer()
@@ -186,26 +194,27 @@
                 self._start_pre_vote()
 
     def _may_campaign(self) -> bool:
+        """Whether this candidate may campaign now, if no instance holds the lease."""
         return self.settings.may_hold and self.now >= self._may_campaign_from()
 
     def _may_campaign_from(self) -> float:
-        """Returns from when on this instance may campaign, if no instance holds the lease."""
+        """Return the time from which this instance may campaign, if no instance holds the lease."""
         return max(self.startup_wait_until, self.able_since + self.settings.settle, self.no_campaign_until)
 
     def _invite_candidates(self) -> None:
-        """Invites candidates without a vote to campaign, if no instance holds the lease."""
+        """Invite candidates without a vote to campaign, if no instance holds the lease."""
         vacant = self.now >= self.startup_wait_until and not self._promised_to_other_than("")
         for name in self.invitations.candidates_due(self.now, vacant, self.settings):
             self.actions.append(Send(name, Invite(self.term)))
 
     def _next_due(self) -> float:
-        """Returns when something is due next."""
+        """Return when something is due next."""
         if self.role is Role.HOLDER:
             times = [self.heartbeat_at, self.lease_until - self.settings.heartbeat / 2]
             return min([*times, self.unable_since + self.settings.unwell])
         if self.role in (Role.PRE_VOTE, Role.CAMPAIGNING):
             return self.vote_count.asked_at + self.settings.heartbeat
-        if self.role is Role.LEAVING:
+        if self.role is Role.STEPPING_DOWN:
             return math.inf
         if self.offer.is_open(self.now):
             return self.offer.next_at(self.now, max(self.promise_until, self._may_campaign_from()))
@@ -225,16 +234,17 @@
     # Promises and votes
 
     def _in_initial_term(self) -> bool:
-        """Whether this voter is in its term only because it started in it.
+        """Whether this voter is still in the term in which it started, without a vote in it.
 
-        Then a lower term is no evidence against a holder. Terms may start from the time of the process's
-        start, so a voter that started later would deny an earlier holder until the next election.
+        Then a holder with a lower term may still be the current one, as no message has shown a later term.
+        Without a stored memory, the first term is derived from the time of the process's start, so a voter
+        that started later than the holder would otherwise deny it until the next election.
         """
         return self.term == self.initial_term and not self.saved.voted
 
-    def _promised_to_other_than(self, other_than: str) -> bool:
-        """Whether a promise to an instance other than `other_than` still holds."""
-        return self.now < self.promise_until and self.promise[0] != other_than
+    def _promised_to_other_than(self, name: str) -> bool:
+        """Whether a promise to an instance other than `name` still holds; empty: to any instance."""
+        return self.now < self.promise_until and self.promise[0] != name
 
     def _may_grant(self, sender: str, ask: Ask) -> bool:
         """Whether a vote may be granted: one in each term, and none while a promise to another holds."""
@@ -242,10 +252,10 @@
             return False
         if self.now < self.startup_wait_until or self._promised_to_other_than(sender):
             return False
-        if self.role in (Role.HOLDER, Role.LEAVING):
+        if self.role in (Role.HOLDER, Role.STEPPING_DOWN):
             return False
-        # the term serves as a fencing token: a process that has forgotten its term must not get the same one
-        # again
+        # The term serves as a fencing token, so a candidate that has forgotten its term must not get the same
+        # one again: only a repetition of the same request gets the same vote again.
         may_vote = self.saved.voted == "" or (self.saved.voted, self.answered_request_id) == (
             sender,
             ask.number,
@@ -262,7 +272,7 @@
             self.actions.append(Save(self.saved))
 
     def _adopt_term(self, term: int) -> None:
-        """Moves on to a higher term that others have reached, in which this voter has not voted yet."""
+        """Adopt a higher term of another instance; this voter has not voted in it yet."""
         if term > self.term:
             self._save(term, "")
             if self.role in (Role.PRE_VOTE, Role.CAMPAIGNING):
@@ -292,16 +302,16 @@
                 self._on_invite(message)
 
     def _on_invite(self, invite: Invite) -> None:
-        """Starts a campaign, as it is this candidate's turn."""
+        """Adopt the voter's term and, as a candidate without a vote, start a pre-vote: it is its turn."""
         if self.role is Role.BACKUP and self._may_campaign():
             self._adopt_term(invite.term)
             if not self.settings.is_voter:
                 self._start_pre_vote()
 
     def _on_take(self, sender: str, take: Take) -> None:
-        """Starts to campaign for an offered lease, and repeats it until some instance holds it or the offer
-        ends."""
-        if not self.settings.may_hold or self.role in (Role.HOLDER, Role.LEAVING):
+        """Accept the offer of a lease, for which this candidate then campaigns until some instance holds it
+        or the offer ends."""
+        if not self.settings.may_hold or self.role in (Role.HOLDER, Role.STEPPING_DOWN):
             return
         if take.term < self.term and self.promise != (sender, take.term) and not self._in_initial_term():
             return
@@ -313,10 +323,10 @@
             self._become_backup()
 
     def _campaign_for_offer(self) -> None:
-        """Campaigns for an offered lease.
+        """Campaign for an offered lease, if the next campaign is due.
 
-        A voter that gets the request before the former holder's release denies it, so the campaign is
-        repeated.
+        A voter that gets the request for its vote before the former holder's release denies it, so campaigns
+        are repeated.
         """
         if (
             self.now >= self.offer.campaign_at
@@ -350,16 +360,17 @@
             self._become_holder()
 
     def _on_deny(self, sender: str, term: int) -> None:
-        if self.role in (Role.BACKUP, Role.LEAVING):
+        if self.role in (Role.BACKUP, Role.STEPPING_DOWN):
             self._adopt_term(term)
-        # a holder continues until its lease ends: there may be no holder in the higher term
+        # a holder does not adopt a higher term, but continues until its lease ends: the higher term may have no
+        # holder
         elif self.role is not Role.HOLDER and self.vote_count.count_denial(sender, term, self.settings):
             self._on_denied_by_majority()
 
     def _on_denied_by_majority(self) -> None:
-        """Becomes a backup, or asks once more if only the term may have been too low.
+        """Become a backup, or repeat the request in a higher term if only its term may have been too low.
 
-        Without this a handover could fail, as the named successor is asked to campaign just once.
+        Without the repetition a handover could fail, as the named successor is asked to campaign just once.
         """
         denied = self.vote_count
         self._become_backup()
@@ -373,23 +384,24 @@
         self.vote_count.is_retry = True
 
     def _on_beat(self, sender: str, beat: Beat) -> None:
-        """Promises the holder another lease, whatever terms were tried without success in the meantime.
+        """Renew the promise to the holder, even if this voter is in a higher term than the heartbeat's.
 
-        The sender has had the promises of a majority without interruption since it was elected. So no
-        instance has held the lease in a higher term, unless the heartbeat is an old one.
+        The sender has had the promises of a majority without interruption since it was elected. So campaigns
+        in higher terms have failed, and no instance has held the lease in one, unless the heartbeat is an
+        old one.
         """
         if not self.settings.is_voter:
             return
         if (
             beat.term < self.highest_held_term
             or self._promised_to_other_than(sender)
-            or self.role in (Role.HOLDER, Role.LEAVING)
+            or self.role in (Role.HOLDER, Role.STEPPING_DOWN)
         ):
             self.actions.append(Send(sender, Deny(self.term)))
             return
         if self.now < self.startup_wait_until:
-            # a promise given before the start may still hold for another, so that not even the holder gets
-            # one yet
+            # a promise given before the start may still hold for another instance, so not even the holder
+            # gets a promise yet
             return
         self._adopt_term(beat.term)
         self.highest_held_term = beat.term
@@ -405,7 +417,7 @@
         if self.lease.renew(sender, renew.number):
             self.lease.update(self.settings, self.now)
 
-    # Acquiring and giving up the lease
+    # Acquiring the lease and stepping down
 
     def _start_pre_vote(self) -> None:
         self.role = Role.PRE_VOTE
@@ -417,19 +429,20 @@
         self._ask_voters(self.term, trial=False)
 
     def _ask_voters(self, term: int, trial: bool) -> None:
+        """Request votes in a term or, with `trial`, pre-votes."""
         self.vote_count = VoteCount(term, self.request_ids.id_at(self.now), trial, self.now)
         if self.settings.is_voter:
             self.vote_count.granted.add(self.settings.name)
-        self._send_to_voters(Ask(term, self.vote_count.number, trial))
+        self._send_to_voters(Ask(term, self.vote_count.request_id, trial))
         if self.settings.majority == 1 and self.settings.is_voter:
-            self._on_grant(self.settings.name, Grant(term, self.vote_count.number, trial))
+            self._on_grant(self.settings.name, Grant(term, self.vote_count.request_id, trial))
 
     def _become_holder(self) -> None:
         self.role = Role.HOLDER
         self.lease.start(self.vote_count.granted, self.vote_count.asked_at)
         self.lease.update(self.settings, self.now)
         if not self.holds(self.now):
-            self._become_backup()  # the deciding vote came too late for the lease
+            self._become_backup()  # the deciding vote arrived so late that the lease has already ended
             return
         self.highest_held_term = self.term
         self.offer.end()
@@ -438,7 +451,7 @@
         self._send_heartbeat()
 
     def _send_heartbeat(self) -> None:
-        """Requests another lease from all voters."""
+        """Send a heartbeat, which asks all voters to renew their promises."""
         number = self.request_ids.id_at(self.now)
         self.lease.record_request(number, self.now, self.settings.lease)
         self.heartbeat_at = self.now + self.settings.heartbeat
@@ -446,8 +459,8 @@
         self.lease.update(self.settings, self.now)
 
     def send_heartbeat_early(self, now: float) -> list[Action]:
-        """Sends the heartbeat a little early, because another duty of this process sends one now: a single
-        datagram then renews the leases of all of them."""
+        """Send the next heartbeat now if it is due soon, as another duty of this process sends one now: a
+        single datagram then renews the leases of all duties."""
         self.now, self.actions = max(now, self.now), []
         if self.role is Role.HOLDER and self.heartbeat_at - self.now < EARLY_WINDOW * self.settings.heartbeat:
             self._send_heartbeat()
@@ -458,23 +471,28 @@
         self.role = Role.BACKUP
         self.campaign_at = math.inf
 
-    def _start_withdrawal(self, reason: str) -> None:
-        """Gives up the lease; the others are told once nothing is accepted any more."""
+    def _step_down(self, reason: str) -> None:
+        """Start to step down; the lease is released when `Withdrawn` reports that nothing is accepted any
+        more."""
         self.actions.append(Withdraw(reason))
-        self.role = Role.LEAVING
+        self.role = Role.STEPPING_DOWN
         self.lease.end()
 
     def _on_resign(self, reason: str, pause: float) -> None:
-        """Withdraws and pauses campaigning: a holder that serves badly would otherwise be the first to
+        """Step down and pause campaigning: a holder that serves badly would otherwise be the first to
         campaign again."""
         self.no_campaign_until = self.now + pause
         if self.role is Role.HOLDER:
-            self._start_withdrawal(reason)
+            self._step_down(reason)
         elif self.role in (Role.PRE_VOTE, Role.CAMPAIGNING):
             self._become_backup()
 
     def _on_withdrawn(self, clear: bool) -> None:
-        if self.role is not Role.LEAVING:
+        """Release the lease, and offer it to the successor in a handover.
+
+        `clear`: no member obeys an order of this holder any more, so that the successor need not wait.
+        """
+        if self.role is not Role.STEPPING_DOWN:
             return
         self._become_backup()
         self._send_to_voters(Release(self.term))
@@ -487,9 +505,10 @@
         self.campaign_at = self.now + self.settings.handover_time
 
     def _on_move(self, to: str) -> None:
+        """Hand the lease over to a candidate; empty: to whichever candidate campaigns first."""
         if self.role is Role.HOLDER and to != self.settings.name and to in ("", *self.settings.candidates):
             self.successor = to
-            self._start_withdrawal("handed over")
+            self._step_down("handed over")
 
     def _on_able(self, able: bool) -> None:
         if able and self.able_since == math.inf:
@@ -500,12 +519,12 @@
                 self._become_backup()
 
     def check_change(self, now: float, settings: Settings) -> None:
-        """Checks whether new settings can be applied now.
+        """Check whether new settings can be applied now.
 
         Raises:
             ElectionError: more than one voter was added or removed, so that two majorities might share no
-                voter; or this instance holds the lease, and it would end as too few of the remaining voters
-                have renewed it.
+                voter; or this instance holds the lease, and the lease would end, as too few of the remaining
+                voters have renewed their promises.
         """
         if len(set(settings.voters) ^ set(self.settings.voters)) > 1:
             raise ElectionError("voters: add or remove one at a time; wait until all routers have the change")
@@ -524,5 +543,6 @@
         if self.role in (Role.PRE_VOTE, Role.CAMPAIGNING):
             self._become_backup()
         if self.role is Role.HOLDER:
+            # updates only extend a lease; a majority of the new voters may support it for a shorter time
             self.lease.end()
             self.lease.update(self.settings, self.now)
--- a/myrtlecourse/election/invitations.py
+++ b/myrtlecourse/election/invitations.py
@@ -1,4 +1,4 @@
-"""Invitations, by which voters tell candidates without a vote of a vacancy, each at its turn; no I/O."""
+"""Invitations, by which voters tell each candidate without a vote of a vacancy at its turn; no I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
         self.next_at = math.inf  # when the next turn starts; infinity while some instance holds the duty
 
     def candidates_due(self, now: float, vacant: bool, settings: Settings) -> list[str]:
-        """Returns the candidates to invite now; starts over once every candidate has had its turn.
+        """Return the candidates to invite now; start over once every candidate has had its turn.
 
         Turns that passed while this process was stopped are skipped: at two turns in each heartbeat, catching
         up after an hour would block the event loop.
@@ -39,5 +39,5 @@
         ]
 
     def reset(self) -> None:
-        """Ends the vacancy; the next one starts with the most preferred candidate."""
+        """End the vacancy; the next one starts with the most preferred candidate."""
         self.turn_count, self.next_at = 0, math.inf
--- a/myrtlecourse/election/messages.py
+++ b/myrtlecourse/election/messages.py
@@ -15,11 +15,11 @@
 
 
 class ElectionError(ValueError):
-    """Contradictory settings; the message names the field."""
+    """Raised for contradictory settings; the message names the field."""
 
 
 def turn_for_rank(rank: int) -> int:
-    """Returns the number of the turn, after a vacancy, in which the candidate of this rank may campaign.
+    """Return the number of the turn, after a vacancy, in which the candidate of this rank may campaign.
 
     In a large fleet whose first hundred candidates are down, all others get a turn within log2(n) further
     turns.
@@ -41,13 +41,13 @@
     lease: float = 2.0  # seconds for which a voter's promise holds, by its own clock
     drift: float = 0.02  # largest relative error of a clock's rate, in either direction
     settle: float = 2.0  # seconds for which an instance must have been able to serve before it campaigns
-    unwell: float = 1.0  # seconds for which a holder may be unable to serve before it gives up the lease
+    unwell: float = 1.0  # seconds for which a holder may be unable to serve before it steps down
     # allows an even number of voters, which tolerates no more failures than one fewer
     even_voters: bool = False
     preferred: tuple[str, ...] = ()  # candidates, voters or not, the most preferred first; empty: the voters
 
     def __post_init__(self) -> None:
-        # with a list of candidates it may only observe
+        # with a list of candidates, an instance may be neither a voter nor a candidate, and only observe
         if self.name not in self.voters and not self.preferred:
             raise ElectionError(f"voters: {self.name} is not among them")
         if len(set(self.preferred)) < len(self.preferred) or len(self.preferred) > MAX_CANDIDATES:
@@ -111,8 +111,8 @@
 
     @property
     def handover_time(self) -> float:
-        """Seconds after a handover in which the former holder does not campaign, and the named successor
-        retries."""
+        """Seconds after a handover for which the former holder does not campaign, while the named successor
+        repeats its campaigns."""
         return (len(self.voters) + 1) * self.heartbeat
 
     @property
@@ -121,7 +121,7 @@
 
         It applies while a majority can communicate and no message is lost: the last promise expires, two
         turns of the least preferred candidate pass (the first may come before another voter's promise has
-        expired), and two rounds of questions are answered.
+        expired), and two rounds of requests, the pre-vote and the vote, are answered.
         """
         slow = (1 + self.drift) / (1 - self.drift)
         return slow * (self.lease + (max(len(self.voters), self.turn_count) + 2) * self.heartbeat)
@@ -129,7 +129,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Saved:
-    """What must survive a restart, so that a voter votes only once in a term."""
+    """What a voter must remember across a restart, so that it votes only once in a term."""
 
     term: int = 0
     voted: str = ""
@@ -140,7 +140,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ask:
-    """Asks for a vote in this term; with `trial`, asks whether a vote would be granted."""
+    """Asks for a vote in this term; with `trial`, for a pre-vote: whether a vote would be granted."""
 
     term: int
     number: int
@@ -149,8 +149,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Grant:
-    """Grants a question. Unless it was a trial, the voter promises no lease to anyone else for a lease's
-    time."""
+    """Grants a vote or, with `trial`, a pre-vote. With a vote, the voter promises not to support any other
+    instance for the time of a lease."""
 
     term: int
     number: int
@@ -159,7 +159,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Deny:
-    """Denies a question or a heartbeat, and reports the sender's term."""
+    """Denies a vote, a pre-vote or a heartbeat, and reports the voter's term."""
 
     term: int
 
@@ -182,14 +182,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """Gives up the lease; the voter's promise ends."""
+    """Releases the lease, as the holder has stepped down; the voter's promise ends."""
 
     term: int
 
 
 @dataclass(slots=True, frozen=True)
 class Take:
-    """Asks the receiver to campaign now, because the sender has given up the lease in its favour.
+    """Asks the receiver to campaign now, because the sender has stepped down in its favour.
 
     `clear`: no member obeys an order of the sender any more.
     """
@@ -200,8 +200,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Invite:
-    """Tells a candidate without a vote, which can't know it otherwise, of a vacancy and of its turn to
-    campaign."""
+    """Tells a candidate without a vote that no instance holds the lease, which it can't know otherwise, and
+    that it is its turn to campaign."""
 
     term: int
 
@@ -234,7 +234,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Withdrawn:
-    """The withdrawal has ended: nothing is accepted on the address any more.
+    """The host has carried out `Withdraw`: nothing is accepted any more.
 
     `clear`: no member obeys an order of this holder any more.
     """
@@ -244,7 +244,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Resign:
-    """Give up the lease and don't campaign for `pause` seconds, as another instance may do better."""
+    """Step down, and don't campaign for `pause` seconds, as another instance may do better."""
 
     reason: str
     pause: float
@@ -294,7 +294,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Withdraw:
-    """This instance has lost the lease: accept nothing more, then post `Withdrawn`."""
+    """This instance steps down: accept nothing more, then post `Withdrawn`."""
 
     reason: str
 
--- a/myrtlecourse/election/vote_count.py
+++ b/myrtlecourse/election/vote_count.py
@@ -1,4 +1,4 @@
-"""The votes for one question of a candidate, either a trial question or a request for votes; no I/O."""
+"""The vote count of one round: the answers to a candidate's request for votes or pre-votes; no I/O."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 @dataclass(slots=True)
 class VoteCount:
-    """The question that a candidate asked last, and the answers to it."""
+    """The request that a candidate sent last to all voters, and the answers to it."""
 
     term: int = -1
-    number: int = 0
-    pre_vote: bool = False
+    request_id: int = 0
+    pre_vote: bool = False  # whether the request asks for pre-votes
     asked_at: float = 0.0
-    is_retry: bool = False  # asked once more because the previous term was too low for a majority
+    is_retry: bool = False  # whether it repeats a request whose term was too low for a majority
     granted: set[str] = field(default_factory=set)
     denied: set[str] = field(default_factory=set)
     highest_denier_term: int = -1  # highest term reported by a voter that denied
 
     def count_grant(self, sender: str, grant: Grant, settings: Settings) -> bool:
-        """Counts a grant of this question and returns whether a majority has granted it."""
-        if (grant.number, grant.trial) != (self.number, self.pre_vote) or sender not in settings.voters:
+        """Count a voter's grant of this request, and return whether a majority has granted it."""
+        if (grant.number, grant.trial) != (self.request_id, self.pre_vote) or sender not in settings.voters:
             return False
         self.granted.add(sender)
         return len(self.granted) >= settings.majority
 
     def count_denial(self, sender: str, term: int, settings: Settings) -> bool:
-        """Counts a denial and returns whether a majority can no longer be reached.
+        """Count a voter's denial, and return whether a majority can no longer grant the request.
 
         A single voter in a higher term proves nothing: a holder elected in that term would have the promise
         of at least one voter of every majority.
@@ -41,5 +41,5 @@
 
     @property
     def term_too_low(self) -> bool:
-        """Whether a majority may have denied only because the term was too low."""
+        """Whether the voters may have denied this request only because its term was too low."""
         return self.highest_denier_term >= self.term and not self.is_retry
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -392,7 +392,7 @@
                     now, messages.MessageReceived(sender, messages.Grant(asks[0].term, asks[0].number, True))
                 )
     late = now + settings().lease
-    answer = messages.Grant(election.term, election.vote_count.number, False)
+    answer = messages.Grant(election.term, election.vote_count.request_id, False)
     assert not any(
         isinstance(a, messages.Announce) for a in election.handle(late, messages.MessageReceived("b", answer))
     )
@@ -436,7 +436,7 @@
 
 def test_a_change_that_is_refused_as_the_lease_ends_does_nothing() -> None:
     """Guards against a withdrawal that was decided and then lost with the refusal, so that the instance
-    stayed in LEAVING."""
+    stayed in STEPPING_DOWN."""
     election = holder_supported_by("c")
     with pytest.raises(messages.ElectionError, match="add or remove one at a time"):
         election.handle(200.0, messages.SettingsChanged(settings(voters=("a", "b", "d"))))
@@ -550,7 +550,9 @@
     for trial in (True, False):
         voter.handle(
             now,
-            messages.MessageReceived("b", messages.Grant(voter.term + trial, voter.vote_count.number, trial)),
+            messages.MessageReceived(
+                "b", messages.Grant(voter.term + trial, voter.vote_count.request_id, trial)
+            ),
         )
     for _ in range(int(3600 * hours / config.heartbeat)):
         now += config.heartbeat
@@ -696,7 +698,7 @@
         if event is not None:
             holder.handle(now, messages.MessageReceived("a", event))
         for voter in ("a", "b"):
-            grant = messages.Grant(holder.term + trial, holder.vote_count.number, trial)
+            grant = messages.Grant(holder.term + trial, holder.vote_count.request_id, trial)
             holder.handle(now, messages.MessageReceived(voter, grant))
     assert holder.holds(now)
     holder.handle(now, messages.Move("y"))
