--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -74,12 +74,12 @@
 class BreaksPromises(Election):
     """Faulty on purpose: a promise to a less preferred candidate does not bind it."""
 
-    def _promised_to_other_than(self, other_than: str) -> bool:
-        preferred = other_than or self.settings.name
+    def _promised_to_other_than(self, name: str) -> bool:
+        preferred = name or self.settings.name
         order = self.settings.voters
         if self.promise[0] and order.index(preferred) < order.index(self.promise[0]):
             return False
-        return super()._promised_to_other_than(other_than)
+        return super()._promised_to_other_than(name)
 
 
 class VotesAtOnce(Election):
