--- a/myrtlecourse/duties/codec.py
+++ b/myrtlecourse/duties/codec.py
@@ -29,7 +29,7 @@
 
 
 def encoded_groups(items: tuple[Item, ...]) -> Iterator[tuple[list[Any], int]]:
-    """Yield the encoded messages, those that share a number as one, each with the number of its items."""
+    """Yield the encoded messages, each with the count of its items; messages that share a number are one."""
     grouped: dict[tuple[int, int], list[Any]] = {}
     for duty, message in items:
         kind = KIND_NUMBERS[type(message)]
@@ -41,12 +41,12 @@
             yield [KIND_NUMBERS[type(message)], duty, *astuple(message)], 1
 
 
-def split(items: tuple[Item, ...], room: int) -> Iterator[tuple[Item, ...]]:
-    """Split items into datagrams that take at most `room` bytes each."""
+def split(items: tuple[Item, ...], max_size: int) -> Iterator[tuple[Item, ...]]:
+    """Split items into datagrams whose encoded messages take at most `max_size` bytes each."""
     codec, remaining = DutyCodec(), list(items)
     while remaining:
         count = len(remaining)
-        while count > 1 and len(msgspec.msgpack.encode(codec.parts(tuple(remaining[:count])))) > room:
+        while count > 1 and len(msgspec.msgpack.encode(codec.parts(tuple(remaining[:count])))) > max_size:
             count -= max(1, count // 4)
         yield tuple(remaining[:count])
         del remaining[:count]
--- a/myrtlecourse/duties/command_work.py
+++ b/myrtlecourse/duties/command_work.py
@@ -29,7 +29,7 @@
         self.child: asyncio.subprocess.Process | None = None
 
     async def run(self, *arguments: str) -> bool:
-        """Run the command with these arguments; returns whether it exited with code 0 in time."""
+        """Run the command with these arguments; return whether it exited with code 0 in time."""
         try:
             child = await asyncio.create_subprocess_exec(
                 *self.command, *arguments, stdin=asyncio.subprocess.DEVNULL, start_new_session=True
@@ -106,7 +106,7 @@
                 step_run.add_done_callback(self.running.discard)
 
     async def _run(self, step: int, token: int) -> None:
-        # checked last, as this process may have been stopped since the claim was committed
+        # checked right before the step, as this process may have been stopped since the claim was committed
         if self.driver.acting_token(self.duty) == token:
             await self.commands.run("step", str(step), str(token))
             self._do(self.steps.on_finished(token))
@@ -118,8 +118,8 @@
 
 
 class HoldWork:
-    """A duty that is just held: runs `COMMAND take TOKEN`, and `COMMAND leave TOKEN` before another may hold
-    it."""
+    """A duty without steps: runs `COMMAND take TOKEN` when it is acquired, and `COMMAND leave TOKEN` before
+    another router may hold it."""
 
     def __init__(self, driver: DutyDriver, duty: str, commands: CommandRunner) -> None:
         self.driver = driver
--- a/myrtlecourse/duties/core.py
+++ b/myrtlecourse/duties/core.py
@@ -4,6 +4,10 @@
 Each duty has an election of its own (`election/core.py`) over the same voters, so that holders are
 independent of each other. All messages to one process at one moment share a datagram, and one heartbeat
 renews all leases of a holder. Orders are sent by `holding.py` and obeyed by `member.py`.
+
+Terms: a holding is the time for which a process has the lease of a duty, under one token (the term in which
+it was elected). An order tells all members the duty's state; a member obeys it for a limited time. An order
+is committed once a majority of the members has accepted it. Acting means doing the duty's work.
 """
 
 from __future__ import annotations
@@ -20,8 +24,8 @@
 from myrtlecourse.election.core import Election, Role
 from myrtlecourse.election.request_ids import RequestIds
 
-# largest factor of the pause after failed holdings, so that a duty that no router can hold is still tried now
-# and then
+# largest factor of the pause after failed holdings, so that a router still campaigns occasionally for a duty
+# that no router could hold so far
 MAX_BRAKE_FACTOR = 16
 ELECTION_MESSAGES = (
     *(election.Ask, election.Grant, election.Deny, election.Beat),
@@ -37,8 +41,8 @@
     ) -> None:
         """`saved` is what the previous process stored, or None if there is no disk or nothing was stored.
 
-        In that case terms start after `term_floor`, a number that grows with each start. Otherwise a majority
-        that has lost its memory could grant tokens a second time.
+        With None, terms start after `term_floor`, a number that grows with each start. Otherwise a majority
+        of voters that have lost their memory could grant tokens a second time.
         """
         self.settings = settings
         self.now = now
@@ -49,19 +53,20 @@
         self.elections: dict[str, Election] = {}
         self.members: dict[str, Member] = {}
         self.holdings: dict[str, Holding] = {}
-        # duty -> when to release a revoked holding at the latest
+        # duty -> latest time at which to release the lease of a holding whose orders are being revoked
         self.release_deadlines: dict[str, float] = {}
-        # duty -> the latest term whose holder has reported that no member obeys it any more
+        # duty -> the latest term whose holder has reported that no member obeys its orders any more
         self.ended_terms: dict[str, int] = {}
-        # duty -> how often in a row it was given up because too few members answered
+        # duty -> consecutive holdings that ended because too few members answered
         self.failed_holdings: dict[str, int] = {}
-        self.able = True
+        self.able = True  # whether this process can hold duties at present
         self.unable_duties: set[str] = set()  # duties that this process can't hold at present
-        self.timers: dict[str, float] = {}
+        self.timers: dict[str, float] = {}  # duty -> when its election has something due
         self.held_without_orders: set[str] = set()  # duties without orders that this process holds
         self.actions: list[messages.Action] = []
         self.outgoing: dict[str, list[Item]] = defaultdict(list)
         self.own_messages: deque[Item] = deque()  # messages of this process to itself
+        # what handling the current event has led to
         self.save_needed = False
         self.heartbeat_sent = False
         self.order_sent = False
@@ -101,7 +106,11 @@
     # Events
 
     def handle(self, now: float, event: messages.Event) -> list[messages.Action]:
-        """Handle one event and returns the actions to be carried out, in order. Raises DutiesError."""
+        """Handle one event and return the actions to be carried out, in order.
+
+        Raises:
+            DutiesError: the event is invalid; nothing was done.
+        """
         self.now = max(now, self.now)
         self._validate(event)
         self.actions, self.outgoing = [], defaultdict(list)
@@ -170,6 +179,7 @@
     # Holding
 
     def _on_won(self, name: str, term: int) -> None:
+        """Start a holding, as this process has won the election of a duty."""
         duty = self.duties[name]
         if duty.orders:
             self.holdings[name] = Holding(
@@ -180,7 +190,7 @@
             self.actions.append(messages.Acquired(name, term, ()))
 
     def _withdraw(self, name: str, reason: str) -> None:
-        """Stop acting, as the lease has ended or is given up, and starts to revoke the orders in force."""
+        """Stop acting, as this process steps down, and start to revoke the orders in force."""
         holding = self.holdings.get(name)
         if name in self.held_without_orders:
             self.held_without_orders.discard(name)
@@ -188,13 +198,13 @@
             return  # released at the event `WorkStopped`
         if holding is not None and holding.acting:
             self.actions.append(messages.Lost(name, reason))
-        # long enough for the members to hear of it, and much shorter than the voters' promises, which still
-        # hold
+        # long enough for the members to receive the revocation, and much shorter than the voters' promises,
+        # which still hold
         self.release_deadlines[name] = self.now + 2 * self.settings.heartbeat
 
     def _release(self, name: str, holding: Holding) -> None:
-        """Revoke the orders of a holding, and releases its lease once none is in force or the wait has
-        lasted long enough."""
+        """Revoke the orders of a holding, and release its lease once no order is in force or the deadline
+        for the release has passed."""
         for member, message in holding.revoke(self.now):
             self._send(name, member, message)
         all_clear = holding.nobody_obeys(self.now) and self.now >= holding.safe_from
@@ -223,27 +233,27 @@
             self._report_expiry(name)
 
     def _deliver_own(self) -> None:
-        """Deliver this process's messages to itself, and its answers to them."""
+        """Deliver the messages of this process to itself, including its answers to them."""
         while self.own_messages:
             number, message = self.own_messages.popleft()
             self._on_message(self.duty_names[number], self.settings.name, message)
 
     def _report_expiry(self, name: str) -> None:
-        """Report once that a member's order has expired, or was dropped in favour of a later holder."""
+        """Report once that this member's order has expired, or was dropped in favour of a later holder."""
         member = self.members[name]
         if not member.expiry_reported and member.order_in_force(self.now) is None:
             member.expiry_reported = True
             self.actions.append(messages.ObeysNobody(name, min(self.now, member.order_ended_at)))
 
     def _run_holding(self, name: str, holding: Holding) -> None:
-        """Do what is due for a holding: releases it, resigns, starts to act, or sends its messages."""
+        """Do what is due for a holding: release it, resign, start to act, or send its messages."""
         if name in self.release_deadlines:
             self._release(name, holding)
             return
         if holding.unanswered_for(self.now) >= self.settings.unheard:
-            times = self.failed_holdings.get(name, 0)
-            self.failed_holdings[name] = times + 1
-            pause = self.settings.brake * min(MAX_BRAKE_FACTOR, 2**times)
+            failures = self.failed_holdings.get(name, 0)
+            self.failed_holdings[name] = failures + 1
+            pause = self.settings.brake * min(MAX_BRAKE_FACTOR, 2**failures)
             self._post_to_election(name, election.Resign("its orders are not heard by enough members", pause))
             return
         if holding.may_start_acting(self.now):
@@ -266,8 +276,10 @@
             )
 
     def _validate(self, event: messages.Event) -> None:
-        """Refuse an invalid event before anything has been done, so that work in progress is not disturbed.
-        Raises DutiesError."""
+        """Check an event before anything is done for it, so that an invalid one disturbs no work in progress.
+
+        Raises DutiesError.
+        """
         match event:
             case messages.SetState(name, value):
                 if self.acting_token(self.now, name) is None or name not in self.holdings:
@@ -294,7 +306,7 @@
         if settings.name != self.settings.name or settings.duties != self.settings.duties:
             raise messages.DutiesError("name and duties can't change while a process runs")
         for field in ("members", "voters"):
-            # any two majorities must share one member, before and after the change
+            # a majority from before the change and one from after it must share a member
             if len(set(getattr(settings, field)) ^ set(getattr(self.settings, field))) > 1:
                 raise messages.DutiesError(
                     f"{field}: add or remove one at a time; wait until all routers have the change"
@@ -311,7 +323,7 @@
         candidates = self.elections[name].settings.candidates
         holding = self.holdings.get(name)
         if not to and holding is not None:
-            # a candidate that answers, as an election among all candidates takes longer
+            # names a successor that answers at present, as an election among all candidates takes longer
             responsive_members = holding.responsive_members(self.now)
             to = next((c for c in candidates if c in responsive_members and c != self.settings.name), "")
         self._post_to_election(name, election.Move(to))
@@ -360,7 +372,8 @@
         """Apply a holder's message, and answers it once the changes that must persist are stored."""
         if sender not in self.elections[name].settings.candidates:
             return
-        # reports an order that expired before this message arrived, which a stop of the process would hide
+        # an order that expired before this message arrived is reported first: if the process was stopped, the
+        # message would hide that no order was obeyed for a time
         self._report_expiry(name)
         member = self.members[name]
         stored_before = member.promised, member.token, member.number, member.value
@@ -374,7 +387,7 @@
         if new_order.token != previous_order.token:
             self._report_expiry(name)
             if not member.expiry_reported:
-                # the member changes from one holder to the next
+                # the member stops obeying the previous holder and will obey the next one
                 self.actions.append(messages.ObeysNobody(name, self.now))
         if new_order is not previous_order and self.now < new_order.until:
             member.expiry_reported = False
--- a/myrtlecourse/duties/driver.py
+++ b/myrtlecourse/duties/driver.py
@@ -1,4 +1,5 @@
-"""Drives one router's part in duties: the socket, the memory file, and the work of a duty's holder."""
+"""The driver of one router's part in duties: it connects the core, which does no I/O, to the socket, the
+clock, the memory file, and the work of a duty's holder."""
 
 from __future__ import annotations
 
@@ -23,9 +24,10 @@
 
 # seconds between checks whether this process can hold a duty, and calls of its holders' work
 POLL_INTERVAL = 0.1
-MAX_WAITING = 1000  # messages that may wait for the disk
-RETRY_PAUSE = 0.2  # seconds until another attempt to listen, while the previous process still does
-# messages that promise a vote or an accepted order; a promised lease relies on the wait after a start
+MAX_WAITING = 1000  # actions that may wait for the disk
+RETRY_PAUSE = 0.2  # seconds until another attempt to listen or to write the memory file
+# Messages that rely on stored votes or accepted orders, and are sent once these are on disk. Renewed promises
+# are not stored; instead, a process grants nothing for the time of a lease after its start.
 PROMISES = (election.Ask, election.Grant, messages.Known, messages.Taken)
 log = logging.getLogger(__name__)
 bounded = RateLimitedLog(log)
@@ -35,17 +37,19 @@
     """The work that the holder of a duty does."""
 
     def on_acquired(self, token: int, value: messages.Value) -> None:
-        """Called when this process acquires the duty. It must check `DutyDriver.acting_token` before each
-        effect."""
+        """Start the work, as this process has acquired the duty.
+
+        The work must check `DutyDriver.acting_token` before each effect.
+        """
 
     def on_lost(self) -> None:
-        """Called when this process has lost the duty: nothing new may be started."""
+        """Start nothing new, as this process has lost the duty."""
 
     def on_committed(self, token: int, number: int) -> None:
-        """Called when a majority of the members has accepted an order of this holder."""
+        """Handle that a majority of the members has accepted an order of this holder."""
 
     def poll(self) -> None:
-        """Called every POLL_INTERVAL seconds."""
+        """Do timed work; called every POLL_INTERVAL seconds."""
 
     async def close(self) -> None:
         """End the work in progress."""
@@ -63,14 +67,15 @@
         saved: dict[str, messages.Memory] | None,
         able: Callable[[], bool],
     ) -> None:
-        """`able` returns whether this router can hold duties now; `saved` is what was read from `memory`."""
+        """`able` returns whether this router can hold duties now; `saved` is what was read from the file
+        `memory`."""
         rng = random.SystemRandom()
         start = rng.getrandbits(62) + 1
         super().__init__(Wire(settings.name, settings.members, keys[0], start, DutyCodec(), keys[1]), peers)
         self.settings = settings
         self.memory = memory
         self.unwritten: dict[str, messages.Memory] | None = None  # memories that are not on the disk yet
-        # member -> when a stamp was last sent to it without the answer
+        # member -> when a stamp was last sent to it ahead of the answer, which waits for the disk
         self.stamp_sent_at: dict[str, float] = {}
         self.writing: asyncio.Task[None] | None = None
         # actions that must wait for the write to end
@@ -81,7 +86,7 @@
         self.works: dict[str, Work] = {}
         # duty -> whether this router meets the duty's own conditions
         self.abilities: dict[str, Callable[[], bool]] = {}
-        self.running: list[asyncio.Task[None]] = []
+        self.running: list[asyncio.Task[None]] = []  # background tasks
         self.polled_at = now
         self.moves: list[str] = []  # the last changes, for operators
         self.obeyed_holders: dict[str, str] = {}  # duty -> the holder that was obeyed last, with its token
@@ -115,7 +120,7 @@
                 await asyncio.sleep(RETRY_PAUSE)
 
     async def _poll(self) -> None:
-        """Report whether this process can hold duties; it can't if its event loop was stalled."""
+        """Report regularly whether this process can hold duties; it can't after a stall of its event loop."""
         while True:
             now = time.monotonic()
             stalled = now - self.polled_at > self.settings.unwell + POLL_INTERVAL
@@ -137,7 +142,7 @@
         self.post(messages.MessagesReceived(sender, message))
 
     def post(self, event: messages.Event) -> None:
-        """Pass an event to the duties and carries out their actions. Raises DutiesError."""
+        """Pass an event to the duties and carry out their actions. Raises DutiesError."""
         for action in self.duties.handle(time.monotonic(), event):
             self._carry_out(action)
 
@@ -205,7 +210,8 @@
     def _drop_waiting_messages(self) -> None:
         """Drop the waiting messages, so that a disk that hangs does not exhaust the memory.
 
-        Late messages are of no use and will be asked for again; commits have to be reported all the same.
+        Late messages are of no use, and others will request them again; commits have to be reported all the
+        same.
         """
         self.waiting_for_disk = [
             action for action in self.waiting_for_disk if isinstance(action, messages.Committed)
@@ -226,7 +232,8 @@
         )
 
     async def _write(self, path: Path) -> None:
-        """Write the memory in a thread, as a disk may block for longer than a lease."""
+        """Write the memory file in a thread, as a disk may block for longer than a lease; then carry out the
+        actions that waited for it."""
         while self.unwritten is not None or self.waiting_for_disk:
             memories, waiting_for_disk = self.unwritten, self.waiting_for_disk
             self.unwritten, self.waiting_for_disk = None, []
@@ -277,7 +284,7 @@
         self.peers = peers
 
     def move(self, duty: str, to: str) -> str:
-        """Hand a duty over; returns the reason if it is refused, else an empty string."""
+        """Hand a duty over; return the reason if this is refused, else an empty string."""
         try:
             self.post(messages.Move(duty, to))
         except messages.DutiesError as e:
@@ -296,7 +303,7 @@
         }
 
     async def close(self) -> None:
-        """Hand over the duties held here, tells the other routers, and closes."""
+        """Hand over the duties that this process holds, wait until they are released, and close."""
         self.closing = True
         held = [name for name in self.duties.duties if self.acting_token(name) is not None]
         for name in held:
--- a/myrtlecourse/duties/holding.py
+++ b/myrtlecourse/duties/holding.py
@@ -1,9 +1,10 @@
 """What a duty's holder does with its lease: learns the last orders, sends its own, and finally revokes them.
 
-It acts only once no member can obey the previous holder any more: all members have answered and confirmed it,
-or the validity of the previous holder's last order has ended on every clock. Before that, a majority of the
-members reports the last order that each accepted, and the holder continues from the highest of them. So what
-a majority accepted is neither forgotten nor done twice (the first phase of Paxos; Lamport, 1998).
+A new holder first surveys the members: each reports the last order that it accepted, and from then on refuses
+orders of earlier holders. With the reports of a majority, the holder continues from the highest order among
+them, so that what a majority accepted is neither forgotten nor done twice (the first phase of Paxos; Lamport,
+1998). It acts only once no member can obey the previous holder any more: all members have answered, or the
+validity of the previous holder's last order has ended on every clock.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from myrtlecourse.duties import messages
 from myrtlecourse.duties.messages import Duty, Message, Settings, Value
 
-# share of the time between two orders; if less than this is left until the next one, it is sent early
+# part of the time between two orders; an order that is due within this time may be sent early
 EARLY_WINDOW = 0.6
 # orders sent during the validity of one, so that one of them, or its answer, may be lost
 ORDERS_PER_VALIDITY = 4
@@ -26,18 +27,21 @@
     def __init__(
         self, settings: Settings, duty: Duty, token: int, now: float, previous_orders_ended: bool
     ) -> None:
-        """`previous_orders_ended`: the previous holder has reported that no member obeys it any more."""
+        """`previous_orders_ended`: the previous holder has reported that no member obeys its orders any
+        more."""
         self.settings = settings
         self.duty = duty
         self.token = token
         self.started_at = now
+        # from this time on, no member obeys an order of the previous holder
         self.safe_from = now if previous_orders_ended else now + settings.order_lifetime(duty.good_for)
+        # until this time, the survey waits for a majority of members that have not lost their memory
         self.ask_until = now + 2 * settings.order_lifetime(settings.lease + duty.good_for)
         self.acting = False
-        # too few members remembered the last order, so that the state may have been lost
+        # whether too few members remembered their last order, so that the duty's state may have been lost
         self.state_uncertain = False
         self.revoking = False
-        self.number = 0
+        self.number = 0  # number of the last order; 0 before the first
         self.value: Value = duty.initial_state
         self.highest_order = (-1, -1)  # token and number of the highest order that was reported
         self.answered: set[str] = set()  # members that have answered
@@ -47,7 +51,7 @@
         self.last_accepted: dict[str, float] = {}  # member -> when its last acceptance arrived
         # member -> until when it may obey an order of this holding
         self.may_obey_until: dict[str, float] = {}
-        self.committed = 0
+        self.committed = 0  # highest number of an order that a majority of the members has accepted
         self.send_at = now
 
     def change_settings(self, settings: Settings) -> None:
@@ -81,7 +85,8 @@
                 yield member, messages.Survey(self.token)
 
     def schedule_orders_early(self, now: float) -> None:
-        """Send orders a little early, as another holding sends now, so that they share a datagram."""
+        """Make the next orders due now if they are due soon: another holding sends orders now, and they then
+        share a datagram."""
         if self.acting and self.send_at - now < EARLY_WINDOW * self.duty.good_for / ORDERS_PER_VALIDITY:
             self.send_at = min(now, self.send_at)
 
@@ -95,7 +100,7 @@
     # Receiving
 
     def on_known(self, now: float, member: str, known: messages.Known) -> None:
-        """Handle a member's report of the last order that it accepted."""
+        """Handle a member's answer to the survey: its report of the last order that it accepted."""
         if known.token != self.token:
             return
         self.answered.add(member)
@@ -127,7 +132,7 @@
         self.last_accepted = dict.fromkeys(self.answered, now)
 
     def set_state(self, now: float, value: Value) -> int:
-        """Set another state, which is ordered at once, and returns the number of the order."""
+        """Set another state, which is ordered at once, and return the number of the order."""
         self.number += 1
         self.value = value
         self.send_at = now
@@ -161,7 +166,7 @@
         return None, advanced
 
     def unanswered_for(self, now: float) -> float:
-        """Return the seconds since a majority of the members last answered."""
+        """Return the time in seconds since which no majority of the members has accepted an order."""
         if not self.acting:
             return 0.0
         times = sorted(self.last_accepted.values(), reverse=True)
@@ -172,10 +177,10 @@
         """Return the members that answered recently."""
         return {m for m, at in self.last_accepted.items() if now - at <= self.duty.good_for}
 
-    # Giving up
+    # Stepping down
 
     def revoke(self, now: float) -> Iterable[tuple[str, Message]]:
-        """Yield orders that end all orders, for the members that may still obey one."""
+        """Yield revocations (orders without validity) for the members that may still obey an order."""
         self.may_obey_until = {member: until for member, until in self.may_obey_until.items() if now < until}
         if not self.revoking:
             self.revoking = True
--- a/myrtlecourse/duties/memory.py
+++ b/myrtlecourse/duties/memory.py
@@ -1,5 +1,5 @@
-"""The file with what must survive a member's restart: its votes and promises, and the last order it
-accepted."""
+"""The memory file: what a member must remember across a restart, which is its votes and promises, and the
+last order that it accepted."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class MemoryFileError(ValueError):
-    """A memory file that can't be used; the message says why."""
+    """Raised for a memory file that can't be used; the message says why."""
 
 
 class Row(Struct, forbid_unknown_fields=True):
@@ -51,8 +51,8 @@
     """Return what was stored last, by duty; None if there is no file.
 
     Raises:
-        MemoryFileError: the file is damaged, foreign or of a newer version. Starting as if nothing had been
-            promised would break the promises in it.
+        MemoryFileError: the file is damaged, of another program or of a newer version. A start as if nothing
+            had been promised would break the promises in it.
     """
     try:
         text = path.read_bytes()
--- a/myrtlecourse/duties/message_log.py
+++ b/myrtlecourse/duties/message_log.py
@@ -1,8 +1,7 @@
-"""Log of the messages by which duties are granted and held; off unless operators turn it on.
+"""Log of the messages by which the holders of duties are elected and send orders; off by default.
 
-`MYRTLECOURSE_LOG=elections` in the environment turns it on. Each line contains one message of an election
-that this process sent or received, so that the lines of all routers together show who granted and who denied
-what.
+`MYRTLECOURSE_LOG=elections` in the environment turns it on. Each line contains one message that this process
+sent or received, so that the lines of all routers together show which vote each router granted or denied.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
         self.on = os.environ.get(VARIABLE, "") == ELECTIONS
 
     def sent(self, receiver: str, items: tuple[Item, ...]) -> None:
-        """Log messages that are sent, or that are sent once the disk has been written."""
+        """Log messages that are sent now, or as soon as the memory file has been written."""
         self._write("to", receiver, items)
 
     def received(self, sender: str, items: tuple[Item, ...]) -> None:
--- a/myrtlecourse/duties/messages.py
+++ b/myrtlecourse/duties/messages.py
@@ -16,12 +16,12 @@
 MAX_MEMBERS = 255
 MAX_DUTIES = 16
 MAX_STATE_LENGTH = 8  # largest number of integers in a duty's state
-STATE_NUMBER_LIMIT = 2**40  # each of them is lower than this
-Value = tuple[int, ...]
+STATE_NUMBER_LIMIT = 2**40  # each integer in a state is lower than this
+Value = tuple[int, ...]  # the state of a duty
 
 
 class DutiesError(ValueError):
-    """Contradictory settings or an invalid call; the message names the field."""
+    """Raised for contradictory settings or an invalid event; the message names the field or the duty."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -68,8 +68,8 @@
     drift: float = 0.02
     settle: float = 2.0
     unwell: float = 1.0
-    unheard: float = 4.0  # seconds without answers of a majority after which a holder gives the duty up
-    brake: float = 8.0  # seconds for which it then does not campaign, doubled each time
+    unheard: float = 4.0  # seconds without answers of a majority after which a holder steps down
+    brake: float = 8.0  # seconds for which it then does not campaign, doubled after each failed holding
 
     def __post_init__(self) -> None:
         if self.name not in self.members:
@@ -125,7 +125,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Survey:
-    """The holder of this token asks which order the receiver accepted last."""
+    """Asks the receiver, as the holder with this token, which order it accepted last."""
 
     token: int
 
@@ -139,9 +139,9 @@
 
     token: int  # token of the survey
     taken: int  # token of the accepted order
-    number: int
+    number: int  # number of the accepted order
     fresh: bool
-    stamp: int
+    stamp: int  # the member's time in milliseconds, which orders have to repeat (see `member.py`)
     value: Value
 
 
@@ -149,7 +149,7 @@
 class Order:
     """Orders the state `value`, valid for `good_for` milliseconds from the time of the stamp in `echo`.
 
-    0 milliseconds: no order of the sender is to be obeyed any more.
+    With 0 milliseconds it is a revocation: no order of the sender is to be obeyed any more.
     """
 
     token: int
@@ -161,7 +161,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Taken:
-    """Answers an order. Without `kept`, it was not accepted because it came too late or after a later one."""
+    """Answers an order. Without `kept`, the order was not accepted: it arrived too late, repeated no stamp of
+    the receiver, or came after a later order."""
 
     token: int
     number: int
@@ -290,8 +291,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Committed:
-    """A majority of the members has accepted the holder's order of this number, so that it will not be
-    forgotten."""
+    """A majority of the members has accepted the holder's order of this number, so that no later holder will
+    miss it."""
 
     duty: str
     token: int
--- a/myrtlecourse/duties/setup.py
+++ b/myrtlecourse/duties/setup.py
@@ -41,7 +41,7 @@
     try:
         saved = read_memories(memory) if memory is not None else None
     except MemoryFileError as e:
-        # keeps promises: only an operator may decide to start without the memory
+        # a start without the memory may break promises in it, so only an operator may decide on it
         raise ConfigError(f"duties.memory_file: {e}; remove it to start without the memory") from e
     try:
         driver = DutyDriver(settings, peers(table), keys(table), memory, saved, able)
--- a/myrtlecourse/duties/steps.py
+++ b/myrtlecourse/duties/steps.py
@@ -38,7 +38,7 @@
         """`every` is the time in seconds from one step to the next."""
         self.every = every
         self.token = 0  # 0: this process does not hold the duty
-        self.claimed = self.ended = 0
+        self.claimed = self.ended = 0  # the last step that was claimed, and the last that finished
         self.claimed_at = 0  # Unix time in seconds
         # number of the order that has to be committed before the step runs
         self.claim_order: int | None = None
@@ -46,11 +46,12 @@
         self.next_step_at = math.inf  # on the monotonic clock
 
     def on_acquired(self, now: float, wall: float, token: int, value: Value) -> list[StepTask]:
-        """Start a holding of the duty; `wall` is the Unix time in seconds."""
+        """Start a holding of the duty with its state `value`; `wall` is the Unix time in seconds."""
         self.token = token
         self.claimed, self.ended, self.claimed_at = value if len(value) == 3 else (0, 0, 0)
         self.claim_order, self.running = None, False
-        # keeps the pace: a new holder continues when the previous one would have, and at most one step later
+        # A new holder claims the next step when the previous holder would have. If the clocks disagree, the
+        # step is at most one interval late.
         since = min(max(0.0, wall - self.claimed_at), self.every)
         self.next_step_at = now + (self.every - since)
         return [StepTask(StepAction.UNFINISHED, self.claimed)] if self.claimed > self.ended else []
--- a/myrtlecourse/election/core.py
+++ b/myrtlecourse/election/core.py
@@ -363,8 +363,8 @@
     def _on_deny(self, sender: str, term: int) -> None:
         if self.role in (Role.BACKUP, Role.STEPPING_DOWN):
             self._adopt_term(term)
-        # a holder does not adopt a higher term, but continues until its lease ends, as the higher term may have
-        # no holder
+        # a holder does not adopt a higher term, but continues until its lease ends: there may be no holder in
+        # the higher term
         elif self.role is not Role.HOLDER and self.vote_count.count_denial(sender, term, self.settings):
             self._on_denied_by_majority()
 
