--- a/myrtlecourse/duties/core.py
+++ b/myrtlecourse/duties/core.py
@@ -49,7 +49,7 @@
         self.rng = random.Random(seed)
         self.request_ids = RequestIds(self.rng)
         self.duties: dict[str, Duty] = {}
-        self.duty_names: dict[int, str] = {}
+        self.duty_names: dict[int, str] = {}  # number of a duty in datagrams -> its name
         self.elections: dict[str, Election] = {}
         self.members: dict[str, Member] = {}
         self.holdings: dict[str, Holding] = {}
@@ -64,7 +64,7 @@
         self.timers: dict[str, float] = {}  # duty -> when its election has something due
         self.held_without_orders: set[str] = set()  # duties without orders that this process holds
         self.actions: list[messages.Action] = []
-        self.outgoing: dict[str, list[Item]] = defaultdict(list)
+        self.outgoing: dict[str, list[Item]] = defaultdict(list)  # member -> messages to it
         self.own_messages: deque[Item] = deque()  # messages of this process to itself
         # what handling the current event has led to
         self.save_needed = False
@@ -73,14 +73,14 @@
         first_stamp = self.rng.getrandbits(48) + 1
         for duty in settings.duties:
             memory = (saved or {}).get(duty.name)
-            before = election.Saved(term_floor, "")
+            saved_vote = election.Saved(term_floor, "")
             if memory is not None:
-                before = election.Saved(memory.term, memory.voted)
-            number = self.rng.getrandbits(32)
+                saved_vote = election.Saved(memory.term, memory.voted)
+            election_seed = self.rng.getrandbits(32)
             self.duties[duty.name] = duty
             self.duty_names[duty.number] = duty.name
             self.elections[duty.name] = Election(
-                settings.election(duty), before, now, number, self.request_ids
+                settings.election(duty), saved_vote, now, election_seed, self.request_ids
             )
             self.members[duty.name] = Member(duty, memory, now, first_stamp)
 
--- a/myrtlecourse/duties/holding.py
+++ b/myrtlecourse/duties/holding.py
@@ -117,7 +117,8 @@
             return False
         all_answered = len(self.answered) == members
         enough_remember = len(self.remembering) >= settings.majority
-        # for fleets without disks: if no member has a memory, there is nothing that could be forgotten
+        # In a fleet without disks, a majority that remembers may never be found. After the wait a majority of
+        # answers is enough: if no member has a memory, there is nothing that could be forgotten.
         waited_long_enough = len(self.answered) >= settings.majority and now >= self.ask_until
         self.state_uncertain = waited_long_enough and not (all_answered or enough_remember)
         return (all_answered or enough_remember or waited_long_enough) and (
@@ -141,13 +142,13 @@
     def on_taken(self, now: float, member: str, taken: messages.Taken) -> tuple[Message | None, bool]:
         """Handle a member's answer to an order.
 
-        Return an order to send again at once, if the member could not accept the last one for lack of a
-        fresh stamp, and whether a majority has now accepted a later order than before.
+        Return an order to send again at once if the member could not accept the last one for lack of a fresh
+        stamp, else None; and whether a majority has now accepted a later order than before.
         """
         if taken.token != self.token or not (self.acting or self.revoking):
             return None, False
         before = self.last_stamps.get(member, 0)
-        # the stamp received last, not the highest one, as a member that has restarted counts from a new start
+        # the latest stamp counts, not the highest one, as a restarted member counts from another random number
         self.last_stamps[member] = taken.stamp
         if self.revoking:
             if taken.number == self.number:
--- a/myrtlecourse/duties/messages.py
+++ b/myrtlecourse/duties/messages.py
@@ -115,7 +115,7 @@
         """Upper bound in seconds from a holder's death until another holder's orders are obeyed.
 
         It applies while majorities of the voters and of the members can communicate and no message is lost.
-        It is the sum of the election's bound, the lifetime of the last order, and two rounds of questions.
+        It is the sum of the election's bound, the lifetime of the last order, and two rounds of requests.
         """
         return self.election(duty).longest_vacancy + self.order_lifetime(duty.good_for) + 2 * self.heartbeat
 
--- a/myrtlecourse/election/invitations.py
+++ b/myrtlecourse/election/invitations.py
@@ -11,7 +11,7 @@
     """The invitations that one voter has sent in the current vacancy."""
 
     def __init__(self) -> None:
-        self.turn_count = 0  # turns so far in this vacancy
+        self.started_turns = 0  # turns that have started in this vacancy
         self.next_at = math.inf  # when the next turn starts; infinity while some instance holds the duty
 
     def candidates_due(self, now: float, vacant: bool, settings: Settings) -> list[str]:
@@ -26,8 +26,8 @@
         if now < self.next_at < math.inf:
             return []
         # one turn more, so that the last candidate has time to campaign
-        turn = self.turn_count % (settings.turn_count + 1)
-        self.turn_count += 1
+        turn = self.started_turns % (settings.turn_count + 1)
+        self.started_turns += 1
         interval = settings.heartbeat / 2
         on_schedule = self.next_at + interval
         self.next_at = on_schedule if now < on_schedule < math.inf else now + interval
@@ -40,4 +40,4 @@
 
     def reset(self) -> None:
         """End the vacancy; the next one starts with the most preferred candidate."""
-        self.turn_count, self.next_at = 0, math.inf
+        self.started_turns, self.next_at = 0, math.inf
--- a/myrtlecourse/overload/core.py
+++ b/myrtlecourse/overload/core.py
@@ -119,13 +119,13 @@
 
     def _end_window(self, now: float) -> None:
         """End a window: compute the admitted share and divide it."""
-        passed = max(1.0, (now - self.window_end) / WINDOW) if self.window_end else 1.0
+        elapsed_windows = max(1.0, (now - self.window_end) / WINDOW) if self.window_end else 1.0
         if self.window_commands:
             mean = self.window_delay / self.window_commands
             step = min(MAX_STEP, max(MIN_STEP, 2.0 - mean / self.target_delay))
             self.admitted_share *= step
         # in windows without commands the core was free
-        self.admitted_share *= MAX_STEP ** min(100.0, passed - 1.0)
+        self.admitted_share *= MAX_STEP ** min(100.0, elapsed_windows - 1.0)
         self.admitted_share = min(1.0, max(MIN_ADMITTED_SHARE, self.admitted_share))
         self.window_end = now + WINDOW
         self.window_commands = 0
@@ -133,7 +133,7 @@
         if self.admitted_share < 1.0:
             self._divide()
         for key, group in list(self.groups.items()):
-            group.recent_commands *= COUNT_DECAY ** min(100.0, passed)
+            group.recent_commands *= COUNT_DECAY ** min(100.0, elapsed_windows)
             # groups that are no longer used are dropped, which frees their memory and their tenants' entries
             if group.recent_commands < 0.01:
                 del self.groups[key]
--- a/myrtlecourse/policy/router.py
+++ b/myrtlecourse/policy/router.py
@@ -274,17 +274,17 @@
         return True
 
     def _on_timer(self, event: api.TimerFired) -> None:
-        what, _, name = event.timer.partition(":")
-        if what == "list":
+        purpose, _, name = event.timer.partition(":")
+        if purpose == "list":
             self.actions.append(api.Subscribe())
-        elif what == "idle":
+        elif purpose == "idle":
             self._close_idle(self.servers.get(name))
-        elif what == "origin":
+        elif purpose == "origin":
             self._serve_queue()
-        elif what == "ring":
+        elif purpose == "ring":
             self._place_stale()
         pending = self.requests.get(name)
-        if pending is not None and what == "overdue":
+        if pending is not None and purpose == "overdue":
             self._on_overdue(pending)
         elif pending is not None and pending.queued:
             # half a tick of tolerance, as timers may fire early by a rounding error
--- a/myrtlecourse/policy/selection.py
+++ b/myrtlecourse/policy/selection.py
@@ -102,7 +102,7 @@
     def _may_move(self, pending: PendingRequest) -> bool:
         """Return whether the remaining servers can take this request, if the zone exit has displaced it.
 
-        A request that goes to its own server may always be sent, and lets others move in proportion.
+        A request that is not displaced may always be sent; for each of them, others may move in proportion.
         """
         if self.zone_exit is None or pending.attempts:
             return True
@@ -127,7 +127,7 @@
                 self.random.random() * self.unit_latency * server.reported_load / tuning.MAX_WAIT_SHARE
                 > time_left
             )
-        # an idle server accepts any request, a full one only those that will likely be answered in time
+        # an idle server accepts any request, a full one with the probability of an answer in time
         return (
             self.random.random() * server.in_flight / server.limit
             > server.evidence.latencies.share_within(time_left)
@@ -157,9 +157,10 @@
     def _record_outcome(self, server: Server, failed: bool, count: int = 1) -> None:
         """Record whether an attempt at a server failed, which may exclude the server or end its failures.
 
-        A failure counts `count` times. No failure counts while too many servers are failing already: the
-        servers are then not the cause, and the others could not take their load. Servers of zones that the
-        fleet has excluded don't enter into that comparison.
+        A failure adds `count` to the server's consecutive failures, anything else resets them. While more
+        than MAX_EXCLUDED_SHARE of the servers would be failing, this one included, a failure resets them,
+        too: the servers are then not the cause, and the others could not take their load. Servers in zones
+        that the fleet has excluded don't enter into that comparison.
         """
         caches, failing = len(self.caches), len(self.failing) - (server in self.failing)
         if self.zone_exit is not None:
@@ -202,8 +203,12 @@
         # When attempts fail, clients retry, which multiplies the traffic just when servers can take least.
         # And where the settings say that a server collapses at little more traffic than its capacity, an
         # overload makes a cold server collapse early.
-        reduction = self.success_rate * min(1.0, self.settings.fall_multiple / tuning.COLD_CAPACITY_MULTIPLE)
-        return reduction * (1 - (1 - self.settings.cold_share) * max(0.0, 1 - age / self.settings.ramp_time))
+        capacity_factor = self.success_rate * min(
+            1.0, self.settings.fall_multiple / tuning.COLD_CAPACITY_MULTIPLE
+        )
+        return capacity_factor * (
+            1 - (1 - self.settings.cold_share) * max(0.0, 1 - age / self.settings.ramp_time)
+        )
 
     def _usable_share(self, server: Server) -> float:
         """Return the share of a server's points that counts, by its warmth and the return of its zone."""
--- a/myrtlecourse/policy/slow_start.py
+++ b/myrtlecourse/policy/slow_start.py
@@ -79,8 +79,10 @@
         """Return whether this router has sent a cold server fewer requests within the window than any server
         can take, however cold it is; the routers divide this number."""
         times = self.recent_sends.get(server)
-        own = tuning.FREE_COLD_SENDS // router_count
-        return own > 0 and (times is None or len(times) < own or times[-own] <= now - window)
+        own_sends = tuning.FREE_COLD_SENDS // router_count
+        return own_sends > 0 and (
+            times is None or len(times) < own_sends or times[-own_sends] <= now - window
+        )
 
     def record_send(self, now: float, server: Server) -> None:
         """Record a request sent to a cold server."""
--- a/myrtlecourse/policy/tuning.py
+++ b/myrtlecourse/policy/tuning.py
@@ -12,7 +12,7 @@
 ZONE_EXIT_MAX_WALK = 512  # the same while the fleet has excluded a zone, whose points stay on the ring
 HEALTHY_SHARE = 0.3  # success rate of own attempts above which CHEAP_FAILURES use no retry budget
 CHEAP_FAILURES = (api.Status.FULL, api.Status.CONNECT_FAILED)  # statuses that cost the fleet next to no work
-MAX_WAIT_SHARE = 0.25  # share of the time left that a request may wait behind a server's reported load
+MAX_WAIT_SHARE = 0.25  # share of its remaining time that a request may wait behind a server's reported load
 MAX_FULL_SERVERS = 2  # full servers at which a walk ends: servers further on lack the key and would miss
 # Limits of attempts in flight
 INITIAL_LIMIT = 4.0  # initial limit of one router's attempts in flight at a server; adapts in seconds
@@ -36,7 +36,7 @@
 STORING_SERVERS = 2  # number of the servers that missed a key at which a fetch stores it
 IDLE_LIMIT_SHARE = 0.5  # share of the origin's limit below which no other request needs the capacity
 FAIR_CHANCE = 0.2  # chance of a timely answer that justifies a fetch while the origin has spare capacity
-FETCH_TIME_FACTOR = 2.0  # usual latencies that must be left: an abandoned fetch is not even stored
+FETCH_TIME_FACTOR = 2.0  # usual latencies that must remain for a fetch: an abandoned one is not even stored
 FAST_LATENCY_RATIO = 0.25  # ratio to the target below which an origin's limit may double per latency
 LIMIT_CUT = 0.75  # factor that empties an overloaded server in a few round trips; 0.9 took many seconds
 RETRY_SHARE = 0.2  # retries earned per request: enough when a server is lost, too few to feed an overload
