--- a/myrtlecourse/duties/holding.py
+++ b/myrtlecourse/duties/holding.py
@@ -148,7 +148,7 @@
         if taken.token != self.token or not (self.acting or self.revoking):
             return None, False
         before = self.last_stamps.get(member, 0)
-        # the latest stamp counts, not the highest one, as a restarted member counts from another random number
+        # the latest stamp counts, not the highest, as a restarted member counts from another random number
         self.last_stamps[member] = taken.stamp
         if self.revoking:
             if taken.number == self.number:
