--- a/myrtlecourse/election/core.py
+++ b/myrtlecourse/election/core.py
@@ -422,21 +422,21 @@
 
     def _start_pre_vote(self) -> None:
         self.role = Role.PRE_VOTE
-        self._ask_voters(self.term + 1, trial=True)
+        self._ask_voters(self.term + 1, pre_vote=True)
 
     def _start_campaign(self) -> None:
         self.role = Role.CAMPAIGNING
         self._save(self.term + 1, self.settings.name)
-        self._ask_voters(self.term, trial=False)
+        self._ask_voters(self.term, pre_vote=False)
 
-    def _ask_voters(self, term: int, trial: bool) -> None:
-        """Request votes in a term or, with `trial`, pre-votes."""
-        self.vote_count = VoteCount(term, self.request_ids.id_at(self.now), trial, self.now)
+    def _ask_voters(self, term: int, pre_vote: bool) -> None:
+        """Request votes in a term or, with `pre_vote`, pre-votes."""
+        self.vote_count = VoteCount(term, self.request_ids.id_at(self.now), pre_vote, self.now)
         if self.settings.is_voter:
             self.vote_count.granted.add(self.settings.name)
-        self._send_to_voters(Ask(term, self.vote_count.request_id, trial))
+        self._send_to_voters(Ask(term, self.vote_count.request_id, pre_vote))
         if self.settings.majority == 1 and self.settings.is_voter:
-            self._on_grant(self.settings.name, Grant(term, self.vote_count.request_id, trial))
+            self._on_grant(self.settings.name, Grant(term, self.vote_count.request_id, pre_vote))
 
     def _become_holder(self) -> None:
         self.role = Role.HOLDER
--- a/myrtlecourse/policy/router.py
+++ b/myrtlecourse/policy/router.py
@@ -159,14 +159,14 @@
         if event.kind is api.ListKind.FAILED:
             self._schedule_list_retry()
             return
-        before = self.ring.point_count > 0, list(self.origins.values())
+        available_before = self.ring.point_count > 0, list(self.origins.values())
         self._apply_list(event)
         if event.kind is not api.ListKind.SAVED:
             self.list_failures = 0
         else:
             self._subscribe()
         # queued requests wait for an origin or for any server; processing them on each list costs too much
-        if before != (self.ring.point_count > 0, list(self.origins.values())):
+        if available_before != (self.ring.point_count > 0, list(self.origins.values())):
             self._advance_queued()
 
     def _advance_queued(self) -> None:
