--- a/myrtlecourse/peers/gossip_socket.py
+++ b/myrtlecourse/peers/gossip_socket.py
@@ -81,15 +81,15 @@
         result = self.agent.tick(self.clock(), self.wall_clock.now())
         for change in result.changes:
             log.info("zone %s: %s", change.zone, change.text)
-        if result.zones_left is not None:
-            left = sorted(result.zones_left.zones) + (
-                ["the origin"] if result.zones_left.origin_unreachable else []
+        if result.zone_exit is not None:
+            left = sorted(result.zone_exit.zones) + (
+                ["the origin"] if result.zone_exit.origin_unreachable else []
             )
             if left != self.last_left:
                 log.info("zones left: %s", ", ".join(left) or "none")
             self.last_left = left
             returning = {
-                zone: round(share, 3) for zone, share in sorted(result.zones_left.return_shares.items())
+                zone: round(share, 3) for zone, share in sorted(result.zone_exit.return_shares.items())
             }
             if returning != self.last_returning:
                 log.info(
--- a/myrtlecourse/sim/peer_network.py
+++ b/myrtlecourse/sim/peer_network.py
@@ -66,11 +66,11 @@
             self.bytes += len(datagram.data)
             for delay in self.ways.delivery_delays((router.name, datagram.to)):
                 self.core.after(delay, self._arrive, self.routers[datagram.to], datagram.data)
-        if result.zones_left is not None:
+        if result.zone_exit is not None:
             self.orders.append(
-                (self.core.now, router.name, result.zones_left.zones, result.zones_left.origin_unreachable)
+                (self.core.now, router.name, result.zone_exit.zones, result.zone_exit.origin_unreachable)
             )
-            self.shares.append((self.core.now, router.name, result.zones_left.return_shares))
+            self.shares.append((self.core.now, router.name, result.zone_exit.return_shares))
         for event in result.events:
             router.post(event)
 
--- a/myrtlecourse/spread/children.py
+++ b/myrtlecourse/spread/children.py
@@ -89,7 +89,7 @@
         if (
             child.counted_until <= now
             and child.acknowledged < self.watermark
-            and self._is_near(child)
+            and self._is_nearly_caught_up(child)
             and may_hold_again
         ):
             child.holding_since = now
@@ -101,18 +101,18 @@
             self.lease_floors = [(min(f[0] for f in self.lease_floors), max(f[1] for f in self.lease_floors))]
         self.lease_floors.append((acknowledged, until))
 
-    def _is_near(self, child: Child) -> bool:
+    def _is_nearly_caught_up(self, child: Child) -> bool:
         return self.watermark - child.acknowledged <= max(100.0, self.settings.rate * self.settings.lease)
 
-    def grant(self, now: float, child: Child, lease_left: float, epoch: int) -> int:
+    def grant(self, now: float, child: Child, remaining_lease: float, epoch: int) -> int:
         """Return the milliseconds for which a child holds a lease from its last report on, when
-        `lease_left` seconds of the node's own lease are left; 0 while the child lacks entries up to the
+        `remaining_lease` seconds of the node's own lease are left; 0 while the child lacks entries up to the
         watermark."""
         if child.counted_until <= now and child.acknowledged < max(self.watermark, self.inherited_watermark):
             return 0
-        if child.epoch < epoch or lease_left <= 0:
+        if child.epoch < epoch or remaining_lease <= 0:
             return 0
-        good_for = int(lease_left / self.clock_ratio * MS_PER_S)
+        good_for = int(remaining_lease / self.clock_ratio * MS_PER_S)
         child.counted_until = max(child.counted_until, now + good_for / MS_PER_S * self.clock_ratio)
         return good_for
 
--- a/myrtlecourse/spread/node.py
+++ b/myrtlecourse/spread/node.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from myrtlecourse.peers.seal import SEAL_SIZE
-from myrtlecourse.peers.wire import HEADER_SIZE as FRAME
+from myrtlecourse.peers.wire import HEADER_SIZE
 from myrtlecourse.spread import messages as msg
 from myrtlecourse.spread.applied_ranges import AppliedRanges
 from myrtlecourse.spread.change_table import ChangeTable
@@ -31,14 +31,14 @@
     Settings,
 )
 from myrtlecourse.spread.parent import Parent
-from myrtlecourse.spread.repair import BATCH_OVERHEAD, MIN_PAYLOAD, RepairQueue
-from myrtlecourse.spread.retransmission import RetransmitRequests
+from myrtlecourse.spread.retransmit_queue import BATCH_OVERHEAD, MIN_PAYLOAD, RetransmitQueue
+from myrtlecourse.spread.retransmit_requests import RetransmitRequests
 from myrtlecourse.spread.send_window import SendWindow
 from myrtlecourse.spread.tree import CONTROL, HEARTBEAT_BYTES, MAX_NAME_BYTES, REPORT_BYTES, Tree, child_cost
 
 LIVE_CATCH_UP_LIMIT = 256  # entries that a new child may be behind and still receive through the live stream
 GAP_PATIENCE = 4  # pauses for which forwarding waits for a gap of this node to be filled
-MIN_REPAIR_SHARE = 0.1  # least share of the send budget that is reserved for retransmissions
+MIN_RETRANSMIT_SHARE = 0.1  # least share of the send budget that is reserved for retransmissions
 NEVER = math.inf
 CODEC = SpreadCodec()
 
@@ -66,14 +66,18 @@
         self.table = ChangeTable()
         self.parent = Parent(settings, self.tree.candidates(self.name), now, seed)
         self.children = Children(settings, child_limit)
-        self.repairs = RepairQueue(child_limit, self.max_payload, self.applied, self.suffix, self.table)
-        self.retransmits = RetransmitRequests(2 * settings.pause)  # requests for entries
-        self.table_sync = RetransmitRequests(4 * settings.pause)  # requests for rows of the change table
+        self.retransmit_queue = RetransmitQueue(
+            child_limit, self.max_payload, self.applied, self.suffix, self.table
+        )
+        self.retransmit_requests = RetransmitRequests(2 * settings.pause)  # requests for entries
+        self.table_sync_requests = RetransmitRequests(
+            4 * settings.pause
+        )  # requests for rows of the change table
         self.send_window = SendWindow(settings.half_control_budget if control else settings.budget)
         self.is_root = False
         # A new root reports no watermark before this time: until then members may hold leases of the previous
         # root.
-        self.watermark_held_until = NEVER
+        self.first_watermark_at = NEVER
         self.announced_watermark = 0  # the last one reported with `Watermark`
         self.lease_announced = False
         # first and last number of the entries that are assumed purged, until the change table is complete
@@ -82,7 +86,7 @@
         self.gap_seen_at = -NEVER  # when the newest gap appeared
         self.report_at = now + self.parent.random.random() * settings.report
         self.forward_at, self.forwarded_at = NEVER, -NEVER
-        self.repair_at, self.repaired_at, self.repair_credit = NEVER, -NEVER, 0.0
+        self.retransmit_at, self.retransmitted_at, self.retransmit_credit = NEVER, -NEVER, 0.0
         self.actions: list[Action] = []
 
     @property
@@ -123,8 +127,8 @@
             self.report_at,
             self.forward_at,
             reply_due,
-            self.repair_at,
-            self.retransmits.retry_at,
+            self.retransmit_at,
+            self.retransmit_requests.retry_at,
             self.digest_at,
             lease_end,
         )
@@ -140,7 +144,7 @@
         """Carry out everything that is due."""
         if self.now >= self.report_at:
             self._send_reports()
-        self._request_repairs()
+        self._send_requests()
         forwarding = self.now >= self.forward_at
         if forwarding:
             self.forwarded_at, self.forward_at = self.now, NEVER
@@ -148,11 +152,11 @@
         for child in list(self.children.by_name.values()):
             if forwarding or child.reply_due <= self.now:
                 self._send_to_child(child, batches)
-        self._send_repairs()
+        self._send_retransmissions()
 
     def _send(self, to: str, *messages: Message) -> bool:
         """Send messages if the send window allows it; return whether it did."""
-        size = SEAL_SIZE + FRAME + len(self.name.encode()) + CODEC.size(messages)
+        size = SEAL_SIZE + HEADER_SIZE + len(self.name.encode()) + CODEC.size(messages)
         if not self.send_window.try_spend(self.now, size):
             return False
         self.counts.bytes_out += size
@@ -164,8 +168,8 @@
     def _on_messages(self, sender: str, messages: tuple[Message, ...]) -> None:
         if sender in (
             *self.parent.report_targets(),
-            self._repair_source(self.retransmits),
-            self._repair_source(self.table_sync),
+            self._request_target(self.retransmit_requests),
+            self._request_target(self.table_sync_requests),
         ):
             for message in messages:
                 self._on_parent_message(sender, message)
@@ -190,7 +194,7 @@
                 self._on_heartbeat(sender, message)
             case msg.NoCapacity():
                 self.parent.on_no_capacity(self.now, sender)
-            case msg.EntriesDropped(oldest) if self.retransmits.requested:
+            case msg.EntriesDropped(oldest) if self.retransmit_requests.requested:
                 self._on_entries_dropped(oldest)
             case msg.TableRows() if self.purged_range:
                 self._on_table_rows(message)
@@ -209,9 +213,9 @@
                     reported = self._on_report(sender, message)
                 case msg.Leave() if reported:
                     self.children.remove(sender)
-                    self.repairs.drop(sender)
-                case msg.RetransmitRequest() if self.repairs.request_entries(sender, message):
-                    self.repair_at = min(self.repair_at, self.now)
+                    self.retransmit_queue.drop(sender)
+                case msg.RetransmitRequest() if self.retransmit_queue.request_entries(sender, message):
+                    self.retransmit_at = min(self.retransmit_at, self.now)
                 case msg.TableDigest():
                     self._on_digest(sender, message)
                 case _:
@@ -245,11 +249,11 @@
 
     def _on_digest(self, sender: str, digest: msg.TableDigest) -> None:
         complete = not self.purged_range and self.applied.contiguous_until >= digest.upto - 1
-        reply = self.repairs.request_table(sender, digest, complete)
+        reply = self.retransmit_queue.request_table(sender, digest, complete)
         if reply is not None:
             self._send(sender, reply)
         elif complete:
-            self.repair_at = min(self.repair_at, self.now)
+            self.retransmit_at = min(self.retransmit_at, self.now)
 
     # Entries
 
@@ -272,10 +276,10 @@
         last = first + len(entries) - 1
         if first > self.applied.highest + 1:
             self.gap_seen_at = self.now
-        requested = self.retransmits.requested
+        requested = self.retransmit_requests.requested
         if requested and requested[0] <= first <= requested[1]:
             self.counts.repaired += len(entries)
-            self.retransmits.on_answer(self.now)
+            self.retransmit_requests.on_answer(self.now)
         self.applied.add(first, last)
         for number, entry in enumerate(entries, first):
             if self.suffix.capacity:
@@ -301,7 +305,7 @@
             self.digest_at = self.now
 
     def _on_entries_dropped(self, oldest: int) -> None:
-        self.retransmits.on_answer(self.now)
+        self.retransmit_requests.on_answer(self.now)
         known_end = max(self.applied.highest, self.parent.log_end)
         gaps = self.applied.gaps()
         if self.parent.log_end > self.applied.highest:
@@ -314,8 +318,8 @@
         for number, change in rows.rows:
             if self.table.put(number, change):
                 self.actions.append(msg.Restore(number, change))
-        self.table_sync.tries = 0
-        self.digest_at = self.now + self.table_sync.retry_delay if rows.more else self.now
+        self.table_sync_requests.tries = 0
+        self.digest_at = self.now + self.table_sync_requests.retry_delay if rows.more else self.now
 
     def _on_committed(self, epoch: int, first: int, entries: tuple[Entry, ...]) -> None:
         if self.tier != CONTROL or epoch < self.epoch:
@@ -333,7 +337,7 @@
             return
         was_root, self.is_root = self.is_root, leader == self.name
         if self.is_root and (not was_root or epoch > self.epoch):
-            self.watermark_held_until = self.now + self.settings.lease * self.children.clock_ratio
+            self.first_watermark_at = self.now + self.settings.lease * self.children.clock_ratio
             self.purged_range, self.digest_at = None, NEVER
             self.children.inherited_watermark = self.applied.highest
         if was_root != self.is_root:
@@ -363,33 +367,34 @@
                 self._send(name, report)
 
     def _announce_watermark(self) -> None:
-        if self.now < self.watermark_held_until:
+        if self.now < self.first_watermark_at:
             return
         watermark, _ = self.children.advance_watermark(self.now, self.applied_until)
         if watermark > self.announced_watermark:
             self.announced_watermark = watermark
             self.actions.append(msg.Watermark(watermark, *self.children.member_counts(self.now)))
 
-    def _repair_source(self, requests: RetransmitRequests) -> str:
+    def _request_target(self, requests: RetransmitRequests) -> str:
         return requests.target(self.parent.index, self.parent.candidates)
 
-    def _request_repairs(self) -> None:
+    def _send_requests(self) -> None:
         if self.tier != CONTROL:
-            request = self.retransmits.next_request(self.now, self.applied, self.parent.log_end)
+            request = self.retransmit_requests.next_request(self.now, self.applied, self.parent.log_end)
             if request is not None:
-                self._send(self._repair_source(self.retransmits), request)
+                self._send(self._request_target(self.retransmit_requests), request)
         if self.purged_range and self.now >= self.digest_at:
             upto = self.purged_range[1] + 1
-            self.digest_at = self.now + self.table_sync.retry_delay
-            self.table_sync.on_timeout()
-            if self._repair_source(self.table_sync):
+            self.digest_at = self.now + self.table_sync_requests.retry_delay
+            self.table_sync_requests.on_timeout()
+            if self._request_target(self.table_sync_requests):
                 self._send(
-                    self._repair_source(self.table_sync), msg.TableDigest(upto, self.table.checksums(upto))
+                    self._request_target(self.table_sync_requests),
+                    msg.TableDigest(upto, self.table.checksums(upto)),
                 )
 
     # Forwarding to the children
 
-    def _lease_left(self) -> float:
+    def _remaining_lease(self) -> float:
         return self.settings.lease if self.is_root else self.parent.lease_until - self.now
 
     def _send_to_child(self, child: Child, batches: dict[tuple[int, int], tuple[Entry, ...]]) -> None:
@@ -408,7 +413,7 @@
                     if control
                     else min(self.applied.contiguous_until, child.cursor + len(entries) - 1)
                 )
-                good_for = self.children.grant(self.now, child, self._lease_left(), self.epoch)
+                good_for = self.children.grant(self.now, child, self._remaining_lease(), self.epoch)
                 messages.append(Heartbeat(self.epoch, last, child.stamp, good_for))
             if not messages:
                 break
@@ -439,31 +444,33 @@
                 child.cursor = min(self.suffix.next_kept(child.cursor), end + 1)
         return batches[key]
 
-    def _send_repairs(self) -> None:
+    def _send_retransmissions(self) -> None:
         """Send requested retransmissions, as far as the send budget allows."""
-        if self.now < self.repair_at:
+        if self.now < self.retransmit_at:
             return
         settings = self.settings
-        self.repair_at = NEVER
-        if self.now >= self.repaired_at + settings.pause:
+        self.retransmit_at = NEVER
+        if self.now >= self.retransmitted_at + settings.pause:
             reserved = (
                 len(self.children.by_name) * child_cost(settings, MAX_NAME_BYTES)
                 + REPORT_BYTES / settings.report
             )
-            unreserved = max(MIN_REPAIR_SHARE * self.send_window.budget, self.send_window.budget - reserved)
-            self.repaired_at, self.repair_credit = (
+            unreserved = max(
+                MIN_RETRANSMIT_SHARE * self.send_window.budget, self.send_window.budget - reserved
+            )
+            self.retransmitted_at, self.retransmit_credit = (
                 self.now,
-                min(self.repair_credit, 0.0) + unreserved * settings.pause,
+                min(self.retransmit_credit, 0.0) + unreserved * settings.pause,
             )
-        while self.repair_credit > 0:
-            reply = self.repairs.next_reply(self.epoch)
+        while self.retransmit_credit > 0:
+            reply = self.retransmit_queue.next_reply(self.epoch)
             if reply is None:
                 return
             sent_before = self.counts.bytes_out
             if not self._send(reply[0], reply[1]):
                 break
-            self.repair_credit -= self.counts.bytes_out - sent_before
-        self.repair_at = self.repaired_at + settings.pause
+            self.retransmit_credit -= self.counts.bytes_out - sent_before
+        self.retransmit_at = self.retransmitted_at + settings.pause
 
     def status(self, now: float) -> dict[str, Any]:
         """Return the node's state for operators; JSON-serialisable."""
--- a/myrtlecourse/spread/parent.py
+++ b/myrtlecourse/spread/parent.py
@@ -14,8 +14,8 @@
 MAX_UNANSWERED_REPORTS = 3  # reports without an answer after which a parent is replaced
 MAX_LEASES_WITHOUT_GRANT = 3  # leases after which a parent that answers without granting a lease is replaced
 # leases after which a node whose parent is a late candidate tries its first candidate again
-LEASES_BEFORE_TRIAL = 10
-TRIAL_LEASES = 2  # leases for which such a trial lasts
+LEASES_BEFORE_RETRY = 10
+RETRY_LEASES = 2  # leases for which such a trial lasts
 
 
 class Parent:
@@ -26,8 +26,10 @@
         self.random = random.Random(seed)
         self.candidates = candidates
         self.index = 0
-        self.trial_parent = ""  # the first candidate, while it is tried in parallel with the present parent
-        self.trial_until = math.inf
+        self.preferred_parent = (
+            ""  # the first candidate, while it is tried in parallel with the present parent
+        )
+        self.preferred_parent_until = math.inf
         self.moves = 0
         # random, so that answers to a previous process are not mistaken for answers to this one
         self.stamp = self.random.getrandbits(48)
@@ -36,7 +38,7 @@
         self.log_end = 0  # number of the parent's last entry
         self.heard_at = self.granted_at = self.chosen_at = now
         self.silence_limit = self._draw_silence_limit()
-        self.refused = False  # the present parent has answered `NoCapacity`
+        self.no_capacity = False  # the present parent has answered `NoCapacity`
 
     @property
     def name(self) -> str:
@@ -51,18 +53,18 @@
     def set_candidates(self, now: float, candidates: tuple[str, ...]) -> None:
         """Replace the candidates; on a control node the leader is the only one."""
         if candidates != self.candidates:
-            self.candidates, self.index, self.trial_parent = candidates, 0, ""
+            self.candidates, self.index, self.preferred_parent = candidates, 0, ""
             self._reset(now)
 
     def _reset(self, now: float) -> None:
         self.heard_at = self.granted_at = self.chosen_at = now
         self.silence_limit = self._draw_silence_limit()
-        self.refused = False
+        self.no_capacity = False
         self.log_end = 0
 
     def report_targets(self) -> tuple[str, ...]:
         """Return the present parent and the parent on trial."""
-        return tuple(n for n in (self.name, self.trial_parent) if n)
+        return tuple(n for n in (self.name, self.preferred_parent) if n)
 
     def next_stamp(self, now: float) -> int:
         """Return the stamp of a report that is sent now."""
@@ -80,27 +82,32 @@
             self.granted_at = max(self.granted_at, now - lease)
         without_grant = now - self.granted_at > MAX_LEASES_WITHOUT_GRANT * lease + 5 * self.silence_limit
         silent = now - self.heard_at > self.silence_limit
-        if len(self.candidates) > 1 and (silent or without_grant or (self.refused and now > self.chosen_at)):
+        if len(self.candidates) > 1 and (
+            silent or without_grant or (self.no_capacity and now > self.chosen_at)
+        ):
             self.index = (self.index + 1) % len(self.candidates)
-            if self.name == self.trial_parent:
-                self.trial_parent = ""
+            if self.name == self.preferred_parent:
+                self.preferred_parent = ""
             self.moves += 1
             self._reset(now)
-        if self.trial_parent and now > self.trial_until:
-            self.trial_parent, self.chosen_at = "", now
+        if self.preferred_parent and now > self.preferred_parent_until:
+            self.preferred_parent, self.chosen_at = "", now
         elif (
-            not self.trial_parent
+            not self.preferred_parent
             and self.index > 1
-            and now - self.chosen_at > LEASES_BEFORE_TRIAL * lease * (1 + self.random.random())
+            and now - self.chosen_at > LEASES_BEFORE_RETRY * lease * (1 + self.random.random())
         ):
-            self.trial_parent, self.trial_until = self.candidates[0], now + TRIAL_LEASES * lease
+            self.preferred_parent, self.preferred_parent_until = (
+                self.candidates[0],
+                now + RETRY_LEASES * lease,
+            )
 
     def on_no_capacity(self, now: float, sender: str) -> None:
         """Process `NoCapacity` from the parent or the parent on trial."""
-        if sender == self.trial_parent:
-            self.trial_parent, self.chosen_at = "", now
+        if sender == self.preferred_parent:
+            self.preferred_parent, self.chosen_at = "", now
         elif sender == self.name:
-            self.refused = True
+            self.no_capacity = True
 
     def on_heartbeat(self, now: float, sender: str, heartbeat: Heartbeat, granted_until: float) -> str:
         """Process an answer to a report. Return the name of the former parent when the one on trial has
@@ -118,9 +125,9 @@
             self.log_end = max(self.log_end, heartbeat.last)
             if lease_until > now:
                 self.lease_until, self.granted_at = max(self.lease_until, lease_until), now
-        elif sender == self.trial_parent and lease_until > now and lease_until >= granted_until:
+        elif sender == self.preferred_parent and lease_until > now and lease_until >= granted_until:
             former_parent = self.name
-            self.index, self.trial_parent = self.candidates.index(sender), ""
+            self.index, self.preferred_parent = self.candidates.index(sender), ""
             self.moves += 1
             self._reset(now)
             self.lease_until, self.log_end = lease_until, heartbeat.last
--- a/myrtlecourse/spread/repair.py
+++ b/myrtlecourse/spread/retransmit_queue.py
@@ -24,7 +24,7 @@
 MIN_PAYLOAD = BATCH_OVERHEAD + MAX_ENTRY_BYTES  # bytes that a relay needs in a datagram
 
 
-class RepairQueue:
+class RetransmitQueue:
     """Open requests, answered round-robin with one datagram each."""
 
     def __init__(
--- a/myrtlecourse/zones/agent.py
+++ b/myrtlecourse/zones/agent.py
@@ -43,7 +43,7 @@
 
     datagrams: list[Datagram]
     events: list[api.Event]  # for the decision module
-    zones_left: api.ZoneExit | None  # the one among them, if it changed
+    zone_exit: api.ZoneExit | None  # the one among them, if it changed
     changes: list[StateChange]  # for the log
 
 
--- a/myrtlecourse/zones/core.py
+++ b/myrtlecourse/zones/core.py
@@ -20,9 +20,9 @@
 from myrtlecourse.zones.exit_rule import ALL_ROUTERS, FULL_SHARE, Evidence, ZoneHealth, ZoneMode, ZoneState
 from myrtlecourse.zones.returns import Report, Returns
 from myrtlecourse.zones.tallies import (
+    FAILURES_UNKNOWN,
     LONG_PERIODS,
     PERIOD,
-    RUN_UNKNOWN,
     SHORT_PERIODS,
     AttemptCounts,
     Tally,
@@ -36,9 +36,9 @@
 MAX_NEIGHBOUR_AGE = 8.0  # seconds; the oldest record used to check isolation, which is not urgent
 ISOLATION_DELAY = 2.0  # seconds that others must reach a zone that this router does not reach
 MAX_RECORD_AGE = 2.5  # seconds after which a record's long counts are out of date
-TRIALS_PER_SECOND = 3.0  # sent to a zone that is left, by all routers of one zone together
-TRIAL_SPEEDUP = 4.0  # factor on the trial rate once a trial has been answered
-UNTRIED_HOLDS = 4.0  # minimum times out, after which answers to other zones' routers count as a recovery
+PROBES_PER_SECOND = 3.0  # sent to a zone that is left, by all routers of one zone together
+PROBE_SPEEDUP = 4.0  # factor on the trial rate once a trial has been answered
+UNPROBED_HOLDS = 4.0  # minimum times out, after which answers to other zones' routers count as a recovery
 FLAP_RESET_AFTER = 20.0  # seconds in use, after which the next exit is not counted as flapping
 ANNOUNCE_PERIOD = 120.0  # seconds for which a register of a zone that is in use is still announced
 MAX_REGISTERS = 8  # in one record
@@ -132,7 +132,7 @@
         zone_id = ident(zone, 2)
         before = self.counts.tallies(now).get(zone_id, Tally())
         self.counts.add(now, zone_id, reach, pressed, missed)
-        if zone_id in self._left_zone_ids():
+        if zone_id in self._excluded_zone_ids():
             return reach is api.Reachability.ANSWERED and not before.answered  # the zone may have recovered
         return (
             reach is not api.Reachability.ANSWERED
@@ -198,7 +198,7 @@
         """Forget the run of failures from before a return: it is out of date, and would end the return."""
         scope, zone = key
         if scope == self.home and not self.registers[key].state.out:
-            self.counts.runs.pop(zone, None)
+            self.counts.failures_in_row.pop(zone, None)
 
     # The decision
 
@@ -222,7 +222,7 @@
         for zone in list(self.names):
             changed |= self._apply_rule(now, zone)
         self._expire_orders(now)
-        left = frozenset(z for z in self.names if self._leaves_out(now, z))
+        left = frozenset(z for z in self.names if self._excludes(now, z))
         for zone in self.names:
             self.returns.update(now, zone, self._state(zone), zone in left)
         self._update_order(
@@ -230,7 +230,7 @@
         )
         return changed
 
-    def _trial_answered(self, now: float, zone: int) -> bool:
+    def _probe_answered(self, now: float, zone: int) -> bool:
         """Return whether any router of this zone got an answer to a trial at a zone that is left."""
         since = self.registers.get((self.home, zone), Register()).since
         return any(t.answered_long for t in self._tallies_since(now, zone, since)[0])
@@ -242,7 +242,7 @@
     def _follows_return(self, zone: int) -> bool:
         """Return whether this router takes part in the stepwise return to a zone."""
         ordered = self._operator_mode(zone)
-        returning = self._state(zone).mode is ZoneMode.BACK and zone not in self.returns.never_left
+        returning = self._state(zone).mode is ZoneMode.BACK and zone not in self.returns.never_excluded
         return returning and ordered in (None, ZoneMode.ORDERED_HOLD)
 
     @property
@@ -293,9 +293,10 @@
             )
             # Answers to routers of other zones count only when this zone's routers have not tried for long: a
             # partition between two zones does not show to a third.
-            untried = now >= register.since + UNTRIED_HOLDS * state.min_out_time
+            unprobed = now >= register.since + UNPROBED_HOLDS * state.min_out_time
             if not may_return or not (
-                exit_rule.is_back(same_zone) or (untried and self._answered_elsewhere(same_zone, other_zones))
+                exit_rule.answers_after_exit(same_zone)
+                or (unprobed and self._answered_elsewhere(same_zone, other_zones))
             ):
                 return False
             self._begin_return(now, zone, state, "trials are answered")
@@ -305,7 +306,7 @@
             min_attempts = exit_rule.MIN_ATTEMPTS_RETURNING
             # Routers of other zones, which have not begun to return, still report runs of failures from
             # before the return; these must not end it.
-            other_zones = [replace(tally, failures_in_row=RUN_UNKNOWN) for tally in other_zones]
+            other_zones = [replace(tally, failures_in_row=FAILURES_UNKNOWN) for tally in other_zones]
         own, everyone = exit_rule.sum_tallies(same_zone), exit_rule.sum_tallies(same_zone + other_zones)
         evidence = exit_rule.exit_evidence(
             own, everyone, self.routers.get(self.home, 1), self.fleet_size, min_attempts
@@ -346,7 +347,9 @@
 
     @staticmethod
     def _answered_elsewhere(same_zone: list[Tally], other_zones: list[Tally]) -> bool:
-        return not any(t.failed_long for t in same_zone) and exit_rule.is_back(same_zone + other_zones)
+        return not any(t.failed_long for t in same_zone) and exit_rule.answers_after_exit(
+            same_zone + other_zones
+        )
 
     def _tallies_of(self, record: Record) -> dict[int, Tally]:
         return self.decoded.get(record.owner, (record, {}))[1]
@@ -354,7 +357,7 @@
     def _check_isolation(self, now: float, zone: int) -> None:
         """Notice when only this router can't reach a zone that others in its own zone reach."""
         own = self.counts.tallies(now).get(zone, Tally())
-        if own.failures_in_row < exit_rule.MIN_TRIALS or zone in self._left_zone_ids():
+        if own.failures_in_row < exit_rule.MIN_CONCLUSIVE_ATTEMPTS or zone in self._excluded_zone_ids():
             self.unreached_since.pop(zone, None)
             self.isolated_from.discard(zone)
             return
@@ -410,7 +413,7 @@
             return None
         return register.state.mode
 
-    def _leaves_out(self, now: float, zone: int) -> bool:
+    def _excludes(self, now: float, zone: int) -> bool:
         """Return whether this router leaves a zone out."""
         ordered = self._operator_mode(zone)
         if ordered in (ZoneMode.ORDERED_OUT, ZoneMode.ORDERED_IN):
@@ -418,7 +421,7 @@
         register = self.registers.get((self.home, zone))
         if register is None or not register.state.out:
             return False
-        if zone in self._left_zone_ids():
+        if zone in self._excluded_zone_ids():
             return True
         # Routers that are cut off may have written the register: a zone that answers this router is not gone.
         own = self.counts.tallies(now).get(zone, Tally())
@@ -426,7 +429,7 @@
             own.answered and own.answered >= exit_rule.CONTRADICTING_SHARE * (own.answered + own.failed)
         )
 
-    def _left_zone_ids(self) -> set[int]:
+    def _excluded_zone_ids(self) -> set[int]:
         zones = {ident(z, 2) for z in self.current_order.zones}
         return zones | ({ident(ORIGIN, 2)} if self.current_order.origin_unreachable else set())
 
@@ -434,23 +437,23 @@
         """Make a new order for the decision module if it differs from the last one: which zones are left, and
         which share of each returning zone counts."""
         origin = ident(ORIGIN, 2)
-        trial_every = self.routers.get(self.home, 1) / TRIALS_PER_SECOND
-        if any(self._trial_answered(now, n) for n in left):
-            trial_every /= TRIAL_SPEEDUP  # the zone may have recovered: more answers decide it sooner
+        probe_interval = self.routers.get(self.home, 1) / PROBES_PER_SECOND
+        if any(self._probe_answered(now, n) for n in left):
+            probe_interval /= PROBE_SPEEDUP  # the zone may have recovered: more answers decide it sooner
         zones = frozenset(self.names[n] for n in left if n != origin)
         forced = frozenset(
             self.names[n] for n in left if n != origin and self._operator_mode(n) is ZoneMode.ORDERED_OUT
         )
         before = self.current_order
-        if abs(trial_every - before.trial_interval) <= ORDER_TOLERANCE * before.trial_interval:
-            trial_every = before.trial_interval  # one router more or less does not make a new order
+        if abs(probe_interval - before.trial_interval) <= ORDER_TOLERANCE * before.trial_interval:
+            probe_interval = before.trial_interval  # one router more or less does not make a new order
         routers = {self.names.get(number, ""): count for number, count in self.routers.items()}
         spill = self.tiers.spill_bound(self.spill, self.names[self.home], self.sizes, zones, routers)
         if abs(spill - before.spill_limit) <= ORDER_TOLERANCE * before.spill_limit and zones == before.zones:
             spill = before.spill_limit
         shares = {self.names[n]: share / FULL_SHARE for n, share in returning.items()}
-        left_origin = self.leave_origin and origin in left
-        order = api.ZoneExit(zones, left_origin, forced, spill, trial_every, shares, self.paced)
+        origin_excluded = self.leave_origin and origin in left
+        order = api.ZoneExit(zones, origin_excluded, forced, spill, probe_interval, shares, self.paced)
         if order != before and any(
             (o.zones or o.origin_unreachable or o.return_shares) for o in (order, before)
         ):
--- a/myrtlecourse/zones/exit_rule.py
+++ b/myrtlecourse/zones/exit_rule.py
@@ -20,9 +20,11 @@
 RECOVERED_SHARE = 0.6  # share of answered attempts at which a zone has recovered
 MIN_ATTEMPTS = 5  # attempts needed for a decision, by all routers of the zone or the fleet together
 MIN_ATTEMPTS_RETURNING = 3  # the same for a zone that is being returned to, which gets few attempts
-MIN_TRIALS = 3  # answered trials needed for a return
+MIN_CONCLUSIVE_ATTEMPTS = 3  # answered trials needed for a return
 MIN_RECENT_ANSWERS = 2  # recent answers that suffice for a return when no recent attempt failed
-MIN_RUN = 2  # failures in a row that make a run at one router: single answers are late now and then
+MIN_FAILURES_IN_ROW = (
+    2  # failures in a row that make a run at one router: single answers are late now and then
+)
 MIN_WITNESSES = 2  # routers that must have seen the failures: a single one may be cut off itself
 CONTRADICTING_SHARE = 0.5  # share of a router's own attempts answered, at which it ignores the others' exit
 MIN_OUT = 2.0  # minimum seconds out, doubled each time the zone is left again
@@ -62,7 +64,7 @@
     silent: int = 0
     witnesses: int = 0  # routers that saw the zone fail, by more than a single late answer
     failures_in_row: int = 0  # failures since the last answer, summed over the routers with a run of them
-    routers_in_run: int = 0  # routers with such a run
+    routers_failing: int = 0  # routers with such a run
     routers_answered: int = 0  # routers whose last attempt was answered
     answered_short: int = 0  # attempts answered within the short window
     answered_long: int = 0  # attempts answered within the long window
@@ -96,7 +98,7 @@
         sum(t.refused for t in each),
         sum(t.silent for t in each),
         sum(is_witness(t.failed, t.answered, t.failures_in_row) for t in each),
-        *failure_runs(each),
+        *last_outcomes(each),
     )
 
 
@@ -108,7 +110,7 @@
         sum(t.refused_long for t in each),
         sum(t.silent_long for t in each),
         sum(is_witness(t.failed_long, t.answered_long, t.failures_in_row) for t in each),
-        *failure_runs(each),
+        *last_outcomes(each),
     )
 
 
@@ -118,13 +120,13 @@
     Otherwise the many failures of one router that is cut off, and a single late answer at another, would
     suffice to leave a zone.
     """
-    return failed > 0 and (failed > answered or failures_in_row >= MIN_RUN)
+    return failed > 0 and (failed > answered or failures_in_row >= MIN_FAILURES_IN_ROW)
 
 
-def failure_runs(tallies: list[Tally]) -> tuple[int, int, int, int, int]:
+def last_outcomes(tallies: list[Tally]) -> tuple[int, int, int, int, int]:
     """Return the last five fields of `Evidence`: failures in a row, the routers that have such runs, the
     routers whose last attempt was answered, and the answers in the short and in the long window."""
-    runs = [t.failures_in_row for t in tallies if t.failures_in_row >= MIN_RUN]
+    runs = [t.failures_in_row for t in tallies if t.failures_in_row >= MIN_FAILURES_IN_ROW]
     answered = sum(t.failures_in_row == 0 and (t.answered_long > 0 or t.answered > 0) for t in tallies)
     short, long = sum(t.answered for t in tallies), sum(t.answered_long for t in tallies)
     return sum(runs), len(runs), answered, short, long
@@ -141,18 +143,20 @@
         return True
     # Each router bans failing servers by itself and so makes few attempts. Then it suffices that the last
     # attempts of nearly all routers failed, and that none was answered recently.
-    most = evidence.routers_in_run >= needed and evidence.routers_in_run >= UNREACHABLE_SHARE * (
-        evidence.routers_in_run + evidence.routers_answered
+    most = evidence.routers_failing >= needed and evidence.routers_failing >= UNREACHABLE_SHARE * (
+        evidence.routers_failing + evidence.routers_answered
     )
     return evidence.failures_in_row >= min_attempts and most and not evidence.answered_short
 
 
 def is_recovered(evidence: Evidence) -> bool:
     """Return whether enough attempts are answered."""
-    return evidence.answered >= MIN_TRIALS and evidence.answered >= RECOVERED_SHARE * evidence.total
+    return (
+        evidence.answered >= MIN_CONCLUSIVE_ATTEMPTS and evidence.answered >= RECOVERED_SHARE * evidence.total
+    )
 
 
-def is_back(tallies: Iterable[Tally]) -> bool:
+def answers_after_exit(tallies: Iterable[Tally]) -> bool:
     """Return whether a zone that was left answers again, given only counts from after the exit."""
     each = list(tallies)
     short = sum_short(each)
@@ -181,7 +185,7 @@
     """
     if is_unreachable(own, members, min_attempts):
         return own
-    undecided = own.answered < MIN_TRIALS and (own.routers_in_run > 0 or not own.answered_long)
+    undecided = own.answered < MIN_CONCLUSIVE_ATTEMPTS and (own.routers_failing > 0 or not own.answered_long)
     return everyone if undecided and is_unreachable(everyone, fleet, min_attempts) else None
 
 
--- a/myrtlecourse/zones/returns.py
+++ b/myrtlecourse/zones/returns.py
@@ -43,19 +43,19 @@
         self.origin_id = origin_id
         self.origin_rate = origin_rate
         self.began_at: dict[int, float] = {}  # by zone that is being returned to
-        self.never_left: set[int] = set()  # zones that others left while this router still reached them
+        self.never_excluded: set[int] = set()  # zones that others left while this router still reached them
         self.blocked_by: dict[int, str] = {}  # by zone: why the next step is not taken, for operators
 
-    def update(self, now: float, zone: int, state: ZoneState, left_out: bool) -> None:
+    def update(self, now: float, zone: int, state: ZoneState, excluded: bool) -> None:
         """Note a zone's state, and whether this router leaves the zone out like the others."""
         if state.mode is ZoneMode.OUT:
             self.began_at.pop(zone, None)
-            (self.never_left.discard if left_out else self.never_left.add)(zone)
+            (self.never_excluded.discard if excluded else self.never_excluded.add)(zone)
         elif state.mode is ZoneMode.BACK:
             self.began_at.setdefault(zone, now)
         else:
             self.began_at.pop(zone, None)
-            self.never_left.discard(zone)
+            self.never_excluded.discard(zone)
             self.blocked_by.pop(zone, None)
 
     def view(
--- a/myrtlecourse/zones/tallies.py
+++ b/myrtlecourse/zones/tallies.py
@@ -15,8 +15,8 @@
 SHORT_PERIODS = 2  # periods in the short window, which suffices in a fleet with much traffic
 LONG_PERIODS = 8  # periods in the long window, for little traffic
 MAX_COUNT = 127  # largest count in a record: it takes one byte
-RUN_UNKNOWN = -1  # value of failures_in_row where the record is out of date
-RUN_TTL = 4.0  # seconds after its last failure for which a run of failures is remembered
+FAILURES_UNKNOWN = -1  # value of failures_in_row where the record is out of date
+FAILURES_TTL = 4.0  # seconds after its last failure for which a run of failures is remembered
 MAX_ZONES = 16  # in one record
 
 
@@ -47,7 +47,7 @@
     def long_only(self) -> Tally:
         """Return the tally without its short counts, which are out of date."""
         return replace(
-            self, answered=0, refused=0, silent=0, failures_in_row=RUN_UNKNOWN, overloaded=0, misses=0
+            self, answered=0, refused=0, silent=0, failures_in_row=FAILURES_UNKNOWN, overloaded=0, misses=0
         )
 
     def encode(self) -> tuple[int, ...]:
@@ -66,7 +66,7 @@
         self.current_period = int(now / PERIOD)
         # by zone: for each of LONG_PERIODS periods, the answered, refused, silent, overloaded and missed ones
         self.periods_by_zone: dict[int, list[list[int]]] = {}
-        self.runs: dict[
+        self.failures_in_row: dict[
             int, tuple[int, float]
         ] = {}  # by zone: length of the run, and time of its last failure
 
@@ -90,22 +90,24 @@
         periods[0][3] += overloaded
         periods[0][4] += missed
         if reach is Reachability.ANSWERED:
-            self.runs.pop(zone, None)
+            self.failures_in_row.pop(zone, None)
         else:
             # Runs are kept beside the counts because each router bans failing servers by itself, before its
             # counts suffice for a decision.
-            self.runs[zone] = self.runs.get(zone, (0, now))[0] + 1, now
+            self.failures_in_row[zone] = self.failures_in_row.get(zone, (0, now))[0] + 1, now
 
     def tallies(self, now: float) -> dict[int, Tally]:
         """Return the sums of each zone that has any."""
         self._advance(now)
         found = {}
-        self.runs = {zone: run for zone, run in self.runs.items() if now - run[1] <= RUN_TTL}
-        for zone in self.periods_by_zone.keys() | self.runs.keys():
+        self.failures_in_row = {
+            zone: run for zone, run in self.failures_in_row.items() if now - run[1] <= FAILURES_TTL
+        }
+        for zone in self.periods_by_zone.keys() | self.failures_in_row.keys():
             periods = self.periods_by_zone.get(zone, [])
             short = [sum(p[i] for p in periods[:SHORT_PERIODS]) for i in range(5)]
             long = [sum(p[i] for p in periods) for i in range(5)]
-            run = self.runs.get(zone, (0, now))[0]
+            run = self.failures_in_row.get(zone, (0, now))[0]
             reached = short[0], short[1], short[2], long[0], long[1], long[2]
             found[zone] = Tally(*reached, run, short[3], short[4], long[3], long[4])
         return found
@@ -113,7 +115,7 @@
     def clear(self) -> None:
         """Forget everything, as it can't be trusted."""
         self.periods_by_zone.clear()
-        self.runs.clear()
+        self.failures_in_row.clear()
 
 
 def encode_tallies(tallies: dict[int, Tally], room: int) -> tuple[int, ...]:
--- a/tests/spread_world.py
+++ b/tests/spread_world.py
@@ -282,7 +282,7 @@
         if len(node.children.by_name) > node.tree.max_children(name):
             raise Broken(f"{name} has {len(node.children.by_name)} children")
         if (
-            len(node.repairs.entry_requests) > node.repairs.max_requesters
+            len(node.retransmit_queue.entry_requests) > node.retransmit_queue.max_requesters
             or len(node.suffix.blocks) > node.suffix.capacity / 256 + 3
         ):
             raise Broken(f"{name} keeps more than its bounds")
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -35,16 +35,16 @@
     MAX_RECORD_AGE,
     NO_PEERS_GRACE,
     ORIGIN,
-    TRIALS_PER_SECOND,
+    PROBES_PER_SECOND,
     ZoneCoordinator,
     ZonesError,
 )
 from myrtlecourse.zones.exit_rule import ALL_ROUTERS, MIN_OUT, Evidence, ZoneHealth, ZoneMode, ZoneState
 from myrtlecourse.zones.setup import make_gossip_socket
 from myrtlecourse.zones.tallies import (
+    FAILURES_TTL,
     LONG_PERIODS,
     PERIOD,
-    RUN_TTL,
     AttemptCounts,
     Tally,
     decode_tallies,
@@ -102,7 +102,7 @@
     assert own.tallies(100.3)[7] == Tally(1, 0, 1, 1, 0, 1, 1)
     assert own.tallies(100.8)[7] == Tally(0, 0, 0, 1, 0, 1, 1)
     assert own.tallies(100.3 + LONG_PERIODS * PERIOD) == {7: Tally(failures_in_row=1)}
-    assert own.tallies(100.3 + RUN_TTL + 0.1) == {}
+    assert own.tallies(100.3 + FAILURES_TTL + 0.1) == {}
     own.add(1000.0, 7, Reachability.REFUSED)
     assert own.tallies(1000.0)[7] == Tally(0, 1, 0, 0, 1, 0, 1)
 
@@ -128,11 +128,11 @@
     )
     assert not exit_rule.is_unreachable(Evidence(0, 50, 0, 1), 6)
     # the answers are from before each router banned the servers by itself
-    few = Evidence(40, 2, 3, 3, failures_in_row=5, routers_in_run=3)
+    few = Evidence(40, 2, 3, 3, failures_in_row=5, routers_failing=3)
     assert exit_rule.is_unreachable(few, 6) and not exit_rule.is_unreachable(
         replace(few, answered_short=1), 6
     )
-    assert not exit_rule.is_unreachable(replace(few, routers_in_run=1), 6)
+    assert not exit_rule.is_unreachable(replace(few, routers_failing=1), 6)
     # two routers have been answered since
     assert not exit_rule.is_unreachable(replace(few, routers_answered=2), 6)
     assert exit_rule.is_unreachable(Evidence(0, 50, 0, 1), 1)  # the only router of its zone
@@ -145,7 +145,7 @@
     assert exit_rule.exit_evidence(Evidence(9, 0, 0), rest, 3, 9) is None  # routers that reach the zone stay
     seldom = Evidence(1, 0, 0, answered_long=1)  # a single answer suffices to stay
     assert exit_rule.exit_evidence(seldom, rest, 3, 9) is None
-    assert exit_rule.exit_evidence(replace(seldom, failures_in_row=2, routers_in_run=1), rest, 3, 9) is rest
+    assert exit_rule.exit_evidence(replace(seldom, failures_in_row=2, routers_failing=1), rest, 3, 9) is rest
 
 
 class Fleet:
@@ -191,7 +191,7 @@
     fleet.attempts("south", reach, "r0", "r2", "r3")
     fleet.run(0.3)
     assert set(fleet.left().values()) == {frozenset({"south"})}
-    assert fleet.each["r5"].current_order.trial_interval == 2 / TRIALS_PER_SECOND
+    assert fleet.each["r5"].current_order.trial_interval == 2 / PROBES_PER_SECOND
 
 
 def test_a_router_that_alone_can_t_reach_a_zone_takes_nobody_with_it_and_is_told_so() -> None:
--- a/tests/wrong_spread.py
+++ b/tests/wrong_spread.py
@@ -78,7 +78,7 @@
 class GrantsMoreThanItHas(Node):
     """Grants each child a full lease, whatever is left of its own."""
 
-    def _lease_left(self) -> float:
+    def _remaining_lease(self) -> float:
         return self.settings.lease
 
 
@@ -87,7 +87,7 @@
 
     def _on_leadership(self, epoch: int, leader: str) -> None:
         super()._on_leadership(epoch, leader)
-        self.watermark_held_until = -math.inf
+        self.first_watermark_at = -math.inf
 
 
 class AppliesAgain(Node):
--- a/tests/wrong_zones.py
+++ b/tests/wrong_zones.py
@@ -37,7 +37,7 @@
 def has_no_hysteresis() -> None:
     """Returns with the first answer, and leaves after few failures."""
     exit_rule.MIN_OUT, exit_rule.UNREACHABLE_SHARE, exit_rule.MIN_ATTEMPTS = 0.0, 0.3, 2
-    exit_rule.is_back = lambda tallies: any(t.answered_long for t in tallies)
+    exit_rule.answers_after_exit = lambda tallies: any(t.answered_long for t in tallies)
 
 
 def moves_all() -> None:
