--- a/myrtlecourse/peers/gossip.py
+++ b/myrtlecourse/peers/gossip.py
@@ -27,9 +27,9 @@
 HEADER_SIZE = 34  # bytes; the maximum of a datagram without its records and its seal
 FANOUT = 3  # peers that a change is sent to in each round
 TICK_INTERVAL = 0.1  # seconds between two calls of `tick`
-EXTRA_ROUNDS = 3  # beyond the logarithm, as datagrams get lost
-MAX_DELAY = 10.0  # seconds in transit, by the wall clock that machines share; older datagrams are dropped
-STALL_THRESHOLD = 0.5  # seconds between two ticks, from which on this process has stalled
+EXTRA_ROUNDS = 3  # rounds in addition to log(n), as datagrams get lost
+MAX_DELAY = 10.0  # seconds in transit, by the wall clocks of both machines; older datagrams are dropped
+STALL_THRESHOLD = 0.5  # seconds between two ticks, above which this process is taken to have stalled
 RECORDS_PER_DATAGRAM = 8  # in the steady state
 SUSPECT_INTERVALS = 4.0  # expected times between new records of a member, after which it is suspected
 GONE_FACTOR = 3.0  # further such periods, after which it is gone
@@ -53,7 +53,7 @@
     replay_window: ReplayWindow | None = None  # of the numbers of its datagrams
     start: int = 0  # start of the process that the numbers belong to
     times_sent: int = 0  # how often its present record was passed on
-    processes_heard: int = 0  # number of its processes that were heard
+    processes_heard: int = 0  # number of its processes, one after the other, that were heard
 
 
 @dataclass(slots=True, frozen=True)
@@ -248,10 +248,10 @@
         return self.seal.pack(to, [*header, carried])
 
     def receive(self, data: bytes, now: float, wall: float) -> list[Record]:
-        """Process a datagram; returns the records in it that are news.
+        """Process a datagram. Return the records in it that are news.
 
         Raises:
-            Dropped: it is truncated, forged, replayed, too late, malformed, or not from a member.
+            Dropped: the datagram is truncated, forged, replayed, too late, malformed, or not from a member.
         """
         try:
             return self._receive(data, now, wall)
@@ -274,8 +274,8 @@
         if start > member.start or member.replay_window is None:
             member.start, member.replay_window = start, ReplayWindow()
             member.processes_heard += 1
-            # The new process is sent the records at once: without them it would act as if no exit or return
-            # were under way.
+            # The new process is sent the records at once: without them it would act as if no zone were
+            # excluded or being returned to.
             self.new_processes.add(sender)
         member.replay_window.accept(number)
         # A datagram may have waited in a queue while this process was stalled: its time in transit is added
--- a/myrtlecourse/peers/gossip_socket.py
+++ b/myrtlecourse/peers/gossip_socket.py
@@ -1,4 +1,4 @@
-"""The UDP socket for gossip with other routers, and the clock that drives the agent."""
+"""The UDP socket for gossip with other routers, and the loop that calls the agent periodically."""
 
 from __future__ import annotations
 
@@ -42,14 +42,14 @@
         self.post = post
         self.transport: asyncio.DatagramTransport | None = None
         self.tasks: list[asyncio.Task[None]] = []
-        self.last_left: list[str] = []
+        self.last_excluded: list[str] = []  # the zones in the last log line
         self.last_returning: dict[str, float] = {}
 
     async def start(self, shared: bool) -> None:
         """Listen and start to send.
 
-        Where another process of this router may still listen (`shared`, during an upgrade), this one goes on
-        without receiving until that one ends.
+        Where another process of this router may still listen (`shared`, during an upgrade), this one sends
+        and receives nothing until that process has closed the address.
 
         Raises:
             OSError: the address can't be used.
@@ -82,12 +82,12 @@
         for change in result.changes:
             log.info("zone %s: %s", change.zone, change.text)
         if result.zone_exit is not None:
-            left = sorted(result.zone_exit.zones) + (
+            excluded = sorted(result.zone_exit.zones) + (
                 ["the origin"] if result.zone_exit.origin_unreachable else []
             )
-            if left != self.last_left:
-                log.info("zones left: %s", ", ".join(left) or "none")
-            self.last_left = left
+            if excluded != self.last_excluded:
+                log.info("zones left: %s", ", ".join(excluded) or "none")
+            self.last_excluded = excluded
             returning = {
                 zone: round(share, 3) for zone, share in sorted(result.zone_exit.return_shares.items())
             }
--- a/myrtlecourse/peers/records.py
+++ b/myrtlecourse/peers/records.py
@@ -38,7 +38,7 @@
     number: int  # over 0; grows with each new record
     zone: int  # its zone, `seal.ident` of the zone's name with two bytes
     payload: tuple[int, ...]  # opaque to this module
-    made_at: float  # on the clock of the router that holds it
+    made_at: float  # when it was made, on the clock of the router that holds this copy
 
     def is_newer(self, other: Record) -> bool:
         """Return whether the record is of a later start, or has a higher number of the same start."""
@@ -47,7 +47,7 @@
     def merged(self, other: Record) -> Record:
         """Return the newer of two records; of two copies of one record, the older copy.
 
-        Each hop adds to the age of a copy and none takes off, so that the greater age is the safe one.
+        The age of a copy grows with each hop and never shrinks, so that the greater age is the safe one.
         """
         if (self.start, self.number) != (other.start, other.number):
             return self if self.is_newer(other) else other
--- a/myrtlecourse/peers/seal.py
+++ b/myrtlecourse/peers/seal.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-MAX_DATAGRAM = 256  # bytes (PROTOCOL, "Between routers")
+MAX_DATAGRAM = 256  # bytes (section "Between routers" of PROTOCOL)
 SEAL_SIZE = 16  # bytes
 MIN_KEY_SIZE = 16  # bytes
 REPLAY_WINDOW = 64  # by how much a number may be lower than the highest one received
@@ -67,7 +67,8 @@
         """Return the `count` parts of a datagram for this process, of which the first is the version.
 
         Raises:
-            Dropped: it is truncated, forged, for another receiver, of another version, or malformed.
+            Dropped: the datagram is truncated, forged, for another receiver, of another version, or
+            malformed.
         """
         if not SEAL_SIZE < len(data) <= MAX_DATAGRAM:
             raise Dropped("of a length that none has")
--- a/myrtlecourse/peers/wire.py
+++ b/myrtlecourse/peers/wire.py
@@ -46,7 +46,7 @@
 class Sender:
     """What is known of another member's process."""
 
-    start: int = 0  # 0: not heard yet
+    start: int = 0  # 0: the member has not been heard yet
     replay_window: ReplayWindow = field(default_factory=ReplayWindow)
     previous_starts: tuple[int, ...] = ()  # of its earlier processes
 
@@ -99,10 +99,11 @@
         return self.seal.pack(to, [VERSION, self.name, self.start, known, self.sent_number, parts])
 
     def open(self, data: bytes) -> tuple[str, Message | Control]:
-        """Return the sender of a datagram, and its message or what it was instead.
+        """Return the sender of a datagram, and its message or, without an accepted one, what the datagram
+        was.
 
         Raises:
-            Dropped: it is truncated, forged, replayed, malformed, or not from a member.
+            Dropped: the datagram is truncated, forged, replayed, malformed, or not from a member.
         """
         try:
             return self._open(data)
@@ -118,8 +119,8 @@
         if sender is None:
             raise Dropped("of no member")
         if parts == [HELLO]:
-            # It may be an old one. Then datagrams that name its start are not accepted, and are answered with
-            # a new one.
+            # The greeting may be an old one. Then the datagrams that name its start are not accepted by the
+            # receiver, which answers them with a new greeting.
             self._update_start(sender, start)
             return name, Control.GREETING
         if known != self.start:
--- a/myrtlecourse/spread/applied_file.py
+++ b/myrtlecourse/spread/applied_file.py
@@ -37,7 +37,9 @@
         self.lease_valid = False
         self.pending: list[str] = []
         self._open()
-        self.pending.append("start")  # This process has no memory of what earlier ones applied.
+        self.pending.append(
+            "start"
+        )  # tells followers that this process does not know what earlier ones applied
         self.add(LeaseChanged(False))
         self.flush()
 
@@ -84,7 +86,7 @@
         self.pending.insert(0, f"vouches {'yes' if self.lease_valid else 'no'}")
 
     def close(self) -> None:
-        """Close the file; nothing is applied any more."""
+        """Write that the lease has ended, and close the file."""
         self.add(LeaseChanged(False))
         self.flush()
         os.close(self.file)
--- a/myrtlecourse/spread/applied_ranges.py
+++ b/myrtlecourse/spread/applied_ranges.py
@@ -1,5 +1,5 @@
-"""The log numbers that a member has applied, as a few ranges, each of which only grows upward. Catch-up
-extends the lower ranges, and the live stream the highest one."""
+"""The log numbers that a member has applied, as a few ranges, each of which only grows upward. New
+entries extend the highest range, and retransmitted ones the lower ranges."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
     @property
     def contiguous_until(self) -> int:
-        """All entries up to this number are applied."""
+        """The number up to which all entries are applied; 0 if entry 1 is not."""
         return self.ranges[0][1] if self.ranges and self.ranges[0][0] == 1 else 0
 
     @property
@@ -25,7 +25,7 @@
         return self.ranges[-1][1] if self.ranges else 0
 
     def gaps(self) -> list[Range]:
-        """Return the ranges that are missing below the highest number."""
+        """Return the ranges of missing numbers below the highest applied number."""
         starts = [first for first, _ in self.ranges]
         ends = [0, *(last for _, last in self.ranges)]
         return [(end + 1, start - 1) for end, start in zip(ends, starts, strict=False) if start > end + 1]
--- a/myrtlecourse/spread/change_table.py
+++ b/myrtlecourse/spread/change_table.py
@@ -1,5 +1,5 @@
-"""The current change of each subject, for members that missed it; tables are compared by checksums over
-ranges of subjects."""
+"""The change table: the latest change of each subject, which members that missed it can request. Tables are
+compared by checksums over ranges of subjects."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         self.ranges: list[dict[bytes, Row]] = [{} for _ in range(DIGEST_RANGES)]
 
     def put(self, number: int, change: Change) -> bool:
-        """Store a change; return whether it is the newest of its subject."""
+        """Store a change if it is the newest of its subject. Return whether it was stored."""
         rows = self.ranges[change.subject[0] * DIGEST_RANGES // 256]
         current = rows.get(change.subject)
         if current is not None and current[0] >= number:
--- a/myrtlecourse/spread/children.py
+++ b/myrtlecourse/spread/children.py
@@ -1,4 +1,4 @@
-"""A node's children: how far they are, which of them count, and what they have to be sent.
+"""A node's children: which entries they have applied, which of them count, and what has to be sent to them.
 
 A child counts from the moment it is granted a lease until that lease must have expired on the child's own
 clock. While it counts, the watermark does not pass what it has acknowledged. A lease is only granted to a
@@ -15,8 +15,8 @@
 # Stamps of two processes of one member differ at least by this much, as they start at a random number.
 NEW_PROCESS_STAMP_GAP = 2**32
 MAX_SILENT_CHILDREN = 64  # names of silent children that are remembered
-SILENT_LEASES = 30  # leases for which they are remembered
-# leases after which a child that has held back the watermark without success may do so again
+SILENT_LEASES = 30  # leases for which these names are remembered
+# leases after which a child that held back the watermark, but was not granted a lease, may hold it back again
 HOLD_REST_LEASES = 5
 MS_PER_S = 1000.0
 
@@ -29,14 +29,16 @@
     stamp: int
     reported_at: float
     cursor: int  # number of the next entry to send to it
+    # the fields of its reports: `have`, `done`, `below`, `away`, `behind` and `epoch`
     applied_until: int = 0
     acknowledged: int = 0
     members: int = 1
     away: int = 0
     slowest: int = 0
     epoch: int = 0
-    counted_until: float = -math.inf
-    # since when it has held back the watermark in order to be granted a lease
+    counted_until: float = -math.inf  # when the last lease that it was granted has ended on every clock
+    # When it began to hold back the watermark: a child that has almost caught up counts for the length of a
+    # lease, so that it can reach the watermark and be granted a lease.
     holding_since: float = -math.inf
     reply_due: float = math.inf  # when its report has to be answered at the latest
 
@@ -48,12 +50,14 @@
     settings: Settings
     limit: int
     by_name: dict[str, Child] = field(default_factory=dict)
-    # watermarks that must not be passed for the sake of children's earlier processes, and until when
+    # Numbers that the watermark must not pass, each with the time until which this holds: members may still
+    # rely on leases that derive from a grant to a child that has since restarted or gone silent.
     lease_floors: list[tuple[int, float]] = field(default_factory=list)
-    # members of a silent child's subtree, and until when it is remembered
+    # by name of a silent child: the number of members of its subtree, and until when it is remembered
     silent: dict[str, tuple[int, float]] = field(default_factory=dict)
-    watermark: int = 0  # what was reported as applied by all; it never decreases
-    # at a new root: the highest watermark that the previous root may have reported
+    watermark: int = 0  # the highest number reported as applied by all counted members
+    # At a new root: the highest watermark that the previous root may have reported. A child below it gets no
+    # lease.
     inherited_watermark: int = 0
 
     @property
@@ -102,12 +106,15 @@
         self.lease_floors.append((acknowledged, until))
 
     def _is_nearly_caught_up(self, child: Child) -> bool:
+        """Return whether a child lacks at most as many entries as arrive within a lease."""
         return self.watermark - child.acknowledged <= max(100.0, self.settings.rate * self.settings.lease)
 
     def grant(self, now: float, child: Child, remaining_lease: float, epoch: int) -> int:
-        """Return the milliseconds for which a child holds a lease from its last report on, when
-        `remaining_lease` seconds of the node's own lease are left; 0 while the child lacks entries up to the
-        watermark."""
+        """Return the milliseconds for which a child is granted a lease, counted from its last report.
+
+        The lease ends before this node's own one, of which `remaining_lease` seconds are left. Return 0 for a
+        child that lacks entries up to the watermark or is in an older epoch.
+        """
         if child.counted_until <= now and child.acknowledged < max(self.watermark, self.inherited_watermark):
             return 0
         if child.epoch < epoch or remaining_lease <= 0:
@@ -117,7 +124,7 @@
         return good_for
 
     def remove(self, sender: str) -> None:
-        """Remove a child that no longer relies on a lease from here."""
+        """Remove a child that no longer relies on a lease from this node."""
         self.by_name.pop(sender, None)
 
     def expire(self, now: float) -> None:
--- a/myrtlecourse/spread/codec.py
+++ b/myrtlecourse/spread/codec.py
@@ -203,7 +203,8 @@
 
 
 def max_payload(name: str) -> int:
-    """Return how many bytes the parts of a datagram from this sender may take; equals `Wire.room`."""
+    """Return how many bytes the parts of a datagram from this sender may take; equals
+    `Wire.max_message_size`."""
     return MAX_DATAGRAM - SEAL_SIZE - HEADER_SIZE - len(name.encode())
 
 
--- a/myrtlecourse/spread/driver.py
+++ b/myrtlecourse/spread/driver.py
@@ -151,12 +151,12 @@
         return bool(self.leader_token) and self.held_token() == self.leader_token
 
     def gain_leadership(self, token: int) -> None:
-        """This process now holds the duty, with this fencing token."""
+        """Handle that this process has acquired the duty of writing the log, with this fencing token."""
         self.leader_token = token
         self.post_to_replica(events.LeadershipGained(token))
 
     def lose_leadership(self) -> None:
-        """This process no longer holds the duty."""
+        """Handle that this process no longer holds the duty of writing the log."""
         if self.leader_token:
             self.leader_token = 0
             self.post_to_replica(events.LeadershipLost())
@@ -165,7 +165,7 @@
         """Propose an entry; the callback is called once, with the outcome. Raises SpreadError when it is
         rejected at once."""
         msg.checked_entry(entry)
-        self.post_to_replica(msg.TimerFired())  # notices if the leadership was lost meanwhile
+        self.post_to_replica(msg.TimerFired())  # ends the leadership if it was lost meanwhile
         if not self._is_leader():
             raise msg.SpreadError(
                 f"the log is not written here; its holder is {self.leader_name or 'not known'}"
@@ -180,7 +180,7 @@
         for action in actions:
             match action:
                 case msg.Send(to, messages):
-                    self._flush_applied()  # written before others learn of it
+                    self._flush_applied()  # before other members learn from the message what is applied
                     self.send(to, self.wire.pack(to, messages))
                 case msg.Apply() | msg.AssumePurged() | msg.Restore() | msg.LeaseChanged() | msg.Watermark():
                     self._record(action)
--- a/myrtlecourse/spread/leader.py
+++ b/myrtlecourse/spread/leader.py
@@ -82,7 +82,7 @@
 class PrepareState:
     """What one control node has answered to `Prepare`."""
 
-    received_until: int  # all its entries up to here were received, without a gap
+    received_until: int  # all its entries up to this number were received
     last: int | None = None
     commit_index: int = 0
 
@@ -92,8 +92,9 @@
     """The leader's view of another control node's log."""
 
     next: int  # number of the next entry to send
-    acked: int  # assumed to have all entries up to here; later ones are sent again after a timeout
-    stored: int = 0  # confirmed to be on its disk up to here; this is what counts towards a majority
+    # the node is assumed to have all entries up to this one; later ones are sent again after a timeout
+    acked: int
+    stored: int = 0  # entries up to this one are confirmed to be on its disk, and count towards a majority
     responded: bool = False
     timeouts: int = 0  # consecutive timeouts
     retry_at: float = -math.inf
@@ -127,8 +128,8 @@
         self.accepted: dict[int, tuple[int, Entry]] = {}
         self.answers: dict[str, PrepareState] = {}
         self.followers: dict[str, FollowerProgress] = {}
-        self.takeover_end = 0
-        # entries up to here are on this node's disk, under this epoch or known to be committed
+        self.takeover_end = 0  # number of the last entry taken over from earlier epochs
+        # entries up to this number are on this node's disk, under this epoch or known to be committed
         self.stored_until = 0
         self.last = 0  # number of the last entry
         self.commit_index = 0
@@ -381,6 +382,7 @@
                     yield Send(name, (Append(self.epoch, self.takeover_end + 1, (), self.commit_index),))
 
     def _awaits_reply(self, follower: FollowerProgress) -> bool:
+        """Return whether entries or a snapshot were sent to a node and are not acknowledged."""
         return follower.next > follower.acked + 1 or follower.next <= self.state.base
 
     def _has_due_append(self, now: float, follower: FollowerProgress) -> bool:
--- a/myrtlecourse/spread/log_duty.py
+++ b/myrtlecourse/spread/log_duty.py
@@ -36,7 +36,7 @@
         asyncio.get_running_loop().call_soon(self.duties.post, duties.WorkStopped(self.duty))
 
     def on_committed(self, token: int, number: int) -> None:
-        """Ignored, because this duty has no orders."""
+        """Do nothing, because this duty has no orders."""
 
     def poll(self) -> None:
         """Do nothing, because this duty has nothing periodic."""
@@ -54,8 +54,8 @@
     """Commit an entry and return its log number.
 
     Raises:
-        SpreadError: it was rejected; the message says why.
-        OutcomeUnknown: it may still be committed.
+        SpreadError: the entry was rejected; the message gives the reason.
+        OutcomeUnknown: the entry may still be committed.
     """
     future: asyncio.Future[Acknowledge | Refuse] = asyncio.get_running_loop().create_future()
     driver.propose(entry, lambda outcome: None if future.done() else future.set_result(outcome))
--- a/myrtlecourse/spread/log_suffix.py
+++ b/myrtlecourse/spread/log_suffix.py
@@ -20,7 +20,7 @@
 
 
 class LogSuffix:
-    """Keeps `capacity` of the highest numbers, and up to one block more."""
+    """The entries with the highest numbers: `capacity` of them, and up to one block more."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
--- a/myrtlecourse/spread/messages.py
+++ b/myrtlecourse/spread/messages.py
@@ -1,8 +1,19 @@
 """Messages between the members of a fleet, and the events and actions of a member's node.
 
-Log entries are numbered from 1. An epoch is the fencing token of the duty whose holder, the leader, writes
-the log. Times are seconds on the process's own monotonic clock; clocks need not show the same time, but their
-rates must not differ by more than the configured drift.
+Terms:
+- entry: an element of the replicated log, either a purge or a change; entries are numbered from 1.
+- change table: the latest change of each subject, with its number.
+- control node: a node that stores the log. The leader writes it and is the root of the tree.
+- epoch: the fencing token of the duty whose holder is the leader.
+- tier: control nodes, relays of a region, relays of a site, and leaves. Below the control nodes each member
+  receives entries from a parent one tier up. A relay forwards them; a leaf has no children.
+- lease: granted to a child by its parent. While it is valid, the child counts.
+- watermark: the number up to which all counted members of a subtree have applied all entries.
+- purged range: entries that a member could not get and therefore treats as purges of everything.
+
+A number named `upto` in `TableDigest` and `TableInSync` is exclusive; names that end in `_until` and all
+other numbers are inclusive. Times are seconds on the process's own monotonic clock; clocks need not show the
+same time, but their rates must not differ by more than the configured drift.
 """
 
 from __future__ import annotations
@@ -147,9 +158,10 @@
     """
 
     epoch: int
-    last: int  # number of the last entry up to which the sender has no gap
-    echo: int
-    good_for: int
+    # the sender has applied all entries up to this one, and has already sent them if it forwards them
+    last: int
+    echo: int  # stamp of the report that is answered
+    good_for: int  # milliseconds
 
 
 @dataclass(slots=True, frozen=True)
@@ -160,7 +172,7 @@
     `done`.
     """
 
-    stamp: int  # grows with each report of a process
+    stamp: int  # number of the report, which the answer repeats; begins at random and grows by 1
     epoch: int
     have: int
     done: int
@@ -181,7 +193,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RetransmitRequest:
-    """Requests `count` consecutive entries, from `first` on."""
+    """Sent to a parent or another candidate: requests `count` consecutive entries, from `first` on."""
 
     first: int
     count: int
@@ -189,9 +201,9 @@
 
 @dataclass(slots=True, frozen=True)
 class EntriesDropped:
-    """Answers a request for entries that are no longer kept: the sender's log suffix begins with `oldest`.
+    """Answers a request for entries that the sender no longer keeps; `oldest` is the first one that it does.
 
-    The receiver treats everything that it may have missed before as purged, and requests the change table.
+    The receiver treats the entries before `oldest` that it lacks as purged, and requests the change table.
     """
 
     oldest: int
@@ -216,9 +228,9 @@
 
 @dataclass(slots=True, frozen=True)
 class TableInSync:
-    """Answers a digest: the receiver's change table equals the sender's up to that number."""
+    """Answers a digest: the receiver's change table equals the sender's, which is complete."""
 
-    upto: int
+    upto: int  # the number in the digest; covers entries before it
 
 
 # Messages between control nodes about the log
@@ -334,7 +346,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Received:
-    """All messages of one datagram from another member."""
+    """A datagram from another member has arrived, with these messages."""
 
     sender: str
     messages: tuple[Message, ...]
@@ -400,7 +412,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseChanged:
-    """Whether this member holds a valid lease from now on; initially it does not."""
+    """The member holds a valid lease from now on, or no longer holds one; initially it holds none."""
 
     valid: bool
 
@@ -410,8 +422,8 @@
     """At the root: all counted members have applied all entries up to `number`."""
 
     number: int
-    members: int
-    away: int
+    members: int  # the members that count
+    away: int  # members that were counted and are now silent
 
 
 @dataclass(slots=True, frozen=True)
--- a/myrtlecourse/spread/node.py
+++ b/myrtlecourse/spread/node.py
@@ -1,8 +1,9 @@
 """A member's node in the dissemination tree: receives entries from its parent, forwards them to its children
 and acknowledges them up the tree; no I/O.
 
-`docs/design/spread.md` has the protocol's rules. New entries are forwarded to the children every `pause`
-seconds and each report is answered within one. Retransmissions share what these leave of the send budget.
+`docs/design/spread.md` has the protocol's rules, and `messages.py` the terms. New entries are forwarded to
+the children every `pause` seconds, and each child's report is answered within `pause` seconds.
+Retransmissions get the part of the send budget that forwarding and reports leave.
 """
 
 from __future__ import annotations
@@ -36,15 +37,19 @@
 from myrtlecourse.spread.send_window import SendWindow
 from myrtlecourse.spread.tree import CONTROL, HEARTBEAT_BYTES, MAX_NAME_BYTES, REPORT_BYTES, Tree, child_cost
 
-LIVE_CATCH_UP_LIMIT = 256  # entries that a new child may be behind and still receive through the live stream
-GAP_PATIENCE = 4  # pauses for which forwarding waits for a gap of this node to be filled
+# A new child that is behind by at most this many entries is sent them in order with the new entries. One that
+# is further behind gets only the new entries and requests the others.
+LIVE_CATCH_UP_LIMIT = 256
+GAP_WAIT_PAUSES = (
+    4  # number of `pause` intervals for which forwarding waits for a gap of this node to be filled
+)
 MIN_RETRANSMIT_SHARE = 0.1  # least share of the send budget that is reserved for retransmissions
-NEVER = math.inf
+NEVER = math.inf  # as a point in time; -NEVER stands for one long ago
 CODEC = SpreadCodec()
 
 
 class Node:
-    """The node of any member, on every tier."""
+    """A member's node in the tree; the same class serves control nodes, relays and leaves."""
 
     def __init__(self, settings: Settings, now: float, seed: int) -> None:
         """Start without any entries. Raises SpreadError when the name is so long that some entries don't fit
@@ -62,17 +67,17 @@
         self.epoch = 0
         self.counts = Counts()
         self.applied = AppliedRanges()
+        # the newest entries of the log, kept for retransmission to descendants; a leaf keeps none
         self.suffix = LogSuffix((settings.control_tail if control else settings.tail) if child_limit else 0)
-        self.table = ChangeTable()
+        self.table = ChangeTable()  # the latest change of each subject
         self.parent = Parent(settings, self.tree.candidates(self.name), now, seed)
         self.children = Children(settings, child_limit)
         self.retransmit_queue = RetransmitQueue(
             child_limit, self.max_payload, self.applied, self.suffix, self.table
         )
-        self.retransmit_requests = RetransmitRequests(2 * settings.pause)  # requests for entries
-        self.table_sync_requests = RetransmitRequests(
-            4 * settings.pause
-        )  # requests for rows of the change table
+        # this node's own requests, for missing entries and for rows of the change table
+        self.retransmit_requests = RetransmitRequests(2 * settings.pause)
+        self.table_sync_requests = RetransmitRequests(4 * settings.pause)
         self.send_window = SendWindow(settings.half_control_budget if control else settings.budget)
         self.is_root = False
         # A new root reports no watermark before this time: until then members may hold leases of the previous
@@ -80,12 +85,16 @@
         self.first_watermark_at = NEVER
         self.announced_watermark = 0  # the last one reported with `Watermark`
         self.lease_announced = False
-        # first and last number of the entries that are assumed purged, until the change table is complete
+        # First and last number of the entries that this node could not get and assumes to be purges. It is
+        # None again once the change table has been compared with a complete one, which supplies the missed
+        # changes.
         self.purged_range: tuple[int, int] | None = None
-        self.digest_at = NEVER
+        self.digest_at = NEVER  # when to send the next digest of the change table
         self.gap_seen_at = -NEVER  # when the newest gap appeared
         self.report_at = now + self.parent.random.random() * settings.report
         self.forward_at, self.forwarded_at = NEVER, -NEVER
+        # `retransmit_credit` is the number of bytes that may still be spent on retransmissions in this pause.
+        # Each pause sets it anew: unused credit is lost, an overdraft is carried over.
         self.retransmit_at, self.retransmitted_at, self.retransmit_credit = NEVER, -NEVER, 0.0
         self.actions: list[Action] = []
 
@@ -99,7 +108,10 @@
         )
 
     def has_lease(self, now: float) -> bool:
-        """Return whether this member may act as up to date at this moment."""
+        """Return whether this member holds a valid lease, or is the root, which needs none.
+
+        While it does, the watermark does not pass what this member has applied.
+        """
         return self.is_root or now < self.parent.lease_until
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -155,7 +167,7 @@
         self._send_retransmissions()
 
     def _send(self, to: str, *messages: Message) -> bool:
-        """Send messages if the send window allows it; return whether it did."""
+        """Send messages as one datagram if the send window allows it. Return whether they were sent."""
         size = SEAL_SIZE + HEADER_SIZE + len(self.name.encode()) + CODEC.size(messages)
         if not self.send_window.try_spend(self.now, size):
             return False
@@ -181,8 +193,8 @@
             self.counts.refused += len(messages)
 
     def _on_parent_message(self, sender: str, message: Message) -> None:
-        """Process a message from the parent, from the parent on trial, or from a node that was asked for
-        repairs."""
+        """Process a message from the parent, from the preferred parent, or from a node that was asked for
+        missing entries or rows."""
         match message:
             case EntryBatch() | Heartbeat() if message.epoch < self.epoch:
                 self.counts.stale += 1
@@ -242,7 +254,8 @@
             self.now, sender, heartbeat, self.children.last_lease_end(self.now)
         )
         if former_parent:
-            # The former parent must be told, or its watermark would wait for a lease that is no longer used.
+            # Without this message the former parent would hold back its watermark until the lease that it had
+            # granted ends.
             stamp = self.parent.next_stamp(self.now)
             self.parent.sent_reports.clear()
             self._send(former_parent, self._build_report(stamp), msg.Leave())
@@ -296,7 +309,8 @@
             self.forward_at = min(self.forward_at, max(self.now, self.forwarded_at + self.settings.pause))
 
     def _assume_purged(self, first: int, last: int) -> None:
-        """Mark entries as unavailable; their changes are fetched from a change table."""
+        """Treat entries that can't be had as purges of everything; fetch the changes among them from another
+        node's change table."""
         self.actions.append(msg.AssumePurged(first, last))
         self.applied.add(first, last)
         if not self.is_root:
@@ -327,7 +341,8 @@
             return
         self.epoch = epoch
         if first > self.applied.highest + 1:
-            self._assume_purged(self.applied.highest + 1, first - 1)  # the received log begins later
+            # The entries before `first` are no longer in the leader's log.
+            self._assume_purged(self.applied.highest + 1, first - 1)
         if entries:
             self._on_entries(first, entries)
 
@@ -375,9 +390,11 @@
             self.actions.append(msg.Watermark(watermark, *self.children.member_counts(self.now)))
 
     def _request_target(self, requests: RetransmitRequests) -> str:
+        """Return the node that the next request is sent to; empty when there is none."""
         return requests.target(self.parent.index, self.parent.candidates)
 
     def _send_requests(self) -> None:
+        """Request missing entries and, while some are assumed purged, missing rows of the change table."""
         if self.tier != CONTROL:
             request = self.retransmit_requests.next_request(self.now, self.applied, self.parent.log_end)
             if request is not None:
@@ -395,10 +412,14 @@
     # Forwarding to the children
 
     def _remaining_lease(self) -> float:
+        """Return the seconds that are left of this node's lease; a root can always grant a full lease."""
         return self.settings.lease if self.is_root else self.parent.lease_until - self.now
 
     def _send_to_child(self, child: Child, batches: dict[tuple[int, int], tuple[Entry, ...]]) -> None:
-        """Send a child the entries from its position on, and the answer to its report."""
+        """Send a child the entries from its cursor on, and the answer to its report if one is due.
+
+        `batches` caches batches by first number and size, as most children are sent the same ones.
+        """
         with_reply = child.reply_due < NEVER
         control = self.tree.tier(child.name) == CONTROL
         while True:
@@ -428,11 +449,11 @@
     def _next_batch(
         self, child: Child, size: int, batches: dict[tuple[int, int], tuple[Entry, ...]]
     ) -> tuple[Entry, ...]:
-        """Return the next entries for a child. Forwarding waits at a gap of this node, because it is usually
-        filled soon."""
+        """Return the next entries for a child. At a gap of this node forwarding waits, because the gap is
+        usually filled soon."""
         end = self.applied.range_end(child.cursor)
         if not end:
-            if self.now < self.gap_seen_at + GAP_PATIENCE * self.settings.pause:
+            if self.now < self.gap_seen_at + GAP_WAIT_PAUSES * self.settings.pause:
                 return ()
             child.cursor = next(first for first, _ in self.applied.ranges if first > child.cursor)
             end = self.applied.range_end(child.cursor)
@@ -440,12 +461,12 @@
         if key not in batches:
             batches[key] = self.suffix.batch(child.cursor, end, size)
             if not batches[key] and self.suffix.get(child.cursor) is None:
-                # no longer kept here: the child will request it
+                # This node no longer keeps the entry; the child will request it.
                 child.cursor = min(self.suffix.next_kept(child.cursor), end + 1)
         return batches[key]
 
     def _send_retransmissions(self) -> None:
-        """Send requested retransmissions, as far as the send budget allows."""
+        """Answer requests for entries and rows, as far as the send budget allows."""
         if self.now < self.retransmit_at:
             return
         settings = self.settings
--- a/myrtlecourse/spread/parent.py
+++ b/myrtlecourse/spread/parent.py
@@ -12,10 +12,11 @@
 from myrtlecourse.spread.messages import Heartbeat, Settings
 
 MAX_UNANSWERED_REPORTS = 3  # reports without an answer after which a parent is replaced
-MAX_LEASES_WITHOUT_GRANT = 3  # leases after which a parent that answers without granting a lease is replaced
-# leases after which a node whose parent is a late candidate tries its first candidate again
+# The next three are multiples of the length of a lease.
+MAX_LEASES_WITHOUT_GRANT = 3  # time after which a parent that answers without granting a lease is replaced
+# time after which a node whose parent is neither its first nor its second candidate tries the first one again
 LEASES_BEFORE_RETRY = 10
-RETRY_LEASES = 2  # leases for which such a trial lasts
+RETRY_LEASES = 2  # time for which it reports to the first candidate as well, and may move there
 
 
 class Parent:
@@ -26,16 +27,17 @@
         self.random = random.Random(seed)
         self.candidates = candidates
         self.index = 0
-        self.preferred_parent = (
-            ""  # the first candidate, while it is tried in parallel with the present parent
-        )
+        # The first candidate, while this node reports to it as well as to its present parent, in order to
+        # move there; else empty.
+        self.preferred_parent = ""
         self.preferred_parent_until = math.inf
         self.moves = 0
-        # random, so that answers to a previous process are not mistaken for answers to this one
+        # Number of the last report. It begins at random, so that answers to a previous process are not
+        # mistaken for answers to this one.
         self.stamp = self.random.getrandbits(48)
         self.sent_reports: dict[int, float] = {}  # by stamp: when each report of the last lease was sent
         self.lease_until = -math.inf
-        self.log_end = 0  # number of the parent's last entry
+        self.log_end = 0  # highest `last` in the parent's heartbeats
         self.heard_at = self.granted_at = self.chosen_at = now
         self.silence_limit = self._draw_silence_limit()
         self.no_capacity = False  # the present parent has answered `NoCapacity`
@@ -63,11 +65,11 @@
         self.log_end = 0
 
     def report_targets(self) -> tuple[str, ...]:
-        """Return the present parent and the parent on trial."""
+        """Return the members that reports are sent to: the present parent and the preferred one, if any."""
         return tuple(n for n in (self.name, self.preferred_parent) if n)
 
     def next_stamp(self, now: float) -> int:
-        """Return the stamp of a report that is sent now."""
+        """Return the stamp of a report that is sent now, and remember the time for the length of a lease."""
         self.stamp += 1
         self.sent_reports[self.stamp] = now
         while next(iter(self.sent_reports.values())) < now - self.settings.lease:
@@ -76,7 +78,7 @@
 
     def tick(self, now: float, caught_up: bool) -> None:
         """Replace a parent that is silent, has no capacity, or grants no lease although this node has all of
-        its entries (`caught_up`); later try the first candidate again."""
+        its entries (`caught_up`). From time to time try to return to the first candidate."""
         lease = self.settings.lease
         if not caught_up:
             self.granted_at = max(self.granted_at, now - lease)
@@ -103,18 +105,18 @@
             )
 
     def on_no_capacity(self, now: float, sender: str) -> None:
-        """Process `NoCapacity` from the parent or the parent on trial."""
+        """Process `NoCapacity` from the parent or the preferred parent."""
         if sender == self.preferred_parent:
             self.preferred_parent, self.chosen_at = "", now
         elif sender == self.name:
             self.no_capacity = True
 
     def on_heartbeat(self, now: float, sender: str, heartbeat: Heartbeat, granted_until: float) -> str:
-        """Process an answer to a report. Return the name of the former parent when the one on trial has
+        """Process an answer to a report. Return the name of the former parent when the preferred parent has
         replaced it, else an empty string.
 
-        The new parent's lease must cover all leases that this node has granted on the strength of the old
-        one, because no other node would count them.
+        `granted_until` is when the last lease ends that this node has granted to its own children. The new
+        parent's lease must last at least as long: only a parent that counts this node counts those children.
         """
         sent_at = self.sent_reports.get(heartbeat.echo)
         lease_until = (
@@ -131,7 +133,7 @@
             self.moves += 1
             self._reset(now)
             self.lease_until, self.log_end = lease_until, heartbeat.last
-            # Answers of the old parent, which no longer counts this node, must not be accepted.
+            # The former parent no longer counts this node, so its answers must not be accepted any more.
             self.sent_reports.clear()
             return former_parent
         return ""
--- a/myrtlecourse/spread/replica.py
+++ b/myrtlecourse/spread/replica.py
@@ -29,8 +29,8 @@
 PREPARE_REPLY_BYTES = 52  # maximum size in bytes of a `PrepareReply` without its entries
 MAX_SNAPSHOT_BURST = 32  # datagrams of a snapshot that are sent in answer to one request
 MAX_COMMITTED_BATCH = 10_000  # entries that are handed to the tree node at once
-# pauses for which the sender of a snapshot may be silent before another sender is accepted
-SENDER_PATIENCE = 4
+# number of `pause` intervals for which the sender of a snapshot may be silent before another is accepted
+MAX_SENDER_SILENCE = 4
 COMPACTION_FACTOR = 1.25  # the log is compacted into a snapshot when it exceeds `control_tail` by this factor
 RECORD_TYPES = (events.Promise, events.Write, events.Truncate, events.Commit, events.Snapshot)
 
@@ -58,10 +58,10 @@
         self.state = state
         self.now = now
         names = [*settings.control, *(m for s in settings.sites for m in (*s.routers, *s.parts))]
-        # messages must also fit datagrams of members with longer names
+        # The limit is that of the member with the longest name, so that every member can send every message.
         self.max_payload = MAX_DATAGRAM - SEAL_SIZE - HEADER_SIZE - max(len(name.encode()) for name in names)
-        self.promised_epoch = state.promised  # is ahead of the disk until the promise has been stored
-        # all entries up to here equal those of the leader of the promised epoch
+        self.promised_epoch = state.promised  # ahead of the epoch on disk until the promise has been stored
+        # all entries up to this number equal those of the leader of the promised epoch
         self.matching_until = state.matching_until(state.promised)
         # like `matching_until`, including entries that are still being stored
         self.accepted_until = self.matching_until
@@ -77,7 +77,7 @@
         self.store_number = 0
         self.retry_at = now
         self.pending_prepare: tuple[str, msg.Prepare] | None = None
-        self.reply_to = ""  # name of the leader that has yet to be told how far entries are stored
+        self.reply_to = ""  # the leader that an `AppendReply` is due to; empty: none is due
         self.transfer: SnapshotTransfer | None = None
         self.leadership = msg.Leadership(0, "")
         self.counts = msg.Counts()
@@ -185,8 +185,8 @@
                 self.counts.stale += 1
 
     def _on_append(self, sender: str, message: msg.Append) -> None:
-        """Store entries that follow directly on the log; a gap shows in the reply, which says how far entries
-        are stored."""
+        """Store entries that follow directly on the log, and drop others. The reply has the number up to
+        which entries are stored, which shows the leader a gap."""
         if not message.entries:
             # A majority has stored everything that was taken over, so any other entries here were never
             # acknowledged.
@@ -262,7 +262,7 @@
         if transfer is None or (transfer.sender, transfer.upto) != (sender, message.upto):
             recent = (
                 transfer is not None
-                and self.now - transfer.received_at < SENDER_PATIENCE * self.settings.pause
+                and self.now - transfer.received_at < MAX_SENDER_SILENCE * self.settings.pause
             )
             if message.after or (
                 transfer is not None and (transfer.complete or (recent and transfer.sender != sender))
--- a/myrtlecourse/spread/replica_events.py
+++ b/myrtlecourse/spread/replica_events.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Promise:
-    """The replica accepts nothing from epochs below this one."""
+    """The replica has promised to accept nothing from epochs below this one."""
 
     epoch: int
 
@@ -76,7 +76,7 @@
     """The state that results from replaying a disk's records."""
 
     promised: int = 0
-    base: int = 0  # entries up to this number are only kept as rows of the table
+    base: int = 0  # entries up to this number are replaced by the rows of `table`
     table: dict[bytes, tuple[int, Change]] = field(default_factory=dict)
     sorted_subjects: list[bytes] = field(default_factory=list)  # the table's subjects in order
     entries: list[Entry] = field(default_factory=list)  # the entries after `base`
@@ -139,14 +139,15 @@
 
 @dataclass(slots=True, frozen=True)
 class LeadershipGained:
-    """This process holds the duty, with a fencing token that no other holder has."""
+    """This process has acquired the duty of writing the log, with a fencing token that no other holder
+    has."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class LeadershipLost:
-    """This process no longer holds the duty."""
+    """This process no longer holds the duty of writing the log."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/myrtlecourse/spread/retransmit_queue.py
+++ b/myrtlecourse/spread/retransmit_queue.py
@@ -1,5 +1,5 @@
-"""Requests of other members that a node has to answer: for missing entries, and for rows of the change
-table."""
+"""The serving side of retransmission: requests of other members for missing entries and for rows of the
+change table. The asking side is in `retransmit_requests.py`."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class RetransmitQueue:
-    """Open requests, answered round-robin with one datagram each."""
+    """Open requests by member, answered in turn with one datagram each."""
 
     def __init__(
         self,
@@ -38,10 +38,10 @@
         self.max_requesters = max_children + EXTRA_REQUESTERS if max_children else 0
         self.max_payload = max_payload
         self.applied, self.suffix, self.table = applied, suffix, table
-        self.entry_requests: dict[str, tuple[int, int]] = {}
+        self.entry_requests: dict[str, tuple[int, int]] = {}  # first and last number
         self.table_requests: dict[str, tuple[int, bytes]] = {}  # range, and the last subject that was sent
 
-    def _has_place(
+    def _has_capacity(
         self, requester: str, requests: dict[str, tuple[int, int]] | dict[str, tuple[int, bytes]]
     ) -> bool:
         return requester in requests or len(requests) < self.max_requesters
@@ -49,7 +49,7 @@
     def request_entries(self, requester: str, request: RetransmitRequest) -> bool:
         """Queue a request; it replaces an earlier one of the same requester. Return whether it was
         accepted."""
-        if not self._has_place(requester, self.entry_requests):
+        if not self._has_capacity(requester, self.entry_requests):
             return False
         self.entry_requests[requester] = (request.first, request.first + request.count - 1)
         return True
@@ -57,7 +57,7 @@
     def request_table(self, requester: str, digest: TableDigest, complete: bool) -> Message | None:
         """Compare the requester's change table with this node's and queue a request for rows if they differ.
         Return `TableInSync` if they are equal. `complete`: this node's table is known to be complete."""
-        if not complete or not self._has_place(requester, self.table_requests):
+        if not complete or not self._has_capacity(requester, self.table_requests):
             return None
         checksums = self.table.checksums(digest.upto)
         for range_number, (checksum, other_checksum) in enumerate(zip(checksums, digest.sums, strict=True)):
@@ -93,6 +93,6 @@
             if first + len(entries) <= last:
                 self.entry_requests[requester] = (first + len(entries), last)
             return EntryBatch(epoch, first, entries)
-        # Applied here but no longer kept. Entries that are missing here too may be had from another
-        # candidate.
+        # Entries that were applied here but are no longer kept are reported as dropped. There is no answer
+        # for entries that are missing here too: another candidate may have them.
         return EntriesDropped(self.suffix.next_kept(first)) if self.applied.range_end(first) else None
--- a/myrtlecourse/spread/retransmit_requests.py
+++ b/myrtlecourse/spread/retransmit_requests.py
@@ -1,5 +1,5 @@
-"""Requests for missing entries, to the parent and then to the other candidates, each for a bounded number of
-entries."""
+"""The asking side of retransmission: requests for missing entries, to the parent and then to the other
+candidates, each for a bounded number of entries. The serving side is in `retransmit_queue.py`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     def __init__(self, retry_delay: float) -> None:
         self.retry_delay = retry_delay  # seconds without an answer before a request is repeated
         self.requested: Range | None = None
-        self.candidate_offset = 0  # candidates from the parent on that were asked without success
+        self.candidate_offset = 0  # number of candidates, the parent first, that were asked without success
         self.tries = 0
         self.retry_at = math.inf  # when to check again
 
@@ -27,13 +27,13 @@
         return candidates[(parent + self.candidate_offset) % len(candidates)] if candidates else ""
 
     def on_answer(self, now: float) -> None:
-        """A requested entry has arrived, so the node that was asked has the entries."""
+        """Record that the node that was asked has answered, so the count of tries begins anew."""
         self.tries = 0
         if self.retry_at < math.inf:
             self.retry_at = now + self.retry_delay
 
     def on_timeout(self) -> None:
-        """A request was not answered in time."""
+        """Record that a request was not answered in time; after MAX_TRIES ask the next candidate."""
         self.tries += 1
         if self.tries >= MAX_TRIES:
             self.tries, self.candidate_offset = 0, self.candidate_offset + 1
--- a/myrtlecourse/spread/send_window.py
+++ b/myrtlecourse/spread/send_window.py
@@ -4,11 +4,11 @@
 
 from collections import deque
 
-WINDOW = 1.0  # seconds  # seconds
+WINDOW = 1.0  # seconds
 
 
 class SendWindow:
-    """The datagrams sent within the last second."""
+    """The datagrams sent within the last WINDOW seconds: their times and sizes in bytes."""
 
     def __init__(self, budget: float) -> None:
         self.budget = budget
--- a/myrtlecourse/zones/agent.py
+++ b/myrtlecourse/zones/agent.py
@@ -1,4 +1,4 @@
-"""Combines one router's gossip with its part in leaving zones; no I/O and no clock.
+"""Combines one router's gossip with its part in excluding zones; no I/O and no clock.
 
 Its host, on sockets or in virtual time, calls `tick` every `gossip.TICK_INTERVAL` seconds, passes on the
 datagrams that arrive, and reports how attempts ended.
@@ -43,12 +43,12 @@
 
     datagrams: list[Datagram]
     events: list[api.Event]  # for the decision module
-    zone_exit: api.ZoneExit | None  # the one among them, if it changed
+    zone_exit: api.ZoneExit | None  # the `ZoneExit` among the events, if it changed
     changes: list[StateChange]  # for the log
 
 
 class Agent:
-    """One router's member of the gossip group, with its part in leaving zones."""
+    """One router's member of the gossip group, with its part in excluding zones."""
 
     def __init__(self, settings: AgentSettings, now: float, wall: float, seed: int) -> None:
         """Start an agent; `wall` is the Unix time in seconds.
@@ -78,7 +78,7 @@
         self.stalls = 0
 
     def reconfigure(self, settings: AgentSettings) -> None:
-        """Apply new settings, keys or members; keeps what it knows of members that stay.
+        """Apply new settings, keys or members; keep what is known of members that stay.
 
         Raises:
             ValueError: the settings are another router's, or can't be used; nothing has changed then.
@@ -138,15 +138,15 @@
         if changed or zones.returning:
             gossip.spread_urgently(now)
         events: list[api.Event] = []
-        left = zones.current_order if zones.current_order != self.last_order else None
+        zone_exit = zones.current_order if zones.current_order != self.last_order else None
         self.last_order = zones.current_order
-        if left is not None:
-            events.append(left)
+        if zone_exit is not None:
+            events.append(zone_exit)
         if (weights := self._compute_weights()) != self.zone_weights:
             self.zone_weights = weights
             events.append(api.ZonePreferences(weights))
         changes, zones.changes = zones.changes, []
-        return TickResult(datagrams, events, left, changes)
+        return TickResult(datagrams, events, zone_exit, changes)
 
     def order_zone(self, now: float, zone: str, mode: ZoneMode, seconds: float) -> None:
         """Carry out an operator's order for the whole fleet, for `seconds`.
--- a/myrtlecourse/zones/commands.py
+++ b/myrtlecourse/zones/commands.py
@@ -59,7 +59,7 @@
 @click.option("--json", "as_json", is_flag=True, help="print JSON, an object for each address")
 @click.option("--members", is_flag=True, help="show the routers as well")
 def fleet_status(places: tuple[str, ...], as_json: bool, members: bool) -> None:
-    """Show which zones the routers have left, and why, as the routers at HOST:PORT see them.
+    """Show which zones the routers have excluded, and why, as the routers at HOST:PORT see them.
 
     HOST:PORT is a router's operators' address (`ops`). The exit code is 0, or 1 when a router refuses, or 2
     when one does not answer.
--- a/myrtlecourse/zones/core.py
+++ b/myrtlecourse/zones/core.py
@@ -1,10 +1,10 @@
-"""Decides, together with the other routers, which zones the fleet leaves and when it returns to them.
+"""Decides, together with the other routers, which zones the fleet excludes and when it returns to them.
 
-The module does no I/O and reads no clock: events come in as calls, and orders for the decision module come
-out. The outcomes of attempts come from the decision module, which reports each attempt once; the counts of
-other routers come in their gossiped records. For each zone that may be left, the routers of one zone share
-one replicated register. Any router that finds, by the exit rule, that the register has to change writes its
-next value; the value with the higher epoch wins at all routers.
+The module does no I/O and reads no clock: events come in as calls, and `api.ZoneExit` events for the decision
+module come out. The outcomes of attempts come from the decision module, which reports each attempt once; the
+counts of other routers come in their gossiped records. For each zone that may be excluded, the routers of one
+zone share one replicated register, which holds the zone's state. Any router that finds, by the exit rule,
+that the register has to change writes its next value; the value with the higher epoch wins at all routers.
 """
 
 from __future__ import annotations
@@ -36,15 +36,17 @@
 MAX_NEIGHBOUR_AGE = 8.0  # seconds; the oldest record used to check isolation, which is not urgent
 ISOLATION_DELAY = 2.0  # seconds that others must reach a zone that this router does not reach
 MAX_RECORD_AGE = 2.5  # seconds after which a record's long counts are out of date
-PROBES_PER_SECOND = 3.0  # sent to a zone that is left, by all routers of one zone together
-PROBE_SPEEDUP = 4.0  # factor on the trial rate once a trial has been answered
-UNPROBED_HOLDS = 4.0  # minimum times out, after which answers to other zones' routers count as a recovery
+PROBES_PER_SECOND = 3.0  # requests sent to an excluded zone as probes, by all routers of one zone together
+PROBE_SPEEDUP = 4.0  # factor on that rate once a probe has been answered
+# Multiple of the minimum time of an exclusion, after which answers to other zones' routers suffice for a
+# return.
+UNPROBED_HOLDS = 4.0
 FLAP_RESET_AFTER = 20.0  # seconds in use, after which the next exit is not counted as flapping
 ANNOUNCE_PERIOD = 120.0  # seconds for which a register of a zone that is in use is still announced
 MAX_REGISTERS = 8  # in one record
 MAX_ZONES = 64
-NO_PEERS_GRACE = 2.0  # seconds for which a router that hears no peer keeps its last order
-ORDER_TOLERANCE = 0.25  # relative change of a number in an order that does not cause a new order
+NO_PEERS_GRACE = 2.0  # seconds for which a router that hears no peer keeps its last `ZoneExit`
+ORDER_TOLERANCE = 0.25  # relative change of a number in a `ZoneExit` that does not cause a new one
 ANSWERS_OUTWEIGHING_FAILURE = 3  # recent answers, beside which one failure need not be spread at once
 # Seconds after a stall of this process in which no outcome is counted: the stall causes timeouts.
 IGNORED_AFTER_STALL = 0.5
@@ -56,7 +58,7 @@
 
 @dataclass(slots=True)
 class Register:
-    """This router's copy of the state of one zone, as the routers of one zone see it."""
+    """This router's copy of a zone's replicated state, which applies to the routers of one zone or of all."""
 
     state: ZoneState = field(default_factory=ZoneState)
     since: float = -math.inf  # when the present value was set, on this router's clock
@@ -72,7 +74,7 @@
 
 
 class ZoneCoordinator:
-    """One router's part in leaving zones and returning to them."""
+    """One router's part in excluding zones and returning to them."""
 
     def __init__(
         self,
@@ -87,9 +89,9 @@
     ) -> None:
         """Start with all zones in use.
 
-        When a zone is left, the surviving zones get at most `spill` times the load they had. With `paced`,
-        the return to a zone goes in steps. `origin_rate` is the number of fetches a second that the origin
-        can take from the whole fleet; 0 means that it is unknown.
+        When a zone is excluded, the surviving zones get at most `spill` times the load they had. With
+        `paced`, the return to a zone goes in steps. `origin_rate` is the number of fetches a second that the
+        origin can take from the whole fleet; 0 means that it is unknown.
         """
         self.own_id = ident(name)
         self.home = ident(zone, 2)
@@ -102,20 +104,20 @@
         self.names: dict[int, str] = {self.home: zone, ident(ORIGIN, 2): ORIGIN}
         self.counts = AttemptCounts(now)
         self.ignores_until = -math.inf
-        self.keeps_order_until = -math.inf  # end of the time for which it keeps its order without peers
+        self.keeps_order_until = -math.inf  # without peers, `current_order` is kept until then
         self.registers: dict[tuple[int, int], Register] = {}  # by scope (whose routers) and zone
         self.records: list[Record] = []  # of the other routers, as of the last tick
         self.decoded: dict[int, tuple[Record, dict[int, Tally]]] = {}  # tallies in them, by owner
         self.routers = {self.home: 1}  # number of routers present, by zone
         self.fleet_size = 1
-        self.current_order = api.ZoneExit()
+        self.current_order = api.ZoneExit()  # the last one for the decision module; no operator's order
         self.changes: list[StateChange] = []
-        # since when others reach a zone that this router does not reach
+        # by zone that this router can't reach: since when others in its own zone are known to reach it
         self.unreached_since: dict[int, float] = {}
         self.isolated_from: set[int] = set()  # the zones for which that has lasted ISOLATION_DELAY
 
     def set_zone_sizes(self, sizes: Mapping[str, int]) -> None:
-        """Set how many cache servers the list names in each zone; zones that left the list stay known."""
+        """Set how many cache servers the list names in each zone; zones no longer in the list stay known."""
         self.sizes = sizes
         for name in sorted(sizes):
             if len(self.names) < MAX_ZONES:
@@ -126,14 +128,15 @@
     def attempt_ended(
         self, now: float, zone: str, reach: api.Reachability, pressed: bool = False, missed: bool = False
     ) -> bool:
-        """Count an attempt at a zone that has ended; returns whether to spread the news at once."""
+        """Count an attempt at a zone that has ended. Return whether to spread the news at once."""
         if now < self.ignores_until:
             return False
         zone_id = ident(zone, 2)
         before = self.counts.tallies(now).get(zone_id, Tally())
         self.counts.add(now, zone_id, reach, pressed, missed)
         if zone_id in self._excluded_zone_ids():
-            return reach is api.Reachability.ANSWERED and not before.answered  # the zone may have recovered
+            # A first answer is news: the excluded zone may have recovered.
+            return reach is api.Reachability.ANSWERED and not before.answered
         return (
             reach is not api.Reachability.ANSWERED
             and not before.failed
@@ -141,9 +144,9 @@
         )
 
     def process_stalled(self, now: float) -> None:
-        """Forget all counts and unordered states after a stall of this process.
+        """Discard all counts, and all states that operators have not ordered, after a stall of this process.
 
-        What it knew is out of date, and attempts that end now say nothing about other machines.
+        They are out of date, and attempts that end now say nothing about other machines.
         """
         self.counts.clear()
         self.ignores_until = now + IGNORED_AFTER_STALL
@@ -153,7 +156,8 @@
                 register.state = ZoneState()
 
     def payload(self, now: float) -> tuple[int, ...]:
-        """Return the payload of this router's next record: its tallies and the registers worth announcing."""
+        """Return the payload of this router's next record: its tallies, and the registers that are not in use
+        or have changed recently."""
         recent = [
             (key, r)
             for key, r in self.registers.items()
@@ -162,26 +166,28 @@
         recent.sort(key=lambda item: (not item[1].state.out, -item[1].since))
         registers: list[int] = []
         for (scope, zone), register in recent[:MAX_REGISTERS]:
-            left = 0 if register.order_ends == math.inf else max(1, math.ceil(register.order_ends - now))
+            seconds = 0 if register.order_ends == math.inf else max(1, math.ceil(register.order_ends - now))
             state = register.state
-            registers += [scope, zone, state.encode(), state.ordered_by, min(65_535, left)]
+            registers += [scope, zone, state.encode(), state.ordered_by, min(65_535, seconds)]
         room = MAX_PAYLOAD_SIZE - sum(map(encoded_size, registers))
         return (*encode_tallies(self.counts.tallies(now), room), *registers)
 
     def receive_record(self, now: float, record: Record) -> bool:
-        """Merge another router's record; returns whether a register changed."""
+        """Merge another router's record. Return whether a register changed."""
         tallies, rest = decode_tallies(record.payload)
         self.decoded[record.owner] = record, tallies
         changed = False
         for i in range(0, len(rest) - 4, 5):
-            scope, zone, number, by, left = rest[i : i + 5]
+            scope, zone, number, by, seconds = rest[i : i + 5]
             state = exit_rule.decode_state(number, by)
             # An operator's order names its author and has an end; no other state has either.
-            if state.ordered is bool(by and left):
-                changed |= self._merge(now, (scope, zone), state, left)
+            if state.ordered is bool(by and seconds):
+                changed |= self._merge(now, (scope, zone), state, seconds)
         return changed
 
-    def _merge(self, now: float, key: tuple[int, int], new: ZoneState, left: int) -> bool:
+    def _merge(self, now: float, key: tuple[int, int], new: ZoneState, seconds: int) -> bool:
+        """Merge a state into a register; an operator's order ends after `seconds`. Return whether it
+        changed."""
         if key not in self.registers and len(self.registers) >= MAX_ZONES:
             return False
         register = self.registers.setdefault(key, Register())
@@ -191,11 +197,11 @@
         register.state, register.since = merged, now
         self._drop_old_failures(key)
         self._return_after_order(now, key, before)
-        register.order_ends = now + left if left else math.inf
+        register.order_ends = now + seconds if seconds else math.inf
         return True
 
     def _drop_old_failures(self, key: tuple[int, int]) -> None:
-        """Forget the run of failures from before a return: it is out of date, and would end the return."""
+        """Discard the count of failures in a row from before a return, which would end the return at once."""
         scope, zone = key
         if scope == self.home and not self.registers[key].state.out:
             self.counts.failures_in_row.pop(zone, None)
@@ -203,17 +209,17 @@
     # The decision
 
     def tick(self, now: float, records: list[Record], members: dict[int, int], peers_heard: bool) -> bool:
-        """Evaluate all zones; returns whether a register changed here, which is news to spread at once.
+        """Evaluate all zones. Return whether a register changed here, which is news to spread at once.
 
-        `members` counts the routers that are present, by their zones; `peers_heard` is whether any other
+        `members` is the number of routers that are present, by zone. `peers_heard` is whether any other
         router is heard.
         """
         self.records = records
         self.routers = members
         self.fleet_size = sum(members.values())
         if not peers_heard:
-            # There is nobody to agree with: after the grace time, no zone is left, and this router leaves out
-            # single servers by itself, as one without peers does.
+            # There is nobody to agree with: after the grace time no zone is excluded, and this router bans
+            # single servers on its own, as a router without peers does.
             if now >= self.keeps_order_until:
                 self._update_order(now, frozenset(), {})
             return False
@@ -222,16 +228,16 @@
         for zone in list(self.names):
             changed |= self._apply_rule(now, zone)
         self._expire_orders(now)
-        left = frozenset(z for z in self.names if self._excludes(now, z))
+        excluded = frozenset(z for z in self.names if self._excludes(now, z))
         for zone in self.names:
-            self.returns.update(now, zone, self._state(zone), zone in left)
+            self.returns.update(now, zone, self._state(zone), zone in excluded)
         self._update_order(
-            now, left, {z: self._state(z).share for z in self.names if self._follows_return(z)}
+            now, excluded, {z: self._state(z).share for z in self.names if self._follows_return(z)}
         )
         return changed
 
     def _probe_answered(self, now: float, zone: int) -> bool:
-        """Return whether any router of this zone got an answer to a trial at a zone that is left."""
+        """Return whether any router of this zone got an answer to a probe of an excluded zone."""
         since = self.registers.get((self.home, zone), Register()).since
         return any(t.answered_long for t in self._tallies_since(now, zone, since)[0])
 
@@ -256,8 +262,8 @@
         """Return the tallies of a zone by this zone's routers and by those of other zones, without what was
         counted before `since`.
 
-        Counts from before an exit would bring all routers back at once, and counts from before a return would
-        make all of them leave again.
+        Counts from before an exclusion would make all routers return at once, and counts from before a return
+        would make all of them exclude the zone again.
         """
         same_zone = [self._clip_tally(since, now, now, self.counts.tallies(now).get(zone, Tally()))]
         other_zones: list[Tally] = []
@@ -281,7 +287,7 @@
         return tally
 
     def _apply_rule(self, now: float, zone: int) -> bool:
-        """Apply the exit rule to one zone for the routers of this zone; returns whether its state changed."""
+        """Apply the exit rule to one zone for the routers of this zone. Return whether its state changed."""
         register = self.registers.get((self.home, zone), Register())
         state = register.state
         self._check_isolation(now, zone)
@@ -291,21 +297,21 @@
                 now >= register.since + state.min_out_time
                 and self._operator_mode(zone) is not ZoneMode.ORDERED_HOLD
             )
-            # Answers to routers of other zones count only when this zone's routers have not tried for long: a
-            # partition between two zones does not show to a third.
+            # Answers to routers of other zones count only when this zone's routers have not probed the zone
+            # for long, because a partition between two zones does not show in a third.
             unprobed = now >= register.since + UNPROBED_HOLDS * state.min_out_time
             if not may_return or not (
                 exit_rule.answers_after_exit(same_zone)
                 or (unprobed and self._answered_elsewhere(same_zone, other_zones))
             ):
                 return False
-            self._begin_return(now, zone, state, "trials are answered")
+            self._begin_return(now, zone, state, "probes are answered")
             return True
         min_attempts = exit_rule.MIN_ATTEMPTS
         if state.mode is ZoneMode.BACK:
             min_attempts = exit_rule.MIN_ATTEMPTS_RETURNING
-            # Routers of other zones, which have not begun to return, still report runs of failures from
-            # before the return; these must not end it.
+            # Routers of other zones that have not begun to return still report failures in a row from before
+            # the return, which must not end it.
             other_zones = [replace(tally, failures_in_row=FAILURES_UNKNOWN) for tally in other_zones]
         own, everyone = exit_rule.sum_tallies(same_zone), exit_rule.sum_tallies(same_zone + other_zones)
         evidence = exit_rule.exit_evidence(
@@ -315,19 +321,20 @@
             return state.mode is ZoneMode.BACK and self._step_return(now, zone, register)
         calm = now - register.since > FLAP_RESET_AFTER and state.mode is ZoneMode.IN
         flaps = 1 if calm else min(exit_rule.MAX_FLAPS, state.flaps + 1)
-        left = ZoneState(state.epoch + 1, ZoneMode.OUT, flaps)
-        self._set_state(now, zone, left, self._exit_reason(evidence, evidence is own))
+        excluded = ZoneState(state.epoch + 1, ZoneMode.OUT, flaps)
+        self._set_state(now, zone, excluded, self._exit_reason(evidence, evidence is own))
         return True
 
     def _begin_return(self, now: float, zone: int, state: ZoneState, why: str) -> None:
-        """Begin the return to a zone, in steps; to the origin without steps, as routers resume one by one."""
+        """Begin the return to a zone: in steps or, to the origin, at once, as routers resume it one by
+        one."""
         mode, share = ZoneMode.IN, 0
         if self.paced and self.names.get(zone) != ORIGIN:
             mode, share = ZoneMode.BACK, pace.FIRST_SHARE
         self._set_state(now, zone, ZoneState(state.epoch + 1, mode, state.flaps, 0, share), why)
 
     def _step_return(self, now: float, zone: int, register: Register) -> bool:
-        """Take the next step of a return, forward or back, when it is due; returns whether one was taken."""
+        """Take the next step of a return, forward or back, when it is due. Return whether one was taken."""
         if self._operator_mode(zone) is ZoneMode.ORDERED_HOLD:
             self.returns.blocked_by[zone] = "an operator holds it"
             return False
@@ -355,7 +362,7 @@
         return self.decoded.get(record.owner, (record, {}))[1]
 
     def _check_isolation(self, now: float, zone: int) -> None:
-        """Notice when only this router can't reach a zone that others in its own zone reach."""
+        """Detect that this router can't reach a zone which the others in its own zone reach, and log it."""
         own = self.counts.tallies(now).get(zone, Tally())
         if own.failures_in_row < exit_rule.MIN_CONCLUSIVE_ATTEMPTS or zone in self._excluded_zone_ids():
             self.unreached_since.pop(zone, None)
@@ -400,7 +407,8 @@
             self._return_after_order(now, (scope, zone), before)
 
     def _return_after_order(self, now: float, key: tuple[int, int], before: ZoneState) -> None:
-        """Return in steps to a zone that operators had taken out: its servers may have been restarted."""
+        """Begin a return in steps when an operator's exclusion of a zone ends: its servers may have
+        restarted."""
         scope, zone = key
         ended = before.mode is ZoneMode.ORDERED_OUT and not self.registers[key].state.ordered
         if scope == ALL_ROUTERS and ended and self._state(zone).mode is ZoneMode.IN:
@@ -414,7 +422,7 @@
         return register.state.mode
 
     def _excludes(self, now: float, zone: int) -> bool:
-        """Return whether this router leaves a zone out."""
+        """Return whether this router excludes a zone."""
         ordered = self._operator_mode(zone)
         if ordered in (ZoneMode.ORDERED_OUT, ZoneMode.ORDERED_IN):
             return ordered is ZoneMode.ORDERED_OUT
@@ -423,7 +431,8 @@
             return False
         if zone in self._excluded_zone_ids():
             return True
-        # Routers that are cut off may have written the register: a zone that answers this router is not gone.
+        # The register may have been written by routers that are cut off from the zone, so a zone that answers
+        # this router stays in use.
         own = self.counts.tallies(now).get(zone, Tally())
         return not (
             own.answered and own.answered >= exit_rule.CONTRADICTING_SHARE * (own.answered + own.failed)
@@ -433,26 +442,26 @@
         zones = {ident(z, 2) for z in self.current_order.zones}
         return zones | ({ident(ORIGIN, 2)} if self.current_order.origin_unreachable else set())
 
-    def _update_order(self, now: float, left: frozenset[int], returning: Mapping[int, int]) -> None:
-        """Make a new order for the decision module if it differs from the last one: which zones are left, and
-        which share of each returning zone counts."""
+    def _update_order(self, now: float, excluded: frozenset[int], returning: Mapping[int, int]) -> None:
+        """Replace `current_order` if it differs: which zones are excluded, and which share of each returning
+        zone counts."""
         origin = ident(ORIGIN, 2)
         probe_interval = self.routers.get(self.home, 1) / PROBES_PER_SECOND
-        if any(self._probe_answered(now, n) for n in left):
+        if any(self._probe_answered(now, n) for n in excluded):
             probe_interval /= PROBE_SPEEDUP  # the zone may have recovered: more answers decide it sooner
-        zones = frozenset(self.names[n] for n in left if n != origin)
+        zones = frozenset(self.names[n] for n in excluded if n != origin)
         forced = frozenset(
-            self.names[n] for n in left if n != origin and self._operator_mode(n) is ZoneMode.ORDERED_OUT
+            self.names[n] for n in excluded if n != origin and self._operator_mode(n) is ZoneMode.ORDERED_OUT
         )
         before = self.current_order
         if abs(probe_interval - before.trial_interval) <= ORDER_TOLERANCE * before.trial_interval:
-            probe_interval = before.trial_interval  # one router more or less does not make a new order
+            probe_interval = before.trial_interval  # one router more or less causes no new `ZoneExit`
         routers = {self.names.get(number, ""): count for number, count in self.routers.items()}
         spill = self.tiers.spill_bound(self.spill, self.names[self.home], self.sizes, zones, routers)
         if abs(spill - before.spill_limit) <= ORDER_TOLERANCE * before.spill_limit and zones == before.zones:
             spill = before.spill_limit
         shares = {self.names[n]: share / FULL_SHARE for n, share in returning.items()}
-        origin_excluded = self.leave_origin and origin in left
+        origin_excluded = self.leave_origin and origin in excluded
         order = api.ZoneExit(zones, origin_excluded, forced, spill, probe_interval, shares, self.paced)
         if order != before and any(
             (o.zones or o.origin_unreachable or o.return_shares) for o in (order, before)
--- a/myrtlecourse/zones/exit_rule.py
+++ b/myrtlecourse/zones/exit_rule.py
@@ -1,10 +1,12 @@
-"""The rule that decides, from merged evidence, whether a zone is left; no I/O and no clock.
-
-The rule tells apart a zone that one router can't reach, one that the routers of a zone can't reach, and one
-that nobody reaches. It looks only at sums over the routers' records, and the state before is itself a value
-that merges, so routers that have received the same records decide the same. Its thresholds for leaving and
-for returning lie apart (hysteresis), and a zone that is left several times in a row stays out for longer each
-time.
+"""The rule that decides, from the evidence of all routers, whether a zone is excluded; no I/O and no clock.
+
+Excluding a zone means that nothing is sent to its servers but a few requests as probes. The rule
+distinguishes a zone that a single router can't reach, one that the routers of some zone can't reach, and one
+that no router can reach. It depends only on sums over the routers' gossiped counts and on the zone's previous
+state. That state is replicated as well: each router holds a copy in a register, and of two copies the same
+one wins at every router. So routers that have received the same records decide the same. Between the shares of failed
+attempts at which a zone is excluded and at which it is returned to lies a gap (hysteresis), and a zone that
+is excluded several times in a row stays excluded for longer each time.
 """
 
 from __future__ import annotations
@@ -15,33 +17,40 @@
 
 from myrtlecourse.zones.tallies import Tally
 
-# Share of failed attempts at which a zone is unreachable. Half a zone's servers, or slow servers, fail fewer.
+# Share of failed attempts at which a zone is unreachable. The share stays lower when half of a zone's servers
+# have failed, or when its servers are slow, so that such a zone stays in use.
 UNREACHABLE_SHARE = 0.8
 RECOVERED_SHARE = 0.6  # share of answered attempts at which a zone has recovered
 MIN_ATTEMPTS = 5  # attempts needed for a decision, by all routers of the zone or the fleet together
-MIN_ATTEMPTS_RETURNING = 3  # the same for a zone that is being returned to, which gets few attempts
-MIN_CONCLUSIVE_ATTEMPTS = 3  # answered trials needed for a return
+MIN_ATTEMPTS_RETURNING = 3  # the same during a return to a zone, while it gets few attempts
+# Answered attempts needed for a return, or for a zone's own evidence to prevail over the fleet's; also the
+# failures in a row at one router that suggest that only this router can't reach a zone.
+MIN_CONCLUSIVE_ATTEMPTS = 3
 MIN_RECENT_ANSWERS = 2  # recent answers that suffice for a return when no recent attempt failed
-MIN_FAILURES_IN_ROW = (
-    2  # failures in a row that make a run at one router: single answers are late now and then
-)
-MIN_WITNESSES = 2  # routers that must have seen the failures: a single one may be cut off itself
-CONTRADICTING_SHARE = 0.5  # share of a router's own attempts answered, at which it ignores the others' exit
-MIN_OUT = 2.0  # minimum seconds out, doubled each time the zone is left again
-MAX_FLAPS = 4
-FULL_SHARE = 64  # parts into which a zone's points on the ring are divided
-ALL_ROUTERS = 0  # scope of a register that is valid for the routers of every zone
+# Failures in a row after which a router counts as failing to reach a zone; a single answer may just be late.
+MIN_FAILURES_IN_ROW = 2
+MIN_WITNESSES = 2  # routers that must have seen the failures, as a single router may be cut off itself
+# Share of a router's own attempts at which, when they are answered, it goes on to use a zone that others
+# exclude.
+CONTRADICTING_SHARE = 0.5
+MIN_OUT = 2.0  # minimum seconds of an exclusion, doubled with each further exclusion in a row
+MAX_FLAPS = 4  # exclusions in a row up to which that time is doubled
+# During a return, a zone's share of its points on the ring is an integer from 1 to FULL_SHARE, which means
+# all.
+FULL_SHARE = 64
+ALL_ROUTERS = 0  # scope of a register that applies to the routers of every zone
 
 
 class ZoneMode(Enum):
-    """The mode of a zone, for the routers of one zone; operators order the last three."""
+    """How the routers of one zone use another zone. The rule sets the first three modes, operators the
+    others."""
 
-    IN = 0
-    BACK = 1  # being returned to in steps, each a share of its points
-    OUT = 2
-    ORDERED_OUT = 3
+    IN = 0  # in use
+    BACK = 1  # a return is under way, in steps that each use a share of the zone's points
+    OUT = 2  # excluded
+    ORDERED_OUT = 3  # excluded whatever the evidence says
     ORDERED_IN = 4  # in use whatever the evidence says
-    ORDERED_HOLD = 5  # a return takes no further step
+    ORDERED_HOLD = 5  # neither a return nor its next step begins
 
 
 class ZoneHealth(Enum):
@@ -63,8 +72,9 @@
     refused: int = 0
     silent: int = 0
     witnesses: int = 0  # routers that saw the zone fail, by more than a single late answer
-    failures_in_row: int = 0  # failures since the last answer, summed over the routers with a run of them
-    routers_failing: int = 0  # routers with such a run
+    # failures since the last answer, summed over the routers with at least MIN_FAILURES_IN_ROW of them
+    failures_in_row: int = 0
+    routers_failing: int = 0  # number of these routers
     routers_answered: int = 0  # routers whose last attempt was answered
     answered_short: int = 0  # attempts answered within the short window
     answered_long: int = 0  # attempts answered within the long window
@@ -117,15 +127,14 @@
 def is_witness(failed: int, answered: int, failures_in_row: int) -> bool:
     """Return whether a router has seen a zone fail: most of its attempts failed, or all of its last few.
 
-    Otherwise the many failures of one router that is cut off, and a single late answer at another, would
-    suffice to leave a zone.
+    A router with few failures does not count: otherwise the many failures of one router that is cut off,
+    together with a single late answer at another, would suffice to exclude a zone.
     """
     return failed > 0 and (failed > answered or failures_in_row >= MIN_FAILURES_IN_ROW)
 
 
 def last_outcomes(tallies: list[Tally]) -> tuple[int, int, int, int, int]:
-    """Return the last five fields of `Evidence`: failures in a row, the routers that have such runs, the
-    routers whose last attempt was answered, and the answers in the short and in the long window."""
+    """Return the last five fields of `Evidence`, from `failures_in_row` to `answered_long`."""
     runs = [t.failures_in_row for t in tallies if t.failures_in_row >= MIN_FAILURES_IN_ROW]
     answered = sum(t.failures_in_row == 0 and (t.answered_long > 0 or t.answered > 0) for t in tallies)
     short, long = sum(t.answered for t in tallies), sum(t.answered_long for t in tallies)
@@ -133,7 +142,7 @@
 
 
 def is_unreachable(evidence: Evidence, members: int, min_attempts: int = MIN_ATTEMPTS) -> bool:
-    """Return whether enough of the `members` routers fail to reach a zone."""
+    """Return whether enough routers fail to reach a zone; `members` is the number of routers that could."""
     needed = min(MIN_WITNESSES, members)
     if (
         evidence.failed >= min_attempts
@@ -141,8 +150,8 @@
         and evidence.failed_share >= UNREACHABLE_SHARE
     ):
         return True
-    # Each router bans failing servers by itself and so makes few attempts. Then it suffices that the last
-    # attempts of nearly all routers failed, and that none was answered recently.
+    # Each router bans failing servers on its own, and then makes too few attempts for the test above. So it
+    # also suffices that the last attempts of nearly all routers failed, and that none was answered recently.
     most = evidence.routers_failing >= needed and evidence.routers_failing >= UNREACHABLE_SHARE * (
         evidence.routers_failing + evidence.routers_answered
     )
@@ -150,14 +159,14 @@
 
 
 def is_recovered(evidence: Evidence) -> bool:
-    """Return whether enough attempts are answered."""
+    """Return whether enough attempts at an excluded zone, and a large enough share of them, are answered."""
     return (
         evidence.answered >= MIN_CONCLUSIVE_ATTEMPTS and evidence.answered >= RECOVERED_SHARE * evidence.total
     )
 
 
 def answers_after_exit(tallies: Iterable[Tally]) -> bool:
-    """Return whether a zone that was left answers again, given only counts from after the exit."""
+    """Return whether an excluded zone answers again; the tallies must only cover time since its exclusion."""
     each = list(tallies)
     short = sum_short(each)
     return (short.answered >= MIN_RECENT_ANSWERS and not short.failed) or is_recovered(sum_long(each))
@@ -177,11 +186,12 @@
 def exit_evidence(
     own: Evidence, everyone: Evidence, members: int, fleet: int, min_attempts: int = MIN_ATTEMPTS
 ) -> Evidence | None:
-    """Return the evidence for which the routers of one zone should leave another, or None to stay.
+    """Return the evidence that requires the routers of one zone to exclude another zone, or None.
 
-    The routers' own evidence decides. Where they have too few attempts of their own, the evidence of the
-    whole fleet decides. So only those routers leave a zone that a partition cuts off from it, and all leave
-    a dead zone.
+    `own` is the evidence of these routers, of which there are `members`, and `everyone` that of all `fleet`
+    routers. Their own evidence decides; where they have made too few attempts, the fleet's does. So a
+    partition makes only those routers exclude a zone that it cuts off from the zone, and a dead zone is
+    excluded by all.
     """
     if is_unreachable(own, members, min_attempts):
         return own
@@ -191,13 +201,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ZoneState:
-    """The value of a zone's register: the later value wins, in whatever order values arrive."""
+    """The state of a zone as it is replicated among routers; see `merged` for which of two values wins."""
 
     epoch: int = 0  # grows with each change
     mode: ZoneMode = ZoneMode.IN
-    flaps: int = 0  # number of exits in a row
+    flaps: int = 0  # number of exclusions in a row
     ordered_by: int = 0  # router at which an operator ordered the mode; 0: no order
-    share: int = 0  # of FULL_SHARE: points that count during a return
+    share: int = 0  # points that count during a return, as a part of FULL_SHARE
 
     @property
     def out(self) -> bool:
@@ -209,12 +219,15 @@
 
     @property
     def min_out_time(self) -> float:
-        """The minimum number of seconds that the zone stays out."""
+        """The minimum number of seconds for which the zone stays excluded."""
         return float(MIN_OUT * 2 ** max(0, self.flaps - 1))
 
     def merged(self, other: ZoneState) -> ZoneState:
-        """Return the value that wins of two: the one of the later epoch; of two of the same epoch, an ordered
-        one, then one that is out, then the one with the smaller share."""
+        """Return the value that wins of two, whatever the order in which they arrive.
+
+        The higher epoch wins, then the later mode in `ZoneMode` (so that an order prevails over the rule, and
+        an exclusion over a return), then the smaller share, more flaps, and the higher `ordered_by`.
+        """
         return max(self, other, key=lambda s: (s.epoch, s.mode.value, -s.share, s.flaps, s.ordered_by))
 
     def encode(self) -> int:
@@ -223,7 +236,10 @@
 
 
 def decode_state(number: int, by: int) -> ZoneState:
-    """Return the state that a record's number stands for; a mode that this version lacks is read as IN."""
+    """Return the state that a record's number stands for, with `by` as its `ordered_by`.
+
+    A mode that this version does not know is read as IN.
+    """
     mode = ZoneMode(number & 7) if number & 7 < len(ZoneMode) else ZoneMode.IN
     return ZoneState(
         number >> 13, mode, min(MAX_FLAPS, number >> 3 & 7), by, min(FULL_SHARE, number >> 6 & 127)
--- a/myrtlecourse/zones/pace.py
+++ b/myrtlecourse/zones/pace.py
@@ -22,11 +22,14 @@
 MAX_RETURN_TIME = 60.0  # seconds after which a return ends without proof, leaving the rest to slow start
 MIN_ANSWERS = 5  # answers needed for any conclusion
 MIN_ROUTERS_SHARE = 0.5  # share of the fleet's routers that must have been heard since the step
-OVERLOAD_MARGIN = 0.1  # excess of the zone's share of overloaded answers over the others' that stops steps
-STEP_BACK_MARGIN = 0.3  # excess at which a step is taken back
-MISS_MARGIN = 0.2  # excess of its share of misses at which moved keys are taken to be fetched anew
-ORIGIN_OVERLOAD_SHARE = 0.1  # share of the origin's answers that are overloaded that stops steps
-COMPLETE_FROM = 58  # of FULL_SHARE: a step that gets here takes the rest as well
+# By how much the returning zone's share of overloaded answers may exceed that of the other zones: above the
+# first margin no step is taken, above the second one the last step is taken back.
+OVERLOAD_MARGIN = 0.1
+STEP_BACK_MARGIN = 0.3
+# By how much its share of misses may exceed that of the others; above, its servers lack the moved keys.
+MISS_MARGIN = 0.2
+ORIGIN_OVERLOAD_SHARE = 0.1  # share of overloaded answers of the origin above which no step is taken
+COMPLETE_FROM = 58  # of FULL_SHARE: a step that reaches this share goes on to FULL_SHARE at once
 COLD_STEP = 4  # of FULL_SHARE: a step when the origin must fetch the moved keys at an unknown capacity
 ORIGIN_USABLE_SHARE = 0.9  # of the origin's capacity: the rest absorbs random bursts of arrivals
 
@@ -35,7 +38,8 @@
 class ReturnView:
     """What the fleet has counted since the last step, as far as this router has heard; rates are per second.
 
-    An answer is overloaded when it was a refusal for overload, or slower than its router wants.
+    An answer counts as overloaded when it is a refusal for overload, or slower than its router's target
+    latency.
     """
 
     answered: int = 0  # answers of the returning zone
@@ -90,8 +94,8 @@
 
 
 def is_proven(age: float, view: ReturnView) -> bool:
-    """Return whether the servers bear the last step: enough of the fleet has seen it, or nobody has seen the
-    contrary for long enough."""
+    """Return whether the servers bear the last step: nothing blocks the next one, and there are enough
+    answers from enough of the fleet's routers, or enough time has passed."""
     enough = view.answered >= MIN_ANSWERS and view.routers_share >= MIN_ROUTERS_SHARE
     return age >= MIN_STEP_TIME and not blocking_reason(view) and (enough or age >= RELAXED_PROOF_AFTER)
 
--- a/myrtlecourse/zones/returns.py
+++ b/myrtlecourse/zones/returns.py
@@ -1,5 +1,5 @@
-"""One router's state of the returns under way: it sums what the fleet has counted since the last step, from
-which the next step follows. No I/O and no clock."""
+"""The returns to zones that are under way, as one router sees them: sums what the fleet has counted since the
+last step, and derives the next step from it. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 LONG_WINDOW = PERIOD * LONG_PERIODS  # seconds
 # Seconds that the short counts cover on average: the current period is not over.
 MEAN_SHORT_WINDOW = PERIOD * (SHORT_PERIODS - 0.5)
-MAX_REPORT_AGE = 1.0  # seconds for which another router's counts stand for its present traffic
+MAX_REPORT_AGE = 1.0  # seconds for which another router's counts are taken for its present traffic
 
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """What one router had counted at a given time."""
+    """What one router had counted at the time `made_at`."""
 
-    home: int  # its zone
+    home: int  # the router's zone
     made_at: float
     tallies: Mapping[int, Tally]
 
@@ -43,11 +43,13 @@
         self.origin_id = origin_id
         self.origin_rate = origin_rate
         self.began_at: dict[int, float] = {}  # by zone that is being returned to
-        self.never_excluded: set[int] = set()  # zones that others left while this router still reached them
+        self.never_excluded: set[int] = (
+            set()
+        )  # zones that others excluded while this router still reached them
         self.blocked_by: dict[int, str] = {}  # by zone: why the next step is not taken, for operators
 
     def update(self, now: float, zone: int, state: ZoneState, excluded: bool) -> None:
-        """Note a zone's state, and whether this router leaves the zone out like the others."""
+        """Record a zone's state, and whether this router excludes the zone like the others."""
         if state.mode is ZoneMode.OUT:
             self.began_at.pop(zone, None)
             (self.never_excluded.discard if excluded else self.never_excluded.add)(zone)
@@ -116,7 +118,7 @@
         share = pace.next_share(before.share, age, view, self.origin_rate)
         self.blocked_by[zone] = pace.blocking_reason(view)
         seen = f"{view.answered} answers, {view.overloaded} overloaded, {view.misses} missed"
-        # The servers must bear the last step like the others.
+        # After the last step, too, the servers must first prove that they bear the load.
         proven = before.share >= FULL_SHARE and pace.is_proven(age, view)
         if proven or now - self.began_at.get(zone, now) >= pace.MAX_RETURN_TIME:
             return ZoneState(before.epoch + 1, ZoneMode.IN, before.flaps), f"the return is complete ({seen})"
--- a/myrtlecourse/zones/tallies.py
+++ b/myrtlecourse/zones/tallies.py
@@ -15,8 +15,8 @@
 SHORT_PERIODS = 2  # periods in the short window, which suffices in a fleet with much traffic
 LONG_PERIODS = 8  # periods in the long window, for little traffic
 MAX_COUNT = 127  # largest count in a record: it takes one byte
-FAILURES_UNKNOWN = -1  # value of failures_in_row where the record is out of date
-FAILURES_TTL = 4.0  # seconds after its last failure for which a run of failures is remembered
+FAILURES_UNKNOWN = -1  # value of `failures_in_row` where the record is out of date
+FAILURES_TTL = 4.0  # seconds after the last failure for which failures in a row are remembered
 MAX_ZONES = 16  # in one record
 
 
@@ -31,7 +31,9 @@
     refused_long: int = 0
     silent_long: int = 0
     failures_in_row: int = 0  # since the last answer
-    overloaded: int = 0  # answers that were a refusal for overload, or slower than the router wants
+    overloaded: int = (
+        0  # answers that were a refusal for overload, or slower than the router's target latency
+    )
     misses: int = 0  # answers that the key is missing
     overloaded_long: int = 0
     misses_long: int = 0
@@ -60,7 +62,7 @@
 
 
 class AttemptCounts:
-    """One router's own counts."""
+    """One router's own counts of its attempts, by zone and period."""
 
     def __init__(self, now: float) -> None:
         self.current_period = int(now / PERIOD)
@@ -68,7 +70,7 @@
         self.periods_by_zone: dict[int, list[list[int]]] = {}
         self.failures_in_row: dict[
             int, tuple[int, float]
-        ] = {}  # by zone: length of the run, and time of its last failure
+        ] = {}  # by zone: the number of failures since the last answer, and the time of the last one
 
     def _advance(self, now: float) -> None:
         """Drop the periods that are out of the long window."""
@@ -92,12 +94,12 @@
         if reach is Reachability.ANSWERED:
             self.failures_in_row.pop(zone, None)
         else:
-            # Runs are kept beside the counts because each router bans failing servers by itself, before its
-            # counts suffice for a decision.
+            # Failures in a row are kept in addition to the counts, because each router bans failing servers
+            # on its own before its counts suffice for a decision.
             self.failures_in_row[zone] = self.failures_in_row.get(zone, (0, now))[0] + 1, now
 
     def tallies(self, now: float) -> dict[int, Tally]:
-        """Return the sums of each zone that has any."""
+        """Return the tally of each zone at which there were attempts lately."""
         self._advance(now)
         found = {}
         self.failures_in_row = {
@@ -113,13 +115,13 @@
         return found
 
     def clear(self) -> None:
-        """Forget everything, as it can't be trusted."""
+        """Discard all counts, which can't be trusted after a stall."""
         self.periods_by_zone.clear()
         self.failures_in_row.clear()
 
 
 def encode_tallies(tallies: dict[int, Tally], room: int) -> tuple[int, ...]:
-    """Return tallies as the numbers of a record: the number of zones, then each zone with its counts.
+    """Encode tallies as the numbers of a record: the number of zones, then each zone with its counts.
 
     The zones with most failures come first, as many as fit into `room` bytes.
     """
--- a/myrtlecourse/zones/tiers.py
+++ b/myrtlecourse/zones/tiers.py
@@ -1,7 +1,7 @@
 """Tiers of preference among zones: a router's own zone, the zones of its region, and all others; no I/O.
 
 Weights are factors on a server's size on the ring, so that the ring's own walk goes on to the next tier when
-a nearer one is left. The load that may move then is bounded over the whole fleet, although routers of
+a nearer one is excluded. The load that may move then is bounded over the whole fleet, although routers of
 different zones lose different shares of their load.
 """
 
@@ -34,7 +34,7 @@
         return self.own_region if same_region else self.elsewhere
 
     def lost_share(self, home: str, sizes: Mapping[str, float], left: frozenset[str]) -> float:
-        """Return the share of their load that the routers of zone `home` send to the zones that are left."""
+        """Return the share of their load that the routers of zone `home` send to the excluded zones."""
         sizes_for_home = {zone: size * self.weight(home, zone) for zone, size in sizes.items()}
         total = sum(sizes_for_home.values())
         return sum(sizes_for_home[zone] for zone in left if zone in sizes_for_home) / total if total else 0.0
