--- a/myrtlecourse/net/clients.py
+++ b/myrtlecourse/net/clients.py
@@ -21,17 +21,18 @@
     from myrtlecourse.net.listener import Listener
 
 MAX_COMMAND = MAX_VALUE + MAX_KEY + MAX_INFO + 4096  # bytes buffered for an incomplete command
-UNRESERVED_COMMAND = 64 * 1024 + MAX_KEY + MAX_INFO + 4096  # bytes; a longer command needs reserved memory
+# bytes above which a command needs reserved memory
+UNRESERVED_COMMAND = 64 * 1024 + MAX_KEY + MAX_INFO + 4096
 RESERVATION_TIMEOUT = 1.0  # seconds for which a long value may wait for memory
-MAX_PARTS = 16  # of a command
+MAX_PARTS = 16  # parts of a command
 MAX_PIPELINED = 32  # unanswered commands per connection
 MAX_FAST_PATH = 4096  # bytes that are parsed on the fast path
 LINGER_TIME = 0.5  # seconds for which a half-closed connection is still read, so that its last answer arrives
 MAX_DISCARDED = 256 * 1024  # bytes read in that time, as a faulty client could go on sending at full speed
 ERROR_PAUSE = 0.1  # seconds for which a connection is not read after an error
-RECENT_READ = (
-    0.05  # seconds after a read from which on the client may have hung up unnoticed, as the loop lags
-)
+# Seconds after a client's command was read, within which it is assumed not to have hung up. After that, the
+# kernel is asked, because a lagging event loop notices the end of a connection late.
+RECENT_READ = 0.05
 # offsets of 32-bit fields in Linux's tcp_info
 RTO_OFFSET = 8  # retransmission timeout in microseconds
 LAST_DATA_OFFSET = 52  # milliseconds since data was last received
@@ -73,8 +74,8 @@
         self.arrived_at = connection.listener.loop.time() - connection.socket_wait
         self.request_id: str | None = None
         self.answer: bytes | None = None
-        self.source: Exchange | None = None  # of a streamed answer
-        self.chunks: list[bytes] = []  # of the streamed answer, while it waits for the answers before it
+        self.source: Exchange | None = None  # the source of a streamed answer
+        self.chunks: list[bytes] = []  # chunks of a streamed answer that waits for the answers before it
         self.counted_in_windows = False  # whether `StreamWindows` counts its stream
         self.reserved_bytes = 0  # memory reserved for its command
 
@@ -159,7 +160,7 @@
         self.listener = listener
         self.reader = Reader(MAX_PARTS, MAX_VALUE, MAX_COMMAND)
         self.slots: deque[AnswerSlot] = deque()
-        self.command_count = 0  # complete ones that have arrived
+        self.command_count = 0  # complete commands that have arrived
         self.socket_wait = 0.0  # seconds for which the latest bytes lay in the socket
         self.reading = True
         self.writable = True
@@ -179,7 +180,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self.half_closed:
-            # never executed: the client can't be answered and retries elsewhere
+            # The input is never executed: the client can't be answered and retries elsewhere.
             self.discarded_bytes += len(data)
             if self.discarded_bytes > MAX_DISCARDED:
                 self.abort(CloseReason.UNEXPECTED_BYTES)
@@ -212,7 +213,8 @@
 
     def _process_buffer(self) -> None:
         try:
-            # protects the cache servers: nobody waits for what a client that has hung up left in the buffer
+            # Commands that a client left in the buffer before it hung up are not executed: nobody waits for
+            # them, and they would only load the cache servers.
             if self.check_connected():
                 self._process_whole_commands()
         except Exception:
@@ -283,7 +285,8 @@
         refusal = None
         if isinstance(parts, list) and 4 <= len(parts) <= 5 and isinstance(info := parts[3], bytes):
             refusal = self.host.refuse_early(info, self.socket_wait)
-            # a fast path, as refusals take time of a saturated core from other requests, and most are retried
+            # This fast path exists because refusals take a saturated core's time from other requests, and
+            # most of them are retried.
             if refusal is not None and not self.slots and self.reading and not self.no_more_commands:
                 self._release_reservation()
                 self.transport.write(refusal)
@@ -305,7 +308,8 @@
             self.host.accept(command, slot, self.socket_wait)
         except CommandError as e:
             slot.request_id = None
-            # protects the other clients: one that sends errors at full speed would occupy the core
+            # The connection is not read for a while: a client that sends errors at full speed would take the
+            # core from the others.
             self.paused_after_error = True
             self.listener.paused_after_error[self] = None
             asyncio.get_running_loop().call_later(ERROR_PAUSE, self._end_error_pause)
@@ -347,7 +351,7 @@
     def close_with_error(self, error: str) -> None:
         """Answer with an error and close, as the beginning of the next command is unknown."""
         self.no_more_commands = True
-        # bounds memory: input that arrives before the earlier answers are sent is of no use
+        # Input that arrives until the earlier answers are sent is of no use, and would take memory.
         self._update_reading()
         self.reader.buffer.clear()
         self._release_reservation()
@@ -389,9 +393,10 @@
             self.listener.loop.call_later(LINGER_TIME, self.transport.abort)
 
     def check_connected(self, recently_read: bool = True) -> bool:
-        """Return whether the client has not hung up, as the event loop reports that only at its next poll.
+        """Return whether the client is still connected; a hang-up that the event loop has not reported yet
+        counts.
 
-        Asks the kernel if the connection is not being read, or has not been read recently.
+        The kernel is asked if the connection is not being read, or has not been read recently.
         """
         if not self.client_left and not (recently_read and self.reading) and has_hung_up(self.descriptor):
             self.on_hang_up()
--- a/myrtlecourse/net/clock.py
+++ b/myrtlecourse/net/clock.py
@@ -10,10 +10,9 @@
 from collections import deque
 from collections.abc import Callable
 
-MIN_STEP = (
-    0.05  # seconds; a smaller change of the wall clock against the monotonic one is slewing, not a step
-)
-MAX_OFFSETS = 16  # kept
+# seconds; a smaller change of the wall clock against the monotonic clock is slewing, not a step
+MIN_STEP = 0.05
+MAX_OFFSETS = 16  # number of offsets that are kept
 
 
 class Clock:
@@ -25,7 +24,7 @@
         self.wall_time = wall_time
         self.monotonic_time = monotonic_time
         self.offset = wall_time() - monotonic_time()
-        # of the wall clock from the monotonic clock, before and after each step; the latest is the last
+        # the offsets of the wall clock from the monotonic clock: at the start, and after each step
         self.offsets: deque[float] = deque([self.offset], MAX_OFFSETS)
 
     def now(self) -> float:
@@ -47,11 +46,11 @@
         return len(self.offsets) > 1
 
     def start_on_this_clock(self, since: float) -> float:
-        """Return when something started on this clock that by another machine started at `since`.
+        """Return on this clock the time that another machine gave as `since`, the start of a server.
 
         `since` is Unix time in seconds; 0 means long ago and stays 0. Whether it was read before or after a
-        step is not known, so the latest possible time is returned, but not a time in the future. A server
-        that started later than believed would be taken for warm.
+        step of the wall clock is not known, so the latest possible time is returned, but not one in the
+        future: with too early a time, a server that has just started would be taken for warm.
         """
         if since <= 0:
             return 0.0
--- a/myrtlecourse/net/command.py
+++ b/myrtlecourse/net/command.py
@@ -11,7 +11,8 @@
 MAX_INFO = 1024
 MAX_DEADLINE_MS = 600_000
 VISIBLE_ASCII = re.compile(rb"[!-~]+")
-# paths of the origin itself, and dot segments, which URL parsers remove: as keys they would be other requests
+# Paths of the origin itself, and dot segments, which URL parsers remove: as keys, these would become requests
+# for something else.
 RESERVED_KEYS = (b".", b"..", b"stats", b"health/live")
 
 
@@ -60,9 +61,9 @@
     """Parse the names and values that follow the request id.
 
     Raises:
-        CommandError: they are malformed.
+        CommandError: the names and values are malformed.
     """
-    # protects the origin: a line break would be forwarded as another header or request
+    # A line break would be forwarded to the origin as another header or request.
     if len(text) > MAX_INFO or not VISIBLE_ASCII.fullmatch(text):
         raise CommandError("names and values must be visible ASCII, 1024 bytes at most")
     info: dict[str, str] = {}
@@ -97,7 +98,8 @@
         raise CommandError("request id must be visible ASCII, 64 bytes at most")
     info = read_info(parts[3])
     deadline = info.get("d", "")
-    # bounds how long a request is kept: memory would otherwise fill with requests answered long ago
+    # The limit bounds how long a request is kept: with distant deadlines, memory would fill with requests
+    # that were answered long ago.
     if not deadline.isdigit() or len(deadline) > 9 or int(deadline) > MAX_DEADLINE_MS:
         raise CommandError("d must be a whole number of milliseconds, 600000 at most")
     value = parts[4] if verb == b"C.SET" else None
--- a/myrtlecourse/net/connection.py
+++ b/myrtlecourse/net/connection.py
@@ -20,11 +20,12 @@
     from myrtlecourse.net.pool import Pool
 
 ANSWER_TIMEOUT = 0.1  # seconds for the rest of an answer that has begun; servers send an answer at once
-# seconds without data of a long answer of which nothing has been forwarded: another server may still answer
+# Seconds without data after which a long answer is given up while nothing of it has been forwarded: another
+# server may still answer.
 STREAM_START_TIMEOUT = 0.3
-# the same once the client has its first bytes, when the only alternative is an incomplete answer
+# The same once bytes have been forwarded to the client: giving up would leave it with an incomplete answer.
 STREAM_STALL_TIMEOUT = 3.0
-READ_SIZE = 64 * 1024  # bytes read at once, and so held for a client that does not read its long answer
+READ_SIZE = 64 * 1024  # bytes read at once, which are kept while a client does not read its long answer
 MIN_STREAM_START = 16 * 1024  # bytes of a long answer that must have arrived before any is forwarded
 log = logging.getLogger(__name__)
 rate_limited_log = RateLimitedLog(log)
@@ -47,13 +48,13 @@
     """The owner of an attempt, which receives a long answer in chunks instead of as a whole value."""
 
     def may_start(self) -> bool:
-        """Return whether the request may still be sent; asked if it is sent later than decided."""
+        """Return whether the request may still be sent; asked when it had to wait for a connection."""
 
     def time_left(self) -> float:
-        """Return the seconds for which the router will wait from now on."""
+        """Return the seconds for which the router will wait for the answer."""
 
-    def write_time_left(self) -> float:
-        """Return the seconds within which the last byte of the request has to be written."""
+    def send_time_left(self) -> float:
+        """Return the seconds within which the last byte of the request must be sent."""
 
     def begin_stream(self, length: int, source: Exchange) -> bool:
         """Begin a streamed value of `length` bytes; return False if it is no longer wanted."""
@@ -63,7 +64,10 @@
 
 
 class Exchange:
-    """An attempt on the network; it ends once, by calling `on_finished` or by being abandoned."""
+    """One request to a server and its answer; ends once, by calling `on_finished` or by being abandoned.
+
+    It waits for a connection, is written, and receives the answer. Its owner is the `AnswerReceiver`.
+    """
 
     __slots__ = ("command", "connection", "on_finished", "open", "receiver", "time_left")
 
@@ -122,7 +126,7 @@
             self.connection.drop(CloseReason.ABANDONED)
 
 
-# shared by all connections: what one has read is copied out before the next one reads
+# The buffer is shared by all connections: what one has read is copied out before the next one reads.
 read_buffer = memoryview(bytearray(READ_SIZE))
 
 
@@ -139,7 +143,8 @@
         self.connected = False
         self.answer_timer: asyncio.TimerHandle | None = None  # limits the time of an answer that has begun
         self.idle_since = 0.0
-        self.stream_length = 0  # of a long value that has begun; `decode` sets it and fills `chunks`
+        # length of the long value that is being received, or 0; `decode` sets it and appends to `chunks`
+        self.stream_length = 0
         self.chunks: list[bytes] = []
         self.streaming = False  # whether chunks have been forwarded to the client
         self.progressed = False  # whether data has arrived since the answer timer was last checked
@@ -170,15 +175,15 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(Transport, transport)
-        # so that `resume_writing` is called when the last byte has been passed to the kernel
+        # With a limit of 0, `resume_writing` is called when the last byte has been passed to the kernel.
         self.transport.set_write_buffer_limits(high=0)
         self.connected = True
         self.pool.connections.add(self)
         self.pool.dial_ended(self.address)
         self.input_poll = select.poll()
         self.input_poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
-        # here, and not after the dial returns: a dial cancelled in between would leave a connection without
-        # an owner, and enough of those would exhaust the budget
+        # The exchange starts here, and not after the dial returns: a dial cancelled in between would leave a
+        # connection without an owner, and enough of those would exhaust the budget.
         exchange, self.first_exchange = self.first_exchange, None
         if exchange is None or not exchange.check_still_wanted():
             self.pool.release(self)
@@ -194,7 +199,7 @@
         try:
             data = self.encode(exchange.command, exchange.time_left)
         except Exception:
-            # protects the router: a request that can't be encoded ends its connection and attempt only
+            # A request that can't be encoded must only end its own connection and attempt.
             log.exception("could not encode a request to %s", self.address)
             self.drop(CloseReason.INTERNAL_ERROR)
             exchange.finish(Status.CONNECT_FAILED)
@@ -206,14 +211,16 @@
         self.exchange = exchange
         self.written = False
         self.transport.write(data)
-        # prevents a second effect: `write` also returns if bytes were buffered or the write failed
+        # `write` also returns if bytes were buffered or the write failed. Only a request of which the last
+        # byte has been written may have been executed, and must not be sent again as if it had not been.
         self.written = not self.transport.is_closing() and not self.transport.get_write_buffer_size()
         if not self.written and exchange.receiver is not None:
-            self._limit_write_time(exchange, exchange.receiver.write_time_left())
+            self._limit_write_time(exchange, exchange.receiver.send_time_left())
         return True
 
     def _limit_write_time(self, exchange: Exchange, seconds: float) -> None:
-        """Limit the time for writing a request: if it ends too late, servers no longer recognise a repeat."""
+        """Limit the time for writing a request: one that ends too late is no longer recognised as a
+        repeat."""
         if seconds < math.inf:
             asyncio.get_running_loop().call_later(max(0.0, seconds), self._drop_late_write, exchange)
 
@@ -231,7 +238,7 @@
         self.written = True
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        # bounds memory: what has been read of a long answer is held until its client reads it
+        # The size bounds memory: what has been read of a long answer is kept until its client reads it.
         return read_buffer[: self.pool.windows.size()] if self.stream_length else read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
@@ -297,7 +304,7 @@
 
     def data_received(self, data: bytes) -> None:
         exchange = self.exchange
-        if exchange is None:  # unexpected bytes: the next answer could not be told apart from them
+        if exchange is None:  # unexpected bytes, which could not be distinguished from the next answer
             self.drop(CloseReason.UNEXPECTED_BYTES)
             return
         try:
@@ -305,7 +312,7 @@
             if self.stream_length and not self._forward_chunks(exchange):
                 return
         except Exception as e:
-            # protects the router: whatever a server sends ends its connection only
+            # Whatever a server sends must only end its own connection.
             self._reject_answer(exchange, e)
             return
         if answer is None:
--- a/myrtlecourse/net/discovery.py
+++ b/myrtlecourse/net/discovery.py
@@ -25,7 +25,7 @@
 # seconds after an answer without changes, so that an agent that never waits is not polled in a busy loop; a
 # request more than 200 ms after the last answer would be a new watch, which is queued
 EMPTY_PAUSE = 0.05
-ENTRIES_PER_ITERATION = 64  # of a list, which take about a millisecond
+ENTRIES_PER_ITERATION = 64  # entries of a list parsed at once, which takes about a millisecond
 log = logging.getLogger(__name__)
 
 
@@ -37,7 +37,7 @@
     """Return a field of the given type.
 
     Raises:
-        ListError: it is missing or has another type.
+        ListError: the field is missing or has another type.
     """
     value = table.get(name)
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
@@ -49,7 +49,7 @@
     """Parse an entry of a list.
 
     Raises:
-        ListError: it is malformed.
+        ListError: the entry is malformed.
     """
     if not isinstance(entry, dict):
         raise ListError(f"{path} is not an object")
@@ -94,7 +94,7 @@
     """Parse the header of a list, but not its entries.
 
     Raises:
-        ListError: it is malformed.
+        ListError: the header is malformed.
     """
     if not isinstance(message, dict):
         raise ListError(f"{path or 'list'} is not an object")
@@ -112,14 +112,15 @@
     """Return the index of a list, whether it is a full one, and its entries.
 
     Raises:
-        ListError: it is malformed.
+        ListError: the list is malformed.
     """
     header = read_header(message, path)
     return header.index, header.is_full, header.read_members(0, len(header.entries))
 
 
 async def read_list_in_steps(message: Any, path: str = "") -> tuple[int, bool, list[Member]]:
-    """Do the same with a few entries per iteration of the event loop, which serves requests in between."""
+    """Do the same as `read_list` with a few entries per iteration of the event loop, which serves requests in
+    between."""
     header = read_header(message, path)
     members = header.read_members(0, ENTRIES_PER_ITERATION)
     for start in range(ENTRIES_PER_ITERATION, len(header.entries), ENTRIES_PER_ITERATION):
@@ -136,9 +137,9 @@
     and another one opened and answered, well before `ASSUMED_DELIVERY` has passed.
     """
 
-    poll_time: float  # for which discovery may hold a request while there are no changes
-    answer_margin: float  # in addition
-    queue_time: float  # in addition, for the first request of a watch
+    poll_time: float  # how long discovery may hold a request while there are no changes
+    answer_margin: float  # additional time for the answer
+    queue_time: float  # additional time for the first request of a watch
 
     @classmethod
     def from_settings(cls, settings: api.Settings) -> WatchTimeouts:
@@ -170,7 +171,8 @@
         timeouts: WatchTimeouts,
     ) -> None:
         self.address = address
-        self.index = index  # of the current list; None if there is none, or from another discovery
+        # index of the current list; None if there is none, or it is from another discovery
+        self.index = index
         self.on_list = on_list
         self.on_failure = on_failure
         self.timeouts = timeouts
@@ -197,23 +199,24 @@
                 index, is_full, members = await self._request_list(queue_time)
                 self.last_answer_at = time.monotonic()
                 self.on_list(api.ListKind.FULL if is_full else api.ListKind.DELTA, members)
-                self.index = index  # only now: a list that could not be applied has to be sent again
+                # set only now, because a list that could not be applied has to be sent again
+                self.index = index
                 queue_time = 0.0
                 if not members:
                     await asyncio.sleep(EMPTY_PAUSE)
         except Exception as e:
-            # whatever went wrong is reported to the decision module, which would otherwise never ask again
+            # Any failure is reported to the decision module, which would otherwise never ask again.
             known = isinstance(e, (OSError, HttpError, ListError, orjson.JSONDecodeError))
             level, elapsed = logging.WARNING if known else logging.ERROR, time.monotonic() - started_at
             log.log(level, "discovery request failed after %.3f s: %s", elapsed, repr(e)[:200])
-        # a cancelled watch ends above and reports nothing, as another one may have begun
+        # A cancelled watch has ended above and reports nothing, as another one may have begun.
         self.watch_task = None
         self.on_failure()
 
     async def _request_list(self, queue_time: float) -> tuple[int, bool, list[Member]]:
         timeouts = self.timeouts
         poll_time = 0.0 if self.index is None else timeouts.poll_time
-        # a silent discovery has to be noticed soon: its changes are assumed to be known after a while
+        # A silent discovery must be detected soon, because its changes are assumed to be known after a while.
         async with asyncio.timeout(queue_time + poll_time + timeouts.answer_margin):
             reader, writer = await asyncio.open_connection(*parse_address(self.address))
             try:
--- a/myrtlecourse/net/flow_control.py
+++ b/myrtlecourse/net/flow_control.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 DEFAULT_BUDGET = 16 * 1024 * 1024  # bytes, unless the configuration gives the available memory
-MEMORY_SHARE = 1 / 5  # of a process's memory, for each direction
+MEMORY_SHARE = 1 / 5  # share of a process's memory that each direction may use
 MAX_WINDOW = 64 * 1024  # bytes of one stream in each of its two buffers; as much as is read at once
 MIN_WINDOW = 4 * 1024
 
@@ -67,7 +67,7 @@
     def stop_waiting(self, client: ReservationWaiter) -> None:
         """Remove a client from the queue."""
         self.waiting = deque(each for each in self.waiting if each[0] is not client)
-        self._grant_waiting()  # it may have been ahead of smaller values
+        self._grant_waiting()  # the client may have been ahead of others with smaller values
 
     def _grant_waiting(self) -> None:
         while self.waiting and self._fits(self.waiting[0][1]):
--- a/myrtlecourse/net/hangup.py
+++ b/myrtlecourse/net/hangup.py
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         self.poller = select.poll()
-        self.connections: dict[int, UnreadConnection] = {}  # by descriptor
+        self.connections: dict[int, UnreadConnection] = {}  # the monitored connections, by descriptor
         self.timer: asyncio.TimerHandle | None = None
 
     def add(self, connection: UnreadConnection) -> None:
--- a/myrtlecourse/net/host.py
+++ b/myrtlecourse/net/host.py
@@ -1,7 +1,7 @@
 """Hosts the decision module: provides its clock and timers and keeps the table of requests and attempts.
 
-Turns what happens on sockets into events and carries out the resulting actions in order. All decisions are
-made in `policy.Router`.
+The host turns what happens on sockets into events and carries out the resulting actions in order. All
+decisions are made in `policy.Router`.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 from myrtlecourse.net.timers import Timers
 from myrtlecourse.policy import Router
 
-# seconds before the client's deadline, which counts from its send: the network takes at most 1.3 ms in each
-# direction and this process 1.4 ms at the 99th percentile; the rest allows for a core busy with other
-# processes
+# Seconds before the client's deadline at which the router stops waiting. The deadline counts from the
+# client's send: the network takes at most 1.3 ms in each direction and this process 1.4 ms at the 99th
+# percentile; the rest allows for a core busy with other processes.
 DEADLINE_MARGIN = 0.02
 MIN_ID_MEMORY = 2.0  # seconds; the id of an ended request is not accepted again for at least this long
 MAX_STREAM_OVERRUN = 60.0  # seconds after the deadline for which a streamed answer may go on, however slowly
-MAX_DIGITS = 12  # of a number in a command's names and values
+MAX_DIGITS = 12  # digits of a number in a command's names and values
 FAILED_ANSWER = b"-ERR failed\r\n"
 LATE_ANSWER_LOGGED = 0.1  # seconds after its deadline from which on a final answer is logged as late
 log = logging.getLogger(__name__)
@@ -70,7 +70,7 @@
         self.members: dict[str, Member] = {}
         self.offline_servers: set[str] = set()  # servers that operators took offline
         self.requests: dict[str, RequestInFlight] = {}
-        self.recent_ids: set[str] = set()  # of ended requests
+        self.recent_ids: set[str] = set()  # ids of ended requests
         self.older_ids: set[str] = set()  # the generation before
         self.id_generation_started_at = self.clock.now()
         self.ended_requests: list[str] = []  # ids of requests that may be removable
@@ -96,8 +96,8 @@
                     self._carry_out(action)
         finally:
             self.handling = False
-            # not earlier: the module may still ask for an attempt of a request that it has just ended; that
-            # attempt is cancelled before sending
+            # Ended requests are removed only now: the module may still ask for an attempt of a request that
+            # it has just ended, which is then cancelled before sending.
             for request_id in self.ended_requests:
                 self._remove_ended(request_id)
             self.ended_requests.clear()
@@ -135,10 +135,11 @@
         )
 
     def discovery_moved(self) -> None:
-        """Handle that the list comes from another discovery from now on."""
+        """Handle that the list of servers comes from another discovery service from now on."""
         self.post(api.DiscoveryChanged())
 
     def discovery_failed(self) -> None:
+        """Handle that a request to discovery has failed."""
         self.post(api.ServerList(api.ListKind.FAILED))
 
     def submit_list(self, kind: api.ListKind, members: list[Member]) -> None:
@@ -161,8 +162,8 @@
         try:
             self.list_updates.apply_next_batch()
         except Exception:
-            # protects drains: the decision module, which may have applied only a part, gets the full list
-            # again
+            # The decision module may have applied only a part, and would go on to use servers that drain. It
+            # gets the full list again.
             log.exception("could not apply a batch of the server list; sending the full list again")
             loop.call_soon(self._resend_list)
         self.batch_scheduled = self.list_updates.pending
@@ -252,6 +253,7 @@
             self.router.observer.servers_listed(Counter(zones))
 
     def _is_origin(self, member: Member) -> bool:
+        """Return whether a member is an origin; the router uses one itself only with `cache_aside`."""
         return self.settings.cache_aside and member.entry.kind == self.settings.origin_kind
 
     def _pool_of(self, member: Member) -> Pool:
@@ -304,14 +306,15 @@
             CommandError: the request can't be accepted.
         """
         request_id = command.request_id.decode()
-        # two requests with one id would get each other's answers; and a client that repeats the id of a
-        # request that has just ended could be served with the answer of another client
+        # Two requests with one id would get each other's answers. And a client that repeats the id of a
+        # request that has just ended could be served with the answer of another client.
         if request_id in self.requests or request_id in self.recent_ids or request_id in self.older_ids:
             raise CommandError("this request id is in use")
         request_class = self.settings.classes.get(command.info.get("c", ""))
         if request_class is None:
             raise CommandError("class is unknown")
-        # prevents a second effect: servers recognise a repeated request by its idempotency key
+        # Servers recognise a repeated request by its idempotency key; without it, a repeat would be executed
+        # again.
         if request_class.effect is api.Effect.KEYED and not command.info.get("k"):
             raise CommandError("k is missing")
         time_left = max(0.0, command.deadline_ms / 1000 - DEADLINE_MARGIN - read_delay)
@@ -330,7 +333,7 @@
             request_class.name,
             time_left,
             command.key.decode("latin-1"),
-            # a longer number could be too large for a float
+            # A number with more digits could be too large for a float.
             int(hint) / 1e6 if hint.isdigit() and len(hint) <= MAX_DIGITS else None,
             command.is_write,
             read_delay,
@@ -349,13 +352,14 @@
     def _on_deadline(self, request_id: str) -> None:
         """Time out the open attempts of a request at its deadline."""
         request = self.requests[request_id]
-        # a streamed answer whose first bytes were in time goes on as fast as its server sends and its client
-        # reads, but only for a limited time
-        streaming = None if request.deadline_passed else request.streaming
+        # A streamed answer whose first bytes were in time goes on as fast as its server sends and its client
+        # reads, but only for a limited time.
+        streaming = None if request.deadline_passed else request.streaming_attempt
         request.deadline_passed = True
         if streaming is not None:
             request.deadline_timer = self.timers.call_later(MAX_STREAM_OVERRUN, self._on_deadline, request_id)
-        # a copy: the decision module may answer the request, and so end its attempts, meanwhile
+        # The loop needs a copy: the decision module may answer the request, and so end its attempts,
+        # meanwhile.
         for attempt in list(request.open_attempts.values()):
             if attempt is not streaming:
                 self._time_out(attempt)
@@ -366,10 +370,10 @@
         if request is not None and not request.closed:
             self._mark_answered(request, request_id)
             self._log_answer(request, answer, reason)
-            if request.streaming is None:
+            if request.streaming_attempt is None:
                 request.answer_sink.send(answer)
             else:
-                # in the middle of a value, an answer would be read as a part of it
+                # In the middle of a value, another answer would be read as a part of that value.
                 request.answer_sink.abort_stream()
 
     def _log_answer(self, request: RequestInFlight, answer: bytes, reason: api.Reason) -> None:
@@ -442,21 +446,21 @@
         request, member = attempt.request, self.members.get(attempt.server)
         if request.closed or request.deadline_passed or member is None or not member.entry.ready:
             return False
-        # the first attempt repeats nothing and so is never too late for duplicate detection
-        late = request.attempts_started > 1 and self.clock.now() >= attempt.write_deadline
+        # The first attempt repeats nothing, and so is never too late for duplicate detection.
+        late = request.attempts_started > 1 and self.clock.now() >= attempt.send_deadline
         return (
             not late and attempt.server not in self.offline_servers and request.answer_sink.client_connected()
         )
 
     def begin_stream(self, request: RequestInFlight, attempt: Attempt, length: int, source: Exchange) -> bool:
         """Stream an attempt's long answer to the client, unless another answer has begun or been sent."""
-        if request.closed or request.streaming is not None:
+        if request.closed or request.streaming_attempt is not None:
             self.finish_attempt(request, attempt, api.Status.CANCELLED)
             return False
         attempt.stream_started_at = self.clock.now()
         if attempt.timeout_timer is not None:
             attempt.timeout_timer.cancel()
-        request.streaming = attempt
+        request.streaming_attempt = attempt
         request.answer_sink.begin_stream(length, source)
         self.post(api.Streaming(request.request_id, attempt.number, self.loop_lag.estimated_wait()))
         return True
@@ -483,9 +487,9 @@
             return
         if attempt.timeout_timer is not None:
             attempt.timeout_timer.cancel()
-        attempt.exchange = None  # breaks a reference cycle, which would keep both until a garbage collection
+        attempt.exchange = None  # breaks a reference cycle, which would last until a garbage collection
         request_id = request.request_id
-        if request.streaming is attempt:
+        if request.streaming_attempt is attempt:
             if not request.closed:
                 self._mark_answered(request, request_id)
                 (
@@ -496,8 +500,8 @@
         elif status is api.Status.OK:
             self._answer(request_id, b"$%d\r\n%b\r\n" % (len(value), value))
         self.ended_requests.append(request_id)
-        # excludes the wait for a saturated core, and for a client that reads a long answer slowly: they would
-        # count as the server's latency and lower its concurrency limit
+        # The latency excludes waits for a saturated core and for a client that reads a long answer slowly:
+        # they would count as the server's latency and lower its concurrency limit.
         ended_at = attempt.stream_started_at or self.clock.now()
         latency = max(0.0, ended_at - attempt.sent_at - self.loop_lag.estimated_wait())
         if self.request_log.enabled:
--- a/myrtlecourse/net/http.py
+++ b/myrtlecourse/net/http.py
@@ -57,7 +57,7 @@
         self.head_expected = True
         self.head: h11.Response | None = None
         self.body = bytearray()
-        self.streamed_length = 0  # of a body that is appended to `chunks`
+        self.streamed_length = 0  # length of a body that is appended to `chunks`, or 0
         self.chunks: list[bytes] = []
 
     def request(
@@ -116,7 +116,7 @@
         return Response(status, headers, b""), int(length), match.end()
 
     def _without_load_report(self, data: bytes) -> bytes:
-        """Return complete heads without their load reports, and what follows them.
+        """Return complete heads without their load reports, followed by the bytes after them.
 
         The load report is not used, and a malformed one would invalidate a good answer.
         """
@@ -179,7 +179,7 @@
     def _begin_body(self, status: int, length: int) -> None:
         if length <= self.max_body:
             return
-        # bounds memory: a body announced as too long is rejected before it arrives
+        # A body announced as too long is rejected before it arrives, which bounds memory.
         if status != 200 or length > self.max_streamed:
             raise HttpError(f"body of {length} bytes is too long")
         self.streamed_length = length
--- a/myrtlecourse/net/in_flight.py
+++ b/myrtlecourse/net/in_flight.py
@@ -1,4 +1,8 @@
-"""Requests in flight, their attempts, and the destination of each request's single answer."""
+"""Requests in flight, their attempts on the network, and the destination of each request's single answer.
+
+The decision module keeps records of its own of requests and attempts (`policy.state`); the two sides identify
+them by the request's id and the attempt's number.
+"""
 
 from __future__ import annotations
 
@@ -21,23 +25,28 @@
         """Send a whole answer."""
 
     def begin_stream(self, length: int, source: Exchange) -> None:
-        """Begin a streamed value of `length` bytes; `source` can be paused and resumed."""
+        """Begin a streamed value of `length` bytes; `source` is the attempt's exchange with the server, which
+        can be paused and resumed."""
 
     def write_chunk(self, data: bytes) -> None:
         """Send the next bytes of the streamed value."""
 
     def end_stream(self) -> None:
-        """End the streamed value, which is complete."""
+        """End the streamed value, all of which has been sent."""
 
     def abort_stream(self) -> None:
-        """End the streamed value, which stays incomplete, so that the client can tell."""
+        """End the streamed value before it is complete; the closed connection shows the client that it is
+        not."""
 
     def client_connected(self) -> bool:
-        """Return whether the client has not hung up, even while its connection is not read."""
+        """Return whether the client is still connected; works even while its connection is not read."""
 
 
 class Attempt:
-    """An attempt of a request that has no outcome yet."""
+    """An attempt on the network, from the decision to send it until its outcome is known.
+
+    It receives the answer from its `Exchange` as that one's `AnswerReceiver`.
+    """
 
     __slots__ = (
         "deadline",
@@ -45,44 +54,51 @@
         "host",
         "number",
         "request",
+        "send_deadline",
         "sent_at",
         "server",
         "stream_started_at",
         "timeout_timer",
-        "write_deadline",
     )
 
     def __init__(
-        self, host: Host, request: RequestInFlight, sent_at: float, server: str, write_deadline: float | None
+        self, host: Host, request: RequestInFlight, sent_at: float, server: str, send_deadline: float | None
     ) -> None:
         self.host = host
         self.request = request
         self.number = request.attempts_started
         self.sent_at = sent_at
         self.server = server
-        # on the host's clock; the request has to be written by then
-        self.write_deadline = math.inf if write_deadline is None else write_deadline
-        self.deadline = request.deadline  # the router does not wait for an answer after this
+        # The time on the router's clock (`net.clock`) by which the last byte of the request must be sent:
+        # from then on servers may no longer recognise it as a repeat of an earlier attempt.
+        self.send_deadline = math.inf if send_deadline is None else send_deadline
+        self.deadline = request.deadline  # until when the router waits for the answer
         self.stream_started_at = 0.0  # when a streamed answer began; 0 if none has
         self.exchange: Exchange | None = None
         self.timeout_timer: Timer | None = None
 
     def finish(self, status: api.Status, value: bytes) -> None:
+        """Record the outcome; the value of a streamed answer is empty."""
         self.host.finish_attempt(self.request, self, status, value)
 
     def may_start(self) -> bool:
+        """Return whether the request may still be sent, as the attempt may have waited for a connection."""
         return self.host.may_start(self)
 
     def time_left(self) -> float:
+        """Return the seconds for which the router will wait for the answer."""
         return self.deadline - self.host.clock.now()
 
-    def write_time_left(self) -> float:
-        return self.write_deadline - self.host.clock.now()
+    def send_time_left(self) -> float:
+        """Return the seconds within which the last byte of the request must be sent."""
+        return self.send_deadline - self.host.clock.now()
 
     def begin_stream(self, length: int, source: Exchange) -> bool:
+        """Begin to stream a value of `length` bytes to the client; return False if it is no longer wanted."""
         return self.host.begin_stream(self.request, self, length, source)
 
     def write_chunk(self, data: bytes) -> None:
+        """Forward a chunk of the streamed value, unless the request is closed."""
         if not self.request.closed:
             self.request.answer_sink.write_chunk(data)
 
@@ -101,7 +117,7 @@
         "open_attempts",
         "request_id",
         "settings",
-        "streaming",
+        "streaming_attempt",
     )
 
     def __init__(
@@ -113,13 +129,15 @@
         answer_sink: AnswerSink,
     ) -> None:
         self.request_id = request_id
-        self.settings = settings  # those in force when the request began
+        self.settings = settings  # the settings in force when the request began
         self.command = command
         self.deadline = deadline
         self.answer_sink = answer_sink
         self.deadline_timer: Timer | None = None
-        self.attempts_started = 0  # including those that have ended
-        self.closed = False  # answered, or the client has disconnected
-        self.deadline_passed = False
-        self.streaming: Attempt | None = None  # the attempt whose answer is streamed to the client
+        self.attempts_started = 0  # number of attempts, including those that have ended; also numbers them
+        # whether the whole answer has been handed to `answer_sink` or the client has disconnected; attempts
+        # may still be open then
+        self.closed = False
+        self.deadline_passed = False  # from then on no attempt is started
+        self.streaming_attempt: Attempt | None = None  # the attempt whose answer is streamed to the client
         self.open_attempts: dict[int, Attempt] = {}
--- a/myrtlecourse/net/list_updates.py
+++ b/myrtlecourse/net/list_updates.py
@@ -56,7 +56,7 @@
         self.current_members = current_members
         self.apply = apply
         self.queue: deque[ListUpdate] = deque()
-        self.batches: deque[list[Member]] = deque()  # of the update that is being applied
+        self.batches: deque[list[Member]] = deque()  # the rest of the update that is being applied
 
     @property
     def pending(self) -> bool:
@@ -67,7 +67,7 @@
         """Apply a short update at once if none is pending; else queue it for `apply_next_batch`."""
         entries = len(update.members)
         if update.kind is not api.ListKind.DELTA:
-            entries += len(self.current_members())  # a full list may end each of these
+            entries += len(self.current_members())  # a full list may remove each of these
         if self.pending or entries > BATCH_SIZE:
             self.queue.append(update)
         else:
--- a/myrtlecourse/net/listener.py
+++ b/myrtlecourse/net/listener.py
@@ -40,15 +40,15 @@
     }
 )
 ACCEPT_PAUSE = 0.1  # seconds after a failed accept, so that a lack of descriptors causes no busy loop
-# seconds for a command to arrive: a good client may take 2, and a faulty one has to be answered within 3
+# seconds for a command to arrive: a correct client may take 2, and a faulty one has to be answered within 3
 COMMAND_TIMEOUT = 2.6
 VALUE_STALL_TIMEOUT = 1.0  # seconds within which more of a value must arrive after that
 IDLE_TIMEOUT = 2.0  # seconds after which an idle connection may be closed
 SINGLE_COMMAND_IDLE_TIMEOUT = (
-    0.1  # the same for a client that has sent a single command, while there are many
+    0.1  # seconds after which the connection of a client that has sent a single command may be closed
 )
 FIRST_COMMAND_GRACE = 0.05  # seconds for a new client's first command, however many connections there are
-DRAIN_FIRST_COMMAND_GRACE = 0.5  # the same while this process ends or is drained
+DRAIN_FIRST_COMMAND_GRACE = 0.5  # seconds for it while this process ends or is drained
 SWEEP_INTERVAL = 0.1  # seconds between checks of the time limits
 LOGGED_LOOP_LAG = 0.05  # seconds of event loop lag, found at such a check, from which on it is logged
 # seconds for which clients still connect after the router goes out of service, which the front proxy notices
@@ -80,7 +80,7 @@
         self.descriptors = descriptors or DescriptorBudget(budget)
         self.descriptors.add(self)
         self.connections: dict[ClientConnection, None] = {}
-        self.lingering: dict[ClientConnection, None] = {}  # those that are half-closed, the oldest first
+        self.lingering: dict[ClientConnection, None] = {}  # half-closed connections, the oldest first
         self.evicted: set[ClientConnection] = set()  # aborted; their descriptors are about to become free
         self.hang_up_monitor = HangUpMonitor()  # for connections that are not read
         self.stopping = False  # this process ends: connections without open requests are closed
@@ -130,7 +130,7 @@
                     if not await self._accept_one():
                         break
             except OSError as e:
-                # protects the router: without this task no client would ever be accepted again
+                # Without this task no client would ever be accepted again, so an error must not end it.
                 rate_limited_log.log(logging.WARNING, "could not accept a client: %s", e)
                 await asyncio.sleep(ACCEPT_PAUSE)
 
@@ -159,20 +159,21 @@
             return False
         except OSError as e:
             self.consecutive_accept_failures += 1
-            # prevents a busy loop if the error turns out to be permanent
+            # If the error turns out to be permanent, the caller's pause prevents a busy loop.
             if e.errno not in SINGLE_CLIENT_ERRORS or self.consecutive_accept_failures % MAX_ACCEPTS == 0:
                 raise
             rate_limited_log.log(logging.INFO, "a client's connection ended before it was accepted: %s", e)
             return True
         self.consecutive_accept_failures = 0
         if self.holds_address is not None and not self.holds_address():
-            # this process was suspended and has lost the service address: the client came for its holder
+            # This process was suspended and has lost the service address; the client meant its present
+            # holder.
             client.close()
             return True
         try:
             client.setblocking(False)
-            # otherwise the system delays small answers until the one before is acknowledged; event loops set
-            # this option only on sockets created with an explicit protocol
+            # Without this option the system delays small answers until the one before is acknowledged; event
+            # loops set it only on sockets created with an explicit protocol.
             client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except OSError as e:
             rate_limited_log.log(logging.INFO, "a client's connection ended as it was accepted: %s", e)
@@ -209,7 +210,8 @@
                 self._evict(next(iter(self.lingering)))
                 continue
             after_error = (c for c in self.paused_after_error if not c.slots and not c.no_more_commands)
-            # only a few are checked: asking the kernel about each, for each new client, took 10% of a core
+            # Only a few connections are checked: asking the kernel about each, for each new client, took 10%
+            # of a core.
             late_first = (
                 c
                 for c, since in islice(self.awaiting_command.items(), MAX_CANDIDATES)
@@ -258,7 +260,7 @@
             for slot, since in list(self.stalled_answers.items()):
                 if now - since < STALLED_ANSWER_TIMEOUT:
                     break
-                # frees the server's connection and the memory if the client no longer exists
+                # If the client no longer exists, this frees the server's connection and the memory.
                 slot.connection.abort(CloseReason.ANSWER_NOT_READ)
             surplus = len(self.connections) - len(self.lingering) - self.budget // 2
             for connection, since in list(self.idle.items()):
@@ -294,7 +296,7 @@
 
     def update_state(self, connection: ClientConnection) -> None:
         """Update whether a connection is idle, awaits a command or has open requests."""
-        # a connection that has ended must not be entered: it has no socket to poll
+        # A connection that has ended must not be entered, because it has no socket to poll.
         if connection not in self.connections:
             return
         busy = (
@@ -387,11 +389,12 @@
             await asyncio.sleep(accept_time)
         for task in self.tasks if self.drain_task is None else [*self.tasks, self.drain_task]:
             task.cancel()
-        if self.socket.fileno() >= 0:  # otherwise `stop` has been called before
+        if self.socket.fileno() >= 0:  # the socket is closed if `stop` has been called before
             asyncio.get_running_loop().remove_reader(self.socket.fileno())
         self.socket.close()
         loop = asyncio.get_running_loop()
-        # refuses what clients still send on open connections, as the process could be killed before answering
+        # Commands that clients still send on open connections are refused, as the process could be killed
+        # before it has answered them.
         self.stopping = True
         self.host.set_answer_deadline(time_limit - (loop.time() - started_at))
         with suppress(TimeoutError):
--- a/myrtlecourse/net/origin.py
+++ b/myrtlecourse/net/origin.py
@@ -23,7 +23,7 @@
         self.http_client = HttpClient(address, MAX_BUFFERED_ANSWER, pool.max_streamed)
 
     def encode(self, command: Command, time_left: float) -> bytes:
-        # all but unreserved characters are escaped, so that no key can form another path or a query
+        # All but unreserved characters are escaped, so that no key can form another path or a query.
         target = "/" + quote_from_bytes(command.key, safe="")
         headers = [(b"Request-Id", command.request_id), (b"Request-Info", command.encode_info(time_left))]
         return self.http_client.request("PUT" if command.is_write else "GET", target, headers, command.value)
@@ -43,13 +43,14 @@
         try:
             response = self.http_client.receive(b"")
         except HttpError:
-            return None  # within an announced length: `connection_lost` handles it
+            return None  # the answer ended before its announced length; `connection_lost` handles that
         return None if response is None else self._answer_of(response)
 
     def _answer_of(self, response: Response) -> Answer:
         if response.status == 200:
             return Status.OK, response.body
-        # prevents a second effect: if more bytes follow, it is unclear which of them answer this request
+        # If more bytes follow, it is unclear which of them answer this request; then it must not be reported
+        # as not executed, or a repeat could execute it twice.
         not_started = (
             not self.http_client.has_trailing_bytes()
             and response.status in (503, 504)
--- a/myrtlecourse/net/pool.py
+++ b/myrtlecourse/net/pool.py
@@ -15,13 +15,13 @@
 from myrtlecourse.net.flow_control import StreamWindows
 from myrtlecourse.net.request_log import CloseReason
 
-IDLE_MARGIN = 0.5  # seconds before the server may close an idle connection from which on it is not used
+IDLE_MARGIN = 0.5  # an idle connection is closed so many seconds before its server may close it
 # errors of socket() and connect() that say nothing about the server: this machine lacks descriptors, ports or
 # memory
 LOCAL_SHORTAGE_ERRORS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EAGAIN}
 )
-MAX_DIALS_PER_ADDRESS = 16  # concurrent; handshakes are work for a server, above all one just started
+MAX_DIALS_PER_ADDRESS = 16  # concurrent dials; handshakes are work for a server, above all one just started
 MAX_STREAMED_ANSWER = 4 * 1024 * 1024  # bytes of a long answer, unless configured
 
 
@@ -52,11 +52,11 @@
         self.descriptors.add(self)
         self.connections: set[Connection] = set()
         self.dials: set[asyncio.Task[None]] = set()
-        self.dial_counts: dict[str, int] = {}  # by address: the dials that have not connected yet
+        self.dial_counts: dict[str, int] = {}  # by address: the number of dials that have not connected yet
         # by address: the exchanges that wait for a connection, each with the server process it is for
         self.wait_queues: dict[str, deque[tuple[object, Exchange]]] = {}
         self.idle: dict[Connection, None] = {}  # the longest idle first
-        self.idle_by_address: dict[str, dict[Connection, None]] = {}  # the same, for each address
+        self.idle_by_address: dict[str, dict[Connection, None]] = {}  # the same connections, by address
         self.idle_timer: asyncio.TimerHandle | None = None  # closes connections that are idle for too long
         self.set_timeouts(dial_timeout, server_idle_timeout)
 
@@ -64,7 +64,8 @@
         """Set how long a dial may take, and how long servers keep an idle connection (in seconds)."""
         self.dial_timeout = dial_timeout
         self.idle_time = max(0.0, server_idle_timeout - IDLE_MARGIN)
-        # the timer was set with the previous time and could fire after the servers have closed connections
+        # The timer was set with the previous timeout and could fire after the servers have closed
+        # connections.
         if self.idle_timer is not None:
             self.idle_timer.cancel()
             self._close_expired()
@@ -87,7 +88,8 @@
             if connection.start_exchange(exchange):
                 return exchange
         if self.dial_counts.get(address, 0) >= MAX_DIALS_PER_ADDRESS:
-            # protects the server from a burst of handshakes: a dial or an answer frees a connection soon
+            # The exchange waits, which spares the server a burst of handshakes: a dial or an answer soon
+            # provides a connection.
             self.wait_queues.setdefault(address, deque()).append((process, exchange))
         else:
             self._start_dial(address, process, exchange)
@@ -95,7 +97,8 @@
 
     def _start_dial(self, address: str, process: object, exchange: Exchange) -> None:
         if not self._has_room():
-            # without descriptors, no new clients could be accepted either; this is not the server's fault
+            # Nothing is dialled when no descriptor is free: then no client could be accepted either. The
+            # server is not to blame, hence NOT_SENT.
             exchange.finish(Status.NOT_SENT)
             return
         dial = asyncio.create_task(self._dial(address, process, exchange))
@@ -105,9 +108,9 @@
 
     def dial_ended(self, address: str) -> None:
         """Handle that a dial has succeeded or failed, and start the next one if an exchange waits."""
-        left = self.dial_counts[address] - 1
-        if left:
-            self.dial_counts[address] = left
+        remaining = self.dial_counts[address] - 1
+        if remaining:
+            self.dial_counts[address] = remaining
         else:
             del self.dial_counts[address]
         waiting = self._next_waiting(address)
@@ -143,7 +146,8 @@
                     lambda: connection, *parse_address(address)
                 )
         except OSError as e:  # including a timeout
-            # if connected, the request may have been sent, and the end of the connection decides its outcome
+            # Once connected, the request may have been sent, and the end of the connection decides its
+            # outcome.
             if not connection.connected:
                 status = Status.NOT_SENT if e.errno in LOCAL_SHORTAGE_ERRORS else Status.CONNECT_FAILED
                 self._fail_waiting(address, status)
@@ -202,9 +206,9 @@
         self.idle_timer = None
         now = time.monotonic()
         for connection in list(self.idle):
-            left = connection.idle_since + self.idle_time - now
-            if left > 0:
-                self.idle_timer = asyncio.get_running_loop().call_later(left, self._close_expired)
+            remaining = connection.idle_since + self.idle_time - now
+            if remaining > 0:
+                self.idle_timer = asyncio.get_running_loop().call_later(remaining, self._close_expired)
                 return
             connection.drop(CloseReason.IDLE)
 
--- a/myrtlecourse/net/rate_limited_log.py
+++ b/myrtlecourse/net/rate_limited_log.py
@@ -5,7 +5,7 @@
 import logging
 import time
 
-LINES_PER_PERIOD = 5  # of each kind
+LINES_PER_PERIOD = 5  # lines of each kind
 PERIOD = 1.0  # seconds
 
 
--- a/myrtlecourse/net/resp.py
+++ b/myrtlecourse/net/resp.py
@@ -13,8 +13,8 @@
 
 MAX_LINE = 1024  # bytes of an error line or simple string
 MAX_NUMBER = 20  # bytes of a number or length
-MAX_DEPTH = 4  # of nested arrays
-MAX_FAST_PATH_PARTS = 8  # of a command that is parsed on the fast path
+MAX_DEPTH = 4  # levels of nested arrays
+MAX_FAST_PATH_PARTS = 8  # parts of a command that is parsed on the fast path
 INTEGER = re.compile(rb"-?[0-9]{1,19}")
 LENGTH = re.compile(rb"-1|[0-9]{1,10}")
 
@@ -129,12 +129,12 @@
         if length < 0:
             return None, start
         end = start + length
-        # bounds memory: a string announced as too long is rejected before it arrives
+        # A string announced as too long is rejected before it arrives, which bounds memory.
         if length > self.max_bulk or end > self.max_message:
             raise RespError("string is too long")
         self.announced_size = end + 2
         terminator = self.buffer[end : end + 2]
-        # a wrong length would give another value, and the bytes after it would not be a message
+        # With a wrong length, the value would be a different one, and the bytes after it would be no message.
         if terminator != b"\r\n"[: len(terminator)]:
             raise RespError("length does not fit")
         if len(terminator) < 2:
@@ -145,7 +145,7 @@
         count, start = self._number(LENGTH, start)
         if count < 0:
             return None, start
-        # bounds memory and stack depth for arrays that are announced but never arrive
+        # The limits bound memory and stack depth for arrays that are announced but never arrive.
         if count > self.max_items or depth >= MAX_DEPTH:
             raise RespError("array is too long or too deep")
         items: list[Message] = []
--- a/myrtlecourse/net/servers.py
+++ b/myrtlecourse/net/servers.py
@@ -10,7 +10,7 @@
 from myrtlecourse.net.pool import Pool
 from myrtlecourse.net.resp import INCOMPLETE, ErrorLine, Reader, RespError, encode_command
 
-MAX_ITEMS = 16  # of an answer, which has three, or of an array in place of its load report
+MAX_ITEMS = 16  # items of an answer, which has three, or of an array in place of its load report
 MAX_ANSWER = MAX_BUFFERED_ANSWER + 8192  # the value and the rest of the answer
 LONG_VALUE_HEADER = re.compile(rb"\*3\r\n\$([0-9]{5,9})\r\n")
 MAX_VALUE_HEADER = len(b"*3\r\n$999999999\r\n")
@@ -28,7 +28,7 @@
         super().__init__(pool, address)
         self.reader = Reader(MAX_ITEMS, MAX_BUFFERED_ANSWER, MAX_ANSWER)
         self.value_left = 0  # bytes of a long value that have not arrived yet
-        self.last_byte = b""  # of the long value
+        self.last_byte = b""  # the last byte of the long value
 
     def encode(self, command: Command, time_left: float) -> bytes:
         parts = [command.verb, command.key, command.request_id, command.encode_info(time_left)]
@@ -58,7 +58,7 @@
             part, data = data[: self.value_left], data[self.value_left :]
             self.value_left -= len(part)
             if self.value_left:
-                self.chunks.append(part)  # without a copy
+                self.chunks.append(part)  # passed on without a copy
                 return None
             self.chunks.append(part[:-1])
             self.last_byte = part[-1:]
@@ -72,7 +72,7 @@
         return answer
 
     def _decode_short(self, data: bytes) -> Answer | None:
-        # nearly all answers are one of these and arrive whole; the reader is as strict but slower
+        # Nearly all answers are one of these two and arrive whole; the reader below is as strict but slower.
         if not self.reader.buffer and (hit := HIT_HEADER.match(data)) is not None:
             start, end = hit.end(), len(data) - len(HIT_TRAILER)
             if end - start == int(hit[1]) <= MAX_BUFFERED_ANSWER and data.endswith(HIT_TRAILER):
@@ -84,11 +84,12 @@
             message = self.reader.next_message()
         except RespError as e:
             raise MalformedAnswer(str(e)) from e
-        # the third item is not checked: a malformed load report does not invalidate the value
+        # The third item is not checked: a malformed load report does not invalidate the value.
         match message:
             case ErrorLine(text):
-                # prevents a second effect: with bytes before or after the line, it is unclear which of them
-                # answer this request, and so whether it was executed
+                # With bytes before or after the line, it is unclear which of them answer this request, and so
+                # whether it was executed. It must not be reported as not executed then, or a repeat could
+                # execute it twice.
                 if BUSY_LINE.fullmatch(text) is not None and not self.reader.buffer:
                     return Status.FULL, b""
                 if text.startswith("ERR"):
--- a/myrtlecourse/net/timers.py
+++ b/myrtlecourse/net/timers.py
@@ -34,11 +34,12 @@
     """The timers of one event loop."""
 
     def __init__(self) -> None:
-        self.slots: dict[int, list[Timer]] = {}  # by slot number
-        self.slot_heap: list[int] = []  # the slot numbers
+        self.slots: dict[int, list[Timer]] = {}  # the timers of each slot, by its number
+        self.slot_heap: list[int] = []  # the slot numbers, as a heap
         self.loop_timer: asyncio.TimerHandle | None = None
         self.armed_slot = 0  # the slot for which `loop_timer` is set
-        # looked up once: each look-up in asyncio asks for the process id, which took 4% of a saturated core
+        # The loop is looked up once: each look-up in asyncio asks for the process id, which took 4% of a
+        # saturated core.
         self.loop: asyncio.AbstractEventLoop | None = None
 
     def call_later(self, delay: float, callback: Callable[[Any], None], argument: object) -> Timer:
@@ -85,5 +86,6 @@
             try:
                 callback(argument)
             except Exception as e:
-                # protects the other timers of the slot: requests would pass their deadlines unanswered
+                # An error must not stop the other timers of the slot: requests would pass their deadlines
+                # unanswered.
                 loop.call_exception_handler({"message": "in a timer", "exception": e})
--- a/myrtlecourse/zones/exit_rule.py
+++ b/myrtlecourse/zones/exit_rule.py
@@ -4,9 +4,9 @@
 distinguishes a zone that a single router can't reach, one that the routers of some zone can't reach, and one
 that no router can reach. It depends only on sums over the routers' gossiped counts and on the zone's previous
 state. That state is replicated as well: each router holds a copy in a register, and of two copies the same
-one wins at every router. So routers that have received the same records decide the same. Between the shares of failed
-attempts at which a zone is excluded and at which it is returned to lies a gap (hysteresis), and a zone that
-is excluded several times in a row stays excluded for longer each time.
+one wins at every router. So routers that have received the same records decide the same. Between the shares
+of failed attempts at which a zone is excluded and at which it is returned to lies a gap (hysteresis), and a
+zone that is excluded several times in a row stays excluded for longer each time.
 """
 
 from __future__ import annotations
--- a/tests/test_net_lingering.py
+++ b/tests/test_net_lingering.py
@@ -165,7 +165,7 @@
             cache = await router.cache()
             await cache.resp()
             cache.write(LONG_ANSWER_START)
-            await until(lambda: any(t.streaming for t in router.host.requests.values()))
+            await until(lambda: any(t.streaming_attempt for t in router.host.requests.values()))
             cache.reset()
             await until(lambda: not router.host.requests)
             got = await client.read_to_end()
