--- a/myrtlecourse/net/clock.py
+++ b/myrtlecourse/net/clock.py
@@ -24,7 +24,7 @@
         self.wall_time = wall_time
         self.monotonic_time = monotonic_time
         self.offset = wall_time() - monotonic_time()
-        # the offsets of the wall clock from the monotonic clock: at the start, and after each step
+        # the offsets of the wall clock from the monotonic clock: at the start, and after each step in order
         self.offsets: deque[float] = deque([self.offset], MAX_OFFSETS)
 
     def now(self) -> float:
--- a/myrtlecourse/net/http.py
+++ b/myrtlecourse/net/http.py
@@ -51,7 +51,7 @@
         # the request, until it is passed to h11, which is not necessary if the response is plain
         self.sent_request: tuple[str, str, list[tuple[bytes, bytes]], bytes | None] | None = None
         self.plain_response: Response | None = None  # the head of a response that is parsed without h11
-        self.body_left = 0  # bytes of its body that have not arrived yet
+        self.body_remaining = 0  # bytes of its body that have not arrived yet
         self.has_extra_bytes = False  # whether bytes follow the body
         self.head_buffer = bytearray()  # an incomplete head
         self.head_expected = True
@@ -156,23 +156,23 @@
             self._send_to_h11()
             return self._receive_with_h11(data)
         self.sent_request = None
-        self.plain_response, self.body_left, start = parsed
-        self._begin_body(self.plain_response.status, self.body_left)
+        self.plain_response, self.body_remaining, start = parsed
+        self._begin_body(self.plain_response.status, self.body_remaining)
         return self._receive_plain_body(data[start:])
 
     def _receive_plain_body(self, data: bytes) -> Response | None:
         assert self.plain_response is not None
-        if not data and self.body_left:
+        if not data and self.body_remaining:
             if self.head_expected:  # the head arrived without any of the body
                 self.head_expected = False
                 return None
             raise HttpError("connection ended within the body")
         self.head_expected = False
-        self.has_extra_bytes = len(data) > self.body_left
-        body_part = data[: self.body_left]
-        self.body_left -= len(body_part)
+        self.has_extra_bytes = len(data) > self.body_remaining
+        body_part = data[: self.body_remaining]
+        self.body_remaining -= len(body_part)
         self._add_body(body_part)
-        if self.body_left:
+        if self.body_remaining:
             return None
         return Response(self.plain_response.status, self.plain_response.headers, bytes(self.body))
 
@@ -226,6 +226,6 @@
     def reusable(self) -> bool:
         """Return whether the connection may carry another request."""
         if self.plain_response is not None:
-            return not self.has_trailing_bytes() and not self.body_left
+            return not self.has_trailing_bytes() and not self.body_remaining
         ended = self.connection.our_state is self.connection.their_state is h11.DONE
         return ended and not self.has_trailing_bytes()
--- a/myrtlecourse/net/resp.py
+++ b/myrtlecourse/net/resp.py
@@ -48,7 +48,8 @@
 def split_command(data: bytes) -> list[bytes] | None:
     """Return the parts of `data` if it is one complete array of bulk strings without line ends, else None.
 
-    Nearly all commands are. Any other data may still be valid and is left to a `Reader`, which is slower.
+    Nearly all commands are such arrays. Any other data may still be valid and is left to a `Reader`, which is
+    slower.
     """
     lines = data.split(b"\r\n", 2 * MAX_FAST_PATH_PARTS + 2)
     count = len(lines)
--- a/myrtlecourse/net/servers.py
+++ b/myrtlecourse/net/servers.py
@@ -27,7 +27,7 @@
     def __init__(self, pool: Pool, address: str) -> None:
         super().__init__(pool, address)
         self.reader = Reader(MAX_ITEMS, MAX_BUFFERED_ANSWER, MAX_ANSWER)
-        self.value_left = 0  # bytes of a long value that have not arrived yet
+        self.value_remaining = 0  # bytes of a long value that have not arrived yet
         self.last_byte = b""  # the last byte of the long value
 
     def encode(self, command: Command, time_left: float) -> bytes:
@@ -45,7 +45,7 @@
         if not self.reader.buffer and (header := LONG_VALUE_HEADER.match(data)) is not None:
             length = int(header[1])
             if MAX_BUFFERED_ANSWER < length <= self.pool.max_streamed:
-                self.stream_length = self.value_left = length
+                self.stream_length = self.value_remaining = length
                 return self._decode_long(data[header.end() :])
         return self._decode_short(data)
 
@@ -54,10 +54,10 @@
 
         A wrong length is thereby found before the value looks complete to the client.
         """
-        if self.value_left:
-            part, data = data[: self.value_left], data[self.value_left :]
-            self.value_left -= len(part)
-            if self.value_left:
+        if self.value_remaining:
+            part, data = data[: self.value_remaining], data[self.value_remaining :]
+            self.value_remaining -= len(part)
+            if self.value_remaining:
                 self.chunks.append(part)  # passed on without a copy
                 return None
             self.chunks.append(part[:-1])
--- a/myrtlecourse/spread/children.py
+++ b/myrtlecourse/spread/children.py
@@ -55,7 +55,8 @@
     lease_floors: list[tuple[int, float]] = field(default_factory=list)
     # by name of a silent child: the number of members of its subtree, and until when it is remembered
     silent: dict[str, tuple[int, float]] = field(default_factory=dict)
-    watermark: int = 0  # the highest number reported as applied by all counted members
+    # the highest number reported as applied by all counted members; it never decreases
+    watermark: int = 0
     # At a new root: the highest watermark that the previous root may have reported. A child below it gets no
     # lease.
     inherited_watermark: int = 0
@@ -106,7 +107,7 @@
         self.lease_floors.append((acknowledged, until))
 
     def _is_nearly_caught_up(self, child: Child) -> bool:
-        """Return whether a child lacks at most as many entries as arrive within a lease."""
+        """Return whether a child lacks at most as many entries as arrive within a lease, or at most 100."""
         return self.watermark - child.acknowledged <= max(100.0, self.settings.rate * self.settings.lease)
 
     def grant(self, now: float, child: Child, remaining_lease: float, epoch: int) -> int:
--- a/myrtlecourse/spread/leader.py
+++ b/myrtlecourse/spread/leader.py
@@ -428,12 +428,12 @@
 
 def snapshot_rows(epoch: int, state: LogState, after: bytes, size: int) -> SnapshotRows:
     """Return the snapshot's rows after a subject, as many as fit one datagram."""
-    rows, left = list[tuple[int, Change]](), size - SNAPSHOT_ROWS_BYTES
+    rows, remaining = list[tuple[int, Change]](), size - SNAPSHOT_ROWS_BYTES
     start = bisect_right(state.sorted_subjects, after) if after else 0
     for subject in state.sorted_subjects[start : start + size]:
         row = state.table[subject]
-        left -= ROW_BYTES + len(row[1].value)
-        if left < 0 and rows:
+        remaining -= ROW_BYTES + len(row[1].value)
+        if remaining < 0 and rows:
             break
         rows.append(row)
     return SnapshotRows(epoch, state.base, after, tuple(rows), start + len(rows) < len(state.sorted_subjects))
--- a/myrtlecourse/spread/messages.py
+++ b/myrtlecourse/spread/messages.py
@@ -7,7 +7,7 @@
 - epoch: the fencing token of the duty whose holder is the leader.
 - tier: control nodes, relays of a region, relays of a site, and leaves. Below the control nodes each member
   receives entries from a parent one tier up. A relay forwards them; a leaf has no children.
-- lease: granted to a child by its parent. While it is valid, the child counts.
+- lease: granted to a child by its parent. The child counts until the lease has ended on every clock.
 - watermark: the number up to which all counted members of a subtree have applied all entries.
 - purged range: entries that a member could not get and therefore treats as purges of everything.
 
--- a/myrtlecourse/zones/tiers.py
+++ b/myrtlecourse/zones/tiers.py
@@ -33,18 +33,20 @@
         same_region = any(home in zones and zone in zones for zones in self.regions.values())
         return self.own_region if same_region else self.elsewhere
 
-    def lost_share(self, home: str, sizes: Mapping[str, float], left: frozenset[str]) -> float:
+    def lost_share(self, home: str, sizes: Mapping[str, float], excluded: frozenset[str]) -> float:
         """Return the share of their load that the routers of zone `home` send to the excluded zones."""
         sizes_for_home = {zone: size * self.weight(home, zone) for zone, size in sizes.items()}
         total = sum(sizes_for_home.values())
-        return sum(sizes_for_home[zone] for zone in left if zone in sizes_for_home) / total if total else 0.0
+        return (
+            sum(sizes_for_home[zone] for zone in excluded if zone in sizes_for_home) / total if total else 0.0
+        )
 
     def spill_bound(
         self,
         bound: float,
         home: str,
         sizes: Mapping[str, float],
-        left: frozenset[str],
+        excluded: frozenset[str],
         routers: Mapping[str, int],
     ) -> float:
         """Return how many times their former load from a router of zone `home` survivors may get from it.
@@ -53,12 +55,12 @@
         among the routers in proportion to what each router's zone loses. `routers` is the number of routers
         by zone; each is taken to carry the same load.
         """
-        own_loss = self.lost_share(home, sizes, left)
-        if self.is_uniform or not 0.0 < own_loss < 1.0:
+        own_lost_share = self.lost_share(home, sizes, excluded)
+        if self.is_uniform or not 0.0 < own_lost_share < 1.0:
             return bound
-        moves = sum(count * self.lost_share(zone, sizes, left) for zone, count in routers.items())
-        stays = sum(count * (1.0 - self.lost_share(zone, sizes, left)) for zone, count in routers.items())
+        moves = sum(count * self.lost_share(zone, sizes, excluded) for zone, count in routers.items())
+        stays = sum(count * (1.0 - self.lost_share(zone, sizes, excluded)) for zone, count in routers.items())
         if not moves:
             return bound
         allowed = (bound - 1.0) * stays / moves  # for each unit of load that moves
-        return min(MAX_SPILL, 1.0 + allowed * own_loss / (1.0 - own_loss))
+        return min(MAX_SPILL, 1.0 + allowed * own_lost_share / (1.0 - own_lost_share))
