--- a/bench/duty_move.py
+++ b/bench/duty_move.py
@@ -159,7 +159,7 @@
         if how == "kill":
             first.start()
         elif how == "stall":
-            first.go_on()
+            first.resume()
         else:
             there.network.cut.clear()
     return {"gaps": gaps, "steps": len(there.steps_done), "breaches": {}, "faults": []}
--- a/bench/large_fleet.py
+++ b/bench/large_fleet.py
@@ -24,7 +24,7 @@
 from myrtlecourse.fleet.scenario import Scenario
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.policy import Router, tuning
-from myrtlecourse.sim.world import World
+from myrtlecourse.sim.fleet_simulation import FleetSimulation
 
 BOXES = 60
 RATE = 700  # requests a second, of all clients together
@@ -111,7 +111,7 @@
     """One day's figures."""
     Counted.ends.clear()
     with module(large):
-        result = World(scenario(routers, day), profile(), seed, Counted).run()
+        result = FleetSimulation(scenario(routers, day), profile(), seed, Counted).run()
     figures = result.figures()
     return {
         "in_time": figures["goodput"] / RATE,
--- a/bench/led_return.py
+++ b/bench/led_return.py
@@ -13,8 +13,8 @@
 
 from myrtlecourse.duties import messages as said
 from myrtlecourse.duties.core import Duties
+from myrtlecourse.sim.fleet_simulation import FleetSimulation
 from myrtlecourse.sim.routers import SimRouter
-from myrtlecourse.sim.world import World
 from myrtlecourse.zones import core
 from myrtlecourse.zones.core import Register, Zones
 from myrtlecourse.zones.verdict import WHOLE, Order, Standing
@@ -33,7 +33,7 @@
     def __init__(self, led: Led, router: SimRouter) -> None:
         self.led = led
         self.router = router
-        self.life = router.life
+        self.incarnation = router.incarnation
         self.wake: Any = None
         names, clock = led.names, led.world.core
         duty = said.Duty(DUTY, names[:LEADERS], good_for=1.0)
@@ -45,31 +45,31 @@
 
     @property
     def lives(self) -> bool:
-        return self.router.up and self.router.life == self.life
+        return self.router.up and self.router.incarnation == self.incarnation
 
     def post(self, event: said.Event) -> None:
         """Let it hear of something; one that stands still hears it when it goes on."""
-        if not self.lives or self.router.later(self.post, event):
+        if not self.lives or self.router.defer_if_stalled(self.post, event):
             return
         world = self.led.world
         for action in self.duties.handle(world.core.now, event):
             if isinstance(action, said.Send):
-                for pause in world.ways.fate((self.router.name, action.to)):
-                    world.core.after(pause, self.led.arrive, self.router.name, action.to, action.items)
+                for pause in world.peer_links.fate((self.router.name, action.to)):
+                    world.core.call_after(pause, self.led.arrive, self.router.name, action.to, action.items)
             elif isinstance(action, said.SetTimer):
                 if self.wake is not None:
                     self.wake.cancel()
                 if action.at < math.inf:
                     # a float's last digits: a moment that never comes would be asked for without end
                     pause = max(LEAST, action.at - world.core.now)
-                    self.wake = world.core.after(pause, self.post, said.TimerFired())
+                    self.wake = world.core.call_after(pause, self.post, said.TimerFired())
 
     def look(self) -> None:
         """Do what the order in force says and, while it is held here, order the next step."""
         core_ = self.led.world.core
         if not self.lives:
             return
-        core_.after(LOOK, self.look)
+        core_.call_after(LOOK, self.look)
         if self.router.stalled or self.router.agent is None:
             return
         now, zones = core_.now, self.router.agent.zones
@@ -85,7 +85,7 @@
 class Led:
     """The duty in all routers of a world."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: FleetSimulation) -> None:
         self.world = world
         self.chance = world.core.stream("led")
         self.names = tuple(r.name for r in world.routers)
--- a/bench/sim_against_sockets.py
+++ b/bench/sim_against_sockets.py
@@ -20,7 +20,7 @@
 from myrtlecourse.fleet.session import play
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.load.record import Record
-from myrtlecourse.sim.world import World
+from myrtlecourse.sim.fleet_simulation import FleetSimulation
 
 BOUND = 0.03  # difference in goodput that is taken for the same
 BASE: dict[str, Any] = {
@@ -84,7 +84,7 @@
         scenario = msgspec.convert(BASE | {"seconds": options.seconds, "faults": faults}, Scenario)
         piece = {"seconds": options.seconds, "rate": options.rate * load}
         profile = msgspec.convert(LOAD | {"pieces": [piece]}, Profile)
-        simulated = World(scenario, profile).run()
+        simulated = FleetSimulation(scenario, profile).run()
         with tempfile.TemporaryDirectory() as folder:
             real = play(scenario, profile, Path(folder), COMMAND, 1, lambda *_: None)
         attempts_of = simulated.attempts, real.verdict["seen"]["sent"]
--- a/bench/sim_search.py
+++ b/bench/sim_search.py
@@ -19,7 +19,7 @@
 from myrtlecourse.fleet.scenario import Scenario
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.policy import Router
-from myrtlecourse.sim.finds import write_find
+from myrtlecourse.sim.counterexamples import write_counterexample
 from myrtlecourse.sim.search import Search, shrink
 from tests.wrong_modules import WRONG
 
@@ -47,32 +47,32 @@
 }
 
 
-def fleets(make: type[Router], seed: int) -> list[Search]:
+def fleets(router_class: type[Router], seed: int) -> list[Search]:
     """A search on each fleet: boxes that run writes, and boxes before an origin that all waits for."""
     profile = msgspec.convert(PROFILE, Profile)
     aside = SCENARIO | {"origin": {"slots": 3, "time": 0.05, "queue": 5}}
-    return [Search(msgspec.convert(s, Scenario), profile, seed, make) for s in (SCENARIO, aside)]
+    return [Search(msgspec.convert(s, Scenario), profile, seed, router_class) for s in (SCENARIO, aside)]
 
 
-def hunt(make: type[Router], seconds: float, seed: int, folder: Path | None) -> dict[str, Any]:
+def hunt(router_class: type[Router], seconds: float, seed: int, folder: Path | None) -> dict[str, Any]:
     """Search with one module, on both fleets in turns."""
-    searches = fleets(make, seed)
+    searches = fleets(router_class, seed)
     began = time.monotonic()
-    row: dict[str, Any] = {"module": make.__name__, "found": None}
+    row: dict[str, Any] = {"module": router_class.__name__, "found": None}
     for trial in chain.from_iterable(zip(*(s.trials() for s in searches), strict=False)):
         took = time.monotonic() - began
         if trial.breaches:
-            find = shrink(trial, make)
+            find = shrink(trial, router_class)
             row |= {"found": find.breaches, "seconds": took, "faults": len(trial.scenario.faults)}
             row |= {"shrunk_to": len(find.scenario.faults), "shrinking": time.monotonic() - began - took}
             if folder is not None:
-                write_find(folder / f"{make.__name__}.json", find)
+                write_counterexample(folder / f"{router_class.__name__}.json", find)
             break
         if took > seconds:
             row |= {"seconds": took}
             break
-    row["tried"] = sum(s.tried for s in searches)
-    best = [t for s in searches for t in s.best]
+    row["tried"] = sum(s.trial_count for s in searches)
+    best = [t for s in searches for t in s.pool]
     row["margins"] = {k: max(t.margins.get(k, 0.0) for t in best) for t in best for k in t.margins}
     return row
 
@@ -89,9 +89,9 @@
     parser.add_argument("--json", type=Path, metavar="FILE", help="write the figures there")
     options = parser.parse_args()
     rows = []
-    for make in (*(w for w in WRONG if not options.only or w.__name__ in options.only), Router):
-        seconds = options.real if make is Router else options.seconds
-        row = hunt(make, seconds, options.seed, options.finds)
+    for router_class in (*(w for w in WRONG if not options.only or w.__name__ in options.only), Router):
+        seconds = options.real if router_class is Router else options.seconds
+        row = hunt(router_class, seconds, options.seed, options.finds)
         rows.append(row)
         margins = ", ".join(f"{k} {v:.2f}" for k, v in sorted(row["margins"].items()))
         found = (
--- a/bench/sim_speed.py
+++ b/bench/sim_speed.py
@@ -18,7 +18,7 @@
 from bench.sim_against_sockets import BASE, LOAD
 from myrtlecourse.fleet.scenario import Scenario
 from myrtlecourse.load.profile import Profile
-from myrtlecourse.sim.world import World
+from myrtlecourse.sim.fleet_simulation import FleetSimulation
 
 SIZES = [(10, 2), (100, 2), (1000, 2), (5000, 2), (100, 20), (100, 300)]  # boxes and routers
 REQUESTS = 5000
@@ -32,7 +32,9 @@
     told = BASE | {"kinds": kinds, "origin": origin, "routers": routers, "seconds": REQUESTS / rate}
     piece = {"seconds": REQUESTS / rate, "rate": rate}
     began = time.perf_counter()
-    world = World(msgspec.convert(told, Scenario), msgspec.convert(LOAD | {"pieces": [piece]}, Profile))
+    world = FleetSimulation(
+        msgspec.convert(told, Scenario), msgspec.convert(LOAD | {"pieces": [piece]}, Profile)
+    )
     built = time.perf_counter()
     result = world.run()
     took = time.perf_counter() - built
--- a/bench/spread_plain.py
+++ b/bench/spread_plain.py
@@ -16,7 +16,7 @@
 from myrtlecourse.peers.seal import LONGEST, SEAL, Dropped
 from myrtlecourse.peers.wire import HEAD
 from myrtlecourse.sim.core import Core
-from myrtlecourse.sim.places import Network, Place, laid_out
+from myrtlecourse.sim.topology import Network, Place, lay_out_sites
 from myrtlecourse.spread import messages as said
 
 REGIONS, SITES, ROUTERS, PARTS, CONTROL = 43, 650, 16_000, 6_700, 20
@@ -59,10 +59,10 @@
         self.came: list[list[float]] = [[] for _ in range(count)]  # of `have`, as it grew
         self.budget, self.saved, self.next = budget, 0.0, 0
         self.bytes = self.datagrams = self.answers = 0
-        self.core.after(0.0, self._tick)
+        self.core.call_after(0.0, self._tick)
 
     def _tick(self) -> None:
-        self.core.after(TICK, self._tick)
+        self.core.call_after(TICK, self._tick)
         self.saved = min(self.budget, self.saved + self.budget * TICK)
         count = len(self.places)
         for _ in range(count):
@@ -85,8 +85,8 @@
             self.bytes += length
             self.datagrams += 1
             self.sent[member] = first + count - 1
-            for pause in self.network.fate(self.holder, self.places[member]):
-                self.core.after(pause, self._hear, member, first, count)
+            for pause in self.network.draw_delays(self.holder, self.places[member]):
+                self.core.call_after(pause, self._hear, member, first, count)
 
     def _hear(self, member: int, first: int, count: int) -> None:
         held = self.held[member]
@@ -96,8 +96,8 @@
             held.discard(self.have[member])
             self.came[member].append(self.core.now)
         self.answers += 1
-        for pause in self.network.fate(self.places[member], self.holder):
-            self.core.after(pause, self._acknowledged, member, self.have[member])
+        for pause in self.network.draw_delays(self.places[member], self.holder):
+            self.core.call_after(pause, self._acknowledged, member, self.have[member])
 
     def _acknowledged(self, member: int, have: int) -> None:
         if have > self.acknowledged[member]:
@@ -111,13 +111,13 @@
 
 def unicast(scale: float, seed: int, loss: float, budget: float, rate: float) -> Figures:
     """Purges at a rate for some seconds (0: one alone), and until all have all, or a minute has passed."""
-    sites = laid_out(
+    sites = lay_out_sites(
         REGIONS, max(REGIONS, round(SITES * scale)), round(ROUTERS * scale), round(PARTS * scale)
     )
     play = Unicast(sites, seed, loss, budget)
     lasts = LASTS if rate else 0.0
     for i in range(max(1, int(rate * lasts))):
-        play.core.after(1.0 + (i / rate if rate else 0.0), play.propose)
+        play.core.call_after(1.0 + (i / rate if rate else 0.0), play.propose)
     play.core.run(play.core.now + 1.0 + lasts)
     figures: Figures = {}
     if rate:
@@ -139,7 +139,7 @@
 
     def __init__(self, members: int, seed: int, loss: float) -> None:
         self.core = Core(seed)
-        sites = laid_out(REGIONS, max(REGIONS, members // 25), members, 0)
+        sites = lay_out_sites(REGIONS, max(REGIONS, members // 25), members, 0)
         regions = sorted({s.region for s in sites})
         self.network = Network(len(regions), len(sites), self.core.stream("places"))
         self.network.random = self.core.stream("network").random
@@ -156,7 +156,7 @@
         self.born: list[float] = []
         self.came: dict[str, dict[int, float]] = {n: {} for n in names}
         for name in names:
-            self.core.after(PACE * chance.random(), self._tick, name)
+            self.core.call_after(PACE * chance.random(), self._tick, name)
 
     def _wall(self) -> float:
         return EPOCH + self.core.now
@@ -167,11 +167,11 @@
         return (len(self.born) - keys, *([2**32 - 1] * (2 * keys)))
 
     def _tick(self, name: str) -> None:
-        self.core.after(PACE, self._tick, name)
+        self.core.call_after(PACE, self._tick, name)
         say = self._said if name == self.first else tuple
         for datagram in self.each[name].tick(self.core.now, self._wall(), say):
-            for pause in self.network.fate(self.place[name], self.place[datagram.to]):
-                self.core.after(pause, self._arrive, datagram.to, datagram.data)
+            for pause in self.network.draw_delays(self.place[name], self.place[datagram.to]):
+                self.core.call_after(pause, self._arrive, datagram.to, datagram.data)
 
     def _arrive(self, name: str, data: bytes) -> None:
         gossip, now = self.each[name], self.core.now
@@ -197,7 +197,7 @@
     play.core.run(play.core.now + 30.0)  # until all have heard of most others
     lasts, before = 1.5, {n: (g.bytes_sent, g.sent) for n, g in play.each.items()}
     for i in range(max(1, int(rate * lasts))):
-        play.core.after(i / rate if rate else 0.0, play.propose)
+        play.core.call_after(i / rate if rate else 0.0, play.propose)
     play.core.run(play.core.now + lasts)
     spent = {n: (g.bytes_sent - before[n][0], g.sent - before[n][1]) for n, g in play.each.items()}
     others = [n for n in play.each if n != play.first]
--- a/bench/spread_scale.py
+++ b/bench/spread_scale.py
@@ -24,8 +24,8 @@
 
 from bench.spread_plain import CONTROL, PARTS, REGIONS, ROUTERS, SITES, Figures, percentiles, rumours, unicast
 from myrtlecourse.peers.gossip import MOST_MEMBERS
-from myrtlecourse.sim.places import laid_out
-from myrtlecourse.sim.spread import Member, World
+from myrtlecourse.sim.spread import Member, SpreadSimulation
+from myrtlecourse.sim.topology import lay_out_sites
 from myrtlecourse.spread import messages as said
 
 PURGES, CHANGES = 100.0, 0.72  # a second
@@ -36,7 +36,7 @@
 def sized(scale: float) -> tuple[said.Site, ...]:
     """A share of the fleet, its regions of full size as far as that goes."""
     sites = max(4, round(SITES * scale))
-    return laid_out(max(2, round(REGIONS * scale)), sites, round(ROUTERS * scale), round(PARTS * scale))
+    return lay_out_sites(max(2, round(REGIONS * scale)), sites, round(ROUTERS * scale), round(PARTS * scale))
 
 
 class Play:
@@ -53,18 +53,20 @@
         if large_last:
             whole = [s for s in sized(1.0) if s.region == "r00"]
             layout += tuple(said.Site(f"z{s.name}", "z", s.routers, s.parts) for s in whole)
-        self.world = World(layout, control, seed, entries, pause=pause)
+        self.world = SpreadSimulation(layout, control, seed, entries, pause=pause)
         self.world.network.loss = loss
         self.began = time.perf_counter()
         self.world.start(2.0)
         self.world.run(3.0)
-        self.joined = self.world.settle(60.0)
+        self.joined = self.world.run_until_consistent(60.0)
         gc.collect()
         gc.freeze()
 
     def tiers(self) -> NDArray[Any]:
         """Each member's tier, by the layout that all agree on."""
-        found = [m.node.status(m.clock())["tier"] if m.node is not None else -1 for m in self.world.each]
+        found = [
+            m.node.status(m.clock())["tier"] if m.node is not None else -1 for m in self.world.member_list
+        ]
         return np.array(found)
 
     def times(self, since: float, until: float, those: NDArray[Any], prefix: str = "") -> Figures:
@@ -74,19 +76,21 @@
         """
         judge = self.world.judge
         figures: Figures = {}
-        within = (judge.proposed >= since) & (judge.proposed < until)
+        within = (judge.proposed_at >= since) & (judge.proposed_at < until)
         kinds = np.array([isinstance(e, said.Change) for e in judge.log])
         for name, kind in (("purge", False), ("change", True)):
             numbers = np.flatnonzero(within[: len(kinds)] & (kinds == kind))
             if not len(numbers):
                 continue
-            came = judge.at[np.ix_(np.flatnonzero(those), numbers)] - judge.proposed[numbers]
+            came = judge.applied_at[np.ix_(np.flatnonzero(those), numbers)] - judge.proposed_at[numbers]
             figures |= percentiles(f"{prefix}{name}.member", came.ravel())
             figures |= percentiles(f"{prefix}{name}.last", came.max(axis=0))
-            figures |= percentiles(f"{prefix}{name}.done_known", (judge.known - judge.proposed)[numbers])
+            figures |= percentiles(
+                f"{prefix}{name}.done_known", (judge.watermark_at - judge.proposed_at)[numbers]
+            )
             figures[f"{prefix}{name}.never"] = (float(np.isnan(came).sum()), "entries at members")
             figures |= percentiles(
-                f"{prefix}{name}.acknowledged", (judge.acknowledged - judge.proposed)[numbers]
+                f"{prefix}{name}.acknowledged", (judge.acknowledged_at - judge.proposed_at)[numbers]
             )
         return figures
 
@@ -101,10 +105,10 @@
 
     def traffic(self, since: float, until: float, tiers: NDArray[Any]) -> Figures:
         """Bytes and datagrams that members send a second, by tier; `most` of one member, in any second."""
-        first, last = int(since), min(int(until), len(self.world.seconds) - 1)
+        first, last = int(since), min(int(until), len(self.world.second_totals) - 1)
         figures: Figures = {}
         for what, at in (("bytes", 0), ("datagrams", 1)):
-            sums = np.array([second[at] for second in self.world.seconds[first : last + 1]])
+            sums = np.array([second[at] for second in self.world.second_totals[first : last + 1]])
             each = np.diff(sums, axis=0)
             for name, those in (
                 ("holder", np.arange(len(tiers)) == self.world.members[self.world.holder].index),
@@ -122,7 +126,9 @@
             while world.time < began + within:
                 last = len(world.judge.log) - 1
                 # under load the newest are always on their way
-                there = [world.judge.have[m.index] >= last - 5 * PURGES and m.vouches() for m in those]
+                there = [
+                    world.judge.applied_until[m.index] >= last - 5 * PURGES and m.has_lease() for m in those
+                ]
                 if sum(there) >= share * len(those):
                     figures[f"back.{name}"] = (world.time - began, "s")
                     break
@@ -136,7 +142,7 @@
     """Nothing goes wrong but the loss."""
     world = play.world
     began = world.time
-    world.load(PURGES, CHANGES, seconds)
+    world.schedule_load(PURGES, CHANGES, seconds)
     world.run(seconds + DRAIN)
     tiers = play.tiers()
     since, until = began + 1.0, began + seconds
@@ -147,17 +153,17 @@
 def checked(play: Play) -> Figures:
     """What the judge has to say at the end, and what the run cost."""
     world = play.world
-    settled = world.settle(60.0)
+    settled = world.run_until_consistent(60.0)
     if settled is not None:
-        world.check_same()
+        world.check_consistency()
     took = time.perf_counter() - play.began
     return {
         "joined": (math.inf if play.joined is None else 3.0 + play.joined, "s"),
         "all_same_after": (math.inf if settled is None else settled, "s"),
-        "members": (float(len(world.each)), "members"),
+        "members": (float(len(world.member_list)), "members"),
         "entries": (float(len(world.judge.log) - 1), "entries"),
         "refused": (float(world.refused), "entries"),
-        "events": (float(world.core.happened), "events"),
+        "events": (float(world.core.events_run), "events"),
         "run": (took, "s of one core"),
     }
 
@@ -165,11 +171,11 @@
 def troubled(play: Play, calm: float, after: float, trouble: Trouble, within: float) -> Figures:
     """A load, a trouble in the midst of it, and what those felt that it did not befall."""
     world = play.world
-    world.load(PURGES, CHANGES, calm + after)
+    world.schedule_load(PURGES, CHANGES, calm + after)
     world.run(calm)
     tiers, at = play.tiers(), world.time
     hit = trouble(play, tiers)
-    spared = np.ones(len(world.each), bool)
+    spared = np.ones(len(world.member_list), bool)
     spared[[m.index for m in hit]] = False
     figures: Figures = {"hit": (float(len(hit)), "members")}
     if (back := [m for m in hit if m.node is not None]) and len(back) == len(hit):
@@ -182,7 +188,7 @@
 
 def dead_parents(play: Play, tiers: NDArray[Any]) -> list[Member]:
     """One in a hundred of the relays and heads dies."""
-    each = [m for m in play.world.each if tiers[m.index] in (1, 2)]
+    each = [m for m in play.world.member_list if tiers[m.index] in (1, 2)]
     hit = play.world.core.stream("troubles").sample(each, max(1, len(each) // 100))
     for member in hit:
         member.kill()
@@ -192,17 +198,17 @@
 def tenth_restarted(play: Play, tiers: NDArray[Any]) -> list[Member]:
     """A tenth of all members dies at one moment, and begins anew within a second."""
     chance = play.world.core.stream("troubles")
-    hit = chance.sample([m for m in play.world.each if tiers[m.index]], len(tiers) // 10)
+    hit = chance.sample([m for m in play.world.member_list if tiers[m.index]], len(tiers) // 10)
     for member in hit:
         member.kill()
-        play.world.core.after(chance.uniform(0.5, 1.5), member.start)
+        play.world.core.call_after(chance.uniform(0.5, 1.5), member.start)
     play.world.run(1.5)
     return hit
 
 
 def rack_gone(play: Play, tiers: NDArray[Any]) -> list[Member]:
     """Forty of a region's members lose their power."""
-    hit = [m for m in play.world.each if m.place.region == len(play.world.by_region) - 1][:40]
+    hit = [m for m in play.world.member_list if m.place.region == len(play.world.sites_by_region) - 1][:40]
     for member in hit:
         member.kill()
     return hit
@@ -211,8 +217,8 @@
 def handed_on(play: Play, tiers: NDArray[Any]) -> list[Member]:
     """The duty is moved: the holder lets go, and 0.3 s later another holds."""
     world = play.world
-    world.release()
-    world.core.after(0.3, world.hold, world.control[1])
+    world.release_holder()
+    world.core.call_after(0.3, world.set_holder, world.control[1])
     return []
 
 
@@ -221,8 +227,8 @@
     world = play.world
     before = world.members[world.holder]
     before.kill()
-    world.core.after(1.0, world.hold, world.control[1])
-    world.core.after(5.0, before.start)
+    world.core.call_after(1.0, world.set_holder, world.control[1])
+    world.core.call_after(5.0, before.start)
     return [before]
 
 
@@ -230,12 +236,12 @@
     """The last region is cut off for so long, and then back."""
 
     def trouble(play: Play, tiers: NDArray[Any]) -> list[Member]:
-        world, region = play.world, len(play.world.by_region) - 1
-        for cut in (world.network.mute, world.network.deaf):
+        world, region = play.world, len(play.world.sites_by_region) - 1
+        for cut in (world.network.outbound_cut, world.network.inbound_cut):
             cut.add(region)
-            world.core.after(seconds, cut.discard, region)
+            world.core.call_after(seconds, cut.discard, region)
         world.run(seconds)
-        return [m for m in world.each if m.place.region == region]
+        return [m for m in world.member_list if m.place.region == region]
 
     return trouble
 
--- a/bench/zone_exit.py
+++ b/bench/zone_exit.py
@@ -28,7 +28,7 @@
 from myrtlecourse.fleet.scenario import Scenario
 from myrtlecourse.fleet.session import play
 from myrtlecourse.load.profile import Profile
-from myrtlecourse.sim.world import World
+from myrtlecourse.sim.fleet_simulation import FleetSimulation
 
 ZONES = ("north", "south", "west")
 LOST = "south"
@@ -177,7 +177,7 @@
 
 def virtual(routers: int, case: str, peers: bool, rate: float, seed: int) -> dict[str, Any]:
     """Play a case in virtual time."""
-    world, sums = World(scenario(routers, case, peers), profile(rate), seed), Sums()
+    world, sums = FleetSimulation(scenario(routers, case, peers), profile(rate), seed), Sums()
     for name, zone in world.layout.zones.items():
         sums.zones[name] = zone
     take = world.auditor.judge
@@ -199,7 +199,7 @@
     figures["still_sending"] = [
         len({who for at, who in during if s <= at - AT < s + 0.1}) for s in np.arange(0, 4, 0.1)
     ]
-    meeting = world.routers[0].meeting
+    meeting = world.routers[0].peer_network
     if meeting is not None:
         left: dict[str, float] = {}
         for at, who, zones, origin in meeting.orders:
--- a/bench/zone_return.py
+++ b/bench/zone_return.py
@@ -32,7 +32,7 @@
 from myrtlecourse.fleet.layout import ORIGIN
 from myrtlecourse.fleet.scenario import Scenario
 from myrtlecourse.load.profile import Profile
-from myrtlecourse.sim.world import World
+from myrtlecourse.sim.fleet_simulation import FleetSimulation
 from myrtlecourse.zones import pace
 from myrtlecourse.zones.verdict import WHOLE
 
@@ -106,7 +106,7 @@
 class Sums:
     """What clients, boxes and the origin saw."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: FleetSimulation) -> None:
         self.world = world
         self.began = world.core.now
         self.asked: dict[str, float] = {}
@@ -206,7 +206,7 @@
     if way.startswith("ramp"):
         pace.step = ramp(float(way.split()[1]))
     try:
-        world = World(scenario(routers, case, way), profile(rate), seed)
+        world = FleetSimulation(scenario(routers, case, way), profile(rate), seed)
         sums = Sums(world)
         take = world.auditor.judge
 
@@ -237,7 +237,7 @@
         "of_zone": [sums.of_zone(s) for s in range(int(SECONDS) - 1)],
         "breaches": {k: v for k, v in result.verdict["breaches"].items() if v},
     }
-    meeting = world.routers[0].meeting
+    meeting = world.routers[0].peer_network
     if meeting is not None:
         figures["bytes_a_second"] = meeting.bytes / routers / SECONDS
     return figures
--- a/myrtlecourse/experiment/plan.py
+++ b/myrtlecourse/experiment/plan.py
@@ -21,7 +21,7 @@
 import myrtlecourse
 from myrtlecourse.fleet.scenario import Scenario, ScenarioError
 from myrtlecourse.load.profile import Profile, ProfileError
-from myrtlecourse.sim.settings import read_both
+from myrtlecourse.sim.overrides import read_scenario_and_profile
 
 MOST_POINTS = 10_000  # of a grid; what is larger must be sampled
 MODULES = {"policy": "policy.tuning", "evidence": "evidence"}  # by the name that plans give them
@@ -98,7 +98,9 @@
             constants[path] = constant(module, name, value)
         else:
             changes.append(f"{path}={msgspec.json.encode(value).decode()}")
-    scenario, profile = read_both(file.parent / plan.scenario, file.parent / plan.profile, changes)
+    scenario, profile = read_scenario_and_profile(
+        file.parent / plan.scenario, file.parent / plan.profile, changes
+    )
     return scenario, profile, constants
 
 
--- a/myrtlecourse/experiment/runs.py
+++ b/myrtlecourse/experiment/runs.py
@@ -17,7 +17,7 @@
 from myrtlecourse.experiment.store import Store
 from myrtlecourse.fleet.scenario import Scenario
 from myrtlecourse.load.profile import Profile
-from myrtlecourse.sim.world import Result, World
+from myrtlecourse.sim.fleet_simulation import FleetSimulation, Result
 
 AHEAD = 2  # runs given out for each worker
 
@@ -80,7 +80,9 @@
         setattr(there, name, value)
     try:
         scenario = msgspec.json.decode(run.scenario, type=Scenario)
-        return measures(World(scenario, msgspec.json.decode(run.profile, type=Profile), run.seed).run())
+        return measures(
+            FleetSimulation(scenario, msgspec.json.decode(run.profile, type=Profile), run.seed).run()
+        )
     finally:
         for there, name, value in before:
             setattr(there, name, value)
--- a/myrtlecourse/sim/clients.py
+++ b/myrtlecourse/sim/clients.py
@@ -29,9 +29,9 @@
         self.over = False
         self.name = ""  # of the try that is out
         self.router: SimRouter | None = None
-        self.timers = [core.at(self.until, self._end, "failed")]
+        self.timers = [core.call_at(self.until, self._end, "failed")]
         if plan.client_leaves:
-            self.timers.append(core.after(plan.request_class.deadline / 2, self._leave))
+            self.timers.append(core.call_after(plan.request_class.deadline / 2, self._leave))
 
     def ask(self) -> None:
         """The next try, at the next router."""
@@ -43,7 +43,7 @@
         self.name = f"{self.number:x}-{self.tries}"
         self.tries += 1
         if not router.taking:
-            clients.core.after(HOP, self._heard, self.name, "unreachable", 0.0)
+            clients.core.call_after(HOP, self._heard, self.name, "unreachable", 0.0)
             return
         now = clients.core.now
         left = max(0.001, round(self.until - now, 3))
@@ -56,11 +56,11 @@
         name = self.name
 
         def answer(how: str, pause: float) -> None:
-            clients.core.after(HOP, self._heard, name, how, pause)
+            clients.core.call_after(HOP, self._heard, name, how, pause)
 
         asked = AskedFor(name, plan.key, told, kind.write, key, left, hint, answer)
-        clients.core.after(HOP, router.take_or_end, asked)
-        clients.core.after(left + LINGER, clients.overdue, name)
+        clients.core.call_after(HOP, router.take_or_end, asked)
+        clients.core.call_after(left + LINGER, clients.overdue, name)
         clients.open.add(name)
 
     def _heard(self, name: str, how: str, pause: float) -> None:
@@ -85,14 +85,14 @@
         if wait is None or now + wait >= self.until:
             self._end("refused" if how == "refused" else "failed")
         else:
-            self.timers.append(clients.core.after(wait, self.ask))
+            self.timers.append(clients.core.call_after(wait, self.ask))
 
     def _leave(self) -> None:
         """Go away without the answer."""
         if self.router is not None and self.name in self.clients.open:
             self.clients.observe(seen.RequestUnanswered(self.clients.core.now, self.name, "left"))
             self.clients.open.discard(self.name)
-            self.clients.core.after(HOP, self.router.client_gone, self.name)
+            self.clients.core.call_after(HOP, self.router.client_gone, self.name)
         self._end("left")
 
     def _end(self, outcome: str) -> None:
@@ -136,7 +136,7 @@
         """Wait for the next arrival: one event at a time, however long the run."""
         plan = next(self.plan, None)
         if plan is not None and plan.at < self.seconds:
-            self.arrival: Event = self.core.at(self.began + plan.at, self._arrive, plan)
+            self.arrival: Event = self.core.call_at(self.began + plan.at, self._arrive, plan)
 
     def _arrive(self, plan: PlannedRequest) -> None:
         client = Client(self, plan, self.number)
--- a/myrtlecourse/sim/commands.py
+++ b/myrtlecourse/sim/commands.py
@@ -15,10 +15,10 @@
 from myrtlecourse.load import report
 from myrtlecourse.load.commands import EXIT_UNUSABLE, write_json
 from myrtlecourse.load.profile import Profile, ProfileError
-from myrtlecourse.sim.finds import read_find, write_find
+from myrtlecourse.sim.counterexamples import read_counterexample, write_counterexample
+from myrtlecourse.sim.fleet_simulation import TAIL, FleetSimulation, Result, ScenarioMismatch
+from myrtlecourse.sim.overrides import read_scenario_and_profile
 from myrtlecourse.sim.search import Search, shrink
-from myrtlecourse.sim.settings import read_both
-from myrtlecourse.sim.world import TAIL, Result, ScenarioMismatch, World
 
 
 @click.command()
@@ -54,7 +54,7 @@
     console = Console(stderr=True)
     began = time.perf_counter()
     try:
-        world = World(*_read(scenario, profile, list(changes)), seed)
+        world = FleetSimulation(*_read(scenario, profile, list(changes)), seed)
     except (ScenarioError, ProfileError, ScenarioMismatch) as e:
         console.print(f"myrtlecourse sim: {e}", markup=False, highlight=False)
         sys.exit(EXIT_UNUSABLE)
@@ -84,11 +84,11 @@
     if scenario.suffix == ".json" and profile is None:
         if changes:
             raise click.UsageError("a find is replayed as it is: --set belongs to a scenario and a profile")
-        find = read_find(scenario)
+        find = read_counterexample(scenario)
         return find.scenario, find.profile
     if profile is None:
         raise click.UsageError("give a --profile, or the .json file of a find")
-    return read_both(scenario, profile, changes)
+    return read_scenario_and_profile(scenario, profile, changes)
 
 
 @click.command()
@@ -121,33 +121,37 @@
     """
     console = Console(stderr=True)
     try:
-        base, load = read_both(scenario, profile, [])
+        base, load = read_scenario_and_profile(scenario, profile, [])
         hunt = Search(base, load, seed)
         trials = hunt.trials()
         until, found = time.monotonic() + seconds, None
         with console.status("searching") as status:
             while found is None and time.monotonic() < until:
                 trial = next(trials)
-                closest = hunt.best[0].margins
+                closest = hunt.pool[0].margins
                 told = ", ".join(f"{kind} {share:.2f}" for kind, share in sorted(closest.items()))
-                status.update(f"{hunt.tried:,} schedules; closest: {told}")
+                status.update(f"{hunt.trial_count:,} schedules; closest: {told}")
                 found = trial if trial.breaches else None
             if found is not None:
                 status.update("making it smaller")
-                find = shrink(found, hunt.make)
+                find = shrink(found, hunt.router_class)
     except (ScenarioError, ProfileError, ScenarioMismatch) as e:
         console.print(f"myrtlecourse search: {e}", markup=False, highlight=False)
         sys.exit(EXIT_UNUSABLE)
-    margins = {k: max(t.margins.get(k, 0.0) for t in hunt.best) for t in hunt.best for k in t.margins}
+    margins = {k: max(t.margins.get(k, 0.0) for t in hunt.pool) for t in hunt.pool for k in t.margins}
     if json_file is not None:
-        write_json(json_file, {"tried": hunt.tried, "margins": margins, "found": found and found.breaches})
+        write_json(
+            json_file, {"tried": hunt.trial_count, "margins": margins, "found": found and found.breaches}
+        )
     if found is None:
         told = ", ".join(f"{kind} {share:.2f}" for kind, share in sorted(margins.items()))
-        click.echo(f"{hunt.tried:,} schedules, no rule broken; closest to a limit (1): {told}")
+        click.echo(f"{hunt.trial_count:,} schedules, no rule broken; closest to a limit (1): {told}")
         sys.exit(0)
-    write_find(out, find)
+    write_counterexample(out, find)
     broken = ", ".join(f"{kind} {count}" for kind, count in find.breaches.items())
-    click.echo(f"{hunt.tried:,} schedules; found: {broken}; {len(find.scenario.faults)} faults, in {out}")
+    click.echo(
+        f"{hunt.trial_count:,} schedules; found: {broken}; {len(find.scenario.faults)} faults, in {out}"
+    )
     sys.exit(BROKEN)
 
 
--- a/myrtlecourse/sim/finds.py
+++ b/myrtlecourse/sim/counterexamples.py
@@ -11,7 +11,7 @@
 from myrtlecourse.load.profile import Profile
 
 
-class Find(Struct, forbid_unknown_fields=True, frozen=True):
+class Counterexample(Struct, forbid_unknown_fields=True, frozen=True):
     """One find: `breaches` by kind, as the auditor counted them."""
 
     scenario: Scenario
@@ -19,14 +19,14 @@
     breaches: dict[str, int]
 
 
-def write_find(file: Path, find: Find) -> None:
+def write_counterexample(file: Path, find: Counterexample) -> None:
     """Write it as JSON."""
     file.write_bytes(msgspec.json.format(msgspec.json.encode(find)) + b"\n")
 
 
-def read_find(file: Path) -> Find:
+def read_counterexample(file: Path) -> Counterexample:
     """Read it again. Raises ScenarioError, which names the file and the field."""
     try:
-        return msgspec.json.decode(file.read_bytes(), type=Find)
+        return msgspec.json.decode(file.read_bytes(), type=Counterexample)
     except (OSError, msgspec.DecodeError, ValueError) as e:
         raise ScenarioError(f"{file}: {e}") from e
--- a/myrtlecourse/sim/discovery.py
+++ b/myrtlecourse/sim/discovery.py
@@ -45,7 +45,7 @@
             self.timer.cancel()
             self.timer = None
         if (due := self.registry.due()) < math.inf:
-            self.timer = self.core.at(due, self._advance)
+            self.timer = self.core.call_at(due, self._advance)
 
     def _listed(self, entry: Entry) -> None:
         self.observe(seen.ListChanged(self.core.now, entry.name, entry.status, max(0.0, entry.since)))
@@ -66,7 +66,7 @@
         self.observe(seen.DiscoveryCall(self.core.now, router.name, "begun"))
         if self.is_away:
             self.observe(seen.DiscoveryCall(self.core.now, router.name, "failed"))
-            self.core.after(HOP, self._failed, router, router.life)
+            self.core.call_after(HOP, self._failed, router, router.incarnation)
             return
         # the list that a router starts with is the first
         index = self.seen.setdefault(router.name, 1)
@@ -75,7 +75,7 @@
             self._tell(router)
 
     def _failed(self, router: SimRouter, life: int) -> None:
-        if router.up and router.life == life:
+        if router.up and router.incarnation == life:
             router.list_failed()
 
     def _tell(self, router: SimRouter) -> None:
@@ -83,10 +83,10 @@
         lines = 1 + len(self.registry.after(self.seen[router.name])[1])
         self.free_at = max(self.core.now, self.free_at) + lines / self.lines_a_second
         self.watches[router.name] = router, self.registry.index
-        self.core.at(self.free_at, self._written, router, router.life)
+        self.core.call_at(self.free_at, self._written, router, router.incarnation)
 
     def _written(self, router: SimRouter, life: int) -> None:
-        if router.name not in self.watches or router.life != life or not router.up:
+        if router.name not in self.watches or router.incarnation != life or not router.up:
             return
         whole, entries = self.registry.after(self.seen[router.name])
         if not entries:
@@ -107,7 +107,7 @@
             ended, self.watches = list(self.watches.values()), {}
             for router, _ in ended:
                 self.observe(seen.DiscoveryCall(self.core.now, router.name, "failed"))
-                self.core.after(HOP, self._failed, router, router.life)
+                self.core.call_after(HOP, self._failed, router, router.incarnation)
 
     def forget(self, router: SimRouter) -> None:
         """A router has ended; its successor has seen the first list."""
--- a/myrtlecourse/sim/duties.py
+++ b/myrtlecourse/sim/duties.py
@@ -15,7 +15,7 @@
 from myrtlecourse.duties.core import Duties
 from myrtlecourse.sim.core import Core
 from myrtlecourse.sim.election import Network, links_to_cut
-from myrtlecourse.sim.machine import Machine
+from myrtlecourse.sim.process import SimulatedProcess
 
 MakeDuties = Callable[[messages.Settings, dict[str, messages.Memory] | None, float, int, int], Duties]
 STEP_PAUSE = 0.3  # seconds between a holder's steps
@@ -40,7 +40,7 @@
     return remembering < settings.majority
 
 
-class Process(Machine[messages.Event]):
+class Process(SimulatedProcess[messages.Event]):
     """One router's part: a process that may die, be stopped, and start again."""
 
     def __init__(self, simulation: DutySimulation, name: str, rate: float, has_disk: bool) -> None:
@@ -70,14 +70,14 @@
         """Kills the process; it sends nothing any more."""
         self.duties = None
         self.claims.clear()
-        self.forget()
+        self.discard_pending()
 
     def post(self, event: messages.Event) -> None:
         """Passes an event to the duties and carries out their actions; a stopped process gets it later."""
         if self.duties is None:
             return
         if self.stopped:
-            self.waiting.append(event)
+            self.deferred.append(event)
             return
         for action in self.duties.handle(self.clock(), event):
             self._carry_out(action)
@@ -94,7 +94,7 @@
                 simulation.on_acquired(self, duty, token, value)
             case messages.Lost(duty):
                 self.claims.pop(duty, None)
-                simulation.core.after(0.0, self.post, messages.WorkStopped(duty))
+                simulation.core.call_after(0.0, self.post, messages.WorkStopped(duty))
             case messages.Committed(duty, token, number):
                 simulation.on_committed(self, duty, token, number)
             case messages.Obeys():
@@ -106,7 +106,7 @@
         """Claims a step, if the duty is still held under the token for which this was scheduled."""
         if boot != self.boots or self.stopped or self.duties is None:
             if self.stopped and boot == self.boots:
-                self.simulation.core.after(STEP_PAUSE, self.claim, duty, step, token, boot)
+                self.simulation.core.call_after(STEP_PAUSE, self.claim, duty, step, token, boot)
             return
         # a claim that was scheduled in an earlier holding would claim the step once more
         if self.duties.acting_token(self.clock(), duty) != token:
@@ -172,7 +172,7 @@
         boot = self.processes[to].boots
         for _ in range(2 if self.network_rng.random() < network.duplication else 1):
             delay = self.network_rng.uniform(*network.delay)
-            self.core.after(delay, self._deliver, sender, to, items, boot)
+            self.core.call_after(delay, self._deliver, sender, to, items, boot)
 
     def _deliver(self, sender: str, to: str, items: tuple[messages.Item, ...], boot: int) -> None:
         process = self.processes[to]
@@ -193,7 +193,7 @@
                 f"forgotten: {duty} goes on from step {step}, after {self.committed_steps[duty]}"
             )
         if next(d.orders for d in self.duties if d.name == duty):
-            self.core.after(STEP_PAUSE, process.claim, duty, step + 1, token, process.boots)
+            self.core.call_after(STEP_PAUSE, process.claim, duty, step + 1, token, process.boots)
 
     def on_committed(self, process: Process, duty: str, token: int, number: int) -> None:
         """Does a step, as its claim is committed."""
@@ -207,7 +207,7 @@
             if before is not None and not self.memory_lost:
                 raise RuleViolation(f"done_twice: step {claim.step} of {duty} by {before} and {token}")
             self.steps_done[duty, claim.step] = token
-        self.core.after(STEP_PAUSE, process.claim, duty, claim.step + 1, token, process.boots)
+        self.core.call_after(STEP_PAUSE, process.claim, duty, claim.step + 1, token, process.boots)
 
     def on_obeys(self, process: Process, order: messages.Obeys) -> None:
         """Records that a member obeys an order from now on."""
@@ -285,18 +285,18 @@
     match fault:
         case "kill":
             _kill(simulation, process)
-            core.after(after, process.start)
+            core.call_after(after, process.start)
         case "stop":
             process.stop()
-            core.after(after, process.go_on)
+            core.call_after(after, process.resume)
         case "stop_cut":
             # it handles what arrived in the meantime, but nothing that it then sends is delivered
             process.stop()
-            core.after(rng.uniform(0.2, 4.0), _go_on_alone, process, after)
+            core.call_after(rng.uniform(0.2, 4.0), _go_on_alone, process, after)
         case "unwell":
             process.able = False
             process.post(messages.AbilityReported(False))
-            core.after(after, _make_able, process)
+            core.call_after(after, _make_able, process)
         case "move":
             if process.duties is not None and not process.stopped:
                 for duty in simulation.duties:
@@ -306,7 +306,7 @@
         case "all":
             for each in simulation.processes.values():
                 each.kill()
-                core.after(rng.uniform(0.0, after), each.start)
+                core.call_after(rng.uniform(0.0, after), each.start)
         case "lossy":
             simulation.network.loss, simulation.network.duplication = rng.choice(
                 ((0.3, 0.0), (0.3, 0.3), (0.05, 0.5))
@@ -315,16 +315,16 @@
         case _:
             cut = links_to_cut(names, name, fault, rng)
             simulation.network.cut |= cut
-            core.after(after, simulation.network.cut.difference_update, cut)
+            core.call_after(after, simulation.network.cut.difference_update, cut)
     return f"{core.now - 1000:.2f} {fault} {name}"
 
 
 def _go_on_alone(process: Process, seconds: float) -> None:
     simulation = process.simulation
     cut = links_to_cut(list(simulation.names), process.name, "cut", simulation.rng)
-    process.go_on()
+    process.resume()
     simulation.network.cut |= cut
-    simulation.core.after(seconds, simulation.network.cut.difference_update, cut)
+    simulation.core.call_after(seconds, simulation.network.cut.difference_update, cut)
 
 
 def _kill(simulation: DutySimulation, process: Process) -> None:
@@ -359,7 +359,7 @@
     simulation.network.delay = (0.0005, 0.005)
     for process in simulation.processes.values():
         if process.stopped:
-            process.go_on()
+            process.resume()
         process.start()
         if not process.able:
             _make_able(process)
--- a/myrtlecourse/sim/election.py
+++ b/myrtlecourse/sim/election.py
@@ -13,7 +13,7 @@
 from myrtlecourse.election import messages
 from myrtlecourse.election.core import Election
 from myrtlecourse.sim.core import Core
-from myrtlecourse.sim.machine import Machine
+from myrtlecourse.sim.process import SimulatedProcess
 
 MakeElection = Callable[[messages.Settings, messages.Saved, float, int], Election]
 
@@ -30,7 +30,7 @@
     cut: set[tuple[str, str]] = field(default_factory=set)
 
 
-class Instance(Machine[messages.Event]):
+class Instance(SimulatedProcess[messages.Event]):
     """One router's part: a process that may die, be stopped, and start again."""
 
     def __init__(self, simulation: ElectionSimulation, name: str, rate: float, has_disk: bool) -> None:
@@ -56,7 +56,7 @@
     def kill(self) -> None:
         """Kills the process; it sends nothing any more."""
         self.election = None
-        self.forget()
+        self.discard_pending()
 
     def holds(self) -> bool:
         """Whether it would accept a client now."""
@@ -67,7 +67,7 @@
         if self.election is None:
             return
         if self.stopped:
-            self.waiting.append(event)
+            self.deferred.append(event)
             return
         for action in self.election.handle(self.clock(), event):
             self._carry_out(action)
@@ -88,7 +88,7 @@
             case messages.Withdraw(reason):
                 simulation.withdrawn.append((simulation.core.now, self.name, reason))
                 boot = self.boots
-                simulation.core.after(self.withdrawal_time, self._withdrawn, boot)
+                simulation.core.call_after(self.withdrawal_time, self._withdrawn, boot)
             case messages.SetTimer(at):
                 self.call_at(at, lambda: self.post(messages.TimerFired()))
 
@@ -144,7 +144,7 @@
             return
         for _ in range(2 if self.network_rng.random() < network.duplication else 1):
             delay = self.network_rng.uniform(*network.delay)
-            self.core.after(delay, self._deliver, sender, to, message)
+            self.core.call_after(delay, self._deliver, sender, to, message)
 
     def _deliver(self, sender: str, to: str, message: messages.Message) -> None:
         if (sender, to) not in self.network.cut:
@@ -194,25 +194,25 @@
     match fault:
         case "kill":
             instance.kill()
-            core.after(after, instance.start)
+            core.call_after(after, instance.start)
         case "stop":
             instance.stop()
-            core.after(after, instance.go_on)
+            core.call_after(after, instance.resume)
         case "stop_cut":
             # it handles what arrived in the meantime, but nothing that it then sends is delivered
             instance.stop()
-            core.after(rng.uniform(0.2, simulation.settings(name).lease), _go_on_alone, instance, after)
+            core.call_after(rng.uniform(0.2, simulation.settings(name).lease), _go_on_alone, instance, after)
         case "unwell":
             instance.able = False
             instance.post(messages.AbilityReported(False))
-            core.after(after, _make_able, instance)
+            core.call_after(after, _make_able, instance)
         case "move":
             instance.withdrawal_time = rng.choice((0.0, 0.05, 0.5))
             instance.post(messages.Move(rng.choice([*names, ""])))
         case "all":
             for each in simulation.instances.values():
                 each.kill()
-                core.after(rng.uniform(0.0, after), each.start)
+                core.call_after(rng.uniform(0.0, after), each.start)
         case "lossy":
             simulation.network.loss, simulation.network.duplication = rng.choice(
                 ((0.3, 0.0), (0.3, 0.3), (0.05, 0.5))
@@ -221,16 +221,16 @@
         case _:
             cut = links_to_cut(names, name, fault, rng)
             simulation.network.cut |= cut
-            core.after(after, simulation.network.cut.difference_update, cut)
+            core.call_after(after, simulation.network.cut.difference_update, cut)
     return f"{core.now - 1000:.2f} {fault} {name}"
 
 
 def _go_on_alone(instance: Instance, seconds: float) -> None:
     simulation = instance.simulation
     cut = links_to_cut(list(simulation.names), instance.name, "cut", simulation.rng)
-    instance.go_on()
+    instance.resume()
     simulation.network.cut |= cut
-    simulation.core.after(seconds, simulation.network.cut.difference_update, cut)
+    simulation.core.call_after(seconds, simulation.network.cut.difference_update, cut)
 
 
 def _make_able(instance: Instance) -> None:
@@ -268,7 +268,7 @@
     simulation.network.delay = (0.0005, 0.005)
     for instance in simulation.instances.values():
         if instance.stopped:
-            instance.go_on()
+            instance.resume()
         instance.start()
         instance.withdrawal_time = 0.0
         if not instance.able:
--- a/myrtlecourse/sim/world.py
+++ b/myrtlecourse/sim/fleet_simulation.py
@@ -26,7 +26,7 @@
 from myrtlecourse.sim.clients import Clients
 from myrtlecourse.sim.core import Core
 from myrtlecourse.sim.discovery import SimDiscovery
-from myrtlecourse.sim.meeting import Meeting
+from myrtlecourse.sim.peer_network import PeerNetwork
 from myrtlecourse.sim.routers import SimRouter
 from myrtlecourse.sim.servers import Node
 
@@ -65,11 +65,15 @@
         }
 
 
-class World:
+class FleetSimulation:
     """A scenario on the simulator's clock."""
 
     def __init__(
-        self, scenario: Scenario, profile: Profile, seed: int | None = None, make: type[Router] = Router
+        self,
+        scenario: Scenario,
+        profile: Profile,
+        seed: int | None = None,
+        router_class: type[Router] = Router,
     ) -> None:
         if seed is not None:
             scenario, profile = replace(scenario, seed=seed), replace(profile, seed=seed)
@@ -98,26 +102,26 @@
                 read_settings(self.layout.settings(i)),
                 self.nodes,
                 self.discovery.subscribe,
-                make,
+                router_class,
             )
             for i, name in enumerate(self.layout.routers)
         ]
         for name, zone in self.layout.zones.items():
             self.auditor.judge(seen.ServerZone(self.core.now, name, zone))
-        self.ways = Ways(scenario.seed)  # between routers
+        self.peer_links = Ways(scenario.seed)  # between routers
         if scenario.peers is not None:
-            told, ways = scenario.peers, self.ways
+            told, ways = scenario.peers, self.peer_links
             ways.loss, ways.copies, ways.delay, ways.spread = told.loss, told.copies, told.delay, told.spread
-            met = Meeting(self.core, ways, self.routers, told)
+            met = PeerNetwork(self.core, ways, self.routers, told)
             for i, router in enumerate(self.routers):
-                router.meeting, router.zone = met, zone_of(scenario, i)
+                router.peer_network, router.zone = met, zone_of(scenario, i)
         for router in self.routers:
             self.auditor.judge(seen.RouterUp(self.core.now, router.name))
             router.start(entries)
         profile = replace(profile, hot=profile.hot + hot_keys(scenario))
         self.clients = Clients(self.core, profile, known, self.routers, self.auditor.judge, scenario.seconds)
         for step in steps(scenario):
-            self.core.after(step.at, self._do, step)
+            self.core.call_after(step.at, self._do, step)
 
     def _box(self, name: str) -> Node:
         def group(request: Request) -> str:
@@ -177,7 +181,7 @@
             elif step.do in ("restart", "kill"):  # the others are the host's matter, not the decisions'
                 self._restart(router, step.do == "kill")
         elif step.target == PEERS:
-            part(self.ways, self.layout.routers, step)
+            part(self.peer_links, self.layout.routers, step)
         elif step.target == "discovery":
             self.discovery.away(step.do == "away")
         elif step.do in ("offline", "online"):
@@ -257,16 +261,16 @@
         if kill:
             self.auditor.judge(seen.RouterDown(self.core.now, router.name, True))
             router.kill()
-            self.core.after(STARTING, self._up, router)
+            self.core.call_after(STARTING, self._up, router)
         else:
             router.ending = True
-            self.core.after(ENDING, router.stop_taking, router.life)
-            self.core.after(ENDING + LONGEST_END, self._ended, router)
+            self.core.call_after(ENDING, router.stop_taking, router.incarnation)
+            self.core.call_after(ENDING + LONGEST_END, self._ended, router)
 
     def _ended(self, router: SimRouter) -> None:
         router.kill()
         self.auditor.judge(seen.RouterDown(self.core.now, router.name, False))
-        self.core.after(STARTING, self._up, router)
+        self.core.call_after(STARTING, self._up, router)
 
     def _up(self, router: SimRouter) -> None:
         self.discovery.forget(router)
@@ -293,7 +297,7 @@
             self.auditor.verdict(),
             self.auditor.seen["sent"],
             self.fetches,
-            self.core.happened,
+            self.core.events_run,
             {name: self.nodes[name].work / able[name] for name in able},
             steps(self.scenario),
         )
--- a/myrtlecourse/sim/settings.py
+++ b/myrtlecourse/sim/overrides.py
@@ -17,7 +17,7 @@
     """A path that leads nowhere, or a value that is none; the message names it."""
 
 
-def changed(table: Any, change: str) -> None:
+def apply_override(table: Any, change: str) -> None:
     """Carry out `path=value` in a table: names and list places, with dots between; the value is TOML."""
     path, equals, text = change.partition("=")
     try:
@@ -53,13 +53,13 @@
     try:
         table = msgspec.toml.decode(file.read_bytes())
         for change in changes:
-            changed(table, change)
+            apply_override(table, change)
         return msgspec.convert(table, kind)
     except (OSError, msgspec.DecodeError, msgspec.ValidationError, ValueError) as e:
         raise error(f"{file}: {e}") from e
 
 
-def read_both(scenario: Path, profile: Path, changes: list[str]) -> tuple[Scenario, Profile]:
+def read_scenario_and_profile(scenario: Path, profile: Path, changes: list[str]) -> tuple[Scenario, Profile]:
     """A scenario and a profile; changes whose path begins with `profile.` are the latter's."""
     ours = [c.removeprefix("profile.") for c in changes if c.startswith("profile.")]
     theirs = [c for c in changes if not c.startswith("profile.")]
--- a/myrtlecourse/sim/meeting.py
+++ b/myrtlecourse/sim/peer_network.py
@@ -21,7 +21,7 @@
 KEY = b"of the simulator, where nobody listens"
 
 
-class Meeting:
+class PeerNetwork:
     """Where the routers of a fleet hear of one another."""
 
     def __init__(self, core: Core, ways: Ways, routers: list[SimRouter], told: Peers) -> None:
@@ -35,7 +35,7 @@
         # when, whose, which zones are left, and whether the origin is
         self.orders: list[tuple[float, str, frozenset[str], bool]] = []
         # when, whose, and how much of which zones that come back
-        self.shares: list[tuple[float, str, Mapping[str, float]]] = []
+        self.return_shares: list[tuple[float, str, Mapping[str, float]]] = []
 
     def wall(self) -> float:
         """The one clock of all machines."""
@@ -52,13 +52,13 @@
             origin_rate=told.origin_rate,
         )
         agent = Agent(part, self.core.now, self.wall(), self.chance.getrandbits(32))
-        self.core.after(PACE * self.chance.random(), self._tick, router, agent, router.life)
+        self.core.call_after(PACE * self.chance.random(), self._tick, router, agent, router.incarnation)
         return agent
 
     def _tick(self, router: SimRouter, agent: Agent, life: int) -> None:
-        if not router.up or router.life != life:
+        if not router.up or router.incarnation != life:
             return
-        self.core.after(PACE, self._tick, router, agent, life)
+        self.core.call_after(PACE, self._tick, router, agent, life)
         if router.stalled:
             return
         done = agent.tick(self.core.now, self.wall())
@@ -66,15 +66,15 @@
             self.datagrams += 1
             self.bytes += len(datagram.data)
             for pause in self.ways.fate((router.name, datagram.to)):
-                self.core.after(pause, self._arrive, self.routers[datagram.to], datagram.data)
+                self.core.call_after(pause, self._arrive, self.routers[datagram.to], datagram.data)
         if done.left is not None:
             self.orders.append((self.core.now, router.name, done.left.zones, done.left.origin_unreachable))
-            self.shares.append((self.core.now, router.name, done.left.return_shares))
+            self.return_shares.append((self.core.now, router.name, done.left.return_shares))
         for event in done.events:
             router.post(event)
 
     def _arrive(self, router: SimRouter, data: bytes) -> None:
-        if router.later(self._arrive, router, data) or not router.up or router.agent is None:
+        if router.defer_if_stalled(self._arrive, router, data) or not router.up or router.agent is None:
             return
         try:
             router.agent.receive(data, self.core.now, self.wall())
--- a/myrtlecourse/sim/machine.py
+++ b/myrtlecourse/sim/process.py
@@ -8,10 +8,10 @@
 
 from myrtlecourse.sim.core import Core, Event
 
-Said = TypeVar("Said")  # what it is told
+EventT = TypeVar("EventT")  # what it is told
 
 
-class Machine(Generic[Said]):
+class SimulatedProcess(Generic[EventT]):
     """What such processes have in common; what an event does is in `post`."""
 
     def __init__(self, core: Core, chance: random.Random, name: str, rate: float) -> None:
@@ -22,7 +22,7 @@
         self.offset = chance.uniform(0.0, 1e6)
         self.able = True
         self.stopped = False
-        self.waiting: list[Said] = []  # what comes while it stands still
+        self.deferred: list[EventT] = []  # what comes while it stands still
         self.wake: Event | None = None
         self.boots = 0
 
@@ -30,7 +30,7 @@
         """Its own monotonic clock."""
         return self.offset + self.rate * self.core.now
 
-    def post(self, event: Said) -> None:
+    def post(self, event: EventT) -> None:
         """It is told something."""
         raise NotImplementedError
 
@@ -39,12 +39,12 @@
         if self.wake is not None:
             self.wake.cancel()
         if at < float("inf"):
-            self.wake = self.core.after(max(0.0, (at - self.clock()) / self.rate), call)
+            self.wake = self.core.call_after(max(0.0, (at - self.clock()) / self.rate), call)
 
-    def forget(self) -> None:
+    def discard_pending(self) -> None:
         """The process dies: nothing waits for it, and nothing is called."""
         self.stopped = False
-        self.waiting.clear()
+        self.deferred.clear()
         if self.wake is not None:
             self.wake.cancel()
 
@@ -52,9 +52,9 @@
         """It stands still (SIGSTOP)."""
         self.stopped = True
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """It goes on where it stood, with all that came meanwhile."""
         self.stopped = False
-        events, self.waiting = self.waiting, []
+        events, self.deferred = self.deferred, []
         for event in events:
             self.post(event)
--- a/myrtlecourse/sim/routers.py
+++ b/myrtlecourse/sim/routers.py
@@ -20,7 +20,7 @@
 from myrtlecourse.sim.servers import Node
 
 if TYPE_CHECKING:
-    from myrtlecourse.sim.meeting import Meeting
+    from myrtlecourse.sim.peer_network import PeerNetwork
     from myrtlecourse.zones.agent import Agent
 
 
@@ -108,21 +108,21 @@
         settings: api.Settings,
         nodes: dict[str, Node],
         subscribe: Callable[[SimRouter], None],
-        make: type[Router] = Router,
+        router_class: type[Router] = Router,
     ) -> None:
         self.core = core
         self.name = name
         self.settings = settings
         self.nodes = nodes
         self.subscribe = subscribe
-        self.make = make
+        self.router_class = router_class
         self.seeds = core.stream(f"seeds {name}")
         self.up = False
         self.taking = False
         self.ending = False
-        self.life = 0  # how often it was started: timers of an earlier life are no more
+        self.incarnation = 0  # how often it was started: timers of an earlier life are no more
         self.zone = ""
-        self.meeting: Meeting | None = None  # with the others, where routers talk
+        self.peer_network: PeerNetwork | None = None  # with the others, where routers talk
         self.agent: Agent | None = None
         self.stalled = False
         # what comes while it stands still
@@ -130,12 +130,12 @@
 
     def start(self, saved: list[Entry]) -> None:
         """Begin with nothing but a list."""
-        self.router = self.make(self.settings, self.seeds.getrandbits(32), self.core.now)
-        self.life += 1
+        self.router = self.router_class(self.settings, self.seeds.getrandbits(32), self.core.now)
+        self.incarnation += 1
         self.stalled = False
         self.deferred.clear()
-        if self.meeting is not None:
-            self.agent = self.router.observer = self.meeting.join(self)
+        if self.peer_network is not None:
+            self.agent = self.router.observer = self.peer_network.join(self)
         self.up = self.taking = True
         self.ending = False
         self.listed: dict[str, Entry] = {}
@@ -147,7 +147,7 @@
 
     def stop_taking(self, life: int) -> None:
         """Asked to end: no new connection comes up any more."""
-        if life == self.life:
+        if life == self.incarnation:
             self.taking = False
 
     def stall(self, stalled: bool) -> None:
@@ -157,7 +157,7 @@
             call, arguments = self.deferred.pop(0)
             call(*arguments)
 
-    def later(self, call: Callable[..., None], *arguments: Any) -> bool:
+    def defer_if_stalled(self, call: Callable[..., None], *arguments: Any) -> bool:
         """Whether something has to wait, as the process stands still."""
         if self.stalled:
             self.deferred.append((call, arguments))
@@ -180,7 +180,7 @@
 
     def list_told(self, kind: api.ListKind, entries: list[Entry]) -> None:
         """Take a list or its changes."""
-        if self.later(self.list_told, kind, entries):
+        if self.defer_if_stalled(self.list_told, kind, entries):
             return
         if kind is not api.ListKind.DELTA:
             self.listed = {}
@@ -202,12 +202,12 @@
 
     def take(self, asked: AskedFor) -> None:
         """Take a request that is owed one answer."""
-        if self.later(self.take, asked):
+        if self.defer_if_stalled(self.take, asked):
             return
         time_left = max(0.0, asked.time_left - DEADLINE_MARGIN)
         taken = Taken(asked, self.core.now + time_left)
         self.requests[asked.name] = taken
-        taken.expiry = self.core.after(time_left, self._overdue, taken)
+        taken.expiry = self.core.call_after(time_left, self._overdue, taken)
         self.post(api.Request(asked.name, asked.kind.name, time_left, asked.key, asked.hint, asked.write))
 
     def take_or_end(self, asked: AskedFor) -> None:
@@ -219,7 +219,7 @@
 
     def client_gone(self, name: str) -> None:
         """The client has left."""
-        if self.later(self.client_gone, name):
+        if self.defer_if_stalled(self.client_gone, name):
             return
         taken = self.requests.get(name)
         if self.up and taken is not None and not taken.closed:
@@ -261,21 +261,21 @@
             case api.CloseIdle():
                 self.nodes[action.server].kept.pop(self.name, None)
             case api.SetTimer():
-                self.core.after(action.delay, self._fired, self.life, action.timer)
+                self.core.call_after(action.delay, self._fired, self.incarnation, action.timer)
             case api.Subscribe():
                 self.subscribe(self)
             case api.Log():
                 pass
 
     def _fired(self, life: int, token: str) -> None:
-        if self.later(self._fired, life, token):
+        if self.defer_if_stalled(self._fired, life, token):
             return
-        if self.up and life == self.life:
+        if self.up and life == self.incarnation:
             self.post(api.TimerFired(token))
 
     def _overdue(self, taken: Taken) -> None:
         """The deadline: attempts still out time out."""
-        if self.later(self._overdue, taken):
+        if self.defer_if_stalled(self._overdue, taken):
             return
         if self.requests.get(taken.asked.name) is not taken:
             return
@@ -305,7 +305,7 @@
             self.finish(attempt, api.Status.NOT_SENT if over else api.Status.CONNECT_FAILED)
             return
         if action.timeout is not None and action.timeout < taken.deadline - now:
-            attempt.timer = self.core.after(
+            attempt.timer = self.core.call_after(
                 max(0.0, action.timeout), self._give_up, attempt, api.Status.TIMEOUT
             )
         node.connect(attempt)
@@ -317,7 +317,7 @@
 
     def finish(self, attempt: Attempt, status: api.Status) -> None:
         """Give an attempt its one outcome; the first that served answers the client."""
-        if self.later(self.finish, attempt, status):
+        if self.defer_if_stalled(self.finish, attempt, status):
             return
         taken = attempt.taken
         if attempt.over or taken.attempts.pop(attempt.number, None) is None:
--- a/myrtlecourse/sim/search.py
+++ b/myrtlecourse/sim/search.py
@@ -17,8 +17,8 @@
 from myrtlecourse.fleet.scenario import Fault, Scenario
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.policy import Router
-from myrtlecourse.sim.finds import Find
-from myrtlecourse.sim.world import World
+from myrtlecourse.sim.counterexamples import Counterexample
+from myrtlecourse.sim.fleet_simulation import FleetSimulation
 
 KEPT = 12  # schedules that came closest, from which new ones are made
 FRESH = 0.25  # of the trials that begin anew
@@ -36,15 +36,15 @@
     breaches: dict[str, int]
 
     @property
-    def closest(self) -> float:
+    def highest_margin(self) -> float:
         """The highest of its margins."""
         found: float = max(self.margins.values(), default=0.0)
         return found
 
 
-def play(scenario: Scenario, profile: Profile, make: type[Router]) -> Trial:
+def play(scenario: Scenario, profile: Profile, router_class: type[Router]) -> Trial:
     """Play a schedule until a rule is broken or it is over."""
-    world = World(scenario, profile, make=make)
+    world = FleetSimulation(scenario, profile, router_class=router_class)
     result = world.run(until_broken=True)
     broken = {kind: count for kind, count in result.verdict["breaches"].items() if count}
     return Trial(scenario, profile, world.margins(), broken)
@@ -132,32 +132,32 @@
     base: Scenario
     profile: Profile
     seed: int = 1
-    make: type[Router] = Router
-    tried: int = 0
-    best: list[Trial] = field(default_factory=list)
+    router_class: type[Router] = Router
+    trial_count: int = 0
+    pool: list[Trial] = field(default_factory=list)
 
     def trials(self) -> Iterator[Trial]:
         """One trial after another, without end; the same seed gives the same ones."""
         chance = random.Random(f"{self.seed} search")
         mutator = Mutator(self.base, chance)
         while True:
-            anew = not self.best or chance.random() < FRESH
-            scenario = mutator.fresh() if anew else mutator.near(chance.choice(self.best).scenario)
-            trial = play(scenario, replace(self.profile, seed=scenario.seed), self.make)
-            self.tried += 1
+            anew = not self.pool or chance.random() < FRESH
+            scenario = mutator.fresh() if anew else mutator.near(chance.choice(self.pool).scenario)
+            trial = play(scenario, replace(self.profile, seed=scenario.seed), self.router_class)
+            self.trial_count += 1
             self._keep(trial)
             yield trial
 
     def _keep(self, trial: Trial) -> None:
         """Keep the closest by each margin first, then by the highest of all."""
-        pool = [*self.best, trial]
+        pool = [*self.pool, trial]
         kinds = sorted({kind for t in pool for kind in t.margins})
         leaders = [max(pool, key=lambda t, k=kind: t.margins.get(k, 0.0)) for kind in kinds]  # type: ignore[misc]
-        others = sorted(pool, key=lambda t: -t.closest)
-        self.best = list({id(t): t for t in [*leaders, *others]}.values())[:KEPT]
+        others = sorted(pool, key=lambda t: -t.highest_margin)
+        self.pool = list({id(t): t for t in [*leaders, *others]}.values())[:KEPT]
 
 
-def shrink(trial: Trial, make: type[Router]) -> Find:
+def shrink(trial: Trial, router_class: type[Router]) -> Counterexample:
     """The same breach with as little as can be."""
     kinds = set(trial.breaches)
     left = SHRINKS
@@ -165,7 +165,7 @@
     def still(scenario: Scenario, profile: Profile) -> Trial | None:
         nonlocal left
         left -= 1
-        found = play(scenario, profile, make)
+        found = play(scenario, profile, router_class)
         return found if kinds & set(found.breaches) else None
 
     progress = True
@@ -177,7 +177,7 @@
             if (found := still(scenario, profile)) is not None:
                 trial, progress = found, True
                 break
-    return Find(trial.scenario, trial.profile, trial.breaches)
+    return Counterexample(trial.scenario, trial.profile, trial.breaches)
 
 
 def _smaller(trial: Trial) -> Iterator[tuple[Scenario, Profile]]:
--- a/myrtlecourse/sim/servers.py
+++ b/myrtlecourse/sim/servers.py
@@ -75,19 +75,19 @@
             attempt.fresh = True
             if self._cut_from(router):
                 self.observe(seen.UnreachableDial(self.core.now, router, self.name))
-                self.core.after(attempt.router.settings.dial_timeout, attempt.end, Status.CONNECT_FAILED)
+                self.core.call_after(attempt.router.settings.dial_timeout, attempt.end, Status.CONNECT_FAILED)
                 return
             if not self.up or self.refusing:
                 self.observe(seen.UnreachableDial(self.core.now, router, self.name))
-                self.core.after(HOP, attempt.end, Status.CONNECT_FAILED)
+                self.core.call_after(HOP, attempt.end, Status.CONNECT_FAILED)
                 return
         attempt.began = self.core.now
-        self.core.after(HOP + self.distances[router], self.arrive, attempt)
+        self.core.call_after(HOP + self.distances[router], self.arrive, attempt)
 
     def arrive(self, attempt: Attempt) -> None:
         """Its last byte has come."""
         if not self.up:
-            self.core.after(HOP, attempt.end, Status.RESET)
+            self.core.call_after(HOP, attempt.end, Status.RESET)
             return
         if self.frozen or self._cut_from(attempt.router.name):
             self.held.append(attempt)
@@ -130,7 +130,7 @@
             self.timer.cancel()
             self.timer = None
         if (due := self.model.station.due()) < math.inf:
-            self.timer = self.core.at(due, self._work)
+            self.timer = self.core.call_at(due, self._work)
 
     def _work(self) -> None:
         self.timer = None
@@ -166,11 +166,11 @@
         router = attempt.router.name
         if status is not Status.RESET:
             self.kept.setdefault(router, []).append(self.core.now)
-        self.core.after(HOP + self.distances[router], attempt.end, status)
+        self.core.call_after(HOP + self.distances[router], attempt.end, status)
 
     def left(self, attempt: Attempt) -> None:
         """The router waits no more; the box hears of it a little later."""
-        self.core.after(HOP + self.distances[attempt.router.name], self._left, attempt)
+        self.core.call_after(HOP + self.distances[attempt.router.name], self._left, attempt)
 
     def _left(self, attempt: Attempt) -> None:
         if self.frozen or self._cut_from(attempt.router.name):
@@ -229,7 +229,7 @@
             if attempt.piece is not None:
                 self.model.station.cancel(self.core.now, attempt.piece)
                 attempt.piece = None
-            self.core.after(HOP, attempt.end, Status.RESET)
+            self.core.call_after(HOP, attempt.end, Status.RESET)
         self.schedule()
 
     def end(self) -> None:
--- a/myrtlecourse/sim/spread.py
+++ b/myrtlecourse/sim/spread.py
@@ -17,10 +17,10 @@
 
 from myrtlecourse.peers.seal import LONGEST, SEAL
 from myrtlecourse.peers.wire import HELLO, VERSION
-from myrtlecourse.sim.core import BEGIN, SECOND, Core
-from myrtlecourse.sim.machine import Machine
-from myrtlecourse.sim.places import Network, Place
-from myrtlecourse.sim.spread_judge import Broken, Judge
+from myrtlecourse.sim.core import MICROSECONDS, START_TIME, Core
+from myrtlecourse.sim.process import SimulatedProcess
+from myrtlecourse.sim.spread_judge import Judge, RuleViolation
+from myrtlecourse.sim.topology import Network, Place
 from myrtlecourse.spread import messages as said
 from myrtlecourse.spread.codec import SpreadCodec
 from myrtlecourse.spread.node import Node
@@ -69,7 +69,7 @@
         if at < self.due:
             self.due = at
             machine = self.machine
-            machine.core.after(max(TURN, (at - machine.clock()) / machine.rate), self._ring, at)
+            machine.core.call_after(max(TURN, (at - machine.clock()) / machine.rate), self._ring, at)
 
     def _ring(self, due: float) -> None:
         if due != self.due:
@@ -82,10 +82,10 @@
             self.call()
 
 
-class Member(Machine[Told]):
+class Member(SimulatedProcess[Told]):
     """A process that may die, stand still and start again: a router, a cache server's part."""
 
-    def __init__(self, world: World, index: int, name: str, place: Place, rate: float) -> None:
+    def __init__(self, world: SpreadSimulation, index: int, name: str, place: Place, rate: float) -> None:
         super().__init__(world.core, world.chance, name, rate)
         self.world = world
         self.index = index
@@ -101,28 +101,28 @@
             return
         self.boots += 1
         self.met.clear()
-        self.world.judge.begins(self.index)
+        self.world.judge.on_start(self.index)
         settings = self.world.settings(self.name, self.place)
-        self.node = self.world.make(settings, self.clock(), self.world.chance.getrandbits(32))
+        self.node = self.world.make_node(settings, self.clock(), self.world.chance.getrandbits(32))
         self.post(said.TimerFired())
 
     def kill(self) -> None:
         """The process dies; nothing of it is said to anyone."""
         self.node = None
         self.alarm.set(float("inf"))
-        self.forget()
+        self.discard_pending()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """It goes on where it stood, with what a socket keeps of what came meanwhile."""
-        heard = [i for i, event in enumerate(self.waiting) if isinstance(event, said.Received)]
+        heard = [i for i, event in enumerate(self.deferred) if isinstance(event, said.Received)]
         lost = set(heard[MOST_WAITING:])
-        self.waiting = [event for i, event in enumerate(self.waiting) if i not in lost]
-        super().go_on()
+        self.deferred = [event for i, event in enumerate(self.deferred) if i not in lost]
+        super().resume()
 
     def post(self, event: Told) -> None:
         """Let it hear of something, unless it is dead, or stands still. Raises Broken."""
         if self.node is not None and self.stopped:
-            self.waiting.append(event)
+            self.deferred.append(event)
         elif self.node is not None:
             self.take(event)
 
@@ -137,20 +137,23 @@
                 case said.SetTimer(at):
                     self.alarm.set(at)
                 case said.Apply(first, entries):
-                    judge.applied(self.index, first, entries, world.time)
+                    judge.on_applied(self.index, first, entries, world.time)
                 case said.Watermark(number, _, _):
-                    world.says_done(number)
+                    world.on_watermark(number)
                 case said.AssumePurged(first, last):
-                    judge.forgot(self.index, first, last)
+                    judge.on_assumed_purged(self.index, first, last)
                 case said.Restore(number, change):
-                    judge.restored(self.index, number, change)
+                    judge.on_restored(self.index, number, change)
                 case said.LeaseChanged(may):
-                    if may and not self.vouches():
-                        raise Broken(f"told_to_vouch: {self.name} may not")
-        if judge.have[self.index] < judge.done and self.vouches():
-            raise Broken(f"done_ahead: {self.name} vouches and has {judge.have[self.index]} of {judge.done}")
-
-    def vouches(self) -> bool:
+                    if may and not self.has_lease():
+                        raise RuleViolation(f"told_to_vouch: {self.name} may not")
+        if judge.applied_until[self.index] < judge.watermark and self.has_lease():
+            raise RuleViolation(
+                f"done_ahead: {self.name} has a lease and {judge.applied_until[self.index]} "
+                f"of {judge.watermark} entries"
+            )
+
+    def has_lease(self) -> bool:
         """Whether it would act as if up to date at this moment of true time."""
         return self.node is not None and self.node.has_lease(self.clock())
 
@@ -158,7 +161,7 @@
 class Control(Member):
     """A control machine: a node, a head, and a disk that takes its time and outlives both."""
 
-    def __init__(self, world: World, index: int, name: str, place: Place, rate: float) -> None:
+    def __init__(self, world: SpreadSimulation, index: int, name: str, place: Place, rate: float) -> None:
         super().__init__(world, index, name, place, rate)
         self.disk = LogState()  # outlives the process
         self.log_head: Replica | None = None
@@ -168,7 +171,7 @@
         if self.node is None:
             settings = self.world.settings(self.name, self.place)
             # the process changes what it has read; the disk stays as it is
-            self.log_head = self.world.make_head(settings, copy.deepcopy(self.disk), self.clock())
+            self.log_head = self.world.make_replica(settings, copy.deepcopy(self.disk), self.clock())
         super().start()
         self.post(ToHead(said.TimerFired()))
 
@@ -200,21 +203,21 @@
                 case said.SetTimer(at):
                     self.head_alarm.set(at)
                 case said.Committed(_, first, entries):
-                    world.judge.settled(first, entries)
+                    world.judge.on_committed(first, entries)
                     super().take(action)
                 case said.Leadership():
                     super().take(action)
                 case Store():
-                    world.core.after(world.disk_time(), self._stored, action, self.boots)
+                    world.core.call_after(world.disk_time(), self._stored, action, self.boots)
                 case Acknowledge(ticket, number):
                     world.acknowledge(ticket, number)
                 case Refuse(ticket):
                     world.refused += 1
                     del world.tickets[ticket]
                 case said.AssumePurged(first, last):
-                    world.judge.forgot(self.index, first, last)
+                    world.judge.on_assumed_purged(self.index, first, last)
                 case said.Restore(number, change):
-                    world.judge.restored(self.index, number, change)
+                    world.judge.on_restored(self.index, number, change)
 
     def _stored(self, store: Store, boot: int) -> None:
         if boot == self.boots and self.node is not None:
@@ -223,7 +226,7 @@
             self.post(ToHead(Stored(store.number)))
 
 
-class World:
+class SpreadSimulation:
     """A fleet on one clock, under a load of purges and changes."""
 
     def __init__(
@@ -232,19 +235,19 @@
         control: int,
         seed: int,
         entries: int,
-        make: Callable[[said.Settings, float, int], Node] = Node,
-        make_head: Callable[[said.Settings, LogState, float], Replica] = Replica,
+        make_node: Callable[[said.Settings, float, int], Node] = Node,
+        make_replica: Callable[[said.Settings, LogState, float], Replica] = Replica,
         **figures: Any,
     ) -> None:
         """`entries`: the most that will be proposed; `figures`: of Settings."""
         self.core = Core(seed)
         self.chance = self.core.stream("members")
-        self.make, self.make_head, self.figures = make, make_head, figures
+        self.make_node, self.make_replica, self.figures = make_node, make_replica, figures
         self.sites = sites
         self.control = tuple(f"control-{i:02d}" for i in range(control))
         self.drift = said.Settings(self.control[0], self.control, sites, **figures).drift
         regions = sorted({s.region for s in sites})
-        self.by_region = [tuple(s for s in sites if s.region == r) for r in regions]
+        self.sites_by_region = [tuple(s for s in sites if s.region == r) for r in regions]
         self.network = Network(len(regions), len(sites) + control, self.core.stream("places"))
         self.network.random = self.core.stream("network").random
         self.members: dict[str, Member] = {}
@@ -254,11 +257,11 @@
         for s, site in enumerate(sites):
             for name in (*site.routers, *site.parts):
                 self._add(Member, name, Place(regions.index(site.region), s))
-        self.each = list(self.members.values())
-        self.judge = Judge(len(self.each), entries)
-        self.bytes = [0] * len(self.each)
-        self.datagrams = [0] * len(self.each)
-        self.seconds: list[
+        self.member_list = list(self.members.values())
+        self.judge = Judge(len(self.member_list), entries)
+        self.bytes = [0] * len(self.member_list)
+        self.datagrams = [0] * len(self.member_list)
+        self.second_totals: list[
             tuple[Any, Any]
         ] = []  # bytes and datagrams of each member by the end of each second
         self.tickets: dict[int, tuple[said.Entry, float]] = {}
@@ -266,7 +269,7 @@
         self.token = 0
         self.holder = ""
         self.disk_pause = (0.001, 0.005)  # seconds that writing takes
-        self.core.after(1.0, self._second)
+        self.core.call_after(1.0, self._second)
 
     def _add(self, kind: type[Member], name: str, place: Place) -> None:
         rate = 1 + self.chance.uniform(-self.drift, self.drift)
@@ -274,32 +277,32 @@
 
     def settings(self, name: str, place: Place) -> said.Settings:
         """What a member is installed with."""
-        sites = self.sites if name in self.control else self.by_region[place.region]
+        sites = self.sites if name in self.control else self.sites_by_region[place.region]
         return said.Settings(name, self.control, sites, **self.figures)
 
     @property
     def time(self) -> float:
         """Seconds since the start of the world."""
-        return (self.core.time - BEGIN) / SECOND
+        return (self.core.time - START_TIME) / MICROSECONDS
 
     def disk_time(self) -> float:
         """Seconds that writing takes this time."""
         return self.chance.uniform(*self.disk_pause)
 
     def _second(self) -> None:
-        self.core.after(1.0, self._second)
-        self.seconds.append((np.array(self.bytes), np.array(self.datagrams)))
+        self.core.call_after(1.0, self._second)
+        self.second_totals.append((np.array(self.bytes), np.array(self.datagrams)))
 
     def send(self, sender: Member, to: str, words: tuple[said.Message, ...]) -> None:
         """A datagram on its way. Raises Broken."""
         length = sender.head + CODEC.size(words)
         if length > LONGEST:
-            raise Broken(f"too_long: {length} bytes from {sender.name}")
+            raise RuleViolation(f"too_long: {length} bytes from {sender.name}")
         there = self.members[to]
         self._count(sender, length)
         known, heard = sender.met.get(there.index, 0), said.Received(sender.name, words)
-        for pause in self.network.fate(sender.place, there.place):
-            self.core.after(pause, self._arrive, there, sender, sender.boots, known, heard)
+        for pause in self.network.draw_delays(sender.place, there.place):
+            self.core.call_after(pause, self._arrive, there, sender, sender.boots, known, heard)
 
     def _count(self, sender: Member, length: int) -> None:
         self.bytes[sender.index] += length
@@ -311,8 +314,8 @@
         if known != there.boots:
             # sealed for no process or another: it is not opened, and the sender is told the right one
             self._count(there, there.head + len(HELLO) + 1)
-            for pause in self.network.fate(there.place, sender.place):
-                self.core.after(pause, self._greeted, sender, boot, there.index, there.boots)
+            for pause in self.network.draw_delays(there.place, sender.place):
+                self.core.call_after(pause, self._greeted, sender, boot, there.index, there.boots)
         elif boot >= there.met.get(sender.index, 0):
             there.met[sender.index] = boot
             there.post(heard)
@@ -324,15 +327,15 @@
 
     # The duty, and what is proposed to its holder
 
-    def release(self) -> None:
+    def release_holder(self) -> None:
         """The holder is told that it holds no more."""
         if self.holder:
             self.members[self.holder].post(ToHead(LeadershipLost()))
         self.holder = ""
 
-    def hold(self, name: str) -> None:
+    def set_holder(self, name: str) -> None:
         """A control machine holds the duty from now on; whoever held it before is told."""
-        self.release()
+        self.release_holder()
         self.token += 1
         self.holder = name
         self.members[name].post(ToHead(LeadershipGained(self.token)))
@@ -350,9 +353,9 @@
     def acknowledge(self, ticket: int, number: int) -> None:
         """The holder says that an entry lasts."""
         entry, at = self.tickets.pop(ticket)
-        self.judge.acknowledge(number, entry, at, self.time)
+        self.judge.on_acknowledged(number, entry, at, self.time)
 
-    def load(self, purges: float, changes: float, seconds: float, subjects: int = 50) -> None:
+    def schedule_load(self, purges: float, changes: float, seconds: float, subjects: int = 50) -> None:
         """So many entries a second, at times of chance."""
         chance = self.core.stream("load")
         for rate, kind in ((purges, said.Purge), (changes, said.Change)):
@@ -363,23 +366,25 @@
                 else:
                     subject = chance.randrange(subjects).to_bytes(said.KEY_BYTES, "big")
                     entry = said.Change(subject, chance.randbytes(chance.randint(20, said.MAX_VALUE_BYTES)))
-                self.core.after(at, self.propose, entry)
+                self.core.call_after(at, self.propose, entry)
                 at += chance.expovariate(rate)
 
-    def says_done(self, number: int) -> None:
+    def on_watermark(self, number: int) -> None:
         """The root has said that all is done up to a number. Raises Broken."""
-        for index in self.judge.says_done(number, self.time):
-            if self.each[index].vouches():
-                have = self.judge.have[index]
-                raise Broken(f"done_ahead: {number}, and {self.each[index].name} vouches and has {have}")
+        for index in self.judge.on_watermark(number, self.time):
+            if self.member_list[index].has_lease():
+                have = self.judge.applied_until[index]
+                raise RuleViolation(
+                    f"done_ahead: {number}, and {self.member_list[index].name} vouches and has {have}"
+                )
 
     # What is asked of it
 
     def start(self, within: float = 0.0) -> None:
         """All members, spread over so many seconds; the first control machine holds the duty."""
-        for member in self.each:
-            self.core.after(self.chance.uniform(0.0, within), member.start)
-        self.core.after(within, self.hold, self.control[0])
+        for member in self.member_list:
+            self.core.call_after(self.chance.uniform(0.0, within), member.start)
+        self.core.call_after(within, self.set_holder, self.control[0])
 
     def run(self, seconds: float) -> None:
         """Let time pass."""
@@ -387,27 +392,33 @@
 
     def vouching(self) -> int:
         """Members that vouch at this moment."""
-        return sum(m.vouches() for m in self.each)
+        return sum(m.has_lease() for m in self.member_list)
 
-    def settle(self, within: float) -> float | None:
+    def run_until_consistent(self, within: float) -> float | None:
         """Seconds until all that live vouch and have all there is; None if they don't within that time."""
         began, judge = self.core.now, self.judge
         while self.core.now < began + within:
             last = len(judge.log) - 1
-            if all(judge.have[m.index] == last and m.vouches() for m in self.each if m.node is not None):
+            if all(
+                judge.applied_until[m.index] == last and m.has_lease()
+                for m in self.member_list
+                if m.node is not None
+            ):
                 return self.core.now - began
             self.run(0.05)
         return None
 
-    def check_same(self) -> None:
+    def check_consistency(self) -> None:
         """All members that live have the same log and the same changes. Raises Broken."""
         judge = self.judge
         last, table = len(judge.log) - 1, judge.table()
-        for member in (m for m in self.each if m.node is not None):
-            if judge.have[member.index] != last:
-                raise Broken(f"missing: {member.name} has {judge.have[member.index]} of {last}")
+        for member in (m for m in self.member_list if m.node is not None):
+            if judge.applied_until[member.index] != last:
+                raise RuleViolation(
+                    f"missing: {member.name} has {judge.applied_until[member.index]} of {last}"
+                )
             if judge.tables[member.index] != table:
-                raise Broken(f"other_table: {member.name}")
-        lasting = [n for n in judge.promised if n > last]
+                raise RuleViolation(f"other_table: {member.name}")
+        lasting = [n for n in judge.acknowledged_entries if n > last]
         if lasting:
-            raise Broken(f"forgotten: {len(lasting)} acknowledged and not in the log")
+            raise RuleViolation(f"forgotten: {len(lasting)} acknowledged and not in the log")
--- a/myrtlecourse/sim/places.py
+++ b/myrtlecourse/sim/topology.py
@@ -8,7 +8,7 @@
 from myrtlecourse.spread.messages import Site
 
 
-def laid_out(regions: int, sites: int, routers: int, parts: int) -> tuple[Site, ...]:
+def lay_out_sites(regions: int, sites: int, routers: int, parts: int) -> tuple[Site, ...]:
     """So many sites, dealt out to the regions in turn, and to each its share of all routers and parts."""
     each = []
     for s in range(sites):
@@ -49,12 +49,12 @@
         self.loss = 0.0
         self.twice = 0.0  # chance that one comes once more
         self.late = 0.0  # chance that one takes up to 0.3 s longer, and so is passed by others
-        self.mute: set[int] = set()  # regions out of which nothing comes
-        self.deaf: set[int] = set()  # into which nothing comes
+        self.outbound_cut: set[int] = set()  # regions out of which nothing comes
+        self.inbound_cut: set[int] = set()  # into which nothing comes
 
-    def fate(self, a: Place, b: Place) -> tuple[float, ...]:
+    def draw_delays(self, a: Place, b: Place) -> tuple[float, ...]:
         """When a datagram comes, in seconds from now: no time if it is lost, two if it comes twice."""
-        if a.region != b.region and (a.region in self.mute or b.region in self.deaf):
+        if a.region != b.region and (a.region in self.outbound_cut or b.region in self.inbound_cut):
             return ()
         if self.loss and self.random() < self.loss:
             return ()
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -203,7 +203,7 @@
     simulation.run(10.0)
     second = simulation.holders()
     assert len(second) == 1 and second != [first]
-    simulation.instances[first].go_on()
+    simulation.instances[first].resume()
     assert simulation.withdrawn[-1][1] == first
     simulation.run(5.0)
     assert simulation.holders() == second
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -17,7 +17,7 @@
 from myrtlecourse.fleet.session import play
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.policy import Router
-from myrtlecourse.sim.world import World
+from myrtlecourse.sim.fleet_simulation import FleetSimulation
 from tests.loopback import needs_sources
 
 FAULTS = [
@@ -84,7 +84,7 @@
 
 
 def test_the_simulator_plays_operators_work_and_keeps_the_rules() -> None:
-    world = World(scenario(), msgspec.convert(PROFILE, Profile))
+    world = FleetSimulation(scenario(), msgspec.convert(PROFILE, Profile))
     world.run()
     verdict = world.auditor.verdict()
     assert verdict["kept"] and verdict["seen"]["banned"] == 2
@@ -100,7 +100,7 @@
 
 @needs_sources
 def test_the_simulator_catches_a_module_that_is_deaf_to_bans() -> None:
-    world = World(scenario(), msgspec.convert(PROFILE, Profile), make=Deaf)
+    world = FleetSimulation(scenario(), msgspec.convert(PROFILE, Profile), router_class=Deaf)
     world.run()
     assert world.auditor.verdict()["breaches"]["sent_to_banned"] > 0
 
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -21,11 +21,11 @@
 from myrtlecourse.load.profile import Profile, ProfileError
 from myrtlecourse.policy import Router
 from myrtlecourse.sim.core import Core, Event
-from myrtlecourse.sim.finds import read_find, write_find
+from myrtlecourse.sim.counterexamples import read_counterexample, write_counterexample
+from myrtlecourse.sim.fleet_simulation import FleetSimulation, Result, ScenarioMismatch
+from myrtlecourse.sim.overrides import read_scenario_and_profile
 from myrtlecourse.sim.search import Search, shrink
 from myrtlecourse.sim.search import play as play_schedule
-from myrtlecourse.sim.settings import read_both
-from myrtlecourse.sim.world import Result, ScenarioMismatch, World
 from tests.loopback import needs_sources
 from tests.wrong_modules import ForgetsDrains, NeverGivesUp, RefusesWhatRuns, Repeats
 
@@ -63,9 +63,11 @@
 ]
 
 
-def play(make: type[Router] = Router, profile: dict[str, Any] | None = None, **fields: Any) -> Result:
+def play(router_class: type[Router] = Router, profile: dict[str, Any] | None = None, **fields: Any) -> Result:
     scenario = msgspec.convert(SCENARIO | fields, Scenario)
-    return World(scenario, msgspec.convert(PROFILE | (profile or {}), Profile), make=make).run()
+    return FleetSimulation(
+        scenario, msgspec.convert(PROFILE | (profile or {}), Profile), router_class=router_class
+    ).run()
 
 
 @pytest.mark.processes
@@ -76,9 +78,10 @@
     code = (
         "import sys, json, msgspec;"
         "from myrtlecourse.fleet.scenario import Scenario;from myrtlecourse.load.profile import Profile;"
-        "from myrtlecourse.sim.world import World;"
+        "from myrtlecourse.sim.fleet_simulation import FleetSimulation;"
         "read = lambda n, k: msgspec.json.decode(open(n).read(), type=k);"
-        "print(json.dumps(World(read(sys.argv[1], Scenario), read(sys.argv[2], Profile)).run().figures()))"
+        "both = read(sys.argv[1], Scenario), read(sys.argv[2], Profile);"
+        "print(json.dumps(FleetSimulation(*both).run().figures()))"
     )
     told = []
     for hashes in ("0", "1", "77"):
@@ -138,7 +141,7 @@
         came.append((core.now, work))
         station.take(core.now, Piece(work, math.inf, len(came) - 1))
         if len(waits) < count:
-            core.after(chance.expovariate(rate), arrive)
+            core.call_after(chance.expovariate(rate), arrive)
         look()
 
     def look() -> None:
@@ -149,7 +152,7 @@
         if timers:
             timers.pop().cancel()
         if (due := station.due()) < math.inf:
-            timers.append(core.at(due, look))
+            timers.append(core.call_at(due, look))
 
     arrive()
     core.run(count / rate * 2 + 1000)
@@ -180,14 +183,14 @@
     core = Core(1)
     seen: list[str] = []
     for name in "abc":
-        core.after(0.5, seen.append, name)
-    core.after(0.5, seen.append, "never").cancel()
+        core.call_after(0.5, seen.append, name)
+    core.call_after(0.5, seen.append, "never").cancel()
 
     def later() -> None:
-        core.after(0.0, seen.append, "d")
+        core.call_after(0.0, seen.append, "d")
 
-    core.after(0.5, later)
-    core.after(0.4, seen.append, "first")
+    core.call_after(0.5, later)
+    core.call_after(0.4, seen.append, "first")
     core.run(core.now + 1.0)
     assert seen == ["first", "a", "b", "c", "d"]
     assert core.stream("x").random() == Core(1).stream("x").random() != core.stream("y").random()
@@ -195,7 +198,7 @@
 
 @needs_sources
 @pytest.mark.parametrize(
-    ("make", "breach"),
+    ("router_class", "breach"),
     [
         (Repeats, "repeated"),
         (ForgetsDrains, "sent_to_drained"),
@@ -203,10 +206,10 @@
         (RefusesWhatRuns, "refused_after_send"),
     ],
 )
-def test_a_wrong_decision_module_is_caught(make: type[Router], breach: str) -> None:
+def test_a_wrong_decision_module_is_caught(router_class: type[Router], breach: str) -> None:
     drain = {"what": "replace", "at": 1, "box": "b-0", "drain": 8, "seconds": 1}
     crash = {"what": "silence", "at": 1, "box": "origin", "seconds": 5}
-    result = play(make, faults=[drain, crash])
+    result = play(router_class, faults=[drain, crash])
     assert result.verdict["breaches"][breach] > 0
 
 
@@ -218,15 +221,15 @@
     found = next(t for t in search.trials() if t.breaches)
     find = shrink(found, ForgetsDrains)
     assert "sent_to_drained" in find.breaches and len(find.scenario.faults) <= len(found.scenario.faults)
-    write_find(tmp_path / "find.json", find)
-    again = read_find(tmp_path / "find.json")
+    write_counterexample(tmp_path / "find.json", find)
+    again = read_counterexample(tmp_path / "find.json")
     assert again == find
     assert play_schedule(again.scenario, again.profile, ForgetsDrains).breaches == find.breaches
     # what broke the wrong one keeps all rules with the real one
     assert not play_schedule(again.scenario, again.profile, Router).breaches
     (tmp_path / "find.json").write_text('{"scenario": {"routers": 0}}')
     with pytest.raises(ScenarioError, match="routers"):
-        read_find(tmp_path / "find.json")
+        read_counterexample(tmp_path / "find.json")
 
 
 def test_the_search_is_the_same_each_time_and_keeps_what_came_close() -> None:
@@ -238,14 +241,14 @@
     (one, search), (other, _) = first(6), first(6)
     assert one == other and len({t.scenario for t in one}) > 3
     assert not any(t.breaches for t in one)
-    assert max(t.closest for t in one) == max(t.closest for t in search.best) > 0
+    assert max(t.highest_margin for t in one) == max(t.highest_margin for t in search.pool) > 0
 
 
 @pytest.mark.parametrize(
     "file", sorted((ROOT / "tests" / "regressions").glob("*.json")), ids=lambda f: f.stem
 )
 def test_no_find_breaks_a_rule_any_more(file: Path) -> None:
-    find = read_find(file)
+    find = read_counterexample(file)
     assert not play_schedule(find.scenario, find.profile, Router).breaches
 
 
@@ -254,7 +257,7 @@
     scenario.write_text('kinds = [{name = "b", boxes = 2}]')
     profile.write_text("pieces = [{seconds = 1, rate = 5}]")
     changes = ["kinds.0.boxes=7", "discovery.notice=0.5", "profile.pieces.0.rate=9", "profile.arrivals=even"]
-    one, other = read_both(scenario, profile, changes)
+    one, other = read_scenario_and_profile(scenario, profile, changes)
     assert (one.kinds[0].boxes, one.discovery.notice) == (7, 0.5)
     assert (other.pieces[0].rate, other.arrivals) == (9, "even")
     for change, error in (
@@ -265,7 +268,7 @@
         ("profile.peaces=1", ProfileError),
     ):
         with pytest.raises(error) as told:
-            read_both(scenario, profile, [change])
+            read_scenario_and_profile(scenario, profile, [change])
         assert ".toml: " in str(told.value)
 
 
--- a/tests/test_spread_worlds.py
+++ b/tests/test_spread_worlds.py
@@ -7,16 +7,16 @@
 import numpy as np
 import pytest
 
-from myrtlecourse.sim.places import laid_out
-from myrtlecourse.sim.spread import World
-from myrtlecourse.sim.spread_judge import Broken, Judge
-from myrtlecourse.sim.spread_troubles import schedule, well_again
+from myrtlecourse.sim.spread import SpreadSimulation
+from myrtlecourse.sim.spread_faults import end_faults, run_random_faults
+from myrtlecourse.sim.spread_judge import Judge, RuleViolation
+from myrtlecourse.sim.topology import lay_out_sites
 from myrtlecourse.spread import messages as msg
 from myrtlecourse.spread.messages import Purge
 from myrtlecourse.spread.tree import Tree
 from tests.wrong_spread import FAULTY_NODES, FAULTY_REPLICAS
 
-SITES = laid_out(regions=3, sites=5, routers=25, parts=10)
+SITES = lay_out_sites(regions=3, sites=5, routers=25, parts=10)
 FIGURES: dict[str, Any] = {"tail": 200, "control_tail": 400}
 SECONDS = 8.0  # with faults
 LOAD = 20.0  # purges per second
@@ -35,24 +35,24 @@
 }
 
 
-def world(seed: int, **more: Any) -> World:
+def world(seed: int, **more: Any) -> SpreadSimulation:
     """Return a running fleet of 38 members."""
-    simulation = World(SITES, 3, seed, 1_000, **(FIGURES | more))
+    simulation = SpreadSimulation(SITES, 3, seed, 1_000, **(FIGURES | more))
     simulation.start(1.0)
     simulation.run(1.0)
-    assert simulation.settle(20.0) is not None
+    assert simulation.run_until_consistent(20.0) is not None
     return simulation
 
 
-def run_with_faults(simulation: World, seconds: float = SECONDS) -> list[str]:
+def run_with_faults(simulation: SpreadSimulation, seconds: float = SECONDS) -> list[str]:
     """Inject faults under load, then check that all members recover and agree."""
-    simulation.load(LOAD, 1.0, seconds)
-    faults = schedule(simulation, seconds)
-    well_again(simulation)
-    assert simulation.settle(60.0) is not None, faults
-    simulation.check_same()
+    simulation.schedule_load(LOAD, 1.0, seconds)
+    faults = run_random_faults(simulation, seconds)
+    end_faults(simulation)
+    assert simulation.run_until_consistent(60.0) is not None, faults
+    simulation.check_consistency()
     simulation.run(3.0)
-    assert simulation.judge.done == len(simulation.judge.log) - 1, faults
+    assert simulation.judge.watermark == len(simulation.judge.log) - 1, faults
     return faults
 
 
@@ -62,10 +62,10 @@
 
 
 def test_all_agree_on_the_tree_whatever_their_names() -> None:
-    sites = laid_out(regions=3, sites=12, routers=300, parts=120)
-    simulation = World(sites, 3, 1, 10)
-    of_all = Tree(simulation.settings(simulation.control[0], simulation.each[0].place))
-    for member in simulation.each:
+    sites = lay_out_sites(regions=3, sites=12, routers=300, parts=120)
+    simulation = SpreadSimulation(sites, 3, 1, 10)
+    of_all = Tree(simulation.settings(simulation.control[0], simulation.member_list[0].place))
+    for member in simulation.member_list:
         own = Tree(simulation.settings(member.name, member.place))
         assert own.tier(member.name) == of_all.tier(member.name), member.name
         assert all(of_all.may_be_parent(parent, member.name) for parent in own.candidates(member.name)), (
@@ -76,32 +76,32 @@
 def test_same_seed_plays_the_same() -> None:
     first, second = world(1), world(1)
     assert run_with_faults(first, 4.0) == run_with_faults(second, 4.0)
-    assert first.core.happened == second.core.happened and first.bytes == second.bytes
-    np.testing.assert_array_equal(first.judge.at, second.judge.at)
+    assert first.core.events_run == second.core.events_run and first.bytes == second.bytes
+    np.testing.assert_array_equal(first.judge.applied_at, second.judge.applied_at)
 
 
 def test_each_member_keeps_a_narrow_budget() -> None:
     simulation = world(3, budget=7_000.0, control_budget=36_000.0)
     simulation.network.loss = 0.05
-    before = len(simulation.seconds)
-    simulation.load(100.0, 1.0, 5.0)
+    before = len(simulation.second_totals)
+    simulation.schedule_load(100.0, 1.0, 5.0)
     simulation.run(5.0)
-    most = np.diff([second[0] for second in simulation.seconds[before:]], axis=0).max(axis=0)
+    most = np.diff([second[0] for second in simulation.second_totals[before:]], axis=0).max(axis=0)
     assert most[: len(simulation.control)].max() <= 36_000
     assert most[len(simulation.control) :].max() <= 7_000
-    assert simulation.settle(10.0) is not None
-    simulation.check_same()
+    assert simulation.run_until_consistent(10.0) is not None
+    simulation.check_consistency()
 
 
 @pytest.mark.parametrize("name", WRONG)
 def test_wrong_forms_are_caught(name: str) -> None:
     variant: dict[str, Any] = (
-        {"make": FAULTY_NODES[name]} if name in FAULTY_NODES else {"make_head": FAULTY_REPLICAS[name]}
+        {"make_node": FAULTY_NODES[name]} if name in FAULTY_NODES else {"make_replica": FAULTY_REPLICAS[name]}
     )
     for seed in (WRONG[name], *range(1, 9)):
         try:
             run_with_faults(world(seed, **variant))
-        except Broken:
+        except RuleViolation:
             return
     pytest.fail("none of nine worlds catches it")
 
@@ -114,49 +114,49 @@
 def judge() -> Judge:
     """Return a judge of two members with five committed entries."""
     result = Judge(2, 8)
-    result.settled(1, tuple(KEYS[:5]))
+    result.on_committed(1, tuple(KEYS[:5]))
     return result
 
 
 def test_judge_sees_an_entry_applied_twice() -> None:
     there = judge()
-    there.applied(0, 1, tuple(KEYS[:3]), 1.0)
-    with pytest.raises(Broken, match="twice"):
-        there.applied(0, 3, tuple(KEYS[2:4]), 1.1)
+    there.on_applied(0, 1, tuple(KEYS[:3]), 1.0)
+    with pytest.raises(RuleViolation, match="twice"):
+        there.on_applied(0, 3, tuple(KEYS[2:4]), 1.1)
 
 
 def test_judge_sees_another_entry_under_a_number() -> None:
     there = judge()
-    with pytest.raises(Broken, match="two_entries"):
-        there.settled(5, (KEYS[6],))
-    with pytest.raises(Broken, match="other_entries"):
-        there.applied(1, 2, (KEYS[2],), 1.0)
-    with pytest.raises(Broken, match="gap"):
-        there.settled(7, (KEYS[7],))
-    with pytest.raises(Broken, match="other_entries"):
-        there.applied(1, 5, (KEYS[4], KEYS[5]), 1.0)  # the sixth is not committed yet
+    with pytest.raises(RuleViolation, match="two_entries"):
+        there.on_committed(5, (KEYS[6],))
+    with pytest.raises(RuleViolation, match="other_entries"):
+        there.on_applied(1, 2, (KEYS[2],), 1.0)
+    with pytest.raises(RuleViolation, match="gap"):
+        there.on_committed(7, (KEYS[7],))
+    with pytest.raises(RuleViolation, match="other_entries"):
+        there.on_applied(1, 5, (KEYS[4], KEYS[5]), 1.0)  # the sixth is not committed yet
 
 
 def test_judge_sees_what_was_acknowledged_and_is_not_kept() -> None:
     there = judge()
-    with pytest.raises(Broken, match="not_lasting"):
-        there.acknowledge(2, KEYS[7], 0.0, 1.0)
-    there.acknowledge(6, KEYS[5], 0.0, 1.0)
-    with pytest.raises(Broken, match="not_lasting"):
-        there.settled(6, (KEYS[6],))
+    with pytest.raises(RuleViolation, match="not_lasting"):
+        there.on_acknowledged(2, KEYS[7], 0.0, 1.0)
+    there.on_acknowledged(6, KEYS[5], 0.0, 1.0)
+    with pytest.raises(RuleViolation, match="not_lasting"):
+        there.on_committed(6, (KEYS[6],))
 
 
 def test_judge_counts_up_to_the_first_gap() -> None:
     there = judge()
-    there.applied(0, 1, tuple(KEYS[:2]), 1.0)
-    there.applied(0, 4, (KEYS[3],), 1.0)
-    assert there.have[0] == 2
-    assert there.says_done(2, 1.0) == [1]
-    assert there.says_done(3, 1.0) == [0, 1]
-    there.forgot(1, 1, 5)
-    there.applied(0, 3, (KEYS[2],), 1.1)
-    assert list(there.have) == [4, 5]
-    there.begins(1)
-    assert there.have[1] == 0
-    with pytest.raises(Broken, match="done_ahead"):
-        there.says_done(6, 2.0)
+    there.on_applied(0, 1, tuple(KEYS[:2]), 1.0)
+    there.on_applied(0, 4, (KEYS[3],), 1.0)
+    assert there.applied_until[0] == 2
+    assert there.on_watermark(2, 1.0) == [1]
+    assert there.on_watermark(3, 1.0) == [0, 1]
+    there.on_assumed_purged(1, 1, 5)
+    there.on_applied(0, 3, (KEYS[2],), 1.1)
+    assert list(there.applied_until) == [4, 5]
+    there.on_start(1)
+    assert there.applied_until[1] == 0
+    with pytest.raises(RuleViolation, match="done_ahead"):
+        there.on_watermark(6, 2.0)
--- a/tests/test_zone_return.py
+++ b/tests/test_zone_return.py
@@ -362,7 +362,7 @@
 
 def shares_of(played: Any) -> dict[str, list[Mapping[str, float]]]:
     found: dict[str, list[Mapping[str, float]]] = {}
-    for _, who, each in played.routers[0].meeting.shares:
+    for _, who, each in played.routers[0].peer_network.return_shares:
         found.setdefault(who, []).append(each)
     return found
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -27,7 +27,7 @@
 from myrtlecourse.peers.seal import Dropped, Seal, ident
 from myrtlecourse.peers.speaker import Speaker
 from myrtlecourse.policy import Router, tuning
-from myrtlecourse.sim.world import World
+from myrtlecourse.sim.fleet_simulation import FleetSimulation
 from myrtlecourse.zones import verdict
 from myrtlecourse.zones.agent import Agent, Part
 from myrtlecourse.zones.core import FRESH, ORIGIN, REST, TRIALS_A_SECOND, UNBELIEVED, Zones, ZonesError
@@ -523,7 +523,7 @@
 # Whole fleets in virtual time, with the same modules
 
 
-def world(faults: list[dict[str, Any]], **changes: Any) -> World:
+def world(faults: list[dict[str, Any]], **changes: Any) -> FleetSimulation:
     plain = {
         "seconds": 14.0,
         "routers": 12,
@@ -542,11 +542,11 @@
         "classes": [{"name": "read", "aim": 0.5, "deadline": 1.5}],
     }
     told_of = msgspec.convert(plain | changes, Scenario)
-    return World(told_of, msgspec.convert(load | {"keys": {"count": 200}}, Profile))
+    return FleetSimulation(told_of, msgspec.convert(load | {"keys": {"count": 200}}, Profile))
 
 
-def last_left(played: World) -> dict[str, frozenset[str]]:
-    meeting = played.routers[0].meeting
+def last_left(played: FleetSimulation) -> dict[str, frozenset[str]]:
+    meeting = played.routers[0].peer_network
     assert meeting is not None
     return {who: zones for _, who, zones, _ in meeting.orders}
 
@@ -592,7 +592,7 @@
     assert played.run().verdict["breaches"]["stayed"] == 0
     wrong = world(faults, rules={"zone_dials": 30.0}, routers=40)
     for router in wrong.routers:
-        router.make = Deaf
+        router.router_class = Deaf
         router.start(list(wrong.layout.entries.values()))
     assert wrong.run().verdict["breaches"]["stayed"] > 0
 
