--- a/myrtlecourse/sim/__init__.py
+++ b/myrtlecourse/sim/__init__.py
@@ -1,1 +1,1 @@
-"""Simulator in virtual time: the real decision module before the models of the stand-in fleet."""
+"""Simulator in virtual time: runs the real decision module against models of clients and servers."""
--- a/myrtlecourse/sim/clients.py
+++ b/myrtlecourse/sim/clients.py
@@ -1,4 +1,4 @@
-"""Clients in virtual time: the load generator's plan and habits, on the simulator's clock."""
+"""Clients in virtual time: the load generator's schedule and retries, on the simulator's clock."""
 
 from __future__ import annotations
 
@@ -11,99 +11,101 @@
 from myrtlecourse.load.record import Record
 from myrtlecourse.load.requests import PlannedRequest, plan_requests, retry_delay
 from myrtlecourse.sim.core import Core, Event
-from myrtlecourse.sim.routers import AskedFor, SimRouter
+from myrtlecourse.sim.routers import ClientRequest, SimRouter
 from myrtlecourse.sim.servers import HOP
 
 
 class Client:
-    """One request through all its tries."""
+    """One planned request with all its tries."""
 
     def __init__(self, clients: Clients, plan: PlannedRequest, number: int) -> None:
         self.clients = clients
         self.plan = plan
         self.number = number
         core = clients.core
-        self.due = core.now
-        self.until = self.due + plan.request_class.deadline
+        self.due_at = core.now
+        self.deadline = self.due_at + plan.request_class.deadline
         self.tries = 0
-        self.over = False
-        self.name = ""  # of the try that is out
+        self.ended = False
+        self.name = ""  # of the current try
         self.router: SimRouter | None = None
-        self.timers = [core.call_at(self.until, self._end, "failed")]
+        self.timers = [core.call_at(self.deadline, self._end, "failed")]
         if plan.client_leaves:
             self.timers.append(core.call_after(plan.request_class.deadline / 2, self._leave))
 
-    def ask(self) -> None:
-        """The next try, at the next router."""
-        if self.over:
+    def send(self) -> None:
+        """Sends the next try, to the next router."""
+        if self.ended:
             return
         clients, plan = self.clients, self.plan
         kind = plan.request_class
         router = clients.routers[(self.number + self.tries) % len(clients.routers)]
         self.name = f"{self.number:x}-{self.tries}"
         self.tries += 1
-        if not router.taking:
-            clients.core.call_after(HOP, self._heard, self.name, "unreachable", 0.0)
+        if not router.accepting:
+            clients.core.call_after(HOP, self._on_answer, self.name, "unreachable", 0.0)
             return
         now = clients.core.now
-        left = max(0.001, round(self.until - now, 3))
+        time_left = max(0.001, round(self.deadline - now, 3))
         effect = "free" if not kind.write else "guarded" if kind.keyed else "single_shot"
         key = f"{self.number:x}" if kind.keyed else ""
-        clients.observe(seen.RequestSent(now, self.name, router.name, kind.name, now + left, effect, key))
+        clients.observe(
+            seen.RequestSent(now, self.name, router.name, kind.name, now + time_left, effect, key)
+        )
         self.router = router
         hint = kind.hint / 1e6 if kind.hint else None
-        told = clients.classes[kind.name]
+        scenario_class = clients.classes[kind.name]
         name = self.name
 
-        def answer(how: str, pause: float) -> None:
-            clients.core.call_after(HOP, self._heard, name, how, pause)
+        def answer(outcome: str, retry_after: float) -> None:
+            clients.core.call_after(HOP, self._on_answer, name, outcome, retry_after)
 
-        asked = AskedFor(name, plan.key, told, kind.write, key, left, hint, answer)
-        clients.core.call_after(HOP, router.take_or_end, asked)
-        clients.core.call_after(left + LINGER, clients.overdue, name)
-        clients.open.add(name)
+        request = ClientRequest(name, plan.key, scenario_class, kind.write, key, time_left, hint, answer)
+        clients.core.call_after(HOP, router.receive, request)
+        clients.core.call_after(time_left + LINGER, clients.expire, name)
+        clients.unanswered.add(name)
 
-    def _heard(self, name: str, how: str, pause: float) -> None:
+    def _on_answer(self, name: str, outcome: str, retry_after: float) -> None:
         clients = self.clients
         now = clients.core.now
-        if how == "ended":
-            if name in clients.open:
+        if outcome == "ended":
+            if name in clients.unanswered:
                 clients.observe(seen.RequestUnanswered(now, name, "ended"))
-        elif how != "unreachable":
-            clients.observe(seen.RequestAnswered(now, name, how))
-        clients.open.discard(name)
-        if self.over or name != self.name:
+        elif outcome != "unreachable":
+            clients.observe(seen.RequestAnswered(now, name, outcome))
+        clients.unanswered.discard(name)
+        if self.ended or name != self.name:
             return
         self.router = None
-        if how == "served":
+        if outcome == "served":
             self._end("served")
             return
-        word = how if how in ("refused", "unreachable") else "failed"
+        reason = outcome if outcome in ("refused", "unreachable") else "failed"
         wait = retry_delay(
-            clients.profile.clients, self.plan.request_class, self.tries, word, pause, clients.chance
+            clients.profile.clients, self.plan.request_class, self.tries, reason, retry_after, clients.rng
         )
-        if wait is None or now + wait >= self.until:
-            self._end("refused" if how == "refused" else "failed")
+        if wait is None or now + wait >= self.deadline:
+            self._end("refused" if outcome == "refused" else "failed")
         else:
-            self.timers.append(clients.core.call_after(wait, self.ask))
+            self.timers.append(clients.core.call_after(wait, self.send))
 
     def _leave(self) -> None:
-        """Go away without the answer."""
-        if self.router is not None and self.name in self.clients.open:
+        """Disconnects without waiting for the answer."""
+        if self.router is not None and self.name in self.clients.unanswered:
             self.clients.observe(seen.RequestUnanswered(self.clients.core.now, self.name, "left"))
-            self.clients.open.discard(self.name)
+            self.clients.unanswered.discard(self.name)
             self.clients.core.call_after(HOP, self.router.client_gone, self.name)
         self._end("left")
 
     def _end(self, outcome: str) -> None:
-        if self.over:
+        if self.ended:
             return
-        self.over = True
+        self.ended = True
         for timer in self.timers:
             timer.cancel()
         kind, plan = self.plan.request_class, self.plan
-        took = self.clients.core.now - self.due
-        self.clients.record.count_end(plan.at, kind.name, plan.tenant, outcome, took, kind.aim)
+        latency = self.clients.core.now - self.due_at
+        self.clients.record.count_end(plan.at, kind.name, plan.tenant, outcome, latency, kind.aim)
 
 
 class Clients:
@@ -124,29 +126,29 @@
         self.routers = routers
         self.observe = observe
         self.seconds = seconds
-        self.chance = core.stream("clients")
+        self.rng = core.stream("clients")
         self.record = Record()
-        self.open: set[str] = set()  # tries that are owed an answer
-        self.began = core.now
-        self.number = 0
+        self.unanswered: set[str] = set()  # names of tries that must still get an answer
+        self.started_at = core.now
+        self.next_number = 0
         self.plan: Iterator[PlannedRequest] = plan_requests(profile)
-        self._next()
+        self._schedule_next()
 
-    def _next(self) -> None:
-        """Wait for the next arrival: one event at a time, however long the run."""
+    def _schedule_next(self) -> None:
+        """Schedules the next arrival only, so that memory does not grow with the length of the run."""
         plan = next(self.plan, None)
         if plan is not None and plan.at < self.seconds:
-            self.arrival: Event = self.core.call_at(self.began + plan.at, self._arrive, plan)
+            self.arrival: Event = self.core.call_at(self.started_at + plan.at, self._arrive, plan)
 
     def _arrive(self, plan: PlannedRequest) -> None:
-        client = Client(self, plan, self.number)
-        self.number += 1
+        client = Client(self, plan, self.next_number)
+        self.next_number += 1
         self.record.count_start(0.0)
-        client.ask()
-        self._next()
+        client.send()
+        self._schedule_next()
 
-    def overdue(self, name: str) -> None:
-        """The time is over in which an answer could have come."""
-        if name in self.open:
-            self.open.discard(name)
+    def expire(self, name: str) -> None:
+        """Reports a try as unanswered once its answer would come too late."""
+        if name in self.unanswered:
+            self.unanswered.discard(name)
             self.observe(seen.RequestUnanswered(self.core.now, name, "late"))
--- a/myrtlecourse/sim/commands.py
+++ b/myrtlecourse/sim/commands.py
@@ -16,7 +16,7 @@
 from myrtlecourse.load.commands import EXIT_UNUSABLE, write_json
 from myrtlecourse.load.profile import Profile, ProfileError
 from myrtlecourse.sim.counterexamples import read_counterexample, write_counterexample
-from myrtlecourse.sim.fleet_simulation import TAIL, FleetSimulation, Result, ScenarioMismatch
+from myrtlecourse.sim.fleet_simulation import SETTLE_TIME, FleetSimulation, Result, ScenarioMismatch
 from myrtlecourse.sim.overrides import read_scenario_and_profile
 from myrtlecourse.sim.search import Search, shrink
 
@@ -59,7 +59,7 @@
         console.print(f"myrtlecourse sim: {e}", markup=False, highlight=False)
         sys.exit(EXIT_UNUSABLE)
     with Progress(console=console, disable=quiet or not console.is_terminal, transient=True) as progress:
-        task = progress.add_task("simulated seconds", total=world.scenario.seconds + TAIL)
+        task = progress.add_task("simulated seconds", total=world.scenario.seconds + SETTLE_TIME)
         result = world.run(lambda at: progress.update(task, completed=at))
     took = time.perf_counter() - began
     figures = result.figures()
@@ -158,7 +158,7 @@
 def show_result(result: Result, console: Console) -> None:
     """Print what only a simulator knows."""
     asked = max(1, result.record.all.counts["scheduled"])
-    loads = sorted(result.work.values())
+    loads = sorted(result.useful_work.values())
     console.print(
         f"{result.attempts / asked:.2f} attempts and {result.fetches / asked:.3f} fetches for each request; "
         f"boxes worked for answers {loads[0]:.2f} to {loads[-1]:.2f} of what they can (median "
--- a/myrtlecourse/sim/core.py
+++ b/myrtlecourse/sim/core.py
@@ -1,7 +1,7 @@
-"""A discrete-event core: one heap, integer microseconds, no wall clock.
+"""Discrete-event simulation: one heap of events and a clock in integer microseconds, without a wall clock.
 
-Two events of one instant happen in the order in which they were set. Each source of chance has a stream of
-its own, so that a change in one part moves no other.
+Two events of the same microsecond run in the order in which they were scheduled. Each source of randomness
+has a random stream of its own, so that a change in one part of a simulation does not affect the others.
 """
 
 from __future__ import annotations
@@ -11,34 +11,34 @@
 from collections.abc import Callable
 from typing import Any
 
-MICROSECONDS = 1_000_000  # microseconds
-# of Unix time, so that a start is never the 0 that stands for long ago
+MICROSECONDS = 1_000_000  # per second
+# Unix time at which simulations start; not 0, as a start time of 0 stands for long ago
 START_TIME = 1_000 * MICROSECONDS
 
 
 class Event:
-    """Something that is to happen; it can be taken back."""
+    """A scheduled call, which can be cancelled."""
 
-    __slots__ = ("arguments", "call")
+    __slots__ = ("arguments", "callback")
 
-    def __init__(self, call: Callable[..., None], arguments: tuple[Any, ...]) -> None:
-        self.call: Callable[..., None] | None = call
+    def __init__(self, callback: Callable[..., None], arguments: tuple[Any, ...]) -> None:
+        self.callback: Callable[..., None] | None = callback
         self.arguments = arguments
 
     def cancel(self) -> None:
-        """It will not happen."""
-        self.call = None
+        """Cancels the call and drops its arguments."""
+        self.callback = None
         self.arguments = ()
 
 
 class Core:
-    """The clock and what is to happen."""
+    """The clock and the scheduled events."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
         self.time = START_TIME  # microseconds
         self.heap: list[tuple[int, int, Event]] = []
-        self.numbers = 0
+        self.events_scheduled = 0
         self.events_run = 0
 
     @property
@@ -47,29 +47,30 @@
         return self.time / MICROSECONDS
 
     def stream(self, name: str) -> random.Random:
-        """A source of chance of its own; the same name and seed give the same numbers."""
+        """Returns a new random stream; the same name and seed give the same numbers."""
         return random.Random(f"{self.seed} {name}")
 
-    def call_at(self, seconds: float, call: Callable[..., None], *arguments: Any) -> Event:
-        """Let something happen at a time (seconds); never in the past."""
-        self.numbers += 1
-        event = Event(call, arguments)
-        # rounded up: what is due at a time must not find that it is not yet that late
+    def call_at(self, seconds: float, callback: Callable[..., None], *arguments: Any) -> Event:
+        """Schedules a call at a time in seconds; a time in the past means now."""
+        self.events_scheduled += 1
+        event = Event(callback, arguments)
+        # rounded up, so that a callback never runs before the time for which it was scheduled
         when = max(self.time, -int(-seconds * MICROSECONDS // 1))
-        heapq.heappush(self.heap, (when, self.numbers, event))
+        heapq.heappush(self.heap, (when, self.events_scheduled, event))
         return event
 
-    def call_after(self, seconds: float, call: Callable[..., None], *arguments: Any) -> Event:
-        """Let something happen in so many seconds."""
-        return self.call_at(self.now + seconds, call, *arguments)
+    def call_after(self, seconds: float, callback: Callable[..., None], *arguments: Any) -> Event:
+        """Schedules a call after a delay in seconds."""
+        return self.call_at(self.now + seconds, callback, *arguments)
 
     def run(self, until: float) -> None:
-        """Let everything happen that is due by a time (seconds)."""
-        # rounded up as what is set is: one who waits for a time between two microseconds must get there
+        """Runs all events that are due by a time in seconds, and advances the clock to it."""
+        # rounded up like the times of events: a caller that waits for a time between two microseconds would
+        # otherwise never reach it
         end, heap = -int(-until * MICROSECONDS // 1), self.heap
         while heap and heap[0][0] <= end:
             self.time, _, event = heapq.heappop(heap)
-            if event.call is not None:
+            if event.callback is not None:
                 self.events_run += 1
-                event.call(*event.arguments)
+                event.callback(*event.arguments)
         self.time = max(self.time, end)
--- a/myrtlecourse/sim/counterexamples.py
+++ b/myrtlecourse/sim/counterexamples.py
@@ -1,4 +1,4 @@
-"""A schedule that broke a rule, as a file that `myrtlecourse sim` replays."""
+"""Counterexamples: schedules of faults that broke a rule, in files that `myrtlecourse sim` replays."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class Counterexample(Struct, forbid_unknown_fields=True, frozen=True):
-    """One find: `breaches` by kind, as the auditor counted them."""
+    """A scenario and a load that break a rule; `breaches` is counted by kind, as by the auditor."""
 
     scenario: Scenario
     profile: Profile
     breaches: dict[str, int]
 
 
-def write_counterexample(file: Path, find: Counterexample) -> None:
-    """Write it as JSON."""
-    file.write_bytes(msgspec.json.format(msgspec.json.encode(find)) + b"\n")
+def write_counterexample(file: Path, found: Counterexample) -> None:
+    """Writes a counterexample as JSON."""
+    file.write_bytes(msgspec.json.format(msgspec.json.encode(found)) + b"\n")
 
 
 def read_counterexample(file: Path) -> Counterexample:
-    """Read it again. Raises ScenarioError, which names the file and the field."""
+    """Reads a counterexample. Raises ScenarioError, which names the file and the field."""
     try:
         return msgspec.json.decode(file.read_bytes(), type=Counterexample)
     except (OSError, msgspec.DecodeError, ValueError) as e:
--- a/myrtlecourse/sim/discovery.py
+++ b/myrtlecourse/sim/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery in virtual time: watches, late news, and a service that works through calls in turn."""
+"""Discovery in virtual time: a service that answers watches one after another, with a delay for each line."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 
 
 class SimDiscovery:
-    """One service behind all routers."""
+    """One discovery service, used by all routers."""
 
     def __init__(
         self,
         core: Core,
         registry: Registry,
-        lines_a_second: float,
+        lines_per_second: float,
         observe: Callable[[seen.Observation], None],
     ) -> None:
         self.core = core
         self.registry = registry
-        self.lines_a_second = lines_a_second
+        self.lines_per_second = lines_per_second
         self.observe = observe
-        self.watches: dict[str, tuple[SimRouter, int]] = {}  # by router, and the index that it has seen
-        self.seen: dict[str, int] = {}  # the latest index of each router
-        self.is_away = False
-        self.free_at = 0.0
+        self.watches: dict[str, tuple[SimRouter, int]] = {}  # router -> itself and the index of its last list
+        self.sent_index: dict[str, int] = {}  # router -> the latest index that it was sent
+        self.is_unavailable = False
+        self.busy_until = 0.0
         self.timer: Event | None = None
         for entry in registry.listed.values():
-            self._listed(entry)
+            self._observe_change(entry)
 
     def notice(self, at: float, entry: Entry) -> None:
-        """From that time on the list says so."""
+        """Schedules a change of the list at a time."""
         self.registry.notice(at, entry)
         self._schedule()
 
@@ -47,70 +47,70 @@
         if (due := self.registry.due()) < math.inf:
             self.timer = self.core.call_at(due, self._advance)
 
-    def _listed(self, entry: Entry) -> None:
+    def _observe_change(self, entry: Entry) -> None:
         self.observe(seen.ListChanged(self.core.now, entry.name, entry.status, max(0.0, entry.since)))
 
     def _advance(self) -> None:
         self.timer = None
         for entry in self.registry.advance(self.core.now):
-            self._listed(entry)
+            self._observe_change(entry)
         for router, index in list(self.watches.values()):
             if index < self.registry.index:
-                self._tell(router)
+                self._queue_answer(router)
         self._schedule()
 
     def subscribe(self, router: SimRouter) -> None:
-        """A router asks, and watches from then on."""
+        """Starts a router's watch, or fails its call while the service is unavailable."""
         if router.name in self.watches:
             return
         self.observe(seen.DiscoveryCall(self.core.now, router.name, "begun"))
-        if self.is_away:
+        if self.is_unavailable:
             self.observe(seen.DiscoveryCall(self.core.now, router.name, "failed"))
-            self.core.call_after(HOP, self._failed, router, router.incarnation)
+            self.core.call_after(HOP, self._report_failure, router, router.incarnation)
             return
-        # the list that a router starts with is the first
-        index = self.seen.setdefault(router.name, 1)
+        # a router starts with the list of index 1
+        index = self.sent_index.setdefault(router.name, 1)
         self.watches[router.name] = router, index
         if index < self.registry.index:
-            self._tell(router)
+            self._queue_answer(router)
 
-    def _failed(self, router: SimRouter, life: int) -> None:
-        if router.up and router.incarnation == life:
-            router.list_failed()
+    def _report_failure(self, router: SimRouter, incarnation: int) -> None:
+        if router.up and router.incarnation == incarnation:
+            router.on_list_failed()
 
-    def _tell(self, router: SimRouter) -> None:
-        """Answer a watch in its turn; what it is told is what stands then."""
-        lines = 1 + len(self.registry.after(self.seen[router.name])[1])
-        self.free_at = max(self.core.now, self.free_at) + lines / self.lines_a_second
+    def _queue_answer(self, router: SimRouter) -> None:
+        """Queues the answer to a watch behind earlier ones; its content is read when it is written."""
+        lines = 1 + len(self.registry.after(self.sent_index[router.name])[1])
+        self.busy_until = max(self.core.now, self.busy_until) + lines / self.lines_per_second
         self.watches[router.name] = router, self.registry.index
-        self.core.call_at(self.free_at, self._written, router, router.incarnation)
+        self.core.call_at(self.busy_until, self._send_answer, router, router.incarnation)
 
-    def _written(self, router: SimRouter, life: int) -> None:
-        if router.name not in self.watches or router.incarnation != life or not router.up:
+    def _send_answer(self, router: SimRouter, incarnation: int) -> None:
+        if router.name not in self.watches or router.incarnation != incarnation or not router.up:
             return
-        whole, entries = self.registry.after(self.seen[router.name])
+        whole, entries = self.registry.after(self.sent_index[router.name])
         if not entries:
             return
-        self.seen[router.name] = self.registry.index
+        self.sent_index[router.name] = self.registry.index
         for entry in entries:
             self.observe(
                 seen.ListEntrySent(
                     self.core.now, router.name, entry.name, entry.status, max(0.0, entry.since)
                 )
             )
-        router.list_told(api.ListKind.FULL if whole else api.ListKind.DELTA, entries)
+        router.on_list(api.ListKind.FULL if whole else api.ListKind.DELTA, entries)
 
-    def away(self, away: bool) -> None:
-        """Watches end and calls fail, or are taken again."""
-        self.is_away = away
-        if away:
+    def set_unavailable(self, unavailable: bool) -> None:
+        """Ends all watches and fails all calls, or accepts calls again."""
+        self.is_unavailable = unavailable
+        if unavailable:
             ended, self.watches = list(self.watches.values()), {}
             for router, _ in ended:
                 self.observe(seen.DiscoveryCall(self.core.now, router.name, "failed"))
-                self.core.call_after(HOP, self._failed, router, router.incarnation)
+                self.core.call_after(HOP, self._report_failure, router, router.incarnation)
 
-    def forget(self, router: SimRouter) -> None:
-        """A router has ended; its successor has seen the first list."""
+    def remove_router(self, router: SimRouter) -> None:
+        """Removes a router that has ended; its successor starts with the first list."""
         if self.watches.pop(router.name, None) is not None:
             self.observe(seen.DiscoveryCall(self.core.now, router.name, "failed"))
-        self.seen.pop(router.name, None)
+        self.sent_index.pop(router.name, None)
--- a/myrtlecourse/sim/fleet_simulation.py
+++ b/myrtlecourse/sim/fleet_simulation.py
@@ -1,4 +1,4 @@
-"""A scenario in virtual time: boxes, origin, discovery, routers and clients, and what came of it."""
+"""Runs a scenario in virtual time: servers, origin, discovery, routers and clients, and the auditor."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 from myrtlecourse.sim.routers import SimRouter
 from myrtlecourse.sim.servers import Node
 
-ENDING = 0.5  # seconds in which a router that is asked to end still takes connections
-LONGEST_END = 3.0  # seconds after those in which it serves what it has taken
-STARTING = 0.6  # seconds from a router's end until its successor listens
-TAIL = 5.0  # seconds after the load in which everything comes to its end
-MISSES = 100_000  # that wait for the origin's answer
+ACCEPT_WHILE_ENDING = 0.5  # seconds for which a router that was asked to end still accepts connections
+DRAIN_TIMEOUT = 3.0  # seconds after that in which it answers the requests in flight
+ROUTER_START_TIME = 0.6  # seconds from a router's end until its successor listens
+SETTLE_TIME = 5.0  # seconds after the load in which all requests end
+MAX_AWAITING_ORIGIN = 100_000  # requests; the oldest are dropped above
 
 
 class ScenarioMismatch(ValueError):
-    """A profile that does not fit the scenario; the message names the class."""
+    """The profile does not fit the scenario; the message names the class."""
 
 
 @dataclass(frozen=True)
 class Result:
-    """What a run came to."""
+    """The result of a run."""
 
     seconds: float
     record: Record
@@ -51,22 +51,22 @@
     attempts: int
     fetches: int
     events: int
-    work: dict[str, float]  # share of each box's capacity that answered requests
+    useful_work: dict[str, float]  # server -> share of its capacity that answered requests
     steps: list[Step]
 
     def figures(self) -> dict[str, Any]:
-        """For programs: the load's figures, and what a simulator knows beyond them."""
+        """Returns the figures of the load and those that only a simulator knows, for JSON."""
         return self.record.figures(self.seconds) | {
             "verdict": self.verdict,
             "attempts": self.attempts,
             "origin_fetches": self.fetches,
             "events": self.events,
-            "load_by_box": self.work,
+            "load_by_box": self.useful_work,
         }
 
 
 class FleetSimulation:
-    """A scenario on the simulator's clock."""
+    """A scenario and a load on the simulator's clock."""
 
     def __init__(
         self,
@@ -77,19 +77,19 @@
     ) -> None:
         if seed is not None:
             scenario, profile = replace(scenario, seed=seed), replace(profile, seed=seed)
-        known = {c.name: c for c in scenario.classes}
+        classes = {c.name: c for c in scenario.classes}
         for kind in profile.classes:
-            if kind.name not in known:
+            if kind.name not in classes:
                 raise ScenarioMismatch(f"the scenario has no class {kind.name!r}")
         self.scenario = scenario
         self.core = Core(scenario.seed)
         self.layout = Layout(scenario)
         self.auditor = Auditor(scenario.rules)
         self.fetches = 0
-        self.missed: OrderedDict[str, list[Node]] = OrderedDict()
-        self.nodes: dict[str, Node] = {name: self._box(name) for name in self.layout.kinds}
+        self.awaiting_origin: OrderedDict[str, list[Node]] = OrderedDict()  # request -> servers that missed
+        self.nodes: dict[str, Node] = {name: self._server_node(name) for name in self.layout.kinds}
         if scenario.origin is not None:
-            self.nodes[ORIGIN] = self._origin(OriginStore(scenario.origin, self.layout.draw))
+            self.nodes[ORIGIN] = self._origin_node(OriginStore(scenario.origin, self.layout.draw))
         entries = list(self.layout.entries.values())
         self.registry = Registry(entries)
         self.discovery = SimDiscovery(
@@ -108,33 +108,40 @@
         ]
         for name, zone in self.layout.zones.items():
             self.auditor.judge(seen.ServerZone(self.core.now, name, zone))
-        self.peer_links = Ways(scenario.seed)  # between routers
+        self.peer_links = Ways(scenario.seed)  # the network between routers
         if scenario.peers is not None:
-            told, ways = scenario.peers, self.peer_links
-            ways.loss, ways.copies, ways.delay, ways.spread = told.loss, told.copies, told.delay, told.spread
-            met = PeerNetwork(self.core, ways, self.routers, told)
+            peers, links = scenario.peers, self.peer_links
+            links.loss, links.copies, links.delay, links.spread = (
+                peers.loss,
+                peers.copies,
+                peers.delay,
+                peers.spread,
+            )
+            network = PeerNetwork(self.core, links, self.routers, peers)
             for i, router in enumerate(self.routers):
-                router.peer_network, router.zone = met, zone_of(scenario, i)
+                router.peer_network, router.zone = network, zone_of(scenario, i)
         for router in self.routers:
             self.auditor.judge(seen.RouterUp(self.core.now, router.name))
             router.start(entries)
         profile = replace(profile, hot=profile.hot + hot_keys(scenario))
-        self.clients = Clients(self.core, profile, known, self.routers, self.auditor.judge, scenario.seconds)
+        self.clients = Clients(
+            self.core, profile, classes, self.routers, self.auditor.judge, scenario.seconds
+        )
         for step in steps(scenario):
-            self.core.call_after(step.at, self._do, step)
+            self.core.call_after(step.at, self._apply_step, step)
 
-    def _box(self, name: str) -> Node:
+    def _server_node(self, name: str) -> Node:
         def group(request: Request) -> str:
             return self.layout.group(name, request.request_class)
 
         distances = self.layout.distances(self.layout.zones[name])
         idle = self.layout.kinds[name].idle
         node = Node(self.core, name, self.layout.box(name), distances, idle, group, self.auditor.judge)
-        node.answered = self._answered
-        node.fell = self._fell
+        node.on_answer = self._on_server_answer
+        node.on_collapse = self._on_collapse
         return node
 
-    def _origin(self, store: OriginStore) -> Node:
+    def _origin_node(self, store: OriginStore) -> Node:
         distances = self.layout.distances(self.scenario.zones[0])
         node = Node(
             self.core,
@@ -145,108 +152,108 @@
             lambda r: r.request_class.group,
             self.auditor.judge,
         )
-        node.answered = self._fetched
+        node.on_answer = self._on_origin_answer
         return node
 
-    def _answered(self, node: Node, ended: Ended) -> None:
-        """A box has answered: what it lacks is kept there once the origin has it."""
+    def _on_server_answer(self, node: Node, ended: Ended) -> None:
+        """Notes a miss, so that the server stores the value once the origin has answered."""
         if ended.how is How.MISS:
-            self.missed.setdefault(ended.request.id, []).append(node)
-            while len(self.missed) > MISSES:
-                self.missed.popitem(last=False)
+            self.awaiting_origin.setdefault(ended.request.id, []).append(node)
+            while len(self.awaiting_origin) > MAX_AWAITING_ORIGIN:
+                self.awaiting_origin.popitem(last=False)
 
-    def _fetched(self, node: Node, ended: Ended) -> None:
-        """The origin has answered."""
+    def _on_origin_answer(self, node: Node, ended: Ended) -> None:
+        """Stores the origin's answer at the servers that missed, or drops it everywhere after a write."""
         self.fetches += ended.how is How.HIT
-        lacking = self.missed.pop(ended.request.id, [])
+        missed = self.awaiting_origin.pop(ended.request.id, [])
         if ended.how is How.RECEIPT:
-            for box in self.nodes.values():
-                if isinstance(box.model, Box):
-                    box.model.memory.drop(ended.request.key)
+            for server in self.nodes.values():
+                if isinstance(server.model, Box):
+                    server.model.memory.drop(ended.request.key)
         elif ended.how is How.HIT:
-            for box in lacking:
-                if box.up and isinstance(box.model, Box):
-                    box.model.memory.put(self.core.now, ended.request.key, ended.version, ended.size)
+            for server in missed:
+                if server.up and isinstance(server.model, Box):
+                    server.model.memory.put(self.core.now, ended.request.key, ended.version, ended.size)
 
-    def _fell(self, node: Node) -> None:
-        self._to_list(Step(0.0, "crash", node.name, lasts=math.inf))
+    def _on_collapse(self, node: Node) -> None:
+        self._update_list(Step(0.0, "crash", node.name, lasts=math.inf))
 
-    def _do(self, step: Step) -> None:
-        """Let one fault happen."""
+    def _apply_step(self, step: Step) -> None:
+        """Applies one step of the schedule of faults."""
         if step.target.startswith("router-"):
-            # at an upgrade one process goes on for the other: what both share is of sockets and files
+            # an upgrade is not simulated: the old and the new process share only sockets and files
             router = self.routers[int(step.target.rpartition("-")[2])]
             if step.do in ("stall", "go_on"):
-                self._stall(router, step)
-            elif step.do in ("restart", "kill"):  # the others are the host's matter, not the decisions'
-                self._restart(router, step.do == "kill")
+                self._stall_router(router, step)
+            elif step.do in ("restart", "kill"):  # other steps concern the host, not the decision module
+                self._restart_router(router, step.do == "kill")
         elif step.target == PEERS:
             part(self.peer_links, self.layout.routers, step)
         elif step.target == "discovery":
-            self.discovery.away(step.do == "away")
+            self.discovery.set_unavailable(step.do == "away")
         elif step.do in ("offline", "online"):
-            self._hand(step)
+            self._apply_ban(step)
         else:
-            self._to_node(step, self.nodes[step.target])
+            self._apply_to_node(step, self.nodes[step.target])
 
-    def _stall(self, router: SimRouter, step: Step) -> None:
+    def _stall_router(self, router: SimRouter, step: Step) -> None:
         if step.do == "stall":
             self.auditor.judge(seen.RouterStalled(self.core.now, router.name, step.lasts))
         router.stall(step.do == "stall")
 
-    def _to_node(self, step: Step, node: Node) -> None:
+    def _apply_to_node(self, step: Step, node: Node) -> None:
         self.auditor.judge(seen.ScenarioStep(self.core.now, step.target, step.do, step.routers))
         match step.do:
             case "part" | "mend":
-                node.part(step.routers, step.do == "part")
+                node.cut_from(step.routers, step.do == "part")
             case "freeze" | "thaw":
                 node.freeze(step.do == "freeze")
             case "cut" | "join":
                 node.cut(step.do == "cut")
             case "crash" | "end":
-                node.end()
+                node.terminate()
             case "start":
-                self._start(node)
+                self._start_server(node)
             case "bounce":
-                node.end()
-                self._run(node)  # the list is not told: that is the operators' business
+                node.terminate()
+                self._start_process(node)  # the list does not change: operators would have to report it
             case "refuse" | "accept":
                 node.refusing = step.do == "refuse"
             case "reset":
                 node.reset()
             case "idle_drop":
-                node.kept.clear()
+                node.idle_connections.clear()
             case "spoil" | "heal":
-                node.spoilt = step.value
+                node.reset_share = step.value
             case "pace":
-                node.pace(step.value)
-        self._to_list(step)
+                node.set_speed(step.value)
+        self._update_list(step)
 
-    def _hand(self, step: Step) -> None:
-        """Operators take a box out at every router that runs, or give it back."""
-        back = step.do == "online"
+    def _apply_ban(self, step: Step) -> None:
+        """Bans a server at every running router as operators do, or lifts the ban."""
+        lifted = step.do == "online"
         for router in self.routers:
-            if router.taking and not router.ending:
-                now, box = self.core.now, step.target
-                router.post(api.BanLifted(box, now) if back else api.ServerBanned(box))
-                self.auditor.judge(seen.BanAcknowledged(now, router.name, box, back))
-
-    def _start(self, node: Node) -> None:
-        """A new process, which the list will tell of."""
-        if self._run(node):
+            if router.accepting and not router.ending:
+                now, server = self.core.now, step.target
+                router.post(api.BanLifted(server, now) if lifted else api.ServerBanned(server))
+                self.auditor.judge(seen.BanAcknowledged(now, router.name, server, lifted))
+
+    def _start_server(self, node: Node) -> None:
+        """Starts a server's process and lists it."""
+        if self._start_process(node):
             self.discovery.notice(*self.layout.added(node.name, self.core.now))
 
-    def _run(self, node: Node) -> bool:
-        """A new process, empty and cold; what has fallen stays down."""
-        box = node.model
-        if not isinstance(box, Box) or node.up or box.fallen is not None:
+    def _start_process(self, node: Node) -> bool:
+        """Starts an empty, cold process; a server that has collapsed stays down."""
+        server = node.model
+        if not isinstance(server, Box) or node.up or server.fallen is not None:
             return False
-        box.start(self.core.now)
+        server.start(self.core.now)
         node.up = True
         self.auditor.judge(seen.ServerStarted(self.core.now, node.name))
         return True
 
-    def _to_list(self, step: Step) -> None:
+    def _update_list(self, step: Step) -> None:
         model = self.nodes[step.target].model
         started = model.started if isinstance(model, Box) else -math.inf
         listed = step.target in self.registry.listed
@@ -254,43 +261,47 @@
         if noticed is not None:
             self.discovery.notice(*noticed)
 
-    def _restart(self, router: SimRouter, kill: bool) -> None:
-        """A router is killed, or asked to end; its successor has the list of the start."""
-        if not router.taking or router.ending:
-            return  # it is ending or starting already
+    def _restart_router(self, router: SimRouter, kill: bool) -> None:
+        """Kills a router or asks it to end; its successor starts with the first list."""
+        if not router.accepting or router.ending:
+            return  # it is already ending or starting
         if kill:
             self.auditor.judge(seen.RouterDown(self.core.now, router.name, True))
             router.kill()
-            self.core.call_after(STARTING, self._up, router)
+            self.core.call_after(ROUTER_START_TIME, self._router_started, router)
         else:
             router.ending = True
-            self.core.call_after(ENDING, router.stop_taking, router.incarnation)
-            self.core.call_after(ENDING + LONGEST_END, self._ended, router)
+            self.core.call_after(ACCEPT_WHILE_ENDING, router.stop_accepting, router.incarnation)
+            self.core.call_after(ACCEPT_WHILE_ENDING + DRAIN_TIMEOUT, self._router_ended, router)
 
-    def _ended(self, router: SimRouter) -> None:
+    def _router_ended(self, router: SimRouter) -> None:
         router.kill()
         self.auditor.judge(seen.RouterDown(self.core.now, router.name, False))
-        self.core.call_after(STARTING, self._up, router)
+        self.core.call_after(ROUTER_START_TIME, self._router_started, router)
 
-    def _up(self, router: SimRouter) -> None:
-        self.discovery.forget(router)
+    def _router_started(self, router: SimRouter) -> None:
+        self.discovery.remove_router(router)
         self.auditor.judge(seen.RouterUp(self.core.now, router.name))
         router.start(list(self.layout.entries.values()))
 
     def margins(self) -> dict[str, float]:
-        """How close each limit came to being broken, 1 at the limit."""
-        pushed = max((n.model.closest for n in self.nodes.values() if isinstance(n.model, Box)), default=0.0)
-        return dict(self.auditor.margins) | {"cold_pushed": pushed}
-
-    def run(self, progress: Callable[[float], None] = lambda at: None, until_broken: bool = False) -> Result:
-        """Play it to its end, or until a rule is broken; `progress` is told how many seconds are played."""
-        began, seconds = self.core.now, self.scenario.seconds
-        while self.core.now < began + seconds + TAIL:
-            self.core.run(min(self.core.now + 1.0, began + seconds + TAIL))
-            progress(self.core.now - began)
-            if until_broken and self.auditor.counts:
+        """Returns how close the run came to each limit; 1 is the limit."""
+        cold_load = max(
+            (n.model.closest for n in self.nodes.values() if isinstance(n.model, Box)), default=0.0
+        )
+        return dict(self.auditor.margins) | {"cold_pushed": cold_load}
+
+    def run(
+        self, progress: Callable[[float], None] = lambda at: None, until_violation: bool = False
+    ) -> Result:
+        """Runs to the end, or until a rule is broken. `progress` is called with the seconds simulated."""
+        started_at, seconds = self.core.now, self.scenario.seconds
+        while self.core.now < started_at + seconds + SETTLE_TIME:
+            self.core.run(min(self.core.now + 1.0, started_at + seconds + SETTLE_TIME))
+            progress(self.core.now - started_at)
+            if until_violation and self.auditor.counts:
                 break
-        able = {n: k.cores * k.speed * seconds for n, k in self.layout.kinds.items()}
+        capacity = {n: k.cores * k.speed * seconds for n, k in self.layout.kinds.items()}
         return Result(
             seconds,
             self.clients.record,
@@ -298,6 +309,6 @@
             self.auditor.seen["sent"],
             self.fetches,
             self.core.events_run,
-            {name: self.nodes[name].work / able[name] for name in able},
+            {name: self.nodes[name].useful_work / capacity[name] for name in capacity},
             steps(self.scenario),
         )
--- a/myrtlecourse/sim/overrides.py
+++ b/myrtlecourse/sim/overrides.py
@@ -1,4 +1,4 @@
-"""Scenario and profile files with single values changed from the command line."""
+"""Reads scenario and profile files, with single values overridden from the command line."""
 
 from __future__ import annotations
 
@@ -14,53 +14,62 @@
 
 
 class PathError(ValueError):
-    """A path that leads nowhere, or a value that is none; the message names it."""
+    """An override whose path does not exist or that is not `path=value`; the message quotes it."""
 
 
-def apply_override(table: Any, change: str) -> None:
-    """Carry out `path=value` in a table: names and list places, with dots between; the value is TOML."""
-    path, equals, text = change.partition("=")
+def apply_override(table: Any, override: str) -> None:
+    """Applies `path=value` to a table. The path is names and list indexes joined by dots, the value TOML."""
+    path, equals, text = override.partition("=")
     try:
         value = msgspec.toml.decode(f"v = {text}")["v"]
     except msgspec.DecodeError:
-        value = text  # a word needs no quotes
-    *way, last = path.strip().split(".")
+        value = text  # a single word needs no quotes
+    *parents, last = path.strip().split(".")
     if not equals or not last:
-        raise PathError(f"{change!r} is not path=value")
-    here = table
-    for step in way:
-        here = _inside(here, step, change)
-    if isinstance(here, list):
-        _inside(here, last, change)
-        here[int(last)] = value
-    elif isinstance(here, dict):
-        here[last] = value
+        raise PathError(f"{override!r} is not path=value")
+    container = table
+    for step in parents:
+        container = _descend(container, step, override)
+    if isinstance(container, list):
+        _descend(container, last, override)
+        container[int(last)] = value
+    elif isinstance(container, dict):
+        container[last] = value
     else:
-        raise PathError(f"{change!r}: {way[-1] if way else path} holds no values of its own")
+        raise PathError(f"{override!r}: {parents[-1] if parents else path} is neither a table nor a list")
 
 
-def _inside(here: Any, step: str, change: str) -> Any:
-    if isinstance(here, list):
-        if not step.isdigit() or int(step) >= len(here):
-            raise PathError(f"{change!r}: {step} is no place in a list of {len(here)}")
-        return here[int(step)]
-    if not isinstance(here, dict):
-        raise PathError(f"{change!r}: nothing is inside {step}")
-    return here.setdefault(step, {})
+def _descend(container: Any, step: str, override: str) -> Any:
+    """Returns the value under a name or index; a missing name becomes an empty table."""
+    if isinstance(container, list):
+        if not step.isdigit() or int(step) >= len(container):
+            raise PathError(f"{override!r}: {step} is not an index of a list of {len(container)}")
+        return container[int(step)]
+    if not isinstance(container, dict):
+        raise PathError(f"{override!r}: {step} is inside neither a table nor a list")
+    return container.setdefault(step, {})
 
 
-def _read(file: Path, kind: type[T], changes: list[str], error: type[ValueError]) -> T:
+def _read(file: Path, kind: type[T], overrides: list[str], error: type[ValueError]) -> T:
     try:
         table = msgspec.toml.decode(file.read_bytes())
-        for change in changes:
-            apply_override(table, change)
+        for override in overrides:
+            apply_override(table, override)
         return msgspec.convert(table, kind)
     except (OSError, msgspec.DecodeError, msgspec.ValidationError, ValueError) as e:
         raise error(f"{file}: {e}") from e
 
 
-def read_scenario_and_profile(scenario: Path, profile: Path, changes: list[str]) -> tuple[Scenario, Profile]:
-    """A scenario and a profile; changes whose path begins with `profile.` are the latter's."""
-    ours = [c.removeprefix("profile.") for c in changes if c.startswith("profile.")]
-    theirs = [c for c in changes if not c.startswith("profile.")]
-    return (_read(scenario, Scenario, theirs, ScenarioError), _read(profile, Profile, ours, ProfileError))
+def read_scenario_and_profile(
+    scenario: Path, profile: Path, overrides: list[str]
+) -> tuple[Scenario, Profile]:
+    """Reads a scenario and a profile; overrides whose path begins with `profile.` are for the profile.
+
+    Raises ScenarioError or ProfileError, which name the file.
+    """
+    for_profile = [c.removeprefix("profile.") for c in overrides if c.startswith("profile.")]
+    for_scenario = [c for c in overrides if not c.startswith("profile.")]
+    return (
+        _read(scenario, Scenario, for_scenario, ScenarioError),
+        _read(profile, Profile, for_profile, ProfileError),
+    )
--- a/myrtlecourse/sim/peer_network.py
+++ b/myrtlecourse/sim/peer_network.py
@@ -1,5 +1,4 @@
-"""Routers that talk to one another in virtual time: the same gossip and zones as on sockets, on the
-same clock."""
+"""The network between routers in virtual time, with the same gossip and zone agents as on sockets."""
 
 from __future__ import annotations
 
@@ -22,51 +21,51 @@
 
 
 class PeerNetwork:
-    """Where the routers of a fleet hear of one another."""
+    """Runs the zone agents of all routers and carries their datagrams."""
 
-    def __init__(self, core: Core, ways: Ways, routers: list[SimRouter], told: Peers) -> None:
+    def __init__(self, core: Core, links: Ways, routers: list[SimRouter], settings: Peers) -> None:
         self.core = core
-        self.ways = ways
+        self.links = links
         self.routers = {r.name: r for r in routers}
-        self.told = told
-        self.chance = core.stream("peers")
+        self.settings = settings
+        self.rng = core.stream("peers")
         self.datagrams = 0
         self.bytes = 0
-        # when, whose, which zones are left, and whether the origin is
+        # time, router, the zones that it leaves, and whether it regards the origin as unreachable
         self.orders: list[tuple[float, str, frozenset[str], bool]] = []
-        # when, whose, and how much of which zones that come back
+        # time, router, and the share of traffic that each returning zone gets
         self.return_shares: list[tuple[float, str, Mapping[str, float]]] = []
 
     def wall(self) -> float:
-        """The one clock of all machines."""
+        """The wall clock, which all routers share."""
         return EPOCH + self.core.now
 
     def join(self, router: SimRouter) -> Agent:
-        """A router's process has started."""
+        """Returns the agent of a router's new process and schedules its ticks."""
         names = tuple(self.routers)
-        told = self.told
+        settings = self.settings
         part = Part(
-            *(router.name, names, router.zone, KEY, told.spill, told.leave_origin, told.interval),
-            tiers=tiers_of(told.regions, told.own_region, told.elsewhere),
-            paced=told.paced,
-            origin_rate=told.origin_rate,
+            *(router.name, names, router.zone, KEY, settings.spill, settings.leave_origin, settings.interval),
+            tiers=tiers_of(settings.regions, settings.own_region, settings.elsewhere),
+            paced=settings.paced,
+            origin_rate=settings.origin_rate,
         )
-        agent = Agent(part, self.core.now, self.wall(), self.chance.getrandbits(32))
-        self.core.call_after(PACE * self.chance.random(), self._tick, router, agent, router.incarnation)
+        agent = Agent(part, self.core.now, self.wall(), self.rng.getrandbits(32))
+        self.core.call_after(PACE * self.rng.random(), self._tick, router, agent, router.incarnation)
         return agent
 
-    def _tick(self, router: SimRouter, agent: Agent, life: int) -> None:
-        if not router.up or router.incarnation != life:
+    def _tick(self, router: SimRouter, agent: Agent, incarnation: int) -> None:
+        if not router.up or router.incarnation != incarnation:
             return
-        self.core.call_after(PACE, self._tick, router, agent, life)
+        self.core.call_after(PACE, self._tick, router, agent, incarnation)
         if router.stalled:
             return
         done = agent.tick(self.core.now, self.wall())
         for datagram in done.datagrams:
             self.datagrams += 1
             self.bytes += len(datagram.data)
-            for pause in self.ways.fate((router.name, datagram.to)):
-                self.core.call_after(pause, self._arrive, self.routers[datagram.to], datagram.data)
+            for delay in self.links.fate((router.name, datagram.to)):
+                self.core.call_after(delay, self._arrive, self.routers[datagram.to], datagram.data)
         if done.left is not None:
             self.orders.append((self.core.now, router.name, done.left.zones, done.left.origin_unreachable))
             self.return_shares.append((self.core.now, router.name, done.left.return_shares))
@@ -79,4 +78,4 @@
         try:
             router.agent.receive(data, self.core.now, self.wall())
         except Dropped:
-            return  # which it counts itself
+            return  # the agent counts dropped datagrams itself
--- a/myrtlecourse/sim/process.py
+++ b/myrtlecourse/sim/process.py
@@ -1,4 +1,4 @@
-"""A process in virtual time with a clock of its own, that may stand still with what comes for it waiting."""
+"""A process in virtual time with a clock of its own, which can be stopped while its events are queued."""
 
 from __future__ import annotations
 
@@ -8,52 +8,52 @@
 
 from myrtlecourse.sim.core import Core, Event
 
-EventT = TypeVar("EventT")  # what it is told
+EventT = TypeVar("EventT")  # the events of the core that the process runs
 
 
 class SimulatedProcess(Generic[EventT]):
-    """What such processes have in common; what an event does is in `post`."""
+    """Base class of simulated processes; subclasses handle events in `post`."""
 
-    def __init__(self, core: Core, chance: random.Random, name: str, rate: float) -> None:
-        """Its clock runs `rate` times as fast as true time, from anywhere."""
+    def __init__(self, core: Core, rng: random.Random, name: str, rate: float) -> None:
+        """Its clock runs `rate` times as fast as true time, from a random offset."""
         self.core = core
         self.name = name
         self.rate = rate
-        self.offset = chance.uniform(0.0, 1e6)
-        self.able = True
+        self.offset = rng.uniform(0.0, 1e6)
+        self.able = True  # whether it reports itself able to hold a lease
         self.stopped = False
-        self.deferred: list[EventT] = []  # what comes while it stands still
-        self.wake: Event | None = None
+        self.deferred: list[EventT] = []  # events that arrive while it is stopped
+        self.timer: Event | None = None
         self.boots = 0
 
     def clock(self) -> float:
-        """Its own monotonic clock."""
+        """The process's own monotonic clock in seconds."""
         return self.offset + self.rate * self.core.now
 
     def post(self, event: EventT) -> None:
-        """It is told something."""
+        """Passes an event to the process."""
         raise NotImplementedError
 
-    def call_at(self, at: float, call: Callable[[], None]) -> None:
-        """Call once its clock shows a time, in place of the call before; at infinity never."""
-        if self.wake is not None:
-            self.wake.cancel()
+    def call_at(self, at: float, callback: Callable[[], None]) -> None:
+        """Sets the process's only timer to a time of its clock; infinity clears it."""
+        if self.timer is not None:
+            self.timer.cancel()
         if at < float("inf"):
-            self.wake = self.core.call_after(max(0.0, (at - self.clock()) / self.rate), call)
+            self.timer = self.core.call_after(max(0.0, (at - self.clock()) / self.rate), callback)
 
     def discard_pending(self) -> None:
-        """The process dies: nothing waits for it, and nothing is called."""
+        """Discards deferred events and the timer when the process is killed."""
         self.stopped = False
         self.deferred.clear()
-        if self.wake is not None:
-            self.wake.cancel()
+        if self.timer is not None:
+            self.timer.cancel()
 
     def stop(self) -> None:
-        """It stands still (SIGSTOP)."""
+        """Stops the process, as SIGSTOP does."""
         self.stopped = True
 
     def resume(self) -> None:
-        """It goes on where it stood, with all that came meanwhile."""
+        """Resumes the process, which then handles all events that arrived in the meantime."""
         self.stopped = False
         events, self.deferred = self.deferred, []
         for event in events:
--- a/myrtlecourse/sim/routers.py
+++ b/myrtlecourse/sim/routers.py
@@ -1,4 +1,4 @@
-"""A router in virtual time: the real decision module, and what its host on sockets does round it."""
+"""A router in virtual time: the real decision module, in place of `net/host.py` and its connections."""
 
 from __future__ import annotations
 
@@ -26,41 +26,45 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a request."""
+    """One attempt of a request at a server."""
 
     router: SimRouter
-    taken: Taken
+    pending: PendingRequest
     number: int
     node: Node | None
     sent_at: float
     timer: Event | None = None
-    piece: Piece | None = None  # the work it is at its node
-    fresh: bool = False
-    began: float = 0.0
-    over: bool = False
+    piece: Piece | None = None  # its work at the node
+    new_connection: bool = False
+    transmitted_at: float = 0.0
+    finished: bool = False
 
     def request(self) -> Request:
-        """What comes to the node."""
-        asked = self.taken.asked
+        """Returns the request as the node receives it."""
+        client_request = self.pending.client_request
         return Request(
-            asked.name,
-            asked.key,
-            asked.kind,
+            client_request.name,
+            client_request.key,
+            client_request.kind,
             self.router.name,
-            asked.write,
-            asked.idempotency,
-            max(0.001, self.taken.deadline - self.sent_at),
-            self.fresh,
+            client_request.write,
+            client_request.idempotency,
+            max(0.001, self.pending.deadline - self.sent_at),
+            self.new_connection,
         )
 
     def end(self, status: api.Status) -> None:
-        """Its outcome, if it is still waited for."""
+        """Ends the attempt, unless it has already ended."""
         self.router.finish(self, status)
 
 
 @dataclass(slots=True, eq=False)
-class AskedFor:
-    """A client's request, and where its one answer goes: served, refused with a pause, failed, ended."""
+class ClientRequest:
+    """A client's request.
+
+    `answer` is called once, with "served", "refused" and the time (s) after which the client may retry,
+    "failed", or "ended" if the router's process ended.
+    """
 
     name: str
     key: str
@@ -73,20 +77,20 @@
 
 
 @dataclass(slots=True, eq=False)
-class Taken:
-    """A request that a router has taken."""
+class PendingRequest:
+    """A request that a router has accepted."""
 
-    asked: AskedFor
+    client_request: ClientRequest
     deadline: float
-    expiry: Event | None = None
-    sent: int = 0
-    closed: bool = False
-    overdue: bool = False
+    deadline_timer: Event | None = None
+    attempts_sent: int = 0
+    closed: bool = False  # answered, or its client has left
+    expired: bool = False
     attempts: dict[int, Attempt] = field(default_factory=dict)
 
 
-def as_listed(entry: Entry) -> api.ServerEntry:
-    """An entry as the module is told it."""
+def server_entry(entry: Entry) -> api.ServerEntry:
+    """Returns an entry in the form in which the decision module gets it."""
     return api.ServerEntry(
         entry.name,
         STATES[entry.status],
@@ -99,7 +103,7 @@
 
 
 class SimRouter:
-    """One router: what `net/host.py` is on sockets."""
+    """One router; does for the decision module what `net/host.py` does on sockets."""
 
     def __init__(
         self,
@@ -116,71 +120,71 @@
         self.nodes = nodes
         self.subscribe = subscribe
         self.router_class = router_class
-        self.seeds = core.stream(f"seeds {name}")
+        self.seed_rng = core.stream(f"seeds {name}")
         self.up = False
-        self.taking = False
+        self.accepting = False
         self.ending = False
-        self.incarnation = 0  # how often it was started: timers of an earlier life are no more
+        self.incarnation = 0  # number of starts; timers of earlier ones are ignored
         self.zone = ""
-        self.peer_network: PeerNetwork | None = None  # with the others, where routers talk
+        self.peer_network: PeerNetwork | None = None  # None if routers do not communicate
         self.agent: Agent | None = None
         self.stalled = False
-        # what comes while it stands still
+        # calls that arrive while the process is stalled
         self.deferred: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
 
     def start(self, saved: list[Entry]) -> None:
-        """Begin with nothing but a list."""
-        self.router = self.router_class(self.settings, self.seeds.getrandbits(32), self.core.now)
+        """Starts a new process, which knows nothing but a saved list."""
+        self.router = self.router_class(self.settings, self.seed_rng.getrandbits(32), self.core.now)
         self.incarnation += 1
         self.stalled = False
         self.deferred.clear()
         if self.peer_network is not None:
             self.agent = self.router.observer = self.peer_network.join(self)
-        self.up = self.taking = True
+        self.up = self.accepting = True
         self.ending = False
         self.listed: dict[str, Entry] = {}
-        self.requests: dict[str, Taken] = {}
+        self.requests: dict[str, PendingRequest] = {}
         self.events: deque[api.Event] = deque()
         self.handling = False
-        self.over: list[str] = []
-        self.list_told(api.ListKind.SAVED, saved)
+        self.possibly_done: list[str] = []  # requests that may have neither a client nor an attempt
+        self.on_list(api.ListKind.SAVED, saved)
 
-    def stop_taking(self, life: int) -> None:
-        """Asked to end: no new connection comes up any more."""
-        if life == self.incarnation:
-            self.taking = False
+    def stop_accepting(self, incarnation: int) -> None:
+        """Stops accepting connections, if the process that was asked to end still runs."""
+        if incarnation == self.incarnation:
+            self.accepting = False
 
     def stall(self, stalled: bool) -> None:
-        """Its process stands still, or goes on with what came meanwhile."""
+        """Stalls the process, or resumes it with the calls that arrived in the meantime."""
         self.stalled = stalled and self.up
         while self.deferred and not self.stalled:
             call, arguments = self.deferred.pop(0)
             call(*arguments)
 
     def defer_if_stalled(self, call: Callable[..., None], *arguments: Any) -> bool:
-        """Whether something has to wait, as the process stands still."""
+        """Returns whether the process is stalled; if so, the call is made when it resumes."""
         if self.stalled:
             self.deferred.append((call, arguments))
         return self.stalled
 
     def kill(self) -> None:
-        """The process ends: what it held is over for its clients, and given up at the boxes."""
-        self.up = self.taking = False
+        """Kills the process: clients lose their connections, and servers learn that attempts are cancelled."""
+        self.up = self.accepting = False
         self.stalled = False
         self.deferred.clear()
-        for taken in list(self.requests.values()):
-            for attempt in taken.attempts.values():
-                attempt.over = True
+        for pending in list(self.requests.values()):
+            for attempt in pending.attempts.values():
+                attempt.finished = True
                 if attempt.node is not None:
-                    attempt.node.left(attempt)
-            if not taken.closed:
-                taken.closed = True
-                taken.asked.answer("ended", 0.0)
+                    attempt.node.on_router_left(attempt)
+            if not pending.closed:
+                pending.closed = True
+                pending.client_request.answer("ended", 0.0)
         self.requests.clear()
 
-    def list_told(self, kind: api.ListKind, entries: list[Entry]) -> None:
-        """Take a list or its changes."""
-        if self.defer_if_stalled(self.list_told, kind, entries):
+    def on_list(self, kind: api.ListKind, entries: list[Entry]) -> None:
+        """Handles a list or its changes."""
+        if self.defer_if_stalled(self.on_list, kind, entries):
             return
         if kind is not api.ListKind.DELTA:
             self.listed = {}
@@ -191,44 +195,56 @@
             else:
                 self.listed[entry.name] = entry
             if before is not None and (entry.status != "in_service" or before.since != entry.since):
-                self.nodes[entry.name].kept.pop(self.name, None)
+                self.nodes[entry.name].idle_connections.pop(self.name, None)
         if self.up and self.agent is not None:
             self.agent.servers_listed(Counter(e.zone for e in self.listed.values() if e.kind != ORIGIN))
-        self.post(api.ServerList(kind, tuple(map(as_listed, entries))))
+        self.post(api.ServerList(kind, tuple(map(server_entry, entries))))
 
-    def list_failed(self) -> None:
-        """The watch has broken off, or a call has failed."""
+    def on_list_failed(self) -> None:
+        """Reports to the decision module that the watch or a call has failed."""
         self.post(api.ServerList(api.ListKind.FAILED))
 
-    def take(self, asked: AskedFor) -> None:
-        """Take a request that is owed one answer."""
-        if self.defer_if_stalled(self.take, asked):
+    def accept(self, client_request: ClientRequest) -> None:
+        """Accepts a request, which gets exactly one answer."""
+        if self.defer_if_stalled(self.accept, client_request):
             return
-        time_left = max(0.0, asked.time_left - DEADLINE_MARGIN)
-        taken = Taken(asked, self.core.now + time_left)
-        self.requests[asked.name] = taken
-        taken.expiry = self.core.call_after(time_left, self._overdue, taken)
-        self.post(api.Request(asked.name, asked.kind.name, time_left, asked.key, asked.hint, asked.write))
-
-    def take_or_end(self, asked: AskedFor) -> None:
-        """Take a request, unless the router has ended since it was sent."""
+        time_left = max(0.0, client_request.time_left - DEADLINE_MARGIN)
+        pending = PendingRequest(client_request, self.core.now + time_left)
+        self.requests[client_request.name] = pending
+        pending.deadline_timer = self.core.call_after(time_left, self._deadline_passed, pending)
+        self.post(
+            api.Request(
+                client_request.name,
+                client_request.kind.name,
+                time_left,
+                client_request.key,
+                client_request.hint,
+                client_request.write,
+            )
+        )
+
+    def receive(self, client_request: ClientRequest) -> None:
+        """Accepts a request, unless the router has ended since it was sent."""
         if self.up:
-            self.take(asked)
+            self.accept(client_request)
         else:
-            asked.answer("ended", 0.0)
+            client_request.answer("ended", 0.0)
 
     def client_gone(self, name: str) -> None:
-        """The client has left."""
+        """Reports to the decision module that a client has left."""
         if self.defer_if_stalled(self.client_gone, name):
             return
-        taken = self.requests.get(name)
-        if self.up and taken is not None and not taken.closed:
-            taken.closed = True
-            self.over.append(name)
+        pending = self.requests.get(name)
+        if self.up and pending is not None and not pending.closed:
+            pending.closed = True
+            self.possibly_done.append(name)
             self.post(api.ClientGone(name))
 
     def post(self, event: api.Event) -> None:
-        """Hand an event to the module; one that comes while actions are carried out waits its turn."""
+        """Passes an event to the decision module and carries out its actions.
+
+        Events that actions cause are queued until those actions are done.
+        """
         self.events.append(event)
         if self.handling:
             return
@@ -237,13 +253,13 @@
             for action in self.router.handle(self.core.now, self.events.popleft()):
                 self._carry_out(action)
         self.handling = False
-        for name in self.over:
-            taken = self.requests.get(name)
-            if taken is not None and taken.closed and not taken.attempts:
+        for name in self.possibly_done:
+            pending = self.requests.get(name)
+            if pending is not None and pending.closed and not pending.attempts:
                 del self.requests[name]
-                if taken.expiry is not None:
-                    taken.expiry.cancel()
-        self.over.clear()
+                if pending.deadline_timer is not None:
+                    pending.deadline_timer.cancel()
+        self.possibly_done.clear()
 
     def _carry_out(self, action: api.Action) -> None:
         match action:
@@ -254,80 +270,80 @@
             case api.Fail():
                 self._close(action.request, "failed")
             case api.Cancel():
-                taken = self.requests.get(action.request)
-                attempt = taken.attempts.get(action.attempt) if taken is not None else None
+                pending = self.requests.get(action.request)
+                attempt = pending.attempts.get(action.attempt) if pending is not None else None
                 if attempt is not None:
-                    self._give_up(attempt, api.Status.CANCELLED)
+                    self._abandon(attempt, api.Status.CANCELLED)
             case api.CloseIdle():
-                self.nodes[action.server].kept.pop(self.name, None)
+                self.nodes[action.server].idle_connections.pop(self.name, None)
             case api.SetTimer():
-                self.core.call_after(action.delay, self._fired, self.incarnation, action.timer)
+                self.core.call_after(action.delay, self._timer_fired, self.incarnation, action.timer)
             case api.Subscribe():
                 self.subscribe(self)
             case api.Log():
                 pass
 
-    def _fired(self, life: int, token: str) -> None:
-        if self.defer_if_stalled(self._fired, life, token):
+    def _timer_fired(self, incarnation: int, token: str) -> None:
+        if self.defer_if_stalled(self._timer_fired, incarnation, token):
             return
-        if self.up and life == self.incarnation:
+        if self.up and incarnation == self.incarnation:
             self.post(api.TimerFired(token))
 
-    def _overdue(self, taken: Taken) -> None:
-        """The deadline: attempts still out time out."""
-        if self.defer_if_stalled(self._overdue, taken):
+    def _deadline_passed(self, pending: PendingRequest) -> None:
+        """Ends all attempts in flight with a timeout at the request's deadline."""
+        if self.defer_if_stalled(self._deadline_passed, pending):
             return
-        if self.requests.get(taken.asked.name) is not taken:
+        if self.requests.get(pending.client_request.name) is not pending:
             return
-        taken.overdue = True
-        for attempt in list(taken.attempts.values()):
-            self._give_up(attempt, api.Status.TIMEOUT)
-
-    def _close(self, name: str, how: str, pause: float = 0.0) -> None:
-        """Give a request its one answer."""
-        taken = self.requests.get(name)
-        if taken is not None and not taken.closed:
-            taken.closed = True
-            self.over.append(name)
-            taken.asked.answer(how, pause)
+        pending.expired = True
+        for attempt in list(pending.attempts.values()):
+            self._abandon(attempt, api.Status.TIMEOUT)
+
+    def _close(self, name: str, outcome: str, retry_after: float = 0.0) -> None:
+        """Answers a request, unless it is closed."""
+        pending = self.requests.get(name)
+        if pending is not None and not pending.closed:
+            pending.closed = True
+            self.possibly_done.append(name)
+            pending.client_request.answer(outcome, retry_after)
 
     def _send(self, action: api.Send) -> None:
-        taken = self.requests.get(action.request)
-        if taken is None:
+        pending = self.requests.get(action.request)
+        if pending is None:
             return
         now = self.core.now
         node = self.nodes.get(action.server) if action.server in self.listed else None
-        attempt = Attempt(self, taken, taken.sent, node, now)
-        taken.sent += 1
-        taken.attempts[attempt.number] = attempt
-        over = taken.closed or taken.overdue or attempt.number >= self.settings.max_attempts
-        if over or node is None:
-            self.finish(attempt, api.Status.NOT_SENT if over else api.Status.CONNECT_FAILED)
+        attempt = Attempt(self, pending, pending.attempts_sent, node, now)
+        pending.attempts_sent += 1
+        pending.attempts[attempt.number] = attempt
+        not_allowed = pending.closed or pending.expired or attempt.number >= self.settings.max_attempts
+        if not_allowed or node is None:
+            self.finish(attempt, api.Status.NOT_SENT if not_allowed else api.Status.CONNECT_FAILED)
             return
-        if action.timeout is not None and action.timeout < taken.deadline - now:
+        if action.timeout is not None and action.timeout < pending.deadline - now:
             attempt.timer = self.core.call_after(
-                max(0.0, action.timeout), self._give_up, attempt, api.Status.TIMEOUT
+                max(0.0, action.timeout), self._abandon, attempt, api.Status.TIMEOUT
             )
         node.connect(attempt)
 
-    def _give_up(self, attempt: Attempt, status: api.Status) -> None:
-        if not attempt.over and attempt.node is not None:
-            attempt.node.left(attempt)
+    def _abandon(self, attempt: Attempt, status: api.Status) -> None:
+        if not attempt.finished and attempt.node is not None:
+            attempt.node.on_router_left(attempt)
         self.finish(attempt, status)
 
     def finish(self, attempt: Attempt, status: api.Status) -> None:
-        """Give an attempt its one outcome; the first that served answers the client."""
+        """Reports the outcome of an attempt once; the first that succeeds answers the client."""
         if self.defer_if_stalled(self.finish, attempt, status):
             return
-        taken = attempt.taken
-        if attempt.over or taken.attempts.pop(attempt.number, None) is None:
+        pending = attempt.pending
+        if attempt.finished or pending.attempts.pop(attempt.number, None) is None:
             return
-        attempt.over = True
+        attempt.finished = True
         if attempt.timer is not None:
             attempt.timer.cancel()
-        name = taken.asked.name
+        name = pending.client_request.name
         if status is api.Status.OK:
             self._close(name, "served")
-        self.over.append(name)
+        self.possibly_done.append(name)
         latency = self.core.now - attempt.sent_at
-        self.post(api.Outcome(name, attempt.number, status, taken.closed, latency))
+        self.post(api.Outcome(name, attempt.number, status, pending.closed, latency))
--- a/myrtlecourse/sim/search.py
+++ b/myrtlecourse/sim/search.py
@@ -45,7 +45,7 @@
 def play(scenario: Scenario, profile: Profile, router_class: type[Router]) -> Trial:
     """Play a schedule until a rule is broken or it is over."""
     world = FleetSimulation(scenario, profile, router_class=router_class)
-    result = world.run(until_broken=True)
+    result = world.run(until_violation=True)
     broken = {kind: count for kind, count in result.verdict["breaches"].items() if count}
     return Trial(scenario, profile, world.margins(), broken)
 
--- a/myrtlecourse/sim/servers.py
+++ b/myrtlecourse/sim/servers.py
@@ -1,4 +1,4 @@
-"""Boxes and the origin in virtual time: connections, distance and faults round the fleet's models."""
+"""Servers and the origin in virtual time: connections, latency and faults around the fleet's models."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Model(Protocol):
-    """What a node needs of the model it stands round."""
+    """What a node needs of its model of a server or the origin."""
 
     station: Station
 
@@ -28,52 +28,52 @@
 
 
 class Node:
-    """A box or the origin, as routers reach it."""
+    """A server or the origin, as routers reach it over the network."""
 
     def __init__(
         self,
         core: Core,
         name: str,
         model: Model,
-        distances: dict[str, float],
-        idle: float,
+        latencies: dict[str, float],
+        idle_timeout: float,
         group: Callable[[Request], str],
         observe: Callable[[seen.Observation], None],
     ) -> None:
         self.core = core
         self.name = name
         self.model = model
-        self.distances = distances
-        self.idle = idle  # seconds after which an idle connection is closed
+        self.latencies = latencies  # router -> seconds one way
+        self.idle_timeout = idle_timeout  # seconds after which an idle connection is closed
         self.group = group
         self.observe = observe
-        self.kept: dict[str, list[float]] = {}  # idle connections of each router: since when
-        self.out: dict[Request, Attempt] = {}  # in the order in which they came
-        self.held: list[Attempt] = []  # come while it stood still or was cut off
-        self.unsent: list[tuple[Attempt, Status]] = []  # answers that a cut holds up
+        self.idle_connections: dict[str, list[float]] = {}  # router -> times at which they became idle
+        self.running: dict[Request, Attempt] = {}  # in the order of arrival
+        self.held_attempts: list[Attempt] = []  # arrived while the node was frozen or cut off
+        self.held_answers: list[tuple[Attempt, Status]] = []  # answers that wait for the end of a cut
         self.timer: Event | None = None
         self.up = True
         self.refusing = False
         self.frozen = False
         self.is_cut = False
-        self.unreached: set[str] = set()  # routers whose way here is cut
-        self.spoilt = 0.0
-        self.chance = core.stream(f"spoilt {name}")
-        self.answered: Callable[[Node, Ended], None] = lambda node, ended: None
-        self.fell: Callable[[Node], None] = lambda node: None
-        self.work = 0.0  # seconds of a core that answered requests
+        self.cut_routers: set[str] = set()  # routers whose path to this node is cut
+        self.reset_share = 0.0  # share of answers that are replaced by a reset
+        self.rng = core.stream(f"spoilt {name}")
+        self.on_answer: Callable[[Node, Ended], None] = lambda node, ended: None
+        self.on_collapse: Callable[[Node], None] = lambda node: None
+        self.useful_work = 0.0  # core-seconds spent on requests that were answered
 
     def connect(self, attempt: Attempt) -> None:
-        """A router sends an attempt: on a kept connection, or a new one."""
+        """Starts an attempt of a router, on an idle connection or a new one."""
         router = attempt.router.name
-        kept = self.kept.get(router, [])
-        while kept and self.core.now - kept[0] >= self.idle:
-            kept.pop(0)
-        if kept:
-            kept.pop()
+        idle = self.idle_connections.get(router, [])
+        while idle and self.core.now - idle[0] >= self.idle_timeout:
+            idle.pop(0)
+        if idle:
+            idle.pop()
         else:
-            attempt.fresh = True
-            if self._cut_from(router):
+            attempt.new_connection = True
+            if self._is_cut_from(router):
                 self.observe(seen.UnreachableDial(self.core.now, router, self.name))
                 self.core.call_after(attempt.router.settings.dial_timeout, attempt.end, Status.CONNECT_FAILED)
                 return
@@ -81,16 +81,16 @@
                 self.observe(seen.UnreachableDial(self.core.now, router, self.name))
                 self.core.call_after(HOP, attempt.end, Status.CONNECT_FAILED)
                 return
-        attempt.began = self.core.now
-        self.core.call_after(HOP + self.distances[router], self.arrive, attempt)
+        attempt.transmitted_at = self.core.now
+        self.core.call_after(HOP + self.latencies[router], self.arrive, attempt)
 
     def arrive(self, attempt: Attempt) -> None:
-        """Its last byte has come."""
+        """Handles the arrival of an attempt's last byte."""
         if not self.up:
             self.core.call_after(HOP, attempt.end, Status.RESET)
             return
-        if self.frozen or self._cut_from(attempt.router.name):
-            self.held.append(attempt)
+        if self.frozen or self._is_cut_from(attempt.router.name):
+            self.held_attempts.append(attempt)
             return
         now, request = self.core.now, attempt.request()
         kind = request.request_class
@@ -102,7 +102,7 @@
                 request.id,
                 self.name,
                 request.router,
-                attempt.began,
+                attempt.transmitted_at,
                 kind.effect,
                 group,
                 window,
@@ -112,8 +112,8 @@
         piece = self.model.arrive(now, request)
         if isinstance(self.model, Box) and self.model.fallen is not None:
             self.observe(seen.ColdServerOverloaded(now, self.name, self.model.fallen))
-            self.end()
-            self.fell(self)
+            self.terminate()
+            self.on_collapse(self)
             attempt.end(Status.RESET)
             return
         if piece is None:
@@ -121,33 +121,33 @@
             self._answer(attempt, Status.FULL)
             return
         attempt.piece = piece
-        self.out[request] = attempt
-        self.schedule()
+        self.running[request] = attempt
+        self.reschedule()
 
-    def schedule(self) -> None:
-        """Come back when the next piece of work ends."""
+    def reschedule(self) -> None:
+        """Sets the timer to the time at which the next piece of work ends."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         if (due := self.model.station.due()) < math.inf:
-            self.timer = self.core.call_at(due, self._work)
+            self.timer = self.core.call_at(due, self._handle_ended_work)
 
-    def _work(self) -> None:
+    def _handle_ended_work(self) -> None:
         self.timer = None
         now = self.core.now
         while (ended := self.model.ended(now)) is not None:
-            attempt = self.out.pop(ended.request, None)
+            attempt = self.running.pop(ended.request, None)
             if ended.ran:
                 self.observe(seen.WriteExecuted(now, ended.request.id, self.name, ended.request.idempotency))
             if ended.how in (How.MISS, How.BUSY):
                 self.observe(seen.NeverRan(now, ended.request.id, self.name))
-            self.answered(self, ended)
+            self.on_answer(self, ended)
             if attempt is not None:
                 piece, attempt.piece = attempt.piece, None
                 if ended.how is not How.MISS and piece is not None:
-                    self.work += piece.work
+                    self.useful_work += piece.work
                 self._answer(attempt, self._status(ended))
-        self.schedule()
+        self.reschedule()
 
     def _status(self, ended: Ended) -> Status:
         match ended.how:
@@ -157,85 +157,85 @@
                 return Status.FULL
             case How.ERROR:
                 return Status.ERROR
-        return Status.RESET if self.spoilt and self.chance.random() < self.spoilt else Status.OK
+        return Status.RESET if self.reset_share and self.rng.random() < self.reset_share else Status.OK
 
     def _answer(self, attempt: Attempt, status: Status) -> None:
-        if self._cut_from(attempt.router.name):
-            self.unsent.append((attempt, status))
+        if self._is_cut_from(attempt.router.name):
+            self.held_answers.append((attempt, status))
             return
         router = attempt.router.name
         if status is not Status.RESET:
-            self.kept.setdefault(router, []).append(self.core.now)
-        self.core.call_after(HOP + self.distances[router], attempt.end, status)
+            self.idle_connections.setdefault(router, []).append(self.core.now)
+        self.core.call_after(HOP + self.latencies[router], attempt.end, status)
 
-    def left(self, attempt: Attempt) -> None:
-        """The router waits no more; the box hears of it a little later."""
-        self.core.call_after(HOP + self.distances[attempt.router.name], self._left, attempt)
+    def on_router_left(self, attempt: Attempt) -> None:
+        """Handles a router that stops waiting for an attempt; the node learns it one latency later."""
+        self.core.call_after(HOP + self.latencies[attempt.router.name], self._cancel_work, attempt)
 
-    def _left(self, attempt: Attempt) -> None:
-        if self.frozen or self._cut_from(attempt.router.name):
-            return  # what it does with what came before, it does
+    def _cancel_work(self, attempt: Attempt) -> None:
+        if self.frozen or self._is_cut_from(attempt.router.name):
+            return  # the node never learns of it and continues the work that it had accepted
         piece, attempt.piece = attempt.piece, None
         if piece is not None and isinstance(piece.request, Request):
-            self.out.pop(piece.request, None)
+            self.running.pop(piece.request, None)
             if isinstance(self.model, OriginStore):
                 self.model.left(self.core.now, piece)
             else:
                 self.model.station.cancel(self.core.now, piece)
-            self.schedule()
+            self.reschedule()
 
     def freeze(self, frozen: bool) -> None:
-        """Stand still, or go on with what came meanwhile."""
+        """Freezes the process, or resumes it with the attempts that arrived in the meantime."""
         self.frozen = frozen
-        self.pace(0.0 if frozen else 1.0)
-        self._take_held()
+        self.set_speed(0.0 if frozen else 1.0)
+        self._deliver_held_attempts()
 
     def cut(self, cut: bool) -> None:
-        """Cut the network, or mend it: what was sent meanwhile comes through."""
+        """Cuts the node off the network, or reconnects it; what was sent in the meantime then arrives."""
         self.is_cut = cut
-        self._mended()
+        self._deliver_held()
 
-    def part(self, routers: tuple[str, ...], cut: bool) -> None:
-        """The same for the way from some routers."""
-        self.unreached = self.unreached | set(routers) if cut else self.unreached - set(routers)
-        self._mended()
+    def cut_from(self, routers: tuple[str, ...], cut: bool) -> None:
+        """Cuts the node off some routers only, or reconnects it with them."""
+        self.cut_routers = self.cut_routers | set(routers) if cut else self.cut_routers - set(routers)
+        self._deliver_held()
 
-    def _cut_from(self, router: str) -> bool:
-        return self.is_cut or router in self.unreached
+    def _is_cut_from(self, router: str) -> bool:
+        return self.is_cut or router in self.cut_routers
 
-    def _mended(self) -> None:
-        self._take_held()
-        unsent, self.unsent = self.unsent, []
-        for attempt, status in unsent:
+    def _deliver_held(self) -> None:
+        self._deliver_held_attempts()
+        answers, self.held_answers = self.held_answers, []
+        for attempt, status in answers:
             self._answer(attempt, status)
 
-    def _take_held(self) -> None:
+    def _deliver_held_attempts(self) -> None:
         if not self.frozen:
-            held, self.held = self.held, []
-            for attempt in held:
+            attempts, self.held_attempts = self.held_attempts, []
+            for attempt in attempts:
                 self.arrive(attempt)
 
-    def pace(self, factor: float) -> None:
-        """Its cores work so many times as fast."""
+    def set_speed(self, factor: float) -> None:
+        """Sets the speed of its cores, as a multiple of their normal speed."""
         self.model.station.pace.change(self.core.now, factor)
-        self.schedule()
+        self.reschedule()
 
     def reset(self) -> None:
-        """All connections are reset; what is worked on is given up."""
-        self.kept.clear()
-        out, self.out = list(self.out.values()) + self.held, {}
-        self.held = []
-        for attempt in out:
+        """Resets all connections and cancels the work on their requests."""
+        self.idle_connections.clear()
+        attempts, self.running = list(self.running.values()) + self.held_attempts, {}
+        self.held_attempts = []
+        for attempt in attempts:
             if attempt.piece is not None:
                 self.model.station.cancel(self.core.now, attempt.piece)
                 attempt.piece = None
             self.core.call_after(HOP, attempt.end, Status.RESET)
-        self.schedule()
+        self.reschedule()
 
-    def end(self) -> None:
-        """The process ends."""
+    def terminate(self) -> None:
+        """Ends the process."""
         self.up = False
         self.frozen = False
         self.reset()
         self.model.station.clear()
-        self.schedule()
+        self.reschedule()
--- a/myrtlecourse/sim/spread_faults.py
+++ b/myrtlecourse/sim/spread_faults.py
@@ -84,7 +84,7 @@
 
 def _lossy(world: SpreadSimulation, chance: random.Random, member: Member, seconds: float) -> None:
     network = world.network
-    network.loss, network.twice = chance.choice(((0.3, 0.0), (0.1, 0.1), (0.01, 0.3)))
+    network.loss, network.duplication = chance.choice(((0.3, 0.0), (0.1, 0.1), (0.01, 0.3)))
     network.late = chance.choice((0.0, 0.05, 0.5))
 
 
@@ -113,7 +113,7 @@
     network = world.network
     network.outbound_cut.clear()
     network.inbound_cut.clear()
-    network.loss = network.twice = network.late = 0.0
+    network.loss = network.duplication = network.late = 0.0
     world.disk_pause = (0.001, 0.005)
     for member in world.member_list:
         if member.stopped:
--- a/myrtlecourse/sim/topology.py
+++ b/myrtlecourse/sim/topology.py
@@ -1,4 +1,4 @@
-"""Sites in regions, and what becomes of a datagram between two places."""
+"""Sites in regions, and the delay, loss and duplication of datagrams between two places."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def lay_out_sites(regions: int, sites: int, routers: int, parts: int) -> tuple[Site, ...]:
-    """So many sites, dealt out to the regions in turn, and to each its share of all routers and parts."""
+    """Returns sites, assigned to regions in turn, each with an equal share of all routers and parts."""
     each = []
     for s in range(sites):
         region = f"r{s % regions:02d}"
@@ -28,45 +28,47 @@
 
 @dataclass(slots=True, frozen=True)
 class Place:
-    """Where a machine stands, as numbers of the network."""
+    """The location of a process, as numbers of its region and site."""
 
     region: int
     site: int
 
 
 class Network:
-    """What becomes of a datagram on its way: where both ends are says how long it takes."""
+    """Draws what happens to a datagram; its delay depends on the places of both ends."""
 
-    def __init__(self, regions: int, sites: int, chance: random.Random) -> None:
-        """The places: seconds one way, drawn once."""
-        self.random = chance.random
-        self.inside = [chance.uniform(0.0002, 0.001) for _ in range(sites)]
-        self.access = [chance.uniform(0.002, 0.010) for _ in range(sites)]
-        self.between = [[0.0] * regions for _ in range(regions)]
+    def __init__(self, regions: int, sites: int, rng: random.Random) -> None:
+        """Draws the one-way delays (s) once."""
+        self.random = rng.random
+        self.site_delay = [rng.uniform(0.0002, 0.001) for _ in range(sites)]  # within a site
+        self.access_delay = [rng.uniform(0.002, 0.010) for _ in range(sites)]  # between a site and its region
+        self.region_delay = [[0.0] * regions for _ in range(regions)]  # between two regions
         for a in range(regions):
             for b in range(a):
-                self.between[a][b] = self.between[b][a] = chance.uniform(0.010, 0.120)
+                self.region_delay[a][b] = self.region_delay[b][a] = rng.uniform(0.010, 0.120)
         self.loss = 0.0
-        self.twice = 0.0  # chance that one comes once more
-        self.late = 0.0  # chance that one takes up to 0.3 s longer, and so is passed by others
-        self.outbound_cut: set[int] = set()  # regions out of which nothing comes
-        self.inbound_cut: set[int] = set()  # into which nothing comes
+        self.duplication = 0.0  # probability that a datagram arrives a second time
+        self.late = 0.0  # probability that one takes up to 0.3 s longer, so that later ones overtake it
+        self.outbound_cut: set[int] = set()  # regions whose datagrams to other regions are lost
+        self.inbound_cut: set[int] = set()  # regions that receive nothing from other regions
 
     def draw_delays(self, a: Place, b: Place) -> tuple[float, ...]:
-        """When a datagram comes, in seconds from now: no time if it is lost, two if it comes twice."""
+        """Returns the delays (s) of a datagram's copies: none if it is lost, two if it is duplicated."""
         if a.region != b.region and (a.region in self.outbound_cut or b.region in self.inbound_cut):
             return ()
         if self.loss and self.random() < self.loss:
             return ()
         if a.site == b.site:
-            plain = self.inside[a.site]
+            base = self.site_delay[a.site]
         elif a.region == b.region:
-            plain = self.access[a.site] + self.access[b.site]
+            base = self.access_delay[a.site] + self.access_delay[b.site]
         else:
-            plain = self.access[a.site] + self.between[a.region][b.region] + self.access[b.site]
-        pause = plain * (1.0 + 0.1 * self.random())
+            base = (
+                self.access_delay[a.site] + self.region_delay[a.region][b.region] + self.access_delay[b.site]
+            )
+        delay = base * (1.0 + 0.1 * self.random())
         if self.late and self.random() < self.late:
-            pause += 0.3 * self.random()
-        if self.twice and self.random() < self.twice:
-            return pause, pause + 0.05 * self.random()
-        return (pause,)
+            delay += 0.3 * self.random()
+        if self.duplication and self.random() < self.duplication:
+            return delay, delay + 0.05 * self.random()
+        return (delay,)
