--- a/myrtlecourse/sim/overrides.py
+++ b/myrtlecourse/sim/overrides.py
@@ -46,7 +46,7 @@
             raise PathError(f"{override!r}: {step} is not an index of a list of {len(container)}")
         return container[int(step)]
     if not isinstance(container, dict):
-        raise PathError(f"{override!r}: {step} is inside neither a table nor a list")
+        raise PathError(f"{override!r}: neither a table nor a list holds {step}")
     return container.setdefault(step, {})
 
 
--- a/myrtlecourse/sim/routers.py
+++ b/myrtlecourse/sim/routers.py
@@ -168,7 +168,7 @@
         return self.stalled
 
     def kill(self) -> None:
-        """Kills the process: clients lose their connections, and servers learn that attempts are cancelled."""
+        """Kills the process: clients lose their connections, and servers stop their work."""
         self.up = self.accepting = False
         self.stalled = False
         self.deferred.clear()
--- a/myrtlecourse/sim/spread.py
+++ b/myrtlecourse/sim/spread.py
@@ -1,8 +1,8 @@
-"""A spread in virtual time: control machines and the members of many sites, and a judge beside them.
+"""Simulation of spread in virtual time: control nodes and the members of many sites, checked by a judge.
 
-The members are the program's own cores. Datagrams are not sealed, but counted at the size that
-`peers/wire.py` gives them, and one that was sealed for a process before is answered with a greeting, as
-there. Who holds the duty is said by the world and not elected: `sim/duties.py` plays that.
+The members run the program's own cores. Datagrams are not sealed, but counted with the size that they have
+in `peers/wire.py`; one that was sealed for an earlier process is answered with a greeting, as there. The
+simulation appoints the holder of the duty; elections are simulated in `sim/duties.py`.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from myrtlecourse.sim.process import SimulatedProcess
 from myrtlecourse.sim.spread_judge import Judge, RuleViolation
 from myrtlecourse.sim.topology import Network, Place
-from myrtlecourse.spread import messages as said
+from myrtlecourse.spread import messages
 from myrtlecourse.spread.codec import SpreadCodec
 from myrtlecourse.spread.node import Node
 from myrtlecourse.spread.replica import Replica
@@ -37,222 +37,233 @@
     Stored,
 )
 
-GREETING = len(msgspec.msgpack.encode([VERSION, "", 2**61, 2**61, 2**20, [HELLO]]))
-MOST_WAITING = 800  # datagrams that wait before a process that stands still: a socket's buffer
-TURN = 50e-6  # seconds that a turn of a process's loop takes: who asks for the past lets others go on, too
+GREETING_BYTES = len(msgspec.msgpack.encode([VERSION, "", 2**61, 2**61, 2**20, [HELLO]]))
+RECEIVE_BUFFER = 800  # datagrams that a stopped process's socket keeps
+# seconds of one iteration of a process's event loop: a timer that is already due fires this much later, so
+# that other processes run in between
+LOOP_TURN = 50e-6
 CODEC = SpreadCodec()
 
 
 @dataclass(slots=True, frozen=True)
-class ToHead:
-    """An event that is not the node's."""
+class ReplicaInput:
+    """An event for a control node's replica of the log, not for its node of the tree."""
 
     event: ReplicaEvent
 
 
-Told = said.Event | ToHead
+MemberEvent = messages.Event | ReplicaInput
 
 
 class Alarm:
-    """One call at a time of a machine's own clock; one that is put off looks again and costs no event."""
+    """A timer on a process's own clock.
 
-    __slots__ = ("at", "call", "due", "machine")
+    Postponing it schedules no new event: the earlier event finds that it is not yet due and sets it again.
+    """
 
-    def __init__(self, machine: Member, call: Callable[[], None]) -> None:
-        self.machine = machine
-        self.call = call
-        self.at = self.due = float("inf")
+    __slots__ = ("at", "callback", "process", "scheduled_at")
+
+    def __init__(self, process: Member, callback: Callable[[], None]) -> None:
+        self.process = process
+        self.callback = callback
+        self.at = self.scheduled_at = float("inf")
 
     def set(self, at: float) -> None:
-        """Call then, in place of the time before; at infinity never."""
+        """Sets the time of the call, in place of an earlier one; infinity clears it."""
         self.at = at
-        if at < self.due:
-            self.due = at
-            machine = self.machine
-            machine.core.call_after(max(TURN, (at - machine.clock()) / machine.rate), self._ring, at)
-
-    def _ring(self, due: float) -> None:
-        if due != self.due:
-            return  # an earlier one has been set since
-        self.due = float("inf")
-        if self.at > self.machine.clock() + 1e-6:
+        if at < self.scheduled_at:
+            self.scheduled_at = at
+            process = self.process
+            process.core.call_after(max(LOOP_TURN, (at - process.clock()) / process.rate), self._fire, at)
+
+    def _fire(self, scheduled_at: float) -> None:
+        if scheduled_at != self.scheduled_at:
+            return  # an earlier event has been scheduled since
+        self.scheduled_at = float("inf")
+        if self.at > self.process.clock() + 1e-6:
             self.set(self.at)
         else:
             self.at = float("inf")
-            self.call()
+            self.callback()
 
 
-class Member(SimulatedProcess[Told]):
-    """A process that may die, stand still and start again: a router, a cache server's part."""
+class Member(SimulatedProcess[MemberEvent]):
+    """A process that may be killed, stopped and started again: a router or a cache server's part."""
 
-    def __init__(self, world: SpreadSimulation, index: int, name: str, place: Place, rate: float) -> None:
-        super().__init__(world.core, world.chance, name, rate)
-        self.world = world
+    def __init__(
+        self, simulation: SpreadSimulation, index: int, name: str, place: Place, rate: float
+    ) -> None:
+        super().__init__(simulation.core, simulation.rng, name, rate)
+        self.simulation = simulation
         self.index = index
         self.place = place
         self.node: Node | None = None
-        self.met: dict[int, int] = {}  # the process of another that this one knows, by its index
-        self.head = SEAL + GREETING - len(HELLO) - 1 + len(name)  # bytes of a datagram but its words
-        self.alarm = Alarm(self, lambda: self.post(said.TimerFired()))
+        self.known_boots: dict[int, int] = {}  # index of a member -> its process that this one knows
+        self.header_bytes = (
+            SEAL + GREETING_BYTES - len(HELLO) - 1 + len(name)
+        )  # size of a datagram without messages
+        self.alarm = Alarm(self, lambda: self.post(messages.TimerFired()))
 
     def start(self) -> None:
-        """A new process."""
+        """Starts a new process."""
         if self.node is not None:
             return
         self.boots += 1
-        self.met.clear()
-        self.world.judge.on_start(self.index)
-        settings = self.world.settings(self.name, self.place)
-        self.node = self.world.make_node(settings, self.clock(), self.world.chance.getrandbits(32))
-        self.post(said.TimerFired())
+        self.known_boots.clear()
+        self.simulation.judge.on_start(self.index)
+        settings = self.simulation.settings(self.name, self.place)
+        self.node = self.simulation.make_node(settings, self.clock(), self.simulation.rng.getrandbits(32))
+        self.post(messages.TimerFired())
 
     def kill(self) -> None:
-        """The process dies; nothing of it is said to anyone."""
+        """Kills the process; no other member is notified."""
         self.node = None
         self.alarm.set(float("inf"))
         self.discard_pending()
 
     def resume(self) -> None:
-        """It goes on where it stood, with what a socket keeps of what came meanwhile."""
-        heard = [i for i, event in enumerate(self.deferred) if isinstance(event, said.Received)]
-        lost = set(heard[MOST_WAITING:])
+        """Resumes the process with those datagrams that its socket has kept in the meantime."""
+        received = [i for i, event in enumerate(self.deferred) if isinstance(event, messages.Received)]
+        lost = set(received[RECEIVE_BUFFER:])
         self.deferred = [event for i, event in enumerate(self.deferred) if i not in lost]
         super().resume()
 
-    def post(self, event: Told) -> None:
-        """Let it hear of something, unless it is dead, or stands still. Raises Broken."""
+    def post(self, event: MemberEvent) -> None:
+        """Passes an event to the process, later if it is stopped. Raises RuleViolation."""
         if self.node is not None and self.stopped:
             self.deferred.append(event)
         elif self.node is not None:
-            self.take(event)
+            self.handle(event)
 
-    def take(self, event: Told) -> None:
-        """Let its node hear of something, and carry out what it answers."""
-        assert self.node is not None and not isinstance(event, ToHead)
-        world, judge = self.world, self.world.judge
+    def handle(self, event: MemberEvent) -> None:
+        """Passes an event to the node and carries out its actions. Raises RuleViolation."""
+        assert self.node is not None and not isinstance(event, ReplicaInput)
+        simulation, judge = self.simulation, self.simulation.judge
         for action in self.node.handle(self.clock(), event):
             match action:
-                case said.Send(to, words):
-                    world.send(self, to, words)
-                case said.SetTimer(at):
+                case messages.Send(to, outgoing):
+                    simulation.send(self, to, outgoing)
+                case messages.SetTimer(at):
                     self.alarm.set(at)
-                case said.Apply(first, entries):
-                    judge.on_applied(self.index, first, entries, world.time)
-                case said.Watermark(number, _, _):
-                    world.on_watermark(number)
-                case said.AssumePurged(first, last):
+                case messages.Apply(first, entries):
+                    judge.on_applied(self.index, first, entries, simulation.time)
+                case messages.Watermark(number, _, _):
+                    simulation.on_watermark(number)
+                case messages.AssumePurged(first, last):
                     judge.on_assumed_purged(self.index, first, last)
-                case said.Restore(number, change):
+                case messages.Restore(number, change):
                     judge.on_restored(self.index, number, change)
-                case said.LeaseChanged(may):
-                    if may and not self.has_lease():
-                        raise RuleViolation(f"told_to_vouch: {self.name} may not")
+                case messages.LeaseChanged(valid):
+                    if valid and not self.has_lease():
+                        raise RuleViolation(f"told_to_vouch: {self.name} has no lease")
         if judge.applied_until[self.index] < judge.watermark and self.has_lease():
             raise RuleViolation(
                 f"done_ahead: {self.name} has a lease and {judge.applied_until[self.index]} "
-                f"of {judge.watermark} entries"
+                f"of {judge.watermark}"
             )
 
     def has_lease(self) -> bool:
-        """Whether it would act as if up to date at this moment of true time."""
+        """Returns whether it now acts as if it were up to date."""
         return self.node is not None and self.node.has_lease(self.clock())
 
 
 class Control(Member):
-    """A control machine: a node, a head, and a disk that takes its time and outlives both."""
+    """A control node: a node of the tree, a replica of the log, and a disk with slow writes."""
 
-    def __init__(self, world: SpreadSimulation, index: int, name: str, place: Place, rate: float) -> None:
-        super().__init__(world, index, name, place, rate)
-        self.disk = LogState()  # outlives the process
-        self.log_head: Replica | None = None
-        self.head_alarm = Alarm(self, lambda: self.post(ToHead(said.TimerFired())))
+    def __init__(
+        self, simulation: SpreadSimulation, index: int, name: str, place: Place, rate: float
+    ) -> None:
+        super().__init__(simulation, index, name, place, rate)
+        self.disk = LogState()  # kept when the process ends
+        self.replica: Replica | None = None
+        self.replica_alarm = Alarm(self, lambda: self.post(ReplicaInput(messages.TimerFired())))
 
     def start(self) -> None:
         if self.node is None:
-            settings = self.world.settings(self.name, self.place)
-            # the process changes what it has read; the disk stays as it is
-            self.log_head = self.world.make_replica(settings, copy.deepcopy(self.disk), self.clock())
+            settings = self.simulation.settings(self.name, self.place)
+            # a copy, because the process changes the state that it has read
+            self.replica = self.simulation.make_replica(settings, copy.deepcopy(self.disk), self.clock())
         super().start()
-        self.post(ToHead(said.TimerFired()))
+        self.post(ReplicaInput(messages.TimerFired()))
 
     def kill(self) -> None:
-        self.log_head = None
-        self.head_alarm.set(float("inf"))
+        self.replica = None
+        self.replica_alarm.set(float("inf"))
         super().kill()
 
-    def take(self, event: Told) -> None:
-        if isinstance(event, ToHead):
-            self._head(event.event)
-        elif isinstance(event, said.Received):
-            heads = tuple(w for w in event.messages if isinstance(w, said.LOG_MESSAGES))
-            if len(heads) < len(event.messages):
-                words = tuple(w for w in event.messages if not isinstance(w, said.LOG_MESSAGES))
-                super().take(said.Received(event.sender, words) if heads else event)
-            if heads:
-                self._head(said.Received(event.sender, heads))
+    def handle(self, event: MemberEvent) -> None:
+        if isinstance(event, ReplicaInput):
+            self._handle_replica(event.event)
+        elif isinstance(event, messages.Received):
+            for_replica = tuple(w for w in event.messages if isinstance(w, messages.LOG_MESSAGES))
+            if len(for_replica) < len(event.messages):
+                for_node = tuple(w for w in event.messages if not isinstance(w, messages.LOG_MESSAGES))
+                super().handle(messages.Received(event.sender, for_node) if for_replica else event)
+            if for_replica:
+                self._handle_replica(messages.Received(event.sender, for_replica))
         else:
-            super().take(event)
+            super().handle(event)
 
-    def _head(self, event: ReplicaEvent) -> None:
-        assert self.log_head is not None
-        world = self.world
-        for action in self.log_head.handle(self.clock(), event):
+    def _handle_replica(self, event: ReplicaEvent) -> None:
+        assert self.replica is not None
+        simulation = self.simulation
+        for action in self.replica.handle(self.clock(), event):
             match action:
-                case said.Send(to, words):
-                    world.send(self, to, words)
-                case said.SetTimer(at):
-                    self.head_alarm.set(at)
-                case said.Committed(_, first, entries):
-                    world.judge.on_committed(first, entries)
-                    super().take(action)
-                case said.Leadership():
-                    super().take(action)
+                case messages.Send(to, outgoing):
+                    simulation.send(self, to, outgoing)
+                case messages.SetTimer(at):
+                    self.replica_alarm.set(at)
+                case messages.Committed(_, first, entries):
+                    simulation.judge.on_committed(first, entries)
+                    super().handle(action)
+                case messages.Leadership():
+                    super().handle(action)
                 case Store():
-                    world.core.call_after(world.disk_time(), self._stored, action, self.boots)
+                    simulation.core.call_after(simulation.draw_disk_time(), self._stored, action, self.boots)
                 case Acknowledge(ticket, number):
-                    world.acknowledge(ticket, number)
+                    simulation.on_acknowledged(ticket, number)
                 case Refuse(ticket):
-                    world.refused += 1
-                    del world.tickets[ticket]
-                case said.AssumePurged(first, last):
-                    world.judge.on_assumed_purged(self.index, first, last)
-                case said.Restore(number, change):
-                    world.judge.on_restored(self.index, number, change)
+                    simulation.refused += 1
+                    del simulation.pending_proposals[ticket]
+                case messages.AssumePurged(first, last):
+                    simulation.judge.on_assumed_purged(self.index, first, last)
+                case messages.Restore(number, change):
+                    simulation.judge.on_restored(self.index, number, change)
 
     def _stored(self, store: Store, boot: int) -> None:
         if boot == self.boots and self.node is not None:
             for record in store.records:
                 self.disk.apply(record)
-            self.post(ToHead(Stored(store.number)))
+            self.post(ReplicaInput(Stored(store.number)))
 
 
 class SpreadSimulation:
-    """A fleet on one clock, under a load of purges and changes."""
+    """A fleet in one virtual time, under a load of purges and changes."""
 
     def __init__(
         self,
-        sites: tuple[said.Site, ...],
+        sites: tuple[messages.Site, ...],
         control: int,
         seed: int,
         entries: int,
-        make_node: Callable[[said.Settings, float, int], Node] = Node,
-        make_replica: Callable[[said.Settings, LogState, float], Replica] = Replica,
-        **figures: Any,
+        make_node: Callable[[messages.Settings, float, int], Node] = Node,
+        make_replica: Callable[[messages.Settings, LogState, float], Replica] = Replica,
+        **settings_given: Any,
     ) -> None:
-        """`entries`: the most that will be proposed; `figures`: of Settings."""
+        """`entries` is the highest number of entries; `settings_given` are fields of Settings."""
         self.core = Core(seed)
-        self.chance = self.core.stream("members")
-        self.make_node, self.make_replica, self.figures = make_node, make_replica, figures
+        self.rng = self.core.stream("members")
+        self.make_node, self.make_replica, self.settings_given = make_node, make_replica, settings_given
         self.sites = sites
         self.control = tuple(f"control-{i:02d}" for i in range(control))
-        self.drift = said.Settings(self.control[0], self.control, sites, **figures).drift
+        self.drift = messages.Settings(self.control[0], self.control, sites, **settings_given).drift
         regions = sorted({s.region for s in sites})
         self.sites_by_region = [tuple(s for s in sites if s.region == r) for r in regions]
         self.network = Network(len(regions), len(sites) + control, self.core.stream("places"))
         self.network.random = self.core.stream("network").random
         self.members: dict[str, Member] = {}
         for i, name in enumerate(self.control):
-            # none in the last region: one that can be cut off whole without the holder
+            # the last region has no control node, so that it can be cut off as a whole without the holder
             self._add(Control, name, Place(i % max(1, len(regions) - 1), len(sites) + i))
         for s, site in enumerate(sites):
             for name in (*site.routers, *site.parts):
@@ -261,157 +272,164 @@
         self.judge = Judge(len(self.member_list), entries)
         self.bytes = [0] * len(self.member_list)
         self.datagrams = [0] * len(self.member_list)
-        self.second_totals: list[
-            tuple[Any, Any]
-        ] = []  # bytes and datagrams of each member by the end of each second
-        self.tickets: dict[int, tuple[said.Entry, float]] = {}
-        self.proposals = self.refused = 0
+        # bytes and datagrams that each member had sent by the end of each second
+        self.second_totals: list[tuple[Any, Any]] = []
+        self.pending_proposals: dict[int, tuple[messages.Entry, float]] = {}
+        self.proposal_count = self.refused = 0
         self.token = 0
         self.holder = ""
-        self.disk_pause = (0.001, 0.005)  # seconds that writing takes
-        self.core.call_after(1.0, self._second)
+        self.disk_write_range = (0.001, 0.005)  # range of the seconds that a write takes
+        self.core.call_after(1.0, self._record_second)
 
     def _add(self, kind: type[Member], name: str, place: Place) -> None:
-        rate = 1 + self.chance.uniform(-self.drift, self.drift)
+        rate = 1 + self.rng.uniform(-self.drift, self.drift)
         self.members[name] = kind(self, len(self.members), name, place, rate)
 
-    def settings(self, name: str, place: Place) -> said.Settings:
-        """What a member is installed with."""
+    def settings(self, name: str, place: Place) -> messages.Settings:
+        """Returns the settings of a member."""
         sites = self.sites if name in self.control else self.sites_by_region[place.region]
-        return said.Settings(name, self.control, sites, **self.figures)
+        return messages.Settings(name, self.control, sites, **self.settings_given)
 
     @property
     def time(self) -> float:
-        """Seconds since the start of the world."""
+        """Seconds since the start of the simulation."""
         return (self.core.time - START_TIME) / MICROSECONDS
 
-    def disk_time(self) -> float:
-        """Seconds that writing takes this time."""
-        return self.chance.uniform(*self.disk_pause)
+    def draw_disk_time(self) -> float:
+        """Returns the seconds that the next write takes."""
+        return self.rng.uniform(*self.disk_write_range)
 
-    def _second(self) -> None:
-        self.core.call_after(1.0, self._second)
+    def _record_second(self) -> None:
+        self.core.call_after(1.0, self._record_second)
         self.second_totals.append((np.array(self.bytes), np.array(self.datagrams)))
 
-    def send(self, sender: Member, to: str, words: tuple[said.Message, ...]) -> None:
-        """A datagram on its way. Raises Broken."""
-        length = sender.head + CODEC.size(words)
+    def send(self, sender: Member, to: str, outgoing: tuple[messages.Message, ...]) -> None:
+        """Sends a datagram. Raises RuleViolation if it is too long."""
+        length = sender.header_bytes + CODEC.size(outgoing)
         if length > LONGEST:
             raise RuleViolation(f"too_long: {length} bytes from {sender.name}")
-        there = self.members[to]
+        receiver = self.members[to]
         self._count(sender, length)
-        known, heard = sender.met.get(there.index, 0), said.Received(sender.name, words)
-        for pause in self.network.draw_delays(sender.place, there.place):
-            self.core.call_after(pause, self._arrive, there, sender, sender.boots, known, heard)
+        known, received = sender.known_boots.get(receiver.index, 0), messages.Received(sender.name, outgoing)
+        for delay in self.network.draw_delays(sender.place, receiver.place):
+            self.core.call_after(delay, self._arrive, receiver, sender, sender.boots, known, received)
 
     def _count(self, sender: Member, length: int) -> None:
         self.bytes[sender.index] += length
         self.datagrams[sender.index] += 1
 
-    def _arrive(self, there: Member, sender: Member, boot: int, known: int, heard: said.Received) -> None:
-        if there.node is None:
+    def _arrive(
+        self, receiver: Member, sender: Member, boot: int, known: int, received: messages.Received
+    ) -> None:
+        if receiver.node is None:
             return
-        if known != there.boots:
-            # sealed for no process or another: it is not opened, and the sender is told the right one
-            self._count(there, there.head + len(HELLO) + 1)
-            for pause in self.network.draw_delays(there.place, sender.place):
-                self.core.call_after(pause, self._greeted, sender, boot, there.index, there.boots)
-        elif boot >= there.met.get(sender.index, 0):
-            there.met[sender.index] = boot
-            there.post(heard)
+        if known != receiver.boots:
+            # sealed for no process or an earlier one: it is not opened, and a greeting names the current one
+            self._count(receiver, receiver.header_bytes + len(HELLO) + 1)
+            for delay in self.network.draw_delays(receiver.place, sender.place):
+                self.core.call_after(delay, self._on_greeting, sender, boot, receiver.index, receiver.boots)
+        elif boot >= receiver.known_boots.get(sender.index, 0):
+            receiver.known_boots[sender.index] = boot
+            receiver.post(received)
 
     @staticmethod
-    def _greeted(there: Member, boot: int, index: int, known: int) -> None:
-        if boot == there.boots:
-            there.met[index] = max(known, there.met.get(index, 0))
+    def _on_greeting(receiver: Member, boot: int, index: int, known: int) -> None:
+        if boot == receiver.boots:
+            receiver.known_boots[index] = max(known, receiver.known_boots.get(index, 0))
 
-    # The duty, and what is proposed to its holder
+    # The duty, and proposals to its holder
 
     def release_holder(self) -> None:
-        """The holder is told that it holds no more."""
+        """Notifies the holder that it has lost the duty."""
         if self.holder:
-            self.members[self.holder].post(ToHead(LeadershipLost()))
+            self.members[self.holder].post(ReplicaInput(LeadershipLost()))
         self.holder = ""
 
     def set_holder(self, name: str) -> None:
-        """A control machine holds the duty from now on; whoever held it before is told."""
+        """Gives the duty to a control node and notifies the previous holder."""
         self.release_holder()
         self.token += 1
         self.holder = name
-        self.members[name].post(ToHead(LeadershipGained(self.token)))
+        self.members[name].post(ReplicaInput(LeadershipGained(self.token)))
 
-    def propose(self, entry: said.Entry) -> None:
-        """Somebody wants this everywhere."""
-        there = self.members.get(self.holder)
-        if there is None or there.node is None or there.stopped:
+    def propose(self, entry: messages.Entry) -> None:
+        """Proposes an entry to the holder."""
+        holder = self.members.get(self.holder)
+        if holder is None or holder.node is None or holder.stopped:
             self.refused += 1
             return
-        self.proposals += 1
-        self.tickets[self.proposals] = entry, self.time
-        there.post(ToHead(Propose(self.proposals, entry)))
+        self.proposal_count += 1
+        self.pending_proposals[self.proposal_count] = entry, self.time
+        holder.post(ReplicaInput(Propose(self.proposal_count, entry)))
 
-    def acknowledge(self, ticket: int, number: int) -> None:
-        """The holder says that an entry lasts."""
-        entry, at = self.tickets.pop(ticket)
+    def on_acknowledged(self, ticket: int, number: int) -> None:
+        """Handles the holder's acknowledgement that an entry is durable."""
+        entry, at = self.pending_proposals.pop(ticket)
         self.judge.on_acknowledged(number, entry, at, self.time)
 
     def schedule_load(self, purges: float, changes: float, seconds: float, subjects: int = 50) -> None:
-        """So many entries a second, at times of chance."""
-        chance = self.core.stream("load")
-        for rate, kind in ((purges, said.Purge), (changes, said.Change)):
-            at = chance.expovariate(rate) if rate else seconds
+        """Schedules proposals at random times, at rates per second."""
+        rng = self.core.stream("load")
+        for rate, kind in ((purges, messages.Purge), (changes, messages.Change)):
+            at = rng.expovariate(rate) if rate else seconds
             while at < seconds:
-                if kind is said.Purge:
-                    entry: said.Entry = said.Purge(chance.randbytes(said.KEY_BYTES))
+                if kind is messages.Purge:
+                    entry: messages.Entry = messages.Purge(rng.randbytes(messages.KEY_BYTES))
                 else:
-                    subject = chance.randrange(subjects).to_bytes(said.KEY_BYTES, "big")
-                    entry = said.Change(subject, chance.randbytes(chance.randint(20, said.MAX_VALUE_BYTES)))
+                    subject = rng.randrange(subjects).to_bytes(messages.KEY_BYTES, "big")
+                    entry = messages.Change(subject, rng.randbytes(rng.randint(20, messages.MAX_VALUE_BYTES)))
                 self.core.call_after(at, self.propose, entry)
-                at += chance.expovariate(rate)
+                at += rng.expovariate(rate)
 
     def on_watermark(self, number: int) -> None:
-        """The root has said that all is done up to a number. Raises Broken."""
+        """Handles the root's report that all entries up to a number are applied everywhere.
+
+        Raises RuleViolation if a member with a lease lacks one of them.
+        """
         for index in self.judge.on_watermark(number, self.time):
             if self.member_list[index].has_lease():
                 have = self.judge.applied_until[index]
                 raise RuleViolation(
-                    f"done_ahead: {number}, and {self.member_list[index].name} vouches and has {have}"
+                    f"done_ahead: {number}, and {self.member_list[index].name} has a lease and {have}"
                 )
 
-    # What is asked of it
+    # Running and checking
 
     def start(self, within: float = 0.0) -> None:
-        """All members, spread over so many seconds; the first control machine holds the duty."""
+        """Starts all members at random times within some seconds; the first control node gets the duty."""
         for member in self.member_list:
-            self.core.call_after(self.chance.uniform(0.0, within), member.start)
+            self.core.call_after(self.rng.uniform(0.0, within), member.start)
         self.core.call_after(within, self.set_holder, self.control[0])
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advances the time."""
         self.core.run(self.core.now + seconds)
 
-    def vouching(self) -> int:
-        """Members that vouch at this moment."""
+    def lease_count(self) -> int:
+        """Returns the number of members that have a lease now."""
         return sum(m.has_lease() for m in self.member_list)
 
     def run_until_consistent(self, within: float) -> float | None:
-        """Seconds until all that live vouch and have all there is; None if they don't within that time."""
-        began, judge = self.core.now, self.judge
-        while self.core.now < began + within:
+        """Runs until all running members have a lease and all entries.
+
+        Returns the seconds that this took, or None if it takes longer than `within`.
+        """
+        started_at, judge = self.core.now, self.judge
+        while self.core.now < started_at + within:
             last = len(judge.log) - 1
             if all(
                 judge.applied_until[m.index] == last and m.has_lease()
                 for m in self.member_list
                 if m.node is not None
             ):
-                return self.core.now - began
+                return self.core.now - started_at
             self.run(0.05)
         return None
 
     def check_consistency(self) -> None:
-        """All members that live have the same log and the same changes. Raises Broken."""
+        """Checks that all running members have the same log and changes. Raises RuleViolation."""
         judge = self.judge
-        last, table = len(judge.log) - 1, judge.table()
+        last, table = len(judge.log) - 1, judge.latest_changes()
         for member in (m for m in self.member_list if m.node is not None):
             if judge.applied_until[member.index] != last:
                 raise RuleViolation(
@@ -421,4 +439,4 @@
                 raise RuleViolation(f"other_table: {member.name}")
         lasting = [n for n in judge.acknowledged_entries if n > last]
         if lasting:
-            raise RuleViolation(f"forgotten: {len(lasting)} acknowledged and not in the log")
+            raise RuleViolation(f"forgotten: {len(lasting)} acknowledged entries are not in the log")
--- a/myrtlecourse/sim/spread_faults.py
+++ b/myrtlecourse/sim/spread_faults.py
@@ -1,4 +1,4 @@
-"""Schedules of what goes wrong in a spread in virtual time."""
+"""Random faults for the simulation of spread."""
 
 from __future__ import annotations
 
@@ -8,115 +8,123 @@
 from myrtlecourse.sim.spread import Member, SpreadSimulation
 
 
-def trouble(world: SpreadSimulation, chance: random.Random, longest: float) -> str:
-    """Let one thing go wrong, and be well again after a while; answers with what it was."""
-    what, member, seconds = (
-        chance.choice(list(TROUBLES)),
-        chance.choice(world.member_list),
-        chance.uniform(0.0, longest),
+def inject_fault(simulation: SpreadSimulation, rng: random.Random, max_seconds: float) -> str:
+    """Injects one fault, which ends after a while; returns its description."""
+    fault, member, seconds = (
+        rng.choice(list(FAULTS)),
+        rng.choice(simulation.member_list),
+        rng.uniform(0.0, max_seconds),
     )
-    TROUBLES[what](world, chance, member, seconds)
-    return f"{world.time:.2f} {what} {member.name} {seconds:.2f}"
+    FAULTS[fault](simulation, rng, member, seconds)
+    return f"{simulation.time:.2f} {fault} {member.name} {seconds:.2f}"
 
 
-def _down(world: SpreadSimulation, member: Member, seconds: float) -> None:
+def _kill_for_a_while(simulation: SpreadSimulation, member: Member, seconds: float) -> None:
     member.kill()
-    world.core.call_after(seconds, member.start)
-
-
-def _succeed(world: SpreadSimulation, chance: random.Random, member: Member) -> None:
-    """The election finds another, if it was the holder: also while that one still believes that it holds."""
-    if member.name == world.holder:
-        world.core.call_after(chance.uniform(0.5, 1.5), _elect, world, chance)
-
-
-def _elect(world: SpreadSimulation, chance: random.Random) -> None:
-    """One that is there takes the duty, as a rule one that is not cut off."""
-    there = [m for m in map(world.members.get, world.control) if m is not None and m.node and not m.stopped]
-    cut = world.network.outbound_cut | world.network.inbound_cut
-    best = [m for m in there if m.place.region not in cut]
-    if there:
-        world.set_holder(chance.choice(best if best and chance.random() < 0.8 else there).name)
+    simulation.core.call_after(seconds, member.start)
+
+
+def _elect_successor(simulation: SpreadSimulation, rng: random.Random, member: Member) -> None:
+    """Elects another holder if this was it, possibly while it still believes to hold the duty."""
+    if member.name == simulation.holder:
+        simulation.core.call_after(rng.uniform(0.5, 1.5), _elect, simulation, rng)
+
+
+def _elect(simulation: SpreadSimulation, rng: random.Random) -> None:
+    """Gives the duty to a running control node, in most cases one that is not cut off."""
+    running = [
+        m
+        for m in map(simulation.members.get, simulation.control)
+        if m is not None and m.node and not m.stopped
+    ]
+    cut = simulation.network.outbound_cut | simulation.network.inbound_cut
+    connected = [m for m in running if m.place.region not in cut]
+    if running:
+        simulation.set_holder(rng.choice(connected if connected and rng.random() < 0.8 else running).name)
     else:
-        world.core.call_after(0.5, _elect, world, chance)
+        simulation.core.call_after(0.5, _elect, simulation, rng)
 
 
-def _kill(world: SpreadSimulation, chance: random.Random, member: Member, seconds: float) -> None:
-    _down(world, member, seconds)
-    _succeed(world, chance, member)
+def _kill(simulation: SpreadSimulation, rng: random.Random, member: Member, seconds: float) -> None:
+    _kill_for_a_while(simulation, member, seconds)
+    _elect_successor(simulation, rng, member)
 
 
-def _stop(world: SpreadSimulation, chance: random.Random, member: Member, seconds: float) -> None:
+def _stop(simulation: SpreadSimulation, rng: random.Random, member: Member, seconds: float) -> None:
     member.stop()
-    world.core.call_after(seconds, member.resume)
-    _succeed(world, chance, member)
+    simulation.core.call_after(seconds, member.resume)
+    _elect_successor(simulation, rng, member)
 
 
-def _rack(world: SpreadSimulation, chance: random.Random, member: Member, seconds: float) -> None:
-    for each in world.member_list:
+def _kill_site(simulation: SpreadSimulation, rng: random.Random, member: Member, seconds: float) -> None:
+    for each in simulation.member_list:
         if each.place.site == member.place.site:
-            _kill(world, chance, each, seconds)
+            _kill(simulation, rng, each, seconds)
 
 
-def _half(world: SpreadSimulation, chance: random.Random, member: Member, seconds: float) -> None:
-    for each in world.member_list:
-        if chance.random() < 0.5:
-            _kill(world, chance, each, chance.uniform(0.0, seconds))
+def _kill_half(simulation: SpreadSimulation, rng: random.Random, member: Member, seconds: float) -> None:
+    for each in simulation.member_list:
+        if rng.random() < 0.5:
+            _kill(simulation, rng, each, rng.uniform(0.0, seconds))
 
 
-def _holder(world: SpreadSimulation, chance: random.Random, member: Member, seconds: float) -> None:
-    if world.holder:
-        _kill(world, chance, world.members[world.holder], seconds)
+def _kill_holder(simulation: SpreadSimulation, rng: random.Random, member: Member, seconds: float) -> None:
+    if simulation.holder:
+        _kill(simulation, rng, simulation.members[simulation.holder], seconds)
 
 
-def _cut(world: SpreadSimulation, chance: random.Random, member: Member, seconds: float) -> None:
-    network = world.network
+def _cut_region(simulation: SpreadSimulation, rng: random.Random, member: Member, seconds: float) -> None:
+    network = simulation.network
     both = (network.outbound_cut, network.inbound_cut)
-    for cut in chance.choice((both, both[:1], both[1:])):
+    for cut in rng.choice((both, both[:1], both[1:])):
         cut.add(member.place.region)
-        world.core.call_after(seconds, cut.discard, member.place.region)
+        simulation.core.call_after(seconds, cut.discard, member.place.region)
 
 
-def _move(world: SpreadSimulation, chance: random.Random, member: Member, seconds: float) -> None:
-    world.release_holder()
-    world.core.call_after(chance.uniform(0.0, 0.5), _elect, world, chance)
+def _move_duty(simulation: SpreadSimulation, rng: random.Random, member: Member, seconds: float) -> None:
+    simulation.release_holder()
+    simulation.core.call_after(rng.uniform(0.0, 0.5), _elect, simulation, rng)
 
 
-def _lossy(world: SpreadSimulation, chance: random.Random, member: Member, seconds: float) -> None:
-    network = world.network
-    network.loss, network.duplication = chance.choice(((0.3, 0.0), (0.1, 0.1), (0.01, 0.3)))
-    network.late = chance.choice((0.0, 0.05, 0.5))
+def _degrade_network(
+    simulation: SpreadSimulation, rng: random.Random, member: Member, seconds: float
+) -> None:
+    network = simulation.network
+    network.loss, network.duplication = rng.choice(((0.3, 0.0), (0.1, 0.1), (0.01, 0.3)))
+    network.late = rng.choice((0.0, 0.05, 0.5))
 
 
-def _disk(world: SpreadSimulation, chance: random.Random, member: Member, seconds: float) -> None:
-    world.disk_pause = chance.choice(((0.001, 0.005), (0.05, 0.3)))
+def _change_disk_time(
+    simulation: SpreadSimulation, rng: random.Random, member: Member, seconds: float
+) -> None:
+    simulation.disk_write_range = rng.choice(((0.001, 0.005), (0.05, 0.3)))
 
 
-TROUBLES: dict[str, Callable[[SpreadSimulation, random.Random, Member, float], None]] = {
-    **{"kill": _kill, "stop": _stop, "rack": _rack, "half": _half, "holder": _holder},
-    **{"cut": _cut, "move": _move, "lossy": _lossy, "disk": _disk},
+FAULTS: dict[str, Callable[[SpreadSimulation, random.Random, Member, float], None]] = {
+    **{"kill": _kill, "stop": _stop, "rack": _kill_site, "half": _kill_half, "holder": _kill_holder},
+    **{"cut": _cut_region, "move": _move_duty, "lossy": _degrade_network, "disk": _change_disk_time},
 }
 
 
-def run_random_faults(world: SpreadSimulation, seconds: float, longest: float = 3.0) -> list[str]:
-    """Play troubles by chance for so long; answers with what happened. Raises Broken."""
-    chance = world.core.stream("troubles")
-    told, until = [], world.core.now + seconds
-    while world.core.now < until:
-        world.run(chance.expovariate(0.8))
-        told.append(trouble(world, chance, longest))
-    return told
+def run_random_faults(simulation: SpreadSimulation, seconds: float, max_seconds: float = 3.0) -> list[str]:
+    """Injects random faults for a time; returns their descriptions. Raises RuleViolation."""
+    rng = simulation.core.stream("troubles")
+    faults, until = [], simulation.core.now + seconds
+    while simulation.core.now < until:
+        simulation.run(rng.expovariate(0.8))
+        faults.append(inject_fault(simulation, rng, max_seconds))
+    return faults
 
 
-def end_faults(world: SpreadSimulation) -> None:
-    """The end of all troubles; and somebody holds the duty."""
-    network = world.network
+def end_faults(simulation: SpreadSimulation) -> None:
+    """Ends all faults, starts all members, and gives the duty to the first control node."""
+    network = simulation.network
     network.outbound_cut.clear()
     network.inbound_cut.clear()
     network.loss = network.duplication = network.late = 0.0
-    world.disk_pause = (0.001, 0.005)
-    for member in world.member_list:
+    simulation.disk_write_range = (0.001, 0.005)
+    for member in simulation.member_list:
         if member.stopped:
             member.resume()
         member.start()
-    world.set_holder(world.control[0])
+    simulation.set_holder(simulation.control[0])
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -24,8 +24,7 @@
 from myrtlecourse.sim.counterexamples import read_counterexample, write_counterexample
 from myrtlecourse.sim.fleet_simulation import FleetSimulation, Result, ScenarioMismatch
 from myrtlecourse.sim.overrides import read_scenario_and_profile
-from myrtlecourse.sim.search import Search, shrink
-from myrtlecourse.sim.search import play as play_schedule
+from myrtlecourse.sim.search import Search, run_trial, shrink
 from tests.loopback import needs_sources
 from tests.wrong_modules import ForgetsDrains, NeverGivesUp, RefusesWhatRuns, Repeats
 
@@ -224,9 +223,9 @@
     write_counterexample(tmp_path / "find.json", find)
     again = read_counterexample(tmp_path / "find.json")
     assert again == find
-    assert play_schedule(again.scenario, again.profile, ForgetsDrains).breaches == find.breaches
+    assert run_trial(again.scenario, again.profile, ForgetsDrains).breaches == find.breaches
     # what broke the wrong one keeps all rules with the real one
-    assert not play_schedule(again.scenario, again.profile, Router).breaches
+    assert not run_trial(again.scenario, again.profile, Router).breaches
     (tmp_path / "find.json").write_text('{"scenario": {"routers": 0}}')
     with pytest.raises(ScenarioError, match="routers"):
         read_counterexample(tmp_path / "find.json")
@@ -249,7 +248,7 @@
 )
 def test_no_find_breaks_a_rule_any_more(file: Path) -> None:
     find = read_counterexample(file)
-    assert not play_schedule(find.scenario, find.profile, Router).breaches
+    assert not run_trial(find.scenario, find.profile, Router).breaches
 
 
 def test_single_values_are_changed_and_what_can_not_be_is_named(tmp_path: Path) -> None:
