--- a/myrtlecourse/expect/__init__.py
+++ b/myrtlecourse/expect/__init__.py
@@ -1,1 +1,1 @@
-"""What operators expect of the routing, checked without traffic by the decision module itself."""
+"""Written expectations of routing, checked with the decision module and without traffic."""
--- a/myrtlecourse/expect/spec.py
+++ b/myrtlecourse/expect/spec.py
@@ -1,7 +1,7 @@
-"""Expectations as operators write them: TOML, read by one strict schema, and what can't hold in them.
+"""Expectations of routing as operators write them: the schema of the TOML file, and its contradictions.
 
-An expectation says what is given (a fleet and its troubles, a request, how earlier attempts ended) and what
-must follow. All names are those of the settings and lists.
+An expectation states what is given (a fleet and its faults, a request, the outcomes of earlier attempts) and
+what must then happen. All names are those of the settings and lists.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from myrtlecourse import interface as api
 from myrtlecourse.load.profile import Name, Share
 
-MOST_KEYS = 1_000_000
-MOST_EXPECTED = 100_000
-PATTERN = re.compile(r"\{(\d{1,9})\.\.(\d{1,9})\}")
-Ids = tuple[Name, ...]
-Ending = Literal["error", "full", "timeout", "connect_failed", "reset", "miss"]
+MAX_KEYS = 1_000_000
+MAX_EXPECTATIONS = 100_000
+KEY_RANGE = re.compile(r"\{(\d{1,9})\.\.(\d{1,9})\}")
+ServerIds = tuple[Name, ...]
+AttemptOutcome = Literal["error", "full", "timeout", "connect_failed", "reset", "miss"]
 Answer = Literal["sent", "refused", "failed", "waits"]
 
 
 class ExpectError(ValueError):
-    """Expectations that can't be used; the message names the file and the place."""
+    """Expectations that can't be used; the message names the file and the field."""
 
 
 class Server(Struct, forbid_unknown_fields=True, frozen=True):
@@ -40,37 +40,37 @@
     weight: Annotated[float, Meta(ge=0.0, le=1e9)] = 1.0
 
 
-class FleetOf(Struct, forbid_unknown_fields=True, frozen=True):
-    """Servers under a name."""
+class NamedFleet(Struct, forbid_unknown_fields=True, frozen=True):
+    """A named list of servers."""
 
     name: Name
     servers: Annotated[tuple[Server, ...], Meta(min_length=1, max_length=10_000)]
 
     def __post_init__(self) -> None:
         ids = [s.id for s in self.servers]
-        if twice := next((i for i in ids if ids.count(i) > 1), None):
-            raise ValueError(f"fleet {self.name}: {twice} is listed twice")
+        if duplicate := next((i for i in ids if ids.count(i) > 1), None):
+            raise ValueError(f"fleet {self.name}: {duplicate} is listed twice")
 
 
 class Given(Struct, forbid_unknown_fields=True, frozen=True):
-    """The state of things, and a request."""
+    """The state of the fleet, and a request."""
 
     request_class: Annotated[str, Meta(min_length=1)] = msgspec.field(name="class")
-    keys: tuple[str, ...] = ()  # names, or a pattern with a range, `pupil-{0..999}`; none: no key
+    keys: tuple[str, ...] = ()  # keys, or patterns with a range, `pupil-{0..999}`; empty: no key
     write: bool = False
     time_left: Annotated[float, Meta(ge=0.0, le=600.0)] = 2.0  # seconds
-    gone: Ids = ()  # listed before, and not any more
-    draining: Ids = ()
-    offline: Ids = ()  # taken out by operators
-    cold: Ids = ()  # just started
-    earlier: tuple[Ending, ...] = ()  # how the attempts before ended, first to last
-
-    def each_key(self) -> Iterator[str | None]:
-        """All keys, a pattern's in the order of its numbers."""
+    gone: ServerIds = ()  # no longer listed
+    draining: ServerIds = ()
+    offline: ServerIds = ()  # banned by operators
+    cold: ServerIds = ()  # just started
+    earlier: tuple[AttemptOutcome, ...] = ()  # outcomes of earlier attempts, first to last
+
+    def expand_keys(self) -> Iterator[str | None]:
+        """Yields all keys, those of a pattern in the order of their numbers."""
         if not self.keys:
             yield None
         for key in self.keys:
-            found = PATTERN.search(key)
+            found = KEY_RANGE.search(key)
             if found is None:
                 yield key
                 continue
@@ -78,27 +78,27 @@
                 yield f"{key[: found.start()]}{number}{key[found.end() :]}"
 
     def count(self) -> int:
-        """How many keys there are."""
+        """Returns the number of keys."""
         if not self.keys:
-            return 1  # a request without one
-        ranges = [PATTERN.search(k) for k in self.keys]
+            return 1  # a request without a key
+        ranges = [KEY_RANGE.search(k) for k in self.keys]
         return sum(max(0, int(f[2]) - int(f[1]) + 1) if f else 1 for f in ranges)
 
 
 class Then(Struct, forbid_unknown_fields=True, frozen=True):
-    """What must follow, of the attempt after the earlier ones: in all cases, or in a share of them."""
+    """What must happen to the attempt after the earlier ones, in all cases or in a share of them."""
 
-    to: Ids = ()  # one of these
+    to: ServerIds = ()  # one of these
     zone: str | None = None
     kind: str | None = None
-    never: Ids = ()
+    never: ServerIds = ()
     answer: Answer | None = None
-    come_back_at_most: Annotated[float, Meta(ge=0.0)] | None = None  # seconds, of a refusal
-    share: tuple[Share, Share] | None = None  # of all cases in which that follows; not given: all
-    spread: dict[str, tuple[Share, Share]] = {}  # share of the keys that goes to each of these
+    come_back_at_most: Annotated[float, Meta(ge=0.0)] | None = None  # highest `retry_after` of a refusal (s)
+    share: tuple[Share, Share] | None = None  # range of the share of cases; None: all cases
+    spread: dict[str, tuple[Share, Share]] = {}  # server -> range of its share of the keys
 
-    def says_where(self) -> bool:
-        """Whether it expects a place."""
+    def expects_server(self) -> bool:
+        """Returns whether it expects certain servers."""
         return bool(self.to or self.zone is not None or self.kind is not None or self.spread)
 
 
@@ -112,70 +112,71 @@
 
 
 class Expectations(Struct, forbid_unknown_fields=True, frozen=True):
-    """A file of them."""
+    """The content of a file."""
 
-    fleets: Annotated[tuple[FleetOf, ...], Meta(min_length=1, max_length=1000)]
-    expect: Annotated[tuple[Expectation, ...], Meta(max_length=MOST_EXPECTED)] = ()
-    seeds: Annotated[int, Meta(ge=1, le=10_000)] = 20  # of the module's chance, over which each is checked
+    fleets: Annotated[tuple[NamedFleet, ...], Meta(min_length=1, max_length=1000)]
+    expect: Annotated[tuple[Expectation, ...], Meta(max_length=MAX_EXPECTATIONS)] = ()
+    seeds: Annotated[int, Meta(ge=1, le=10_000)] = 20  # each is checked with so many seeds of the module
 
-    def named(self) -> dict[str, FleetOf]:
-        """Fleets by name."""
+    def fleets_by_name(self) -> dict[str, NamedFleet]:
+        """Returns the fleets by name."""
         return {f.name: f for f in self.fleets}
 
 
 def read_expectations(path: Path) -> Expectations:
-    """Read a file. Raises ExpectError."""
+    """Reads a file. Raises ExpectError."""
     try:
-        told = msgspec.toml.decode(path.read_bytes(), type=Expectations)
+        expectations = msgspec.toml.decode(path.read_bytes(), type=Expectations)
     except OSError as e:
         raise ExpectError(f"{path}: {e.strerror}") from e
     except (msgspec.DecodeError, ValueError) as e:
         raise ExpectError(f"{path}: {e}") from e
-    for name, places in (
-        ("fleets", [f.name for f in told.fleets]),
-        ("expect", [e.name for e in told.expect]),
+    for name, names in (
+        ("fleets", [f.name for f in expectations.fleets]),
+        ("expect", [e.name for e in expectations.expect]),
     ):
-        if len(set(places)) < len(places):
+        if len(set(names)) < len(names):
             raise ExpectError(f"{path}: a name stands twice in `{name}`")
-    return told
+    return expectations
 
 
 class Contradiction(Struct, frozen=True):
-    """Expectations that no router can meet, or that say nothing."""
+    """Expectations that no router can meet, or that never apply."""
 
     first: str
-    second: str  # the same, where one contradicts itself
+    second: str  # same as `first` if one contradicts itself
     why: str
 
 
-def contradictions(told: Expectations, settings: api.Settings) -> list[Contradiction]:
-    """What can't hold, found before anything is tried.
+def contradictions(expectations: Expectations, settings: api.Settings) -> list[Contradiction]:
+    """Returns the expectations that can't hold, without running the decision module.
 
-    Plain sets are enough: what an expectation allows is a set of servers, and two with the same state given
-    must leave one to both.
+    An expectation allows a set of servers; two that have the same state given must have a server in common.
     """
     found = []
-    fleets = told.named()
+    fleets = expectations.fleets_by_name()
     allowed: dict[bytes, list[tuple[Expectation, set[str]]]] = {}
-    for each in told.expect:
-        why = _alone(each, fleets, settings)
+    for expectation in expectations.expect:
+        why = _impossible(expectation, fleets, settings)
         if why:
-            found.append(Contradiction(each.name, each.name, why))
+            found.append(Contradiction(expectation.name, expectation.name, why))
             continue
-        if each.then.to or each.then.zone is not None or each.then.kind is not None:
-            state = msgspec.json.encode((each.fleet, each.given))
-            allowed.setdefault(state, []).append((each, _may_go(each, fleets[each.fleet])))
-    for same in allowed.values():
-        for (one, its), (other, others) in itertools.combinations(same, 2):
+        if expectation.then.to or expectation.then.zone is not None or expectation.then.kind is not None:
+            state = msgspec.json.encode((expectation.fleet, expectation.given))
+            allowed.setdefault(state, []).append(
+                (expectation, _allowed_servers(expectation, fleets[expectation.fleet]))
+            )
+    for same_state in allowed.values():
+        for (one, its_servers), (other, other_servers) in itertools.combinations(same_state, 2):
             certain = one.then.share is None and other.then.share is None
-            if certain and not its & others:
+            if certain and not its_servers & other_servers:
                 found.append(Contradiction(one.name, other.name, "no server is allowed by both"))
     return found
 
 
-def _may_go(each: Expectation, fleet: FleetOf) -> set[str]:
-    """The servers that an expectation allows."""
-    then = each.then
+def _allowed_servers(expectation: Expectation, fleet: NamedFleet) -> set[str]:
+    """Returns the servers that an expectation allows."""
+    then = expectation.then
     return {
         s.id
         for s in fleet.servers
@@ -186,33 +187,33 @@
     }
 
 
-def _alone(each: Expectation, fleets: dict[str, FleetOf], settings: api.Settings) -> str:
-    """Why one expectation can't be met by any router, or never applies."""
-    fleet, given, then = fleets.get(each.fleet), each.given, each.then
+def _impossible(expectation: Expectation, fleets: dict[str, NamedFleet], settings: api.Settings) -> str:
+    """Returns why no router can meet an expectation, or why it never applies; else an empty string."""
+    fleet, given, then = fleets.get(expectation.fleet), expectation.given, expectation.then
     if fleet is None:
-        return f"no fleet is named {each.fleet}"
+        return f"no fleet is named {expectation.fleet}"
     if given.request_class not in settings.classes:
         return f"no class is named {given.request_class}"
     ids = {s.id for s in fleet.servers}
     named = {*given.gone, *given.draining, *given.offline, *given.cold, *then.to, *then.never, *then.spread}
     if unknown := sorted(named - ids):
-        return f"fleet {each.fleet} has no {', '.join(unknown)}"
-    if given.count() > MOST_KEYS:
-        return f"over {MOST_KEYS:,} keys"
+        return f"fleet {expectation.fleet} has no {', '.join(unknown)}"
+    if given.count() > MAX_KEYS:
+        return f"over {MAX_KEYS:,} keys"
     if given.count() < 1:
         return "its range of keys is empty"
-    return _figures(each, settings) or _nowhere(each, fleet)
+    return _conflicting_figures(expectation, settings) or _no_server(expectation, fleet)
 
 
-def _figures(each: Expectation, settings: api.Settings) -> str:
-    """Why its figures can't hold."""
-    given, then = each.given, each.then
-    if len(given.earlier) >= settings.max_attempts and then.says_where():
+def _conflicting_figures(expectation: Expectation, settings: api.Settings) -> str:
+    """Returns why the numbers of an expectation contradict each other, or an empty string."""
+    given, then = expectation.given, expectation.then
+    if len(given.earlier) >= settings.max_attempts and then.expects_server():
         return f"{len(given.earlier)} attempts are all that the settings allow"
-    if then.answer in ("refused", "failed", "waits") and then.says_where():
+    if then.answer in ("refused", "failed", "waits") and then.expects_server():
         return f"what is {then.answer} goes nowhere"
     if then.come_back_at_most is not None and then.answer != "refused":
-        return "only what is refused is told when to come back"
+        return "only what is refused has a time to retry"
     if then.share is not None and then.share[0] > then.share[1]:
         return "share: from more to less"
     least = sum(low for low, _ in then.spread.values())
@@ -221,15 +222,15 @@
     return ""
 
 
-def _nowhere(each: Expectation, fleet: FleetOf) -> str:
-    """Why there is no server to which it could go."""
-    given = each.given
-    if not each.then.says_where():
+def _no_server(expectation: Expectation, fleet: NamedFleet) -> str:
+    """Returns why no server could get the request, or an empty string."""
+    given = expectation.given
+    if not expectation.then.expects_server():
         return ""
-    down = {*given.gone, *given.draining, *given.offline}
-    may = _may_go(each, fleet)
-    if not may:
+    unavailable = {*given.gone, *given.draining, *given.offline}
+    allowed_servers = _allowed_servers(expectation, fleet)
+    if not allowed_servers:
         return "it allows no server"
-    if may <= down:
-        return f"all that it allows is gone, draining or offline: {', '.join(sorted(may))}"
+    if allowed_servers <= unavailable:
+        return f"all that it allows is gone, draining or offline: {', '.join(sorted(allowed_servers))}"
     return ""
--- a/myrtlecourse/experiment/analysis.py
+++ b/myrtlecourse/experiment/analysis.py
@@ -1,4 +1,4 @@
-"""From results to rows: each point's means, and how it differs from the baseline on the same seeds."""
+"""Computes the mean of each measure at each point, and its difference from the baseline on the same seeds."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 from typing import Any
 
 from myrtlecourse.experiment.plan import Plan, Value
-from myrtlecourse.experiment.runs import Run, spelled
+from myrtlecourse.experiment.runs import Run, point_name
 from myrtlecourse.experiment.statistics import Estimate, estimate, paired
 from myrtlecourse.experiment.store import Store
 
 
 @dataclass(frozen=True)
 class Row:
-    """One point."""
+    """The results at one point."""
 
     point: tuple[Value, ...]
     values: dict[str, Estimate]
     differences: dict[str, Estimate]  # from the baseline, paired by seed
 
-    def told(self) -> dict[str, Any]:
-        """For programs."""
+    def to_json(self) -> dict[str, Any]:
+        """Returns the row as a table for JSON."""
         return {
             "point": list(self.point),
             "values": {n: [e.mean, e.low, e.high] for n, e in self.values.items()},
@@ -28,32 +28,35 @@
         }
 
 
-def rows(plan: Plan, done: list[Run], store: Store) -> list[Row]:
-    """The rows of a plan whose runs are in the store, the baseline first."""
-    results = store.of(r.digest for r in done)
+def rows(plan: Plan, runs: list[Run], store: Store) -> list[Row]:
+    """Returns the rows of a plan whose runs are in the store, the baseline first."""
+    results = store.by_digest(r.digest for r in runs)
     by_point: dict[str, dict[int, dict[str, float]]] = {}
-    for run in done:
+    for run in runs:
         if run.digest in results:
             by_point.setdefault(run.point, {})[run.seed] = results[run.digest]
     points = plan.points()
-    base = by_point[spelled(points[0])]
-    measures = list(next(iter(base.values())))
+    baseline = by_point[point_name(points[0])]
+    measures = list(next(iter(baseline.values())))
     found = []
     for point in points:
-        figures = by_point.get(spelled(point), {})
+        figures = by_point.get(point_name(point), {})
         found.append(
             Row(
                 point,
                 {m: estimate([f[m] for f in figures.values()]) for m in measures},
-                {m: paired(base, figures, m) for m in measures},
+                {m: paired(baseline, figures, m) for m in measures},
             )
         )
     return found
 
 
-def compare(one: Store, other: Store) -> list[tuple[str, str, Estimate]]:
-    """Points that stand in both: the point, a measure, and how much more the other has of it."""
-    first, second = one.by_point(), other.by_point()
+def compare(first_store: Store, second_store: Store) -> list[tuple[str, str, Estimate]]:
+    """Compares the points that both stores have.
+
+    Returns the point, the measure, and by how much it is greater in the second store.
+    """
+    first, second = first_store.by_point(), second_store.by_point()
     found = []
     for point in first:
         if point in second:
--- a/myrtlecourse/experiment/page.py
+++ b/myrtlecourse/experiment/page.py
@@ -1,4 +1,4 @@
-"""An experiment as pictures: lines with intervals, a heat map of two factors, and one self-contained page."""
+"""Charts of an experiment: lines with intervals, a heat map of two factors, and a self-contained page."""
 
 from __future__ import annotations
 
@@ -18,59 +18,59 @@
 SHOWN = ("goodput", "p99_ms", "fetches", "refused")
 
 
-def lines(plan: Plan, rows: list[Row], measure: str, axes: Axes) -> None:
-    """A measure along the first factor, a line for each combination of the others."""
+def draw_lines(plan: Plan, rows: list[Row], measure: str, axes: Axes) -> None:
+    """Draws a measure over the first factor, with a line for each combination of the others."""
     values = plan.factors[0].values
-    rest = sorted({r.point[1:] for r in rows}, key=str)
-    for other in rest:
-        mine = [r for v in values for r in rows if r.point[0] == v and r.point[1:] == other]
-        places = [values.index(r.point[0]) for r in mine]
-        means = [r.values[measure] for r in mine]
-        spread = [[m.mean - m.low for m in means], [m.high - m.mean for m in means]]
+    others = sorted({r.point[1:] for r in rows}, key=str)
+    for other in others:
+        selected = [r for v in values for r in rows if r.point[0] == v and r.point[1:] == other]
+        positions = [values.index(r.point[0]) for r in selected]
+        means = [r.values[measure] for r in selected]
+        errors = [[m.mean - m.low for m in means], [m.high - m.mean for m in means]]
         label = ", ".join(map(str, other)) or None
-        axes.errorbar(places, [m.mean for m in means], yerr=spread, marker="o", capsize=3, label=label)
+        axes.errorbar(positions, [m.mean for m in means], yerr=errors, marker="o", capsize=3, label=label)
     axes.set_xticks(range(len(values)), [str(v) for v in values])
     axes.set_xlabel(plan.factors[0].path)
     axes.set_ylabel(measure)
-    if len(rest) > 1:
+    if len(others) > 1:
         axes.legend(title=", ".join(f.path for f in plan.factors[1:]), fontsize=7)
 
 
-def heat(plan: Plan, rows: list[Row], measure: str, axes: Axes) -> None:
-    """A measure over two factors."""
+def draw_heat_map(plan: Plan, rows: list[Row], measure: str, axes: Axes) -> None:
+    """Draws a measure over two factors as a heat map."""
     first, second = plan.factors
     known = {r.point: r.values[measure].mean for r in rows}
     table = [[known.get((a, b), float("nan")) for b in second.values] for a in first.values]
-    shown = axes.imshow(table, aspect="auto")
+    image = axes.imshow(table, aspect="auto")
     axes.set_xticks(range(len(second.values)), [str(v) for v in second.values])
     axes.set_yticks(range(len(first.values)), [str(v) for v in first.values])
     axes.set_xlabel(second.path)
     axes.set_ylabel(first.path)
     axes.set_title(measure, fontsize=9)
-    axes.figure.colorbar(shown, ax=axes)
+    axes.figure.colorbar(image, ax=axes)
 
 
-def figure(plan: Plan, rows: list[Row]) -> Figure:
-    """All pictures of an experiment."""
-    two = len(plan.factors) == 2
-    made = Figure(figsize=(10, 7 if not two else 13), layout="constrained")
-    grid = made.subplots(2 if not two else 4, 2).flat
-    for place, measure in enumerate(SHOWN):
-        lines(plan, rows, measure, grid[place])
-        if two:
-            heat(plan, rows, measure, grid[place + len(SHOWN)])
-    return made
+def draw_figure(plan: Plan, rows: list[Row]) -> Figure:
+    """Draws all charts of an experiment."""
+    two_factors = len(plan.factors) == 2
+    figure = Figure(figsize=(10, 7 if not two_factors else 13), layout="constrained")
+    grid = figure.subplots(2 if not two_factors else 4, 2).flat
+    for index, measure in enumerate(SHOWN):
+        draw_lines(plan, rows, measure, grid[index])
+        if two_factors:
+            draw_heat_map(plan, rows, measure, grid[index + len(SHOWN)])
+    return figure
 
 
 def write_png(file: Path, plan: Plan, rows: list[Row]) -> None:
-    """Pictures alone."""
-    figure(plan, rows).savefig(file, format="png", dpi=110, metadata={"Software": None})
+    """Writes the charts to a PNG file."""
+    draw_figure(plan, rows).savefig(file, format="png", dpi=110, metadata={"Software": None})
 
 
 def page(plan: Plan, rows: list[Row], title: str) -> str:
-    """The page's text: pictures, and the table of differences from the baseline."""
+    """Returns the page as HTML: charts, and the table of differences from the baseline."""
     measures = list(rows[0].values)
-    head = "".join(f"<th>{html.escape(c)}</th>" for c in (*(f.path for f in plan.factors), *measures))
+    header = "".join(f"<th>{html.escape(c)}</th>" for c in (*(f.path for f in plan.factors), *measures))
     body = []
     for row in rows:
         cells = [str(v) for v in row.point]
@@ -86,7 +86,7 @@
 <h1>{html.escape(title)}</h1>
 <p>Means over {plan.seeds} seeds; in brackets the difference from the first row on the same seeds, with
 its 95% interval. Bold: the interval leaves out 0.</p>
-{render_svg(figure(plan, rows))}
-<table><tr>{head}</tr>{"".join(body)}</table>
+{render_svg(draw_figure(plan, rows))}
+<table><tr>{header}</tr>{"".join(body)}</table>
 </html>
 """
--- a/myrtlecourse/experiment/plan.py
+++ b/myrtlecourse/experiment/plan.py
@@ -1,8 +1,8 @@
-"""What to try: a plan file of factors and seeds, read by one strict schema.
+"""The schema of plan files: the factors to vary, and the seeds.
 
-A factor is a path and its values. A path leads into the scenario, with `profile.` before it into the load,
-and with `policy.` or `evidence.` before it to a constant of the decision module. The first value of each
-factor is the baseline that all others are compared with, on the same seeds.
+A factor is a path and its values. A path names a value of the scenario, with the prefix `profile.` a value of
+the load, and with `policy.` or `evidence.` a constant of the decision module. The first value of each factor
+is the baseline, with which all others are compared on the same seeds.
 """
 
 from __future__ import annotations
@@ -23,52 +23,52 @@
 from myrtlecourse.load.profile import Profile, ProfileError
 from myrtlecourse.sim.overrides import read_scenario_and_profile
 
-MOST_POINTS = 10_000  # of a grid; what is larger must be sampled
-MODULES = {"policy": "policy.tuning", "evidence": "evidence"}  # by the name that plans give them
+MAX_POINTS = 10_000  # of a grid; larger ones must be sampled
+MODULES = {"policy": "policy.tuning", "evidence": "evidence"}  # prefix in plans -> module
 Value = bool | int | float | str
 
 
 class PlanError(ValueError):
-    """A plan that can't be carried out; the message names the file and the field."""
+    """A plan that can't be executed; the message names the file and the field."""
 
 
 class Factor(Struct, forbid_unknown_fields=True, frozen=True):
-    """One thing to vary."""
+    """A value to vary."""
 
     path: Annotated[str, Meta(min_length=1, max_length=200)]
     values: Annotated[tuple[Value, ...], Meta(min_length=1, max_length=1000)]
 
 
 class Plan(Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole plan; files are found from where the plan lies."""
+    """A plan; its paths are relative to the plan file."""
 
     scenario: str
     profile: str
     factors: Annotated[tuple[Factor, ...], Meta(min_length=1, max_length=20)]
-    seeds: Annotated[int, Meta(ge=2, le=10_000)] = 20  # 1 to so many, the same for each point
-    sample: Annotated[int, Meta(ge=1, le=MOST_POINTS)] | None = None  # points drawn from the grid
-    seed: Annotated[int, Meta(ge=0)] = 1  # of that draw
+    seeds: Annotated[int, Meta(ge=2, le=10_000)] = 20  # seeds from 1 to this number, the same for each point
+    sample: Annotated[int, Meta(ge=1, le=MAX_POINTS)] | None = None  # points drawn from the grid
+    seed: Annotated[int, Meta(ge=0)] = 1  # of the sample
 
     @property
     def size(self) -> int:
-        """Points of the whole grid."""
+        """Number of points of the whole grid."""
         return math.prod(len(f.values) for f in self.factors)
 
     def points(self) -> list[tuple[Value, ...]]:
-        """The points to try, the baseline first: a value for each factor."""
+        """Returns the points, each with a value per factor, the baseline first."""
         grid = itertools.product(*(f.values for f in self.factors))
         if self.sample is None or self.sample >= self.size:
             return list(grid)
-        chance = random.Random(f"{self.seed} sample")
+        rng = random.Random(f"{self.seed} sample")
         base = tuple(f.values[0] for f in self.factors)
-        drawn = {base: None}
-        while len(drawn) < self.sample:
-            drawn[tuple(chance.choice(f.values) for f in self.factors)] = None
-        return list(drawn)
+        sampled = {base: None}
+        while len(sampled) < self.sample:
+            sampled[tuple(rng.choice(f.values) for f in self.factors)] = None
+        return list(sampled)
 
 
 def read_plan(path: Path) -> Plan:
-    """Read a plan and look whether each factor leads somewhere."""
+    """Reads a plan and checks that each value of each factor can be applied. Raises PlanError."""
     try:
         plan = msgspec.toml.decode(path.read_bytes(), type=Plan)
     except (OSError, msgspec.DecodeError, ValueError) as e:
@@ -76,26 +76,26 @@
     paths = [f.path for f in plan.factors]
     if len(set(paths)) < len(paths):
         raise PlanError(f"{path}: a path stands twice in `factors`")
-    if plan.sample is None and plan.size > MOST_POINTS:
-        raise PlanError(f"{path}: a grid of {plan.size:,} points; {MOST_POINTS:,} at most, or give `sample`")
+    if plan.sample is None and plan.size > MAX_POINTS:
+        raise PlanError(f"{path}: a grid of {plan.size:,} points; {MAX_POINTS:,} at most, or give `sample`")
     for factor in plan.factors:
         for value in factor.values:
             try:
-                settled(plan, path, ((factor.path, value),))
+                resolve_point(plan, path, ((factor.path, value),))
             except (ScenarioError, ProfileError, PlanError) as e:
                 raise PlanError(f"{path}: factor {factor.path} = {value!r}: {e}") from e
     return plan
 
 
-def settled(
+def resolve_point(
     plan: Plan, file: Path, point: tuple[tuple[str, Value], ...]
 ) -> tuple[Scenario, Profile, dict[str, Any]]:
-    """Scenario, profile and the decision module's constants at a point."""
+    """Returns the scenario, the profile and the constants of the decision module at a point."""
     changes, constants = [], {}
     for path, value in point:
         module, _, name = path.partition(".")
         if module in MODULES:
-            constants[path] = constant(module, name, value)
+            constants[path] = check_constant(module, name, value)
         else:
             changes.append(f"{path}={msgspec.json.encode(value).decode()}")
     scenario, profile = read_scenario_and_profile(
@@ -104,12 +104,14 @@
     return scenario, profile, constants
 
 
-def constant(module: str, name: str, value: Value) -> Value:
-    """Look whether there is such a constant, and whether the value may stand for it."""
-    there = importlib.import_module(f"myrtlecourse.{MODULES[module]}")
-    if not str(there.__file__).endswith(".py"):
-        raise PlanError(f"{module}.{name}: constants can be changed in the sources only, not compiled")
-    before = getattr(there, name, None)
+def check_constant(module: str, name: str, value: Value) -> Value:
+    """Returns the value for a constant. Raises PlanError unless both are numbers."""
+    module_object = importlib.import_module(f"myrtlecourse.{MODULES[module]}")
+    if not str(module_object.__file__).endswith(".py"):
+        raise PlanError(
+            f"{module}.{name}: constants can be changed only in the sources, not in compiled modules"
+        )
+    before = getattr(module_object, name, None)
     if not name.isupper() or isinstance(before, bool) or not isinstance(before, int | float):
         raise PlanError(f"there is no number {module}.{name}")
     if isinstance(value, bool) or not isinstance(value, int | float):
@@ -117,8 +119,8 @@
     return value
 
 
-def sources() -> str:
-    """A digest of all that a simulated run depends on but its inputs."""
+def source_digest() -> str:
+    """Returns a digest of the sources, as results depend on them and on the inputs of a run."""
     digest = hashlib.sha256()
     root = Path(myrtlecourse.__file__).parent
     for file in sorted(root.rglob("*.py")):
--- a/myrtlecourse/experiment/runs.py
+++ b/myrtlecourse/experiment/runs.py
@@ -1,4 +1,4 @@
-"""Carries out a plan: points times seeds, in several processes, what is known left out."""
+"""Runs a plan, each point with each seed, in several processes; runs with a stored result are skipped."""
 
 from __future__ import annotations
 
@@ -13,107 +13,113 @@
 
 import msgspec
 
-from myrtlecourse.experiment.plan import MODULES, Plan, Value, settled, sources
+from myrtlecourse.experiment.plan import MODULES, Plan, Value, resolve_point, source_digest
 from myrtlecourse.experiment.store import Store
 from myrtlecourse.fleet.scenario import Scenario
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.sim.fleet_simulation import FleetSimulation, Result
 
-AHEAD = 2  # runs given out for each worker
+SUBMITTED_PER_WORKER = 2  # runs
 
 
 @dataclass(frozen=True)
 class Run:
-    """One point on one seed."""
+    """One point with one seed."""
 
     digest: str
     point: str  # its values, as JSON
     seed: int
-    scenario: bytes  # JSON: what goes to another process
+    scenario: bytes  # JSON, as runs are sent to other processes
     profile: bytes
     constants: dict[str, Any]
 
 
-def runs(plan: Plan, file: Path) -> list[Run]:
-    """All runs of a plan, point by point; each under the digest of sources and inputs."""
-    code = sources()
-    found = []
+def list_runs(plan: Plan, file: Path) -> list[Run]:
+    """Returns all runs of a plan, point by point, each with a digest of the sources and its inputs."""
+    sources = source_digest()
+    runs = []
     for values in plan.points():
         point = tuple(zip((f.path for f in plan.factors), values, strict=True))
-        scenario, profile, constants = settled(plan, file, point)
+        scenario, profile, constants = resolve_point(plan, file, point)
         inputs = msgspec.json.encode(scenario), msgspec.json.encode(profile)
-        name = spelled(values)
+        name = point_name(values)
         for seed in range(1, plan.seeds + 1):
-            whole = b"\0".join([code.encode(), *inputs, msgspec.json.encode(constants), b"%d" % seed])
-            found.append(Run(hashlib.sha256(whole).hexdigest(), name, seed, *inputs, constants))
-    return found
+            content = b"\0".join([sources.encode(), *inputs, msgspec.json.encode(constants), b"%d" % seed])
+            runs.append(Run(hashlib.sha256(content).hexdigest(), name, seed, *inputs, constants))
+    return runs
 
 
-def spelled(values: tuple[Value, ...]) -> str:
-    """A point by its values."""
+def point_name(values: tuple[Value, ...]) -> str:
+    """Returns the name of a point: its values as JSON."""
     return msgspec.json.encode(values).decode()
 
 
-def measures(result: Result) -> dict[str, float]:
-    """What is compared of a run."""
+def measure(result: Result) -> dict[str, float]:
+    """Returns the measures of a run that are compared."""
     counts = result.record.all.counts
-    asked = max(1, counts["scheduled"])
+    requests = max(1, counts["scheduled"])
     return {
-        "goodput": counts["in_time"] / asked,
-        "refused": counts["refused"] / asked,
-        "failed": counts["failed"] / asked,
+        "goodput": counts["in_time"] / requests,
+        "refused": counts["refused"] / requests,
+        "failed": counts["failed"] / requests,
         "p50_ms": result.record.all.quantiles()["p50"],
         "p99_ms": result.record.all.quantiles()["p99"],
-        "attempts": result.attempts / asked,
-        "fetches": result.fetches / asked,
+        "attempts": result.attempts / requests,
+        "fetches": result.fetches / requests,
         "breaches": float(sum(result.verdict["breaches"].values())),
     }
 
 
-def carry_out(run: Run) -> dict[str, float]:
-    """Play one run, with the decision module's constants as it wants them."""
-    before = []
+def execute_run(run: Run) -> dict[str, float]:
+    """Executes a run, with the constants of the decision module that it overrides."""
+    previous = []
     for path, value in run.constants.items():
         module, _, name = path.partition(".")
-        there = importlib.import_module(f"myrtlecourse.{MODULES[module]}")
-        before.append((there, name, getattr(there, name)))
-        setattr(there, name, value)
+        module_object = importlib.import_module(f"myrtlecourse.{MODULES[module]}")
+        previous.append((module_object, name, getattr(module_object, name)))
+        setattr(module_object, name, value)
     try:
         scenario = msgspec.json.decode(run.scenario, type=Scenario)
-        return measures(
+        return measure(
             FleetSimulation(scenario, msgspec.json.decode(run.profile, type=Profile), run.seed).run()
         )
     finally:
-        for there, name, value in before:
-            setattr(there, name, value)
+        for module_object, name, value in previous:
+            setattr(module_object, name, value)
 
 
 def run_all(
-    todo: list[Run], store: Store, workers: int, progress: Callable[[int, int], None] = lambda done, of: None
+    runs: list[Run],
+    store: Store,
+    workers: int,
+    progress: Callable[[int, int], None] = lambda done, total: None,
 ) -> int:
-    """Carry out what the store does not know; answers with how many that were."""
-    known = store.known()
-    left = list({r.digest: r for r in todo if r.digest not in known}.values())
-    total, done = len(left), 0
+    """Executes the runs that have no stored result; returns their number."""
+    known = store.known_digests()
+    missing = list({r.digest: r for r in runs if r.digest not in known}.values())
+    total, done = len(missing), 0
     progress(0, total)
     if workers == 1:
-        for run in left:
-            store.add(run.digest, run.point, run.seed, carry_out(run))
+        for run in missing:
+            store.add(run.digest, run.point, run.seed, execute_run(run))
             done += 1
             progress(done, total)
         return total
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(workers, context) as pool:
-        out: dict[Future[dict[str, float]], Run] = {}
-        waiting = iter(left)
+        submitted: dict[Future[dict[str, float]], Run] = {}
+        remaining = iter(missing)
         while True:
-            # only a few ahead: a million runs given out at once would fill the memory
-            while len(out) < AHEAD * workers and (given := next(waiting, None)) is not None:
-                out[pool.submit(carry_out, given)] = given
-            if not out:
+            # only a few runs per worker: submitting a million at once would fill the memory
+            while (
+                len(submitted) < SUBMITTED_PER_WORKER * workers
+                and (next_run := next(remaining, None)) is not None
+            ):
+                submitted[pool.submit(execute_run, next_run)] = next_run
+            if not submitted:
                 return total
-            for future in wait(out, return_when=FIRST_COMPLETED).done:
-                run = out.pop(future)
+            for future in wait(submitted, return_when=FIRST_COMPLETED).done:
+                run = submitted.pop(future)
                 store.add(run.digest, run.point, run.seed, future.result())
                 done += 1
                 progress(done, total)
--- a/myrtlecourse/experiment/statistics.py
+++ b/myrtlecourse/experiment/statistics.py
@@ -1,6 +1,6 @@
-"""Means of paired differences with confidence intervals: the same seeds with and without a change.
+"""Means of paired differences between runs with the same seeds, with confidence intervals.
 
-The interval is the percentile bootstrap (Efron, 1979) of the mean difference, 95%, from a fixed seed.
+The interval is the 95% percentile bootstrap (Efron, 1979) of the mean, with a fixed seed.
 """
 
 from __future__ import annotations
@@ -17,32 +17,32 @@
 
 @dataclass(frozen=True)
 class Estimate:
-    """A mean and its interval, over so many pairs."""
+    """A mean and its confidence interval."""
 
     mean: float
     low: float
     high: float
-    count: int
+    count: int  # number of values
 
     @property
     def clear(self) -> bool:
-        """Whether the interval leaves out 0."""
+        """Returns whether the interval excludes 0."""
         return self.low > 0 or self.high < 0
 
 
 def estimate(values: list[float]) -> Estimate:
-    """The mean of some values."""
-    found = np.array(values, dtype=np.float64)
-    if len(found) < 2 or np.ptp(found) == 0:
-        mean = float(found.mean()) if len(found) else 0.0
-        return Estimate(mean, mean, mean, len(found))
-    chance = np.random.Generator(np.random.PCG64(1))
-    means = found[chance.integers(len(found), size=(RESAMPLES, len(found)))].mean(axis=1)
+    """Returns the mean of some values and its interval."""
+    array = np.array(values, dtype=np.float64)
+    if len(array) < 2 or np.ptp(array) == 0:
+        mean = float(array.mean()) if len(array) else 0.0
+        return Estimate(mean, mean, mean, len(array))
+    rng = np.random.Generator(np.random.PCG64(1))
+    means = array[rng.integers(len(array), size=(RESAMPLES, len(array)))].mean(axis=1)
     low, high = np.percentile(means, [LOW, HIGH])
-    return Estimate(float(found.mean()), float(low), float(high), len(found))
+    return Estimate(float(array.mean()), float(low), float(high), len(array))
 
 
-def paired(one: Figures, other: Figures, measure: str) -> Estimate:
-    """How much more `other` has of a measure than `one`, over the seeds of both."""
-    seeds = sorted(set(one) & set(other))
-    return estimate([other[s][measure] - one[s][measure] for s in seeds])
+def paired(first: Figures, second: Figures, measure: str) -> Estimate:
+    """Returns by how much a measure is greater in `second` than in `first`, over the seeds of both."""
+    seeds = sorted(set(first) & set(second))
+    return estimate([second[s][measure] - first[s][measure] for s in seeds])
--- a/myrtlecourse/experiment/store.py
+++ b/myrtlecourse/experiment/store.py
@@ -1,6 +1,6 @@
-"""Results in an SQLite file: each under the digest of all it depends on, so that nothing is run twice.
+"""Results in an SQLite file, each under the digest of all that it depends on, so that no run is repeated.
 
-A result is there whole or not at all: a run that is killed goes on where it was.
+A result is stored entirely or not at all, so an experiment that was killed continues where it stopped.
 """
 
 from __future__ import annotations
@@ -23,62 +23,68 @@
 """
 
 
-OPENINGS = 50
-PAUSE = 0.05  # seconds between two
+OPEN_ATTEMPTS = 50
+OPEN_PAUSE = 0.05  # seconds between two attempts
 
 
 class StoreError(ValueError):
-    """A file that holds no results; the message names it."""
+    """A file that is not a store of results; the message names it."""
 
 
 class Store:
-    """The results of one file."""
+    """The results in one file."""
 
     def __init__(self, path: Path, must_exist: bool = False) -> None:
         if must_exist and not path.exists():
             raise StoreError(f"{path}: no such file")
         try:
-            self.base = sqlite3.connect(path, isolation_level=None)
+            self.connection = sqlite3.connect(path, isolation_level=None)
             self._prepare()
         except sqlite3.DatabaseError as e:
             raise StoreError(f"{path}: {e}") from e
 
     def _prepare(self) -> None:
-        """Guards against two that open a new file at once: the change to a log ahead does not wait its
-        turn."""
-        for left in reversed(range(OPENINGS)):
+        """Creates the table; retries, as two processes may open a new file at once.
+
+        SQLite does not wait for a lock when it changes the journal to a write-ahead log.
+        """
+        for attempts_left in reversed(range(OPEN_ATTEMPTS)):
             try:
-                # a write is out before the next begins, and a reader sees no half of one
-                self.base.execute("pragma journal_mode = wal")
-                self.base.execute(SCHEMA)
+                # each write is stored before the next begins, and readers see no partial ones
+                self.connection.execute("pragma journal_mode = wal")
+                self.connection.execute(SCHEMA)
                 return
             except sqlite3.OperationalError:
-                if not left:
+                if not attempts_left:
                     raise
-                time.sleep(PAUSE)
+                time.sleep(OPEN_PAUSE)
 
-    def known(self) -> set[str]:
-        """The digests that need not be run."""
-        return {row[0] for row in self.base.execute("select digest from results")}
+    def known_digests(self) -> set[str]:
+        """Returns the digests of all runs that have a result."""
+        return {row[0] for row in self.connection.execute("select digest from results")}
 
     def add(self, digest: str, point: str, seed: int, figures: dict[str, float]) -> None:
-        """Keep a result."""
+        """Stores a result."""
         text = msgspec.json.encode(figures).decode()
-        self.base.execute("insert or replace into results values (?, ?, ?, ?)", (digest, point, seed, text))
+        self.connection.execute(
+            "insert or replace into results values (?, ?, ?, ?)", (digest, point, seed, text)
+        )
 
-    def of(self, digests: Iterable[str]) -> dict[str, dict[str, float]]:
-        """Results by digest."""
+    def by_digest(self, digests: Iterable[str]) -> dict[str, dict[str, float]]:
+        """Returns the results with the given digests."""
         wanted = set(digests)
-        rows = self.base.execute("select digest, figures from results")
+        rows = self.connection.execute("select digest, figures from results")
         return {digest: msgspec.json.decode(text) for digest, text in rows if digest in wanted}
 
     def by_point(self) -> dict[str, dict[int, dict[str, float]]]:
-        """The latest results by point and seed."""
+        """Returns the latest results by point and seed."""
         found: dict[str, dict[int, Any]] = {}
-        for point, seed, text in self.base.execute("select point, seed, figures from results order by rowid"):
+        for point, seed, text in self.connection.execute(
+            "select point, seed, figures from results order by rowid"
+        ):
             found.setdefault(point, {})[seed] = msgspec.json.decode(text)
         return found
 
     def close(self) -> None:
-        """Close the file."""
-        self.base.close()
+        """Closes the file."""
+        self.connection.close()
--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 
 from myrtlecourse import interface as api
-from myrtlecourse.expect.checker import check, check_all, explain, moved, play, stand
+from myrtlecourse.expect.checker import check, check_all, explain, moved_keys, prepare_router, run_request
 from myrtlecourse.expect.spec import (
     Expectation,
     Expectations,
@@ -34,7 +34,7 @@
 ROOT = Path(__file__).parent.parent
 EXAMPLE = read_expectations(ROOT / "demo/expect.toml")
 SETTINGS = read_settings(orjson.loads((ROOT / "demo/settings.json").read_bytes()))
-TODAY = EXAMPLE.named()["today"]
+TODAY = EXAMPLE.fleets_by_name()["today"]
 
 
 def quick(told: Expectations = EXAMPLE, seeds: int = 2) -> Expectations:
@@ -200,7 +200,7 @@
         )
 
     found = contradictions(of(one, other), SETTINGS)
-    speaks = [e for e in (one, other) if e.then.says_where()]
+    speaks = [e for e in (one, other) if e.then.expects_server()]
     alone = [e for e in speaks if not any(allows(s, e) for s in IDS if s not in down)]
     assert {c.first for c in found if c.first == c.second} == {e.name for e in alone}
     if len(speaks) == 2 and not alone:
@@ -229,21 +229,24 @@
     for taken in range(len(order)):
         given = Given("timetable-read", draining=("a-1",), offline=tuple(order[:taken]))
         if "bookings" not in order[:taken]:
-            assert play(stand(SETTINGS, TODAY, given, 0), given, "pupil-7", 0).last == order[taken]
+            assert (
+                run_request(prepare_router(SETTINGS, TODAY, given, 0), given, "pupil-7", 0).last
+                == order[taken]
+            )
 
 
 def test_a_new_server_takes_keys_and_moves_no_others() -> None:
     keys = Given("timetable-read", ("k{0..1999}",))
-    count, ways = moved(SETTINGS, TODAY, EXAMPLE.named()["tomorrow"], keys)
+    count, ways = moved_keys(SETTINGS, TODAY, EXAMPLE.fleets_by_name()["tomorrow"], keys)
     assert count == 2000 and 200 < ways.total() < 800
     assert {to for _, to in ways} == {"b-1"}
-    assert moved(SETTINGS, TODAY, TODAY, keys)[1].total() == 0
+    assert moved_keys(SETTINGS, TODAY, TODAY, keys)[1].total() == 0
 
 
 def test_keys_of_a_pattern_are_all_there() -> None:
     given = Given("timetable-read", ("a{8..11}z", "b"))
-    assert list(given.each_key()) == ["a8z", "a9z", "a10z", "a11z", "b"] and given.count() == 5
-    assert list(Given("timetable-read").each_key()) == [None]
+    assert list(given.expand_keys()) == ["a8z", "a9z", "a10z", "a11z", "b"] and given.count() == 5
+    assert list(Given("timetable-read").expand_keys()) == [None]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -17,7 +17,7 @@
 from myrtlecourse.experiment.analysis import rows
 from myrtlecourse.experiment.page import page, write_png
 from myrtlecourse.experiment.plan import Factor, Plan, PlanError, read_plan
-from myrtlecourse.experiment.runs import carry_out, run_all, runs
+from myrtlecourse.experiment.runs import execute_run, list_runs, run_all
 from myrtlecourse.experiment.statistics import estimate, paired
 from myrtlecourse.experiment.store import Store, StoreError
 from myrtlecourse.policy import tuning
@@ -46,14 +46,14 @@
 def test_the_same_plan_gives_the_same_results_with_one_process_or_more(tmp_path: Path) -> None:
     file = write(tmp_path)
     plan = read_plan(file)
-    todo = runs(plan, file)
+    todo = list_runs(plan, file)
     assert len(todo) == 12 and len({r.digest for r in todo}) == 12
     told = []
     for workers in (1, 2):
         store = Store(tmp_path / f"{workers}.sqlite")
         assert run_all(todo, store, workers) == 12
         assert run_all(todo, store, workers) == 0  # nothing is run twice
-        told.append([r.told() for r in rows(plan, todo, store)])
+        told.append([r.to_json() for r in rows(plan, todo, store)])
         store.close()
     assert told[0] == told[1]
     base, *others = told[0]
@@ -63,9 +63,9 @@
 
 def test_what_a_result_depends_on_is_in_its_digest(tmp_path: Path) -> None:
     file = write(tmp_path)
-    before = {r.digest for r in runs(read_plan(file), file)}
+    before = {r.digest for r in list_runs(read_plan(file), file)}
     write(tmp_path, s=FILES["s.toml"] + "cell = 3\n")
-    assert not before & {r.digest for r in runs(read_plan(file), file)}
+    assert not before & {r.digest for r in list_runs(read_plan(file), file)}
 
 
 @needs_sources
@@ -74,9 +74,9 @@
     file = write(
         tmp_path, plan=f'scenario = "s.toml"\nprofile = "l.toml"\nseeds = 2\nfactors = [{constants}]\n'
     )
-    todo = runs(read_plan(file), file)
+    todo = list_runs(read_plan(file), file)
     before = tuning.ORIGIN_TARGET
-    figures = [carry_out(r) for r in todo]
+    figures = [execute_run(r) for r in todo]
     assert before == tuning.ORIGIN_TARGET
     assert figures[:2] != figures[2:] and [r.seed for r in todo] == [1, 2, 1, 2]
 
@@ -132,7 +132,7 @@
 def test_pictures_and_page_hold_what_was_found(tmp_path: Path) -> None:
     file = write(tmp_path)
     plan = read_plan(file)
-    todo, store = runs(plan, file), Store(tmp_path / "r.sqlite")
+    todo, store = list_runs(plan, file), Store(tmp_path / "r.sqlite")
     run_all(todo, store, 1)
     found = rows(plan, todo, store)
     text = page(plan, found, "E")
@@ -156,12 +156,12 @@
     store = tmp_path / "plan.sqlite"
     until = time.monotonic() + 60
     while time.monotonic() < until and child.poll() is None:
-        if store.exists() and len(Store(store).known()) >= 20:
+        if store.exists() and len(Store(store).known_digests()) >= 20:
             break
         time.sleep(0.02)
     child.send_signal(signal.SIGKILL)
     child.communicate()
-    kept = len(Store(store).known())
+    kept = len(Store(store).known_digests())
     figures = tmp_path / "f.json"
     done = subprocess.run(
         [*command, "--json", str(figures)], cwd=ROOT, capture_output=True, text=True, check=False
