--- a/myrtlecourse/expect/checker.py
+++ b/myrtlecourse/expect/checker.py
@@ -191,8 +191,8 @@
 
     This uses the decision module alone: the server that it chooses is banned, and the request is run again.
     """
-    servers = [Step(s.id, _reason_skipped(s, given, settings)) for s in fleet.servers]
-    absent = [s for s in servers if s.why]
+    all_steps = [Step(s.id, _reason_skipped(s, given, settings)) for s in fleet.servers]
+    absent = [s for s in all_steps if s.why]
     visited: list[Step] = []
     banned = given.offline
     for _ in fleet.servers:
--- a/myrtlecourse/expect/spec.py
+++ b/myrtlecourse/expect/spec.py
@@ -136,7 +136,7 @@
         ("expect", [e.name for e in expectations.expect]),
     ):
         if len(set(names)) < len(names):
-            raise ExpectError(f"{path}: a name stands twice in `{name}`")
+            raise ExpectError(f"{path}: a name appears twice in `{name}`")
     return expectations
 
 
--- a/myrtlecourse/experiment/plan.py
+++ b/myrtlecourse/experiment/plan.py
@@ -75,7 +75,7 @@
         raise PlanError(f"{path}: {e}") from e
     paths = [f.path for f in plan.factors]
     if len(set(paths)) < len(paths):
-        raise PlanError(f"{path}: a path stands twice in `factors`")
+        raise PlanError(f"{path}: a path appears twice in `factors`")
     if plan.sample is None and plan.size > MAX_POINTS:
         raise PlanError(f"{path}: a grid of {plan.size:,} points; {MAX_POINTS:,} at most, or give `sample`")
     for factor in plan.factors:
--- a/myrtlecourse/sim/commands.py
+++ b/myrtlecourse/sim/commands.py
@@ -56,13 +56,13 @@
     console = Console(stderr=True)
     started_at = time.perf_counter()
     try:
-        world = FleetSimulation(*_read(scenario, profile, list(changes)), seed)
+        simulation = FleetSimulation(*_read(scenario, profile, list(changes)), seed)
     except (ScenarioError, ProfileError, ScenarioMismatch) as e:
         console.print(f"myrtlecourse sim: {e}", markup=False, highlight=False)
         sys.exit(EXIT_UNUSABLE)
     with Progress(console=console, disable=quiet or not console.is_terminal, transient=True) as progress:
-        task = progress.add_task("simulated seconds", total=world.scenario.seconds + SETTLE_TIME)
-        result = world.run(lambda at: progress.update(task, completed=at))
+        task = progress.add_task("simulated seconds", total=simulation.scenario.seconds + SETTLE_TIME)
+        result = simulation.run(lambda at: progress.update(task, completed=at))
     elapsed = time.perf_counter() - started_at
     figures = result.figures()
     report.show(figures, Console())
--- a/myrtlecourse/sim/fleet_simulation.py
+++ b/myrtlecourse/sim/fleet_simulation.py
@@ -134,20 +134,22 @@
         def group(request: Request) -> str:
             return self.layout.group(name, request.request_class)
 
-        distances = self.layout.distances(self.layout.zones[name])
-        idle = self.layout.kinds[name].idle
-        node = Node(self.core, name, self.layout.box(name), distances, idle, group, self.auditor.judge)
+        latencies = self.layout.distances(self.layout.zones[name])
+        idle_timeout = self.layout.kinds[name].idle
+        node = Node(
+            self.core, name, self.layout.box(name), latencies, idle_timeout, group, self.auditor.judge
+        )
         node.on_answer = self._on_server_answer
         node.on_collapse = self._on_collapse
         return node
 
     def _origin_node(self, store: OriginStore) -> Node:
-        distances = self.layout.distances(self.scenario.zones[0])
+        latencies = self.layout.distances(self.scenario.zones[0])
         node = Node(
             self.core,
             ORIGIN,
             store,
-            distances,
+            latencies,
             store.origin.idle,
             lambda r: r.request_class.group,
             self.auditor.judge,
--- a/myrtlecourse/sim/process.py
+++ b/myrtlecourse/sim/process.py
@@ -20,7 +20,7 @@
         self.name = name
         self.rate = rate
         self.offset = rng.uniform(0.0, 1e6)
-        self.able = True  # whether it reports itself able to hold a lease
+        self.able = True  # whether it reports that it can do its work
         self.stopped = False
         self.deferred: list[EventT] = []  # events that arrive while it is stopped
         self.timer: Event | None = None
--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -1,4 +1,4 @@
-"""Expectations: the example holds for the module, and for none that is wrong; contradictions come first."""
+"""Expectations: the example holds for the decision module and fails for faulty ones."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
 TODAY = EXAMPLE.fleets_by_name()["today"]
 
 
-def quick(told: Expectations = EXAMPLE, seeds: int = 2) -> Expectations:
-    return msgspec.structs.replace(told, seeds=seeds)
+def with_seeds(expectations: Expectations = EXAMPLE, seeds: int = 2) -> Expectations:
+    return msgspec.structs.replace(expectations, seeds=seeds)
 
 
 def test_the_example_holds() -> None:
     assert not contradictions(EXAMPLE, SETTINGS)
-    assert [v.name for v in check_all(quick(seeds=5), SETTINGS) if not v.holds] == []
+    assert [v.name for v in check_all(with_seeds(seeds=5), SETTINGS) if not v.holds] == []
 
 
 class ForgetsDrains(Router):
@@ -127,7 +127,7 @@
     ],
 )
 def test_the_example_catches_a_wrong_module(wrong: type[Router]) -> None:
-    failed = [v for v in check_all(quick(seeds=1), SETTINGS, wrong) if not v.holds]
+    failed = [v for v in check_all(with_seeds(seeds=1), SETTINGS, wrong) if not v.holds]
     assert failed and all(v.why for v in failed)
 
 
@@ -136,7 +136,7 @@
     return msgspec.convert({"name": name, "fleet": "today", "given": table, "then": then}, Expectation)
 
 
-def of(*expectations: Expectation) -> Expectations:
+def expectations_of(*expectations: Expectation) -> Expectations:
     return Expectations((TODAY,), expectations, 1)
 
 
@@ -163,16 +163,16 @@
 def test_what_no_router_can_meet_is_found_before_anything_is_tried(
     given: dict[str, Any], then: dict[str, Any], why: str
 ) -> None:
-    (found,) = contradictions(of(expectation(given, then)), SETTINGS)
+    (found,) = contradictions(expectations_of(expectation(given, then)), SETTINGS)
     assert why in found.why and found.first == found.second == "e"
 
 
 def test_two_that_exclude_each_other_are_named_both() -> None:
     one, other = expectation({}, {"to": ["a-0"]}, "one"), expectation({}, {"zone": "cork"}, "other")
-    (found,) = contradictions(of(one, other), SETTINGS)
+    (found,) = contradictions(expectations_of(one, other), SETTINGS)
     assert (found.first, found.second) == ("one", "other")
     elsewhere = expectation({"keys": ["another"]}, {"zone": "cork"}, "other")
-    assert not contradictions(of(one, elsewhere), SETTINGS)
+    assert not contradictions(expectations_of(one, elsewhere), SETTINGS)
 
 
 IDS = [s.id for s in TODAY.servers]
@@ -182,28 +182,33 @@
 @hypothesis_settings(derandomize=True, max_examples=150, deadline=None)
 @hypothesis_given(SOME, SOME, SOME, st.sampled_from([None, "dublin", "cork"]), SOME, SOME)
 def test_a_contradiction_is_one_by_exhaustive_search_and_none_is_missed(
-    to: list[str], never: list[str], gone: list[str], zone: str | None, to_too: list[str], draining: list[str]
+    to: list[str],
+    never: list[str],
+    gone: list[str],
+    zone: str | None,
+    other_to: list[str],
+    draining: list[str],
 ) -> None:
-    """Two expectations of one state: is there any single server that both allow and that is there?"""
+    """Compares with a check of each server: whether both expectations allow it in the same state."""
     state = {"gone": gone, "draining": draining}
     then = {"to": to, "never": never, **({"zone": zone} if zone else {})}
-    one, other = expectation(state, then, "one"), expectation(state, {"to": to_too}, "other")
-    down = {*gone, *draining}
+    one, other = expectation(state, then, "one"), expectation(state, {"to": other_to}, "other")
+    unavailable = {*gone, *draining}
 
     def allows(server: str, which: Expectation) -> bool:
-        place = next(s for s in TODAY.servers if s.id == server)
+        entry = next(s for s in TODAY.servers if s.id == server)
         wanted = which.then
         return (
             (not wanted.to or server in wanted.to)
             and server not in wanted.never
-            and (wanted.zone is None or place.zone == wanted.zone)
+            and (wanted.zone is None or entry.zone == wanted.zone)
         )
 
-    found = contradictions(of(one, other), SETTINGS)
-    speaks = [e for e in (one, other) if e.then.expects_server()]
-    alone = [e for e in speaks if not any(allows(s, e) for s in IDS if s not in down)]
-    assert {c.first for c in found if c.first == c.second} == {e.name for e in alone}
-    if len(speaks) == 2 and not alone:
+    found = contradictions(expectations_of(one, other), SETTINGS)
+    about_servers = [e for e in (one, other) if e.then.expects_server()]
+    impossible = [e for e in about_servers if not any(allows(s, e) for s in IDS if s not in unavailable)]
+    assert {c.first for c in found if c.first == c.second} == {e.name for e in impossible}
+    if len(about_servers) == 2 and not impossible:
         together = any(allows(s, one) and allows(s, other) for s in IDS)
         assert bool(found) is not together
 
@@ -226,20 +231,20 @@
     order = [s.server for s in steps if not s.why]
     assert [(s.server, s.why) for s in steps if s.why] == [("a-1", "draining")]
     assert order[-1] == "bookings" and sorted(order[:-1]) == ["a-0", "a-2", "b-0"]
-    for taken in range(len(order)):
-        given = Given("timetable-read", draining=("a-1",), offline=tuple(order[:taken]))
-        if "bookings" not in order[:taken]:
+    for banned_count in range(len(order)):
+        given = Given("timetable-read", draining=("a-1",), offline=tuple(order[:banned_count]))
+        if "bookings" not in order[:banned_count]:
             assert (
                 run_request(prepare_router(SETTINGS, TODAY, given, 0), given, "pupil-7", 0).last
-                == order[taken]
+                == order[banned_count]
             )
 
 
 def test_a_new_server_takes_keys_and_moves_no_others() -> None:
     keys = Given("timetable-read", ("k{0..1999}",))
-    count, ways = moved_keys(SETTINGS, TODAY, EXAMPLE.fleets_by_name()["tomorrow"], keys)
-    assert count == 2000 and 200 < ways.total() < 800
-    assert {to for _, to in ways} == {"b-1"}
+    count, moves = moved_keys(SETTINGS, TODAY, EXAMPLE.fleets_by_name()["tomorrow"], keys)
+    assert count == 2000 and 200 < moves.total() < 800
+    assert {to for _, to in moves} == {"b-1"}
     assert moved_keys(SETTINGS, TODAY, TODAY, keys)[1].total() == 0
 
 
@@ -250,23 +255,23 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "text"),
     [
         ("seeds = 20", "seeds = 0", "seeds"),
         ("seeds = 20", "sees = 20", "sees"),
         ('earlier = ["miss"]', 'earlier = ["lost"]', "earlier"),
-        ('name = "tomorrow"', 'name = "today"', "stands twice"),
+        ('name = "tomorrow"', 'name = "today"', "appears twice"),
         ('id = "a-1", kind', 'id = "a-0", kind', "listed twice"),
         ('then = {to = ["bookings"]}', 'then = {too = ["bookings"]}', "too"),
         ("[[fleets]]", "[[fleets]", "expect.toml"),
     ],
 )
 def test_a_file_that_can_t_be_read_is_named_with_its_place(
-    old: str, new: str, said: str, tmp_path: Path
+    old: str, new: str, text: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "expect.toml"
     path.write_text((ROOT / "demo/expect.toml").read_text().replace(old, new, 1))
-    with pytest.raises(ExpectError, match=said):
+    with pytest.raises(ExpectError, match=text):
         read_expectations(path)
     path.write_bytes(b"\xff\xfe")
     with pytest.raises(ExpectError):
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: plans that are checked, runs that are not repeated, differences that are paired."""
+"""Experiments: plans are checked, runs are not repeated, and differences are paired by seed."""
 
 from __future__ import annotations
 
@@ -46,17 +46,17 @@
 def test_the_same_plan_gives_the_same_results_with_one_process_or_more(tmp_path: Path) -> None:
     file = write(tmp_path)
     plan = read_plan(file)
-    todo = list_runs(plan, file)
-    assert len(todo) == 12 and len({r.digest for r in todo}) == 12
-    told = []
+    all_runs = list_runs(plan, file)
+    assert len(all_runs) == 12 and len({r.digest for r in all_runs}) == 12
+    tables = []
     for workers in (1, 2):
         store = Store(tmp_path / f"{workers}.sqlite")
-        assert run_all(todo, store, workers) == 12
-        assert run_all(todo, store, workers) == 0  # nothing is run twice
-        told.append([r.to_json() for r in rows(plan, todo, store)])
+        assert run_all(all_runs, store, workers) == 12
+        assert run_all(all_runs, store, workers) == 0  # no run is repeated
+        tables.append([r.to_json() for r in rows(plan, all_runs, store)])
         store.close()
-    assert told[0] == told[1]
-    base, *others = told[0]
+    assert tables[0] == tables[1]
+    base, *others = tables[0]
     assert base["point"] == [8, 0.9] and base["differences"]["goodput"] == [0, 0, 0]
     assert any(o["differences"]["fetches"][0] for o in others)
 
@@ -74,15 +74,15 @@
     file = write(
         tmp_path, plan=f'scenario = "s.toml"\nprofile = "l.toml"\nseeds = 2\nfactors = [{constants}]\n'
     )
-    todo = list_runs(read_plan(file), file)
+    all_runs = list_runs(read_plan(file), file)
     before = tuning.ORIGIN_TARGET
-    figures = [execute_run(r) for r in todo]
+    figures = [execute_run(r) for r in all_runs]
     assert before == tuning.ORIGIN_TARGET
-    assert figures[:2] != figures[2:] and [r.seed for r in todo] == [1, 2, 1, 2]
+    assert figures[:2] != figures[2:] and [r.seed for r in all_runs] == [1, 2, 1, 2]
 
 
 @pytest.mark.parametrize(
-    ("factors", "named"),
+    ("factors", "message"),
     [
         ('[{path = "origin.slots", values = [0]}]', "origin.slots = 0"),
         ('[{path = "orgin.slots", values = [1]}]', "orgin"),
@@ -94,12 +94,12 @@
     ],
 )
 def test_a_plan_that_cannot_be_carried_out_is_refused_by_name(
-    tmp_path: Path, factors: str, named: str
+    tmp_path: Path, factors: str, message: str
 ) -> None:
     file = write(tmp_path, plan=f'scenario = "s.toml"\nprofile = "l.toml"\nfactors = {factors}\n')
     with pytest.raises(PlanError) as error:
         read_plan(file)
-    assert named in str(error.value) and "plan.toml" in str(error.value)
+    assert message in str(error.value) and "plan.toml" in str(error.value)
 
 
 def test_a_sample_holds_the_baseline_and_no_point_twice() -> None:
@@ -114,27 +114,27 @@
 def test_a_constant_difference_is_told_as_it_is(values: list[float], change: float) -> None:
     one = {i: {"m": v} for i, v in enumerate(values)}
     other = {i: {"m": v + change} for i, v in enumerate(values)} | {99: {"m": 1e9}}
-    found = paired(one, other, "m")  # a seed that only one has counts for nothing
+    found = paired(one, other, "m")  # a seed that only one of them has is ignored
     assert found.count == len(values) and found.mean == pytest.approx(change, abs=1e-9)
     assert found.low - 1e-9 <= found.mean <= found.high + 1e-9
 
 
 def test_the_interval_holds_the_true_mean_about_as_often_as_it_says() -> None:
-    chance = np.random.Generator(np.random.PCG64(3))
-    held = 0
+    rng = np.random.Generator(np.random.PCG64(3))
+    covered = 0
     for _ in range(200):
-        found = estimate(list(chance.exponential(1.0, 40)))
-        held += found.low <= 1.0 <= found.high
-    assert 0.86 <= held / 200 <= 0.99
+        found = estimate(list(rng.exponential(1.0, 40)))
+        covered += found.low <= 1.0 <= found.high
+    assert 0.86 <= covered / 200 <= 0.99
     assert estimate([2.0, 2.0]).clear and not estimate([-1.0, 1.0, 0.5]).clear
 
 
 def test_pictures_and_page_hold_what_was_found(tmp_path: Path) -> None:
     file = write(tmp_path)
     plan = read_plan(file)
-    todo, store = list_runs(plan, file), Store(tmp_path / "r.sqlite")
-    run_all(todo, store, 1)
-    found = rows(plan, todo, store)
+    all_runs, store = list_runs(plan, file), Store(tmp_path / "r.sqlite")
+    run_all(all_runs, store, 1)
+    found = rows(plan, all_runs, store)
     text = page(plan, found, "E")
     assert text.count("<svg") == 1 and "origin.slots" in text and page(plan, found, "E") == text
     write_png(tmp_path / "e.png", plan, found)
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -1,4 +1,4 @@
-"""The simulator: exact to the seed, true to theory, and to the rules that it must notice."""
+"""The simulator: repeatable by its seed, in agreement with queueing theory, and able to detect violations."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     "clients": {"retries": 2, "leave": 0.02},
     "keys": {"count": 300},
 }
-MANY = [
+FAULTS = [
     {"what": "crash", "at": 2, "box": "b-0", "seconds": 3},
     {"what": "freeze", "at": 3, "box": "b-1", "seconds": 1},
     {"what": "replace", "at": 4, "share": 0.5, "drain": 1, "seconds": 0.5},
@@ -72,7 +72,7 @@
 @pytest.mark.processes
 def test_the_same_seed_gives_the_same_bytes_whatever_the_process_and_its_hashes(tmp_path: Path) -> None:
     scenario, profile = tmp_path / "s.json", tmp_path / "p.json"
-    scenario.write_text(json.dumps(SCENARIO | {"faults": MANY}))
+    scenario.write_text(json.dumps(SCENARIO | {"faults": FAULTS}))
     profile.write_text(json.dumps(PROFILE))
     code = (
         "import sys, json, msgspec;"
@@ -82,12 +82,14 @@
         "both = read(sys.argv[1], Scenario), read(sys.argv[2], Profile);"
         "print(json.dumps(FleetSimulation(*both).run().figures()))"
     )
-    told = []
+    outputs = []
     for hashes in ("0", "1", "77"):
         child = [sys.executable, "-c", code, str(scenario), str(profile)]
         environment = os.environ | {"PYTHONHASHSEED": hashes}
-        told.append(subprocess.run(child, cwd=ROOT, env=environment, capture_output=True, check=True).stdout)
-    assert len(set(told)) == 1 and json.loads(told[0])["served"] > 300
+        outputs.append(
+            subprocess.run(child, cwd=ROOT, env=environment, capture_output=True, check=True).stdout
+        )
+    assert len(set(outputs)) == 1 and json.loads(outputs[0])["served"] > 300
 
 
 def test_another_seed_gives_another_day() -> None:
@@ -95,7 +97,7 @@
 
 
 def test_all_that_goes_wrong_breaks_no_rule_and_ends() -> None:
-    result = play(faults=MANY)
+    result = play(faults=FAULTS)
     figures = result.figures()
     assert result.verdict["kept"], result.verdict["named"]
     assert figures["scheduled"] == sum(figures[k] for k in ("served", "refused", "failed", "left")) > 500
@@ -121,37 +123,37 @@
 
 
 def erlang_c(cores: int, load: float) -> float:
-    """The chance that a request waits (Erlang, 1917)."""
+    """Returns the probability that a request waits (Erlang, 1917)."""
     last = load**cores / math.factorial(cores) * cores / (cores - load)
     return last / (sum(load**k / math.factorial(k) for k in range(cores)) + last)
 
 
-@pytest.mark.parametrize(("cores", "used"), [(1, 0.5), (1, 0.8), (4, 0.7), (8, 0.8)])
-def test_waiting_times_are_those_of_an_m_m_c_queue(cores: int, used: float) -> None:
+@pytest.mark.parametrize(("cores", "utilisation"), [(1, 0.5), (1, 0.8), (4, 0.7), (8, 0.8)])
+def test_waiting_times_are_those_of_an_m_m_c_queue(cores: int, utilisation: float) -> None:
     core, station, chance = Core(1), Station(cores, 10**6, Pace(1.0)), random.Random(cores)
     waits: list[float] = []
-    came: list[tuple[float, float]] = []
-    count, rate = 100_000, used * cores
+    arrivals: list[tuple[float, float]] = []
+    count, rate = 100_000, utilisation * cores
 
     timers: list[Event] = []
 
     def arrive() -> None:
         work = chance.expovariate(1.0)
-        came.append((core.now, work))
-        station.take(core.now, Piece(work, math.inf, len(came) - 1))
+        arrivals.append((core.now, work))
+        station.take(core.now, Piece(work, math.inf, len(arrivals) - 1))
         if len(waits) < count:
             core.call_after(chance.expovariate(rate), arrive)
-        look()
+        handle_ended()
 
-    def look() -> None:
+    def handle_ended() -> None:
         while (piece := station.ended(core.now)) is not None:
             assert isinstance(piece.request, int)
-            at, work = came[piece.request]
+            at, work = arrivals[piece.request]
             waits.append(core.now - at - work)
         if timers:
             timers.pop().cancel()
         if (due := station.due()) < math.inf:
-            timers.append(core.call_at(due, look))
+            timers.append(core.call_at(due, handle_ended))
 
     arrive()
     core.run(count / rate * 2 + 1000)
@@ -159,18 +161,19 @@
     assert np.mean(waits[1000:]) == pytest.approx(expected, rel=0.1)
 
 
-@pytest.mark.parametrize(("keys", "room", "zipf"), [(1000, 100, 0.8), (2000, 500, 1.0)])
-def test_hits_of_zipf_keys_are_those_of_ches_approximation(keys: int, room: int, zipf: float) -> None:
+@pytest.mark.parametrize(("keys", "capacity", "zipf"), [(1000, 100, 0.8), (2000, 500, 1.0)])
+def test_hits_of_zipf_keys_are_those_of_ches_approximation(keys: int, capacity: int, zipf: float) -> None:
     popularity = np.arange(1, keys + 1) ** -zipf
     popularity /= popularity.sum()
-    low, high = 0.0, 1e9  # the time after which a key that was not asked for is gone (Che, Tung, Wang, 2002)
+    # bounds of the time after which an unrequested key is evicted (Che, Tung, Wang, 2002)
+    low, high = 0.0, 1e9
     for _ in range(100):
         middle = (low + high) / 2
-        low, high = (middle, high) if (1 - np.exp(-popularity * middle)).sum() < room else (low, middle)
+        low, high = (middle, high) if (1 - np.exp(-popularity * middle)).sum() < capacity else (low, middle)
     expected = (popularity * (1 - np.exp(-popularity * low))).sum()
-    memory, hits = Memory(room, math.inf), 0
-    drawn = np.random.Generator(np.random.PCG64(1)).choice(keys, 60_000, p=popularity)
-    for i, key in enumerate(drawn):
+    memory, hits = Memory(capacity, math.inf), 0
+    requested = np.random.Generator(np.random.PCG64(1)).choice(keys, 60_000, p=popularity)
+    for i, key in enumerate(requested):
         found = memory.get(i, str(key)) is not None
         hits += found and i >= 10_000
         if not found:
@@ -218,14 +221,14 @@
     load = PROFILE | {"pieces": [{"seconds": 4, "rate": 16}]}
     search = Search(scenario, msgspec.convert(load, Profile), 1, ForgetsDrains)
     found = next(t for t in search.trials() if t.breaches)
-    find = shrink(found, ForgetsDrains)
-    assert "sent_to_drained" in find.breaches and len(find.scenario.faults) <= len(found.scenario.faults)
-    write_counterexample(tmp_path / "find.json", find)
-    again = read_counterexample(tmp_path / "find.json")
-    assert again == find
-    assert run_trial(again.scenario, again.profile, ForgetsDrains).breaches == find.breaches
-    # what broke the wrong one keeps all rules with the real one
-    assert not run_trial(again.scenario, again.profile, Router).breaches
+    shrunk = shrink(found, ForgetsDrains)
+    assert "sent_to_drained" in shrunk.breaches and len(shrunk.scenario.faults) <= len(found.scenario.faults)
+    write_counterexample(tmp_path / "find.json", shrunk)
+    reread = read_counterexample(tmp_path / "find.json")
+    assert reread == shrunk
+    assert run_trial(reread.scenario, reread.profile, ForgetsDrains).breaches == shrunk.breaches
+    # the real module breaks no rule with the same schedule
+    assert not run_trial(reread.scenario, reread.profile, Router).breaches
     (tmp_path / "find.json").write_text('{"scenario": {"routers": 0}}')
     with pytest.raises(ScenarioError, match="routers"):
         read_counterexample(tmp_path / "find.json")
@@ -247,8 +250,8 @@
     "file", sorted((ROOT / "tests" / "regressions").glob("*.json")), ids=lambda f: f.stem
 )
 def test_no_find_breaks_a_rule_any_more(file: Path) -> None:
-    find = read_counterexample(file)
-    assert not run_trial(find.scenario, find.profile, Router).breaches
+    counterexample = read_counterexample(file)
+    assert not run_trial(counterexample.scenario, counterexample.profile, Router).breaches
 
 
 def test_single_values_are_changed_and_what_can_not_be_is_named(tmp_path: Path) -> None:
@@ -266,9 +269,9 @@
         ("seed.x=1", ScenarioError),
         ("profile.peaces=1", ProfileError),
     ):
-        with pytest.raises(error) as told:
+        with pytest.raises(error) as raised:
             read_scenario_and_profile(scenario, profile, [change])
-        assert ".toml: " in str(told.value)
+        assert ".toml: " in str(raised.value)
 
 
 @pytest.mark.processes
@@ -276,10 +279,10 @@
     figures, page = tmp_path / "f.json", tmp_path / "p.html"
     command = [sys.executable, "-m", "myrtlecourse", "sim", "demo/demo.toml", "--profile", "demo/load.toml"]
     options = ["--set", "seconds=3", "--json", str(figures), "--html", str(page), "--seed", "3"]
-    done = subprocess.run([*command, *options], cwd=ROOT, capture_output=True, text=True, check=False)
-    assert done.returncode == 0, done.stderr
+    completed = subprocess.run([*command, *options], cwd=ROOT, capture_output=True, text=True, check=False)
+    assert completed.returncode == 0, completed.stderr
     assert json.loads(figures.read_text())["served"] > 300 and "The four rules" in page.read_text()
-    wrong = subprocess.run(
+    unusable = subprocess.run(
         [*command, "--set", "sead=1"], cwd=ROOT, capture_output=True, text=True, check=False
     )
-    assert wrong.returncode == 2 and "sead" in wrong.stderr
+    assert unusable.returncode == 2 and "sead" in unusable.stderr
--- a/tests/test_spread_worlds.py
+++ b/tests/test_spread_worlds.py
@@ -20,7 +20,7 @@
 FIGURES: dict[str, Any] = {"tail": 200, "control_tail": 400}
 SECONDS = 8.0  # with faults
 LOAD = 20.0  # purges per second
-# The seed to try first. Which faults a world produces changes with each change of the code under test.
+# The seed to try first. Which faults a seed produces changes with each change of the code under test.
 WRONG = {
     "counts_no_child": 1,
     "grants_the_late": 1,
@@ -35,7 +35,7 @@
 }
 
 
-def world(seed: int, **more: Any) -> SpreadSimulation:
+def running_simulation(seed: int, **more: Any) -> SpreadSimulation:
     """Return a running fleet of 38 members."""
     simulation = SpreadSimulation(SITES, 3, seed, 1_000, **(FIGURES | more))
     simulation.start(1.0)
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("seed", (1, 2, 5, 6, 13, 14))
 def test_rules_hold_under_troubles(seed: int) -> None:
-    run_with_faults(world(seed))
+    run_with_faults(running_simulation(seed))
 
 
 def test_all_agree_on_the_tree_whatever_their_names() -> None:
@@ -74,14 +74,14 @@
 
 
 def test_same_seed_plays_the_same() -> None:
-    first, second = world(1), world(1)
+    first, second = running_simulation(1), running_simulation(1)
     assert run_with_faults(first, 4.0) == run_with_faults(second, 4.0)
     assert first.core.events_run == second.core.events_run and first.bytes == second.bytes
     np.testing.assert_array_equal(first.judge.applied_at, second.judge.applied_at)
 
 
 def test_each_member_keeps_a_narrow_budget() -> None:
-    simulation = world(3, budget=7_000.0, control_budget=36_000.0)
+    simulation = running_simulation(3, budget=7_000.0, control_budget=36_000.0)
     simulation.network.loss = 0.05
     before = len(simulation.second_totals)
     simulation.schedule_load(100.0, 1.0, 5.0)
@@ -100,10 +100,10 @@
     )
     for seed in (WRONG[name], *range(1, 9)):
         try:
-            run_with_faults(world(seed, **variant))
+            run_with_faults(running_simulation(seed, **variant))
         except RuleViolation:
             return
-    pytest.fail("none of nine worlds catches it")
+    pytest.fail("no violation with nine seeds")
 
 
 # The judge itself
@@ -119,44 +119,44 @@
 
 
 def test_judge_sees_an_entry_applied_twice() -> None:
-    there = judge()
-    there.on_applied(0, 1, tuple(KEYS[:3]), 1.0)
+    tested = judge()
+    tested.on_applied(0, 1, tuple(KEYS[:3]), 1.0)
     with pytest.raises(RuleViolation, match="twice"):
-        there.on_applied(0, 3, tuple(KEYS[2:4]), 1.1)
+        tested.on_applied(0, 3, tuple(KEYS[2:4]), 1.1)
 
 
 def test_judge_sees_another_entry_under_a_number() -> None:
-    there = judge()
+    tested = judge()
     with pytest.raises(RuleViolation, match="two_entries"):
-        there.on_committed(5, (KEYS[6],))
+        tested.on_committed(5, (KEYS[6],))
     with pytest.raises(RuleViolation, match="other_entries"):
-        there.on_applied(1, 2, (KEYS[2],), 1.0)
+        tested.on_applied(1, 2, (KEYS[2],), 1.0)
     with pytest.raises(RuleViolation, match="gap"):
-        there.on_committed(7, (KEYS[7],))
+        tested.on_committed(7, (KEYS[7],))
     with pytest.raises(RuleViolation, match="other_entries"):
-        there.on_applied(1, 5, (KEYS[4], KEYS[5]), 1.0)  # the sixth is not committed yet
+        tested.on_applied(1, 5, (KEYS[4], KEYS[5]), 1.0)  # the sixth is not committed yet
 
 
 def test_judge_sees_what_was_acknowledged_and_is_not_kept() -> None:
-    there = judge()
+    tested = judge()
     with pytest.raises(RuleViolation, match="not_lasting"):
-        there.on_acknowledged(2, KEYS[7], 0.0, 1.0)
-    there.on_acknowledged(6, KEYS[5], 0.0, 1.0)
+        tested.on_acknowledged(2, KEYS[7], 0.0, 1.0)
+    tested.on_acknowledged(6, KEYS[5], 0.0, 1.0)
     with pytest.raises(RuleViolation, match="not_lasting"):
-        there.on_committed(6, (KEYS[6],))
+        tested.on_committed(6, (KEYS[6],))
 
 
 def test_judge_counts_up_to_the_first_gap() -> None:
-    there = judge()
-    there.on_applied(0, 1, tuple(KEYS[:2]), 1.0)
-    there.on_applied(0, 4, (KEYS[3],), 1.0)
-    assert there.applied_until[0] == 2
-    assert there.on_watermark(2, 1.0) == [1]
-    assert there.on_watermark(3, 1.0) == [0, 1]
-    there.on_assumed_purged(1, 1, 5)
-    there.on_applied(0, 3, (KEYS[2],), 1.1)
-    assert list(there.applied_until) == [4, 5]
-    there.on_start(1)
-    assert there.applied_until[1] == 0
+    tested = judge()
+    tested.on_applied(0, 1, tuple(KEYS[:2]), 1.0)
+    tested.on_applied(0, 4, (KEYS[3],), 1.0)
+    assert tested.applied_until[0] == 2
+    assert tested.on_watermark(2, 1.0) == [1]
+    assert tested.on_watermark(3, 1.0) == [0, 1]
+    tested.on_assumed_purged(1, 1, 5)
+    tested.on_applied(0, 3, (KEYS[2],), 1.1)
+    assert list(tested.applied_until) == [4, 5]
+    tested.on_start(1)
+    assert tested.applied_until[1] == 0
     with pytest.raises(RuleViolation, match="done_ahead"):
-        there.on_watermark(6, 2.0)
+        tested.on_watermark(6, 2.0)
