--- /dev/null
+++ b/myrtlecourse/address/driver.py
@@ -0,0 +1,196 @@
+"""Connects one router's election for the service address to its socket, clock, votes file and link."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import random
+import time
+from collections.abc import Awaitable, Callable
+from contextlib import suppress
+from pathlib import Path
+from typing import Any
+
+from myrtlecourse.address.codec import ElectionCodec
+from myrtlecourse.address.link import Link, LinkUpdater
+from myrtlecourse.address.votes import write_votes
+from myrtlecourse.election import messages
+from myrtlecourse.election.core import Election, Role
+from myrtlecourse.net.rate_limited_log import RateLimitedLog
+from myrtlecourse.peers.peer_socket import Endpoint, PeerSocket
+from myrtlecourse.peers.wire import Wire
+
+# seconds for accepted requests to end before the address is withdrawn, while the lease lasts
+DRAIN_TIMEOUT = 1.0
+POLL_INTERVAL = 0.1  # seconds between checks of whether this router can serve
+log = logging.getLogger(__name__)
+bounded = RateLimitedLog(log)
+
+
+class AddressDriver(PeerSocket[messages.Message]):
+    """Drives the election of one router."""
+
+    def __init__(
+        self,
+        settings: messages.Settings,
+        peers: dict[str, Endpoint],
+        key: bytes,
+        link: Link,
+        votes_file: Path | None,
+        saved: messages.Saved,
+        able: Callable[[], bool],
+        on_change: Callable[[bool], None],
+        wait_until_drained: Callable[[], Awaitable[None]],
+        further_keys: tuple[bytes, ...] = (),
+    ) -> None:
+        """`able` returns whether this router can serve clients. `on_change` is called with True when it
+        acquires the address, and with False when it loses it.
+
+        When it loses the address, nothing may be accepted any more once `on_change` has returned;
+        `wait_until_drained` then waits until the accepted requests have ended.
+        """
+        rng = random.SystemRandom()
+        start = rng.getrandbits(62) + 1
+        super().__init__(
+            Wire(settings.name, settings.voters, key, start, ElectionCodec(), further_keys), peers
+        )
+        self.settings = settings
+        self.votes_file = votes_file
+        self.unwritten: messages.Saved | None = None  # the term and vote that are not on the disk yet
+        self.able = able
+        self.on_change = on_change
+        self.wait_until_drained = wait_until_drained
+        self.withdrawal: asyncio.Task[None] | None = None
+        self.link_updater = LinkUpdater(link)
+        self.election = Election(settings, saved, time.monotonic(), rng.getrandbits(32))
+        self.polling: asyncio.Task[None] | None = None
+        self.polled_at = time.monotonic()
+        self.moves: list[str] = []  # the last changes, for operators
+
+    async def start(self, bind: Endpoint) -> Endpoint:
+        """Opens the socket and returns its address. Raises OSError."""
+        at = await self.listen(bind)
+        self.polled_at = time.monotonic()
+        self.polling = asyncio.create_task(self._poll())
+        return at
+
+    def holds(self) -> bool:
+        """Returns whether this router holds the address now."""
+        return self.election.holds(time.monotonic())
+
+    async def _poll(self) -> None:
+        """Reports to the election whether this router can serve; it can't while its event loop is stalled."""
+        while True:
+            now = time.monotonic()
+            stalled = now - self.polled_at > self.settings.unwell + POLL_INTERVAL
+            self.polled_at = now
+            self.post(messages.AbilityReported(self.able() and not stalled))
+            await asyncio.sleep(POLL_INTERVAL)
+
+    def message_received(self, sender: str, message: messages.Message) -> None:
+        self.post(messages.MessageReceived(sender, message))
+
+    def post(self, event: messages.Event) -> None:
+        """Passes an event to the election and carries out the resulting actions."""
+        for action in self.election.handle(time.monotonic(), event):
+            self._carry_out(action)
+
+    def _carry_out(self, action: messages.Action) -> None:
+        match action:
+            case messages.Save(saved):
+                self.unwritten = saved if self.votes_file is not None else None
+            case messages.Send(to, message):
+                if self._write_unwritten():
+                    self.send(to, self.wire.pack(to, message))
+            case messages.Announce(term):
+                self._log_move(f"holds the address in term {term}")
+                self.on_change(True)
+                self.link_updater.request(term)
+            case messages.Withdraw(reason):
+                self._log_move(f"no longer holds the address: {reason}")
+                self.on_change(False)
+                self.withdrawal = self.loop.create_task(self._withdraw())
+            case messages.SetTimer(at):
+                self.call_at(at, lambda: self.post(messages.TimerFired()))
+
+    def _write_unwritten(self) -> bool:
+        """Writes the term and vote if necessary. Returns whether they are on the disk, as nothing may be sent
+        before."""
+        if self.unwritten is not None and self.votes_file is not None:
+            try:
+                write_votes(self.votes_file, self.unwritten)
+            except OSError as e:
+                bounded.log(logging.ERROR, "the votes file can't be written, no messages are sent: %s", e)
+                return False
+            self.unwritten = None
+        return True
+
+    async def _withdraw(self) -> None:
+        """Lets accepted requests end while their clients can still be reached, then withdraws the address.
+
+        The network directs open connections along with the address, so the next holder's announcement would
+        cut them.
+        """
+        with suppress(TimeoutError):
+            async with asyncio.timeout(DRAIN_TIMEOUT):
+                await self.wait_until_drained()
+        self.link_updater.request(None)
+        self.post(messages.Withdrawn())
+
+    def _log_move(self, text: str) -> None:
+        log.info("%s %s", self.settings.name, text)
+        self.moves = [*self.moves[-19:], f"{time.strftime('%Y-%m-%d %H:%M:%S')} {text}"]
+
+    def change(self, settings: messages.Settings, peers: dict[str, Endpoint]) -> None:
+        """Applies new settings; at most one voter may have been added or removed.
+
+        Raises:
+            ElectionError: the new settings can't be applied now, or this router's name or address changed;
+                nothing was changed.
+        """
+        if settings.name != self.settings.name or peers[settings.name] != self.peers[settings.name]:
+            raise messages.ElectionError("name: a change of the name or the own address needs a restart")
+        self.post(messages.SettingsChanged(settings))
+        self.settings, self.peers = settings, peers
+        self.wire.set_members(settings.voters)
+
+    def move(self, to: str) -> str:
+        """Starts to hand the address over. Returns why that is refused, or an empty text."""
+        if self.election.role is not Role.HOLDER:
+            return f"{self.settings.name} does not hold the address"
+        if to and to not in self.settings.voters:
+            return f"{to} is not a voter"
+        if to == self.settings.name:
+            return f"{to} already holds the address"
+        self.post(messages.Move(to))
+        return ""
+
+    def status(self) -> dict[str, Any]:
+        """Returns the status for operators, in a form that can be written as JSON."""
+        election, now = self.election, time.monotonic()
+        return {
+            "name": self.settings.name,
+            "role": election.role.value,
+            "holds": self.holds(),
+            "term": election.term,
+            "lease_left_s": max(0.0, election.lease_until - now) if election.role is Role.HOLDER else 0.0,
+            "word_given_to": election.promise[0] if now < election.promise_until else "",
+            "able": self.able(),
+            "voters": list(self.settings.voters),
+            "sent": self.sent,
+            "dropped": dict(self.wire.dropped),
+            "link_failures": self.link_updater.failures,
+            "moves": self.moves,
+        }
+
+    async def close(self) -> None:
+        """Hands the address over if this router holds it, releases the lease, and closes the socket."""
+        if self.polling is not None:
+            self.polling.cancel()
+        if self.election.role is Role.HOLDER:
+            self.post(messages.Move())
+        if self.withdrawal is not None:
+            await self.withdrawal  # sends the release and withdraws the address
+            await asyncio.sleep(0)
+        self.link_updater.close()
+        self.close_socket()
--- a/myrtlecourse/duties/driver.py
+++ b/myrtlecourse/duties/driver.py
@@ -17,8 +17,8 @@
 from myrtlecourse.duties.message_log import MessageLog
 from myrtlecourse.election import messages as election
 from myrtlecourse.net.rate_limited_log import RateLimitedLog
-from myrtlecourse.peers.end import End, Endpoint
-from myrtlecourse.peers.records import started
+from myrtlecourse.peers.peer_socket import Endpoint, PeerSocket
+from myrtlecourse.peers.records import start_number
 from myrtlecourse.peers.wire import Wire
 
 # seconds between checks whether this process can hold a duty, and calls of its holders' work
@@ -51,7 +51,7 @@
         """Ends the work in progress."""
 
 
-class DutyDriver(End[tuple[messages.Item, ...]]):
+class DutyDriver(PeerSocket[tuple[messages.Item, ...]]):
     """Connects the duties of one router to its socket, clock and disk."""
 
     def __init__(
@@ -76,7 +76,7 @@
         # actions that must wait for the write to end
         self.waiting_for_disk: list[messages.Send | messages.Committed] = []
         self.able = able
-        now, term_floor = time.monotonic(), started(time.time())
+        now, term_floor = time.monotonic(), start_number(time.time())
         self.duties = Duties(settings, saved, now, rng.getrandbits(32), term_floor)
         self.works: dict[str, Work] = {}
         # duty -> whether this router meets the duty's own conditions
@@ -131,7 +131,7 @@
         """Returns the token under which this process may act for a duty now, or None."""
         return self.duties.acting_token(time.monotonic(), duty)
 
-    def heard(self, sender: str, message: tuple[messages.Item, ...]) -> None:
+    def message_received(self, sender: str, message: tuple[messages.Item, ...]) -> None:
         """Passes a datagram of another member on to the duties."""
         self.message_log.received(sender, message)
         self.post(messages.MessagesReceived(sender, message))
@@ -252,7 +252,7 @@
         self.writing = None
 
     def _send_items(self, to: str, items: tuple[messages.Item, ...]) -> None:
-        for part in split(items, self.wire.room):
+        for part in split(items, self.wire.max_message_size):
             self.send(to, self.wire.pack(to, part))
 
     def _record_change(self, duty: str, text: str) -> None:
@@ -272,8 +272,8 @@
         if settings != self.settings:
             self.post(messages.SettingsChanged(settings))
             self.settings = settings
-            self.wire.members(settings.members)
-        self.wire.seal.change(*keys)
+            self.wire.set_members(settings.members)
+        self.wire.seal.set_keys(*keys)
         self.peers = peers
 
     def move(self, duty: str, to: str) -> str:
@@ -311,4 +311,4 @@
             task.cancel()
         if self.writing is not None:
             self.writing.cancel()
-        self.leave()
+        self.close_socket()
--- a/myrtlecourse/fleet/session.py
+++ b/myrtlecourse/fleet/session.py
@@ -1,4 +1,4 @@
-"""A fleet's whole life in a process of its own, and a run of load, routers and fleet with its verdict."""
+"""Runs a fleet in a process of its own, and a scenario with load and real routers up to its verdict."""
 
 from __future__ import annotations
 
@@ -18,64 +18,64 @@
 
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.audit.auditor import Auditor, Rules
-from myrtlecourse.fleet.duty_logs import holder_of, observed, step_command
+from myrtlecourse.fleet.datagram_network import Relays
+from myrtlecourse.fleet.duty_logs import holder_of, read_observations, step_command
 from myrtlecourse.fleet.faults import Step, hot_keys, steps
+from myrtlecourse.fleet.loopback_fleet import Fleet
 from myrtlecourse.fleet.operators import Operators
 from myrtlecourse.fleet.routers import RouterError, Routers
 from myrtlecourse.fleet.scenario import Duties, Peers, Scenario
-from myrtlecourse.fleet.stand_in import Fleet
-from myrtlecourse.fleet.ways import Relays
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.load.record import Record
 from myrtlecourse.load.run import Job, run
 
 LOG = "fleet.jsonl"
 DUTIES_LOG = "duties.jsonl"
-START_TIME = 60.0  # seconds for the fleet and its routers to be ready
-END_TIME = 15.0  # seconds for all to end
+START_TIME = 60.0  # seconds until the fleet and its routers are ready
+END_TIME = 15.0  # seconds until everything has ended
 
 
 class SessionError(RuntimeError):
-    """A fleet that could not be brought up, or that died."""
+    """A fleet could not be started, or its process died."""
 
 
 @dataclass
-class Standing:
-    """A fleet that is up, with its routers if it has any."""
+class RunningFleet:
+    """A running fleet, with its routers if it has any."""
 
     fleet: Fleet
     routers: Routers | None
     log: seen.ObservationLog
-    operators: Operators | None = None  # where the scenario has work for them
+    operators: Operators | None = None  # only if the scenario has work for them
 
-    def where(self) -> dict[str, Any]:
-        """Where routers are, or the configurations to start them with."""
-        return {"routers": [r.address for r in self.routers.each] if self.routers else []}
+    def router_addresses(self) -> dict[str, Any]:
+        """Return the addresses of the routers, if any."""
+        return {"routers": [r.address for r in self.routers.members] if self.routers else []}
 
     async def close(self) -> list[str]:
-        """End all; answers with what went wrong with the routers' processes."""
+        """End everything and return what went wrong with the routers' processes."""
         if self.operators is not None:
-            self.operators.end()
+            self.operators.stop()
         if self.routers is not None:
             await self.routers.end()
         self.fleet.close()
-        await asyncio.sleep(0)  # so that connections which end are seen
+        await asyncio.sleep(0)  # lets closed connections be observed
         self.log.close()
-        found = self.routers.found() if self.routers is not None else []
-        return found + (self.operators.faults if self.operators is not None else [])
+        failures = self.routers.failures() if self.routers is not None else []
+        return failures + (self.operators.faults if self.operators is not None else [])
 
-    def do(self, step: Step) -> None:
-        """What happens to routers."""
+    def apply_step(self, step: Step) -> None:
+        """Apply a step that concerns routers."""
         assert self.routers is not None
-        if self.operators is not None and step.do in ("offline", "online"):
-            for router in self.routers.each:
-                self.routers.soon(self.operators.hand(router, step))
+        if self.operators is not None and step.action in ("offline", "online"):
+            for router in self.routers.members:
+                self.routers.run_in_background(self.operators.change_service(router, step))
         else:
-            self.routers.do(step)
+            self.routers.apply_step(step)
 
 
 def operators_file(peers: Peers, duties: Duties | None, relays: Relays, folder: Path, name: str) -> Path:
-    """A router's operators' file, by which it leaves zones with the others and has its part in duties."""
+    """Write a router's operators' file, for leaving zones together with other routers and for duties."""
     key = folder / "peers.key"
     if not key.exists():
         key.write_bytes(os.urandom(32))
@@ -92,9 +92,12 @@
 
 
 def duties_table(duties: Duties, relays: Relays, folder: Path, name: str) -> str:
-    """Its part in duties; each other router is heard at the end of a way of its own."""
-    heard_at = relays.heard_at
-    at = {other: "{}:{}".format(*relays.at.get((name, other), heard_at[other])) for other in heard_at}
+    """Return the `[duties]` table of a router; it reaches each other router through a relay."""
+    listen_addresses = relays.listen_addresses
+    at = {
+        other: "{}:{}".format(*relays.send_addresses.get((name, other), listen_addresses[other]))
+        for other in listen_addresses
+    }
     peers = ", ".join(f'{{name = "{other}", at = "{place}"}}' for other, place in at.items())
     lines = [
         "[duties]",
@@ -114,93 +117,93 @@
     return "\n".join(lines) + "\n"
 
 
-async def stand_up(scenario: Scenario, folder: Path, command: str | None) -> Standing:
-    """Bring up a fleet and, with a command, its routers.
+async def start_fleet(scenario: Scenario, folder: Path, command: str | None) -> RunningFleet:
+    """Start a fleet and, with a command, its routers.
 
-    Observations, configurations and logs are written into the folder. Raises RouterError.
+    Writes observations, configurations and logs into the folder. Raises RouterError.
     """
     log = seen.ObservationLog(folder / LOG)
     fleet = Fleet(scenario, log.add)
     await fleet.listen()
-    standing = Standing(fleet, None, log)
+    running = RunningFleet(fleet, None, log)
     if command is None:
         for number, name in enumerate(fleet.routers):
             (folder / f"{name}.json").write_text(json.dumps(fleet.configuration(number)))
-        return standing
-    standing.routers = Routers(fleet.routers, command, folder, log.add)
-    fleet.of_routers = standing.do
+        return running
+    running.routers = Routers(fleet.routers, command, folder, log.add)
+    fleet.apply_to_routers = running.apply_step
     fleet.holder_of = partial(holder_of, folder)
     try:
         file = None
         if scenario.peers is not None:
             file = partial(operators_file, scenario.peers, scenario.duties, fleet.duty_relays, folder)
-        await standing.routers.start(fleet.configuration, file)
+        await running.routers.start(fleet.configuration, file)
     except RouterError:
-        await standing.close()
+        await running.close()
         raise
-    if scenario.operated():
-        standing.operators = Operators(standing.routers.each)
-    return standing
+    if scenario.has_operator_work():
+        running.operators = Operators(running.routers.members)
+    return running
 
 
-def work(scenario: Scenario, folder: Path, command: str, words: Any) -> None:
-    """The fleet's process: stands up, begins when it is told, ends when it is told."""
-    # the parent hears of SIGINT and tells: the verdict on what ran is still wanted
+def fleet_process(scenario: Scenario, folder: Path, command: str, pipe: Any) -> None:
+    """Run the fleet's process: start it, begin and end it on messages from the parent."""
+    # The parent handles SIGINT and sends a message: the verdict on what has run is still wanted.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
-    async def live() -> None:
-        standing = await stand_up(scenario, folder, command)
-        words.send(("ready", standing.where()))
-        loop, told = asyncio.get_running_loop(), asyncio.Event()
+    async def run_fleet() -> None:
+        running = await start_fleet(scenario, folder, command)
+        pipe.send(("ready", running.router_addresses()))
+        loop, end = asyncio.get_running_loop(), asyncio.Event()
 
-        def hear() -> None:
+        def on_message() -> None:
             try:
-                word = words.recv()
-            except EOFError:  # the parent is gone
-                word = "end"
-            if word == "begin":
-                standing.fleet.begin()
+                message = pipe.recv()
+            except EOFError:  # the parent has exited
+                message = "end"
+            if message == "begin":
+                running.fleet.begin()
             else:
-                loop.remove_reader(words.fileno())
-                told.set()
+                loop.remove_reader(pipe.fileno())
+                end.set()
 
-        loop.add_reader(words.fileno(), hear)
-        await told.wait()
-        faults = await standing.close()
-        service = standing.operators.figures() if standing.operators is not None else None
-        words.send(("ended", (faults, service)))
+        loop.add_reader(pipe.fileno(), on_message)
+        await end.wait()
+        faults = await running.close()
+        service = running.operators.figures() if running.operators is not None else None
+        pipe.send(("ended", (faults, service)))
 
     try:
         with asyncio.Runner(loop_factory=new_event_loop) as runner:
-            runner.run(live())
+            runner.run(run_fleet())
     except Exception as e:
-        words.send(("fault", str(e) or type(e).__name__))
+        pipe.send(("fault", str(e) or type(e).__name__))
 
 
-def heard(words: Any, child: Any, wanted: str, within: float) -> Any:
-    """The next word of the fleet's process."""
-    if not words.poll(within):
+def receive(pipe: Any, child: Any, wanted: str, within: float) -> Any:
+    """Return the next message of the fleet's process. Raises SessionError if it is late or unexpected."""
+    if not pipe.poll(within):
         raise SessionError(f"the fleet was not {wanted} within {within:g} s")
     try:
-        what, value = words.recv()
+        kind, value = pipe.recv()
     except EOFError:
         child.join(1.0)
         raise SessionError(f"the fleet's process died (exit {child.exitcode})") from None
-    if what != wanted:
+    if kind != wanted:
         raise SessionError(str(value))
     return value
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What a run came to."""
+    """The result of a run."""
 
     seconds: float
     record: Record
     verdict: dict[str, Any]
     faults: list[str]  # of the routers' processes
     steps: list[Step]
-    service: dict[str, Any] | None = None  # what operators measured
+    service: dict[str, Any] | None = None  # the operators' measurements
 
 
 def play(
@@ -211,25 +214,25 @@
     workers: int,
     progress: Callable[[float, dict[str, int]], None],
 ) -> Outcome:
-    """Play a scenario with real routers under load, and judge it.
+    """Run a scenario with real routers under load, and audit it.
 
-    Raises SessionError, and what a run of load raises.
+    Raises SessionError and the exceptions of a load run.
     """
     context = multiprocessing.get_context("spawn")
-    words, theirs = context.Pipe()
-    child = context.Process(target=work, args=(scenario, folder, command, theirs), daemon=False)
+    pipe, child_pipe = context.Pipe()
+    child = context.Process(target=fleet_process, args=(scenario, folder, command, child_pipe), daemon=False)
     child.start()
-    theirs.close()
+    child_pipe.close()
     try:
-        where = heard(words, child, "ready", START_TIME)
+        router_addresses = receive(pipe, child, "ready", START_TIME)
         profile = replace(profile, hot=profile.hot + hot_keys(scenario))
-        addresses = tuple((host, port) for host, port in where["routers"])
+        addresses = tuple((host, port) for host, port in router_addresses["routers"])
         job = Job(profile, addresses, workers, scenario.seconds, observations=folder)
-        took, record = run(job, progress, lambda: words.send("begin"))
-        words.send("end")
-        faults, service = heard(words, child, "ended", END_TIME)
+        took, record = run(job, progress, lambda: pipe.send("begin"))
+        pipe.send("end")
+        faults, service = receive(pipe, child, "ended", END_TIME)
     finally:
-        words.close()
+        pipe.close()
         child.join(END_TIME)
         if child.is_alive():
             child.terminate()
@@ -238,10 +241,10 @@
 
 
 def audit(folder: Path, rules: Rules) -> dict[str, Any]:
-    """Judge the observations in a folder. Raises ObservationError."""
-    if told := observed(folder):
+    """Audit the observations in a folder. Raises ObservationError."""
+    if observations := read_observations(folder):
         log = seen.ObservationLog(folder / DUTIES_LOG)
-        for each in told:
+        for each in observations:
             log.add(each)
         log.close()
     paths = sorted(folder.glob("*.jsonl"))
@@ -253,26 +256,29 @@
     return auditor.verdict()
 
 
-async def stand(
-    scenario: Scenario, folder: Path, command: str | None, told: Callable[[Standing], None]
+async def run_alone(
+    scenario: Scenario, folder: Path, command: str | None, on_started: Callable[[RunningFleet], None]
 ) -> list[str]:
-    """Stand alone until the scenario is over or a signal comes; it begins with the first router's call."""
-    standing = await stand_up(scenario, folder, command)
+    """Run a fleet without load until the scenario is over or a signal arrives.
+
+    The scenario's time starts with a router's first call to discovery.
+    """
+    running = await start_fleet(scenario, folder, command)
     loop, over = asyncio.get_running_loop(), asyncio.Event()
     for each in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(each, over.set)
     began = False
-    add = standing.fleet.discovery.observe
+    add = running.fleet.discovery.observe
 
-    def watch(what: seen.Observation) -> None:
+    def watch(observation: seen.Observation) -> None:
         nonlocal began
-        if not began and isinstance(what, seen.DiscoveryCall):
+        if not began and isinstance(observation, seen.DiscoveryCall):
             began = True
-            standing.fleet.begin()
+            running.fleet.begin()
             loop.call_later(scenario.seconds, over.set)
-        add(what)
+        add(observation)
 
-    standing.fleet.discovery.observe = watch
-    told(standing)
+    running.fleet.discovery.observe = watch
+    on_started(running)
     await over.wait()
-    return await standing.close()
+    return await running.close()
--- a/myrtlecourse/sim/discovery.py
+++ b/myrtlecourse/sim/discovery.py
@@ -37,14 +37,14 @@
 
     def notice(self, at: float, entry: Entry) -> None:
         """Schedules a change of the list at a time."""
-        self.registry.notice(at, entry)
+        self.registry.schedule(at, entry)
         self._schedule()
 
     def _schedule(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if (due := self.registry.due()) < math.inf:
+        if (due := self.registry.next_change()) < math.inf:
             self.timer = self.core.call_at(due, self._advance)
 
     def _observe_change(self, entry: Entry) -> None:
@@ -80,7 +80,7 @@
 
     def _queue_answer(self, router: SimRouter) -> None:
         """Queues the answer to a watch behind earlier ones; its content is read when it is written."""
-        lines = 1 + len(self.registry.after(self.sent_index[router.name])[1])
+        lines = 1 + len(self.registry.entries_after(self.sent_index[router.name])[1])
         self.busy_until = max(self.core.now, self.busy_until) + lines / self.lines_per_second
         self.watches[router.name] = router, self.registry.index
         self.core.call_at(self.busy_until, self._send_answer, router, router.incarnation)
@@ -88,7 +88,7 @@
     def _send_answer(self, router: SimRouter, incarnation: int) -> None:
         if router.name not in self.watches or router.incarnation != incarnation or not router.up:
             return
-        whole, entries = self.registry.after(self.sent_index[router.name])
+        whole, entries = self.registry.entries_after(self.sent_index[router.name])
         if not entries:
             return
         self.sent_index[router.name] = self.registry.index
--- a/myrtlecourse/sim/fleet_simulation.py
+++ b/myrtlecourse/sim/fleet_simulation.py
@@ -13,12 +13,12 @@
 from myrtlecourse import interface as api
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.audit.auditor import Auditor
-from myrtlecourse.fleet.box import Box, Ended, How, OriginStore, Request
+from myrtlecourse.fleet.datagram_network import DatagramNetwork, apply_split
 from myrtlecourse.fleet.faults import PEERS, Step, hot_keys, steps, zone_of
 from myrtlecourse.fleet.layout import ORIGIN, Layout
 from myrtlecourse.fleet.registry import Registry
 from myrtlecourse.fleet.scenario import Scenario
-from myrtlecourse.fleet.ways import Ways, part
+from myrtlecourse.fleet.server_models import Answer, AnswerKind, CacheServerModel, OriginModel, Request
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.load.record import Record
 from myrtlecourse.policy import Router
@@ -89,7 +89,7 @@
         self.awaiting_origin: OrderedDict[str, list[Node]] = OrderedDict()  # request -> servers that missed
         self.nodes: dict[str, Node] = {name: self._server_node(name) for name in self.layout.kinds}
         if scenario.origin is not None:
-            self.nodes[ORIGIN] = self._origin_node(OriginStore(scenario.origin, self.layout.draw))
+            self.nodes[ORIGIN] = self._origin_node(OriginModel(scenario.origin, self.layout.draws))
         entries = list(self.layout.entries.values())
         self.registry = Registry(entries)
         self.discovery = SimDiscovery(
@@ -108,10 +108,10 @@
         ]
         for name, zone in self.layout.zones.items():
             self.auditor.judge(seen.ServerZone(self.core.now, name, zone))
-        self.peer_links = Ways(scenario.seed)  # the network between routers
+        self.peer_links = DatagramNetwork(scenario.seed)  # the network between routers
         if scenario.peers is not None:
             peers, links = scenario.peers, self.peer_links
-            links.loss, links.copies, links.delay, links.spread = (
+            links.loss, links.copies, links.delay, links.jitter = (
                 peers.loss,
                 peers.copies,
                 peers.delay,
@@ -134,17 +134,23 @@
         def group(request: Request) -> str:
             return self.layout.group(name, request.request_class)
 
-        latencies = self.layout.distances(self.layout.zones[name])
+        latencies = self.layout.delays_from(self.layout.zones[name])
         idle_timeout = self.layout.kinds[name].idle
         node = Node(
-            self.core, name, self.layout.box(name), latencies, idle_timeout, group, self.auditor.judge
+            self.core,
+            name,
+            self.layout.server_model(name),
+            latencies,
+            idle_timeout,
+            group,
+            self.auditor.judge,
         )
         node.on_answer = self._on_server_answer
         node.on_collapse = self._on_collapse
         return node
 
-    def _origin_node(self, store: OriginStore) -> Node:
-        latencies = self.layout.distances(self.scenario.zones[0])
+    def _origin_node(self, store: OriginModel) -> Node:
+        latencies = self.layout.delays_from(self.scenario.zones[0])
         node = Node(
             self.core,
             ORIGIN,
@@ -157,61 +163,61 @@
         node.on_answer = self._on_origin_answer
         return node
 
-    def _on_server_answer(self, node: Node, ended: Ended) -> None:
+    def _on_server_answer(self, node: Node, answer: Answer) -> None:
         """Notes a miss, so that the server stores the value once the origin has answered."""
-        if ended.how is How.MISS:
-            self.awaiting_origin.setdefault(ended.request.id, []).append(node)
+        if answer.kind is AnswerKind.MISS:
+            self.awaiting_origin.setdefault(answer.request.id, []).append(node)
             while len(self.awaiting_origin) > MAX_AWAITING_ORIGIN:
                 self.awaiting_origin.popitem(last=False)
 
-    def _on_origin_answer(self, node: Node, ended: Ended) -> None:
+    def _on_origin_answer(self, node: Node, answer: Answer) -> None:
         """Stores the origin's answer at the servers that missed, or drops it everywhere after a write."""
-        self.fetches += ended.how is How.HIT
-        missed = self.awaiting_origin.pop(ended.request.id, [])
-        if ended.how is How.RECEIPT:
+        self.fetches += answer.kind is AnswerKind.HIT
+        missed = self.awaiting_origin.pop(answer.request.id, [])
+        if answer.kind is AnswerKind.RECEIPT:
             for server in self.nodes.values():
-                if isinstance(server.model, Box):
-                    server.model.memory.drop(ended.request.key)
-        elif ended.how is How.HIT:
+                if isinstance(server.model, CacheServerModel):
+                    server.model.memory.drop(answer.request.key)
+        elif answer.kind is AnswerKind.HIT:
             for server in missed:
-                if server.up and isinstance(server.model, Box):
-                    server.model.memory.put(self.core.now, ended.request.key, ended.version, ended.size)
+                if server.up and isinstance(server.model, CacheServerModel):
+                    server.model.memory.put(self.core.now, answer.request.key, answer.version, answer.size)
 
     def _on_collapse(self, node: Node) -> None:
-        self._update_list(Step(0.0, "crash", node.name, lasts=math.inf))
+        self._update_list(Step(0.0, "crash", node.name, duration=math.inf))
 
     def _apply_step(self, step: Step) -> None:
         """Applies one step of the schedule of faults."""
         if step.target.startswith("router-"):
             # an upgrade is not simulated: the old and the new process share only sockets and files
             router = self.routers[int(step.target.rpartition("-")[2])]
-            if step.do in ("stall", "go_on"):
+            if step.action in ("stall", "go_on"):
                 self._stall_router(router, step)
-            elif step.do in ("restart", "kill"):  # other steps concern the host, not the decision module
-                self._restart_router(router, step.do == "kill")
+            elif step.action in ("restart", "kill"):  # other steps concern the host, not the decision module
+                self._restart_router(router, step.action == "kill")
         elif step.target == PEERS:
-            part(self.peer_links, self.layout.routers, step)
+            apply_split(self.peer_links, self.layout.routers, step)
         elif step.target == "discovery":
-            self.discovery.set_unavailable(step.do == "away")
-        elif step.do in ("offline", "online"):
+            self.discovery.set_unavailable(step.action == "away")
+        elif step.action in ("offline", "online"):
             self._apply_ban(step)
         else:
             self._apply_to_node(step, self.nodes[step.target])
 
     def _stall_router(self, router: SimRouter, step: Step) -> None:
-        if step.do == "stall":
-            self.auditor.judge(seen.RouterStalled(self.core.now, router.name, step.lasts))
-        router.stall(step.do == "stall")
+        if step.action == "stall":
+            self.auditor.judge(seen.RouterStalled(self.core.now, router.name, step.duration))
+        router.stall(step.action == "stall")
 
     def _apply_to_node(self, step: Step, node: Node) -> None:
-        self.auditor.judge(seen.ScenarioStep(self.core.now, step.target, step.do, step.routers))
-        match step.do:
+        self.auditor.judge(seen.ScenarioStep(self.core.now, step.target, step.action, step.routers))
+        match step.action:
             case "part" | "mend":
-                node.cut_from(step.routers, step.do == "part")
+                node.cut_from(step.routers, step.action == "part")
             case "freeze" | "thaw":
-                node.freeze(step.do == "freeze")
+                node.freeze(step.action == "freeze")
             case "cut" | "join":
-                node.cut(step.do == "cut")
+                node.cut(step.action == "cut")
             case "crash" | "end":
                 node.terminate()
             case "start":
@@ -220,7 +226,7 @@
                 node.terminate()
                 self._start_process(node)  # the list does not change: operators would have to report it
             case "refuse" | "accept":
-                node.refusing = step.do == "refuse"
+                node.refusing = step.action == "refuse"
             case "reset":
                 node.reset()
             case "idle_drop":
@@ -233,7 +239,7 @@
 
     def _apply_ban(self, step: Step) -> None:
         """Bans a server at every running router as operators do, or lifts the ban."""
-        lifted = step.do == "online"
+        lifted = step.action == "online"
         for router in self.routers:
             if router.accepting and not router.ending:
                 now, server = self.core.now, step.target
@@ -243,12 +249,12 @@
     def _start_server(self, node: Node) -> None:
         """Starts a server's process and lists it."""
         if self._start_process(node):
-            self.discovery.notice(*self.layout.added(node.name, self.core.now))
+            self.discovery.notice(*self.layout.list_addition(node.name, self.core.now))
 
     def _start_process(self, node: Node) -> bool:
         """Starts an empty, cold process; a server that has collapsed stays down."""
         server = node.model
-        if not isinstance(server, Box) or node.up or server.fallen is not None:
+        if not isinstance(server, CacheServerModel) or node.up or server.overload_by_router is not None:
             return False
         server.start(self.core.now)
         node.up = True
@@ -257,11 +263,11 @@
 
     def _update_list(self, step: Step) -> None:
         model = self.nodes[step.target].model
-        started = model.started if isinstance(model, Box) else -math.inf
+        started = model.started_at if isinstance(model, CacheServerModel) else -math.inf
         listed = step.target in self.registry.listed
-        noticed = self.layout.noticed(step, self.core.now, started, listed)
-        if noticed is not None:
-            self.discovery.notice(*noticed)
+        change = self.layout.list_change(step, self.core.now, started, listed)
+        if change is not None:
+            self.discovery.notice(*change)
 
     def _restart_router(self, router: SimRouter, kill: bool) -> None:
         """Kills a router or asks it to end; its successor starts with the first list."""
@@ -289,7 +295,8 @@
     def margins(self) -> dict[str, float]:
         """Returns how close the run came to each limit; 1 is the limit."""
         cold_load = max(
-            (n.model.closest for n in self.nodes.values() if isinstance(n.model, Box)), default=0.0
+            (n.model.max_load_ratio for n in self.nodes.values() if isinstance(n.model, CacheServerModel)),
+            default=0.0,
         )
         return dict(self.auditor.margins) | {"cold_pushed": cold_load}
 
--- a/myrtlecourse/sim/peer_network.py
+++ b/myrtlecourse/sim/peer_network.py
@@ -5,14 +5,14 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
+from myrtlecourse.fleet.datagram_network import DatagramNetwork
 from myrtlecourse.fleet.scenario import Peers
-from myrtlecourse.fleet.ways import Ways
-from myrtlecourse.peers.gossip import PACE
+from myrtlecourse.peers.gossip import TICK_INTERVAL
 from myrtlecourse.peers.records import EPOCH
 from myrtlecourse.peers.seal import Dropped
 from myrtlecourse.sim.core import Core
-from myrtlecourse.zones.agent import Agent, Part
-from myrtlecourse.zones.setup import tiers_of
+from myrtlecourse.zones.agent import Agent, AgentSettings
+from myrtlecourse.zones.setup import make_tiers
 
 if TYPE_CHECKING:
     from myrtlecourse.sim.routers import SimRouter
@@ -23,7 +23,7 @@
 class PeerNetwork:
     """Runs the zone agents of all routers and carries their datagrams."""
 
-    def __init__(self, core: Core, links: Ways, routers: list[SimRouter], settings: Peers) -> None:
+    def __init__(self, core: Core, links: DatagramNetwork, routers: list[SimRouter], settings: Peers) -> None:
         self.core = core
         self.links = links
         self.routers = {r.name: r for r in routers}
@@ -44,32 +44,34 @@
         """Returns the agent of a router's new process and schedules its ticks."""
         names = tuple(self.routers)
         settings = self.settings
-        part = Part(
+        agent_settings = AgentSettings(
             *(router.name, names, router.zone, KEY, settings.spill, settings.leave_origin, settings.interval),
-            tiers=tiers_of(settings.regions, settings.own_region, settings.elsewhere),
+            tiers=make_tiers(settings.regions, settings.own_region, settings.elsewhere),
             paced=settings.paced,
             origin_rate=settings.origin_rate,
         )
-        agent = Agent(part, self.core.now, self.wall(), self.rng.getrandbits(32))
-        self.core.call_after(PACE * self.rng.random(), self._tick, router, agent, router.incarnation)
+        agent = Agent(agent_settings, self.core.now, self.wall(), self.rng.getrandbits(32))
+        self.core.call_after(TICK_INTERVAL * self.rng.random(), self._tick, router, agent, router.incarnation)
         return agent
 
     def _tick(self, router: SimRouter, agent: Agent, incarnation: int) -> None:
         if not router.up or router.incarnation != incarnation:
             return
-        self.core.call_after(PACE, self._tick, router, agent, incarnation)
+        self.core.call_after(TICK_INTERVAL, self._tick, router, agent, incarnation)
         if router.stalled:
             return
-        done = agent.tick(self.core.now, self.wall())
-        for datagram in done.datagrams:
+        result = agent.tick(self.core.now, self.wall())
+        for datagram in result.datagrams:
             self.datagrams += 1
             self.bytes += len(datagram.data)
-            for delay in self.links.fate((router.name, datagram.to)):
+            for delay in self.links.delivery_delays((router.name, datagram.to)):
                 self.core.call_after(delay, self._arrive, self.routers[datagram.to], datagram.data)
-        if done.left is not None:
-            self.orders.append((self.core.now, router.name, done.left.zones, done.left.origin_unreachable))
-            self.return_shares.append((self.core.now, router.name, done.left.return_shares))
-        for event in done.events:
+        if result.zones_left is not None:
+            self.orders.append(
+                (self.core.now, router.name, result.zones_left.zones, result.zones_left.origin_unreachable)
+            )
+            self.return_shares.append((self.core.now, router.name, result.zones_left.return_shares))
+        for event in result.events:
             router.post(event)
 
     def _arrive(self, router: SimRouter, data: bytes) -> None:
--- a/myrtlecourse/sim/search.py
+++ b/myrtlecourse/sim/search.py
@@ -56,7 +56,7 @@
     def __init__(self, base: Scenario, rng: random.Random) -> None:
         self.base = base
         self.rng = rng
-        self.servers = list(base.boxes())
+        self.servers = list(base.cache_servers())
 
     def _draw_time(self) -> float:
         return round(self.rng.uniform(0.0, self.base.seconds * 0.8), 3)
--- a/myrtlecourse/sim/servers.py
+++ b/myrtlecourse/sim/servers.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING, Protocol
 
 from myrtlecourse.audit import observations as seen
-from myrtlecourse.fleet.box import Box, Ended, How, OriginStore, Request
-from myrtlecourse.fleet.station import Piece, Station
+from myrtlecourse.fleet.core_queue import CoreQueue, WorkItem
+from myrtlecourse.fleet.server_models import Answer, AnswerKind, CacheServerModel, OriginModel, Request
 from myrtlecourse.interface import Status
 from myrtlecourse.sim.core import Core, Event
 
@@ -21,10 +21,10 @@
 class Model(Protocol):
     """What a node needs of its model of a server or the origin."""
 
-    station: Station
+    core_queue: CoreQueue
 
-    def arrive(self, now: float, request: Request) -> Piece | None: ...
-    def ended(self, now: float) -> Ended | None: ...
+    def arrive(self, now: float, request: Request) -> WorkItem | None: ...
+    def next_answer(self, now: float) -> Answer | None: ...
 
 
 class Node:
@@ -59,7 +59,7 @@
         self.cut_routers: set[str] = set()  # routers whose path to this node is cut
         self.reset_share = 0.0  # share of answers that are replaced by a reset
         self.rng = core.stream(f"spoilt {name}")
-        self.on_answer: Callable[[Node, Ended], None] = lambda node, ended: None
+        self.on_answer: Callable[[Node, Answer], None] = lambda node, answer: None
         self.on_collapse: Callable[[Node], None] = lambda node: None
         self.useful_work = 0.0  # core-seconds spent on requests that were answered
 
@@ -109,18 +109,18 @@
                 request.idempotency,
             )
         )
-        piece = self.model.arrive(now, request)
-        if isinstance(self.model, Box) and self.model.fallen is not None:
-            self.observe(seen.ColdServerOverloaded(now, self.name, self.model.fallen))
+        work_item = self.model.arrive(now, request)
+        if isinstance(self.model, CacheServerModel) and self.model.overload_by_router is not None:
+            self.observe(seen.ColdServerOverloaded(now, self.name, self.model.overload_by_router))
             self.terminate()
             self.on_collapse(self)
             attempt.end(Status.RESET)
             return
-        if piece is None:
+        if work_item is None:
             self.observe(seen.NeverRan(now, request.id, self.name))
             self._answer(attempt, Status.FULL)
             return
-        attempt.piece = piece
+        attempt.work_item = work_item
         self.running[request] = attempt
         self.reschedule()
 
@@ -129,33 +129,35 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if (due := self.model.station.due()) < math.inf:
+        if (due := self.model.core_queue.next_end()) < math.inf:
             self.timer = self.core.call_at(due, self._handle_ended_work)
 
     def _handle_ended_work(self) -> None:
         self.timer = None
         now = self.core.now
-        while (ended := self.model.ended(now)) is not None:
-            attempt = self.running.pop(ended.request, None)
-            if ended.ran:
-                self.observe(seen.WriteExecuted(now, ended.request.id, self.name, ended.request.idempotency))
-            if ended.how in (How.MISS, How.BUSY):
-                self.observe(seen.NeverRan(now, ended.request.id, self.name))
-            self.on_answer(self, ended)
+        while (answer := self.model.next_answer(now)) is not None:
+            attempt = self.running.pop(answer.request, None)
+            if answer.executed:
+                self.observe(
+                    seen.WriteExecuted(now, answer.request.id, self.name, answer.request.idempotency)
+                )
+            if answer.kind in (AnswerKind.MISS, AnswerKind.BUSY):
+                self.observe(seen.NeverRan(now, answer.request.id, self.name))
+            self.on_answer(self, answer)
             if attempt is not None:
-                piece, attempt.piece = attempt.piece, None
-                if ended.how is not How.MISS and piece is not None:
-                    self.useful_work += piece.work
-                self._answer(attempt, self._status(ended))
+                work_item, attempt.work_item = attempt.work_item, None
+                if answer.kind is not AnswerKind.MISS and work_item is not None:
+                    self.useful_work += work_item.work
+                self._answer(attempt, self._status(answer))
         self.reschedule()
 
-    def _status(self, ended: Ended) -> Status:
-        match ended.how:
-            case How.MISS:
+    def _status(self, answer: Answer) -> Status:
+        match answer.kind:
+            case AnswerKind.MISS:
                 return Status.MISS
-            case How.BUSY:
+            case AnswerKind.BUSY:
                 return Status.FULL
-            case How.ERROR:
+            case AnswerKind.ERROR:
                 return Status.ERROR
         return Status.RESET if self.reset_share and self.rng.random() < self.reset_share else Status.OK
 
@@ -175,13 +177,13 @@
     def _cancel_work(self, attempt: Attempt) -> None:
         if self.frozen or self._is_cut_from(attempt.router.name):
             return  # the node never learns of it and continues the work that it had accepted
-        piece, attempt.piece = attempt.piece, None
-        if piece is not None and isinstance(piece.request, Request):
-            self.running.pop(piece.request, None)
-            if isinstance(self.model, OriginStore):
-                self.model.left(self.core.now, piece)
+        work_item, attempt.work_item = attempt.work_item, None
+        if work_item is not None and isinstance(work_item.request, Request):
+            self.running.pop(work_item.request, None)
+            if isinstance(self.model, OriginModel):
+                self.model.abandon(self.core.now, work_item)
             else:
-                self.model.station.cancel(self.core.now, piece)
+                self.model.core_queue.cancel(self.core.now, work_item)
             self.reschedule()
 
     def freeze(self, frozen: bool) -> None:
@@ -217,7 +219,7 @@
 
     def set_speed(self, factor: float) -> None:
         """Sets the speed of its cores, as a multiple of their normal speed."""
-        self.model.station.pace.change(self.core.now, factor)
+        self.model.core_queue.core_speed.set_factor(self.core.now, factor)
         self.reschedule()
 
     def reset(self) -> None:
@@ -226,9 +228,9 @@
         attempts, self.running = list(self.running.values()) + self.held_attempts, {}
         self.held_attempts = []
         for attempt in attempts:
-            if attempt.piece is not None:
-                self.model.station.cancel(self.core.now, attempt.piece)
-                attempt.piece = None
+            if attempt.work_item is not None:
+                self.model.core_queue.cancel(self.core.now, attempt.work_item)
+                attempt.work_item = None
             self.core.call_after(HOP, attempt.end, Status.RESET)
         self.reschedule()
 
@@ -237,5 +239,5 @@
         self.up = False
         self.frozen = False
         self.reset()
-        self.model.station.clear()
+        self.model.core_queue.clear()
         self.reschedule()
--- a/myrtlecourse/sim/spread.py
+++ b/myrtlecourse/sim/spread.py
@@ -15,7 +15,7 @@
 import msgspec
 import numpy as np
 
-from myrtlecourse.peers.seal import LONGEST, SEAL
+from myrtlecourse.peers.seal import MAX_DATAGRAM, SEAL_SIZE
 from myrtlecourse.peers.wire import HELLO, VERSION
 from myrtlecourse.sim.core import MICROSECONDS, START_TIME, Core
 from myrtlecourse.sim.process import SimulatedProcess
@@ -100,7 +100,7 @@
         self.node: Node | None = None
         self.known_boots: dict[int, int] = {}  # index of a member -> its process that this one knows
         self.header_bytes = (
-            SEAL + GREETING_BYTES - len(HELLO) - 1 + len(name)
+            SEAL_SIZE + GREETING_BYTES - len(HELLO) - 1 + len(name)
         )  # size of a datagram without messages
         self.alarm = Alarm(self, lambda: self.post(messages.TimerFired()))
 
@@ -306,7 +306,7 @@
     def send(self, sender: Member, to: str, outgoing: tuple[messages.Message, ...]) -> None:
         """Sends a datagram. Raises RuleViolation if it is too long."""
         length = sender.header_bytes + CODEC.size(outgoing)
-        if length > LONGEST:
+        if length > MAX_DATAGRAM:
             raise RuleViolation(f"too_long: {length} bytes from {sender.name}")
         receiver = self.members[to]
         self._count(sender, length)
--- a/myrtlecourse/spread/replica.py
+++ b/myrtlecourse/spread/replica.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from myrtlecourse.peers.seal import LONGEST, SEAL
-from myrtlecourse.peers.wire import HEAD
+from myrtlecourse.peers.seal import MAX_DATAGRAM, SEAL_SIZE
+from myrtlecourse.peers.wire import HEADER_SIZE
 from myrtlecourse.spread import messages as msg
 from myrtlecourse.spread import replica_events as events
 from myrtlecourse.spread.leader import MAX_IN_FLIGHT, Leader, Output, Phase, TokenBucket, snapshot_rows
@@ -59,7 +59,7 @@
         self.now = now
         names = [*settings.control, *(m for s in settings.sites for m in (*s.routers, *s.parts))]
         # messages must also fit datagrams of members with longer names
-        self.max_payload = LONGEST - SEAL - HEAD - max(len(name.encode()) for name in names)
+        self.max_payload = MAX_DATAGRAM - SEAL_SIZE - HEADER_SIZE - max(len(name.encode()) for name in names)
         self.promised_epoch = state.promised  # is ahead of the disk until the promise has been stored
         # all entries up to here equal those of the leader of the promised epoch
         self.matching_until = state.matching_until(state.promised)
--- a/myrtlecourse/spread/tree.py
+++ b/myrtlecourse/spread/tree.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-from myrtlecourse.peers.seal import LONGEST, SEAL
-from myrtlecourse.peers.wire import HEAD
+from myrtlecourse.peers.seal import MAX_DATAGRAM, SEAL_SIZE
+from myrtlecourse.peers.wire import HEADER_SIZE
 from myrtlecourse.spread.messages import KEY_BYTES, Settings, Site
 
 CONTROL, REGION_RELAY, SITE_RELAY, LEAF = range(4)  # tiers; a member forwards to those of the next tier
@@ -55,15 +55,15 @@
     in the same datagrams. With the defaults and a name of 46 bytes: 10 * (16 + 36 + 46 + 20) + 8 * 100 + 5 *
     26 = 2,110.
     """
-    frame = SEAL + HEAD + name_bytes + BATCH_BYTES
-    datagrams = max(1 / settings.pause, settings.rate * KEY_BYTES / (LONGEST - frame - HEARTBEAT_BYTES))
+    frame = SEAL_SIZE + HEADER_SIZE + name_bytes + BATCH_BYTES
+    datagrams = max(1 / settings.pause, settings.rate * KEY_BYTES / (MAX_DATAGRAM - frame - HEARTBEAT_BYTES))
     return datagrams * frame + settings.rate * KEY_BYTES + HEARTBEAT_BYTES / settings.report
 
 
 def affordable_children(settings: Settings, budget: float, name_bytes: int) -> int:
     """Return how many children a budget supports by `child_cost`, after the node's own reports; at least
     one."""
-    reports = (SEAL + HEAD + name_bytes + REPORT_BYTES) / settings.report
+    reports = (SEAL_SIZE + HEADER_SIZE + name_bytes + REPORT_BYTES) / settings.report
     return max(1, int((budget - reports) / child_cost(settings, name_bytes)))
 
 
--- a/tests/test_fleet_routers.py
+++ b/tests/test_fleet_routers.py
@@ -1,4 +1,4 @@
-"""A router's process as the stand-in fleet observes it."""
+"""Tests of the observations of a router's process."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.fleet.faults import Step
-from myrtlecourse.fleet.ports import cut_off
+from myrtlecourse.fleet.ports import set_packet_drop
 from myrtlecourse.fleet.routers import Router, Routers
 
 pytestmark = pytest.mark.processes
@@ -27,7 +27,7 @@
 
 
 def test_a_start_is_observed_before_its_process_can_do_anything(tmp_path: Path) -> None:
-    """Noted later, what a new process sends at once was judged by what the one before had been told."""
+    """If the start is observed late, the new process is judged by what the previous one was told."""
     told: list[seen.Observation] = []
 
     async def start() -> None:
@@ -43,7 +43,7 @@
 
 
 def test_a_killed_router_is_gone_once_its_process_has_ended(tmp_path: Path) -> None:
-    """What came to it between the signal and its end counted as lost, as if nobody had killed it."""
+    """Requests that arrive between the signal and the end of the process must not count as lost."""
     told: list[seen.Observation] = []
     gone: list[float] = []
 
@@ -93,20 +93,20 @@
 
 
 def test_a_router_that_is_told_to_end_while_it_stands_still_goes_on_when_it_was_to(tmp_path: Path) -> None:
-    """It stood until it was killed, and what it had taken counted as lost."""
+    """Otherwise it stays stopped until it is killed, and its requests count as lost."""
 
     async def play() -> tuple[float, int]:
         routers = Routers(
             ["router-0"], shlex.join([sys.executable, "-c", ENDS, "0"]), tmp_path, lambda _: None
         )
-        (router,) = routers.each
+        (router,) = routers.members
         router.config.write_text("{}")
         router.end_time = 20.0
         await router.start()
         began = time.monotonic()
         for what in ("stall", "restart", "go_on"):
-            routers.do(Step(0.0, what, "router-0"))
-        await asyncio.wait(routers.restarts)
+            routers.apply_step(Step(0.0, what, "router-0"))
+        await asyncio.wait(routers.tasks)
         await routers.end()
         return time.monotonic() - began, router.crashes
 
@@ -116,6 +116,6 @@
 
 def test_a_cut_that_is_mended_twice_is_mended() -> None:
     with socket.socket() as one:
-        cut_off(one, True)
-        cut_off(one, False)
-        cut_off(one, False)
+        set_packet_drop(one, True)
+        set_packet_drop(one, False)
+        set_packet_drop(one, False)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Gossip between routers: sealed datagrams, records that merge, and who is there."""
+"""Gossip between routers: sealed datagrams, merging records, and membership."""
 
 from __future__ import annotations
 
@@ -9,9 +9,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from myrtlecourse.peers.gossip import MOST_LATE, PACE, STALL, Gossip, State
-from myrtlecourse.peers.records import EPOCH, MOST_AGE, ROOM, Record, read_record, started, width
-from myrtlecourse.peers.seal import LONGEST, Dropped, Numbers, Seal, ident
+from myrtlecourse.peers.gossip import MAX_DELAY, STALL_THRESHOLD, TICK_INTERVAL, Gossip, State
+from myrtlecourse.peers.records import (
+    EPOCH,
+    MAX_AGE,
+    MAX_PAYLOAD_SIZE,
+    Record,
+    decode_record,
+    encoded_size,
+    start_number,
+)
+from myrtlecourse.peers.seal import MAX_DATAGRAM, Dropped, ReplayWindow, Seal, ident
 
 KEY = b"a common key of routers"
 WALL = EPOCH + 1000.0
@@ -26,21 +34,21 @@
 )
 
 
-def same(record: Record) -> tuple[int, int]:
-    """What tells two records of one router apart: what one of them says never differs."""
+def identity(record: Record) -> tuple[int, int]:
+    """Return what identifies a record among those of one router."""
     return record.start, record.number
 
 
 @given(records, records, records)
 def test_merging_is_commutative_associative_and_idempotent(a: Record, b: Record, c: Record) -> None:
-    def said(r: Record) -> Record:  # a router says one thing under one number
+    def with_payload(r: Record) -> Record:  # a router makes one payload for each number
         return Record(r.owner, r.start, r.number, r.zone, (r.start * 10 + r.number,), r.made_at)
 
-    a, b, c = said(a), said(b), said(c)
+    a, b, c = with_payload(a), with_payload(b), with_payload(c)
     assert a.merged(a) == a
     assert a.merged(b) == b.merged(a)
     assert a.merged(b).merged(c) == a.merged(b.merged(c))
-    assert same(a.merged(b)) == max(same(a), same(b))
+    assert identity(a.merged(b)) == max(identity(a), identity(b))
 
 
 @given(
@@ -51,14 +59,19 @@
     st.floats(0.0, 100.0),
 )
 def test_a_record_comes_as_it_went_and_within_its_width(
-    owner: int, start: int, number: int, said: list[int], age: float
+    owner: int, start: int, number: int, payload: list[int], age: float
 ) -> None:
-    record = Record(owner, start, number, 3, tuple(said), 50.0 - age)
-    came = read_record(record.parts(50.0), 50.0)
-    assert (came.owner, came.start, came.number, came.said) == (owner, start, number, tuple(said))
-    assert abs(came.made_at - record.made_at) <= 0.06 or age * 10 > MOST_AGE
-    sealed = Seal("b", KEY).pack("b", record.parts(50.0))
-    assert len(sealed) <= 16 + record.width + 2
+    record = Record(owner, start, number, 3, tuple(payload), 50.0 - age)
+    decoded = decode_record(record.encode(50.0), 50.0)
+    assert (decoded.owner, decoded.start, decoded.number, decoded.payload) == (
+        owner,
+        start,
+        number,
+        tuple(payload),
+    )
+    assert abs(decoded.made_at - record.made_at) <= 0.06 or age * 10 > MAX_AGE
+    sealed = Seal("b", KEY).pack("b", record.encode(50.0))
+    assert len(sealed) <= 16 + record.max_size + 2
 
 
 @pytest.mark.parametrize(
@@ -72,29 +85,29 @@
         [1, 1, 1, 1, 1, [2**41]],
         [1, 1, 1, 1, 1, [True]],
         [0, 1, 1, 1, 1, []],
-        [1, 1, 1, 1, MOST_AGE + 1, []],
+        [1, 1, 1, 1, MAX_AGE + 1, []],
         [1, 1, 1, 1, 1, [0] * 1000],
     ],
 )
 def test_what_is_no_record_is_dropped(parts: object) -> None:
     with pytest.raises(Dropped, match="malformed"):
-        read_record(parts, 0.0)
+        decode_record(parts, 0.0)
 
 
 @given(st.lists(st.integers(1, 200), min_size=1, max_size=100))
 def test_a_number_is_taken_once_whatever_the_order(numbers: list[int]) -> None:
-    window, taken = Numbers(), []
+    window, accepted = ReplayWindow(), []
     for number in numbers:
         try:
-            window.take(number)
+            window.accept(number)
         except Dropped:
             continue
-        taken.append(number)
-    assert len(set(taken)) == len(taken) and max(numbers) in taken
+        accepted.append(number)
+    assert len(set(accepted)) == len(accepted) and max(numbers) in accepted
 
 
 class Group:
-    """Routers on one clock, with a network between them that a test rules."""
+    """Routers on one clock, with a network that a test controls."""
 
     def __init__(self, count: int, interval: float = 1.0, seed: int = 1) -> None:
         self.chance = random.Random(seed)
@@ -114,8 +127,8 @@
         return Gossip(name, self.names, zone, KEY, self.now, WALL + self.now, seed, self.interval)
 
     def run(self, seconds: float) -> None:
-        for _ in range(round(seconds / PACE)):
-            self.now += PACE
+        for _ in range(round(seconds / TICK_INTERVAL)):
+            self.now += TICK_INTERVAL
             for name, gossip in self.each.items():
                 if name in self.stopped:
                     continue
@@ -123,7 +136,7 @@
                     self.give(name, data)
                 self.waiting[name] = []
                 for datagram in gossip.tick(self.now, WALL + self.now, lambda: (1,)):
-                    assert len(datagram.data) <= LONGEST
+                    assert len(datagram.data) <= MAX_DATAGRAM
                     self.sent.append((name, datagram.to, datagram.data))
                     if (name, datagram.to) not in self.cut and self.chance.random() >= self.loss:
                         self.waiting[datagram.to].append(datagram.data)
@@ -155,17 +168,17 @@
     group = Group(60)
     group.run(20.0)
     before = len(group.sent)
-    number = group.each["r0"].number
+    number = group.each["r0"].record_number
     first = group.each["r0"]
-    first.stir(group.now)
+    first.spread_urgently(group.now)
     heard: set[str] = set()
     for _ in range(8):
-        group.run(PACE)
+        group.run(TICK_INTERVAL)
         for name, gossip in group.each.items():
-            record = gossip.members[first.me].record
+            record = gossip.members[first.own_id].record
             if name not in heard and record is not None and record.number > number:
                 heard.add(name)
-                gossip.stir(group.now)
+                gossip.spread_urgently(group.now)
     assert len(heard) >= 0.95 * 60
     assert len(group.sent) - before < 60 * 3 * 9
 
@@ -190,17 +203,17 @@
 def test_a_router_that_stood_still_believes_nothing_until_it_hears_somebody() -> None:
     group = Group(6)
     group.run(10.0)
-    assert group.each["r0"].believes
+    assert group.each["r0"].peers_heard
     group.stopped = {"r0"}
     group.run(5.0)
     group.cut = {(n, "r0") for n in group.names}
     group.waiting["r0"].clear()
     group.stopped = set()
-    group.run(PACE)
-    assert group.each["r0"].stalls == 1 and not group.each["r0"].believes
+    group.run(TICK_INTERVAL)
+    assert group.each["r0"].stalls == 1 and not group.each["r0"].peers_heard
     group.cut = set()
     group.run(3.0)
-    assert group.each["r0"].believes
+    assert group.each["r0"].peers_heard
 
 
 def test_what_lay_in_a_queue_meanwhile_is_as_old_as_it_is() -> None:
@@ -210,39 +223,39 @@
     assert record.made_at == pytest.approx(105.0, abs=0.11)
     (datagram,) = a.tick(107.0, WALL + 107.0, lambda: (1,))
     with pytest.raises(Dropped, match="too late"):
-        b.receive(datagram.data, 107.0, WALL + 107.0 + MOST_LATE + 0.2)
+        b.receive(datagram.data, 107.0, WALL + 107.0 + MAX_DELAY + 0.2)
 
 
 def test_forged_replayed_foreign_and_former_datagrams_are_dropped_and_counted() -> None:
     group = Group(3)
     a, b = group.each["r0"], group.each["r1"]
 
-    def said(gossip: Gossip, to: str) -> bytes:
+    def next_datagram(gossip: Gossip, to: str) -> bytes:
         gossip.due = -1.0
         while True:
             for datagram in gossip.tick(group.now, WALL + group.now, lambda: (1,)):
                 if datagram.to == to:
                     return datagram.data
-            group.now += PACE
+            group.now += TICK_INTERVAL
             gossip.due = -1.0
 
-    data = said(a, "r1")
+    data = next_datagram(a, "r1")
     b.receive(data, group.now, WALL + group.now)
     with pytest.raises(Dropped, match="replayed"):
         b.receive(data, group.now, WALL + group.now)
     with pytest.raises(Dropped, match="forged"):
-        group.each["r2"].receive(said(a, "r1"), group.now, WALL + group.now)
+        group.each["r2"].receive(next_datagram(a, "r1"), group.now, WALL + group.now)
     with pytest.raises(Dropped, match="forged"):
-        b.receive(said(a, "r1")[:-1] + b"x", group.now, WALL + group.now)
-    old = said(a, "r1")
+        b.receive(next_datagram(a, "r1")[:-1] + b"x", group.now, WALL + group.now)
+    old = next_datagram(a, "r1")
     group.now += 1.0
     later = Gossip("r0", group.names, "z0", KEY, group.now, WALL + group.now, 5)
-    b.receive(said(later, "r1"), group.now, WALL + group.now)
+    b.receive(next_datagram(later, "r1"), group.now, WALL + group.now)
     with pytest.raises(Dropped, match="over"):
         b.receive(old, group.now, WALL + group.now)
     stranger = Gossip("x", ("x", "r1"), "z0", KEY, group.now, WALL + group.now, 5)
     with pytest.raises(Dropped, match="no member"):
-        b.receive(said(stranger, "r1"), group.now, WALL + group.now)
+        b.receive(next_datagram(stranger, "r1"), group.now, WALL + group.now)
     assert b.dropped.total() == 4 and group.each["r2"].dropped.total() == 1
 
 
@@ -255,12 +268,12 @@
 def test_a_budget_of_bytes_is_kept_however_much_there_is_to_say() -> None:
     group = Group(30)
     for gossip in group.each.values():
-        gossip.budget = gossip.saved = 1000.0
+        gossip.budget = gossip.byte_credit = 1000.0
     group.run(5.0)
     before = group.each["r3"].bytes_sent
     for _ in range(100):
-        group.each["r3"].stir(group.now)
-        group.run(PACE)
+        group.each["r3"].spread_urgently(group.now)
+        group.run(TICK_INTERVAL)
     assert group.each["r3"].bytes_sent - before <= 11 * 1000.0
 
 
@@ -273,22 +286,22 @@
 
 
 def test_numbers_take_the_bytes_that_are_reckoned() -> None:
-    import msgspec  # noqa: PLC0415  (beside the reckoning)
+    import msgspec  # noqa: PLC0415  (only for this comparison)
 
     for number in (0, 127, 128, 255, 256, 65_535, 65_536, 2**32 - 1, 2**32):
-        assert len(msgspec.msgpack.encode(number)) == width(number)
-    assert ROOM < LONGEST and started(EPOCH) == 1 and STALL > PACE
+        assert len(msgspec.msgpack.encode(number)) == encoded_size(number)
+    assert MAX_PAYLOAD_SIZE < MAX_DATAGRAM and start_number(EPOCH) == 1 and STALL_THRESHOLD > TICK_INTERVAL
 
 
 def test_clocks_that_run_apart_by_a_few_percent_change_nothing() -> None:
     group = Group(6)
     rates = dict(zip(group.names, (0.98, 1.02, 1.0, 0.98, 1.02, 1.0), strict=True))
     ticks = {name: gossip.tick for name, gossip in group.each.items()}
-    takes = {name: gossip.receive for name, gossip in group.each.items()}
+    receivers = {name: gossip.receive for name, gossip in group.each.items()}
     for name, gossip in group.each.items():
         rate = rates[name]
-        gossip.tick = lambda now, wall, say, t=ticks[name], r=rate: t(now * r, wall, say)  # type: ignore[method-assign,misc]
-        gossip.receive = lambda data, now, wall, t=takes[name], r=rate: t(data, now * r, wall)  # type: ignore[method-assign,misc]
+        gossip.tick = lambda now, wall, make_payload, t=ticks[name], r=rate: t(now * r, wall, make_payload)  # type: ignore[method-assign,misc]
+        gossip.receive = lambda data, now, wall, t=receivers[name], r=rate: t(data, now * r, wall)  # type: ignore[method-assign,misc]
     group.run(300.0)
     for name, gossip in group.each.items():
         states = [gossip.state(m, group.now * rates[name]) for m in gossip.members.values()]
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -15,9 +15,9 @@
 import numpy as np
 import pytest
 
-from myrtlecourse.fleet.box import Memory
+from myrtlecourse.fleet.core_queue import CoreQueue, CoreSpeed, WorkItem
 from myrtlecourse.fleet.scenario import Scenario, ScenarioError
-from myrtlecourse.fleet.station import Pace, Piece, Station
+from myrtlecourse.fleet.server_models import CacheMemory
 from myrtlecourse.load.profile import Profile, ProfileError
 from myrtlecourse.policy import Router
 from myrtlecourse.sim.core import Core, Event
@@ -102,7 +102,7 @@
     assert result.verdict["kept"], result.verdict["named"]
     assert figures["scheduled"] == sum(figures[k] for k in ("served", "refused", "failed", "left")) > 500
     assert figures["in_time"] > 0.8 * figures["scheduled"]
-    assert {"crash", "cut", "kill", "away", "drain"} <= {s.do for s in result.steps}
+    assert {"crash", "cut", "kill", "away", "drain"} <= {s.action for s in result.steps}
     assert 0 < result.fetches < result.attempts
 
 
@@ -130,7 +130,7 @@
 
 @pytest.mark.parametrize(("cores", "utilisation"), [(1, 0.5), (1, 0.8), (4, 0.7), (8, 0.8)])
 def test_waiting_times_are_those_of_an_m_m_c_queue(cores: int, utilisation: float) -> None:
-    core, station, chance = Core(1), Station(cores, 10**6, Pace(1.0)), random.Random(cores)
+    core, queue, rng = Core(1), CoreQueue(cores, 10**6, CoreSpeed(1.0)), random.Random(cores)
     waits: list[float] = []
     arrivals: list[tuple[float, float]] = []
     count, rate = 100_000, utilisation * cores
@@ -138,21 +138,21 @@
     timers: list[Event] = []
 
     def arrive() -> None:
-        work = chance.expovariate(1.0)
+        work = rng.expovariate(1.0)
         arrivals.append((core.now, work))
-        station.take(core.now, Piece(work, math.inf, len(arrivals) - 1))
+        queue.add(core.now, WorkItem(work, math.inf, len(arrivals) - 1))
         if len(waits) < count:
-            core.call_after(chance.expovariate(rate), arrive)
+            core.call_after(rng.expovariate(rate), arrive)
         handle_ended()
 
     def handle_ended() -> None:
-        while (piece := station.ended(core.now)) is not None:
-            assert isinstance(piece.request, int)
-            at, work = arrivals[piece.request]
+        while (work_item := queue.next_finished(core.now)) is not None:
+            assert isinstance(work_item.request, int)
+            at, work = arrivals[work_item.request]
             waits.append(core.now - at - work)
         if timers:
             timers.pop().cancel()
-        if (due := station.due()) < math.inf:
+        if (due := queue.next_end()) < math.inf:
             timers.append(core.call_at(due, handle_ended))
 
     arrive()
@@ -171,7 +171,7 @@
         middle = (low + high) / 2
         low, high = (middle, high) if (1 - np.exp(-popularity * middle)).sum() < capacity else (low, middle)
     expected = (popularity * (1 - np.exp(-popularity * low))).sum()
-    memory, hits = Memory(capacity, math.inf), 0
+    memory, hits = CacheMemory(capacity, math.inf), 0
     requested = np.random.Generator(np.random.PCG64(1)).choice(keys, 60_000, p=popularity)
     for i, key in enumerate(requested):
         found = memory.get(i, str(key)) is not None
--- a/tests/test_spread_operators.py
+++ b/tests/test_spread_operators.py
@@ -25,9 +25,9 @@
 
 from myrtlecourse.cli import main
 from myrtlecourse.config import ConfigError
-from myrtlecourse.fleet.reserved_ports import free
+from myrtlecourse.fleet.reserved_ports import free_address
 from myrtlecourse.operators import read_operators
-from myrtlecourse.ops.calls import KEY, MAX_VALUE, Answer, Call, Exchange, Kind, read_call
+from myrtlecourse.ops.calls import KEY_DIGITS, MAX_VALUE_DIGITS, Call, Exchange, Kind, Response, parse_call
 from myrtlecourse.spread import messages as msg
 from myrtlecourse.spread.applied_file import ROTATED_SUFFIX, AppliedFile
 from myrtlecourse.spread.driver import Driver
@@ -88,7 +88,7 @@
 def test_a_control_machine_s_duty_comes_after_the_address_and_has_no_orders(tmp_path: Path) -> None:
     address = {"switch": "127.0.0.1:1"}
     file = read_operators(write(tmp_path, address=address, spread=table(**WRITER), duties=duties()))
-    assert [(d.name, d.preferred, d.orders) for d in file.of_duties().duties] == [
+    assert [(d.name, d.preferred, d.orders) for d in file.duty_settings().duties] == [
         ("address", (), False),
         ("log", CONTROL, False),
     ]
@@ -99,28 +99,28 @@
     [
         ("unknown field `colour`", table(colour=1), None),
         ("missing required field `key_file`", table(key_file=None), None),
-        ("duty: wanted at a control machine", table(name="c1", folder="log"), duties()),
-        ("folder: wanted at a control machine", table(name="c1", duty="log"), duties()),
-        ("duty: only for a control machine", table(duty="log"), None),
-        ("folder: only for a control machine", table(folder="log"), None),
+        ("duty: required at a control node", table(name="c1", folder="log"), duties()),
+        ("folder: required at a control node", table(name="c1", duty="log"), duties()),
+        ("duty: only for a control node", table(duty="log"), None),
+        ("folder: only for a control node", table(folder="log"), None),
         ("name: d is neither a control machine nor", table(name="d"), None),
         ("two members share an address", table(listen="127.0.0.1:1", control=[peer("c1", 11)]), None),
-        ("a port lies between 1 and 65535", table(control=[peer("c1", 0)]), None),
+        ("a port must be between 1 and 65535", table(control=[peer("c1", 0)]), None),
         ("sites: each member once", table(control=[peer("a", 1)], duty="log", folder="log"), duties()),
         ("sites: each under a name of its own", table(site=[SITE, SITE | {"routers": [peer("z", 9)]}]), None),
         ("routers", table(site=[SITE | {"routers": []}]), None),
         ("lease: at least four times", table(report=1.0), None),
         ("rate: from 0.1", table(rate=0.0), None),
         ("applied_bytes", table(applied_bytes=1), None),
-        ("spread.duty: wants `[duties]`", table(**WRITER), None),
-        ("spread.duty: address is another", table(**WRITER | {"duty": "address"}), duties()),
+        ("spread.duty: needs the table `duties`", table(**WRITER), None),
+        ("spread.duty: address is the name of another", table(**WRITER | {"duty": "address"}), duties()),
         (
-            "spread.duty: log is another duty's name",
+            "spread.duty: log is the name of another duty",
             table(**WRITER),
             duties(duty=[{"name": "log", "command": ["/bin/true"]}]),
         ),
-        ("spread.name: c2 in `[duties]`, c1 here", table(**WRITER), duties(name="c2")),
-        ("not all are among `duties.peers`", table(**WRITER), duties(peers=[peer("c1", 21)], voters=["c1"])),
+        ("spread.name: c2 in `[duties]`, c1 in `[spread]`", table(**WRITER), duties(name="c2")),
+        ("not all are in `duties.peers`", table(**WRITER), duties(peers=[peer("c1", 21)], voters=["c1"])),
         ("not all of `duties.voters`", table(**WRITER), duties(voters=["c1", "c2", "other"])),
     ],
 )
@@ -154,7 +154,7 @@
 
 
 def test_calls_bear_what_the_log_takes() -> None:
-    assert KEY == 2 * msg.KEY_BYTES and MAX_VALUE == 2 * msg.MAX_VALUE_BYTES
+    assert KEY_DIGITS == 2 * msg.KEY_BYTES and MAX_VALUE_DIGITS == 2 * msg.MAX_VALUE_BYTES
 
 
 @pytest.mark.parametrize(
@@ -169,20 +169,20 @@
         ("PUT", f"/purge/{'0' * 16}/00", 404),
         ("PUT", f"/purge/{'0' * 16}/", 404),
         ("PUT", f"/send/{'0' * 16}/0", 400),
-        ("PUT", f"/send/{'0' * 16}/{'0' * (MAX_VALUE + 2)}", 400),
+        ("PUT", f"/send/{'0' * 16}/{'0' * (MAX_VALUE_DIGITS + 2)}", 400),
         ("PUT", f"/send/{'0' * 16}/zz", 400),
         ("PUT", f"/forget/{'0' * 16}", 404),
     ],
 )
 def test_calls_for_no_entry_are_refused(method: str, path: str, status: int) -> None:
-    answer = read_call(method.encode(), f"/control/spread{path}".encode())
-    assert isinstance(answer, Answer) and answer.status == HTTPStatus(status)
+    answer = parse_call(method.encode(), f"/control/spread{path}".encode())
+    assert isinstance(answer, Response) and answer.status == HTTPStatus(status)
 
 
 @given(st.binary(max_size=80))
 def test_no_path_breaks_the_reading_of_an_entry(rest: bytes) -> None:
-    told = read_call(b"PUT", b"/control/spread/" + rest)
-    assert isinstance(told, Call | Answer)
+    told = parse_call(b"PUT", b"/control/spread/" + rest)
+    assert isinstance(told, Call | Response)
     if isinstance(told, Call):
         assert len(told.key) == msg.KEY_BYTES and len(told.value) <= msg.MAX_VALUE_BYTES
 
@@ -382,7 +382,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.peers = {n: free() for n in (*CONTROL, "a", "b", "p")}
+        self.peers = {n: free_address() for n in (*CONTROL, "a", "b", "p")}
         self.by_name: dict[str, Driver] = {}
 
     def make(self, name: str) -> Driver:
--- a/tests/test_spread_processes.py
+++ b/tests/test_spread_processes.py
@@ -91,10 +91,10 @@
         deployment.ways.cut("west", ())
         await deployment.check_complete()
 
-        deployment.ways.loss, deployment.ways.copies, deployment.ways.spread = 0.1, 0.2, 0.05
+        deployment.ways.loss, deployment.ways.copies, deployment.ways.jitter = 0.1, 0.2, 0.05
         await deployment.send(60)
         await deployment.check_complete()
-        deployment.ways.loss = deployment.ways.copies = deployment.ways.spread = 0.0
+        deployment.ways.loss = deployment.ways.copies = deployment.ways.jitter = 0.0
 
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             forger = Wire("c1", NAMES, KEY, 1, SpreadCodec())
@@ -150,6 +150,6 @@
         file = tmp_path / f"{EAST[0]}.toml"
         file.write_text(file.read_text().replace("lease = 2.0", "lease = 2.1"))
         router.process.send_signal(signal.SIGHUP)
-        await router.logged("members and figures can't be others while a process runs")
+        await router.logged("members and parameters can't change while the process runs")
 
     run_with_faults(tmp_path, faults)
