--- a/myrtlecourse/experiment/runs.py
+++ b/myrtlecourse/experiment/runs.py
@@ -19,7 +19,7 @@
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.sim.fleet_simulation import FleetSimulation, Result
 
-SUBMITTED_PER_WORKER = 2  # runs
+RUNS_PER_WORKER = 2  # submitted to the pool at a time
 
 
 @dataclass(frozen=True)
@@ -112,8 +112,7 @@
         while True:
             # only a few runs per worker: submitting a million at once would fill the memory
             while (
-                len(submitted) < SUBMITTED_PER_WORKER * workers
-                and (next_run := next(remaining, None)) is not None
+                len(submitted) < RUNS_PER_WORKER * workers and (next_run := next(remaining, None)) is not None
             ):
                 submitted[pool.submit(execute_run, next_run)] = next_run
             if not submitted:
--- a/myrtlecourse/sim/fleet_simulation.py
+++ b/myrtlecourse/sim/fleet_simulation.py
@@ -224,7 +224,7 @@
                 self._start_server(node)
             case "bounce":
                 node.terminate()
-                self._start_process(node)  # the list does not change: operators would have to report it
+                self._start_process(node)  # discovery is not notified: that is up to the operators
             case "refuse" | "accept":
                 node.refusing = step.action == "refuse"
             case "reset":
--- a/myrtlecourse/sim/spread.py
+++ b/myrtlecourse/sim/spread.py
@@ -99,9 +99,8 @@
         self.place = place
         self.node: Node | None = None
         self.known_boots: dict[int, int] = {}  # index of a member -> its process that this one knows
-        self.header_bytes = (
-            SEAL_SIZE + GREETING_BYTES - len(HELLO) - 1 + len(name)
-        )  # size of a datagram without messages
+        # size of a datagram without messages
+        self.header_bytes = SEAL_SIZE + GREETING_BYTES - len(HELLO) - 1 + len(name)
         self.alarm = Alarm(self, lambda: self.post(messages.TimerFired()))
 
     def start(self) -> None:
