--- a/bench/duty_move.py
+++ b/bench/duty_move.py
@@ -175,7 +175,7 @@
         if how == "kill":
             holder.start()
         elif how == "stall":
-            holder.go_on()
+            holder.resume()
         else:
             simulation.network.cut.clear()
     return {"gaps": gaps, "steps": len(simulation.steps_done), "breaches": {}, "faults": []}
--- a/bench/large_fleet.py
+++ b/bench/large_fleet.py
@@ -24,7 +24,7 @@
 from myrtlecourse.fleet.scenario import Scenario
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.policy import Router, tuning
-from myrtlecourse.sim.world import World
+from myrtlecourse.sim.fleet_simulation import FleetSimulation
 
 SERVERS = 60
 RATE = 700  # requests per second of all clients together
@@ -111,7 +111,7 @@
     """Play one case and return its figures."""
     CountingRouter.outcomes.clear()
     with decision_module(large):
-        result = World(scenario(routers, case), profile(), seed, CountingRouter).run()
+        result = FleetSimulation(scenario(routers, case), profile(), seed, CountingRouter).run()
     figures = result.figures()
     return {
         "in_time": figures["goodput"] / RATE,
--- a/bench/led_return.py
+++ b/bench/led_return.py
@@ -13,8 +13,8 @@
 
 from myrtlecourse.duties import messages as msg
 from myrtlecourse.duties.core import Duties
+from myrtlecourse.sim.fleet_simulation import FleetSimulation
 from myrtlecourse.sim.routers import SimRouter
-from myrtlecourse.sim.world import World
 from myrtlecourse.zones import core
 from myrtlecourse.zones.core import Register, ZoneCoordinator
 from myrtlecourse.zones.exit_rule import FULL_SHARE, ZoneMode, ZoneState
@@ -33,7 +33,7 @@
     def __init__(self, return_duty: ReturnDuty, router: SimRouter) -> None:
         self.return_duty = return_duty
         self.router = router
-        self.incarnation = router.life
+        self.incarnation = router.incarnation
         self.timer: Any = None
         names, clock = return_duty.names, return_duty.world.core
         duty = msg.Duty(DUTY, names[:LEADER_COUNT], good_for=1.0)
@@ -45,17 +45,17 @@
 
     @property
     def is_alive(self) -> bool:
-        return self.router.up and self.router.life == self.incarnation
+        return self.router.up and self.router.incarnation == self.incarnation
 
     def post(self, event: msg.Event) -> None:
         """Pass an event to the duty's core; a stalled router gets it when it continues."""
-        if not self.is_alive or self.router.later(self.post, event):
+        if not self.is_alive or self.router.defer_if_stalled(self.post, event):
             return
         world = self.return_duty.world
         for action in self.duties.handle(world.core.now, event):
             if isinstance(action, msg.Send):
-                for pause in world.ways.delivery_delays((self.router.name, action.to)):
-                    world.core.after(
+                for pause in world.peer_links.delivery_delays((self.router.name, action.to)):
+                    world.core.call_after(
                         pause, self.return_duty.deliver, self.router.name, action.to, action.items
                     )
             elif isinstance(action, msg.SetTimer):
@@ -64,14 +64,14 @@
                 if action.at < math.inf:
                     # a minimum delay, as rounding could otherwise schedule the same moment without end
                     pause = max(MIN_DELAY, action.at - world.core.now)
-                    self.timer = world.core.after(pause, self.post, msg.TimerFired())
+                    self.timer = world.core.call_after(pause, self.post, msg.TimerFired())
 
     def check(self) -> None:
         """Follow the order in force; the holder of the duty also orders the next step."""
         core_ = self.return_duty.world.core
         if not self.is_alive:
             return
-        core_.after(CHECK_INTERVAL, self.check)
+        core_.call_after(CHECK_INTERVAL, self.check)
         if self.router.stalled or self.router.agent is None:
             return
         now, zones = core_.now, self.router.agent.zones
@@ -87,7 +87,7 @@
 class ReturnDuty:
     """The duty in all routers of a simulation."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: FleetSimulation) -> None:
         self.world = world
         self.chance = world.core.stream("led")
         self.names = tuple(r.name for r in world.routers)
--- a/bench/sim_search.py
+++ b/bench/sim_search.py
@@ -20,7 +20,7 @@
 from myrtlecourse.fleet.scenario import Scenario
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.policy import Router
-from myrtlecourse.sim.finds import write_find
+from myrtlecourse.sim.counterexamples import write_counterexample
 from myrtlecourse.sim.search import Search, shrink
 from tests.wrong_modules import WRONG
 
@@ -67,13 +67,13 @@
             row |= {"found": shrunk.breaches, "seconds": elapsed, "faults": len(trial.scenario.faults)}
             row |= {"shrunk_to": len(shrunk.scenario.faults), "shrinking": time.monotonic() - began - elapsed}
             if folder is not None:
-                write_find(folder / f"{make.__name__}.json", shrunk)
+                write_counterexample(folder / f"{make.__name__}.json", shrunk)
             break
         if elapsed > seconds:
             row |= {"seconds": elapsed}
             break
-    row["tried"] = sum(s.tried for s in searches)
-    best = [t for s in searches for t in s.best]
+    row["tried"] = sum(s.trial_count for s in searches)
+    best = [t for s in searches for t in s.pool]
     row["margins"] = {k: max(t.margins.get(k, 0.0) for t in best) for t in best for k in t.margins}
     return row
 
--- a/bench/spread_plain.py
+++ b/bench/spread_plain.py
@@ -17,7 +17,7 @@
 from myrtlecourse.peers.seal import MAX_DATAGRAM, SEAL_SIZE, Dropped
 from myrtlecourse.peers.wire import HEADER_SIZE
 from myrtlecourse.sim.core import Core
-from myrtlecourse.sim.places import Network, Place, laid_out
+from myrtlecourse.sim.topology import Network, Place, lay_out_sites
 from myrtlecourse.spread import messages as msg
 
 REGIONS, SITES, ROUTERS, PARTS, CONTROL = 43, 650, 16_000, 6_700, 20
@@ -61,10 +61,10 @@
         self.applied_at: list[list[float]] = [[] for _ in range(count)]
         self.budget, self.credit, self.next_member = budget, 0.0, 0
         self.bytes = self.datagrams = self.acknowledgements = 0
-        self.core.after(0.0, self._tick)
+        self.core.call_after(0.0, self._tick)
 
     def _tick(self) -> None:
-        self.core.after(SEND_INTERVAL, self._tick)
+        self.core.call_after(SEND_INTERVAL, self._tick)
         self.credit = min(self.budget, self.credit + self.budget * SEND_INTERVAL)
         count = len(self.members)
         for _ in range(count):
@@ -87,8 +87,8 @@
             self.bytes += size
             self.datagrams += 1
             self.sent[member] = first + count - 1
-            for pause in self.network.fate(self.holder, self.members[member]):
-                self.core.after(pause, self._receive, member, first, count)
+            for pause in self.network.draw_delays(self.holder, self.members[member]):
+                self.core.call_after(pause, self._receive, member, first, count)
 
     def _receive(self, member: int, first: int, count: int) -> None:
         waiting = self.out_of_order[member]
@@ -98,8 +98,8 @@
             waiting.discard(self.applied[member])
             self.applied_at[member].append(self.core.now)
         self.acknowledgements += 1
-        for pause in self.network.fate(self.members[member], self.holder):
-            self.core.after(pause, self._receive_acknowledgement, member, self.applied[member])
+        for pause in self.network.draw_delays(self.members[member], self.holder):
+            self.core.call_after(pause, self._receive_acknowledgement, member, self.applied[member])
 
     def _receive_acknowledgement(self, member: int, applied: int) -> None:
         if applied > self.acknowledged[member]:
@@ -116,13 +116,13 @@
 
     The run ends when all members have all purges, or after a minute.
     """
-    sites = laid_out(
+    sites = lay_out_sites(
         REGIONS, max(REGIONS, round(SITES * scale)), round(ROUTERS * scale), round(PARTS * scale)
     )
     run = Unicast(sites, seed, loss, budget)
     load_seconds = LOAD_SECONDS if rate else 0.0
     for i in range(max(1, int(rate * load_seconds))):
-        run.core.after(1.0 + (i / rate if rate else 0.0), run.propose)
+        run.core.call_after(1.0 + (i / rate if rate else 0.0), run.propose)
     run.core.run(run.core.now + 1.0 + load_seconds)
     figures: Figures = {}
     if rate:
@@ -146,7 +146,7 @@
 
     def __init__(self, members: int, seed: int, loss: float) -> None:
         self.core = Core(seed)
-        sites = laid_out(REGIONS, max(REGIONS, members // 25), members, 0)
+        sites = lay_out_sites(REGIONS, max(REGIONS, members // 25), members, 0)
         regions = sorted({s.region for s in sites})
         self.network = Network(len(regions), len(sites), self.core.stream("places"))
         self.network.random = self.core.stream("network").random
@@ -165,7 +165,7 @@
         self.proposed_at: list[float] = []
         self.received_at: dict[str, dict[int, float]] = {n: {} for n in names}
         for name in names:
-            self.core.after(TICK_INTERVAL * rng.random(), self._tick, name)
+            self.core.call_after(TICK_INTERVAL * rng.random(), self._tick, name)
 
     def _wall_time(self) -> float:
         return EPOCH + self.core.now
@@ -176,11 +176,11 @@
         return (len(self.proposed_at) - keys, *([2**32 - 1] * (2 * keys)))
 
     def _tick(self, name: str) -> None:
-        self.core.after(TICK_INTERVAL, self._tick, name)
+        self.core.call_after(TICK_INTERVAL, self._tick, name)
         status = self._status if name == self.source else tuple
         for datagram in self.members[name].tick(self.core.now, self._wall_time(), status):
-            for pause in self.network.fate(self.places[name], self.places[datagram.to]):
-                self.core.after(pause, self._receive, datagram.to, datagram.data)
+            for pause in self.network.draw_delays(self.places[name], self.places[datagram.to]):
+                self.core.call_after(pause, self._receive, datagram.to, datagram.data)
 
     def _receive(self, name: str, data: bytes) -> None:
         gossip, now = self.members[name], self.core.now
@@ -209,7 +209,7 @@
     run.core.run(run.core.now + 30.0)  # until members know most of the others
     load_seconds, before = 1.5, {n: (g.bytes_sent, g.sent) for n, g in run.members.items()}
     for i in range(max(1, int(rate * load_seconds))):
-        run.core.after(i / rate if rate else 0.0, run.propose)
+        run.core.call_after(i / rate if rate else 0.0, run.propose)
     run.core.run(run.core.now + load_seconds)
     spent = {n: (g.bytes_sent - before[n][0], g.sent - before[n][1]) for n, g in run.members.items()}
     others = [n for n in run.members if n != run.source]
--- a/bench/spread_scale.py
+++ b/bench/spread_scale.py
@@ -34,8 +34,8 @@
     percentiles,
 )
 from myrtlecourse.peers.gossip import MAX_MEMBERS
-from myrtlecourse.sim.places import laid_out
-from myrtlecourse.sim.spread import Member, World
+from myrtlecourse.sim.spread import Member, SpreadSimulation
+from myrtlecourse.sim.topology import lay_out_sites
 from myrtlecourse.spread import messages as msg
 
 PURGE_RATE, CHANGE_RATE = 100.0, 0.72  # per second
@@ -47,7 +47,7 @@
 def scaled_sites(scale: float) -> tuple[msg.Site, ...]:
     """Return a share of the fleet, with regions of full size as far as possible."""
     sites = max(4, round(SITES * scale))
-    return laid_out(max(2, round(REGIONS * scale)), sites, round(ROUTERS * scale), round(PARTS * scale))
+    return lay_out_sites(max(2, round(REGIONS * scale)), sites, round(ROUTERS * scale), round(PARTS * scale))
 
 
 class SpreadRun:
@@ -67,18 +67,20 @@
         if large_last:
             whole = [s for s in scaled_sites(1.0) if s.region == "r00"]
             layout += tuple(msg.Site(f"z{s.name}", "z", s.routers, s.parts) for s in whole)
-        self.world = World(layout, control, seed, entries, pause=pause)
+        self.world = SpreadSimulation(layout, control, seed, entries, pause=pause)
         self.world.network.loss = loss
         self.began_at = time.perf_counter()
         self.world.start(2.0)
         self.world.run(3.0)
-        self.joined = self.world.settle(60.0)
+        self.joined = self.world.run_until_consistent(60.0)
         gc.collect()
         gc.freeze()
 
     def tiers(self) -> NDArray[Any]:
         """Return each member's tier in the layout."""
-        found = [m.node.status(m.clock())["tier"] if m.node is not None else -1 for m in self.world.each]
+        found = [
+            m.node.status(m.clock())["tier"] if m.node is not None else -1 for m in self.world.member_list
+        ]
         return np.array(found)
 
     def latencies(self, since: float, until: float, selected: NDArray[Any], prefix: str = "") -> Figures:
@@ -88,19 +90,21 @@
         """
         judge = self.world.judge
         figures: Figures = {}
-        within = (judge.proposed >= since) & (judge.proposed < until)
+        within = (judge.proposed_at >= since) & (judge.proposed_at < until)
         kinds = np.array([isinstance(e, msg.Change) for e in judge.log])
         for name, kind in (("purge", False), ("change", True)):
             numbers = np.flatnonzero(within[: len(kinds)] & (kinds == kind))
             if not len(numbers):
                 continue
-            delays = judge.at[np.ix_(np.flatnonzero(selected), numbers)] - judge.proposed[numbers]
+            delays = judge.applied_at[np.ix_(np.flatnonzero(selected), numbers)] - judge.proposed_at[numbers]
             figures |= percentiles(f"{prefix}{name}.member", delays.ravel())
             figures |= percentiles(f"{prefix}{name}.last", delays.max(axis=0))
-            figures |= percentiles(f"{prefix}{name}.done_known", (judge.known - judge.proposed)[numbers])
+            figures |= percentiles(
+                f"{prefix}{name}.done_known", (judge.watermark_at - judge.proposed_at)[numbers]
+            )
             figures[f"{prefix}{name}.never"] = (float(np.isnan(delays).sum()), "entries at members")
             figures |= percentiles(
-                f"{prefix}{name}.acknowledged", (judge.acknowledged - judge.proposed)[numbers]
+                f"{prefix}{name}.acknowledged", (judge.acknowledged_at - judge.proposed_at)[numbers]
             )
         return figures
 
@@ -120,10 +124,10 @@
 
         `most` is the maximum of one member in one second.
         """
-        first, last = int(since), min(int(until), len(self.world.seconds) - 1)
+        first, last = int(since), min(int(until), len(self.world.second_totals) - 1)
         figures: Figures = {}
         for what, at in (("bytes", 0), ("datagrams", 1)):
-            sums = np.array([second[at] for second in self.world.seconds[first : last + 1]])
+            sums = np.array([second[at] for second in self.world.second_totals[first : last + 1]])
             rates = np.diff(sums, axis=0)
             for name, selected in (
                 ("holder", np.arange(len(tiers)) == self.world.members[self.world.holder].index),
@@ -142,7 +146,8 @@
                 last = len(world.judge.log) - 1
                 # under load the latest entries are always still on their way
                 recovered = [
-                    world.judge.have[m.index] >= last - 5 * PURGE_RATE and m.vouches() for m in members
+                    world.judge.applied_until[m.index] >= last - 5 * PURGE_RATE and m.has_lease()
+                    for m in members
                 ]
                 if sum(recovered) >= share * len(members):
                     figures[f"back.{name}"] = (world.time - began, "s")
@@ -157,7 +162,7 @@
     """Measure without any fault but packet loss."""
     world = run.world
     began = world.time
-    world.load(PURGE_RATE, CHANGE_RATE, seconds)
+    world.schedule_load(PURGE_RATE, CHANGE_RATE, seconds)
     world.run(seconds + DRAIN_SECONDS)
     tiers = run.tiers()
     since, until = began + 1.0, began + seconds
@@ -168,17 +173,17 @@
 def final_checks(run: SpreadRun) -> Figures:
     """Check that all members agree at the end, and return the totals of the run."""
     world = run.world
-    agreed_after = world.settle(60.0)
+    agreed_after = world.run_until_consistent(60.0)
     if agreed_after is not None:
-        world.check_same()
+        world.check_consistency()
     took = time.perf_counter() - run.began_at
     return {
         "joined": (math.inf if run.joined is None else 3.0 + run.joined, "s"),
         "all_same_after": (math.inf if agreed_after is None else agreed_after, "s"),
-        "members": (float(len(world.each)), "members"),
+        "members": (float(len(world.member_list)), "members"),
         "entries": (float(len(world.judge.log) - 1), "entries"),
         "refused": (float(world.refused), "entries"),
-        "events": (float(world.core.happened), "events"),
+        "events": (float(world.core.events_run), "events"),
         "run": (took, "s of one core"),
     }
 
@@ -186,11 +191,11 @@
 def measure_fault(run: SpreadRun, calm: float, after: float, fault: Fault, within: float) -> Figures:
     """Measure a load with a fault in the middle of it, at the members that the fault does not affect."""
     world = run.world
-    world.load(PURGE_RATE, CHANGE_RATE, calm + after)
+    world.schedule_load(PURGE_RATE, CHANGE_RATE, calm + after)
     world.run(calm)
     tiers, fault_at = run.tiers(), world.time
     affected = fault(run, tiers)
-    unaffected = np.ones(len(world.each), bool)
+    unaffected = np.ones(len(world.member_list), bool)
     unaffected[[m.index for m in affected]] = False
     figures: Figures = {"hit": (float(len(affected)), "members")}
     if (living := [m for m in affected if m.node is not None]) and len(living) == len(affected):
@@ -203,7 +208,7 @@
 
 def dead_parents(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
     """Kill 1% of the relays."""
-    relays = [m for m in run.world.each if tiers[m.index] in (1, 2)]
+    relays = [m for m in run.world.member_list if tiers[m.index] in (1, 2)]
     affected = run.world.core.stream("troubles").sample(relays, max(1, len(relays) // 100))
     for member in affected:
         member.kill()
@@ -213,17 +218,17 @@
 def tenth_restarted(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
     """Kill a tenth of all members at once; they restart about a second later."""
     rng = run.world.core.stream("troubles")
-    affected = rng.sample([m for m in run.world.each if tiers[m.index]], len(tiers) // 10)
+    affected = rng.sample([m for m in run.world.member_list if tiers[m.index]], len(tiers) // 10)
     for member in affected:
         member.kill()
-        run.world.core.after(rng.uniform(0.5, 1.5), member.start)
+        run.world.core.call_after(rng.uniform(0.5, 1.5), member.start)
     run.world.run(1.5)
     return affected
 
 
 def rack_gone(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
     """Kill forty members of one region."""
-    affected = [m for m in run.world.each if m.place.region == len(run.world.by_region) - 1][:40]
+    affected = [m for m in run.world.member_list if m.place.region == len(run.world.sites_by_region) - 1][:40]
     for member in affected:
         member.kill()
     return affected
@@ -232,8 +237,8 @@
 def handed_on(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
     """Move the duty: the holder releases it, and another control node takes it 0.3 s later."""
     world = run.world
-    world.release()
-    world.core.after(0.3, world.hold, world.control[1])
+    world.release_holder()
+    world.core.call_after(0.3, world.set_holder, world.control[1])
     return []
 
 
@@ -242,8 +247,8 @@
     world = run.world
     holder = world.members[world.holder]
     holder.kill()
-    world.core.after(1.0, world.hold, world.control[1])
-    world.core.after(5.0, holder.start)
+    world.core.call_after(1.0, world.set_holder, world.control[1])
+    world.core.call_after(5.0, holder.start)
     return [holder]
 
 
@@ -251,12 +256,12 @@
     """Return a fault that cuts off the last region for some seconds."""
 
     def trouble(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
-        world, region = run.world, len(run.world.by_region) - 1
-        for blocked in (world.network.mute, world.network.deaf):
+        world, region = run.world, len(run.world.sites_by_region) - 1
+        for blocked in (world.network.outbound_cut, world.network.inbound_cut):
             blocked.add(region)
-            world.core.after(seconds, blocked.discard, region)
+            world.core.call_after(seconds, blocked.discard, region)
         world.run(seconds)
-        return [m for m in world.each if m.place.region == region]
+        return [m for m in world.member_list if m.place.region == region]
 
     return trouble
 
--- a/bench/zone_exit.py
+++ b/bench/zone_exit.py
@@ -28,7 +28,7 @@
 from myrtlecourse.fleet.scenario import Scenario
 from myrtlecourse.fleet.session import play
 from myrtlecourse.load.profile import Profile
-from myrtlecourse.sim.world import World
+from myrtlecourse.sim.fleet_simulation import FleetSimulation
 
 ZONES = ("north", "south", "west")
 LOST_ZONE = "south"
@@ -186,7 +186,7 @@
 
 def play_virtual(routers: int, case: str, peers: bool, rate: float, seed: int) -> dict[str, Any]:
     """Play a case in virtual time."""
-    world, stats = World(scenario(routers, case, peers), profile(rate), seed), ClientStats()
+    world, stats = FleetSimulation(scenario(routers, case, peers), profile(rate), seed), ClientStats()
     for name, zone in world.layout.zones.items():
         stats.zones[name] = zone
     judge = world.auditor.judge
--- a/bench/zone_return.py
+++ b/bench/zone_return.py
@@ -32,7 +32,7 @@
 from myrtlecourse.fleet.scenario import Scenario
 from myrtlecourse.fleet.server_models import CacheServerModel, Request
 from myrtlecourse.load.profile import Profile
-from myrtlecourse.sim.world import World
+from myrtlecourse.sim.fleet_simulation import FleetSimulation
 from myrtlecourse.zones import pace
 from myrtlecourse.zones.exit_rule import FULL_SHARE
 
@@ -111,7 +111,7 @@
 class FleetStats:
     """What clients, servers and the origin observed."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: FleetSimulation) -> None:
         self.world = world
         self.began = world.core.now
         self.asked_at: dict[str, float] = {}
@@ -216,7 +216,7 @@
     if strategy.startswith("ramp"):
         pace.next_share = fixed_ramp(float(strategy.split()[1]))
     try:
-        world = World(scenario(routers, case, strategy), profile(rate), seed)
+        world = FleetSimulation(scenario(routers, case, strategy), profile(rate), seed)
         stats = FleetStats(world)
         judge = world.auditor.judge
 
--- a/myrtlecourse/sim/peer_network.py
+++ b/myrtlecourse/sim/peer_network.py
@@ -1,4 +1,4 @@
-"""The network between routers in virtual time; gossip and the coordination of zones are the real modules."""
+"""The network between routers in virtual time, with the same gossip and zone agents as on sockets."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 
 
 class PeerNetwork:
-    """Carries the datagrams between the agents of a fleet's routers."""
+    """Runs the zone agents of all routers and carries their datagrams."""
 
-    def __init__(self, core: Core, ways: DatagramNetwork, routers: list[SimRouter], settings: Peers) -> None:
+    def __init__(self, core: Core, links: DatagramNetwork, routers: list[SimRouter], settings: Peers) -> None:
         self.core = core
-        self.ways = ways
+        self.links = links
         self.routers = {r.name: r for r in routers}
         self.settings = settings
-        self.chance = core.stream("peers")
+        self.rng = core.stream("peers")
         self.datagrams = 0
         self.bytes = 0
-        # orders to leave zones: the time, the router, the zones left, and whether the origin is left
+        # time, router, the zones that it leaves, and whether it regards the origin as unreachable
         self.orders: list[tuple[float, str, frozenset[str], bool]] = []
-        # the shares of returning zones: the time, the router, and the share by zone
-        self.shares: list[tuple[float, str, Mapping[str, float]]] = []
+        # time, router, and the share of traffic that each returning zone gets
+        self.return_shares: list[tuple[float, str, Mapping[str, float]]] = []
 
     def wall(self) -> float:
-        """Return the wall-clock time, which is the same on all machines."""
+        """The wall clock, which all routers share."""
         return EPOCH + self.core.now
 
     def join(self, router: SimRouter) -> Agent:
-        """Create the agent of a router's new process, and start its ticks."""
+        """Returns the agent of a router's new process and schedules its ticks."""
         names = tuple(self.routers)
         settings = self.settings
         agent_settings = AgentSettings(
@@ -50,32 +50,32 @@
             paced=settings.paced,
             origin_rate=settings.origin_rate,
         )
-        agent = Agent(agent_settings, self.core.now, self.wall(), self.chance.getrandbits(32))
-        self.core.after(TICK_INTERVAL * self.chance.random(), self._tick, router, agent, router.life)
+        agent = Agent(agent_settings, self.core.now, self.wall(), self.rng.getrandbits(32))
+        self.core.call_after(TICK_INTERVAL * self.rng.random(), self._tick, router, agent, router.incarnation)
         return agent
 
-    def _tick(self, router: SimRouter, agent: Agent, life: int) -> None:
-        if not router.up or router.life != life:
+    def _tick(self, router: SimRouter, agent: Agent, incarnation: int) -> None:
+        if not router.up or router.incarnation != incarnation:
             return
-        self.core.after(TICK_INTERVAL, self._tick, router, agent, life)
+        self.core.call_after(TICK_INTERVAL, self._tick, router, agent, incarnation)
         if router.stalled:
             return
         result = agent.tick(self.core.now, self.wall())
         for datagram in result.datagrams:
             self.datagrams += 1
             self.bytes += len(datagram.data)
-            for delay in self.ways.delivery_delays((router.name, datagram.to)):
-                self.core.after(delay, self._arrive, self.routers[datagram.to], datagram.data)
+            for delay in self.links.delivery_delays((router.name, datagram.to)):
+                self.core.call_after(delay, self._arrive, self.routers[datagram.to], datagram.data)
         if result.zone_exit is not None:
             self.orders.append(
                 (self.core.now, router.name, result.zone_exit.zones, result.zone_exit.origin_unreachable)
             )
-            self.shares.append((self.core.now, router.name, result.zone_exit.return_shares))
+            self.return_shares.append((self.core.now, router.name, result.zone_exit.return_shares))
         for event in result.events:
             router.post(event)
 
     def _arrive(self, router: SimRouter, data: bytes) -> None:
-        if router.later(self._arrive, router, data) or not router.up or router.agent is None:
+        if router.defer_if_stalled(self._arrive, router, data) or not router.up or router.agent is None:
             return
         try:
             router.agent.receive(data, self.core.now, self.wall())
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: plans that are checked, runs that are not repeated, differences that are paired."""
+"""Experiments: plans are checked, runs are not repeated, and differences are paired by seed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from myrtlecourse.experiment.analysis import rows
 from myrtlecourse.experiment.page import page, write_png
 from myrtlecourse.experiment.plan import Factor, Plan, PlanError, read_plan
-from myrtlecourse.experiment.runs import carry_out, run_all, runs
+from myrtlecourse.experiment.runs import execute_run, list_runs, run_all
 from myrtlecourse.experiment.statistics import estimate, paired
 from myrtlecourse.experiment.store import Store, StoreError
 from myrtlecourse.policy import tuning
@@ -46,26 +46,26 @@
 def test_the_same_plan_gives_the_same_results_with_one_process_or_more(tmp_path: Path) -> None:
     file = write(tmp_path)
     plan = read_plan(file)
-    todo = runs(plan, file)
-    assert len(todo) == 12 and len({r.digest for r in todo}) == 12
-    told = []
+    all_runs = list_runs(plan, file)
+    assert len(all_runs) == 12 and len({r.digest for r in all_runs}) == 12
+    tables = []
     for workers in (1, 2):
         store = Store(tmp_path / f"{workers}.sqlite")
-        assert run_all(todo, store, workers) == 12
-        assert run_all(todo, store, workers) == 0  # nothing is run twice
-        told.append([r.told() for r in rows(plan, todo, store)])
+        assert run_all(all_runs, store, workers) == 12
+        assert run_all(all_runs, store, workers) == 0  # no run is repeated
+        tables.append([r.to_json() for r in rows(plan, all_runs, store)])
         store.close()
-    assert told[0] == told[1]
-    base, *others = told[0]
+    assert tables[0] == tables[1]
+    base, *others = tables[0]
     assert base["point"] == [8, 0.9] and base["differences"]["goodput"] == [0, 0, 0]
     assert any(o["differences"]["fetches"][0] for o in others)
 
 
 def test_what_a_result_depends_on_is_in_its_digest(tmp_path: Path) -> None:
     file = write(tmp_path)
-    before = {r.digest for r in runs(read_plan(file), file)}
+    before = {r.digest for r in list_runs(read_plan(file), file)}
     write(tmp_path, s=FILES["s.toml"] + "cell = 3\n")
-    assert not before & {r.digest for r in runs(read_plan(file), file)}
+    assert not before & {r.digest for r in list_runs(read_plan(file), file)}
 
 
 @needs_sources
@@ -74,15 +74,15 @@
     file = write(
         tmp_path, plan=f'scenario = "s.toml"\nprofile = "l.toml"\nseeds = 2\nfactors = [{constants}]\n'
     )
-    todo = runs(read_plan(file), file)
+    all_runs = list_runs(read_plan(file), file)
     before = tuning.ORIGIN_TARGET
-    figures = [carry_out(r) for r in todo]
+    figures = [execute_run(r) for r in all_runs]
     assert before == tuning.ORIGIN_TARGET
-    assert figures[:2] != figures[2:] and [r.seed for r in todo] == [1, 2, 1, 2]
+    assert figures[:2] != figures[2:] and [r.seed for r in all_runs] == [1, 2, 1, 2]
 
 
 @pytest.mark.parametrize(
-    ("factors", "named"),
+    ("factors", "message"),
     [
         ('[{path = "origin.slots", values = [0]}]', "origin.slots = 0"),
         ('[{path = "orgin.slots", values = [1]}]', "orgin"),
@@ -94,12 +94,12 @@
     ],
 )
 def test_a_plan_that_cannot_be_carried_out_is_refused_by_name(
-    tmp_path: Path, factors: str, named: str
+    tmp_path: Path, factors: str, message: str
 ) -> None:
     file = write(tmp_path, plan=f'scenario = "s.toml"\nprofile = "l.toml"\nfactors = {factors}\n')
     with pytest.raises(PlanError) as error:
         read_plan(file)
-    assert named in str(error.value) and "plan.toml" in str(error.value)
+    assert message in str(error.value) and "plan.toml" in str(error.value)
 
 
 def test_a_sample_holds_the_baseline_and_no_point_twice() -> None:
@@ -114,27 +114,27 @@
 def test_a_constant_difference_is_told_as_it_is(values: list[float], change: float) -> None:
     one = {i: {"m": v} for i, v in enumerate(values)}
     other = {i: {"m": v + change} for i, v in enumerate(values)} | {99: {"m": 1e9}}
-    found = paired(one, other, "m")  # a seed that only one has counts for nothing
+    found = paired(one, other, "m")  # a seed that only one of them has is ignored
     assert found.count == len(values) and found.mean == pytest.approx(change, abs=1e-9)
     assert found.low - 1e-9 <= found.mean <= found.high + 1e-9
 
 
 def test_the_interval_holds_the_true_mean_about_as_often_as_it_says() -> None:
-    chance = np.random.Generator(np.random.PCG64(3))
-    held = 0
+    rng = np.random.Generator(np.random.PCG64(3))
+    covered = 0
     for _ in range(200):
-        found = estimate(list(chance.exponential(1.0, 40)))
-        held += found.low <= 1.0 <= found.high
-    assert 0.86 <= held / 200 <= 0.99
+        found = estimate(list(rng.exponential(1.0, 40)))
+        covered += found.low <= 1.0 <= found.high
+    assert 0.86 <= covered / 200 <= 0.99
     assert estimate([2.0, 2.0]).clear and not estimate([-1.0, 1.0, 0.5]).clear
 
 
 def test_pictures_and_page_hold_what_was_found(tmp_path: Path) -> None:
     file = write(tmp_path)
     plan = read_plan(file)
-    todo, store = runs(plan, file), Store(tmp_path / "r.sqlite")
-    run_all(todo, store, 1)
-    found = rows(plan, todo, store)
+    all_runs, store = list_runs(plan, file), Store(tmp_path / "r.sqlite")
+    run_all(all_runs, store, 1)
+    found = rows(plan, all_runs, store)
     text = page(plan, found, "E")
     assert text.count("<svg") == 1 and "origin.slots" in text and page(plan, found, "E") == text
     write_png(tmp_path / "e.png", plan, found)
@@ -156,12 +156,12 @@
     store = tmp_path / "plan.sqlite"
     until = time.monotonic() + 60
     while time.monotonic() < until and child.poll() is None:
-        if store.exists() and len(Store(store).known()) >= 20:
+        if store.exists() and len(Store(store).known_digests()) >= 20:
             break
         time.sleep(0.02)
     child.send_signal(signal.SIGKILL)
     child.communicate()
-    kept = len(Store(store).known())
+    kept = len(Store(store).known_digests())
     figures = tmp_path / "f.json"
     done = subprocess.run(
         [*command, "--json", str(figures)], cwd=ROOT, capture_output=True, text=True, check=False
--- a/tests/test_zone_return.py
+++ b/tests/test_zone_return.py
@@ -386,7 +386,7 @@
 
 def shares_by_router(played: Any) -> dict[str, list[Mapping[str, float]]]:
     found: dict[str, list[Mapping[str, float]]] = {}
-    for _, who, each in played.routers[0].peer_network.shares:
+    for _, who, each in played.routers[0].peer_network.return_shares:
         found.setdefault(who, []).append(each)
     return found
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -27,7 +27,7 @@
 from myrtlecourse.peers.records import MAX_PAYLOAD_SIZE, Record, encoded_size
 from myrtlecourse.peers.seal import Dropped, Seal, ident
 from myrtlecourse.policy import Router, tuning
-from myrtlecourse.sim.world import World
+from myrtlecourse.sim.fleet_simulation import FleetSimulation
 from myrtlecourse.zones import exit_rule
 from myrtlecourse.zones.agent import Agent, AgentSettings
 from myrtlecourse.zones.core import (
@@ -563,7 +563,7 @@
 # Whole fleets in virtual time, with the same modules
 
 
-def world(faults: list[dict[str, Any]], **changes: Any) -> World:
+def world(faults: list[dict[str, Any]], **changes: Any) -> FleetSimulation:
     plain = {
         "seconds": 14.0,
         "routers": 12,
@@ -582,10 +582,10 @@
         "classes": [{"name": "read", "aim": 0.5, "deadline": 1.5}],
     }
     scenario = msgspec.convert(plain | changes, Scenario)
-    return World(scenario, msgspec.convert(load | {"keys": {"count": 200}}, Profile))
+    return FleetSimulation(scenario, msgspec.convert(load | {"keys": {"count": 200}}, Profile))
 
 
-def last_zones_left(played: World) -> dict[str, frozenset[str]]:
+def last_zones_left(played: FleetSimulation) -> dict[str, frozenset[str]]:
     peer_network = played.routers[0].peer_network
     assert peer_network is not None
     return {who: zones for _, who, zones, _ in peer_network.orders}
@@ -632,7 +632,7 @@
     assert played.run().verdict["breaches"]["stayed"] == 0
     wrong = world(faults, rules={"zone_dials": 30.0}, routers=40)
     for router in wrong.routers:
-        router.make = IgnoresOrders
+        router.router_class = IgnoresOrders
         router.start(list(wrong.layout.entries.values()))
     assert wrong.run().verdict["breaches"]["stayed"] > 0
 
