--- a/myrtlecourse/expect/checker.py
+++ b/myrtlecourse/expect/checker.py
@@ -51,7 +51,7 @@
 
 
 def server_entry(server: Server, given: Given) -> api.ServerEntry:
-    """Returns a server's entry in discovery's list, in the given state."""
+    """Return a server's entry in discovery's list, in the given state."""
     state = api.State.DRAINING if server.id in given.draining else api.State.READY
     since = NOW if server.id in given.cold else 0.0
     return api.ServerEntry(server.id, state, server.kind, server.zone, server.group, server.weight, since)
@@ -60,7 +60,7 @@
 def prepare_router(
     settings: api.Settings, fleet: NamedFleet, given: Given, seed: int, make_router: RouterFactory = Router
 ) -> Router:
-    """Returns a router in the given state. It first gets a list of all servers, then the changes to it."""
+    """Return a router in the given state. It first gets a list of all servers, then the changes to it."""
     router = make_router(settings, seed, NOW)
     before = tuple(
         server_entry(s, Given(given.request_class)) for s in fleet.servers if s.id not in given.cold
@@ -74,7 +74,7 @@
 
 
 def run_request(router: Router, given: Given, key: str | None, seed: int) -> Case:
-    """Runs one request, whose earlier attempts end as given."""
+    """Run one request, whose earlier attempts end as given."""
     now = NOW
     sent: list[str] = []
     answer, retry_after = "waits", 0.0
@@ -98,14 +98,14 @@
 
 
 def withdraw_request(router: Router, case: Case) -> None:
-    """Clears a request from the router: its client leaves, and its last attempt counts as not sent."""
+    """Clear a request from the router: its client leaves, and its last attempt counts as not sent."""
     router.handle(NOW, api.ClientGone("r"))
     if case.answer == "sent":
         router.handle(NOW, api.Outcome("r", len(case.sent) - 1, api.Status.NOT_SENT, True))
 
 
 def mismatch(then: Then, case: Case, servers: dict[str, Server]) -> str:
-    """Returns why a case is not as expected, or an empty string."""
+    """Return why a case is not as expected, or an empty string."""
     answer = then.answer or ("sent" if then.expects_server() else None)
     if answer is not None and case.answer != answer:
         return f"it was {case.answer}, not {answer}"
@@ -132,7 +132,7 @@
     seeds: int,
     make_router: RouterFactory = Router,
 ) -> Verdict:
-    """Checks one expectation for all its keys and seeds."""
+    """Check one expectation for all its keys and seeds."""
     servers = {s.id: s for s in fleet.servers}
     verdict = Verdict(expectation.name, True, 0, 0)
     destinations: Counter[str] = Counter()
@@ -173,7 +173,7 @@
 def check_all(
     expectations: Expectations, settings: api.Settings, make_router: RouterFactory = Router
 ) -> list[Verdict]:
-    """Checks all expectations of a file."""
+    """Check all expectations of a file."""
     fleets = expectations.fleets_by_name()
     return [check(e, settings, fleets[e.fleet], expectations.seeds, make_router) for e in expectations.expect]
 
@@ -187,7 +187,7 @@
 
 
 def explain(settings: api.Settings, fleet: NamedFleet, given: Given, key: str) -> list[Step]:
-    """Returns the order in which a key's requests would try servers, and why others are skipped.
+    """Return the order in which a key's requests would try servers, and why others are skipped.
 
     This uses the decision module alone: the server that it chooses is banned, and the request is run again.
     """
@@ -218,7 +218,7 @@
 def moved_keys(
     settings: api.Settings, old: NamedFleet, new: NamedFleet, keys: Given
 ) -> tuple[int, Counter[tuple[str, str]]]:
-    """Returns the number of keys, and how many of them move from one server to another with a new fleet."""
+    """Return the number of keys, and how many of them move from one server to another with a new fleet."""
     before, after = prepare_router(settings, old, keys, 0), prepare_router(settings, new, keys, 0)
     count = 0
     moves: Counter[tuple[str, str]] = Counter()
--- a/myrtlecourse/expect/commands.py
+++ b/myrtlecourse/expect/commands.py
@@ -28,7 +28,7 @@
 
 
 def read_files(settings_file: Path, file: Path) -> tuple[api.Settings, Expectations]:
-    """Reads both files. Exits with code 2 if one of them can't be used."""
+    """Read both files. Exits with code 2 if one of them can't be used."""
     try:
         table = orjson.loads(settings_file.read_bytes())
         if not isinstance(table, dict):
@@ -42,7 +42,7 @@
 
 
 def find_fleet(expectations: Expectations, name: str) -> NamedFleet:
-    """Returns a fleet by name. Exits with code 2 if there is none."""
+    """Return a fleet by name. Exits with code 2 if there is none."""
     fleet = expectations.fleets_by_name().get(name)
     if fleet is None:
         click.echo(f"myrtlecourse expect: no fleet is named {name}", err=True)
--- a/myrtlecourse/expect/spec.py
+++ b/myrtlecourse/expect/spec.py
@@ -66,7 +66,7 @@
     earlier: tuple[AttemptOutcome, ...] = ()  # outcomes of earlier attempts, first to last
 
     def expand_keys(self) -> Iterator[str | None]:
-        """Yields all keys, those of a pattern in the order of their numbers."""
+        """Yield all keys, those of a pattern in the order of their numbers."""
         if not self.keys:
             yield None
         for key in self.keys:
@@ -78,7 +78,7 @@
                 yield f"{key[: found.start()]}{number}{key[found.end() :]}"
 
     def count(self) -> int:
-        """Returns the number of keys."""
+        """Return the number of keys."""
         if not self.keys:
             return 1  # a request without a key
         ranges = [KEY_RANGE.search(k) for k in self.keys]
@@ -98,7 +98,7 @@
     spread: dict[str, tuple[Share, Share]] = {}  # server -> range of its share of the keys
 
     def expects_server(self) -> bool:
-        """Returns whether it expects certain servers."""
+        """Return whether it expects certain servers."""
         return bool(self.to or self.zone is not None or self.kind is not None or self.spread)
 
 
@@ -119,12 +119,12 @@
     seeds: Annotated[int, Meta(ge=1, le=10_000)] = 20  # each is checked with so many seeds of the module
 
     def fleets_by_name(self) -> dict[str, NamedFleet]:
-        """Returns the fleets by name."""
+        """Return the fleets by name."""
         return {f.name: f for f in self.fleets}
 
 
 def read_expectations(path: Path) -> Expectations:
-    """Reads a file. Raises ExpectError."""
+    """Read a file. Raises ExpectError."""
     try:
         expectations = msgspec.toml.decode(path.read_bytes(), type=Expectations)
     except OSError as e:
@@ -149,7 +149,7 @@
 
 
 def contradictions(expectations: Expectations, settings: api.Settings) -> list[Contradiction]:
-    """Returns the expectations that can't hold, without running the decision module.
+    """Return the expectations that can't hold, without running the decision module.
 
     An expectation allows a set of servers; two that have the same state given must have a server in common.
     """
@@ -175,7 +175,7 @@
 
 
 def _allowed_servers(expectation: Expectation, fleet: NamedFleet) -> set[str]:
-    """Returns the servers that an expectation allows."""
+    """Return the servers that an expectation allows."""
     then = expectation.then
     return {
         s.id
@@ -188,7 +188,7 @@
 
 
 def _impossible(expectation: Expectation, fleets: dict[str, NamedFleet], settings: api.Settings) -> str:
-    """Returns why no router can meet an expectation, or why it never applies; else an empty string."""
+    """Return why no router can meet an expectation, or why it never applies; else an empty string."""
     fleet, given, then = fleets.get(expectation.fleet), expectation.given, expectation.then
     if fleet is None:
         return f"no fleet is named {expectation.fleet}"
@@ -206,7 +206,7 @@
 
 
 def _conflicting_figures(expectation: Expectation, settings: api.Settings) -> str:
-    """Returns why the numbers of an expectation contradict each other, or an empty string."""
+    """Return why the numbers of an expectation contradict each other, or an empty string."""
     given, then = expectation.given, expectation.then
     if len(given.earlier) >= settings.max_attempts and then.expects_server():
         return f"{len(given.earlier)} attempts are all that the settings allow"
@@ -223,7 +223,7 @@
 
 
 def _no_server(expectation: Expectation, fleet: NamedFleet) -> str:
-    """Returns why no server could get the request, or an empty string."""
+    """Return why no server could get the request, or an empty string."""
     given = expectation.given
     if not expectation.then.expects_server():
         return ""
--- a/myrtlecourse/experiment/analysis.py
+++ b/myrtlecourse/experiment/analysis.py
@@ -20,7 +20,7 @@
     differences: dict[str, Estimate]  # from the baseline, paired by seed
 
     def to_json(self) -> dict[str, Any]:
-        """Returns the row as a table for JSON."""
+        """Return the row as a table for JSON."""
         return {
             "point": list(self.point),
             "values": {n: [e.mean, e.low, e.high] for n, e in self.values.items()},
@@ -29,7 +29,7 @@
 
 
 def rows(plan: Plan, runs: list[Run], store: Store) -> list[Row]:
-    """Returns the rows of a plan whose runs are in the store, the baseline first."""
+    """Return the rows of a plan whose runs are in the store, the baseline first."""
     results = store.by_digest(r.digest for r in runs)
     by_point: dict[str, dict[int, dict[str, float]]] = {}
     for run in runs:
@@ -52,9 +52,9 @@
 
 
 def compare(first_store: Store, second_store: Store) -> list[tuple[str, str, Estimate]]:
-    """Compares the points that both stores have.
+    """Compare the points that both stores have.
 
-    Returns the point, the measure, and by how much it is greater in the second store.
+    Return the point, the measure, and by how much it is greater in the second store.
     """
     first, second = first_store.by_point(), second_store.by_point()
     found = []
--- a/myrtlecourse/experiment/commands.py
+++ b/myrtlecourse/experiment/commands.py
@@ -102,7 +102,7 @@
 
 
 def show(plan: Plan, result_rows: list[Row], console: Console) -> None:
-    """Prints the means of all rows, and the differences from the baseline with their intervals."""
+    """Print the means of all rows, and the differences from the baseline with their intervals."""
     table = Table(
         box=SIMPLE_HEAD, title=f"Means over {plan.seeds} seeds (difference, 95% interval; * leaves out 0)"
     )
--- a/myrtlecourse/experiment/page.py
+++ b/myrtlecourse/experiment/page.py
@@ -19,7 +19,7 @@
 
 
 def draw_lines(plan: Plan, rows: list[Row], measure: str, axes: Axes) -> None:
-    """Draws a measure over the first factor, with a line for each combination of the others."""
+    """Draw a measure over the first factor, with a line for each combination of the others."""
     values = plan.factors[0].values
     others = sorted({r.point[1:] for r in rows}, key=str)
     for other in others:
@@ -37,7 +37,7 @@
 
 
 def draw_heat_map(plan: Plan, rows: list[Row], measure: str, axes: Axes) -> None:
-    """Draws a measure over two factors as a heat map."""
+    """Draw a measure over two factors as a heat map."""
     first, second = plan.factors
     known = {r.point: r.values[measure].mean for r in rows}
     table = [[known.get((a, b), float("nan")) for b in second.values] for a in first.values]
@@ -51,7 +51,7 @@
 
 
 def draw_figure(plan: Plan, rows: list[Row]) -> Figure:
-    """Draws all charts of an experiment."""
+    """Draw all charts of an experiment."""
     two_factors = len(plan.factors) == 2
     figure = Figure(figsize=(10, 7 if not two_factors else 13), layout="constrained")
     grid = figure.subplots(2 if not two_factors else 4, 2).flat
@@ -63,12 +63,12 @@
 
 
 def write_png(file: Path, plan: Plan, rows: list[Row]) -> None:
-    """Writes the charts to a PNG file."""
+    """Write the charts to a PNG file."""
     draw_figure(plan, rows).savefig(file, format="png", dpi=110, metadata={"Software": None})
 
 
 def page(plan: Plan, rows: list[Row], title: str) -> str:
-    """Returns the page as HTML: charts, and the table of differences from the baseline."""
+    """Return the page as HTML: charts, and the table of differences from the baseline."""
     measures = list(rows[0].values)
     header = "".join(f"<th>{html.escape(c)}</th>" for c in (*(f.path for f in plan.factors), *measures))
     body = []
--- a/myrtlecourse/experiment/plan.py
+++ b/myrtlecourse/experiment/plan.py
@@ -55,7 +55,7 @@
         return math.prod(len(f.values) for f in self.factors)
 
     def points(self) -> list[tuple[Value, ...]]:
-        """Returns the points, each with a value per factor, the baseline first."""
+        """Return the points, each with a value per factor, the baseline first."""
         grid = itertools.product(*(f.values for f in self.factors))
         if self.sample is None or self.sample >= self.size:
             return list(grid)
@@ -68,7 +68,7 @@
 
 
 def read_plan(path: Path) -> Plan:
-    """Reads a plan and checks that each value of each factor can be applied. Raises PlanError."""
+    """Read a plan and checks that each value of each factor can be applied. Raises PlanError."""
     try:
         plan = msgspec.toml.decode(path.read_bytes(), type=Plan)
     except (OSError, msgspec.DecodeError, ValueError) as e:
@@ -90,7 +90,7 @@
 def resolve_point(
     plan: Plan, file: Path, point: tuple[tuple[str, Value], ...]
 ) -> tuple[Scenario, Profile, dict[str, Any]]:
-    """Returns the scenario, the profile and the constants of the decision module at a point."""
+    """Return the scenario, the profile and the constants of the decision module at a point."""
     changes, constants = [], {}
     for path, value in point:
         module, _, name = path.partition(".")
@@ -105,7 +105,7 @@
 
 
 def check_constant(module: str, name: str, value: Value) -> Value:
-    """Returns the value for a constant. Raises PlanError unless both are numbers."""
+    """Return the value for a constant. Raises PlanError unless both are numbers."""
     module_object = importlib.import_module(f"myrtlecourse.{MODULES[module]}")
     if not str(module_object.__file__).endswith(".py"):
         raise PlanError(
@@ -120,7 +120,7 @@
 
 
 def source_digest() -> str:
-    """Returns a digest of the sources, as results depend on them and on the inputs of a run."""
+    """Return a digest of the sources, as results depend on them and on the inputs of a run."""
     digest = hashlib.sha256()
     root = Path(myrtlecourse.__file__).parent
     for file in sorted(root.rglob("*.py")):
--- a/myrtlecourse/experiment/runs.py
+++ b/myrtlecourse/experiment/runs.py
@@ -35,7 +35,7 @@
 
 
 def list_runs(plan: Plan, file: Path) -> list[Run]:
-    """Returns all runs of a plan, point by point, each with a digest of the sources and its inputs."""
+    """Return all runs of a plan, point by point, each with a digest of the sources and its inputs."""
     sources = source_digest()
     runs = []
     for values in plan.points():
@@ -50,12 +50,12 @@
 
 
 def point_name(values: tuple[Value, ...]) -> str:
-    """Returns the name of a point: its values as JSON."""
+    """Return the name of a point: its values as JSON."""
     return msgspec.json.encode(values).decode()
 
 
 def measure(result: Result) -> dict[str, float]:
-    """Returns the measures of a run that are compared."""
+    """Return the measures of a run that are compared."""
     counts = result.record.all.counts
     requests = max(1, counts["scheduled"])
     return {
@@ -71,7 +71,7 @@
 
 
 def execute_run(run: Run) -> dict[str, float]:
-    """Executes a run, with the constants of the decision module that it overrides."""
+    """Execute a run, with the constants of the decision module that it overrides."""
     previous = []
     for path, value in run.constants.items():
         module, _, name = path.partition(".")
@@ -94,7 +94,7 @@
     workers: int,
     progress: Callable[[int, int], None] = lambda done, total: None,
 ) -> int:
-    """Executes the runs that have no stored result; returns their number."""
+    """Execute the runs that have no stored result; return their number."""
     known = store.known_digests()
     missing = list({r.digest: r for r in runs if r.digest not in known}.values())
     total, done = len(missing), 0
--- a/myrtlecourse/experiment/statistics.py
+++ b/myrtlecourse/experiment/statistics.py
@@ -31,7 +31,7 @@
 
 
 def estimate(values: list[float]) -> Estimate:
-    """Returns the mean of some values and its interval."""
+    """Return the mean of some values and its interval."""
     array = np.array(values, dtype=np.float64)
     if len(array) < 2 or np.ptp(array) == 0:
         mean = float(array.mean()) if len(array) else 0.0
@@ -43,6 +43,6 @@
 
 
 def paired(first: Figures, second: Figures, measure: str) -> Estimate:
-    """Returns by how much a measure is greater in `second` than in `first`, over the seeds of both."""
+    """Return by how much a measure is greater in `second` than in `first`, over the seeds of both."""
     seeds = sorted(set(first) & set(second))
     return estimate([second[s][measure] - first[s][measure] for s in seeds])
--- a/myrtlecourse/experiment/store.py
+++ b/myrtlecourse/experiment/store.py
@@ -44,7 +44,7 @@
             raise StoreError(f"{path}: {e}") from e
 
     def _prepare(self) -> None:
-        """Creates the table; retries, as two processes may open a new file at once.
+        """Create the table; retry, as two processes may open a new file at once.
 
         SQLite does not wait for a lock when it changes the journal to a write-ahead log.
         """
@@ -60,24 +60,24 @@
                 time.sleep(OPEN_PAUSE)
 
     def known_digests(self) -> set[str]:
-        """Returns the digests of all runs that have a result."""
+        """Return the digests of all runs that have a result."""
         return {row[0] for row in self.connection.execute("select digest from results")}
 
     def add(self, digest: str, point: str, seed: int, figures: dict[str, float]) -> None:
-        """Stores a result."""
+        """Store a result."""
         text = msgspec.json.encode(figures).decode()
         self.connection.execute(
             "insert or replace into results values (?, ?, ?, ?)", (digest, point, seed, text)
         )
 
     def by_digest(self, digests: Iterable[str]) -> dict[str, dict[str, float]]:
-        """Returns the results with the given digests."""
+        """Return the results with the given digests."""
         wanted = set(digests)
         rows = self.connection.execute("select digest, figures from results")
         return {digest: msgspec.json.decode(text) for digest, text in rows if digest in wanted}
 
     def by_point(self) -> dict[str, dict[int, dict[str, float]]]:
-        """Returns the latest results by point and seed."""
+        """Return the latest results by point and seed."""
         found: dict[str, dict[int, Any]] = {}
         for point, seed, text in self.connection.execute(
             "select point, seed, figures from results order by rowid"
@@ -86,5 +86,5 @@
         return found
 
     def close(self) -> None:
-        """Closes the file."""
+        """Close the file."""
         self.connection.close()
--- a/myrtlecourse/sim/clients.py
+++ b/myrtlecourse/sim/clients.py
@@ -34,7 +34,7 @@
             self.timers.append(core.call_after(plan.request_class.deadline / 2, self._leave))
 
     def send(self) -> None:
-        """Sends the next try, to the next router."""
+        """Send the next try, to the next router."""
         if self.ended:
             return
         clients, plan = self.clients, self.plan
@@ -90,7 +90,7 @@
             self.timers.append(clients.core.call_after(wait, self.send))
 
     def _leave(self) -> None:
-        """Disconnects without waiting for the answer."""
+        """Disconnect without waiting for the answer."""
         if self.router is not None and self.name in self.clients.unanswered:
             self.clients.observe(seen.RequestUnanswered(self.clients.core.now, self.name, "left"))
             self.clients.unanswered.discard(self.name)
@@ -135,7 +135,7 @@
         self._schedule_next()
 
     def _schedule_next(self) -> None:
-        """Schedules the next arrival only, so that memory does not grow with the length of the run."""
+        """Schedule the next arrival only, so that memory does not grow with the length of the run."""
         plan = next(self.plan, None)
         if plan is not None and plan.at < self.seconds:
             self.arrival: Event = self.core.call_at(self.started_at + plan.at, self._arrive, plan)
@@ -148,7 +148,7 @@
         self._schedule_next()
 
     def expire(self, name: str) -> None:
-        """Reports a try as unanswered once its answer would come too late."""
+        """Report a try as unanswered once its answer would come too late."""
         if name in self.unanswered:
             self.unanswered.discard(name)
             self.observe(seen.RequestUnanswered(self.core.now, name, "late"))
--- a/myrtlecourse/sim/commands.py
+++ b/myrtlecourse/sim/commands.py
@@ -84,7 +84,7 @@
 
 
 def _read(scenario: Path, profile: Path | None, changes: list[str]) -> tuple[Scenario, Profile]:
-    """Reads both files, or a counterexample, which holds both."""
+    """Read both files, or a counterexample, which holds both."""
     if scenario.suffix == ".json" and profile is None:
         if changes:
             raise click.UsageError(
@@ -167,7 +167,7 @@
 
 
 def show_result(result: Result, console: Console) -> None:
-    """Prints the figures that only a simulator knows."""
+    """Print the figures that only a simulator knows."""
     requests = max(1, result.record.all.counts["scheduled"])
     loads = sorted(result.useful_work.values())
     console.print(
--- a/myrtlecourse/sim/core.py
+++ b/myrtlecourse/sim/core.py
@@ -26,7 +26,7 @@
         self.arguments = arguments
 
     def cancel(self) -> None:
-        """Cancels the call and drops its arguments."""
+        """Cancel the call and drops its arguments."""
         self.callback = None
         self.arguments = ()
 
@@ -47,11 +47,11 @@
         return self.time / MICROSECONDS
 
     def stream(self, name: str) -> random.Random:
-        """Returns a new random stream; the same name and seed give the same numbers."""
+        """Return a new random stream; the same name and seed give the same numbers."""
         return random.Random(f"{self.seed} {name}")
 
     def call_at(self, seconds: float, callback: Callable[..., None], *arguments: Any) -> Event:
-        """Schedules a call at a time in seconds; a time in the past means now."""
+        """Schedule a call at a time in seconds; a time in the past means now."""
         self.events_scheduled += 1
         event = Event(callback, arguments)
         # rounded up, so that a callback never runs before the time for which it was scheduled
@@ -60,11 +60,11 @@
         return event
 
     def call_after(self, seconds: float, callback: Callable[..., None], *arguments: Any) -> Event:
-        """Schedules a call after a delay in seconds."""
+        """Schedule a call after a delay in seconds."""
         return self.call_at(self.now + seconds, callback, *arguments)
 
     def run(self, until: float) -> None:
-        """Runs all events that are due by a time in seconds, and advances the clock to it."""
+        """Run all events that are due by a time in seconds, and advance the clock to it."""
         # rounded up like the times of events: a caller that waits for a time between two microseconds would
         # otherwise never reach it
         end, heap = -int(-until * MICROSECONDS // 1), self.heap
--- a/myrtlecourse/sim/counterexamples.py
+++ b/myrtlecourse/sim/counterexamples.py
@@ -20,12 +20,12 @@
 
 
 def write_counterexample(file: Path, found: Counterexample) -> None:
-    """Writes a counterexample as JSON."""
+    """Write a counterexample as JSON."""
     file.write_bytes(msgspec.json.format(msgspec.json.encode(found)) + b"\n")
 
 
 def read_counterexample(file: Path) -> Counterexample:
-    """Reads a counterexample. Raises ScenarioError, which names the file and the field."""
+    """Read a counterexample. Raises ScenarioError, which names the file and the field."""
     try:
         return msgspec.json.decode(file.read_bytes(), type=Counterexample)
     except (OSError, msgspec.DecodeError, ValueError) as e:
--- a/myrtlecourse/sim/discovery.py
+++ b/myrtlecourse/sim/discovery.py
@@ -36,7 +36,7 @@
             self._observe_change(entry)
 
     def notice(self, at: float, entry: Entry) -> None:
-        """Schedules a change of the list at a time."""
+        """Schedule a change of the list at a time."""
         self.registry.schedule(at, entry)
         self._schedule()
 
@@ -60,7 +60,7 @@
         self._schedule()
 
     def subscribe(self, router: SimRouter) -> None:
-        """Starts a router's watch, or fails its call while the service is unavailable."""
+        """Start a router's watch, or fail its call while the service is unavailable."""
         if router.name in self.watches:
             return
         self.observe(seen.DiscoveryCall(self.core.now, router.name, "begun"))
@@ -79,7 +79,7 @@
             router.on_list_failed()
 
     def _queue_answer(self, router: SimRouter) -> None:
-        """Queues the answer to a watch behind earlier ones; its content is read when it is written."""
+        """Queue the answer to a watch behind earlier ones; its content is read when it is written."""
         lines = 1 + len(self.registry.entries_after(self.sent_index[router.name])[1])
         self.busy_until = max(self.core.now, self.busy_until) + lines / self.lines_per_second
         self.watches[router.name] = router, self.registry.index
@@ -101,7 +101,7 @@
         router.on_list(api.ListKind.FULL if whole else api.ListKind.DELTA, entries)
 
     def set_unavailable(self, unavailable: bool) -> None:
-        """Ends all watches and fails all calls, or accepts calls again."""
+        """End all watches and fail all calls, or accept calls again."""
         self.is_unavailable = unavailable
         if unavailable:
             ended, self.watches = list(self.watches.values()), {}
@@ -110,7 +110,7 @@
                 self.core.call_after(HOP, self._report_failure, router, router.incarnation)
 
     def remove_router(self, router: SimRouter) -> None:
-        """Removes a router that has ended; its successor starts with the first list."""
+        """Remove a router that has ended; its successor starts with the first list."""
         if self.watches.pop(router.name, None) is not None:
             self.observe(seen.DiscoveryCall(self.core.now, router.name, "failed"))
         self.sent_index.pop(router.name, None)
--- a/myrtlecourse/sim/duties.py
+++ b/myrtlecourse/sim/duties.py
@@ -52,7 +52,7 @@
         self.claims: dict[str, Claim] = {}
 
     def start(self) -> None:
-        """Starts a new process; without a disk it remembers nothing."""
+        """Start a new process; without a disk it remembers nothing."""
         if self.duties is not None:
             return
         self.boots += 1
@@ -67,13 +67,13 @@
         self.post(messages.AbilityReported(self.able))
 
     def kill(self) -> None:
-        """Kills the process; it sends nothing any more."""
+        """Kill the process; it sends nothing any more."""
         self.duties = None
         self.claims.clear()
         self.discard_pending()
 
     def post(self, event: messages.Event) -> None:
-        """Passes an event to the duties and carries out their actions; a stopped process gets it later."""
+        """Pass an event to the duties and carries out their actions; a stopped process gets it later."""
         if self.duties is None:
             return
         if self.stopped:
@@ -103,7 +103,7 @@
                 self.call_at(at, lambda: self.post(messages.TimerFired()))
 
     def claim(self, duty: str, step: int, token: int, boot: int) -> None:
-        """Claims a step, if the duty is still held under the token for which this was scheduled."""
+        """Claim a step, if the duty is still held under the token for which this was scheduled."""
         if boot != self.boots or self.stopped or self.duties is None:
             if self.stopped and boot == self.boots:
                 self.simulation.core.call_after(STEP_PAUSE, self.claim, duty, step, token, boot)
@@ -154,16 +154,16 @@
         self.memory_lost = False  # so many processes restarted without a disk that a state may be lost
 
     def settings(self, name: str) -> messages.Settings:
-        """Returns the settings of a process."""
+        """Return the settings of a process."""
         return messages.Settings(name, self.names, self.voters, self.duties, **self.settings_given)
 
     def start(self) -> None:
-        """Starts all processes at once."""
+        """Start all processes at once."""
         for process in self.processes.values():
             process.start()
 
     def send(self, sender: str, to: str, items: tuple[messages.Item, ...]) -> None:
-        """Sends a datagram, which may be lost, duplicated, or overtaken by a later one."""
+        """Send a datagram, which may be lost, duplicated, or overtaken by a later one."""
         self.datagrams += 1
         self.items += len(items)
         network = self.network
@@ -183,7 +183,7 @@
     # Rules
 
     def on_acquired(self, process: Process, duty: str, token: int, value: messages.Value) -> None:
-        """Records that a process acts from now on, and that it continues from the last committed step."""
+        """Record that a process acts from now on, and that it continues from the last committed step."""
         self.history.append((self.core.now, process.name, duty, token))
         step = value[0] if value else 0
         if process.duties is not None and (holding := process.duties.holdings.get(duty)) is not None:
@@ -196,7 +196,7 @@
             self.core.call_after(STEP_PAUSE, process.claim, duty, step + 1, token, process.boots)
 
     def on_committed(self, process: Process, duty: str, token: int, number: int) -> None:
-        """Does a step, as its claim is committed."""
+        """Do a step, as its claim is committed."""
         claim = process.claims.get(duty)
         if claim is None or claim.token != token or number < claim.number or process.duties is None:
             return
@@ -210,7 +210,7 @@
         self.core.call_after(STEP_PAUSE, process.claim, duty, claim.step + 1, token, process.boots)
 
     def on_obeys(self, process: Process, order: messages.Obeys) -> None:
-        """Records that a member obeys an order from now on."""
+        """Record that a member obeys an order from now on."""
         if order.token < self.highest_token[order.duty]:
             raise RuleViolation(
                 f"stale_obeyed: {process.name} obeys {order.token} after {self.highest_token[order.duty]}"
@@ -218,7 +218,7 @@
         self.highest_token[order.duty] = order.token
 
     def check(self) -> None:
-        """Checks that no two holders act or are obeyed. Raises RuleViolation. Leases and orders can only end
+        """Check that no two holders act or are obeyed. Raises RuleViolation. Leases and orders can only end
         with time, so checking after each event is enough."""
         self.events += 1
         if self.events % self.check_interval:
@@ -239,18 +239,18 @@
                 raise RuleViolation(f"two_obeyed: orders of {sorted(tokens)} for {duty.name}")
 
     def holder(self, duty: str) -> str:
-        """Returns the process that acts for a duty at this moment of true time; empty: none."""
+        """Return the process that acts for a duty at this moment of true time; empty: none."""
         for process in self.processes.values():
             if process.duties is not None and process.duties.acting_token(process.clock(), duty) is not None:
                 return process.name
         return ""
 
     def run(self, seconds: float) -> None:
-        """Advances the virtual time."""
+        """Advance the virtual time."""
         self.core.run(self.core.now + seconds)
 
     def run_until_held(self, within: float) -> float | None:
-        """Runs until all duties have a holder; returns the seconds that took, or None if they exceed
+        """Run until all duties have a holder; return the seconds that took, or None if they exceed
         `within`."""
         began = self.core.now
         while self.core.now < began + within:
@@ -276,7 +276,7 @@
 
 
 def inject_fault(simulation: DutySimulation, rng: random.Random, longest: float) -> str:
-    """Injects one fault, which ends after a while; returns a line that describes it."""
+    """Inject one fault, which ends after a while; return a line that describes it."""
     fault = rng.choice((*FAULTS, "all") if simulation.disks else FAULTS)
     names = list(simulation.names)
     holders = [h for d in simulation.duties if (h := simulation.holder(d.name))]
@@ -342,7 +342,7 @@
 
 
 def run_random_faults(simulation: DutySimulation, seconds: float, longest: float = 5.0) -> list[str]:
-    """Runs with random faults for some seconds; returns a line for each. Raises RuleViolation."""
+    """Run with random faults for some seconds; return a line for each. Raises RuleViolation."""
     rng = simulation.core.stream("troubles")
     simulation.start()
     faults, until = [], simulation.core.now + seconds
@@ -353,7 +353,7 @@
 
 
 def end_faults(simulation: DutySimulation) -> None:
-    """Ends all faults."""
+    """End all faults."""
     simulation.network.cut.clear()
     simulation.network.loss = simulation.network.duplication = 0.0
     simulation.network.delay = (0.0005, 0.005)
--- a/myrtlecourse/sim/duty_commands.py
+++ b/myrtlecourse/sim/duty_commands.py
@@ -25,14 +25,14 @@
 
 
 def small_settings() -> Settings:
-    """Returns the settings of three voters and two duties, whose candidates are two of them."""
+    """Return the settings of three voters and two duties, whose candidates are two of them."""
     duties = (Duty("x", ("a", "b"), good_for=1.0), Duty("y", ("b", "a"), good_for=1.0))
     times = {"heartbeat": 0.5, "lease": 1.6, "settle": 0.0, "unheard": 2.0, "brake": 2.0}
     return Settings("a", VOTERS, VOTERS, duties, **times)
 
 
 def random_duties(seed: int, disks: bool) -> str:
-    """Runs one random schedule of faults on duties; returns the violation, or an empty string."""
+    """Run one random schedule of faults on duties; return the violation, or an empty string."""
     simulation = DutySimulation(NAMES, seed, DUTIES, VOTERS, disks=disks)
     try:
         run_random_faults(simulation, FAULT_SECONDS)
@@ -47,7 +47,7 @@
 
 
 def random_election(seed: int, disks: bool) -> str:
-    """Runs one random schedule of faults on an election; returns the violation, or an empty string."""
+    """Run one random schedule of faults on an election; return the violation, or an empty string."""
     simulation = election.ElectionSimulation(VOTERS if seed % 2 else NAMES, seed, disks=disks)
     try:
         election.run_random_faults(simulation, FAULT_SECONDS)
--- a/myrtlecourse/sim/election.py
+++ b/myrtlecourse/sim/election.py
@@ -42,7 +42,7 @@
         self.election: Election | None = None
 
     def start(self) -> None:
-        """Starts a new process; without a disk it remembers nothing."""
+        """Start a new process; without a disk it remembers nothing."""
         if self.election is not None:
             return
         self.boots += 1
@@ -54,7 +54,7 @@
         self.post(messages.AbilityReported(self.able))
 
     def kill(self) -> None:
-        """Kills the process; it sends nothing any more."""
+        """Kill the process; it sends nothing any more."""
         self.election = None
         self.discard_pending()
 
@@ -63,7 +63,7 @@
         return self.election is not None and self.election.holds(self.clock())
 
     def post(self, event: messages.Event) -> None:
-        """Passes an event to the election and carries out its actions; a stopped process gets it later."""
+        """Pass an event to the election and carries out its actions; a stopped process gets it later."""
         if self.election is None:
             return
         if self.stopped:
@@ -128,16 +128,16 @@
         self.instances = {n: Instance(self, n, 1 + self.rng.uniform(-drift, drift), disks) for n in names}
 
     def settings(self, name: str) -> messages.Settings:
-        """Returns the settings of an instance."""
+        """Return the settings of an instance."""
         return messages.Settings(name, self.names, **self.settings_given)  # type: ignore[arg-type]
 
     def start(self) -> None:
-        """Starts all instances at once."""
+        """Start all instances at once."""
         for instance in self.instances.values():
             instance.start()
 
     def send(self, sender: str, to: str, message: messages.Message) -> None:
-        """Sends a message, which may be lost, duplicated, or overtaken by a later one."""
+        """Send a message, which may be lost, duplicated, or overtaken by a later one."""
         self.message_count += 1
         network = self.network
         if (sender, to) in network.cut or self.network_rng.random() < network.loss:
@@ -151,11 +151,11 @@
             self.instances[to].post(messages.MessageReceived(sender, message))
 
     def holders(self) -> list[str]:
-        """Returns the instances that hold the address at this moment of true time."""
+        """Return the instances that hold the address at this moment of true time."""
         return [name for name, instance in self.instances.items() if instance.holds()]
 
     def check(self) -> None:
-        """Checks that no two instances hold the address and that no voter voted twice in a term. Raises
+        """Check that no two instances hold the address and that no voter voted twice in a term. Raises
         TwoHolders or AssertionError. A lease can only end with time, so checking after each event is
         enough."""
         holders = self.holders()
@@ -166,11 +166,11 @@
                 raise AssertionError(f"{voter} voted for {' and '.join(sorted(voted))} in term {term}")
 
     def run(self, seconds: float) -> None:
-        """Advances the virtual time."""
+        """Advance the virtual time."""
         self.core.run(self.core.now + seconds)
 
     def run_until_held(self, within: float) -> float | None:
-        """Runs until some instance holds the address; returns the seconds that took, or None if they exceed
+        """Run until some instance holds the address; return the seconds that took, or None if they exceed
         `within`."""
         began = self.core.now
         while self.core.now < began + within:
@@ -184,7 +184,7 @@
 
 
 def inject_fault(simulation: ElectionSimulation, rng: random.Random, longest: float) -> str:
-    """Injects one fault, which ends after a while; returns a line that describes it."""
+    """Inject one fault, which ends after a while; return a line that describes it."""
     fault = rng.choice(FAULTS)
     names = list(simulation.names)
     holders = simulation.holders()
@@ -239,7 +239,7 @@
 
 
 def links_to_cut(names: list[str], name: str, fault: str, rng: random.Random) -> set[tuple[str, str]]:
-    """Returns the links, as pairs of sender and receiver, that a fault of this kind cuts."""
+    """Return the links, as pairs of sender and receiver, that a fault of this kind cuts."""
     others = [n for n in names if n != name]
     if fault == "cut_one_way":
         links = [(name, o) for o in others]
@@ -251,7 +251,7 @@
 
 
 def run_random_faults(simulation: ElectionSimulation, seconds: float, longest: float = 4.0) -> list[str]:
-    """Runs with random faults for some seconds; returns a line for each. Raises TwoHolders."""
+    """Run with random faults for some seconds; return a line for each. Raises TwoHolders."""
     rng = simulation.core.stream("troubles")
     simulation.start()
     faults, until = [], simulation.core.now + seconds
@@ -262,7 +262,7 @@
 
 
 def end_faults(simulation: ElectionSimulation) -> None:
-    """Ends all faults."""
+    """End all faults."""
     simulation.network.cut.clear()
     simulation.network.loss = simulation.network.duplication = 0.0
     simulation.network.delay = (0.0005, 0.005)
--- a/myrtlecourse/sim/exhaust.py
+++ b/myrtlecourse/sim/exhaust.py
@@ -83,11 +83,11 @@
             self.start(node)
 
     def clock(self, node: Node) -> float:
-        """Returns the time on a process's own clock."""
+        """Return the time on a process's own clock."""
         return 100.0 + node.rate * self.now
 
     def start(self, node: Node) -> None:
-        """Starts a new process."""
+        """Start a new process."""
         node.boots += 1
         own_settings = messages.Settings(
             **{f: getattr(self.settings, f) for f in messages.Settings.__slots__ if f != "name"},
@@ -102,7 +102,7 @@
         self.post(node, messages.AbilityReported(True))
 
     def post(self, node: Node, event: messages.Event) -> None:
-        """Passes an event to a process and carries out its actions."""
+        """Pass an event to a process and carries out its actions."""
         if node.duties is None:
             return
         for action in node.duties.handle(self.clock(node), event):
@@ -161,7 +161,7 @@
         return "cut" in (self.nodes[message.sender].fault, self.nodes[message.to].fault)
 
     def deliverable(self) -> list[int]:
-        """Returns the indices of the messages that may be delivered, the oldest first."""
+        """Return the indices of the messages that may be delivered, the oldest first."""
         return [
             i
             for i, message in enumerate(self.pending)
@@ -169,14 +169,14 @@
         ]
 
     def deliver(self, i: int) -> None:
-        """Delivers one message."""
+        """Deliver one message."""
         message = self.pending.pop(i)
         node = self.nodes[message.to]
         if node.duties is not None and node.boots == message.boot and not self.is_cut(message):
             self.post(node, messages.MessagesReceived(message.sender, message.items))
 
     def advance_time(self) -> None:
-        """Advances the time to the next timer, end of a fault, or end of a delay."""
+        """Advance the time to the next timer, end of a fault, or end of a delay."""
         due = [(n.wake, "wake", n.name) for n in self.nodes.values() if n.duties and n.fault != "stop"]
         due += [(n.fault_until, "end", n.name) for n in self.nodes.values() if n.fault]
         due += [(message.held_until, "", "") for message in self.pending if message.held_until > self.now]
@@ -188,7 +188,7 @@
             self.post(self.nodes[name], messages.TimerFired())
 
     def end_fault(self, node: Node) -> None:
-        """Ends a process's fault."""
+        """End a process's fault."""
         fault, node.fault = node.fault, ""
         if fault == "crash":
             self.start(node)
@@ -196,7 +196,7 @@
             self.post(node, messages.TimerFired())
 
     def start_fault(self, node: Node, fault: str, seconds: float) -> None:
-        """Starts a fault of a process that lasts some seconds."""
+        """Start a fault of a process that lasts some seconds."""
         node.fault, node.fault_until = fault, self.now + seconds
         if fault == "crash":
             node.duties = None
@@ -208,7 +208,7 @@
                 )
 
     def check(self) -> None:
-        """Checks that no two holders act or are obeyed. Raises RuleViolation."""
+        """Check that no two holders act or are obeyed. Raises RuleViolation."""
         for duty in self.settings.duties:
             acting, tokens = [], set()
             for node in self.nodes.values():
@@ -222,7 +222,7 @@
                 raise RuleViolation(f"two_obeyed: {acting} act for {duty.name}, {sorted(tokens)} are obeyed")
 
     def default_step(self) -> None:
-        """Takes the next step of the default schedule."""
+        """Take the next step of the default schedule."""
         deliverable = self.deliverable()
         if deliverable:
             self.now += STEP
@@ -232,7 +232,7 @@
         self.check()
 
     def deviations(self) -> Iterator[tuple[Any, ...]]:
-        """Yields the deviations that are possible now."""
+        """Yield the deviations that are possible now."""
         deliverable = self.deliverable()
         lease = self.settings.lease
         if deliverable:
@@ -251,7 +251,7 @@
                 yield "crash", node.name, 1.6 * lease
 
     def apply(self, deviation: tuple[Any, ...]) -> None:
-        """Applies a deviation."""
+        """Apply a deviation."""
         match deviation:
             case ("wait",):
                 self.advance_time()
@@ -293,7 +293,7 @@
     max_states: int = 10_000_000,
     skip: int = 0,
 ) -> Exploration:
-    """Runs all schedules with at most `deviations` deviations, for `steps` steps each.
+    """Run all schedules with at most `deviations` deviations, for `steps` steps each.
 
     Deviations happen before step `deviations_before`. The exploration starts `skip` steps after each duty has
     got a holder; `max_states` limits the number of states.
--- a/myrtlecourse/sim/fleet_simulation.py
+++ b/myrtlecourse/sim/fleet_simulation.py
@@ -31,10 +31,10 @@
 from myrtlecourse.sim.servers import Node
 
 ACCEPT_WHILE_ENDING = 0.5  # seconds for which a router that was asked to end still accepts connections
-DRAIN_TIMEOUT = 3.0  # seconds after that in which it answers the requests in flight
+DRAIN_TIMEOUT = 3.0  # seconds after that for the answers to requests in flight
 ROUTER_START_TIME = 0.6  # seconds from a router's end until its successor listens
 SETTLE_TIME = 5.0  # seconds after the load in which all requests end
-MAX_AWAITING_ORIGIN = 100_000  # requests; the oldest are dropped above
+MAX_AWAITING_ORIGIN = 100_000  # requests that missed; the oldest are dropped beyond this number
 
 
 class ScenarioMismatch(ValueError):
@@ -55,7 +55,7 @@
     steps: list[Step]
 
     def figures(self) -> dict[str, Any]:
-        """Returns the figures of the load and those that only a simulator knows, for JSON."""
+        """Return the figures of the load and those that only a simulator knows, for JSON."""
         return self.record.figures(self.seconds) | {
             "verdict": self.verdict,
             "attempts": self.attempts,
@@ -164,14 +164,14 @@
         return node
 
     def _on_server_answer(self, node: Node, answer: Answer) -> None:
-        """Notes a miss, so that the server stores the value once the origin has answered."""
+        """Record a miss, so that the server stores the value once the origin has answered."""
         if answer.kind is AnswerKind.MISS:
             self.awaiting_origin.setdefault(answer.request.id, []).append(node)
             while len(self.awaiting_origin) > MAX_AWAITING_ORIGIN:
                 self.awaiting_origin.popitem(last=False)
 
     def _on_origin_answer(self, node: Node, answer: Answer) -> None:
-        """Stores the origin's answer at the servers that missed, or drops it everywhere after a write."""
+        """Store the origin's answer at the servers that missed, or drop it everywhere after a write."""
         self.fetches += answer.kind is AnswerKind.HIT
         missed = self.awaiting_origin.pop(answer.request.id, [])
         if answer.kind is AnswerKind.RECEIPT:
@@ -187,7 +187,7 @@
         self._update_list(Step(0.0, "crash", node.name, duration=math.inf))
 
     def _apply_step(self, step: Step) -> None:
-        """Applies one step of the schedule of faults."""
+        """Apply one step of the schedule of faults."""
         if step.target.startswith("router-"):
             # an upgrade is not simulated: the old and the new process share only sockets and files
             router = self.routers[int(step.target.rpartition("-")[2])]
@@ -238,7 +238,7 @@
         self._update_list(step)
 
     def _apply_ban(self, step: Step) -> None:
-        """Bans a server at every running router as operators do, or lifts the ban."""
+        """Ban a server at every running router as operators do, or lift the ban."""
         lifted = step.action == "online"
         for router in self.routers:
             if router.accepting and not router.ending:
@@ -247,12 +247,12 @@
                 self.auditor.judge(seen.BanAcknowledged(now, router.name, server, lifted))
 
     def _start_server(self, node: Node) -> None:
-        """Starts a server's process and lists it."""
+        """Start a server's process and lists it."""
         if self._start_process(node):
             self.discovery.notice(*self.layout.list_addition(node.name, self.core.now))
 
     def _start_process(self, node: Node) -> bool:
-        """Starts an empty, cold process; a server that has collapsed stays down."""
+        """Start an empty, cold process; a server that has collapsed stays down."""
         server = node.model
         if not isinstance(server, CacheServerModel) or node.up or server.overload_by_router is not None:
             return False
@@ -270,7 +270,7 @@
             self.discovery.notice(*change)
 
     def _restart_router(self, router: SimRouter, kill: bool) -> None:
-        """Kills a router or asks it to end; its successor starts with the first list."""
+        """Kill a router or ask it to end; its successor starts with the first list."""
         if not router.accepting or router.ending:
             return  # it is already ending or starting
         if kill:
@@ -293,7 +293,7 @@
         router.start(list(self.layout.entries.values()))
 
     def margins(self) -> dict[str, float]:
-        """Returns how close the run came to each limit; 1 is the limit."""
+        """Return how close the run came to each limit; 1 is the limit."""
         cold_load = max(
             (n.model.max_load_ratio for n in self.nodes.values() if isinstance(n.model, CacheServerModel)),
             default=0.0,
@@ -303,7 +303,7 @@
     def run(
         self, progress: Callable[[float], None] = lambda at: None, until_violation: bool = False
     ) -> Result:
-        """Runs to the end, or until a rule is broken. `progress` is called with the seconds simulated."""
+        """Run to the end, or until a rule is broken. `progress` is called with the seconds simulated."""
         started_at, seconds = self.core.now, self.scenario.seconds
         while self.core.now < started_at + seconds + SETTLE_TIME:
             self.core.run(min(self.core.now + 1.0, started_at + seconds + SETTLE_TIME))
--- a/myrtlecourse/sim/overrides.py
+++ b/myrtlecourse/sim/overrides.py
@@ -18,7 +18,7 @@
 
 
 def apply_override(table: Any, override: str) -> None:
-    """Applies `path=value` to a table. The path is names and list indexes joined by dots, the value TOML."""
+    """Apply `path=value` to a table. The path is names and list indexes joined by dots, the value TOML."""
     path, equals, text = override.partition("=")
     try:
         value = msgspec.toml.decode(f"v = {text}")["v"]
@@ -40,7 +40,7 @@
 
 
 def _descend(container: Any, step: str, override: str) -> Any:
-    """Returns the value under a name or index; a missing name becomes an empty table."""
+    """Return the value under a name or index; a missing name becomes an empty table."""
     if isinstance(container, list):
         if not step.isdigit() or int(step) >= len(container):
             raise PathError(f"{override!r}: {step} is not an index of a list of {len(container)}")
@@ -63,7 +63,7 @@
 def read_scenario_and_profile(
     scenario: Path, profile: Path, overrides: list[str]
 ) -> tuple[Scenario, Profile]:
-    """Reads a scenario and a profile; overrides whose path begins with `profile.` are for the profile.
+    """Read a scenario and a profile; overrides whose path begins with `profile.` are for the profile.
 
     Raises ScenarioError or ProfileError, which name the file.
     """
--- a/myrtlecourse/sim/peer_network.py
+++ b/myrtlecourse/sim/peer_network.py
@@ -41,7 +41,7 @@
         return EPOCH + self.core.now
 
     def join(self, router: SimRouter) -> Agent:
-        """Returns the agent of a router's new process and schedules its ticks."""
+        """Return the agent of a router's new process and schedules its ticks."""
         names = tuple(self.routers)
         settings = self.settings
         agent_settings = AgentSettings(
--- a/myrtlecourse/sim/process.py
+++ b/myrtlecourse/sim/process.py
@@ -15,7 +15,7 @@
     """Base class of simulated processes; subclasses handle events in `post`."""
 
     def __init__(self, core: Core, rng: random.Random, name: str, rate: float) -> None:
-        """Its clock runs `rate` times as fast as true time, from a random offset."""
+        """Create a process whose clock runs `rate` times as fast as true time, from a random offset."""
         self.core = core
         self.name = name
         self.rate = rate
@@ -31,29 +31,29 @@
         return self.offset + self.rate * self.core.now
 
     def post(self, event: EventT) -> None:
-        """Passes an event to the process."""
+        """Pass an event to the process."""
         raise NotImplementedError
 
     def call_at(self, at: float, callback: Callable[[], None]) -> None:
-        """Sets the process's only timer to a time of its clock; infinity clears it."""
+        """Set the process's only timer to a time of its clock; infinity clears it."""
         if self.timer is not None:
             self.timer.cancel()
         if at < float("inf"):
             self.timer = self.core.call_after(max(0.0, (at - self.clock()) / self.rate), callback)
 
     def discard_pending(self) -> None:
-        """Discards deferred events and the timer when the process is killed."""
+        """Discard deferred events and the timer when the process is killed."""
         self.stopped = False
         self.deferred.clear()
         if self.timer is not None:
             self.timer.cancel()
 
     def stop(self) -> None:
-        """Stops the process, as SIGSTOP does."""
+        """Stop the process, as SIGSTOP does."""
         self.stopped = True
 
     def resume(self) -> None:
-        """Resumes the process, which then handles all events that arrived in the meantime."""
+        """Resume the process, which then handles all events that arrived in the meantime."""
         self.stopped = False
         events, self.deferred = self.deferred, []
         for event in events:
--- a/myrtlecourse/sim/routers.py
+++ b/myrtlecourse/sim/routers.py
@@ -40,7 +40,7 @@
     finished: bool = False
 
     def request(self) -> Request:
-        """Returns the request as the node receives it."""
+        """Return the request as the node receives it."""
         client_request = self.pending.client_request
         return Request(
             client_request.name,
@@ -54,7 +54,7 @@
         )
 
     def end(self, status: api.Status) -> None:
-        """Ends the attempt, unless it has already ended."""
+        """End the attempt, unless it has already ended."""
         self.router.finish(self, status)
 
 
@@ -90,7 +90,7 @@
 
 
 def server_entry(entry: Entry) -> api.ServerEntry:
-    """Returns an entry in the form in which the decision module gets it."""
+    """Return an entry in the form in which the decision module gets it."""
     return api.ServerEntry(
         entry.name,
         STATES[entry.status],
@@ -133,7 +133,7 @@
         self.deferred: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
 
     def start(self, saved: list[Entry]) -> None:
-        """Starts a new process, which knows nothing but a saved list."""
+        """Start a new process, which knows nothing but a saved list."""
         self.router = self.router_class(self.settings, self.seed_rng.getrandbits(32), self.core.now)
         self.incarnation += 1
         self.stalled = False
@@ -150,25 +150,25 @@
         self.on_list(api.ListKind.SAVED, saved)
 
     def stop_accepting(self, incarnation: int) -> None:
-        """Stops accepting connections, if the process that was asked to end still runs."""
+        """Stop accepting connections, if the process that was asked to end still runs."""
         if incarnation == self.incarnation:
             self.accepting = False
 
     def stall(self, stalled: bool) -> None:
-        """Stalls the process, or resumes it with the calls that arrived in the meantime."""
+        """Stall the process, or resume it with the calls that arrived in the meantime."""
         self.stalled = stalled and self.up
         while self.deferred and not self.stalled:
             call, arguments = self.deferred.pop(0)
             call(*arguments)
 
     def defer_if_stalled(self, call: Callable[..., None], *arguments: Any) -> bool:
-        """Returns whether the process is stalled; if so, the call is made when it resumes."""
+        """Return whether the process is stalled; if so, the call is made when it resumes."""
         if self.stalled:
             self.deferred.append((call, arguments))
         return self.stalled
 
     def kill(self) -> None:
-        """Kills the process: clients lose their connections, and servers stop their work."""
+        """Kill the process: clients lose their connections, and servers stop their work."""
         self.up = self.accepting = False
         self.stalled = False
         self.deferred.clear()
@@ -183,7 +183,7 @@
         self.requests.clear()
 
     def on_list(self, kind: api.ListKind, entries: list[Entry]) -> None:
-        """Handles a list or its changes."""
+        """Handle a list or its changes."""
         if self.defer_if_stalled(self.on_list, kind, entries):
             return
         if kind is not api.ListKind.DELTA:
@@ -201,11 +201,11 @@
         self.post(api.ServerList(kind, tuple(map(server_entry, entries))))
 
     def on_list_failed(self) -> None:
-        """Reports to the decision module that the watch or a call has failed."""
+        """Report to the decision module that the watch or a call has failed."""
         self.post(api.ServerList(api.ListKind.FAILED))
 
     def accept(self, client_request: ClientRequest) -> None:
-        """Accepts a request, which gets exactly one answer."""
+        """Accept a request, which gets exactly one answer."""
         if self.defer_if_stalled(self.accept, client_request):
             return
         time_left = max(0.0, client_request.time_left - DEADLINE_MARGIN)
@@ -224,14 +224,14 @@
         )
 
     def receive(self, client_request: ClientRequest) -> None:
-        """Accepts a request, unless the router has ended since it was sent."""
+        """Accept a request, unless the router has ended since it was sent."""
         if self.up:
             self.accept(client_request)
         else:
             client_request.answer("ended", 0.0)
 
     def client_gone(self, name: str) -> None:
-        """Reports to the decision module that a client has left."""
+        """Report to the decision module that a client has left."""
         if self.defer_if_stalled(self.client_gone, name):
             return
         pending = self.requests.get(name)
@@ -241,7 +241,7 @@
             self.post(api.ClientGone(name))
 
     def post(self, event: api.Event) -> None:
-        """Passes an event to the decision module and carries out its actions.
+        """Pass an event to the decision module and carries out its actions.
 
         Events that actions cause are queued until those actions are done.
         """
@@ -290,7 +290,7 @@
             self.post(api.TimerFired(token))
 
     def _deadline_passed(self, pending: PendingRequest) -> None:
-        """Ends all attempts in flight with a timeout at the request's deadline."""
+        """End all attempts in flight with a timeout at the request's deadline."""
         if self.defer_if_stalled(self._deadline_passed, pending):
             return
         if self.requests.get(pending.client_request.name) is not pending:
@@ -300,7 +300,7 @@
             self._abandon(attempt, api.Status.TIMEOUT)
 
     def _close(self, name: str, outcome: str, retry_after: float = 0.0) -> None:
-        """Answers a request, unless it is closed."""
+        """Answer a request, unless it is closed."""
         pending = self.requests.get(name)
         if pending is not None and not pending.closed:
             pending.closed = True
@@ -332,7 +332,7 @@
         self.finish(attempt, status)
 
     def finish(self, attempt: Attempt, status: api.Status) -> None:
-        """Reports the outcome of an attempt once; the first that succeeds answers the client."""
+        """Report the outcome of an attempt once; the first that succeeds answers the client."""
         if self.defer_if_stalled(self.finish, attempt, status):
             return
         pending = attempt.pending
--- a/myrtlecourse/sim/search.py
+++ b/myrtlecourse/sim/search.py
@@ -43,7 +43,7 @@
 
 
 def run_trial(scenario: Scenario, profile: Profile, router_class: type[Router]) -> Trial:
-    """Runs a schedule until a rule is broken or it ends."""
+    """Run a schedule until a rule is broken or it ends."""
     simulation = FleetSimulation(scenario, profile, router_class=router_class)
     result = simulation.run(until_violation=True)
     broken = {kind: count for kind, count in result.verdict["breaches"].items() if count}
@@ -66,7 +66,7 @@
         return round(self.base.seconds * part, 3)
 
     def draw_fault(self, others: tuple[Fault, ...] = ()) -> Fault:
-        """Draws a fault of any kind, often just after another one and at the same server.
+        """Draw a fault of any kind, often just after another one and at the same server.
 
         Rules tend to break where two faults meet: a server that is frozen and then crashes, or a return that
         routers do not learn of.
@@ -103,14 +103,14 @@
         return self.rng.choice(makers)()
 
     def new_schedule(self) -> Scenario:
-        """Returns a new schedule of a few faults."""
+        """Return a new schedule of a few faults."""
         faults: tuple[Fault, ...] = ()
         for _ in range(self.rng.randint(1, MAX_FAULTS // 2)):
             faults += (self.draw_fault(faults),)
         return replace(self.base, faults=faults, seed=self.rng.getrandbits(31))
 
     def mutate(self, scenario: Scenario) -> Scenario:
-        """Returns a variant of a schedule, with one change."""
+        """Return a variant of a schedule, with one change."""
         faults = list(scenario.faults)
         match self.rng.randrange(4):
             case 0 if len(faults) < MAX_FAULTS:
@@ -138,7 +138,7 @@
     pool: list[Trial] = field(default_factory=list)
 
     def trials(self) -> Iterator[Trial]:
-        """Yields trials without end; the same seed gives the same ones."""
+        """Yield trials without end; the same seed gives the same ones."""
         rng = random.Random(f"{self.seed} search")
         mutator = Mutator(self.base, rng)
         while True:
@@ -150,7 +150,7 @@
             yield trial
 
     def _update_pool(self, trial: Trial) -> None:
-        """Keeps the trial that is closest by each margin, then those with the highest margins."""
+        """Keep the trial that is closest by each margin, then those with the highest margins."""
         pool = [*self.pool, trial]
         kinds = sorted({kind for t in pool for kind in t.margins})
         leaders = [max(pool, key=lambda t, k=kind: t.margins.get(k, 0.0)) for kind in kinds]  # type: ignore[misc]
@@ -159,7 +159,7 @@
 
 
 def shrink(trial: Trial, router_class: type[Router]) -> Counterexample:
-    """Reduces a trial to a counterexample that breaks one of the same rules."""
+    """Reduce a trial to a counterexample that breaks one of the same rules."""
     kinds = set(trial.breaches)
     trials_left = MAX_SHRINK_TRIALS
 
@@ -182,7 +182,7 @@
 
 
 def _smaller_variants(trial: Trial) -> Iterator[tuple[Scenario, Profile]]:
-    """Yields the variants that are one step smaller."""
+    """Yield the variants that are one step smaller."""
     scenario, profile = trial.scenario, trial.profile
     faults = scenario.faults
     for i in range(len(faults)):
--- a/myrtlecourse/sim/servers.py
+++ b/myrtlecourse/sim/servers.py
@@ -64,7 +64,7 @@
         self.useful_work = 0.0  # core-seconds spent on requests that were answered
 
     def connect(self, attempt: Attempt) -> None:
-        """Starts an attempt of a router, on an idle connection or a new one."""
+        """Start an attempt of a router, on an idle connection or a new one."""
         router = attempt.router.name
         idle = self.idle_connections.get(router, [])
         while idle and self.core.now - idle[0] >= self.idle_timeout:
@@ -85,7 +85,7 @@
         self.core.call_after(HOP + self.latencies[router], self.arrive, attempt)
 
     def arrive(self, attempt: Attempt) -> None:
-        """Handles the arrival of an attempt's last byte."""
+        """Handle the arrival of an attempt's last byte."""
         if not self.up:
             self.core.call_after(HOP, attempt.end, Status.RESET)
             return
@@ -125,7 +125,7 @@
         self.reschedule()
 
     def reschedule(self) -> None:
-        """Sets the timer to the time at which the next piece of work ends."""
+        """Set the timer to the time at which the next item of work ends."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -171,7 +171,7 @@
         self.core.call_after(HOP + self.latencies[router], attempt.end, status)
 
     def on_router_left(self, attempt: Attempt) -> None:
-        """Handles a router that stops waiting for an attempt; the node learns it one latency later."""
+        """Handle a router that stops waiting for an attempt; the node learns it one latency later."""
         self.core.call_after(HOP + self.latencies[attempt.router.name], self._cancel_work, attempt)
 
     def _cancel_work(self, attempt: Attempt) -> None:
@@ -187,18 +187,18 @@
             self.reschedule()
 
     def freeze(self, frozen: bool) -> None:
-        """Freezes the process, or resumes it with the attempts that arrived in the meantime."""
+        """Freeze the process, or resume it with the attempts that arrived in the meantime."""
         self.frozen = frozen
         self.set_speed(0.0 if frozen else 1.0)
         self._deliver_held_attempts()
 
     def cut(self, cut: bool) -> None:
-        """Cuts the node off the network, or reconnects it; what was sent in the meantime then arrives."""
+        """Cut the node off the network, or reconnect it; what was sent in the meantime then arrives."""
         self.is_cut = cut
         self._deliver_held()
 
     def cut_from(self, routers: tuple[str, ...], cut: bool) -> None:
-        """Cuts the node off some routers only, or reconnects it with them."""
+        """Cut the node off some routers only, or reconnect it with them."""
         self.cut_routers = self.cut_routers | set(routers) if cut else self.cut_routers - set(routers)
         self._deliver_held()
 
@@ -218,12 +218,12 @@
                 self.arrive(attempt)
 
     def set_speed(self, factor: float) -> None:
-        """Sets the speed of its cores, as a multiple of their normal speed."""
+        """Set the speed of its cores, as a multiple of their normal speed."""
         self.model.core_queue.core_speed.set_factor(self.core.now, factor)
         self.reschedule()
 
     def reset(self) -> None:
-        """Resets all connections and cancels the work on their requests."""
+        """Reset all connections and cancels the work on their requests."""
         self.idle_connections.clear()
         attempts, self.running = list(self.running.values()) + self.held_attempts, {}
         self.held_attempts = []
@@ -235,7 +235,7 @@
         self.reschedule()
 
     def terminate(self) -> None:
-        """Ends the process."""
+        """End the process."""
         self.up = False
         self.frozen = False
         self.reset()
--- a/myrtlecourse/sim/spread.py
+++ b/myrtlecourse/sim/spread.py
@@ -69,7 +69,7 @@
         self.at = self.scheduled_at = float("inf")
 
     def set(self, at: float) -> None:
-        """Sets the time of the call, in place of an earlier one; infinity clears it."""
+        """Set the time of the call, in place of an earlier one; infinity clears it."""
         self.at = at
         if at < self.scheduled_at:
             self.scheduled_at = at
@@ -104,7 +104,7 @@
         self.alarm = Alarm(self, lambda: self.post(messages.TimerFired()))
 
     def start(self) -> None:
-        """Starts a new process."""
+        """Start a new process."""
         if self.node is not None:
             return
         self.boots += 1
@@ -115,27 +115,27 @@
         self.post(messages.TimerFired())
 
     def kill(self) -> None:
-        """Kills the process; no other member is notified."""
+        """Kill the process; no other member is notified."""
         self.node = None
         self.alarm.set(float("inf"))
         self.discard_pending()
 
     def resume(self) -> None:
-        """Resumes the process with those datagrams that its socket has kept in the meantime."""
+        """Resume the process with those datagrams that its socket has kept in the meantime."""
         received = [i for i, event in enumerate(self.deferred) if isinstance(event, messages.Received)]
         lost = set(received[RECEIVE_BUFFER:])
         self.deferred = [event for i, event in enumerate(self.deferred) if i not in lost]
         super().resume()
 
     def post(self, event: MemberEvent) -> None:
-        """Passes an event to the process, later if it is stopped. Raises RuleViolation."""
+        """Pass an event to the process, later if it is stopped. Raises RuleViolation."""
         if self.node is not None and self.stopped:
             self.deferred.append(event)
         elif self.node is not None:
             self.handle(event)
 
     def handle(self, event: MemberEvent) -> None:
-        """Passes an event to the node and carries out its actions. Raises RuleViolation."""
+        """Pass an event to the node and carries out its actions. Raises RuleViolation."""
         assert self.node is not None and not isinstance(event, ReplicaInput)
         simulation, judge = self.simulation, self.simulation.judge
         for action in self.node.handle(self.clock(), event):
@@ -162,7 +162,7 @@
             )
 
     def has_lease(self) -> bool:
-        """Returns whether it now acts as if it were up to date."""
+        """Return whether it now acts as if it were up to date."""
         return self.node is not None and self.node.has_lease(self.clock())
 
 
@@ -249,7 +249,7 @@
         make_replica: Callable[[messages.Settings, LogState, float], Replica] = Replica,
         **settings_given: Any,
     ) -> None:
-        """`entries` is the highest number of entries; `settings_given` are fields of Settings."""
+        """Create the fleet for up to `entries` entries; `settings_given` are fields of Settings."""
         self.core = Core(seed)
         self.rng = self.core.stream("members")
         self.make_node, self.make_replica, self.settings_given = make_node, make_replica, settings_given
@@ -285,7 +285,7 @@
         self.members[name] = kind(self, len(self.members), name, place, rate)
 
     def settings(self, name: str, place: Place) -> messages.Settings:
-        """Returns the settings of a member."""
+        """Return the settings of a member."""
         sites = self.sites if name in self.control else self.sites_by_region[place.region]
         return messages.Settings(name, self.control, sites, **self.settings_given)
 
@@ -295,7 +295,7 @@
         return (self.core.time - START_TIME) / MICROSECONDS
 
     def draw_disk_time(self) -> float:
-        """Returns the seconds that the next write takes."""
+        """Return the seconds that the next write takes."""
         return self.rng.uniform(*self.disk_write_range)
 
     def _record_second(self) -> None:
@@ -303,7 +303,7 @@
         self.second_totals.append((np.array(self.bytes), np.array(self.datagrams)))
 
     def send(self, sender: Member, to: str, outgoing: tuple[messages.Message, ...]) -> None:
-        """Sends a datagram. Raises RuleViolation if it is too long."""
+        """Send a datagram. Raises RuleViolation if it is too long."""
         length = sender.header_bytes + CODEC.size(outgoing)
         if length > MAX_DATAGRAM:
             raise RuleViolation(f"too_long: {length} bytes from {sender.name}")
@@ -339,20 +339,20 @@
     # The duty, and proposals to its holder
 
     def release_holder(self) -> None:
-        """Notifies the holder that it has lost the duty."""
+        """Notify the holder that it has lost the duty."""
         if self.holder:
             self.members[self.holder].post(ReplicaInput(LeadershipLost()))
         self.holder = ""
 
     def set_holder(self, name: str) -> None:
-        """Gives the duty to a control node and notifies the previous holder."""
+        """Give the duty to a control node and notifies the previous holder."""
         self.release_holder()
         self.token += 1
         self.holder = name
         self.members[name].post(ReplicaInput(LeadershipGained(self.token)))
 
     def propose(self, entry: messages.Entry) -> None:
-        """Proposes an entry to the holder."""
+        """Propose an entry to the holder."""
         holder = self.members.get(self.holder)
         if holder is None or holder.node is None or holder.stopped:
             self.refused += 1
@@ -362,12 +362,12 @@
         holder.post(ReplicaInput(Propose(self.proposal_count, entry)))
 
     def on_acknowledged(self, ticket: int, number: int) -> None:
-        """Handles the holder's acknowledgement that an entry is durable."""
+        """Handle the holder's acknowledgement that an entry is durable."""
         entry, at = self.pending_proposals.pop(ticket)
         self.judge.on_acknowledged(number, entry, at, self.time)
 
     def schedule_load(self, purges: float, changes: float, seconds: float, subjects: int = 50) -> None:
-        """Schedules proposals at random times, at rates per second."""
+        """Schedule proposals at random times, at rates per second."""
         rng = self.core.stream("load")
         for rate, kind in ((purges, messages.Purge), (changes, messages.Change)):
             at = rng.expovariate(rate) if rate else seconds
@@ -381,7 +381,7 @@
                 at += rng.expovariate(rate)
 
     def on_watermark(self, number: int) -> None:
-        """Handles the root's report that all entries up to a number are applied everywhere.
+        """Handle the root's report that all entries up to a number are applied everywhere.
 
         Raises RuleViolation if a member with a lease lacks one of them.
         """
@@ -395,23 +395,23 @@
     # Running and checking
 
     def start(self, within: float = 0.0) -> None:
-        """Starts all members at random times within some seconds; the first control node gets the duty."""
+        """Start all members at random times within some seconds; the first control node gets the duty."""
         for member in self.member_list:
             self.core.call_after(self.rng.uniform(0.0, within), member.start)
         self.core.call_after(within, self.set_holder, self.control[0])
 
     def run(self, seconds: float) -> None:
-        """Advances the time."""
+        """Advance the time."""
         self.core.run(self.core.now + seconds)
 
     def lease_count(self) -> int:
-        """Returns the number of members that have a lease now."""
+        """Return the number of members that have a lease now."""
         return sum(m.has_lease() for m in self.member_list)
 
     def run_until_consistent(self, within: float) -> float | None:
-        """Runs until all running members have a lease and all entries.
+        """Run until all running members have a lease and all entries.
 
-        Returns the seconds that this took, or None if it takes longer than `within`.
+        Return the seconds that this took, or None if it takes longer than `within`.
         """
         started_at, judge = self.core.now, self.judge
         while self.core.now < started_at + within:
@@ -426,7 +426,7 @@
         return None
 
     def check_consistency(self) -> None:
-        """Checks that all running members have the same log and changes. Raises RuleViolation."""
+        """Check that all running members have the same log and changes. Raises RuleViolation."""
         judge = self.judge
         last, table = len(judge.log) - 1, judge.latest_changes()
         for member in (m for m in self.member_list if m.node is not None):
--- a/myrtlecourse/sim/spread_faults.py
+++ b/myrtlecourse/sim/spread_faults.py
@@ -9,7 +9,7 @@
 
 
 def inject_fault(simulation: SpreadSimulation, rng: random.Random, max_seconds: float) -> str:
-    """Injects one fault, which ends after a while; returns its description."""
+    """Inject one fault, which ends after a while; return its description."""
     fault, member, seconds = (
         rng.choice(list(FAULTS)),
         rng.choice(simulation.member_list),
@@ -25,13 +25,13 @@
 
 
 def _elect_successor(simulation: SpreadSimulation, rng: random.Random, member: Member) -> None:
-    """Elects another holder if this was it, possibly while it still believes to hold the duty."""
+    """Elect another holder if this was it, possibly while it still believes to hold the duty."""
     if member.name == simulation.holder:
         simulation.core.call_after(rng.uniform(0.5, 1.5), _elect, simulation, rng)
 
 
 def _elect(simulation: SpreadSimulation, rng: random.Random) -> None:
-    """Gives the duty to a running control node, in most cases one that is not cut off."""
+    """Give the duty to a running control node, in most cases one that is not cut off."""
     running = [
         m
         for m in map(simulation.members.get, simulation.control)
@@ -107,7 +107,7 @@
 
 
 def run_random_faults(simulation: SpreadSimulation, seconds: float, max_seconds: float = 3.0) -> list[str]:
-    """Injects random faults for a time; returns their descriptions. Raises RuleViolation."""
+    """Inject random faults for a time; return their descriptions. Raises RuleViolation."""
     rng = simulation.core.stream("troubles")
     faults, until = [], simulation.core.now + seconds
     while simulation.core.now < until:
@@ -117,7 +117,7 @@
 
 
 def end_faults(simulation: SpreadSimulation) -> None:
-    """Ends all faults, starts all members, and gives the duty to the first control node."""
+    """End all faults, start all members, and give the duty to the first control node."""
     network = simulation.network
     network.outbound_cut.clear()
     network.inbound_cut.clear()
--- a/myrtlecourse/sim/spread_judge.py
+++ b/myrtlecourse/sim/spread_judge.py
@@ -31,7 +31,7 @@
         self.assumed_purges = 0
 
     def on_committed(self, first: int, entries: tuple[messages.Entry, ...]) -> None:
-        """Handles entries that a control node regards as committed. Raises RuleViolation."""
+        """Handle entries that a control node regards as committed. Raises RuleViolation."""
         for number, entry in enumerate(entries, first):
             if number > self.entries:
                 raise ValueError("more entries than the judge was created for")
@@ -49,7 +49,7 @@
                 raise RuleViolation(f"gap: {number} committed after {len(self.log) - 1}")
 
     def on_acknowledged(self, number: int, entry: messages.Entry, proposed: float, now: float) -> None:
-        """Handles an acknowledgement of an entry by the holder. Raises RuleViolation."""
+        """Handle an acknowledgement of an entry by the holder. Raises RuleViolation."""
         if self.acknowledged_entries.setdefault(number, entry) != entry:
             raise RuleViolation(
                 f"two_entries: {entry} and {self.acknowledged_entries[number]} under {number}"
@@ -61,13 +61,13 @@
         self.proposed_at[number], self.acknowledged_at[number] = proposed, now
 
     def on_start(self, member: int) -> None:
-        """Clears the state of a member whose process starts."""
+        """Clear the state of a member whose process starts."""
         self.applied_at[member] = np.nan
         self.applied_until[member] = 0
         self.tables[member] = {}
 
     def on_applied(self, member: int, first: int, entries: tuple[messages.Entry, ...], now: float) -> None:
-        """Handles entries that a member applies. Raises RuleViolation."""
+        """Handle entries that a member applies. Raises RuleViolation."""
         end = first + len(entries)
         if entries != tuple(self.log[first:end]):
             raise RuleViolation(f"other_entries: {first} to {end - 1} at member {member}")
@@ -86,13 +86,13 @@
             table[change.subject] = number, change
 
     def on_restored(self, member: int, number: int, change: messages.Change) -> None:
-        """Handles a change that a member restores from a table. Raises RuleViolation."""
+        """Handle a change that a member restores from a table. Raises RuleViolation."""
         if not 0 < number < len(self.log) or self.log[number] != change:
             raise RuleViolation(f"other_entries: {change} restored as {number} at member {member}")
         self._keep_change(member, number, change)
 
     def on_assumed_purged(self, member: int, first: int, last: int) -> None:
-        """Handles entries that a member has missed and assumes purged."""
+        """Handle entries that a member has missed and assumes purged."""
         self.assumed_purges += 1
         row = self.applied_at[member, first : last + 1]
         row[np.isnan(row)] = np.inf
@@ -109,9 +109,9 @@
         self.applied_until[member] = first - 1
 
     def on_watermark(self, number: int, now: float) -> list[int]:
-        """Handles the root's report that all entries up to a number are applied everywhere.
+        """Handle the root's report that all entries up to a number are applied everywhere.
 
-        Returns the members that lack one of them. Raises RuleViolation if there is no such entry.
+        Return the members that lack one of them. Raises RuleViolation if there is no such entry.
         """
         if number >= len(self.log):
             raise RuleViolation(f"done_ahead: {number} of {len(self.log) - 1} entries")
@@ -121,6 +121,6 @@
         return [int(m) for m in np.flatnonzero(self.applied_until < number)]
 
     def latest_changes(self) -> dict[bytes, tuple[int, messages.Change]]:
-        """Returns the latest change of each subject in the log, with its number."""
+        """Return the latest change of each subject in the log, with its number."""
         entries = enumerate(self.log)
         return {e.subject: (number, e) for number, e in entries if isinstance(e, messages.Change)}
--- a/myrtlecourse/sim/topology.py
+++ b/myrtlecourse/sim/topology.py
@@ -9,7 +9,7 @@
 
 
 def lay_out_sites(regions: int, sites: int, routers: int, parts: int) -> tuple[Site, ...]:
-    """Returns sites, assigned to regions in turn, each with an equal share of all routers and parts."""
+    """Return sites, assigned to regions in turn, each with an equal share of all routers and parts."""
     each = []
     for s in range(sites):
         region = f"r{s % regions:02d}"
@@ -38,7 +38,7 @@
     """Draws what happens to a datagram; its delay depends on the places of both ends."""
 
     def __init__(self, regions: int, sites: int, rng: random.Random) -> None:
-        """Draws the one-way delays (s) once."""
+        """Draw the one-way delays (s) once."""
         self.random = rng.random
         self.site_delay = [rng.uniform(0.0002, 0.001) for _ in range(sites)]  # within a site
         self.access_delay = [rng.uniform(0.002, 0.010) for _ in range(sites)]  # between a site and its region
@@ -53,7 +53,7 @@
         self.inbound_cut: set[int] = set()  # regions that receive nothing from other regions
 
     def draw_delays(self, a: Place, b: Place) -> tuple[float, ...]:
-        """Returns the delays (s) of a datagram's copies: none if it is lost, two if it is duplicated."""
+        """Return the delays (s) of a datagram's copies: none if it is lost, two if it is duplicated."""
         if a.region != b.region and (a.region in self.outbound_cut or b.region in self.inbound_cut):
             return ()
         if self.loss and self.random() < self.loss:
