--- a/bench/zone_exit.py
+++ b/bench/zone_exit.py
@@ -212,11 +212,11 @@
     peer_network = world.routers[0].peer_network
     if peer_network is not None:
         left: dict[str, float] = {}
-        for at, router, zones, origin in peer_network.orders:
+        for at, router, zones, origin in peer_network.zone_exits:
             if (zones or origin) and at - began >= FAULT_AT:
                 left.setdefault(router, at - began - FAULT_AT)
         figures |= exit_times(left, routers)
-        figures["turns"] = most_reversals(peer_network.orders)
+        figures["turns"] = most_reversals(peer_network.zone_exits)
         figures["bytes_a_second"] = peer_network.bytes / routers / RUN_SECONDS
     return figures
 
--- a/myrtlecourse/audit/auditor.py
+++ b/myrtlecourse/audit/auditor.py
@@ -327,8 +327,8 @@
         if history.answers > 1:
             self._report_breach("answered_twice", event.at, history.router, event.id)
         if history.deadline is not None:
-            whole = history.deadline + self.rules.answer_slack - history.first_seen
-            self._update_margin("late", event.at - history.first_seen, whole)
+            allowed_time = history.deadline + self.rules.answer_slack - history.first_seen
+            self._update_margin("late", event.at - history.first_seen, allowed_time)
         overdue = history.deadline is not None and event.at > history.deadline + self.rules.answer_slack
         if history.deadline is not None and overdue and not self._was_stopped(history, event.at):
             late = f"{event.at - history.deadline:.3f} s after its deadline"
@@ -377,10 +377,10 @@
         return any(a <= until and b >= history.first_seen for a, b in self.stops.get(history.router, ()))
 
     def _report_zone_breach(self, kind: str, at: float, router: str, zone: str, detail: str) -> None:
-        self._report_breach(kind, at, router, box=zone, detail=detail)
+        self._report_breach(kind, at, router, server=zone, detail=detail)
 
     def _report_origin_breach(self, at: float, detail: str) -> None:
-        self._report_breach("origin_over", at, "", box=ORIGIN, detail=detail)
+        self._report_breach("origin_over", at, "", server=ORIGIN, detail=detail)
 
     def _judge_overload(self, event: seen.ColdServerOverloaded) -> None:
         """Judge whether routers that knew of a server's start overloaded it while it was cold."""
@@ -395,18 +395,18 @@
         if share >= INFORMED_SHARE:
             detail = f"{share:.0%} of the work came from routers that knew of its start"
             self._report_breach(
-                "cold_pushed", event.at, ", ".join(sorted(event.work)), box=event.box, detail=detail
+                "cold_pushed", event.at, ", ".join(sorted(event.work)), server=event.box, detail=detail
             )
 
     def _update_margin(self, kind: str, used: float, limit: float) -> None:
         self.margins[kind] = max(self.margins.get(kind, 0.0), min(1.0, used / limit) if limit else 0.0)
 
     def _report_breach(
-        self, kind: str, at: float, router: str, request: str = "", box: str = "", detail: str = ""
+        self, kind: str, at: float, router: str, request: str = "", server: str = "", detail: str = ""
     ) -> None:
         self.counts[kind] += 1
         if len(self.breaches) < MAX_NAMED_BREACHES:
-            self.breaches.append(Breach(kind, at - (self.began or 0.0), router, request, box, detail))
+            self.breaches.append(Breach(kind, at - (self.began or 0.0), router, request, server, detail))
 
     def _forget(self) -> None:
         """Drop requests that can no longer break a rule, to bound memory over a long audit."""
--- a/myrtlecourse/audit/duties.py
+++ b/myrtlecourse/audit/duties.py
@@ -20,15 +20,15 @@
 class DutyRules:
     """Judges the observations one by one."""
 
-    def __init__(self, gap: float, breach: ReportBreach) -> None:
+    def __init__(self, max_gap: float, report_breach: ReportBreach) -> None:
         """Create the rules.
 
         Args:
-            gap: seconds that a duty may be without a holder, once it had one; 0 turns that rule off.
-            breach: called for each breach.
+            max_gap: seconds that a duty may be without a holder, once it had one; 0 turns that rule off.
+            report_breach: called for each breach.
         """
-        self.gap = gap
-        self.breach = breach
+        self.max_gap = max_gap
+        self.report_breach = report_breach
         self.followed: dict[tuple[str, str], int] = {}  # the token that a router follows, by duty and router
         self.highest: dict[str, int] = {}
         self.done: dict[tuple[str, int], int] = {}  # the token under which a step was done, by duty and step
@@ -49,7 +49,7 @@
                 before = self.done.get((event.duty, event.step))
                 if before is not None:
                     detail = f"step {event.step} done under token {event.token}, and before under {before}"
-                    self.breach("done_twice", event.at, event.router, event.duty, detail)
+                    self.report_breach("done_twice", event.at, event.router, event.duty, detail)
                 self.done[event.duty, event.step] = event.token
             case seen.RouterDown():
                 for duty, router in [key for key in self.followed if key[1] == event.router]:
@@ -62,10 +62,10 @@
         others = {t for (d, r), t in self.followed.items() if d == event.duty and r != event.router}
         for token in others - {event.token}:
             detail = f"{event.router} follows token {event.token} while others follow {token}"
-            self.breach("two_obeyed", event.at, event.router, event.duty, detail)
+            self.report_breach("two_obeyed", event.at, event.router, event.duty, detail)
         highest = self.highest.get(event.duty, 0)
         if event.token < highest:
-            self.breach(
+            self.report_breach(
                 "stale_obeyed", event.at, event.router, event.duty, f"{event.token} after token {highest}"
             )
         self.highest[event.duty] = max(highest, event.token)
@@ -76,13 +76,13 @@
         if event.token:
             since = self.without_holder_since.pop(event.duty, math.inf)
             gap = event.at - since
-            if self.gap and gap > 0:
+            if self.max_gap and gap > 0:
                 self.margins["nobody_too_long"] = max(
-                    self.margins.get("nobody_too_long", 0.0), min(1.0, gap / self.gap)
+                    self.margins.get("nobody_too_long", 0.0), min(1.0, gap / self.max_gap)
                 )
-                if gap > self.gap:
+                if gap > self.max_gap:
                     detail = f"nobody held it for {gap:.2f} s"
-                    self.breach("nobody_too_long", event.at, event.router, event.duty, detail)
+                    self.report_breach("nobody_too_long", event.at, event.router, event.duty, detail)
             tokens[event.router] = event.token
         elif tokens.pop(event.router, None) is not None and not tokens:
             self.without_holder_since[event.duty] = event.at
--- a/myrtlecourse/audit/zones.py
+++ b/myrtlecourse/audit/zones.py
@@ -28,19 +28,21 @@
 class ZoneRules:
     """Judges the observations one by one."""
 
-    def __init__(self, enough: float, dials: float, spill: float, breach: ReportBreach) -> None:
-        """Create the rules; 0 for `dials` or `spill` turns that rule off.
+    def __init__(
+        self, min_sends: float, max_dials: float, max_spill: float, report_breach: ReportBreach
+    ) -> None:
+        """Create the rules; 0 for `max_dials` or `max_spill` turns that rule off.
 
         Args:
-            enough: attempts of one router after which it would by chance have reached each zone.
-            dials: attempts a second that the whole fleet may make at an unreachable zone.
-            spill: factor by which the load of the surviving zones may grow.
-            breach: called for each breach.
+            min_sends: attempts of one router after which it would by chance have reached each zone.
+            max_dials: attempts a second that the whole fleet may make at an unreachable zone.
+            max_spill: factor by which the load of the surviving zones may grow.
+            report_breach: called for each breach.
         """
-        self.enough = enough
-        self.dials = dials
-        self.spill = spill
-        self.breach = breach
+        self.min_sends = min_sends
+        self.max_dials = max_dials
+        self.max_spill = max_spill
+        self.report_breach = report_breach
         self.zones: dict[str, str] = {}
         self.down_by: dict[str, set[str]] = {}  # by cache server: the steps that make it unreachable for all
         self.partitions: Counter[tuple[str, str]] = Counter()  # by router and cache server
@@ -90,29 +92,29 @@
 
     def _attempt_received(self, event: seen.AttemptReceived) -> None:
         zone = self.zones[event.box]
-        own = self.sent.setdefault(event.router, deque())
-        own.append((event.at, zone))
+        router_sends = self.sent.setdefault(event.router, deque())
+        router_sends.append((event.at, zone))
         self.sent_by_all.append((event.at, zone))
-        while own[0][0] < event.at - SEND_WINDOW:
-            own.popleft()
+        while router_sends[0][0] < event.at - SEND_WINDOW:
+            router_sends.popleft()
         while self.sent_by_all[0][0] < event.at - BASELINE_WINDOW:
             self.sent_by_all.popleft()
-        self._judge_alone(event, own)
-        if self.spill:
+        self._judge_alone(event, router_sends)
+        if self.max_spill:
             self._judge_spill(event.at)
 
-    def _judge_alone(self, event: seen.AttemptReceived, own: deque[tuple[float, str]]) -> None:
+    def _judge_alone(self, event: seen.AttemptReceived, router_sends: deque[tuple[float, str]]) -> None:
         """Judge whether a router sends nothing to a zone that all routers can reach."""
-        if len(own) < self.enough or own[-1][0] - own[0][0] < 0.9 * SEND_WINDOW:
+        if len(router_sends) < self.min_sends or router_sends[-1][0] - router_sends[0][0] < 0.9 * SEND_WINDOW:
             return
-        reached = {zone for _, zone in own}
+        reached = {zone for _, zone in router_sends}
         for zone in set(self.zones.values()) - reached:
             healthy = event.at - self.last_fault.get(zone, -math.inf) > HEALTHY_AFTER
             partitioned = any(
                 self.partitions[event.router, server] for server, z in self.zones.items() if z == zone
             )
             if healthy and not partitioned and not self._unreachable(zone):
-                detail = f"none of its last {len(own)} attempts went to {zone}, which all routers can reach"
+                detail = f"none of its last {len(router_sends)} attempts went to {zone}, which all routers can reach"
                 self._report_once("left_alone", event.at, event.router, zone, detail)
 
     def _judge_spill(self, now: float) -> None:
@@ -121,7 +123,7 @@
             if now < self.last_fault[zone] + EXIT_TIME:
                 continue
             sent = sum(at > now - 1.0 and z != zone for at, z in self.sent_by_all)
-            allowed = self.spill * usual_rate * ARRIVAL_FACTOR + ARRIVAL_SLACK
+            allowed = self.max_spill * usual_rate * ARRIVAL_FACTOR + ARRIVAL_SLACK
             self.margins["spilled"] = max(self.margins.get("spilled", 0.0), min(1.0, sent / allowed))
             if sent > allowed:
                 detail = (
@@ -131,15 +133,15 @@
 
     def _unreachable_dial(self, event: seen.UnreachableDial) -> None:
         zone = self.zones[event.box]
-        if not self.dials or not self._unreachable(zone) or event.at < self.last_fault[zone] + EXIT_TIME:
+        if not self.max_dials or not self._unreachable(zone) or event.at < self.last_fault[zone] + EXIT_TIME:
             return
         self.late_dials.append(event.at)
         while self.late_dials[0] < event.at - 1.0:
             self.late_dials.popleft()
         self.margins["stayed"] = max(
-            self.margins.get("stayed", 0.0), min(1.0, len(self.late_dials) / self.dials)
+            self.margins.get("stayed", 0.0), min(1.0, len(self.late_dials) / self.max_dials)
         )
-        if len(self.late_dials) > self.dials:
+        if len(self.late_dials) > self.max_dials:
             detail = f"{len(self.late_dials)} attempts in a second at {zone}, unreachable for long"
             self._report_once("stayed", event.at, event.router, zone, detail)
 
@@ -148,4 +150,4 @@
         key = rule, router if rule == "left_alone" else "", zone, int(self.last_fault.get(zone, 0.0))
         if key not in self.reported:
             self.reported.add(key)
-            self.breach(rule, at, router, zone, detail)
+            self.report_breach(rule, at, router, zone, detail)
--- a/myrtlecourse/expect/checker.py
+++ b/myrtlecourse/expect/checker.py
@@ -62,12 +62,12 @@
 ) -> Router:
     """Return a router in the given state. It first gets a list of all servers, then the changes to it."""
     router = make_router(settings, seed, NOW)
-    before = tuple(
+    initial = tuple(
         server_entry(s, Given(given.request_class)) for s in fleet.servers if s.id not in given.cold
     )
-    router.handle(NOW, api.ServerList(api.ListKind.FULL, before))
-    now = tuple(server_entry(s, given) for s in fleet.servers if s.id not in given.gone)
-    router.handle(NOW, api.ServerList(api.ListKind.FULL, now))
+    router.handle(NOW, api.ServerList(api.ListKind.FULL, initial))
+    current = tuple(server_entry(s, given) for s in fleet.servers if s.id not in given.gone)
+    router.handle(NOW, api.ServerList(api.ListKind.FULL, current))
     for server in given.offline:
         router.handle(NOW, api.ServerBanned(server))
     return router
--- a/myrtlecourse/fleet/address_switch.py
+++ b/myrtlecourse/fleet/address_switch.py
@@ -50,9 +50,9 @@
         """The address at which each voter receives the others' datagrams."""
         return self.relays.listen_addresses
 
-    def split(self, one: set[str]) -> None:
+    def split(self, one_side: set[str]) -> None:
         """Partition the network between some voters and the others."""
-        self.network.split(self.voter_addresses, one)
+        self.network.split(self.voter_addresses, one_side)
 
     async def _handle_control(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Handle a router's announcement or withdrawal."""
--- a/myrtlecourse/fleet/core_queue.py
+++ b/myrtlecourse/fleet/core_queue.py
@@ -50,9 +50,9 @@
         """Return the time at which the warm-up integral has a value; the inverse of `_warm_integral`."""
         if self.started == -math.inf:
             return integral
-        whole = self.warm_up * (1 + self.cold) / 2
-        if integral >= whole:
-            return self.started + self.warm_up + (integral - whole)
+        warm_up_total = self.warm_up * (1 + self.cold) / 2
+        if integral >= warm_up_total:
+            return self.started + self.warm_up + (integral - warm_up_total)
         # This form of the root neither subtracts two nearly equal numbers nor divides by the slope, which may
         # be zero or infinite.
         rise = 2 * (1 - self.cold) * (integral / self.warm_up)
--- a/myrtlecourse/fleet/datagram_network.py
+++ b/myrtlecourse/fleet/datagram_network.py
@@ -34,10 +34,12 @@
         if not self.cuts[name]:
             del self.cuts[name]
 
-    def split(self, names: Iterable[str], one: set[str]) -> None:
+    def split(self, names: Iterable[str], one_side: set[str]) -> None:
         """Partition some routers from the others, in both directions."""
-        each = list(names)
-        self.cut("split", {(a, b) for a in each for b in each if (a in one) is not (b in one)})
+        all_names = list(names)
+        self.cut(
+            "split", {(a, b) for a in all_names for b in all_names if (a in one_side) is not (b in one_side)}
+        )
 
     def delivery_delays(self, direction: Direction) -> list[float]:
         """Return the delay in seconds of each copy of a datagram that arrives; empty if it is lost."""
@@ -51,8 +53,8 @@
 
 def apply_split(network: DatagramNetwork, names: Iterable[str], step: Step) -> None:
     """Begin or end a scenario's split; in a one-way split the named routers receive but cannot send."""
-    named, each = set(step.routers), list(names)
-    cut = {(a, b) for a in each for b in each if (a in named) is not (b in named)}
+    named, all_names = set(step.routers), list(names)
+    cut = {(a, b) for a in all_names for b in all_names if (a in named) is not (b in named)}
     if step.value:
         cut = {(a, b) for a, b in cut if a in named}
     network.cut(f"split {sorted(named)} {step.value}", cut if step.action == "split" else ())
@@ -101,7 +103,7 @@
         """
         ports = {name: reserve() for name in names}
         self.reserved += ports.values()
-        return {name: each.address for name, each in ports.items()}
+        return {name: port.address for name, port in ports.items()}
 
     async def open(self, listen_addresses: dict[str, tuple[str, int]]) -> None:
         """Open a relay for each pair of routers and direction."""
@@ -119,5 +121,5 @@
         """Close the sockets and release the ports."""
         for transport in self.transports:
             transport.close()
-        for each in self.reserved:
-            each.release()
+        for port in self.reserved:
+            port.release()
--- a/myrtlecourse/fleet/faults.py
+++ b/myrtlecourse/fleet/faults.py
@@ -99,8 +99,8 @@
             return _replacement_steps(scenario, fault, generator)
         case scenarios.Hand():
             # The restart comes late enough that routers which may still send have stopped.
-            down = Step(at + fault.seconds * 0.8, "bounce", fault.box)
-            return [Step(at, "offline", fault.box), down, Step(at + fault.seconds, "online", fault.box)]
+            restart = Step(at + fault.seconds * 0.8, "bounce", fault.box)
+            return [Step(at, "offline", fault.box), restart, Step(at + fault.seconds, "online", fault.box)]
     return []  # hot keys belong to the load
 
 
--- a/myrtlecourse/fleet/hollow_spread.py
+++ b/myrtlecourse/fleet/hollow_spread.py
@@ -62,13 +62,13 @@
     async def start(self, *names: str) -> None:
         """Start members."""
         for name in names:
-            folder = None
+            log_folder = None
             if name in self.settings.control:
-                folder = self.folder / f"{name}.log"
-                folder.mkdir(exist_ok=True)
+                log_folder = self.folder / f"{name}.log"
+                log_folder.mkdir(exist_ok=True)
             applied = self.folder / f"{name}.applied" if self.applied else None
             settings = replace(self.settings, name=name)
-            driver = Driver(settings, self.peers, self.keys, applied, self.applied_bytes, folder)
+            driver = Driver(settings, self.peers, self.keys, applied, self.applied_bytes, log_folder)
             self.drivers[name] = driver
             await driver.start(self.listen[name], shared=False)
 
@@ -110,8 +110,8 @@
             if len(numbers) + len(refused) == count:
                 answered.set()
 
-        for each in range(count):
-            await asyncio.sleep(max(0.0, began + each / float(rate) - time.monotonic()))
+        for number in range(count):
+            await asyncio.sleep(max(0.0, began + number / float(rate) - time.monotonic()))
             driver.propose(Purge(os.urandom(8)), on_answer)
         await answered.wait()
         return {"last": max(numbers, default=0), "refused": refused, "took": time.monotonic() - began}
@@ -141,8 +141,8 @@
     reader = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     commands: dict[str, Callable[..., Awaitable[dict[str, Any] | None]]] = {
-        each.__name__: each
-        for each in (hollow.kill, hollow.start, hollow.take, hollow.send, hollow.figures, hollow.status)
+        method.__name__: method
+        for method in (hollow.kill, hollow.start, hollow.take, hollow.send, hollow.figures, hollow.status)
     }
     while line := await reader.readline():
         command, *arguments = line.decode().split()
--- a/myrtlecourse/fleet/loopback_fleet.py
+++ b/myrtlecourse/fleet/loopback_fleet.py
@@ -145,12 +145,12 @@
         addresses: dict[str, Any] = {"ops": "127.0.0.1:0"} if self.scenario.has_operator_work() else {}
         listen_addresses = self.relays.listen_addresses
         if listen_addresses:
-            each = [
+            peer_addresses = [
                 self.relays.send_addresses.get((name, other), listen_addresses[other])
                 for other in self.routers
             ]
             addresses["peer_listen"] = "{}:{}".format(*listen_addresses[name])
-            addresses["peers"] = [f"{host}:{port}" for host, port in each]
+            addresses["peers"] = [f"{host}:{port}" for host, port in peer_addresses]
         return addresses
 
     def begin(self) -> None:
--- a/myrtlecourse/fleet/routers.py
+++ b/myrtlecourse/fleet/routers.py
@@ -68,7 +68,7 @@
     def configure(self, configuration: dict[str, Any]) -> None:
         """Write the configuration that the platform gives it, with the address of earlier starts."""
         listen = f"{self.address[0]}:{self.address[1]}"
-        longest = max(each["giveUp"] for each in configuration["settings"]["classes"])
+        longest = max(request_class["giveUp"] for request_class in configuration["settings"]["classes"])
         self.end_time = min(LONGEST_DEADLINE, longest) + KILL_GRACE
         self.config.write_text(json.dumps(configuration | {"listen": listen}))
 
@@ -174,7 +174,7 @@
             self._signal(self.process, signal.SIGHUP)
 
     @staticmethod
-    def _signal(process: asyncio.subprocess.Process, which: signal.Signals) -> None:
+    def _signal(process: asyncio.subprocess.Process, signal_number: signal.Signals) -> None:
         """Send a signal to a running process.
 
         This does not use the process object, which polls for the end of the process and so takes its exit
@@ -182,7 +182,7 @@
         """
         if process.returncode is None:
             with suppress(ProcessLookupError):
-                os.kill(process.pid, which)
+                os.kill(process.pid, signal_number)
 
     async def _signal_series(self, process: asyncio.subprocess.Process, count: int) -> None:
         """Send SIGHUP and SIGTERM in turn, in quick succession, while the process ends."""
--- a/myrtlecourse/fleet/server_models.py
+++ b/myrtlecourse/fleet/server_models.py
@@ -199,8 +199,8 @@
         if self.offered_work <= budget:
             return False
         by_router: dict[str, float] = {}
-        for _, sender, each in self.recent_arrivals:
-            by_router[sender] = by_router.get(sender, 0.0) + each
+        for _, sender, item_work in self.recent_arrivals:
+            by_router[sender] = by_router.get(sender, 0.0) + item_work
         self.overload_by_router = by_router
         return True
 
--- a/myrtlecourse/fleet/session.py
+++ b/myrtlecourse/fleet/session.py
@@ -94,11 +94,11 @@
 def duties_table(duties: Duties, relays: Relays, folder: Path, name: str) -> str:
     """Return the `[duties]` table of a router; it reaches each other router through a relay."""
     listen_addresses = relays.listen_addresses
-    at = {
+    addresses = {
         other: "{}:{}".format(*relays.send_addresses.get((name, other), listen_addresses[other]))
         for other in listen_addresses
     }
-    peers = ", ".join(f'{{name = "{other}", at = "{place}"}}' for other, place in at.items())
+    peers = ", ".join(f'{{name = "{other}", at = "{address}"}}' for other, address in addresses.items())
     lines = [
         "[duties]",
         f'name = "{name}"\nkey_file = "{folder / "peers.key"}"\npeers = [{peers}]',
@@ -244,15 +244,15 @@
     """Audit the observations in a folder. Raises ObservationError."""
     if observations := read_observations(folder):
         log = seen.ObservationLog(folder / DUTIES_LOG)
-        for each in observations:
-            log.add(each)
+        for observation in observations:
+            log.add(observation)
         log.close()
     paths = sorted(folder.glob("*.jsonl"))
     if not paths:
         raise seen.ObservationError(f"{folder}: no observations (*.jsonl) in it")
     auditor = Auditor(rules)
-    for each in seen.merge_logs(paths):
-        auditor.judge(each)
+    for observation in seen.merge_logs(paths):
+        auditor.judge(observation)
     return auditor.verdict()
 
 
@@ -265,8 +265,8 @@
     """
     running = await start_fleet(scenario, folder, command)
     loop, over = asyncio.get_running_loop(), asyncio.Event()
-    for each in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(each, over.set)
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(signal_number, over.set)
     began = False
     add = running.fleet.discovery.observe
 
--- a/myrtlecourse/load/client.py
+++ b/myrtlecourse/load/client.py
@@ -30,7 +30,7 @@
         self.reader = Reader(MAX_ITEMS, MAX_ANSWER, MAX_ANSWER + 4096)
         self.on_reply: ReplyCallback | None = None
         self.reused = False  # the connection has carried an answer before
-        self.last = ""  # the id of the last request on this connection
+        self.last_request = ""  # the id of the last request on this connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -47,7 +47,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self.on_reply is None:  # no request is open
-            self.pool.on_unexpected(self.last)
+            self.pool.on_unexpected(self.last_request)
             self.transport.abort()
             return
         self.reader.feed(data)
@@ -62,14 +62,14 @@
             reused, self.reused = self.reused, True
             # Bytes beyond the answer would be taken for the answer to the next request.
             if self.reader.buffer:
-                self.pool.on_unexpected(self.last)
+                self.pool.on_unexpected(self.last_request)
                 self.transport.abort()
             else:
                 self.pool.release(self)
             on_reply(message, reused)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.pool.closed(self)
+        self.pool.on_closed(self)
         self._end(ConnectionBroken("the connection was closed"))
 
     def _end(self, error: ConnectionBroken) -> None:
@@ -81,14 +81,14 @@
 class PendingCommand:
     """A command that waits for a connection or its answer."""
 
-    __slots__ = ("abandoned", "connection", "data", "fresh", "name", "on_reply", "written")
+    __slots__ = ("abandoned", "connection", "data", "fresh", "name", "on_reply", "on_written")
 
     def __init__(
-        self, name: str, data: bytes, on_reply: ReplyCallback, written: Callable[[], None], fresh: bool
+        self, name: str, data: bytes, on_reply: ReplyCallback, on_written: Callable[[], None], fresh: bool
     ) -> None:
         self.name = name
         self.data = data
-        self.written = written  # called once the command was written
+        self.on_written = on_written  # called once the command was written
         self.on_reply = on_reply
         self.fresh = fresh  # needs a new connection
         self.abandoned = False
@@ -128,11 +128,11 @@
         name: str,
         data: bytes,
         on_reply: ReplyCallback,
-        written: Callable[[], None] = lambda: None,
+        on_written: Callable[[], None] = lambda: None,
         fresh: bool = False,
     ) -> PendingCommand:
         """Send a command as soon as a connection is free; `fresh` asks for a new connection."""
-        command = PendingCommand(name, data, on_reply, written, fresh)
+        command = PendingCommand(name, data, on_reply, on_written, fresh)
         if fresh or not self._send_on_idle(command):
             self.waiting.append(command)
             self._dial_if_needed()
@@ -153,9 +153,9 @@
             command.connection = None
             command.on_reply(answer, reused)
 
-        connection.last = command.name
+        connection.last_request = command.name
         connection.send(command.data, on_reply)
-        command.written()
+        command.on_written()
 
     def _dial_if_needed(self) -> None:
         if self.open < self.max_open and len(self.dials) < len(self.waiting):
@@ -200,7 +200,7 @@
         else:
             self._send_on(connection, command)
 
-    def closed(self, connection: ClientConnection) -> None:
+    def on_closed(self, connection: ClientConnection) -> None:
         """Forget a connection that has closed, and dial another if commands wait."""
         self.open -= 1
         if connection in self.idle:
--- a/myrtlecourse/load/generator.py
+++ b/myrtlecourse/load/generator.py
@@ -46,7 +46,7 @@
         self.observed = False  # its RequestSent was reported
         self.ended = False  # the client waits no more
 
-    def written(self) -> None:
+    def on_written(self) -> None:
         """Report that the last byte was written."""
         observe = self.request.generator.observe
         if observe is not None:
@@ -117,14 +117,14 @@
         self.generator = generator
         self.plan = plan
         self.due = generator.began + plan.at
-        self.until = self.due + plan.request_class.deadline
+        self.deadline = self.due + plan.request_class.deadline
         self.number = number
         self.tries = 0
         self.sent_again = False
         self.name = f"{generator.name}{number:x}"  # prefix of the ids of its tries, and the idempotency key
         self.current_try: Try | None = None
         loop = generator.loop
-        self.timers = [loop.call_at(self.until, self.end, "failed")]
+        self.timers = [loop.call_at(self.deadline, self.end, "failed")]
         if plan.client_leaves:
             self.timers.append(loop.call_at(self.due + plan.request_class.deadline / 2, self.end, "left"))
 
@@ -132,7 +132,7 @@
         """Start the next try, under a new id."""
         generator, plan, request_class = self.generator, self.plan, self.plan.request_class
         name = f"{self.name}-{self.tries}{'f' if fresh else ''}"
-        time_left = max(1, round((self.until - generator.loop.time()) * 1000))
+        time_left = max(1, round((self.deadline - generator.loop.time()) * 1000))
         info = f"c={request_class.name},t={plan.tenant},d={time_left}"
         if request_class.keyed:
             info += f",k={self.name}"
@@ -153,7 +153,7 @@
         router = (self.number + self.tries - 1) % len(generator.pools)
         self.current_try = current = Try(self, name, router, time_left)
         current.command = generator.pools[router].submit(
-            name, encode_command(parts), current.on_reply, current.written, fresh
+            name, encode_command(parts), current.on_reply, current.on_written, fresh
         )
 
     def on_reply(self, answer: Message | BaseException, reused: bool) -> None:
@@ -180,11 +180,11 @@
             return
         clients, rng = self.generator.profile.clients, self.generator.random
         wait = retry_delay(clients, request_class, self.tries, how, retry_after, rng)
-        again = math.inf if wait is None else self.generator.loop.time() + wait
-        if again >= self.until:
+        retry_at = math.inf if wait is None else self.generator.loop.time() + wait
+        if retry_at >= self.deadline:
             self.end("refused" if retry_after is not None else "failed")
         else:
-            self.timers.append(self.generator.loop.call_at(again, self.send))
+            self.timers.append(self.generator.loop.call_at(retry_at, self.send))
 
     def end(self, outcome: str) -> None:
         """Record the outcome, unless the request has ended before."""
--- a/myrtlecourse/load/record.py
+++ b/myrtlecourse/load/record.py
@@ -96,9 +96,9 @@
     def merge(self, other: Record) -> None:
         """Add the record of another worker."""
         self.all.merge(other.all)
-        for mine, theirs in ((self.classes, other.classes), (self.tenants, other.tenants)):
-            for name, stats in theirs.items():
-                mine[name].merge(stats)
+        for own_stats, other_stats in ((self.classes, other.classes), (self.tenants, other.tenants)):
+            for name, stats in other_stats.items():
+                own_stats[name].merge(stats)
         for second, stats in other.seconds.items():
             self.seconds[second].merge(stats)
         self.starts.merge(other.starts)
--- a/myrtlecourse/scale/commands.py
+++ b/myrtlecourse/scale/commands.py
@@ -40,9 +40,9 @@
     table = Table(title="Processes to start")
     for name in ("processes of", "processes", "members", "memory, MB", "sockets of one, at most"):
         table.add_column(name, justify="left" if name == "processes of" else "right")
-    for part in run_plan.groups:
-        counts = (part.processes, part.members, round(part.memory / MB), part.sockets)
-        table.add_row(part.name, *(f"{count:,}" for count in counts))
+    for group in run_plan.groups:
+        counts = (group.processes, group.members, round(group.memory / MB), group.sockets)
+        table.add_row(group.name, *(f"{count:,}" for count in counts))
     console.print(table)
     console.print(
         f"{run_plan.processes} processes (limit {limits.processes}), {run_plan.memory / MB:,.0f} MB expected "
@@ -96,8 +96,8 @@
         console.print(f"killed by the scenario: {name}", highlight=False)
 
 
-def _pair(one: float | None, other: float | None) -> str:
-    return "not measured" if one is None or other is None else f"{one:,.1f}, {other:,.1f}"
+def _pair(first: float | None, second: float | None) -> str:
+    return "not measured" if first is None or second is None else f"{first:,.1f}, {second:,.1f}"
 
 
 class Progress:
--- a/myrtlecourse/scale/guard.py
+++ b/myrtlecourse/scale/guard.py
@@ -33,8 +33,8 @@
     @classmethod
     def of_machine(cls, memory: int | None = None) -> ResourceLimits:
         """Return limits of half of this machine's memory, or of `memory` bytes if that is less."""
-        most = int(machine_memory() * MEMORY_SHARE)
-        return cls(most if memory is None else min(most, memory))
+        highest = int(machine_memory() * MEMORY_SHARE)
+        return cls(highest if memory is None else min(highest, memory))
 
     def require(self, memory: int, count: int, subject: str) -> None:
         """Raises ResourceLimitError if either value exceeds its limit."""
--- a/myrtlecourse/scale/hollow.py
+++ b/myrtlecourse/scale/hollow.py
@@ -256,8 +256,8 @@
         filename=job.log, level=logging.WARNING, format="%(asctime)s %(levelname)s %(message)s"
     )
 
-    async def live() -> None:
+    async def run_members() -> None:
         await HollowProcess(job, connection).run()
 
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
-        runner.run(live())
+        runner.run(run_members())
--- a/myrtlecourse/scale/role_costs.py
+++ b/myrtlecourse/scale/role_costs.py
@@ -213,7 +213,7 @@
 
 def relay_rows(estimates: Estimates) -> Iterator[CostRow]:
     """Yield the costs of forwarding purges and changes, each as one sealed datagram of maximum length."""
-    opens, packs = (
+    open_cost, pack_cost = (
         scaled(
             estimates.at_size(f"seal.{what}", SEALED_DATAGRAMS),
             1 / SEALED_DATAGRAMS,
@@ -251,9 +251,9 @@
             SPREAD_MODULE,
             state,
         )
-        cost = scaled(opens, rate, f"{rate_text} x {{}}", "core")
+        cost = scaled(open_cost, rate, f"{rate_text} x {{}}", "core")
         if fan_out:
-            sealed = scaled(packs, rate * fan_out, f"{rate_text} x {fan_out_text} x {{}}", "core")
+            sealed = scaled(pack_cost, rate * fan_out, f"{rate_text} x {fan_out_text} x {{}}", "core")
             cost = cost.added(sealed) if cost and sealed else None
         budget = CPU_BUDGET if limited else None
         yield CostRow(
--- a/myrtlecourse/scale/slopes.py
+++ b/myrtlecourse/scale/slopes.py
@@ -61,9 +61,9 @@
     ]
 
 
-def encode_list(entries: list[dict[str, Any]], whole: bool) -> bytes:
+def encode_list(entries: list[dict[str, Any]], is_full: bool) -> bytes:
     """Encode a whole list or a change of it as discovery's JSON."""
-    return orjson.dumps({"index": 4_000_000, "snapshot": whole, "endpoints": entries})
+    return orjson.dumps({"index": 4_000_000, "snapshot": is_full, "endpoints": entries})
 
 
 def router_settings() -> api.Settings:
@@ -76,24 +76,24 @@
 
 def parse_list(body: bytes) -> tuple[bool, list[Member]]:
     """Parse the body of an answer as the discovery client does."""
-    _, whole, members = discovery.read_list(orjson.loads(body))
-    return whole, members
+    _, is_full, members = discovery.read_list(orjson.loads(body))
+    return is_full, members
 
 
 def make_host() -> Host:
     """Return a router's host without sockets."""
     settings = router_settings()
     caches, origins = (
-        Pool(make, 300, settings.dial_timeout, settings.connection_idle)
-        for make in (CacheConnection, OriginConnection)
+        Pool(make_connection, 300, settings.dial_timeout, settings.connection_idle)
+        for make_connection in (CacheConnection, OriginConnection)
     )
     return Host(settings, 1, caches, origins, lambda: None)
 
 
 def apply_answer(host: Host, body: bytes) -> None:
     """Parse an answer from discovery and apply it to the host and the decision module, in all its batches."""
-    whole, members = parse_list(body)
-    host.list_updates.submit(ListUpdate(api.ListKind.FULL if whole else api.ListKind.DELTA, members))
+    is_full, members = parse_list(body)
+    host.list_updates.submit(ListUpdate(api.ListKind.FULL if is_full else api.ListKind.DELTA, members))
     host.list_updates.apply_all()
 
 
--- a/myrtlecourse/scale/stand_in_fleet.py
+++ b/myrtlecourse/scale/stand_in_fleet.py
@@ -114,13 +114,13 @@
     async def listen(self) -> None:
         await super().listen()
         server = self.discovery
-        make = partial(CountedConnection, server=server, fleet=self)
+        make_connection = partial(CountedConnection, server=server, fleet=self)
         for port in server.ports.values():
-            port.make_connection = make
+            port.make_connection = make_connection
         for number, group in enumerate(self.scale_scenario.members_by_process() if self.for_hollow else ()):
             # twice as many connections as members: a call may begin before the previous connection is closed
             port = server.ports[f"{HOLLOW_PREFIX}-{number}"] = Port(
-                f"{HOLLOW_PREFIX}-{number}", 0.0, 2 * len(group), make
+                f"{HOLLOW_PREFIX}-{number}", 0.0, 2 * len(group), make_connection
             )
             await port.listen()
         if self.scale_scenario.peers is not None:
@@ -189,7 +189,7 @@
     fleet = ScaleFleet(scenario, log, command is None)
     await fleet.listen()
     routers = Routers(fleet.routers if command is not None else [], command or "", folder, log.add)
-    standing = RunningFleet(fleet, routers, log)
+    running_fleet = RunningFleet(fleet, routers, log)
     try:
         write_operators_file = None
         if fleet.scenario.peers is not None:
@@ -208,7 +208,7 @@
         await wait_for_end(connection, fleet.begin)
     finally:
         # the routers must end together with the process that has started them
-        faults = await standing.close()
+        faults = await running_fleet.close()
     connection.send(("ended", fleet.totals(faults)))
 
 
--- a/myrtlecourse/sim/counterexamples.py
+++ b/myrtlecourse/sim/counterexamples.py
@@ -19,9 +19,9 @@
     breaches: dict[str, int]
 
 
-def write_counterexample(file: Path, found: Counterexample) -> None:
+def write_counterexample(file: Path, counterexample: Counterexample) -> None:
     """Write a counterexample as JSON."""
-    file.write_bytes(msgspec.json.format(msgspec.json.encode(found)) + b"\n")
+    file.write_bytes(msgspec.json.format(msgspec.json.encode(counterexample)) + b"\n")
 
 
 def read_counterexample(file: Path) -> Counterexample:
--- a/myrtlecourse/sim/discovery.py
+++ b/myrtlecourse/sim/discovery.py
@@ -88,7 +88,7 @@
     def _send_answer(self, router: SimRouter, incarnation: int) -> None:
         if router.name not in self.watches or router.incarnation != incarnation or not router.up:
             return
-        whole, entries = self.registry.entries_after(self.sent_index[router.name])
+        is_full, entries = self.registry.entries_after(self.sent_index[router.name])
         if not entries:
             return
         self.sent_index[router.name] = self.registry.index
@@ -98,7 +98,7 @@
                     self.core.now, router.name, entry.name, entry.status, max(0.0, entry.since)
                 )
             )
-        router.on_list(api.ListKind.FULL if whole else api.ListKind.DELTA, entries)
+        router.on_list(api.ListKind.FULL if is_full else api.ListKind.DELTA, entries)
 
     def set_unavailable(self, unavailable: bool) -> None:
         """End all watches and fail all calls, or accept calls again."""
--- a/myrtlecourse/sim/duties.py
+++ b/myrtlecourse/sim/duties.py
@@ -34,9 +34,9 @@
     number: int  # number of the order that claims it
 
 
-def too_few_memories(each: Iterable[Duties | None], settings: messages.Settings) -> bool:
+def too_few_memories(all_duties: Iterable[Duties | None], settings: messages.Settings) -> bool:
     """Whether so many processes have started without a memory that a state may be lost for good."""
-    remembering = sum(d is not None and not any(m.fresh for m in d.members.values()) for d in each)
+    remembering = sum(d is not None and not any(m.fresh for m in d.members.values()) for d in all_duties)
     return remembering < settings.majority
 
 
@@ -203,9 +203,9 @@
         self.committed_steps[duty] = max(self.committed_steps[duty], claim.step)
         del process.claims[duty]
         if process.duties.acting_token(process.clock(), duty) == token:
-            before = self.steps_done.get((duty, claim.step))
-            if before is not None and not self.memory_lost:
-                raise RuleViolation(f"done_twice: step {claim.step} of {duty} by {before} and {token}")
+            earlier_token = self.steps_done.get((duty, claim.step))
+            if earlier_token is not None and not self.memory_lost:
+                raise RuleViolation(f"done_twice: step {claim.step} of {duty} by {earlier_token} and {token}")
             self.steps_done[duty, claim.step] = token
         self.core.call_after(STEP_PAUSE, process.claim, duty, claim.step + 1, token, process.boots)
 
@@ -304,9 +304,9 @@
                         others = [n for n in (*duty.candidates(simulation.names), "") if n != name]
                         process.post(messages.Move(duty.name, rng.choice(others)))
         case "all":
-            for each in simulation.processes.values():
-                each.kill()
-                core.call_after(rng.uniform(0.0, after), each.start)
+            for other in simulation.processes.values():
+                other.kill()
+                core.call_after(rng.uniform(0.0, after), other.start)
         case "lossy":
             simulation.network.loss, simulation.network.duplication = rng.choice(
                 ((0.3, 0.0), (0.3, 0.3), (0.05, 0.5))
--- a/myrtlecourse/sim/duty_commands.py
+++ b/myrtlecourse/sim/duty_commands.py
@@ -121,15 +121,19 @@
             click.echo(f"  before step {step[0]}: {' '.join(map(str, step[1:]))}")
         broken = bool(found.broken)
     else:
-        until, played, violation = time.monotonic() + seconds, 0, ""
-        play = random_election if elections else random_duties
+        until, schedule_count, violation = time.monotonic() + seconds, 0, ""
+        run_schedule = random_election if elections else random_duties
         while time.monotonic() < until and not violation:
-            violation = play(seed + played, disks)
-            played += 1
-        result = {"schedules": played, "broken": violation, "seed": seed + played - 1 if violation else None}
+            violation = run_schedule(seed + schedule_count, disks)
+            schedule_count += 1
+        result = {
+            "schedules": schedule_count,
+            "broken": violation,
+            "seed": seed + schedule_count - 1 if violation else None,
+        }
         click.echo(
-            f"{played:,} schedules; "
-            + (f"{violation}, by --seed {seed + played - 1}" if violation else "no violation found")
+            f"{schedule_count:,} schedules; "
+            + (f"{violation}, by --seed {seed + schedule_count - 1}" if violation else "no violation found")
         )
         broken = bool(violation)
     if json_file is not None:
--- a/myrtlecourse/sim/election.py
+++ b/myrtlecourse/sim/election.py
@@ -210,9 +210,9 @@
             instance.withdrawal_time = rng.choice((0.0, 0.05, 0.5))
             instance.post(messages.Move(rng.choice([*names, ""])))
         case "all":
-            for each in simulation.instances.values():
-                each.kill()
-                core.call_after(rng.uniform(0.0, after), each.start)
+            for other in simulation.instances.values():
+                other.kill()
+                core.call_after(rng.uniform(0.0, after), other.start)
         case "lossy":
             simulation.network.loss, simulation.network.duplication = rng.choice(
                 ((0.3, 0.0), (0.3, 0.3), (0.05, 0.5))
@@ -246,8 +246,8 @@
         return set(links if rng.random() < 0.5 else [(o, s) for s, o in links])
     if fault == "cut":
         return {(name, o) for o in others} | {(o, name) for o in others}
-    part = set(rng.sample(names, len(names) // 2))
-    return {(a, b) for a in names for b in names if (a in part) is not (b in part)}
+    one_side = set(rng.sample(names, len(names) // 2))
+    return {(a, b) for a in names for b in names if (a in one_side) is not (b in one_side)}
 
 
 def run_random_faults(simulation: ElectionSimulation, seconds: float, longest: float = 4.0) -> list[str]:
--- a/myrtlecourse/sim/exhaust.py
+++ b/myrtlecourse/sim/exhaust.py
@@ -150,9 +150,9 @@
         del node.claims[duty]
         self.committed_steps[duty] = max(self.committed_steps[duty], claim[1])
         if node.duties.acting_token(self.clock(node), duty) == token:
-            before = self.steps_done.setdefault((duty, claim[1]), token)
-            if before != token and not self.memory_lost:
-                raise RuleViolation(f"done_twice: step {claim[1]} of {duty} by {before} and {token}")
+            earlier_token = self.steps_done.setdefault((duty, claim[1]), token)
+            if earlier_token != token and not self.memory_lost:
+                raise RuleViolation(f"done_twice: step {claim[1]} of {duty} by {earlier_token} and {token}")
 
     # Steps
 
@@ -317,26 +317,33 @@
     result, seen = Exploration(), dict[bytes, int]()
     stack: list[tuple[int, int, bytes, tuple[Any, ...]]] = [(0, 0, pickle.dumps(state_at_start), ())]
     while stack and result.states < max_states:
-        used, step, packed, path = stack.pop()
+        deviations_used, step, packed, path = stack.pop()
         state: ModelState = pickle.loads(packed)
         result.schedules += 1
         try:
             for at in range(step, steps):
-                if used < deviations and at < deviations_before:
+                if deviations_used < deviations and at < deviations_before:
                     packed = pickle.dumps(state)
                     key = hashlib.blake2b(packed, digest_size=12).digest()
-                    if seen.get(key, -1) >= deviations - used:
+                    if seen.get(key, -1) >= deviations - deviations_used:
                         break
-                    seen[key] = deviations - used
+                    seen[key] = deviations - deviations_used
                     result.states += 1
                     for deviation in state.deviations():
-                        other: ModelState = pickle.loads(packed)
+                        varied_state: ModelState = pickle.loads(packed)
                         try:
-                            other.apply(deviation)
+                            varied_state.apply(deviation)
                         except RuleViolation:
                             path = (*path, (at, *deviation))
                             raise
-                        stack.append((used + 1, at + 1, pickle.dumps(other), (*path, (at, *deviation))))
+                        stack.append(
+                            (
+                                deviations_used + 1,
+                                at + 1,
+                                pickle.dumps(varied_state),
+                                (*path, (at, *deviation)),
+                            )
+                        )
                 else:
                     result.states += 1
                 state.default_step()
--- a/myrtlecourse/sim/peer_network.py
+++ b/myrtlecourse/sim/peer_network.py
@@ -32,11 +32,11 @@
         self.datagrams = 0
         self.bytes = 0
         # time, router, the zones that it leaves, and whether it regards the origin as unreachable
-        self.orders: list[tuple[float, str, frozenset[str], bool]] = []
+        self.zone_exits: list[tuple[float, str, frozenset[str], bool]] = []
         # time, router, and the share of traffic that each returning zone gets
         self.return_shares: list[tuple[float, str, Mapping[str, float]]] = []
 
-    def wall(self) -> float:
+    def wall_clock(self) -> float:
         """The wall clock, which all routers share."""
         return EPOCH + self.core.now
 
@@ -50,7 +50,7 @@
             paced=settings.paced,
             origin_rate=settings.origin_rate,
         )
-        agent = Agent(agent_settings, self.core.now, self.wall(), self.rng.getrandbits(32))
+        agent = Agent(agent_settings, self.core.now, self.wall_clock(), self.rng.getrandbits(32))
         self.core.call_after(TICK_INTERVAL * self.rng.random(), self._tick, router, agent, router.incarnation)
         return agent
 
@@ -60,14 +60,14 @@
         self.core.call_after(TICK_INTERVAL, self._tick, router, agent, incarnation)
         if router.stalled:
             return
-        result = agent.tick(self.core.now, self.wall())
+        result = agent.tick(self.core.now, self.wall_clock())
         for datagram in result.datagrams:
             self.datagrams += 1
             self.bytes += len(datagram.data)
             for delay in self.links.delivery_delays((router.name, datagram.to)):
                 self.core.call_after(delay, self._arrive, self.routers[datagram.to], datagram.data)
         if result.zone_exit is not None:
-            self.orders.append(
+            self.zone_exits.append(
                 (self.core.now, router.name, result.zone_exit.zones, result.zone_exit.origin_unreachable)
             )
             self.return_shares.append((self.core.now, router.name, result.zone_exit.return_shares))
@@ -78,6 +78,6 @@
         if router.defer_if_stalled(self._arrive, router, data) or not router.up or router.agent is None:
             return
         try:
-            router.agent.receive(data, self.core.now, self.wall())
+            router.agent.receive(data, self.core.now, self.wall_clock())
         except Dropped:
             return  # the agent counts dropped datagrams itself
--- a/myrtlecourse/sim/routers.py
+++ b/myrtlecourse/sim/routers.py
@@ -189,12 +189,12 @@
         if kind is not api.ListKind.DELTA:
             self.listed = {}
         for entry in entries:
-            before = self.listed.get(entry.name)
+            previous = self.listed.get(entry.name)
             if entry.status == "terminated":
                 self.listed.pop(entry.name, None)
             else:
                 self.listed[entry.name] = entry
-            if before is not None and (entry.status != "in_service" or before.since != entry.since):
+            if previous is not None and (entry.status != "in_service" or previous.since != entry.since):
                 self.nodes[entry.name].idle_connections.pop(self.name, None)
         if self.up and self.agent is not None:
             self.agent.servers_listed(Counter(e.zone for e in self.listed.values() if e.kind != ORIGIN))
--- a/myrtlecourse/sim/search.py
+++ b/myrtlecourse/sim/search.py
@@ -62,25 +62,25 @@
         return round(self.rng.uniform(0.0, self.base.seconds * 0.8), 3)
 
     def _draw_duration(self) -> float:
-        part: float = 0.5 ** self.rng.uniform(1.0, 7.0)
-        return round(self.base.seconds * part, 3)
+        share: float = 0.5 ** self.rng.uniform(1.0, 7.0)
+        return round(self.base.seconds * share, 3)
 
-    def draw_fault(self, others: tuple[Fault, ...] = ()) -> Fault:
+    def draw_fault(self, earlier_faults: tuple[Fault, ...] = ()) -> Fault:
         """Draw a fault of any kind, often just after another one and at the same server.
 
         Rules tend to break where two faults meet: a server that is frozen and then crashes, or a return that
         routers do not learn of.
         """
         at, seconds, server = self._draw_time(), self._draw_duration(), self.rng.choice(self.servers)
-        if others and self.rng.random() < 0.5:
-            other = self.rng.choice(others)
-            at = round(min(self.base.seconds, other.at + self.rng.uniform(0.0, 2.0)), 3)
-            other_server = getattr(other, "box", None)
+        if earlier_faults and self.rng.random() < 0.5:
+            earlier = self.rng.choice(earlier_faults)
+            at = round(min(self.base.seconds, earlier.at + self.rng.uniform(0.0, 2.0)), 3)
+            other_server = getattr(earlier, "box", None)
             server = other_server if other_server in self.servers else server
         share = round(self.rng.uniform(0.1, 1.0), 2)
         # writes run at the origin, so faults there are drawn as often as at all servers together
-        slowed = "origin" if self.base.origin is not None and self.rng.random() < 0.5 else server
-        makers: list[Callable[[], Fault]] = [
+        slow_target = "origin" if self.base.origin is not None and self.rng.random() < 0.5 else server
+        fault_makers: list[Callable[[], Fault]] = [
             lambda: schema.Freeze(at=at, box=server, seconds=seconds),
             lambda: schema.Crash(at=at, box=server, seconds=seconds),
             lambda: schema.Replace(
@@ -92,15 +92,15 @@
             ),
             lambda: schema.Reset(at=at, box=server),
             lambda: schema.Refuse(at=at, box=server, seconds=seconds),
-            lambda: schema.Silence(at=at, box=slowed, seconds=seconds),
+            lambda: schema.Silence(at=at, box=slow_target, seconds=seconds),
             lambda: schema.Spoilt(at=at, box=server, seconds=seconds, share=share),
-            lambda: schema.Slow(at=at, box=slowed, seconds=seconds, factor=share / 5),
+            lambda: schema.Slow(at=at, box=slow_target, seconds=seconds, factor=share / 5),
             lambda: schema.IdleDrop(at=at, box=server),
             lambda: schema.DiscoveryAway(at=at, seconds=seconds),
             lambda: schema.HotKey(at=at, seconds=seconds, share=share),
             lambda: schema.Restart(at=at, router=self.rng.randrange(self.base.routers), kill=True),
         ]
-        return self.rng.choice(makers)()
+        return self.rng.choice(fault_makers)()
 
     def new_schedule(self) -> Scenario:
         """Return a new schedule of a few faults."""
--- a/myrtlecourse/sim/spread.py
+++ b/myrtlecourse/sim/spread.py
@@ -309,20 +309,23 @@
             raise RuleViolation(f"too_long: {length} bytes from {sender.name}")
         receiver = self.members[to]
         self._count(sender, length)
-        known, received = sender.known_boots.get(receiver.index, 0), messages.Received(sender.name, outgoing)
+        known_boot, received = (
+            sender.known_boots.get(receiver.index, 0),
+            messages.Received(sender.name, outgoing),
+        )
         for delay in self.network.draw_delays(sender.place, receiver.place):
-            self.core.call_after(delay, self._arrive, receiver, sender, sender.boots, known, received)
+            self.core.call_after(delay, self._arrive, receiver, sender, sender.boots, known_boot, received)
 
     def _count(self, sender: Member, length: int) -> None:
         self.bytes[sender.index] += length
         self.datagrams[sender.index] += 1
 
     def _arrive(
-        self, receiver: Member, sender: Member, boot: int, known: int, received: messages.Received
+        self, receiver: Member, sender: Member, boot: int, known_boot: int, received: messages.Received
     ) -> None:
         if receiver.node is None:
             return
-        if known != receiver.boots:
+        if known_boot != receiver.boots:
             # sealed for no process or an earlier one: it is not opened, and a greeting names the current one
             self._count(receiver, receiver.header_bytes + len(HELLO) + 1)
             for delay in self.network.draw_delays(receiver.place, sender.place):
@@ -332,9 +335,9 @@
             receiver.post(received)
 
     @staticmethod
-    def _on_greeting(receiver: Member, boot: int, index: int, known: int) -> None:
+    def _on_greeting(receiver: Member, boot: int, index: int, known_boot: int) -> None:
         if boot == receiver.boots:
-            receiver.known_boots[index] = max(known, receiver.known_boots.get(index, 0))
+            receiver.known_boots[index] = max(known_boot, receiver.known_boots.get(index, 0))
 
     # The duty, and proposals to its holder
 
@@ -387,9 +390,9 @@
         """
         for index in self.judge.on_watermark(number, self.time):
             if self.member_list[index].has_lease():
-                have = self.judge.applied_until[index]
+                applied = self.judge.applied_until[index]
                 raise RuleViolation(
-                    f"done_ahead: {number}, and {self.member_list[index].name} has a lease and {have}"
+                    f"done_ahead: {number}, and {self.member_list[index].name} has a lease and {applied}"
                 )
 
     # Running and checking
--- a/myrtlecourse/sim/spread_faults.py
+++ b/myrtlecourse/sim/spread_faults.py
@@ -57,15 +57,15 @@
 
 
 def _kill_site(simulation: SpreadSimulation, rng: random.Random, member: Member, seconds: float) -> None:
-    for each in simulation.member_list:
-        if each.place.site == member.place.site:
-            _kill(simulation, rng, each, seconds)
+    for other in simulation.member_list:
+        if other.place.site == member.place.site:
+            _kill(simulation, rng, other, seconds)
 
 
 def _kill_half(simulation: SpreadSimulation, rng: random.Random, member: Member, seconds: float) -> None:
-    for each in simulation.member_list:
+    for other in simulation.member_list:
         if rng.random() < 0.5:
-            _kill(simulation, rng, each, rng.uniform(0.0, seconds))
+            _kill(simulation, rng, other, rng.uniform(0.0, seconds))
 
 
 def _kill_holder(simulation: SpreadSimulation, rng: random.Random, member: Member, seconds: float) -> None:
--- a/myrtlecourse/sim/topology.py
+++ b/myrtlecourse/sim/topology.py
@@ -10,12 +10,12 @@
 
 def lay_out_sites(regions: int, sites: int, routers: int, parts: int) -> tuple[Site, ...]:
     """Return sites, assigned to regions in turn, each with an equal share of all routers and parts."""
-    each = []
+    result = []
     for s in range(sites):
         region = f"r{s % regions:02d}"
         name = f"{region}-s{s:03d}"
         counts = [(s + 1) * n // sites - s * n // sites for n in (routers, parts)]
-        each.append(
+        result.append(
             Site(
                 name,
                 region,
@@ -23,7 +23,7 @@
                 tuple(f"{name}-p{i:03d}" for i in range(counts[1])),
             )
         )
-    return tuple(each)
+    return tuple(result)
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/test_zone_return.py
+++ b/tests/test_zone_return.py
@@ -375,7 +375,7 @@
     for at in (0.0, 0.4, 0.8, 1.1, 1.5, 1.6, 1.7, 3.0, 3.1):
         auditor.judge(seen.AttemptReceived(at, f"q{at}", "origin", "router-0", at, "free"))
     assert auditor.verdict()["breaches"]["origin_over"] == 1
-    assert auditor.margins.get("origin_over", auditor.origin.closest) == 1.0
+    assert auditor.margins.get("origin_over", auditor.origin.margin) == 1.0
 
 
 # Whole fleets in virtual time
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -588,7 +588,7 @@
 def last_zones_left(played: FleetSimulation) -> dict[str, frozenset[str]]:
     peer_network = played.routers[0].peer_network
     assert peer_network is not None
-    return {who: zones for _, who, zones, _ in peer_network.orders}
+    return {who: zones for _, who, zones, _ in peer_network.zone_exits}
 
 
 def test_two_zones_at_once_are_left_and_one_with_its_routers_and_the_list_s_silence() -> None:
