--- a/myrtlecourse/audit/auditor.py
+++ b/myrtlecourse/audit/auditor.py
@@ -21,10 +21,10 @@
 Time = Annotated[float, Meta(ge=0.0, le=86_400.0)]  # seconds
 Positive = Annotated[float, Meta(gt=0.0, le=86_400.0)]
 MAX_NAMED_BREACHES = 200  # breaches reported in detail; further ones are only counted
-REQUEST_MEMORY = 60.0  # seconds for which a request is kept after the longest repeat window
+REQUEST_MEMORY = 60.0  # seconds for which a request is kept beyond the longest repeat window
 SOCKET_SLACK = 0.05  # seconds that delays in sockets add to a limit
 WAKE_UP_SLACK = 0.5  # seconds that a resumed process needs to read what arrived while it was stopped
-SEND_AFTER_END = 0.1  # seconds after a request's end in which an attempt may still begin, at most
+SEND_AFTER_END = 0.1  # seconds after a request's end within which an attempt may still begin
 DEADLINE_SLACK = 0.15  # seconds by which the deadline sent to a server may exceed the client's
 # Overloading a cold server is a breach if routers that knew of its start sent this share of the work or more.
 INFORMED_SHARE = 2 / 3
@@ -56,16 +56,17 @@
 class Rules(Struct, forbid_unknown_fields=True, frozen=True):
     """The limits of the rules. Times are in seconds."""
 
-    answer_slack: Time = 0.07  # after a deadline, in which an answer does not count as late
-    drain_grace: Time = 2.0  # after a router learnt of a drain or ban, in which it may still send
-    # load that overloads a cold cache server, as a multiple of its capacity
+    answer_slack: Time = 0.07  # an answer this long after its deadline does not count as late yet
+    drain_grace: Time = 2.0  # a router may still send for this long after it learnt of a drain or ban
+    # load that makes a cold cache server collapse, as a multiple of its capacity
     fall_multiple: Annotated[float, Meta(ge=1.0, le=1000.0)] = 4.0
-    fall_window: Positive = 1.0  # over which that load is measured
+    fall_window: Positive = 1.0  # the window over which that load is measured
     must_ask: Positive = 10.0  # a router without a request to discovery for so long counts as informed
-    zone_dials: Time = 0.0  # attempts a second of the fleet at a zone unreachable for long; 0: not judged
-    # attempts of a router after which it must have reached each zone; more if it prefers some
+    # attempts a second that the fleet may make at a zone that has long been unreachable; 0: not judged
+    zone_dials: Time = 0.0
+    # attempts of a router after which it must have reached each zone; higher if routers prefer some zones
     zone_sends: Positive = 60.0
-    duty_gap: Time = 0.0  # that a duty may be without a holder, once it had one; 0: not judged
+    duty_gap: Time = 0.0  # a duty that had a holder may be without one for this long; 0: not judged
     origin_rate: Time = 0.0  # fetches and writes that the origin can bear in any second; 0: not judged
     zone_spill: Time = 0.0  # factor by which the load of surviving zones may grow; 0: not judged
 
@@ -100,10 +101,10 @@
     first_seen: float
     effect: str = ""
     key: str = ""
-    deadline: float | None = None  # None: the client's side was not observed
-    ended: float | None = None  # when it was answered, or its client went away
+    deadline: float | None = None  # None if the client's side was not observed
+    ended: float | None = None  # when the request was answered, or its client left
     answers: int = 0
-    out_of_bounds: bool = False  # it was repeated although its class forbids that
+    out_of_bounds: bool = False  # whether it was repeated although its class forbids that
     executions: int = 0
     attempts: list[Attempt] = field(default_factory=list)
 
@@ -116,14 +117,14 @@
 class RouterKnowledge:
     """What one router knows of the server list and of bans, or is assumed to know."""
 
-    # by cache server: since when the router knows of the drain
+    # by cache server: when the router learnt that it drains
     drains: dict[str, float] = field(default_factory=dict)
-    # by cache server: since when it is banned by operators, whatever the list says
+    # by cache server: when the router acknowledged the operators' ban, whatever the list says
     bans: dict[str, float] = field(default_factory=dict)
-    # by cache server: the start that the router knows of
+    # by cache server: the start time that the router knows from the list
     known_starts: dict[str, float] = field(default_factory=dict)
-    discovery_calls: int = 0  # requests to discovery that are open
-    idle_since: float = -math.inf  # since when none is open
+    discovery_calls: int = 0  # number of open requests to discovery
+    idle_since: float = -math.inf  # when the last request to discovery ended, if none is open
     last_failed: bool = False  # the last request to discovery failed
     up: float = -math.inf  # when it was started
     killed: float | None = None  # when its killed process ended; infinite while it is ending
@@ -148,7 +149,7 @@
         self.routers: dict[str, RouterKnowledge] = {}
         self.listed: dict[str, seen.ListChanged] = {}
         self.started: dict[str, float] = {}
-        self.window = 0.0  # the longest repeat window observed
+        self.window = 0.0  # the longest repeat window observed, in seconds
         self.counts: Counter[str] = Counter()
         self.breaches: list[Breach] = []
         # by rule: the highest share of its limit that was reached, at most 1
@@ -156,7 +157,7 @@
         self.seen: Counter[str] = Counter()
         self.began: float | None = None
         self.now = 0.0
-        # by router: from when until when its process was stopped
+        # by router: start and end of each period in which its process was stopped
         self.stops: dict[str, list[tuple[float, float]]] = {}
         self.zones = ZoneRules(rules.zone_sends, rules.zone_dials, rules.zone_spill, self._report_zone_breach)
         self.duties = DutyRules(rules.duty_gap, self._report_zone_breach)
@@ -178,7 +179,7 @@
                 self._judge_answer(event)
             case seen.RequestUnanswered():
                 self._judge_unanswered(event)
-            # without a request before them, the bytes answer nothing twice
+            # bytes before the first request of a connection can't be a second answer
             case seen.UnexpectedBytes() if event.after:
                 detail = "bytes without a request"
                 self._report_breach("answered_twice", event.at, event.router, event.after, detail=detail)
@@ -409,7 +410,7 @@
             self.breaches.append(Breach(kind, at - (self.began or 0.0), router, request, server, detail))
 
     def _forget(self) -> None:
-        """Drop requests that can no longer break a rule, to bound memory over a long audit."""
+        """Drop requests that can no longer break a rule, so that memory stays bounded over a long audit."""
         until = self.now - self.window - REQUEST_MEMORY
         while self.requests and (oldest := next(iter(self.requests.values()))).first_seen < until:
             self._judge_open(self.requests.popitem(last=False)[0], oldest)
--- a/myrtlecourse/audit/duties.py
+++ b/myrtlecourse/audit/duties.py
@@ -18,7 +18,7 @@
 
 
 class DutyRules:
-    """Judges the observations one by one."""
+    """Judges observations against the rules on duties, one by one."""
 
     def __init__(self, max_gap: float, report_breach: ReportBreach) -> None:
         """Create the rules.
@@ -30,9 +30,9 @@
         self.max_gap = max_gap
         self.report_breach = report_breach
         self.followed: dict[tuple[str, str], int] = {}  # the token that a router follows, by duty and router
-        self.highest: dict[str, int] = {}
+        self.highest: dict[str, int] = {}  # the highest token that was followed, by duty
         self.done: dict[tuple[str, int], int] = {}  # the token under which a step was done, by duty and step
-        self.holders: dict[str, dict[str, int]] = {}
+        self.holders: dict[str, dict[str, int]] = {}  # by duty: each router that holds it, and its token
         self.without_holder_since: dict[str, float] = {}  # since when a duty has no holder
         self.margins: dict[str, float] = {}
 
--- a/myrtlecourse/audit/observations.py
+++ b/myrtlecourse/audit/observations.py
@@ -59,11 +59,11 @@
 
     id: str
     how: str
-    kept: bool = False  # the connection was reused: it had carried an answer before
+    kept: bool = False  # whether the connection was reused: it had carried an answer before
 
 
 class UnexpectedBytes(ObservationBase, frozen=True, tag="unasked"):
-    """A client received bytes while no request of its connection was open."""
+    """A client received bytes on a connection without an open request."""
 
     router: str
     after: str  # the last request on that connection; empty if there was none
@@ -77,10 +77,10 @@
     router: str
     began: float
     effect: str
-    group: str = ""  # the servers that drop repeats of each other's requests
+    group: str = ""  # name of the group of servers that drop repeats of each other's requests
     window: float = 0.0  # seconds within which the group drops a repeat
     key: str = ""
-    until: float = 0.0  # when, as the server was told, the router stops waiting; 0: not known
+    until: float = 0.0  # when the router stops waiting, by the deadline sent to the server; 0: not known
 
 
 class NeverRan(ObservationBase, frozen=True, tag="never_ran"):
@@ -267,8 +267,8 @@
 
     def flush(self) -> None:
         """Write all buffered observations."""
-        # An answer carries the time at which its bytes arrived, but is added when it is whole, so that
-        # observations of one process can be out of order.
+        # Observations of one process can be out of order: an answer carries the time at which its bytes
+        # arrived, but is added only once it is complete.
         self.buffered.sort(key=lambda o: o.at)
         self.file.write(self.encoder.encode_lines(self.buffered))
         self.file.flush()
--- a/myrtlecourse/audit/origin.py
+++ b/myrtlecourse/audit/origin.py
@@ -8,7 +8,7 @@
 from myrtlecourse.audit import observations as seen
 
 ORIGIN = "origin"
-WINDOW = 1.0
+WINDOW = 1.0  # seconds
 
 
 class OriginRule:
@@ -24,7 +24,7 @@
         self.rate = rate
         self.report_breach = report_breach
         self.recent: deque[float] = deque()
-        self.over = False
+        self.over = False  # whether the rate was exceeded at the last request
         self.margin = 0.0  # the highest share of the limit that was reached, at most 1
 
     def judge(self, event: seen.Observation) -> None:
--- a/myrtlecourse/audit/zones.py
+++ b/myrtlecourse/audit/zones.py
@@ -1,4 +1,4 @@
-"""Rules on how routers leave an unreachable zone, and stay in a reachable one.
+"""Rules that routers exclude an unreachable zone together, and never exclude a reachable one.
 
 The rules use the steps of the scenario and what cache servers received, not what routers report of
 themselves. Each rule is judged only if its limit is configured.
@@ -13,10 +13,10 @@
 from myrtlecourse.audit import observations as seen
 
 DOWN_STEPS = ("crash", "cut", "end", "freeze", "refuse")  # steps of a scenario that make a server unreachable
-UP_STEPS = ("start", "join", "thaw", "accept", "bounce")  # steps that end this
-SEND_WINDOW = 4.0  # seconds of a router's attempts that are examined
+UP_STEPS = ("start", "join", "thaw", "accept", "bounce")  # steps that make it reachable again
+SEND_WINDOW = 4.0  # seconds over which a router's latest attempts are examined
 HEALTHY_AFTER = 20.0  # seconds since the zone's last fault: routers rightly avoid a flapping zone for longer
-EXIT_TIME = 5.0  # seconds that the fleet may take to leave a zone
+EXIT_TIME = 5.0  # seconds that the fleet may take to exclude an unreachable zone
 BASELINE_WINDOW = 3.0  # seconds before the fault over which the usual load of the other zones is measured
 # Arrivals are random, so that a second may exceed the allowed load by a factor and a number of requests.
 ARRIVAL_FACTOR = 1.3
@@ -26,7 +26,7 @@
 
 
 class ZoneRules:
-    """Judges the observations one by one."""
+    """Judges observations against the rules on unreachable zones, one by one."""
 
     def __init__(
         self, min_sends: float, max_dials: float, max_spill: float, report_breach: ReportBreach
@@ -43,9 +43,10 @@
         self.max_dials = max_dials
         self.max_spill = max_spill
         self.report_breach = report_breach
-        self.zones: dict[str, str] = {}
+        self.zones: dict[str, str] = {}  # the zone of each cache server
         self.down_by: dict[str, set[str]] = {}  # by cache server: the steps that make it unreachable for all
-        self.partitions: Counter[tuple[str, str]] = Counter()  # by router and cache server
+        # by router and cache server: the number of partitions between them
+        self.partitions: Counter[tuple[str, str]] = Counter()
         self.last_fault: dict[str, float] = {}  # by zone: when it became unreachable, or the last step on it
         self.sent: dict[str, deque[tuple[float, str]]] = {}  # attempts by router: time and zone
         self.sent_by_all: deque[tuple[float, str]] = deque()  # attempts of all routers
@@ -92,29 +93,31 @@
 
     def _attempt_received(self, event: seen.AttemptReceived) -> None:
         zone = self.zones[event.box]
-        router_sends = self.sent.setdefault(event.router, deque())
-        router_sends.append((event.at, zone))
+        recent = self.sent.setdefault(event.router, deque())
+        recent.append((event.at, zone))
         self.sent_by_all.append((event.at, zone))
-        while router_sends[0][0] < event.at - SEND_WINDOW:
-            router_sends.popleft()
+        while recent[0][0] < event.at - SEND_WINDOW:
+            recent.popleft()
         while self.sent_by_all[0][0] < event.at - BASELINE_WINDOW:
             self.sent_by_all.popleft()
-        self._judge_alone(event, router_sends)
+        self._judge_alone(event, recent)
         if self.max_spill:
             self._judge_spill(event.at)
 
-    def _judge_alone(self, event: seen.AttemptReceived, router_sends: deque[tuple[float, str]]) -> None:
+    def _judge_alone(self, event: seen.AttemptReceived, recent: deque[tuple[float, str]]) -> None:
         """Judge whether a router sends nothing to a zone that all routers can reach."""
-        if len(router_sends) < self.min_sends or router_sends[-1][0] - router_sends[0][0] < 0.9 * SEND_WINDOW:
+        if len(recent) < self.min_sends or recent[-1][0] - recent[0][0] < 0.9 * SEND_WINDOW:
             return
-        reached = {zone for _, zone in router_sends}
+        reached = {zone for _, zone in recent}
         for zone in set(self.zones.values()) - reached:
             healthy = event.at - self.last_fault.get(zone, -math.inf) > HEALTHY_AFTER
             partitioned = any(
                 self.partitions[event.router, server] for server, z in self.zones.items() if z == zone
             )
             if healthy and not partitioned and not self._unreachable(zone):
-                detail = f"none of its last {len(router_sends)} attempts went to {zone}, which all routers can reach"
+                detail = (
+                    f"none of its last {len(recent)} attempts went to {zone}, which all routers can reach"
+                )
                 self._report_once("left_alone", event.at, event.router, zone, detail)
 
     def _judge_spill(self, now: float) -> None:
--- a/myrtlecourse/expect/checker.py
+++ b/myrtlecourse/expect/checker.py
@@ -1,7 +1,7 @@
 """Checks expectations by running the decision module through the given states, without I/O.
 
-There is no second model of the ring: lists, outcomes and bans are passed in as a host would do it, and the
-actions of the module are what is checked.
+The routing rules are not modelled a second time: lists, outcomes and bans are passed to the module as a host
+does, and the actions of the module are checked.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
     @property
     def last(self) -> str:
-        """The server of the checked attempt; empty if it was not made."""
+        """The server of the attempt after the earlier ones; empty if there was no such attempt."""
         return self.sent[-1] if self.answer == "sent" else ""
 
 
@@ -45,7 +45,7 @@
     name: str
     holds: bool
     cases: int
-    followed: int  # cases that were as expected
+    followed: int  # number of cases that were as expected
     why: list[str] = field(default_factory=list)
     spread: dict[str, float] = field(default_factory=dict)
 
@@ -183,7 +183,7 @@
     """A server in the order in which a key's requests would try servers."""
 
     server: str
-    why: str  # reason for which it is skipped; empty if it can be chosen
+    why: str  # reason why the server is skipped; empty if it can be chosen
 
 
 def explain(settings: api.Settings, fleet: NamedFleet, given: Given, key: str) -> list[Step]:
--- a/myrtlecourse/expect/commands.py
+++ b/myrtlecourse/expect/commands.py
@@ -52,7 +52,7 @@
 
 @click.group()
 def expect() -> None:
-    """Checks to which servers requests go, with the decision module itself and without traffic.
+    """Check to which servers requests go, with the decision module itself and without traffic.
 
     \b
     myrtlecourse expect check demo/expect.toml --settings demo/settings.json
@@ -74,7 +74,7 @@
 @SETTINGS
 @JSON
 def check(file: Path, settings_file: Path, as_json: bool) -> None:
-    """Checks every expectation of a file, unless some contradict each other."""
+    """Check every expectation of a file, unless some contradict each other."""
     settings, expectations = read_files(settings_file, file)
     found = contradictions(expectations, settings)
     verdicts = [] if found else check_all(expectations, settings)
@@ -122,7 +122,7 @@
     gone: tuple[str, ...],
     offline: tuple[str, ...],
 ) -> None:
-    """Shows the server of a key, and those to which it would go if that server were not available."""
+    """Show the server of a key, and those to which it would go if that server were not available."""
     settings, expectations = read_files(settings_file, file)
     fleet = find_fleet(expectations, name)
     class_name = request_class or next(iter(settings.classes))
@@ -147,7 +147,7 @@
 @SETTINGS
 @JSON
 def diff(file: Path, old: str, new: str, keys: str, settings_file: Path, as_json: bool) -> None:
-    """Shows the share of keys that move to other servers with another fleet, and from where to where."""
+    """Show the share of keys that move to other servers with another fleet, and from where to where."""
     settings, expectations = read_files(settings_file, file)
     given = Given(next(iter(settings.classes)), (keys,))
     count, moves = moved_keys(settings, find_fleet(expectations, old), find_fleet(expectations, new), given)
--- a/myrtlecourse/expect/spec.py
+++ b/myrtlecourse/expect/spec.py
@@ -88,7 +88,7 @@
 class Then(Struct, forbid_unknown_fields=True, frozen=True):
     """What must happen to the attempt after the earlier ones, in all cases or in a share of them."""
 
-    to: ServerIds = ()  # one of these
+    to: ServerIds = ()  # the attempt goes to one of these
     zone: str | None = None
     kind: str | None = None
     never: ServerIds = ()
@@ -98,25 +98,25 @@
     spread: dict[str, tuple[Share, Share]] = {}  # server -> range of its share of the keys
 
     def expects_server(self) -> bool:
-        """Return whether it expects certain servers."""
+        """Return whether the attempt is expected to go to certain servers."""
         return bool(self.to or self.zone is not None or self.kind is not None or self.spread)
 
 
 class Expectation(Struct, forbid_unknown_fields=True, frozen=True):
-    """One expectation."""
+    """One expectation: what must happen in a given state."""
 
-    name: Annotated[str, Meta(min_length=1, max_length=200)]  # a sentence
+    name: Annotated[str, Meta(min_length=1, max_length=200)]  # a sentence that states the expectation
     fleet: Name
     given: Given
     then: Then
 
 
 class Expectations(Struct, forbid_unknown_fields=True, frozen=True):
-    """The content of a file."""
+    """The content of an expectations file."""
 
     fleets: Annotated[tuple[NamedFleet, ...], Meta(min_length=1, max_length=1000)]
     expect: Annotated[tuple[Expectation, ...], Meta(max_length=MAX_EXPECTATIONS)] = ()
-    seeds: Annotated[int, Meta(ge=1, le=10_000)] = 20  # each is checked with so many seeds of the module
+    seeds: Annotated[int, Meta(ge=1, le=10_000)] = 20  # number of random seeds that each one is checked with
 
     def fleets_by_name(self) -> dict[str, NamedFleet]:
         """Return the fleets by name."""
@@ -124,7 +124,7 @@
 
 
 def read_expectations(path: Path) -> Expectations:
-    """Read a file. Raises ExpectError."""
+    """Read an expectations file. Raises ExpectError."""
     try:
         expectations = msgspec.toml.decode(path.read_bytes(), type=Expectations)
     except OSError as e:
--- a/myrtlecourse/experiment/commands.py
+++ b/myrtlecourse/experiment/commands.py
@@ -26,7 +26,7 @@
 
 @click.group(cls=RunByDefault)
 def experiment() -> None:
-    """Compares settings in the simulator, over grids or samples, on the same seeds.
+    """Compare settings in the simulator, over grids or samples, on the same seeds.
 
     \b
     myrtlecourse experiment limits.toml --workers 4 --html limits.html
@@ -61,7 +61,7 @@
     html_file: Path | None,
     quiet: bool,
 ) -> None:
-    """Runs a plan and prints how each point differs from the baseline, the first value of each factor.
+    """Run a plan and print how each point differs from the baseline, the first value of each factor.
 
     Exit code 0, 1 if a run broke a rule, 2 if the plan can't be executed.
     """
@@ -128,7 +128,7 @@
 @click.argument("second", type=click.Path(path_type=Path))
 @click.option("--json", "as_json", is_flag=True, help="print JSON")
 def compare_results(first: Path, second: Path, as_json: bool) -> None:
-    """Compares the results of two files at the points that both have, paired by seed."""
+    """Compare the results of two files at the points that both have, paired by seed."""
     try:
         comparisons = compare(Store(first, must_exist=True), Store(second, must_exist=True))
     except StoreError as e:
--- a/myrtlecourse/experiment/plan.py
+++ b/myrtlecourse/experiment/plan.py
@@ -23,7 +23,7 @@
 from myrtlecourse.load.profile import Profile, ProfileError
 from myrtlecourse.sim.overrides import read_scenario_and_profile
 
-MAX_POINTS = 10_000  # of a grid; larger ones must be sampled
+MAX_POINTS = 10_000  # points of a grid; larger grids must be sampled
 MODULES = {"policy": "policy.tuning", "evidence": "evidence"}  # prefix in plans -> module
 Value = bool | int | float | str
 
@@ -47,7 +47,7 @@
     factors: Annotated[tuple[Factor, ...], Meta(min_length=1, max_length=20)]
     seeds: Annotated[int, Meta(ge=2, le=10_000)] = 20  # seeds from 1 to this number, the same for each point
     sample: Annotated[int, Meta(ge=1, le=MAX_POINTS)] | None = None  # points drawn from the grid
-    seed: Annotated[int, Meta(ge=0)] = 1  # of the sample
+    seed: Annotated[int, Meta(ge=0)] = 1  # seed of the sample
 
     @property
     def size(self) -> int:
@@ -68,7 +68,7 @@
 
 
 def read_plan(path: Path) -> Plan:
-    """Read a plan and checks that each value of each factor can be applied. Raises PlanError."""
+    """Read a plan and check that each value of each factor can be applied. Raises PlanError."""
     try:
         plan = msgspec.toml.decode(path.read_bytes(), type=Plan)
     except (OSError, msgspec.DecodeError, ValueError) as e:
--- a/myrtlecourse/experiment/runs.py
+++ b/myrtlecourse/experiment/runs.py
@@ -27,7 +27,7 @@
     """One point with one seed."""
 
     digest: str
-    point: str  # its values, as JSON
+    point: str  # the values of the point, as JSON
     seed: int
     scenario: bytes  # JSON, as runs are sent to other processes
     profile: bytes
--- a/myrtlecourse/experiment/statistics.py
+++ b/myrtlecourse/experiment/statistics.py
@@ -26,7 +26,7 @@
 
     @property
     def clear(self) -> bool:
-        """Returns whether the interval excludes 0."""
+        """Whether the interval excludes 0."""
         return self.low > 0 or self.high < 0
 
 
--- a/myrtlecourse/fleet/address_switch.py
+++ b/myrtlecourse/fleet/address_switch.py
@@ -17,8 +17,8 @@
 from myrtlecourse.fleet.datagram_network import DatagramNetwork, Relays
 from myrtlecourse.fleet.reserved_ports import free_address
 
-MAX_LINE_LENGTH = 256
-CHUNK = 64 * 1024
+MAX_LINE_LENGTH = 256  # bytes of an announcement
+CHUNK = 64 * 1024  # bytes read at a time
 
 
 class AddressSwitch:
@@ -33,7 +33,7 @@
         self.announcement_delay = 0.0  # seconds until an announcement takes effect
         self.holder = ""
         self.history: list[tuple[float, str, str]] = []  # time, event and router
-        # The router that each client is connected to.
+        # The router to which each client is connected.
         self.client_routers: dict[asyncio.StreamWriter, str] = {}
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -41,7 +41,7 @@
         """Open the ports."""
         self.control = await asyncio.start_server(self._handle_control, "127.0.0.1", 0, limit=MAX_LINE_LENGTH)
         self.control_address: tuple[str, int] = self.control.sockets[0].getsockname()
-        # Nobody listens there before the first announcement: connections are refused.
+        # Connections are refused until the first announcement, as nobody listens at the address.
         self.address = free_address()
         self.server: asyncio.Server | None = None
 
@@ -51,7 +51,7 @@
         return self.relays.listen_addresses
 
     def split(self, one_side: set[str]) -> None:
-        """Partition the network between some voters and the others."""
+        """Partition the network between the voters of one side and all others; an empty side ends that."""
         self.network.split(self.voter_addresses, one_side)
 
     async def _handle_control(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/myrtlecourse/fleet/cache_server.py
+++ b/myrtlecourse/fleet/cache_server.py
@@ -17,7 +17,7 @@
 from myrtlecourse.net.command import MAX_VALUE, Command, CommandError, read_command
 from myrtlecourse.net.resp import INCOMPLETE, Message, Reader, RespError, split_command
 
-MAX_ITEMS = 16
+MAX_ITEMS = 16  # items of a command
 SWEEP_INTERVAL = 0.25  # seconds between checks for idle connections
 BUSY = b"-BUSY\r\n"
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
@@ -32,7 +32,7 @@
 def parse_request(
     command: Command, classes: dict[str, RequestClass], router: str, new_connection: bool
 ) -> Request:
-    """Return a router's command as the request that the models take. Raises CommandError."""
+    """Return a router's command as a request to a model. Raises CommandError."""
     request_class = classes.get(command.info.get("c", ""))
     if request_class is None:
         raise CommandError(f"unknown class {command.info.get('c')!r}")
@@ -117,7 +117,7 @@
         self.current_item = self.server.accept(self, request, began)
 
     def send_answer(self, data: bytes) -> None:
-        """Write the answer of the current attempt and begin the next command."""
+        """Write the answer to the current attempt and begin the next command."""
         self.current_item = None
         self.write(data)
         self._next()
@@ -196,7 +196,7 @@
             self.timer = self.loop.call_later(max(0.0, due - time.monotonic()), self._work)
 
     def _work(self) -> None:
-        """Send all answers that are ready."""
+        """Send the answers of all attempts whose work has ended."""
         self.timer = None
         now = time.monotonic()
         while (answer := self.model.next_answer(now)) is not None:
@@ -249,7 +249,7 @@
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     def freeze(self, frozen: bool) -> None:
-        """Freeze the process, or let it continue."""
+        """Freeze the process, or resume it."""
         now = time.monotonic()
         self.model.core_queue.core_speed.set_factor(now, 0.0 if frozen else 1.0)
         for port in self.ports.values():
--- a/myrtlecourse/fleet/core_queue.py
+++ b/myrtlecourse/fleet/core_queue.py
@@ -1,4 +1,4 @@
-"""Cores that serve a queue at a speed that varies; no I/O and no clock: times are passed in, in seconds.
+"""Cores that serve one queue at a varying speed. No I/O and no clock: callers pass times in seconds.
 
 Each core serves one item after another, first come, first served (an M/G/c queue). The speed of the cores is
 a function of time: low after a start, reduced or zero during faults. The queue therefore counts not time but
@@ -29,11 +29,11 @@
         self.cold = cold
         self.warm_up = warm_up
         self.factor = 1.0
-        # Work done until the factor was last changed, and the warm-up integral at that time.
+        # The work that a core had done when the factor last changed, and the warm-up integral at that time.
         self.base = (0.0, self._warm_integral(0.0))
 
     def capacity_share(self, now: float) -> float:
-        """Return the share of the full capacity that is available, without regard to faults."""
+        """Return the share of the full capacity that is available during the warm-up, without `factor`."""
         age = now - self.started
         return 1.0 if age >= self.warm_up else self.cold + (1 - self.cold) * max(0.0, age) / self.warm_up
 
@@ -80,16 +80,16 @@
 
 @dataclass(slots=True, eq=False)
 class WorkItem:
-    """One item of work: a request that was accepted."""
+    """One item of work: an accepted request."""
 
     work: float  # seconds of a core of speed 1
     deadline: float  # time at which the client stops waiting
     request: object
-    finished: bool = False  # whether it has been cancelled or has ended
+    finished: bool = False  # whether the item has ended or was cancelled
 
 
 class CoreQueue:
-    """A number of cores with a common queue."""
+    """Several cores with a common queue."""
 
     def __init__(self, cores: int, max_waiting: int, core_speed: CoreSpeed) -> None:
         self.cores = cores
--- a/myrtlecourse/fleet/datagram_network.py
+++ b/myrtlecourse/fleet/datagram_network.py
@@ -21,11 +21,11 @@
 
     def __init__(self, seed: int = 1) -> None:
         self.generator = random.Random(f"{seed} ways")
-        self.cuts: dict[str, frozenset[Direction]] = {}  # by name: directions in which no datagram arrives
+        self.cuts: dict[str, frozenset[Direction]] = {}  # by name of the cut: directions without delivery
         self.loss = 0.0  # share of datagrams that are lost
         self.copies = 0.0  # share of datagrams that arrive twice
-        self.delay = 0.0  # seconds at least
-        # Upper bound in seconds of an additional delay that is drawn for each datagram and so reorders them.
+        self.delay = 0.0  # minimum delay in seconds
+        # Upper bound in seconds of an additional random delay of each datagram, which reorders datagrams.
         self.jitter = 0.0
 
     def cut(self, name: str, directions: Iterable[Direction]) -> None:
@@ -35,7 +35,7 @@
             del self.cuts[name]
 
     def split(self, names: Iterable[str], one_side: set[str]) -> None:
-        """Partition some routers from the others, in both directions."""
+        """Partition the network between the routers of one side and all others, in both directions."""
         all_names = list(names)
         self.cut(
             "split", {(a, b) for a in all_names for b in all_names if (a in one_side) is not (b in one_side)}
@@ -61,7 +61,7 @@
 
 
 class Relay(asyncio.DatagramProtocol):
-    """The socket of one direction."""
+    """Receives the datagrams of one direction and passes them on as the network decides."""
 
     def __init__(self, relays: Relays, direction: Direction) -> None:
         self.relays = relays
@@ -86,12 +86,12 @@
 
 
 class Relays:
-    """A socket for each direction between two routers."""
+    """The relays of all directions between routers."""
 
     def __init__(self, network: DatagramNetwork) -> None:
         self.network = network
-        self.listen_addresses: dict[str, tuple[str, int]] = {}  # where each router receives
-        # Where the first router sends to reach the second.
+        self.listen_addresses: dict[str, tuple[str, int]] = {}  # the address at which each router receives
+        # The address to which the first router of a direction sends to reach the second.
         self.send_addresses: dict[Direction, tuple[str, int]] = {}
         self.transports: list[asyncio.DatagramTransport] = []
         self.reserved: list[ReservedPort] = []
--- a/myrtlecourse/fleet/discovery_server.py
+++ b/myrtlecourse/fleet/discovery_server.py
@@ -28,7 +28,7 @@
         super().__init__(port)
         self.server = server
         self.index: int | None = None
-        self.call_open = False  # whether a call is waiting for its answer
+        self.call_open = False  # whether a call waits for its answer
         self.wait_timer: asyncio.TimerHandle | None = None
 
     def on_request(self, head: h11.Request, body: bytes) -> None:
@@ -68,7 +68,7 @@
 
 
 class DiscoveryServer:
-    """The one service behind all routers: serves calls in order, at a limited rate of list entries."""
+    """The only discovery service: serves all routers' calls in order, at a limited rate of list entries."""
 
     def __init__(
         self, registry: Registry, lines_a_second: float, observe: Callable[[seen.Observation], None]
@@ -80,7 +80,7 @@
         self.addresses: dict[tuple[str, str], str] = {}  # by router and server
         self.waiting: set[DiscoveryConnection] = set()
         self.removed_entries: dict[str, Entry] = {}  # entries that are no longer in the list
-        self.busy_until = 0.0  # time at which all calls so far are served
+        self.busy_until = 0.0  # time at which all queued calls will have been served
         self.timer: asyncio.TimerHandle | None = None
         self.loop = asyncio.get_running_loop()
         self.epoch = time.time() - time.monotonic()
@@ -94,7 +94,7 @@
             await self.ports[router].listen()
 
     def schedule(self, at: float, entry: Entry) -> None:
-        """Change the list at the given time."""
+        """Schedule a change of the list at the given time."""
         self.registry.schedule(at, entry)
         self._schedule()
 
@@ -138,7 +138,7 @@
         return True
 
     def _answer(self, connection: DiscoveryConnection) -> None:
-        """Serve a call in its turn; the answer holds the list as it is then."""
+        """Queue the answer to a call; it holds the list as it is when the answer is written."""
         if connection not in self.waiting:
             return
         self.waiting.discard(connection)
@@ -153,7 +153,7 @@
         endpoints = [entry_to_json(e, self.addresses[router, e.name], self.epoch) for e in entries]
         payload = {"index": self.registry.index, "snapshot": full, "endpoints": endpoints}
         if full:
-            # The whole list tells these by their absence.
+            # A whole list reports removed servers by their absence, so their entries are only observed.
             entries = entries + list(self.removed_entries.values())
         return msgspec.json.encode(payload), entries
 
--- a/myrtlecourse/fleet/faults.py
+++ b/myrtlecourse/fleet/faults.py
@@ -26,14 +26,14 @@
     target: str
     value: float = 0.0
     duration: float = 0.0
-    routers: tuple[str, ...] = ()  # routers that it concerns; empty for all
+    routers: tuple[str, ...] = ()  # the routers that the step concerns; empty for all
 
 
 PEERS = "peers"  # the target of steps between routers
 
 
 def zone_of(scenario: scenarios.Scenario, number: int) -> str:
-    """Return the zone of a router or of a cache server by its number; numbers go round the zones."""
+    """Return the zone of a router or cache server by its number; zones are assigned in turn."""
     return scenario.zones[number % len(scenario.zones)]
 
 
@@ -98,7 +98,7 @@
         case scenarios.Replace():
             return _replacement_steps(scenario, fault, generator)
         case scenarios.Hand():
-            # The restart comes late enough that routers which may still send have stopped.
+            # The restart comes so late that routers, which may send for a while after a ban, have stopped.
             restart = Step(at + fault.seconds * 0.8, "bounce", fault.box)
             return [Step(at, "offline", fault.box), restart, Step(at + fault.seconds, "online", fault.box)]
     return []  # hot keys belong to the load
--- a/myrtlecourse/fleet/hollow_spread.py
+++ b/myrtlecourse/fleet/hollow_spread.py
@@ -41,7 +41,7 @@
     spread: dict[str, Any]  # the table of the members without name, listen, duty and files
     members: dict[str, str]  # the listening address of each member of this process
     folder: str  # holds the files of applied entries and the logs
-    applied: bool = True
+    applied: bool = True  # whether the members write files of applied entries
 
 
 class HollowMembers:
@@ -97,7 +97,7 @@
         driver.gain_leadership(int(token))
 
     async def send(self, name: str, rate: str, seconds: str) -> dict[str, Any]:
-        """Propose purges at a steady rate and wait for all answers."""
+        """Propose purges at a steady rate and wait for all answers; `seconds` is how long to propose."""
         driver, began, numbers = self.drivers[name], time.monotonic(), list[int]()
         count = round(float(rate) * float(seconds))
         answered, refused = asyncio.Event(), list[str]()
--- a/myrtlecourse/fleet/layout.py
+++ b/myrtlecourse/fleet/layout.py
@@ -61,7 +61,7 @@
     def list_change(
         self, step: Step, now: float, started_at: float, listed: bool
     ) -> tuple[float, Entry] | None:
-        """Return the time and entry of the list's change after a step, or None; `listed`: as of now."""
+        """Return when and how a step changes the list, or None; `listed` says if the server is listed now."""
         if step.target == ORIGIN:
             return None  # the origin stays in the list
         discovery, entry = self.scenario.discovery, replace(self.entries[step.target], since=started_at)
--- a/myrtlecourse/fleet/loopback_fleet.py
+++ b/myrtlecourse/fleet/loopback_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of a scenario on loopback, with its faults at their times."""
+"""Runs the stand-in fleet of a scenario on loopback, and applies its faults at their times."""
 
 from __future__ import annotations
 
@@ -49,14 +49,14 @@
         self.network = DatagramNetwork(scenario.seed)  # between routers
         self.relays = Relays(self.network)
         self.duty_relays = Relays(self.network)  # for the datagrams of duties
-        # By request: the servers that missed its value.
+        # For each request, the servers that lacked its value.
         self.missed_by: OrderedDict[str, list[CacheServer]] = OrderedDict()
         self.timers: list[asyncio.TimerHandle] = []
         self.tasks: set[asyncio.Task[None]] = set()
-        # The holder of a duty when a fault began, by the target that stands for it.
+        # For each target that stands for the holder of a duty: the holder when the fault began.
         self.holders_at_fault: dict[str, str] = {}
         self.holder_of: Callable[[str], str] = lambda duty: ""
-        # Applies steps to processes of routers, which the fleet does not own.
+        # Called for steps that concern routers, whose processes the fleet does not own.
         self.apply_to_routers: Callable[[Step], None] = lambda step: None
 
     def _make_server(self, name: str) -> CacheServer:
@@ -154,7 +154,7 @@
         return addresses
 
     def begin(self) -> None:
-        """Start the scenario's time now."""
+        """Schedule the steps of the scenario, whose time starts now."""
         self.timers = [self.loop.call_later(step.at, self.apply_step, step) for step in steps(self.scenario)]
 
     def apply_step(self, step: Step) -> None:
@@ -211,7 +211,7 @@
                 self._run_in_background(self._start(server))
             case "bounce":
                 server.stop()
-                self._run_in_background(server.start())  # the list does not show it
+                self._run_in_background(server.start())  # the list does not change
         for port in server.ports.values():
             self._apply_to_port(step, port)
         self._update_list(step)
--- a/myrtlecourse/fleet/operators.py
+++ b/myrtlecourse/fleet/operators.py
@@ -1,4 +1,4 @@
-"""Operators of a stand-in fleet: they call routers, poll whether each is ready, and measure the answers."""
+"""Operators of a stand-in fleet: call routers, poll whether each is ready, and measure the answer times."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
         self.routers = routers
         self.answer_times: list[float] = []  # seconds
         self.unanswered = 0
-        self.memory = 0.0  # MB of all processes of one router together, the highest value
-        self.descriptors = 0
+        self.memory = 0.0  # the highest memory (MB) of all processes of one router together
+        self.descriptors = 0  # the highest number of descriptors of one router's processes
         self.faults: list[str] = []
         self.tasks = [asyncio.ensure_future(self._poll(router)) for router in routers]
 
@@ -56,7 +56,7 @@
                 self.descriptors = max(self.descriptors, sum(count for _, count in usage))
 
     async def change_service(self, router: Router, step: Step) -> None:
-        """Ban a server or lift the ban at a router; repeats the call, as a process may be just ending."""
+        """Ban a server or lift the ban at a router; repeat a failed call, as a process may be ending."""
         until = time.monotonic() + READY_TIME
         while time.monotonic() < until:
             with suppress(RouterError, OSError, ValueError, IndexError, TimeoutError):
--- a/myrtlecourse/fleet/origin_server.py
+++ b/myrtlecourse/fleet/origin_server.py
@@ -36,7 +36,7 @@
         self.http = h11.Connection(h11.SERVER)
         self.head: h11.Request | None = None
         self.body = b""
-        self.began = 0.0
+        self.began = 0.0  # arrival time of the first byte of the current request
         self.answer_owed = False
 
     def is_busy(self) -> bool:
@@ -168,7 +168,7 @@
         return item
 
     def abandon(self, item: WorkItem) -> None:
-        """Handle that the router no longer waits."""
+        """Handle a router that stopped waiting for an attempt."""
         assert isinstance(item.request, Request)
         self.connections.pop(item.request, None)
         self.model.abandon(time.monotonic(), item)
--- a/myrtlecourse/fleet/ports.py
+++ b/myrtlecourse/fleet/ports.py
@@ -67,7 +67,7 @@
             self._schedule()
 
     def set_paused(self, paused: bool) -> None:
-        """Stop delivering, or deliver what has arrived meanwhile."""
+        """Pause delivery, or resume it with what has arrived in the meantime."""
         self.paused = paused
         if not paused and self.in_transit:
             self._schedule()
@@ -98,7 +98,7 @@
         self.outgoing = DelayedStream(port.delay, self._write, self._close_transport)
         self.idle_since = time.monotonic()
         self.open = True
-        # Time of the latest cut of the network until data has arrived since.
+        # Time of the latest cut of the network; None once data has arrived after it.
         self.cut_at: float | None = None
 
     def on_data(self, data: bytes, began: float) -> None:
@@ -117,7 +117,7 @@
         self.port.add(self)
 
     def data_received(self, data: bytes) -> None:
-        # Data written during a cut was sent at that time; the sender's kernel delivers it only now.
+        # The first data after a cut was written during the cut, although the sender's kernel delivers it now.
         self.incoming.send(data, self.cut_at)
         self.cut_at = None
 
@@ -157,13 +157,13 @@
         self._on_end()
 
     def reset(self) -> None:
-        """Reset the connection, whatever is still unsent."""
+        """Reset the connection and discard unsent data."""
         if not self.transport.is_closing():
             socket_of(self.transport).setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.transport.abort()
 
     def freeze(self, frozen: bool) -> None:
-        """Freeze the process or let it continue; data that arrives meanwhile keeps its arrival time."""
+        """Freeze the process or resume it; data that arrives in the meantime keeps its arrival time."""
         self.incoming.set_paused(frozen)
         self.outgoing.set_paused(frozen)
 
@@ -190,8 +190,8 @@
         self.max_connections = max_connections
         self.make_connection = make_connection
         self.connections: set[ServerConnection] = set()
-        self.reserved: ReservedPort | None = None  # from the first `listen` until `close`
-        self.should_listen = False  # False while it refuses connections
+        self.reserved: ReservedPort | None = None  # reserved from the first `listen` until `close`
+        self.should_listen = False  # False while connections are refused
         self.server: asyncio.Server | None = None
         self.listen_lock = asyncio.Lock()
         self.frozen = False
@@ -232,7 +232,7 @@
             self.server = None
 
     def close(self) -> None:
-        """Stop, and release the port."""
+        """Stop listening and release the port."""
         self.stop()
         if self.reserved is not None:
             self.reserved.release()
@@ -247,13 +247,13 @@
             connection.freeze(True)
 
     def freeze(self, frozen: bool) -> None:
-        """Freeze all connections or let them continue."""
+        """Freeze all connections or resume them."""
         self.frozen = frozen
         for connection in list(self.connections):
             connection.freeze(frozen)
 
     def cut(self, cut: bool) -> None:
-        """Cut the network or restore it."""
+        """Cut the network of all connections, or restore it."""
         self.is_cut = cut
         if self.server is not None:
             set_packet_drop(self.listening_socket, cut)
--- a/myrtlecourse/fleet/registry.py
+++ b/myrtlecourse/fleet/registry.py
@@ -16,7 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """The list's entry of one server; `since` is in seconds on the caller's clock, -inf for long ago."""
+    """A server's entry in the list.
+
+    `since` is the start of the server in seconds on the caller's clock, -inf for long ago.
+    """
 
     name: str
     zone: str
@@ -38,7 +41,7 @@
         self.sequence = 0
 
     def schedule(self, at: float, entry: Entry) -> None:
-        """List this entry from the given time on."""
+        """Schedule a change: the entry is listed from the given time on."""
         self.sequence += 1
         heapq.heappush(self.pending, (at, self.sequence, entry))
 
@@ -47,7 +50,7 @@
         return self.pending[0][0] if self.pending else math.inf
 
     def advance(self, now: float) -> list[Entry]:
-        """List the entries that are due as one change of the index and return those that changed."""
+        """Apply the changes that are due, under one new index, and return the entries that changed."""
         new = []
         while self.pending and self.pending[0][0] <= now:
             entry = heapq.heappop(self.pending)[2]
--- a/myrtlecourse/fleet/reserved_ports.py
+++ b/myrtlecourse/fleet/reserved_ports.py
@@ -15,7 +15,7 @@
 HOST = "127.0.0.1"
 PORTS = (10_000, 30_000)  # below the range of ephemeral ports
 PREFIX = "\0myrtlecourse port "
-RECENT = 200  # latest reservations of `free_address`
+RECENT = 200  # number of latest reservations that `free_address` keeps
 
 
 class ReservedPort:
@@ -66,7 +66,7 @@
 def free_address() -> tuple[str, int]:
     """Return an address that is free now, for a process that is given its address to listen at.
 
-    It stays reserved until RECENT more addresses were returned; the test that uses it is over by then.
+    The address stays reserved until RECENT more were returned; the test that uses it has ended by then.
     """
     if len(_recent) == RECENT:
         _recent.popleft().release()
--- a/myrtlecourse/fleet/routers.py
+++ b/myrtlecourse/fleet/routers.py
@@ -20,11 +20,12 @@
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.fleet.faults import Step
 
-# As `run` in the deploy file: a SIGHUP for a new configuration during a start ends no process.
+# The same as `run` in the deploy file. SIGHUP is ignored at first, so that a new configuration during a
+# start does not end the process.
 COMMAND = shlex.join(["sh", "-c", f"trap '' HUP; exec {shlex.quote(sys.executable)} -m myrtlecourse"])
 START_TIME = 30.0  # seconds until a router listens
-LONGEST_DEADLINE = 3.0  # seconds; the longest deadline that counts for a router's end (PROTOCOL)
-KILL_GRACE = 0.7  # seconds; SIGKILL comes no earlier than this after SIGTERM and the longest deadline
+LONGEST_DEADLINE = 3.0  # seconds; longer deadlines don't delay the end of a router (PROTOCOL)
+KILL_GRACE = 0.7  # seconds from SIGTERM to SIGKILL in addition to the longest deadline
 PARTIAL_COMMAND = b"*4\r\n$5\r\nC.GET\r\n$3\r\nke"
 LISTENING = b"listening on "
 TAKES_CALLS = b"operators call "
@@ -54,11 +55,11 @@
         # The process that an upgrade replaces.
         self.previous_process: asyncio.subprocess.Process | None = None
         self.address: tuple[str, int] = ("127.0.0.1", 0)
-        self.should_run = False  # False while it is not started or is meant to end
+        self.should_run = False  # False before the start and once the process was asked to end
         self.end_time = LONGEST_DEADLINE + KILL_GRACE  # seconds from SIGTERM to SIGKILL
         self.crashes = 0
-        self.temporary_folder = folder / f"{name}.tmp"  # shared by its processes
-        # Inherited by its processes if the scenario upgrades routers.
+        self.temporary_folder = folder / f"{name}.tmp"  # shared by this router's processes
+        # The socket that this router's processes inherit if the scenario upgrades routers.
         self.listening_socket: socket.socket | None = None
         self.ops: tuple[str, int] | None = None
         self.operators_file: Path | None = None
@@ -66,14 +67,14 @@
         self.ready_delays: list[float] = []
 
     def configure(self, configuration: dict[str, Any]) -> None:
-        """Write the configuration that the platform gives it, with the address of earlier starts."""
+        """Write the configuration file as the platform does, with the address of earlier starts."""
         listen = f"{self.address[0]}:{self.address[1]}"
         longest = max(request_class["giveUp"] for request_class in configuration["settings"]["classes"])
         self.end_time = min(LONGEST_DEADLINE, longest) + KILL_GRACE
         self.config.write_text(json.dumps(configuration | {"listen": listen}))
 
     def open_listening_socket(self) -> None:
-        """Open a listening socket for its processes to inherit; new connections wait in no single process."""
+        """Open a listening socket that this router's processes inherit, so that any of them may accept."""
         self.listening_socket = socket.create_server(self.address, backlog=512)
         self.address = self.listening_socket.getsockname()
         self.temporary_folder.mkdir(exist_ok=True)
@@ -118,7 +119,7 @@
         self.watch = asyncio.create_task(self._watch(self.process))
 
     def pids(self) -> list[int]:
-        """Return the ids of its running processes: two during an upgrade."""
+        """Return the ids of the running processes: two during an upgrade."""
         running = [p for p in (self.process, self.previous_process) if p is not None and p.returncode is None]
         return [p.pid for p in running]
 
@@ -136,7 +137,7 @@
     async def upgrade(self) -> None:
         """Start a second process and ask the old one to end once the new one is ready.
 
-        All others see one router throughout: nothing is observed. Raises RouterError.
+        Clients and servers see one router throughout, so nothing is observed. Raises RouterError.
         """
         old, began = self.process, time.monotonic()
         self.previous_process = old
@@ -157,14 +158,14 @@
                 await old.wait()
 
     async def _watch(self, process: asyncio.subprocess.Process) -> None:
-        """Notice that the process exits unexpectedly; its requests are lost and count as such."""
+        """Report an unexpected exit of the process; the auditor then counts its requests as lost."""
         await process.wait()
         if self.should_run and process is self.process:
             self.crashes += 1
             self.observe(seen.RouterDown(time.monotonic(), self.name, False))
 
     def stall(self, stopped: bool) -> None:
-        """Stop the process, or let it continue."""
+        """Stop the process (SIGSTOP), or resume it."""
         if self.process is not None:
             self._signal(self.process, signal.SIGSTOP if stopped else signal.SIGCONT)
 
@@ -239,7 +240,7 @@
 
 
 def zone_exits(log: Path) -> list[tuple[float, frozenset[str]]]:
-    """Return the logged zones that a router has left, with times on the machine's monotonic clock."""
+    """Return the logged zones that a router excludes, with times on the machine's monotonic clock."""
     offset = time.time() - time.monotonic()
     result = []
     for at, names in EXIT_LINE.findall(log.read_text()):
@@ -276,10 +277,10 @@
         """Apply a step to its router: a signal, idle clients, a restart or an upgrade."""
         router = self.members[int(step.target.rpartition("-")[2])]
         if step.action == "go_on":
-            router.stall(False)  # also if it was asked to end since: nothing else would let it continue
+            router.stall(False)  # even if it was asked to end since: nothing else would resume it
             return
         if not router.should_run:
-            return  # it is ending or starting already
+            return  # the router is already ending or starting
         if step.action == "reload":
             router.reload()
             return
@@ -299,7 +300,7 @@
         self.run_in_background(self._restart(router, step))
 
     def run_in_background(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a task in the background; `end` waits for it."""
+        """Run a coroutine in the background; `end` waits for it."""
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
--- a/myrtlecourse/fleet/scenario.py
+++ b/myrtlecourse/fleet/scenario.py
@@ -45,7 +45,7 @@
     weight: Annotated[float, Meta(gt=0.0, le=1e6)] | None = None  # as listed by discovery; None: its capacity
     cold: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.4  # share of its capacity just after a start
     warm_up: Time = 5.0
-    drops_expired: bool = True  # refuses requests that have waited past their deadline
+    drops_expired: bool = True  # whether requests that have waited past their deadline are refused
 
 
 class Origin(Struct, forbid_unknown_fields=True, frozen=True):
@@ -91,7 +91,7 @@
     copies: Share = 0.0  # share of datagrams that arrive twice
     delay: Time = 0.0005
     spread: Time = 0.0  # upper bound of a random additional delay, which reorders datagrams
-    # From here on: fields of the routers' `[fleet]` table.
+    # The fields below are those of the routers' `[fleet]` table.
     spill: Annotated[float, Meta(ge=1.0, le=100.0)] = 3.0
     leave_origin: bool = False
     paced: bool = True
@@ -103,7 +103,7 @@
 
 
 class DutySpec(Struct, forbid_unknown_fields=True, frozen=True):
-    """A duty in numbered steps, whose command records each step."""
+    """A duty whose holder does numbered steps; its command records each step."""
 
     name: Name
     preferred: tuple[int, ...] = ()  # numbers of routers, from 0
@@ -225,7 +225,7 @@
     router: Annotated[int, Meta(ge=0)] | None = None  # by number, or
     holder: str | None = None  # the holder of this duty when the fault begins
     kill: bool = False
-    # Further SIGHUP and SIGTERM in turn, sent while it ends.
+    # Number of further signals, SIGHUP and SIGTERM in turn, that are sent while the router ends.
     signals: Annotated[int, Meta(ge=0, le=1000)] = 0
 
 
@@ -265,7 +265,7 @@
     routers: tuple[int, ...] = ()  # by number, or
     zone: str | None = None  # all routers of a zone
     holder: str | None = None  # and the holder of this duty when the fault begins
-    one_way: bool = False  # they still receive but their own datagrams are lost
+    one_way: bool = False  # True: these routers still receive, but their own datagrams are lost
 
 
 class Unreached(Struct, forbid_unknown_fields=True, frozen=True, tag="unreached", tag_field="what"):
--- a/myrtlecourse/fleet/server_models.py
+++ b/myrtlecourse/fleet/server_models.py
@@ -18,7 +18,7 @@
 from myrtlecourse.fleet.core_queue import CoreQueue, CoreSpeed, WorkItem
 from myrtlecourse.fleet.scenario import Origin, RequestClass, ServerKind
 
-OVERLOAD_SLACK = 0.1  # share of the work budget of a window that is added for chance
+OVERLOAD_SLACK = 0.1  # share by which chance may exceed the work budget of a window
 
 
 @dataclass(slots=True, frozen=True, eq=False)
@@ -56,18 +56,18 @@
     kind: AnswerKind
     version: int = 0
     size: int = 0
-    executed: bool = False  # whether a write took effect, rather than its receipt being found
+    executed: bool = False  # whether a write took effect; False if its receipt was found
 
 
 class WriteReceipts:
-    """The receipts of keyed writes that a group of servers shares, each kept for its class's window."""
+    """The receipts of keyed writes, shared by a group of servers; each is kept for its class's window."""
 
     def __init__(self) -> None:
         self.expires_at: OrderedDict[str, float] = OrderedDict()  # by idempotency key, the oldest first
         self.last_version = 0
 
     def record_write(self, now: float, key: str, window: float) -> bool:
-        """Return whether a write is executed, which it is unless its key repeats within the window."""
+        """Record a write; return whether it is executed, which it is unless its key repeats in the window."""
         while self.expires_at and next(iter(self.expires_at.values())) <= now:
             self.expires_at.popitem(last=False)
         if key and self.expires_at.get(key, -math.inf) > now:
@@ -85,7 +85,7 @@
     def __init__(self, max_bytes: int, ttl: float) -> None:
         self.max_bytes = max_bytes
         self.ttl = ttl
-        # Version, bytes and time of expiry.
+        # For each key: version, bytes and time of expiry.
         self.entries: OrderedDict[str, tuple[int, int, float]] = OrderedDict()
         self.size = 0
 
@@ -166,7 +166,7 @@
         core_speed = CoreSpeed(self.kind.speed, now, self.kind.cold, self.kind.warm_up)
         self.core_queue = CoreQueue(self.kind.cores, self.kind.queue, core_speed)
         self.memory = CacheMemory(self.kind.memory, self.kind.ttl)
-        # Time, router and work of the latest arrivals while cold.
+        # Time, router and work of the latest arrivals at the cold server.
         self.recent_arrivals: deque[tuple[float, str, float]] = deque()
         self.offered_work = 0.0  # work of the arrivals in `recent_arrivals`
         # After a collapse: the work that each router sent in the window before it.
@@ -185,7 +185,7 @@
         return item if self.core_queue.add(now, item) else None
 
     def _overloads(self, now: float, router: str, work: float) -> bool:
-        """Count an arrival at a cold server, refused or not, and return whether it makes it collapse."""
+        """Count an arrival, refused or not, and return whether it makes a cold server collapse."""
         window = self.rules.fall_window
         if now - self.started_at > self.kind.warm_up + window:
             return False
@@ -248,7 +248,7 @@
         return item if self.core_queue.add(now, item) else None
 
     def abandon(self, now: float, item: WorkItem) -> None:
-        """Handle that the router stopped waiting: cancels the item unless it is a write in execution."""
+        """Handle a router that stopped waiting: cancel the item unless it is a write in execution."""
         request = item.request
         assert isinstance(request, Request)
         if not request.write or not any(p is item for _, _, p in self.core_queue.running):
--- a/myrtlecourse/fleet/session.py
+++ b/myrtlecourse/fleet/session.py
@@ -32,7 +32,7 @@
 LOG = "fleet.jsonl"
 DUTIES_LOG = "duties.jsonl"
 START_TIME = 60.0  # seconds until the fleet and its routers are ready
-END_TIME = 15.0  # seconds until everything has ended
+END_TIME = 15.0  # seconds until the fleet's process has ended
 
 
 class SessionError(RuntimeError):
@@ -53,7 +53,7 @@
         return {"routers": [r.address for r in self.routers.members] if self.routers else []}
 
     async def close(self) -> list[str]:
-        """End everything and return what went wrong with the routers' processes."""
+        """End routers and fleet, and return what went wrong with the routers' processes."""
         if self.operators is not None:
             self.operators.stop()
         if self.routers is not None:
@@ -75,7 +75,7 @@
 
 
 def operators_file(peers: Peers, duties: Duties | None, relays: Relays, folder: Path, name: str) -> Path:
-    """Write a router's operators' file, for leaving zones together with other routers and for duties."""
+    """Write a router's operators' file: its settings for zone exits with other routers and for duties."""
     key = folder / "peers.key"
     if not key.exists():
         key.write_bytes(os.urandom(32))
@@ -147,8 +147,8 @@
 
 
 def fleet_process(scenario: Scenario, folder: Path, command: str, pipe: Any) -> None:
-    """Run the fleet's process: start it, begin and end it on messages from the parent."""
-    # The parent handles SIGINT and sends a message: the verdict on what has run is still wanted.
+    """Run the fleet's process: start the fleet, then begin and end on messages from the parent."""
+    # The parent handles SIGINT and sends a message, so that the run still ends with a verdict.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
     async def run_fleet() -> None:
@@ -201,7 +201,7 @@
     seconds: float
     record: Record
     verdict: dict[str, Any]
-    faults: list[str]  # of the routers' processes
+    faults: list[str]  # what went wrong with the routers' processes
     steps: list[Step]
     service: dict[str, Any] | None = None  # the operators' measurements
 
--- a/myrtlecourse/load/client.py
+++ b/myrtlecourse/load/client.py
@@ -11,15 +11,15 @@
 from myrtlecourse.net.resp import INCOMPLETE, Message, Reader, RespError
 
 MAX_ANSWER = 16 * 1024 * 1024  # bytes; an answer that announces more is rejected before it is read
-MAX_ITEMS = 16  # of an answer that is an array
+MAX_ITEMS = 16  # items of an answer that is an array
 DIAL_TIMEOUT = 5.0  # seconds
 
-# called with the answer or the error, and with whether the connection had carried an answer before
+# Called with the answer or the error, and with whether the connection had carried an answer before.
 ReplyCallback = Callable[[Message | BaseException, bool], None]
 
 
 class ConnectionBroken(ConnectionError):
-    """The connection ended, or the bytes received are no answer."""
+    """The connection ended, or the bytes received are not an answer."""
 
 
 class ClientConnection(asyncio.Protocol):
@@ -29,7 +29,7 @@
         self.pool = pool
         self.reader = Reader(MAX_ITEMS, MAX_ANSWER, MAX_ANSWER + 4096)
         self.on_reply: ReplyCallback | None = None
-        self.reused = False  # the connection has carried an answer before
+        self.reused = False  # whether the connection has carried an answer
         self.last_request = ""  # the id of the last request on this connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -90,12 +90,12 @@
         self.data = data
         self.on_written = on_written  # called once the command was written
         self.on_reply = on_reply
-        self.fresh = fresh  # needs a new connection
+        self.fresh = fresh  # whether the command needs a new connection
         self.abandoned = False
         self.connection: ClientConnection | None = None
 
     def abandon(self) -> None:
-        """Give up and close the connection, as a client does that stops waiting."""
+        """Stop waiting and close the connection, as a client does that leaves."""
         self.abandoned = True
         if self.connection is not None:
             self.connection.abandon()
@@ -114,10 +114,11 @@
         on_unexpected: Callable[[str], None] = lambda last: None,
     ) -> None:
         self.address = address
-        self.on_unexpected = on_unexpected  # called with the last request if bytes arrive without a request
+        # called with the id of the last request when bytes arrive without an open request
+        self.on_unexpected = on_unexpected
         self.max_open = max_open
         self.open = 0  # including connections that are being dialled
-        # The process ran out of file descriptors; `max_open` was lowered to the connections that it has.
+        # Whether the process ran out of file descriptors; `max_open` is then lowered to the open connections.
         self.exhausted = False
         self.idle: deque[ClientConnection] = deque()
         self.waiting: deque[PendingCommand] = deque()
@@ -172,7 +173,7 @@
         except OSError as e:  # includes TimeoutError
             self.open -= 1
             if e.errno in (errno.EMFILE, errno.ENFILE) and self.open:
-                # This process's own limit: the command must not fail as if the target had refused it.
+                # The limit is this process's: the command must not fail as if the target had refused it.
                 self.exhausted = True
                 self.max_open = self.open
                 return
@@ -190,7 +191,7 @@
         return None
 
     def release(self, connection: ClientConnection) -> None:
-        """Take back a free connection and use it for the next waiting command."""
+        """Use a free connection for the next waiting command, or keep it as idle."""
         command = self._next_waiting()
         if command is None:
             self.idle.append(connection)
--- a/myrtlecourse/load/commands.py
+++ b/myrtlecourse/load/commands.py
@@ -94,7 +94,7 @@
             raise click.UsageError("--rate can't be combined with a profile")
         return read_profile(file)
     if trace is not None:
-        return constant(1.0, 1.0)  # only the behaviour of its clients is used
+        return constant(1.0, 1.0)  # for a trace, only the clients' behaviour in the profile is used
     if rate is None or duration is None:
         raise click.UsageError("give a profile, a --trace, or --rate with --duration")
     return constant(rate, duration)
--- a/myrtlecourse/load/generator.py
+++ b/myrtlecourse/load/generator.py
@@ -1,4 +1,4 @@
-"""One worker of the generator: an open loop that sends each request when it is due.
+"""One worker of the load generator: sends each request when it is due (open-loop load).
 
 Latency is measured from when a request was due. A tool that waits for an answer before it sends the next
 request, or that measures from when it managed to send, leaves out exactly the requests that a stall delays
@@ -21,7 +21,8 @@
 from myrtlecourse.load.requests import PlannedRequest, repeatable, retry_delay
 from myrtlecourse.net.resp import ErrorLine, Message, encode_command
 
-# Seconds after its deadline for which an observed client still listens: is the answer late, or lost?
+# Seconds after a request's deadline for which an observed client still listens, to tell whether the answer is
+# late or lost.
 LINGER = 1.0
 MAX_BURST = 256  # overdue requests that are sent before answers are read
 
@@ -43,11 +44,11 @@
         self.router = router
         self.deadline_ms = deadline_ms
         self.command: PendingCommand | None = None
-        self.observed = False  # its RequestSent was reported
-        self.ended = False  # the client waits no more
+        self.observed = False  # whether its RequestSent was reported
+        self.ended = False  # whether the client has stopped waiting
 
     def on_written(self) -> None:
-        """Report that the last byte was written."""
+        """Report that the command was written."""
         observe = self.request.generator.observe
         if observe is not None:
             self.observed = True
@@ -94,6 +95,7 @@
             self._leave(how)
 
     def _leave(self, how: str) -> None:
+        """Close the connection of an unanswered try and report it."""
         generator = self.request.generator
         if self.command is not None:
             if generator.observe is not None and self.observed:
@@ -149,7 +151,7 @@
         if request_class.write:
             parts.append(b"v" * request_class.size)
         self.tries += 1
-        # round robin, as a load balancer distributes connections; a retry goes to the next router
+        # round robin over the routers, as by a load balancer; a retry goes to the next router
         router = (self.number + self.tries - 1) % len(generator.pools)
         self.current_try = current = Try(self, name, router, time_left)
         current.command = generator.pools[router].submit(
@@ -172,8 +174,8 @@
             and repeatable(request_class)
             and not self.sent_again
         ):
-            # The close of an idle connection may cross a request, which is then not read: send it once more,
-            # on a new connection.
+            # The router may have closed the idle connection while the request was in transit, and then never
+            # read it. The request is sent once more, on a new connection.
             self.sent_again = True
             self.tries -= 1
             self.send(fresh=True)
--- a/myrtlecourse/load/profile.py
+++ b/myrtlecourse/load/profile.py
@@ -73,8 +73,8 @@
     aim: Seconds = 1.0  # latency up to which an answer counts as goodput
     write: bool = False
     keyed: bool = False  # carries an idempotency key, the same with each retry
-    group: Literal["all", "zone", "cell"] = "all"  # the servers that drop repeats of a key
-    size: Annotated[int, Meta(ge=0, le=65_536)] = 64  # of a written value
+    group: Literal["all", "zone", "cell"] = "all"  # the scope in which servers drop repeats of a key
+    size: Annotated[int, Meta(ge=0, le=65_536)] = 64  # size of a written value
     hint: Annotated[int, Meta(ge=0, le=10**9)] = 0  # 0: no hint is sent
 
 
@@ -98,13 +98,13 @@
 
     retries: Annotated[int, Meta(ge=0, le=10)] = 0
     backoff: Seconds = 0.1  # delay of a retry if the answer names none; doubled with each retry
-    honour: Share = 1.0  # of retry delays asked for by refusals, the share that clients respect
-    leave: Share = 0.0  # of requests whose client leaves after half of the deadline
-    connections: Annotated[int, Meta(ge=1, le=60_000)] = 256  # of each worker, at most
+    honour: Share = 1.0  # share of the retry delays in refusals that clients respect
+    leave: Share = 0.0  # share of requests whose client leaves after half of the deadline
+    connections: Annotated[int, Meta(ge=1, le=60_000)] = 256  # maximum per worker
 
 
 class HotKeys(Struct, forbid_unknown_fields=True, frozen=True):
-    """For some time a few keys receive a share of all reads."""
+    """A period in which a few keys receive a share of all reads."""
 
     at: Annotated[float, Meta(ge=0.0)]  # seconds after the start
     seconds: Seconds
--- a/myrtlecourse/load/record.py
+++ b/myrtlecourse/load/record.py
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self.values = new_histogram()
-        self.sum = 0  # of all values, in microseconds: the histogram would walk all its buckets for a mean
+        self.sum = 0  # microseconds; the histogram itself would walk all its buckets to compute a mean
 
     def __getstate__(self) -> tuple[dict[str, int], int, bytes]:
         """Pickle the histogram in HDR's own encoding, as its memory can't be pickled."""
@@ -71,7 +71,7 @@
         self.tenants: defaultdict[str, OutcomeStats] = defaultdict(OutcomeStats)
         self.seconds: defaultdict[int, OutcomeStats] = defaultdict(OutcomeStats)
         self.starts = OutcomeStats()  # counts of starts, and how late they were
-        # a worker ran out of file descriptors, so that requests waited for connections
+        # whether a worker ran out of file descriptors, so that requests waited for connections
         self.exhausted = False
 
     def count_start(self, late: float) -> None:
--- a/myrtlecourse/load/requests.py
+++ b/myrtlecourse/load/requests.py
@@ -20,7 +20,7 @@
     request_class: RequestClass
     tenant: str
     key: str
-    client_leaves: bool  # its client goes away after half of the deadline
+    client_leaves: bool  # whether its client leaves after half of the deadline
 
 
 def repeatable(request_class: RequestClass) -> bool:
@@ -76,7 +76,7 @@
         classes = mix_rng.choice(len(class_shares), count, p=class_shares / class_shares.sum())
         tenants = mix_rng.choice(len(tenant_shares), count, p=tenant_shares / tenant_shares.sum())
         ranks = np.searchsorted(popularity, mix_rng.random(count), side="right")
-        numbers = ranks + (chunk * keys.drift).astype(np.int64)  # the popularity moves on to new keys
+        numbers = ranks + (chunk * keys.drift).astype(np.int64)  # the popularity shifts to new keys
         leaving = mix_rng.random(count) < profile.clients.leave
         names = [f"key-{number}" for number in numbers]
         for period, hot_keys in enumerate(profile.hot):
--- a/myrtlecourse/load/run.py
+++ b/myrtlecourse/load/run.py
@@ -41,7 +41,7 @@
     duration: float | None = None  # seconds; None: all of the profile or trace
     replay: Replay | None = None
     observations: Path | None = None  # a folder in which each worker writes its clients' observations
-    run: str = ""  # prefix of every request id, so that two runs against one target share none
+    run: str = ""  # prefix of all request ids, so that no two runs against one target share an id
 
     def plan(self, worker: int) -> Iterator[PlannedRequest]:
         """Yield the requests of one worker."""
@@ -79,7 +79,7 @@
 
 def run_worker(job: Job, worker: int, results: Any, stop: Any, begin: Any) -> None:
     """Run a worker process."""
-    # The parent handles SIGINT and tells the workers to stop, as the run must still be reported.
+    # The parent handles SIGINT and tells the workers to stop, so that the run is still reported.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     try:
         results.put((worker, "ready", None))
--- a/myrtlecourse/load/trace.py
+++ b/myrtlecourse/load/trace.py
@@ -45,7 +45,7 @@
     path: Path
     speed: float = 1.0
     loops: int = 1
-    classes: tuple[RequestClass, ...] = ()  # give deadlines and aims by name; other names have the defaults
+    classes: tuple[RequestClass, ...] = ()  # deadlines and aims by name; other names have the defaults
 
 
 def read_trace(path: Path) -> Iterator[TraceLine]:
--- a/myrtlecourse/scale/calibration.py
+++ b/myrtlecourse/scale/calibration.py
@@ -39,8 +39,8 @@
     """Processor seconds used up to a time."""
 
     time: float  # seconds on a monotonic clock
-    machine_s: float  # of the whole machine
-    own_s: float  # of this process and its children that have ended
+    machine_s: float  # seconds of the whole machine
+    own_s: float  # seconds of this process and its children that have ended
 
 
 def busy_seconds(stat: str, ticks: int) -> float:
--- a/myrtlecourse/scale/capacity_results.py
+++ b/myrtlecourse/scale/capacity_results.py
@@ -37,7 +37,7 @@
 
 
 class Slope(Struct, forbid_unknown_fields=True, frozen=True):
-    """A cost by size."""
+    """A cost measured at several sizes."""
 
     name: Name
     what: Text
@@ -85,7 +85,7 @@
 
 
 class Results(Struct, forbid_unknown_fields=True, frozen=True):
-    """The contents of one file."""
+    """The contents of one results file."""
 
     schema: Literal[1]
     cores: Annotated[int, Meta(ge=1, le=4096)]  # cores of the machine
--- a/myrtlecourse/scale/commands.py
+++ b/myrtlecourse/scale/commands.py
@@ -126,7 +126,7 @@
 
 
 def check_writable(folder: Path, json_file: Path | None) -> None:
-    """Raises OSError if the results could not be written at the end of the run."""
+    """Raise OSError if the results could not be written at the end of the run."""
     folder.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryFile(dir=folder):
         pass
--- a/myrtlecourse/scale/estimates.py
+++ b/myrtlecourse/scale/estimates.py
@@ -41,7 +41,7 @@
     unit: str
     source: str
     law_holds: bool = True  # False: predicted by a law that failed its check
-    exclusive: bool = True  # no other process used more than a tenth of the machine
+    exclusive: bool = True  # whether other processes used at most a tenth of the machine
 
     def __str__(self) -> str:
         if not self.law_holds:
--- a/myrtlecourse/scale/fit.py
+++ b/myrtlecourse/scale/fit.py
@@ -19,11 +19,11 @@
 
 MIN_SIZES = 5
 CHECK_FACTOR = 4  # ratio of the largest size, at which a law is checked, to the largest size that is fitted
-MAX_INTERVAL_WIDTH = 1.0  # relative to the prediction; a wider interval is of no use
+MAX_INTERVAL_WIDTH = 1.0  # width of an interval relative to its prediction above which a law is not used
 MIN_RELATIVE_ERROR = 0.01  # no law is assumed to be more accurate than this
 RESAMPLES = 400
 LOW_PERCENTILE, HIGH_PERCENTILE = 2.5, 97.5  # percent
-# the simplest first; a later one must be more accurate by MIN_RELATIVE_ERROR
+# The simplest shape comes first; a later one is selected only if more accurate by MIN_RELATIVE_ERROR.
 SHAPES: dict[str, Callable[[float], float]] = {
     "constant": lambda n: 0.0,
     "log n": math.log,
@@ -125,7 +125,7 @@
         ) / determinant
         if base >= 0 and slope >= 0:
             return Law(name, base, slope)
-    # the optimum is on the boundary of the allowed coefficients: the better of the two candidates
+    # The optimum is on the boundary of the allowed coefficients, at the better of the two candidates.
     candidates = (Law(name, base_only, 0.0), Law(name, 0.0, slope_only))
     return min(candidates, key=lambda law: sum((law.at(s) / c - 1) ** 2 for s, c in costs.items()))
 
@@ -157,16 +157,16 @@
             for held_out_size in costs
         ]
     means = {name: sum(found) / len(found) for name, found in errors.items()}
-    # Without this margin, noise would let a steep law win by a hair for a constant cost, and its predictions
-    # for larger sizes would be far off.
+    # Without this margin, noise could make a steep law fit a constant cost slightly better, and its
+    # predictions for larger sizes would be far off.
     best = next(name for name in SHAPES if means[name] <= min(means.values()) + MIN_RELATIVE_ERROR)
     return Fit(fit_law(best, costs), means[best], max(errors[best]), repeats)
 
 
 def check(repeats: Repeats) -> tuple[Fit, Check]:
-    """Fit up to a quarter of the largest size, and predict the cost at the largest.
+    """Fit the sizes up to a quarter of the largest one, and predict the cost at the largest.
 
-    Raises FitError if there are too few sizes up to there, or for a cost that is not a positive number.
+    Raises FitError if there are too few such sizes, or for a cost that is not a positive number.
     """
     largest = max(repeats, default=0)
     smaller = {size: values for size, values in repeats.items() if size * CHECK_FACTOR <= largest}
--- a/myrtlecourse/scale/guard.py
+++ b/myrtlecourse/scale/guard.py
@@ -37,7 +37,7 @@
         return cls(highest if memory is None else min(highest, memory))
 
     def require(self, memory: int, count: int, subject: str) -> None:
-        """Raises ResourceLimitError if either value exceeds its limit."""
+        """Raise ResourceLimitError if either value exceeds its limit."""
         if memory > self.memory:
             raise ResourceLimitError(
                 f"memory: {subject} {memory / MB:,.0f} MB, and the limit is {self.memory / MB:,.0f} MB"
@@ -85,7 +85,7 @@
         for pid in remaining:
             with suppress(ProcessLookupError):
                 os.kill(pid, signal.SIGTERM if elapsed < SIGKILL_DELAY else signal.SIGKILL)
-            # the process has another parent, and becomes this process's child when that parent ends
+            # waiting fails while the process has another parent; it becomes a child when that parent ends
             with suppress(ChildProcessError):
                 os.waitpid(pid, os.WNOHANG)
         time.sleep(0.05)
--- a/myrtlecourse/scale/hollow.py
+++ b/myrtlecourse/scale/hollow.py
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InForceRecord:
-    """A member's decision module has applied a new state of a server."""
+    """The time at which a member's decision module applied a new state of a server."""
 
     at: float  # the machine's monotonic clock
     member: int
@@ -189,7 +189,7 @@
         self.counts = Counts()
         self.resident_before = process_usage(os.getpid())[0]
         self.members = {p.number: HollowMember(p, job, self.counts) for p in job.members}
-        self.former_sent = [0, 0]  # datagrams and bytes sent by members before they were restarted
+        self.former_sent = [0, 0]  # datagrams and bytes sent by members until their restart
         self.cpu_before = 0.0
         self.sent_before = (0, 0)  # datagrams and bytes sent before the run began
         self.starting: set[asyncio.Task[None]] = set()
--- a/myrtlecourse/scale/plan.py
+++ b/myrtlecourse/scale/plan.py
@@ -9,12 +9,12 @@
 from myrtlecourse.scale.scenario import Scenario
 
 # Memory in MB, rounded up from runs of `scale run`, which docs/scale.md names.
-PARENT_MB = 60.0  # of the parent process, and of the load generator's main process
+PARENT_MB = 60.0  # the parent process, and also the load generator's main process
 STAND_IN_MB = 75.0
 ROUTER_SERVER_MB = 0.1  # in the stand-in fleet, for each cache server of each router
-LOAD_WORKER_MB = 65.0  # of a worker that sends requests
-ROUTER_MB = 45.0  # of a real router with little load
-HOLLOW_PROCESS_MB = 50.0  # of a process of hollow members, without its members
+LOAD_WORKER_MB = 65.0  # a worker that sends requests
+ROUTER_MB = 45.0  # a real router with little load
+HOLLOW_PROCESS_MB = 50.0  # a process of hollow members, without its members
 MEMBER_MB = 0.1
 MEMBER_SERVER_MB = 0.025  # for each cache server in a member's list
 MEMBER_PEER_MB = 0.002  # for each other member that a member gossips with
@@ -30,8 +30,8 @@
     name: str
     processes: int
     members: int
-    memory: int  # bytes, of all of these processes together
-    sockets: int  # of the process that has the most
+    memory: int  # bytes used by all of these processes together
+    sockets: int  # sockets of the process that has the most
 
 
 @dataclass(frozen=True)
@@ -50,7 +50,7 @@
         return sum(p.memory for p in self.groups)
 
     def check_limits(self, limits: ResourceLimits) -> None:
-        """Raises ResourceLimitError if the run would exceed a limit."""
+        """Raise ResourceLimitError if the run would exceed a limit."""
         limits.require(self.memory, self.processes, "the run would take")
         max_descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         for group in self.groups:
--- a/myrtlecourse/scale/role_costs.py
+++ b/myrtlecourse/scale/role_costs.py
@@ -16,10 +16,10 @@
 PEAK_REQUESTS, PEAK_BITS = 16e6, 120e12  # per second at the peak
 PURGE_RATE, CHANGE_RATE = 100.0, 62_000 / 86_400  # per second
 FAILURES_PER_DAY, RESTARTS_PER_DAY = 34, 4_200  # machines on an ordinary day
-MAX_PURGE_TIME, MAX_CHANGE_TIME = 1.7, 4.0  # seconds until one is in force everywhere
+MAX_PURGE_TIME, MAX_CHANGE_TIME = 1.7, 4.0  # seconds until a purge or change must be in force everywhere
 # budgets for control at a router: share of a core, bytes, bytes per second
 CPU_BUDGET, MEMORY_BUDGET, BANDWIDTH_BUDGET = 0.046, 64e6, 27e3
-# Derived from the above.
+# Derived from the constants above.
 MACHINES = ROUTERS + SERVERS
 SERVERS_PER_REGION = round(SERVERS / REGIONS)  # cache servers that the routers of a region need to know
 ROUTERS_PER_SITE = round(ROUTERS / SITES)  # routers of a site
@@ -30,7 +30,7 @@
 IN_USE, DISABLED, MISSING = "runs", "built, off", "missing"
 SEALED_DATAGRAMS = 16_000  # the size at which the sealing costs are measured
 ROUTER_ROLE = "router at a site"
-# units of budgets for rows without an estimate
+# the unit of each budget, for rows without an estimate
 BUDGET_UNITS = {
     CPU_BUDGET: "core",
     MEMORY_BUDGET: "B",
--- a/myrtlecourse/scale/run.py
+++ b/myrtlecourse/scale/run.py
@@ -425,7 +425,7 @@
         calibrated_per_member_second=cpu * per_second / calibration_s,
         memory_mb=memory,
         list_calls=totals.calls.get(role, 0),
-        # what the discovery server writes is received by a member, and what it reads is sent by one
+        # the bytes that the discovery server writes are those that members receive, and the other way round
         list_bytes_in_per_s=totals.bytes_out.get(role, 0) * per_second,
         list_bytes_out_per_s=totals.bytes_in.get(role, 0) * per_second,
         datagrams_in_per_s=rates[0],
--- a/myrtlecourse/scale/slopes.py
+++ b/myrtlecourse/scale/slopes.py
@@ -216,7 +216,7 @@
 
 
 def decision(size: int, repeats: int) -> list[float]:
-    """Measure a request and the outcome of its single attempt."""
+    """Measure the decisions on a request and on the outcome of its single attempt."""
     router = policy.Router(router_settings(), 1, 1_800_000_000.0)
     _, members = parse_list(encode_list(list_entries(size), True))
     router.handle(1_800_000_000.0, api.ServerList(api.ListKind.FULL, tuple(m.entry for m in members)))
--- a/myrtlecourse/scale/stand_in_fleet.py
+++ b/myrtlecourse/scale/stand_in_fleet.py
@@ -25,7 +25,7 @@
 from myrtlecourse.scale.child_process import wait_for_end
 from myrtlecourse.scale.scenario import Scenario
 
-# prefix of the names of hollow members in discovery; each process of them has one name
+# prefix of the names of hollow members in discovery; all members of a process share one name
 HOLLOW_PREFIX = "hollow"
 ROUTER_ROLE = "router"
 
--- a/myrtlecourse/sim/commands.py
+++ b/myrtlecourse/sim/commands.py
@@ -42,7 +42,7 @@
     html_file: Path | None,
     quiet: bool,
 ) -> None:
-    """Runs a scenario in virtual time: the real decision module with models of the fleet.
+    """Run a scenario in virtual time: the real decision module with models of the fleet.
 
     \b
     myrtlecourse sim demo/rough.toml --profile demo/load.toml --seed 7
@@ -119,7 +119,7 @@
 def search(
     scenario: Path, profile: Path, seed: int, seconds: float, out: Path, json_file: Path | None
 ) -> None:
-    """Searches for a schedule of faults that breaks one of the four rules.
+    """Search for a schedule of faults that breaks one of the four rules.
 
     \b
     myrtlecourse search demo/calm.toml --profile demo/load.toml --seconds 600
--- a/myrtlecourse/sim/duties.py
+++ b/myrtlecourse/sim/duties.py
@@ -35,13 +35,13 @@
 
 
 def too_few_memories(all_duties: Iterable[Duties | None], settings: messages.Settings) -> bool:
-    """Whether so many processes have started without a memory that a state may be lost for good."""
+    """Return whether so many processes have started without a memory that a state may be lost for good."""
     remembering = sum(d is not None and not any(m.fresh for m in d.members.values()) for d in all_duties)
     return remembering < settings.majority
 
 
 class Process(SimulatedProcess[messages.Event]):
-    """One router's part: a process that may die, be stopped, and start again."""
+    """One router's process, which takes part in the duties and may be killed, stopped and restarted."""
 
     def __init__(self, simulation: DutySimulation, name: str, rate: float, has_disk: bool) -> None:
         super().__init__(simulation.core, simulation.rng, name, rate)
@@ -140,9 +140,9 @@
         self.network = Network()
         self.datagrams = 0
         self.events = 0
-        # events between two checks; in a large simulation a check after each event takes too long
+        # number of events between two checks; a check after each takes too long in a large simulation
         self.check_interval = 1
-        self.items = 0
+        self.items = 0  # number of messages in all datagrams
         self.highest_token = {d.name: 0 for d in duties}  # duty -> the highest token that was obeyed
         self.steps_done: dict[tuple[str, int], int] = {}  # duty and step -> the token under which it was done
         self.committed_steps = {d.name: 0 for d in duties}  # duty -> the last step whose claim was committed
@@ -151,7 +151,7 @@
         drift = self.settings(names[0]).drift
         self.processes = {n: Process(self, n, 1 + self.rng.uniform(-drift, drift), disks) for n in names}
         self.disks = disks
-        self.memory_lost = False  # so many processes restarted without a disk that a state may be lost
+        self.memory_lost = False  # True once so many processes lost their memory that a state may be lost
 
     def settings(self, name: str) -> messages.Settings:
         """Return the settings of a process."""
@@ -239,7 +239,7 @@
                 raise RuleViolation(f"two_obeyed: orders of {sorted(tokens)} for {duty.name}")
 
     def holder(self, duty: str) -> str:
-        """Return the process that acts for a duty at this moment of true time; empty: none."""
+        """Return the process that acts for a duty at this moment of true time; empty if there is none."""
         for process in self.processes.values():
             if process.duties is not None and process.duties.acting_token(process.clock(), duty) is not None:
                 return process.name
@@ -250,8 +250,10 @@
         self.core.run(self.core.now + seconds)
 
     def run_until_held(self, within: float) -> float | None:
-        """Run until all duties have a holder; return the seconds that took, or None if they exceed
-        `within`."""
+        """Run until all duties have a holder; return how long that took (s).
+
+        Returns None if it takes longer than `within`.
+        """
         began = self.core.now
         while self.core.now < began + within:
             if all(self.holder(d.name) for d in self.duties):
@@ -320,6 +322,7 @@
 
 
 def _go_on_alone(process: Process, seconds: float) -> None:
+    """Resume a stopped process, cut off from all others for some seconds."""
     simulation = process.simulation
     cut = links_to_cut(list(simulation.names), process.name, "cut", simulation.rng)
     process.resume()
--- a/myrtlecourse/sim/duty_commands.py
+++ b/myrtlecourse/sim/duty_commands.py
@@ -25,7 +25,7 @@
 
 
 def small_settings() -> Settings:
-    """Return the settings of three voters and two duties, whose candidates are two of them."""
+    """Return the settings of three voters and two duties, each with two of the voters as candidates."""
     duties = (Duty("x", ("a", "b"), good_for=1.0), Duty("y", ("b", "a"), good_for=1.0))
     times = {"heartbeat": 0.5, "lease": 1.6, "settle": 0.0, "unheard": 2.0, "brake": 2.0}
     return Settings("a", VOTERS, VOTERS, duties, **times)
@@ -96,16 +96,16 @@
     disks: bool,
     json_file: Path | None,
 ) -> None:
-    """Looks for a schedule in which two holders are obeyed, a step is done twice or forgotten, or nobody
-    holds.
+    """Look for a schedule in which two holders are obeyed, a step is done twice or forgotten, or a duty has
+    no holder.
 
     \b
     myrtlecourse search-duties --seconds 600
     myrtlecourse search-duties --elections --no-disks
     myrtlecourse search-duties --all 2 --first 24
 
-    Exit code 0 if nothing was found, 1 if a rule was violated. The seed or the steps that are printed repeat
-    it.
+    Exit code 0 if nothing was found, 1 if a rule was violated. The seed or the steps that are printed
+    reproduce the violation.
     """
     result: dict[str, Any]
     if troubles is not None:
--- a/myrtlecourse/sim/election.py
+++ b/myrtlecourse/sim/election.py
@@ -20,7 +20,7 @@
 
 @dataclass
 class Network:
-    """What can happen to a message on its way."""
+    """The network between instances, and what can happen to a message in it."""
 
     loss: float = 0.0
     duplication: float = 0.0  # probability that it is delivered twice
@@ -31,14 +31,14 @@
 
 
 class Instance(SimulatedProcess[messages.Event]):
-    """One router's part: a process that may die, be stopped, and start again."""
+    """One router's process, which takes part in the election and may be killed, stopped and restarted."""
 
     def __init__(self, simulation: ElectionSimulation, name: str, rate: float, has_disk: bool) -> None:
         super().__init__(simulation.core, simulation.rng, name, rate)
         self.simulation = simulation
         self.has_disk = has_disk
         self.saved = messages.Saved()  # what its disk holds
-        self.withdrawal_time = 0.0  # seconds that a withdrawal takes
+        self.withdrawal_time = 0.0  # seconds that withdrawing the address takes
         self.election: Election | None = None
 
     def start(self) -> None:
@@ -59,7 +59,7 @@
         self.discard_pending()
 
     def holds(self) -> bool:
-        """Whether it would accept a client now."""
+        """Return whether the instance would accept a client now."""
         return self.election is not None and self.election.holds(self.clock())
 
     def post(self, event: messages.Event) -> None:
@@ -170,8 +170,10 @@
         self.core.run(self.core.now + seconds)
 
     def run_until_held(self, within: float) -> float | None:
-        """Run until some instance holds the address; return the seconds that took, or None if they exceed
-        `within`."""
+        """Run until some instance holds the address; return how long that took (s).
+
+        Returns None if it takes longer than `within`.
+        """
         began = self.core.now
         while self.core.now < began + within:
             if self.holders():
@@ -188,7 +190,7 @@
     fault = rng.choice(FAULTS)
     names = list(simulation.names)
     holders = simulation.holders()
-    # faults of the holder matter most
+    # faults of the holder are drawn most often, as they matter most
     name = holders[0] if holders and rng.random() < 0.6 else rng.choice(names)
     instance, after, core = simulation.instances[name], rng.uniform(0.0, longest), simulation.core
     match fault:
@@ -226,6 +228,7 @@
 
 
 def _go_on_alone(instance: Instance, seconds: float) -> None:
+    """Resume a stopped instance, cut off from all others for some seconds."""
     simulation = instance.simulation
     cut = links_to_cut(list(simulation.names), instance.name, "cut", simulation.rng)
     instance.resume()
--- a/myrtlecourse/sim/exhaust.py
+++ b/myrtlecourse/sim/exhaust.py
@@ -1,11 +1,11 @@
 """Exhaustive exploration of the schedules of a small system of duties, on the real code, with state hashing.
 
-The default schedule delivers the oldest message first and advances the time when none is under way. A
+The default schedule delivers the oldest message first and advances the time when none is in transit. A
 deviation is one fault: a message is delivered before older ones, delayed for long, or lost; a timer fires
 before messages that have arrived; or a process crashes and restarts, is stopped, or is cut off. All schedules
 with a limited number of deviations, each before a given step, are run to the end (delay-bounded scheduling;
-Emmi, Qadeer and Rakamaric, 2011). States that were already seen with as many deviations left are not explored
-again.
+Emmi, Qadeer and Rakamaric, 2011). States that were already seen with as many deviations remaining are not
+explored again.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Node:
-    """A process."""
+    """A process with its clock, its memory and its current fault."""
 
     name: str
     rate: float
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class PendingMessage:
-    """A message on its way."""
+    """A message in transit."""
 
     sender: str
     to: str
@@ -157,7 +157,7 @@
     # Steps
 
     def is_cut(self, message: PendingMessage) -> bool:
-        """Whether the sender or the receiver of a message is cut off."""
+        """Return whether the sender or the receiver of a message is cut off."""
         return "cut" in (self.nodes[message.sender].fault, self.nodes[message.to].fault)
 
     def deliverable(self) -> list[int]:
--- a/myrtlecourse/sim/fleet_simulation.py
+++ b/myrtlecourse/sim/fleet_simulation.py
@@ -272,7 +272,7 @@
     def _restart_router(self, router: SimRouter, kill: bool) -> None:
         """Kill a router or ask it to end; its successor starts with the first list."""
         if not router.accepting or router.ending:
-            return  # it is already ending or starting
+            return  # the router is already ending or starting
         if kill:
             self.auditor.judge(seen.RouterDown(self.core.now, router.name, True))
             router.kill()
--- a/myrtlecourse/sim/peer_network.py
+++ b/myrtlecourse/sim/peer_network.py
@@ -31,13 +31,13 @@
         self.rng = core.stream("peers")
         self.datagrams = 0
         self.bytes = 0
-        # time, router, the zones that it leaves, and whether it regards the origin as unreachable
+        # time, router, the zones that it excludes, and whether it regards the origin as unreachable
         self.zone_exits: list[tuple[float, str, frozenset[str], bool]] = []
         # time, router, and the share of traffic that each returning zone gets
         self.return_shares: list[tuple[float, str, Mapping[str, float]]] = []
 
     def wall_clock(self) -> float:
-        """The wall clock, which all routers share."""
+        """Return the time of the wall clock (s), which all routers share."""
         return EPOCH + self.core.now
 
     def join(self, router: SimRouter) -> Agent:
--- a/myrtlecourse/sim/process.py
+++ b/myrtlecourse/sim/process.py
@@ -24,10 +24,10 @@
         self.stopped = False
         self.deferred: list[EventT] = []  # events that arrive while it is stopped
         self.timer: Event | None = None
-        self.boots = 0
+        self.boots = 0  # number of starts
 
     def clock(self) -> float:
-        """The process's own monotonic clock in seconds."""
+        """Return the time of the process's own monotonic clock (s)."""
         return self.offset + self.rate * self.core.now
 
     def post(self, event: EventT) -> None:
--- a/myrtlecourse/sim/routers.py
+++ b/myrtlecourse/sim/routers.py
@@ -84,7 +84,7 @@
     deadline: float
     deadline_timer: Event | None = None
     attempts_sent: int = 0
-    closed: bool = False  # answered, or its client has left
+    closed: bool = False  # whether the request was answered or its client has left
     expired: bool = False
     attempts: dict[int, Attempt] = field(default_factory=dict)
 
@@ -103,7 +103,7 @@
 
 
 class SimRouter:
-    """One router; does for the decision module what `net/host.py` does on sockets."""
+    """One router: hosts the decision module as `net/host.py` does on sockets."""
 
     def __init__(
         self,
@@ -183,7 +183,7 @@
         self.requests.clear()
 
     def on_list(self, kind: api.ListKind, entries: list[Entry]) -> None:
-        """Handle a list or its changes."""
+        """Handle a whole list, or changes of the list."""
         if self.defer_if_stalled(self.on_list, kind, entries):
             return
         if kind is not api.ListKind.DELTA:
@@ -332,7 +332,7 @@
         self.finish(attempt, status)
 
     def finish(self, attempt: Attempt, status: api.Status) -> None:
-        """Report the outcome of an attempt once; the first that succeeds answers the client."""
+        """Report the outcome of an attempt, only once; the first attempt that succeeds answers the client."""
         if self.defer_if_stalled(self.finish, attempt, status):
             return
         pending = attempt.pending
--- a/myrtlecourse/sim/search.py
+++ b/myrtlecourse/sim/search.py
@@ -20,10 +20,10 @@
 from myrtlecourse.sim.counterexamples import Counterexample
 from myrtlecourse.sim.fleet_simulation import FleetSimulation
 
-POOL_SIZE = 12  # schedules that came closest to a limit, from which new ones are made
-FRESH_SHARE = 0.25  # share of the trials that use a new schedule
+POOL_SIZE = 12  # number of schedules closest to a limit that are kept, and from which variants are made
+FRESH_SHARE = 0.25  # share of the trials that use a new schedule instead of a variant
 MAX_FAULTS = 12
-MAX_SHRINK_TRIALS = 60  # at most, per counterexample
+MAX_SHRINK_TRIALS = 60  # trials per counterexample
 
 
 @dataclass(frozen=True)
--- a/myrtlecourse/sim/servers.py
+++ b/myrtlecourse/sim/servers.py
@@ -48,8 +48,8 @@
         self.group = group
         self.observe = observe
         self.idle_connections: dict[str, list[float]] = {}  # router -> times at which they became idle
-        self.running: dict[Request, Attempt] = {}  # in the order of arrival
-        self.held_attempts: list[Attempt] = []  # arrived while the node was frozen or cut off
+        self.running: dict[Request, Attempt] = {}  # accepted attempts, in the order of arrival
+        self.held_attempts: list[Attempt] = []  # attempts that arrived while the node was frozen or cut off
         self.held_answers: list[tuple[Attempt, Status]] = []  # answers that wait for the end of a cut
         self.timer: Event | None = None
         self.up = True
@@ -176,7 +176,7 @@
 
     def _cancel_work(self, attempt: Attempt) -> None:
         if self.frozen or self._is_cut_from(attempt.router.name):
-            return  # the node never learns of it and continues the work that it had accepted
+            return  # the node never learns that the router left, and continues the accepted work
         work_item, attempt.work_item = attempt.work_item, None
         if work_item is not None and isinstance(work_item.request, Request):
             self.running.pop(work_item.request, None)
--- a/myrtlecourse/sim/spread.py
+++ b/myrtlecourse/sim/spread.py
@@ -88,7 +88,7 @@
 
 
 class Member(SimulatedProcess[MemberEvent]):
-    """A process that may be killed, stopped and started again: a router or a cache server's part."""
+    """The process of a router or of a cache server's part, which may be killed, stopped and restarted."""
 
     def __init__(
         self, simulation: SpreadSimulation, index: int, name: str, place: Place, rate: float
@@ -98,7 +98,8 @@
         self.index = index
         self.place = place
         self.node: Node | None = None
-        self.known_boots: dict[int, int] = {}  # index of a member -> its process that this one knows
+        # index of a member -> number of the start (`boots`) for which this member seals datagrams
+        self.known_boots: dict[int, int] = {}
         # size of a datagram without messages
         self.header_bytes = SEAL_SIZE + GREETING_BYTES - len(HELLO) - 1 + len(name)
         self.alarm = Alarm(self, lambda: self.post(messages.TimerFired()))
@@ -162,7 +163,7 @@
             )
 
     def has_lease(self) -> bool:
-        """Return whether it now acts as if it were up to date."""
+        """Return whether the member has a lease now, and so acts as if it were up to date."""
         return self.node is not None and self.node.has_lease(self.clock())
 
 
@@ -326,7 +327,8 @@
         if receiver.node is None:
             return
         if known_boot != receiver.boots:
-            # sealed for no process or an earlier one: it is not opened, and a greeting names the current one
+            # A datagram that was sealed for no process or an earlier one is not opened; a greeting names the
+            # current process.
             self._count(receiver, receiver.header_bytes + len(HELLO) + 1)
             for delay in self.network.draw_delays(receiver.place, sender.place):
                 self.core.call_after(delay, self._on_greeting, sender, boot, receiver.index, receiver.boots)
--- a/myrtlecourse/sim/spread_faults.py
+++ b/myrtlecourse/sim/spread_faults.py
@@ -25,7 +25,7 @@
 
 
 def _elect_successor(simulation: SpreadSimulation, rng: random.Random, member: Member) -> None:
-    """Elect another holder if this was it, possibly while it still believes to hold the duty."""
+    """Elect another holder if this member held the duty, possibly while it still believes to hold it."""
     if member.name == simulation.holder:
         simulation.core.call_after(rng.uniform(0.5, 1.5), _elect, simulation, rng)
 
--- a/myrtlecourse/soak/cases.py
+++ b/myrtlecourse/soak/cases.py
@@ -15,18 +15,18 @@
 from myrtlecourse.fleet import scenario as fleet
 from myrtlecourse.load import profile as load
 
-ANSWER_SLACK = 0.5  # seconds after its deadline from which an answer counts as late
+ANSWER_SLACK = 0.5  # seconds by which an answer may exceed its deadline before it counts as late
 MARGIN = 1.5  # seconds before the first fault, and after the end of the last one
 MAX_FAULTS = 8
-SERVER_COUNTS = (4, 12, 40, 120)  # cache servers
+SERVER_COUNTS = (4, 12, 40, 120)  # numbers of cache servers
 
 
 @dataclass(frozen=True)
 class SystemFaults:
     """System calls of routers that fail, and steps of their wall clocks."""
 
-    per_million: int = 0  # of calls on sockets, how many fail
-    # seconds after the start of a process, and seconds by which its clock steps
+    per_million: int = 0  # number of calls on sockets that fail, out of a million
+    # steps of the wall clock: seconds after the start of a process, and the size of the step in seconds
     steps: tuple[tuple[float, float], ...] = ()
 
 
--- a/myrtlecourse/soak/runner.py
+++ b/myrtlecourse/soak/runner.py
@@ -35,7 +35,7 @@
     breaches: dict[str, int] = field(default_factory=dict)
     named: list[dict[str, Any]] = field(default_factory=list)  # the first breaches in detail
     faults: list[str] = field(default_factory=list)  # errors in the logs of processes, or of the run itself
-    counts: dict[str, int] = field(default_factory=dict)  # of requests, by outcome
+    counts: dict[str, int] = field(default_factory=dict)  # number of requests by outcome
 
     def summary_line(self) -> str:
         """Return the result as one line of text."""
