--- a/myrtlecourse/fleet/address_switch.py
+++ b/myrtlecourse/fleet/address_switch.py
@@ -118,8 +118,8 @@
         for task in copies:
             self.tasks.discard(task)
             task.cancel()
-        for each in (router_writer, writer):
-            each.close()
+        for stream_writer in (router_writer, writer):
+            stream_writer.close()
         self.client_routers.pop(writer, None)
 
     @staticmethod
--- a/myrtlecourse/sim/discovery.py
+++ b/myrtlecourse/sim/discovery.py
@@ -28,7 +28,7 @@
         self.lines_per_second = lines_per_second
         self.observe = observe
         self.watches: dict[str, tuple[SimRouter, int]] = {}  # router -> itself and the index of its last list
-        self.sent_index: dict[str, int] = {}  # router -> the latest index that it was sent
+        self.sent_index: dict[str, int] = {}  # router -> the index of the latest list sent to it
         self.is_unavailable = False
         self.busy_until = 0.0
         self.timer: Event | None = None
--- a/myrtlecourse/sim/duties.py
+++ b/myrtlecourse/sim/duties.py
@@ -31,7 +31,7 @@
 
     token: int
     step: int
-    number: int  # number of the order that claims it
+    number: int  # number of the order that claims the step
 
 
 def too_few_memories(all_duties: Iterable[Duties | None], settings: messages.Settings) -> bool:
@@ -108,7 +108,7 @@
             if self.stopped and boot == self.boots:
                 self.simulation.core.call_after(STEP_PAUSE, self.claim, duty, step, token, boot)
             return
-        # a claim that was scheduled in an earlier holding would claim the step once more
+        # a claim that was scheduled while the duty was held earlier must not claim the step a second time
         if self.duties.acting_token(self.clock(), duty) != token:
             return
         number = self.duties.holdings[duty].number + 1
@@ -144,7 +144,7 @@
         self.check_interval = 1
         self.items = 0  # number of messages in all datagrams
         self.highest_token = {d.name: 0 for d in duties}  # duty -> the highest token that was obeyed
-        self.steps_done: dict[tuple[str, int], int] = {}  # duty and step -> the token under which it was done
+        self.steps_done: dict[tuple[str, int], int] = {}  # duty and step -> the token of the step
         self.committed_steps = {d.name: 0 for d in duties}  # duty -> the last step whose claim was committed
         self.history: list[tuple[float, str, str, int]] = []  # time, process, duty and token of each holding
         self.stale_obeyed = 0
@@ -292,7 +292,7 @@
             process.stop()
             core.call_after(after, process.resume)
         case "stop_cut":
-            # it handles what arrived in the meantime, but nothing that it then sends is delivered
+            # the process handles what arrived meanwhile, but nothing that it then sends is delivered
             process.stop()
             core.call_after(rng.uniform(0.2, 4.0), _go_on_alone, process, after)
         case "unwell":
--- a/myrtlecourse/sim/election.py
+++ b/myrtlecourse/sim/election.py
@@ -23,7 +23,7 @@
     """The network between instances, and what can happen to a message in it."""
 
     loss: float = 0.0
-    duplication: float = 0.0  # probability that it is delivered twice
+    duplication: float = 0.0  # probability that a message is delivered twice
     # seconds, drawn for each message, so that one message may overtake another
     delay: tuple[float, float] = (0.0005, 0.005)
     # pairs of sender and receiver whose messages are lost
@@ -122,7 +122,7 @@
         self.message_count = 0
         self.announced: list[tuple[float, str, int]] = []
         self.withdrawn: list[tuple[float, str, str]] = []
-        # voter and term -> the candidates it stored a vote for
+        # voter and term -> the candidates for which the voter stored a vote
         self.votes: dict[tuple[str, int], set[str]] = {}
         drift = self.settings(names[0]).drift
         self.instances = {n: Instance(self, n, 1 + self.rng.uniform(-drift, drift), disks) for n in names}
@@ -201,7 +201,7 @@
             instance.stop()
             core.call_after(after, instance.resume)
         case "stop_cut":
-            # it handles what arrived in the meantime, but nothing that it then sends is delivered
+            # the instance handles what arrived meanwhile, but nothing that it then sends is delivered
             instance.stop()
             core.call_after(rng.uniform(0.2, simulation.settings(name).lease), _go_on_alone, instance, after)
         case "unwell":
--- a/myrtlecourse/sim/exhaust.py
+++ b/myrtlecourse/sim/exhaust.py
@@ -48,7 +48,7 @@
     wake: float = float("inf")  # true time of its next timer
     fault_until: float = 0.0  # true time at which its fault ends
     fault: str = ""
-    # duty -> token, step and number of the order that claims it
+    # duty -> token, step, and number of the order that claims the step
     claims: dict[str, tuple[int, int, int]] = field(default_factory=dict)
 
 
--- a/myrtlecourse/sim/fleet_simulation.py
+++ b/myrtlecourse/sim/fleet_simulation.py
@@ -224,7 +224,7 @@
                 self._start_server(node)
             case "bounce":
                 node.terminate()
-                self._start_process(node)  # discovery is not notified: that is up to the operators
+                self._start_process(node)  # discovery is not notified: operators take the server out of use
             case "refuse" | "accept":
                 node.refusing = step.action == "refuse"
             case "reset":
--- a/myrtlecourse/sim/process.py
+++ b/myrtlecourse/sim/process.py
@@ -20,9 +20,9 @@
         self.name = name
         self.rate = rate
         self.offset = rng.uniform(0.0, 1e6)
-        self.able = True  # whether it reports that it can do its work
+        self.able = True  # whether the process reports that it can do its work
         self.stopped = False
-        self.deferred: list[EventT] = []  # events that arrive while it is stopped
+        self.deferred: list[EventT] = []  # events that arrive while the process is stopped
         self.timer: Event | None = None
         self.boots = 0  # number of starts
 
--- a/myrtlecourse/sim/routers.py
+++ b/myrtlecourse/sim/routers.py
@@ -146,7 +146,7 @@
         self.requests: dict[str, PendingRequest] = {}
         self.events: deque[api.Event] = deque()
         self.handling = False
-        self.possibly_done: list[str] = []  # requests that may have neither a client nor an attempt
+        self.possibly_done: list[str] = []  # requests that may be closed and without attempts
         self.on_list(api.ListKind.SAVED, saved)
 
     def stop_accepting(self, incarnation: int) -> None:
