--- a/myrtlecourse/sim/spread_judge.py
+++ b/myrtlecourse/sim/spread_judge.py
@@ -20,9 +20,8 @@
     def __init__(self, members: int, entries: int) -> None:
         self.entries = entries
         self.applied_at = np.full((members, entries + 1), np.nan, np.float32)  # infinity: assumed purged
-        self.applied_until = np.zeros(
-            members, np.int64
-        )  # number up to which all are applied or assumed purged
+        # by member: the number up to which all entries are applied or assumed purged
+        self.applied_until = np.zeros(members, np.int64)
         self.log: list[messages.Entry | None] = [None]  # committed entries, from number 1
         self.acknowledged_entries: dict[int, messages.Entry] = {}  # by number
         self.proposed_at = np.full(entries + 1, np.nan)
--- a/myrtlecourse/sim/topology.py
+++ b/myrtlecourse/sim/topology.py
@@ -48,9 +48,8 @@
                 self.region_delay[a][b] = self.region_delay[b][a] = rng.uniform(0.010, 0.120)
         self.loss = 0.0
         self.duplication = 0.0  # probability that a datagram arrives a second time
-        self.late = (
-            0.0  # probability that a datagram is delayed by up to 0.3 s more, so that later ones overtake it
-        )
+        # probability that a datagram is delayed by up to 0.3 s more, so that later ones overtake it
+        self.late = 0.0
         self.outbound_cut: set[int] = set()  # regions whose datagrams to other regions are lost
         self.inbound_cut: set[int] = set()  # regions that receive nothing from other regions
 
