--- a/bench/duty_move.py
+++ b/bench/duty_move.py
@@ -26,7 +26,7 @@
 from myrtlecourse.fleet.duty_logs import read_observations
 from myrtlecourse.fleet.routers import COMMAND
 from myrtlecourse.fleet.scenario import Scenario
-from myrtlecourse.fleet.session import play
+from myrtlecourse.fleet.session import run_with_load
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.peers.wire import Wire
 from myrtlecourse.sim.duties import DutySimulation
@@ -84,7 +84,7 @@
     with tempfile.TemporaryDirectory(dir=FOLDER) as name:
         folder = Path(name)
         run_scenario = scenario(members, how, times, rate)
-        outcome = play(*run_scenario, folder, COMMAND, 1, lambda at, counts: None)
+        outcome = run_with_load(*run_scenario, folder, COMMAND, 1, lambda at, counts: None)
         began = next(
             o.at for o in seen.merge_logs(sorted(folder.glob("*.jsonl"))) if isinstance(o, seen.RequestSent)
         )
@@ -121,7 +121,7 @@
     with tempfile.TemporaryDirectory(dir=FOLDER) as name:
         run_scenario = scenario(members, "stall", times, rate)
         folder = Path(name)
-        play(*run_scenario, folder, COMMAND, 1, lambda at, counts: None)
+        run_with_load(*run_scenario, folder, COMMAND, 1, lambda at, counts: None)
         observations = [*seen.merge_logs(sorted(folder.glob("*.jsonl")))]
     began = next(o.at for o in observations if isinstance(o, seen.RequestSent)) + FIRST_FAULT_AT
     tokens = sorted({o.token for o in observations if isinstance(o, seen.FollowsHolder)})
--- a/bench/sim_against_sockets.py
+++ b/bench/sim_against_sockets.py
@@ -17,7 +17,7 @@
 
 from myrtlecourse.fleet.routers import COMMAND
 from myrtlecourse.fleet.scenario import Scenario
-from myrtlecourse.fleet.session import play
+from myrtlecourse.fleet.session import run_with_load
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.load.record import Record
 from myrtlecourse.sim.fleet_simulation import FleetSimulation
@@ -86,7 +86,7 @@
         profile = msgspec.convert(LOAD | {"pieces": [piece]}, Profile)
         simulated = FleetSimulation(scenario, profile).run()
         with tempfile.TemporaryDirectory() as folder:
-            on_sockets = play(scenario, profile, Path(folder), COMMAND, 1, lambda *_: None)
+            on_sockets = run_with_load(scenario, profile, Path(folder), COMMAND, 1, lambda *_: None)
         attempts_of = simulated.attempts, on_sockets.verdict["seen"]["sent"]
         row = {
             "day": name,
--- a/bench/zone_exit.py
+++ b/bench/zone_exit.py
@@ -26,7 +26,7 @@
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.fleet.routers import COMMAND, zone_exits
 from myrtlecourse.fleet.scenario import Scenario
-from myrtlecourse.fleet.session import play
+from myrtlecourse.fleet.session import run_with_load
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.sim.fleet_simulation import FleetSimulation
 
@@ -223,7 +223,9 @@
 
 def play_real(routers: int, case: str, peers: bool, rate: float, folder: Path) -> dict[str, Any]:
     """Play a case with real processes."""
-    outcome = play(scenario(routers, case, peers), profile(rate), folder, COMMAND, 2, lambda at, counts: None)
+    outcome = run_with_load(
+        scenario(routers, case, peers), profile(rate), folder, COMMAND, 2, lambda at, counts: None
+    )
     stats = ClientStats()
     for each in seen.merge_logs(sorted(folder.glob("*.jsonl"))):
         stats.record(each)
--- a/myrtlecourse/audit/auditor.py
+++ b/myrtlecourse/audit/auditor.py
@@ -159,8 +159,10 @@
         self.now = 0.0
         # by router: start and end of each period in which its process was stopped
         self.stops: dict[str, list[tuple[float, float]]] = {}
-        self.zones = ZoneRules(rules.zone_sends, rules.zone_dials, rules.zone_spill, self._report_zone_breach)
-        self.duties = DutyRules(rules.duty_gap, self._report_zone_breach)
+        self.zones = ZoneRules(
+            rules.zone_sends, rules.zone_dials, rules.zone_spill, self._report_subject_breach
+        )
+        self.duties = DutyRules(rules.duty_gap, self._report_subject_breach)
         self.origin = OriginRule(rules.origin_rate, self._report_origin_breach)
 
     def judge(self, event: seen.Observation) -> None:
@@ -377,8 +379,9 @@
         """Return whether the request's router was stopped from outside between its arrival and `until`."""
         return any(a <= until and b >= history.first_seen for a, b in self.stops.get(history.router, ()))
 
-    def _report_zone_breach(self, kind: str, at: float, router: str, zone: str, detail: str) -> None:
-        self._report_breach(kind, at, router, server=zone, detail=detail)
+    def _report_subject_breach(self, kind: str, at: float, router: str, subject: str, detail: str) -> None:
+        """Report a breach whose subject is a zone or a duty."""
+        self._report_breach(kind, at, router, server=subject, detail=detail)
 
     def _report_origin_breach(self, at: float, detail: str) -> None:
         self._report_breach("origin_over", at, "", server=ORIGIN, detail=detail)
--- a/myrtlecourse/fleet/commands.py
+++ b/myrtlecourse/fleet/commands.py
@@ -19,7 +19,7 @@
 from myrtlecourse.fleet.faults import Step
 from myrtlecourse.fleet.routers import COMMAND, RouterError
 from myrtlecourse.fleet.scenario import ScenarioError, read_scenario
-from myrtlecourse.fleet.session import Outcome, RunningFleet, SessionError, play, run_alone
+from myrtlecourse.fleet.session import Outcome, RunningFleet, SessionError, run_with_load, run_without_load
 from myrtlecourse.fleet.session import audit as judge
 from myrtlecourse.load import report
 from myrtlecourse.load.commands import EXIT_UNUSABLE, Progress, write_json
@@ -118,7 +118,7 @@
         if profile is None:
             with asyncio.Runner(loop_factory=new_event_loop) as runner:
                 faults = runner.run(
-                    run_alone(
+                    run_without_load(
                         spec,
                         folder,
                         command if routers else None,
@@ -129,7 +129,7 @@
             figures: dict[str, Any] = {}
         else:
             with Progress(console, quiet) as progress:
-                outcome = play(spec, read_profile(profile), folder, command, workers, progress)
+                outcome = run_with_load(spec, read_profile(profile), folder, command, workers, progress)
             faults, verdict = outcome.faults, outcome.verdict
             figures = outcome.record.figures(outcome.seconds)
             report.show(figures, Console())
--- a/myrtlecourse/fleet/session.py
+++ b/myrtlecourse/fleet/session.py
@@ -206,7 +206,7 @@
     service: dict[str, Any] | None = None  # the operators' measurements
 
 
-def play(
+def run_with_load(
     scenario: Scenario,
     profile: Profile,
     folder: Path,
@@ -256,7 +256,7 @@
     return auditor.verdict()
 
 
-async def run_alone(
+async def run_without_load(
     scenario: Scenario, folder: Path, command: str | None, on_started: Callable[[RunningFleet], None]
 ) -> list[str]:
     """Run a fleet without load until the scenario is over or a signal arrives.
--- a/myrtlecourse/soak/runner.py
+++ b/myrtlecourse/soak/runner.py
@@ -14,7 +14,7 @@
 
 from myrtlecourse.audit.observations import ObservationError
 from myrtlecourse.fleet.routers import COMMAND
-from myrtlecourse.fleet.session import SessionError, play
+from myrtlecourse.fleet.session import SessionError, run_with_load
 from myrtlecourse.load.run import RunError
 from myrtlecourse.soak.cases import SoakCase, draw_case
 from myrtlecourse.soak.preload import with_library
@@ -63,7 +63,7 @@
     if library is not None:
         command = with_library(command, library, case.system, case.seed)
     try:
-        outcome = play(case.scenario, case.profile, folder, command, 1, lambda at, counts: None)
+        outcome = run_with_load(case.scenario, case.profile, folder, command, 1, lambda at, counts: None)
     except (SessionError, RunError, ObservationError) as e:
         return Result(case.seed, case.summary(), False, time.monotonic() - started_at, faults=[str(e)[-300:]])
     verdict = outcome.verdict
--- a/tests/test_duty_faults.py
+++ b/tests/test_duty_faults.py
@@ -21,7 +21,7 @@
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.fleet.routers import COMMAND, Router
 from myrtlecourse.fleet.scenario import Scenario
-from myrtlecourse.fleet.session import Outcome, RunningFleet, play, start_fleet
+from myrtlecourse.fleet.session import Outcome, RunningFleet, run_with_load, start_fleet
 from myrtlecourse.load.profile import Profile
 
 pytestmark = pytest.mark.processes
@@ -66,7 +66,7 @@
     def __init__(self, folder: Path, plan: Scenario, variant: str = "") -> None:
         command = f"{shlex.quote(sys.executable)} -m tests.wrong_duties {variant}" if variant else COMMAND
         profile = msgspec.convert(PROFILE, Profile)
-        self.outcome: Outcome = play(plan, profile, folder, command, 1, lambda at, counts: None)
+        self.outcome: Outcome = run_with_load(plan, profile, folder, command, 1, lambda at, counts: None)
         self.verdict = self.outcome.verdict
         observations = list(seen.merge_logs(sorted(folder.glob("*.jsonl"))))
         self.began = next(o.at for o in observations if isinstance(o, seen.RequestSent))
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -14,7 +14,7 @@
 from myrtlecourse.fleet.faults import steps
 from myrtlecourse.fleet.routers import COMMAND
 from myrtlecourse.fleet.scenario import Scenario
-from myrtlecourse.fleet.session import play
+from myrtlecourse.fleet.session import run_with_load
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.policy import Router
 from myrtlecourse.sim.fleet_simulation import FleetSimulation
@@ -107,7 +107,7 @@
 
 @pytest.mark.processes
 def test_real_routers_are_upgraded_under_load_with_a_box_taken_out(tmp_path: Path) -> None:
-    outcome = play(
+    outcome = run_with_load(
         scenario(), msgspec.convert(PROFILE, Profile), tmp_path, COMMAND, 1, lambda at, counts: None
     )
     assert outcome.verdict["kept"], outcome.verdict["named"]
--- a/tests/test_zone_exit.py
+++ b/tests/test_zone_exit.py
@@ -19,7 +19,7 @@
 from myrtlecourse.audit import observations as seen
 from myrtlecourse.fleet.routers import COMMAND, KILL_GRACE, LONGEST_DEADLINE, Router, zone_exits
 from myrtlecourse.fleet.scenario import Scenario
-from myrtlecourse.fleet.session import Outcome, play, start_fleet
+from myrtlecourse.fleet.session import Outcome, run_with_load, start_fleet
 from myrtlecourse.load.profile import Profile
 from myrtlecourse.zones.exit_rule import MIN_OUT
 
@@ -71,7 +71,7 @@
 
     def __init__(self, folder: Path, what: Scenario, rate: float = 180.0, fault: str = "") -> None:
         command = f"{shlex.quote(sys.executable)} -m tests.wrong_zones {fault}" if fault else COMMAND
-        self.outcome: Outcome = play(
+        self.outcome: Outcome = run_with_load(
             what, profile(rate, what.seconds), folder, command, 1, lambda at, counts: None
         )
         self.verdict = self.outcome.verdict
