--- a/deploy/build.py
+++ b/deploy/build.py
@@ -32,7 +32,7 @@
     "ops/calls.py",
     "ops/server.py",
     "operators.py",
-    "checked.py",
+    "durable_files.py",
     "duties/codec.py",
     "duties/core.py",
     "duties/driver.py",
@@ -96,7 +96,7 @@
 
 
 def install(requirements: str) -> None:
-    """Installs the packages that a file lists, unless they were installed from the same file."""
+    """Install the packages that a file lists, unless they were installed from the same file."""
     file = compiled.ROOT / requirements
     stamp = VENV / f".{requirements}.sha256"
     digest = hashlib.sha256(file.read_bytes()).hexdigest()
@@ -107,7 +107,7 @@
 
 
 def compile_package(target: Path) -> None:
-    """Compiles into a folder beside the target and renames it, so that an interrupted build is never used."""
+    """Compile into a folder beside the target and renames it, so that an interrupted build is never used."""
     target.parent.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory(dir=target.parent) as scratch:
         copy, output = Path(scratch, "source"), Path(scratch, "made")
--- a/deploy/compiled.py
+++ b/deploy/compiled.py
@@ -34,13 +34,13 @@
 
 
 def sources() -> list[Path]:
-    """Returns the source files of the router, sorted."""
+    """Return the source files of the router, sorted."""
     tools = [PACKAGE / name for name in TOOLS]
     return sorted(f for f in PACKAGE.rglob("*.py") if not any(f.is_relative_to(t) for t in tools))
 
 
 def folder() -> Path:
-    """Returns the folder for the package compiled from the current sources; it may not exist."""
+    """Return the folder for the package compiled from the current sources; it may not exist."""
     inputs = hashlib.sha256()
     tags = (sys.implementation.cache_tag, platform.machine(), sysconfig.get_config_var("EXT_SUFFIX") or "")
     inputs.update("\0".join(tags).encode())
--- a/myrtlecourse/__main__.py
+++ b/myrtlecourse/__main__.py
@@ -20,14 +20,14 @@
 
 
 async def serve(config: Config, path: str, inherited: int | None) -> None:
-    """Serves until SIGTERM."""
+    """Serve until SIGTERM."""
     # without an operators' address there are no orders to store
     folder = shared_folder() if config.ops is not None else None
     await Service(config, path, inherited, folder).run()
 
 
 def main() -> int:
-    """Runs one router and returns its exit code."""
+    """Run one router and returns its exit code."""
     # objects of a request are freed by reference counting; the search for cycles used a tenth of a core
     gc.set_threshold(10_000, 10, 10)
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
@@ -48,7 +48,7 @@
 
 
 def command() -> int:
-    """Runs the router or, with arguments, one of the tools."""
+    """Run the router or, with arguments, one of the tools."""
     if len(sys.argv) > 1:
         from myrtlecourse import cli  # noqa: PLC0415  (the tools' libraries are not installed with a router)
 
--- a/myrtlecourse/address/codec.py
+++ b/myrtlecourse/address/codec.py
@@ -25,11 +25,11 @@
     """The codec for datagrams between voters, for `peers.wire.Wire`."""
 
     def parts(self, message: messages.Message) -> list[Any]:
-        """Returns the name of the message's type and the values of its fields."""
+        """Return the name of the message's type and the values of its fields."""
         return [TYPE_NAMES[type(message)], *astuple(message)]
 
     def read(self, parts: list[Any]) -> messages.Message:
-        """Returns the message after checks of its type and fields. Raises Dropped."""
+        """Return the message after checks of its type and fields. Raises Dropped."""
         message_type = MESSAGE_TYPES.get(parts[0]) if isinstance(parts[0], str) else None
         if message_type is None or len(parts) != 1 + len(fields(message_type)):
             raise Dropped("malformed")
--- a/myrtlecourse/address/driver.py
+++ b/myrtlecourse/address/driver.py
@@ -68,18 +68,18 @@
         self.moves: list[str] = []  # the last changes, for operators
 
     async def start(self, bind: Endpoint) -> Endpoint:
-        """Opens the socket and returns its address. Raises OSError."""
+        """Open the socket and returns its address. Raises OSError."""
         at = await self.listen(bind)
         self.polled_at = time.monotonic()
         self.polling = asyncio.create_task(self._poll())
         return at
 
     def holds(self) -> bool:
-        """Returns whether this router holds the address now."""
+        """Return whether this router holds the address now."""
         return self.election.holds(time.monotonic())
 
     async def _poll(self) -> None:
-        """Reports to the election whether this router can serve; it can't while its event loop is stalled."""
+        """Report to the election whether this router can serve; it can't while its event loop is stalled."""
         while True:
             now = time.monotonic()
             stalled = now - self.polled_at > self.settings.unwell + POLL_INTERVAL
@@ -91,7 +91,7 @@
         self.post(messages.MessageReceived(sender, message))
 
     def post(self, event: messages.Event) -> None:
-        """Passes an event to the election and carries out the resulting actions."""
+        """Pass an event to the election and carries out the resulting actions."""
         for action in self.election.handle(time.monotonic(), event):
             self._carry_out(action)
 
@@ -114,7 +114,7 @@
                 self.call_at(at, lambda: self.post(messages.TimerFired()))
 
     def _write_unwritten(self) -> bool:
-        """Writes the term and vote if necessary. Returns whether they are on the disk, as nothing may be sent
+        """Write the term and vote if necessary. Return whether they are on the disk, as nothing may be sent
         before."""
         if self.unwritten is not None and self.votes_file is not None:
             try:
@@ -126,7 +126,7 @@
         return True
 
     async def _withdraw(self) -> None:
-        """Lets accepted requests end while their clients can still be reached, then withdraws the address.
+        """Let accepted requests end while their clients can still be reached, then withdraws the address.
 
         The network directs open connections along with the address, so the next holder's announcement would
         cut them.
@@ -142,7 +142,7 @@
         self.moves = [*self.moves[-19:], f"{time.strftime('%Y-%m-%d %H:%M:%S')} {text}"]
 
     def change(self, settings: messages.Settings, peers: dict[str, Endpoint]) -> None:
-        """Applies new settings; at most one voter may have been added or removed.
+        """Apply new settings; at most one voter may have been added or removed.
 
         Raises:
             ElectionError: the new settings can't be applied now, or this router's name or address changed;
@@ -155,7 +155,7 @@
         self.wire.set_members(settings.voters)
 
     def move(self, to: str) -> str:
-        """Starts to hand the address over. Returns why that is refused, or an empty text."""
+        """Start to hand the address over. Return why that is refused, or an empty text."""
         if self.election.role is not Role.HOLDER:
             return f"{self.settings.name} does not hold the address"
         if to and to not in self.settings.voters:
@@ -166,7 +166,7 @@
         return ""
 
     def status(self) -> dict[str, Any]:
-        """Returns the status for operators, in a form that can be written as JSON."""
+        """Return the status for operators, in a form that can be written as JSON."""
         election, now = self.election, time.monotonic()
         return {
             "name": self.settings.name,
@@ -184,7 +184,7 @@
         }
 
     async def close(self) -> None:
-        """Hands the address over if this router holds it, releases the lease, and closes the socket."""
+        """Hand the address over if this router holds it, releases the lease, and closes the socket."""
         if self.polling is not None:
             self.polling.cancel()
         if self.election.role is Role.HOLDER:
--- a/myrtlecourse/address/duty.py
+++ b/myrtlecourse/address/duty.py
@@ -38,7 +38,7 @@
         self.withdrawal: asyncio.Task[None] | None = None
 
     def holds(self) -> bool:
-        """Returns whether this router holds the address now."""
+        """Return whether this router holds the address now."""
         return self.driver.acting_token(ADDRESS) is not None
 
     def on_acquired(self, token: int, value: messages.Value) -> None:
@@ -50,7 +50,7 @@
         self.withdrawal = asyncio.create_task(self._withdraw())
 
     async def _withdraw(self) -> None:
-        """Lets accepted requests end while their clients can still be reached, then withdraws the address."""
+        """Let accepted requests end while their clients can still be reached, then withdraws the address."""
         with suppress(TimeoutError):
             async with asyncio.timeout(DRAIN_TIMEOUT):
                 await self.wait_until_drained()
@@ -58,10 +58,10 @@
         self.driver.post(messages.WorkStopped(ADDRESS))
 
     def on_committed(self, token: int, number: int) -> None:
-        """Does nothing, as this duty has no orders."""
+        """Do nothing, as this duty has no orders."""
 
     def poll(self) -> None:
-        """Does nothing, as this duty has no periodic work."""
+        """Do nothing, as this duty has no periodic work."""
 
     async def close(self) -> None:
         if self.withdrawal is not None:
@@ -69,7 +69,7 @@
         self.link_updater.close()
 
     def status(self) -> dict[str, Any]:
-        """Returns the status for operators, in a form that can be written as JSON."""
+        """Return the status for operators, in a form that can be written as JSON."""
         election, now, driver = self.driver.duties.elections[ADDRESS], time.monotonic(), self.driver
         return {
             "name": driver.settings.name,
--- a/myrtlecourse/address/link.py
+++ b/myrtlecourse/address/link.py
@@ -21,10 +21,10 @@
     """Directs the traffic for the address to this machine."""
 
     async def announce(self, term: int) -> None:
-        """Announces that this machine has the address. Idempotent. Raises LinkError."""
+        """Announce that this machine has the address. Idempotent. Raises LinkError."""
 
     async def withdraw(self) -> None:
-        """Announces that this machine no longer has the address. Idempotent. Raises LinkError."""
+        """Announce that this machine no longer has the address. Idempotent. Raises LinkError."""
 
 
 class CommandLink:
@@ -104,7 +104,7 @@
         self.task: asyncio.Task[None] | None = None
 
     def request(self, term: int | None) -> None:
-        """Requests to announce the address in a term or, with None, to withdraw it."""
+        """Request to announce the address in a term or, with None, to withdraw it."""
         self.requested = term
         self.changed.set()
         if self.task is None:
@@ -132,6 +132,6 @@
                 await self.changed.wait()
 
     def close(self) -> None:
-        """Stops; later requests are ignored, and pending ones are dropped."""
+        """Stop; later requests are ignored, and pending ones are dropped."""
         if self.task is not None:
             self.task.cancel()
--- a/myrtlecourse/address/setup.py
+++ b/myrtlecourse/address/setup.py
@@ -22,7 +22,7 @@
 
 
 def read_key(path: Path, field: str = "address.key_file") -> bytes:
-    """Returns the key in a file; `field` names the file in errors. Raises ConfigError."""
+    """Return the key in a file; `field` names the file in errors. Raises ConfigError."""
     try:
         key = path.read_bytes().strip()
     except OSError as e:
@@ -33,13 +33,13 @@
 
 
 def read_keys(table: Address) -> tuple[bytes, tuple[bytes, ...]]:
-    """Returns the key to seal datagrams with, and those that are accepted as well. Raises ConfigError."""
+    """Return the key to seal datagrams with, and those that are accepted as well. Raises ConfigError."""
     further = (read_key(Path(file), "address.also_key_files") for file in table.also_key_files)
     return read_key(Path(table.key_file or "")), tuple(further)
 
 
 def make_link(table: Address, name: str) -> Link:
-    """Returns the link that announces the address as that of the router `name`."""
+    """Return the link that announces the address as that of the router `name`."""
     if table.switch is not None:
         return SwitchLink(parse_address(table.switch), name, table.link_timeout)
     return CommandLink(table.command, table.link_timeout)
@@ -51,7 +51,7 @@
     on_change: Callable[[bool], None],
     wait_until_drained: Callable[[], Awaitable[None]],
 ) -> AddressDriver:
-    """Returns the driver of this instance; see `AddressDriver` for the callbacks.
+    """Return the driver of this instance; see `AddressDriver` for the callbacks.
 
     Raises:
         ConfigError: a file named in the table can't be used.
--- a/myrtlecourse/address/votes.py
+++ b/myrtlecourse/address/votes.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from myrtlecourse.checked import replace_file
+from myrtlecourse.durable_files import replace_file
 from myrtlecourse.election.messages import Saved
 
 VERSION = 1
@@ -23,7 +23,7 @@
 
 
 def read_votes(path: Path) -> Saved:
-    """Returns the term and vote written last; the initial ones if there is no file.
+    """Return the term and vote written last; the initial ones if there is no file.
 
     Raises:
         VotesError: the file is incomplete, or of another program or version. An instance that ignored this
@@ -48,6 +48,6 @@
 
 
 def write_votes(path: Path, saved: Saved) -> None:
-    """Writes the term and vote, durably before it returns, as the vote is sent next. Raises OSError."""
+    """Write the term and vote, durably before it returns, as the vote is sent next. Raises OSError."""
     table = {"version": VERSION, "term": saved.term, "voted": saved.voted}
     replace_file(path, orjson.dumps(table | {"sha256": _digest(saved.term, saved.voted)}))
--- a/myrtlecourse/cli.py
+++ b/myrtlecourse/cli.py
@@ -38,11 +38,11 @@
     """The group of all tools, each imported when it is run."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Returns the names of all tools."""
+        """Return the names of all tools."""
         return sorted(MODULES)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Returns a tool, or None if it is unknown. Raises SystemExit if a library is missing."""
+        """Return a tool, or None if it is unknown. Raises SystemExit if a library is missing."""
         if cmd_name not in MODULES:
             return None
         try:
--- a/myrtlecourse/config.py
+++ b/myrtlecourse/config.py
@@ -45,7 +45,7 @@
 
 
 def read_address(table: dict[str, Any], field: str) -> str:
-    """Returns a field of the form host:port. Raises ConfigError."""
+    """Return a field of the form host:port. Raises ConfigError."""
     value = table.get(field)
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not host or not port.isdigit() or int(port) > 65535:
@@ -54,7 +54,7 @@
 
 
 def read_config(text: bytes, with_list: bool = True) -> Config:
-    """Returns a checked configuration; without `with_list` the entries of its list are left out, unchecked.
+    """Return a checked configuration; without `with_list` the entries of its list are left out, unchecked.
 
     Raises:
         ConfigError: the configuration can't be used; the message names the field.
@@ -106,9 +106,9 @@
 
 
 def read_peers(table: dict[str, Any]) -> tuple[tuple[str, int] | None, tuple[tuple[str, int], ...]]:
-    """Returns the address for datagrams of other routers and the addresses of all routers.
+    """Return the address for datagrams of other routers and the addresses of all routers.
 
-    Returns None and no addresses if the configuration has none. Raises ConfigError.
+    Return None and no addresses if the configuration has none. Raises ConfigError.
     """
     if table.get("peer_listen") is None:
         return None, ()
@@ -121,7 +121,7 @@
 
 
 async def read_reload(text: bytes, running: Config) -> Config:
-    """Returns a checked configuration to replace the one in force; yields to the event loop in between.
+    """Return a checked configuration to replace the one in force; yields to the event loop in between.
 
     Stricter than at the start, where an absent key gets its default: with a truncated or half edited file,
     defaults would silently replace what operators had set.
@@ -154,7 +154,7 @@
 
 
 def lost_fields(before: dict[str, Any], after: dict[str, Any], prefix: str) -> Iterator[str]:
-    """Yields the names of fields that a new configuration lacks, leaves empty or has with another type.
+    """Yield the names of fields that a new configuration lacks, leaves empty or has with another type.
 
     The rows of a list may change, but each new row must have the fields that all old rows had.
     """
@@ -184,7 +184,7 @@
 
 
 def read_file(path: str) -> bytes:
-    """Returns the text of the configuration file. Raises ConfigError."""
+    """Return the text of the configuration file. Raises ConfigError."""
     try:
         return Path(path).read_bytes()
     except OSError as e:
--- a/myrtlecourse/duties/memory.py
+++ b/myrtlecourse/duties/memory.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from myrtlecourse.checked import replace_file
+from myrtlecourse.durable_files import replace_file
 from myrtlecourse.duties.messages import MAX_DUTIES, MAX_STATE_LENGTH, STATE_NUMBER_LIMIT, Memory
 
 VERSION = 1
--- a/myrtlecourse/operators.py
+++ b/myrtlecourse/operators.py
@@ -82,7 +82,7 @@
             raise ValueError(str(e).replace("voters:", "peers:")) from None
 
     def election_settings(self) -> Settings:
-        """Returns the settings of the address's own election. Raises ElectionError."""
+        """Return the settings of the address's own election. Raises ElectionError."""
         voters = tuple(p.name for p in self.peers)
         return Settings(
             self.name or "",
@@ -186,7 +186,7 @@
             raise ValueError("peers: a port must be between 1 and 65535")
 
     def settings(self, first: tuple[duty_messages.Duty, ...]) -> duty_messages.Settings:
-        """Returns the settings of the duties `first` and those of this table. Raises DutiesError."""
+        """Return the settings of the duties `first` and those of this table. Raises DutiesError."""
         duties = first + tuple(
             duty_messages.Duty(
                 d.name, d.preferred, d.good_for, (0, 0, 0) if d.every else (), d.every is not None
@@ -251,14 +251,14 @@
         self.settings()
 
     def members(self) -> Iterator[Peer]:
-        """Yields all members."""
+        """Yield all members."""
         yield from self.control
         for site in self.site:
             yield from site.routers
             yield from site.parts
 
     def settings(self) -> spread.Settings:
-        """Returns the settings of the spread. Raises SpreadError."""
+        """Return the settings of the spread. Raises SpreadError."""
         return spread.Settings(
             self.name,
             tuple(p.name for p in self.control),
@@ -289,7 +289,7 @@
             self.duty_settings()
 
     def _check_spread(self, table: Spread, duty: str) -> None:
-        """Checks the duty to write the log.
+        """Check the duty to write the log.
 
         Other members know the writer by its name in the spread, so both names must be equal. Only control
         nodes may vote, as others don't know this duty. Raises ValueError.
@@ -307,7 +307,7 @@
             raise ValueError("spread.control: not all of `duties.voters` are listed")
 
     def duty_settings(self) -> duty_messages.Settings:
-        """Returns the settings of all duties: the address comes first, unless it has an election of its own,
+        """Return the settings of all duties: the address comes first, unless it has an election of its own,
         then the writer of the spread's log, then those of the table. Raises DutiesError."""
         first: tuple[duty_messages.Duty, ...] = ()
         if self.address is not None and not self.address.peers:
@@ -324,7 +324,7 @@
 
 
 def read_operators(path: Path) -> OperatorsFile:
-    """Returns a checked operators' file.
+    """Return a checked operators' file.
 
     Raises:
         ConfigError: the file can't be used; the message names the file and the field.
--- a/myrtlecourse/ops/calls.py
+++ b/myrtlecourse/ops/calls.py
@@ -83,7 +83,7 @@
 
 
 def parse_call(method: bytes, target: bytes) -> Call | Response:
-    """Returns the call of a request line, or the response to an invalid one."""
+    """Return the call of a request line, or the response to an invalid one."""
     raw_path, _, query = target.partition(b"?")
     path = raw_path.decode("ascii", "replace")
     kind, name = PATHS.get(path), ""
@@ -120,7 +120,7 @@
 
 
 def parse_duty_move(method: bytes, rest: str) -> Call | Response:
-    """Parses the end of the path of a call that moves a duty: `NAME/move` or `NAME/move/TO`."""
+    """Parse the end of the path of a call that moves a duty: `NAME/move` or `NAME/move/TO`."""
     escaped, _, verb = rest.partition("/")
     verb, _, to = verb.partition("/")
     try:
@@ -135,7 +135,7 @@
 
 
 def parse_spread_entry(method: bytes, rest: str) -> Call | Response:
-    """Parses the end of the path of a call for a purge or change: `purge/KEY` or `send/SUBJECT/VALUE`, with
+    """Parse the end of the path of a call for a purge or change: `purge/KEY` or `send/SUBJECT/VALUE`, with
     key, subject and value in hexadecimal digits."""
     verb, _, arguments = rest.partition("/")
     key, _, value = arguments.partition("/")
@@ -164,9 +164,9 @@
         self.body_size = 0
 
     def receive(self, data: bytes) -> Call | Response | None:
-        """Receives bytes, or none at the end of the stream.
+        """Receive bytes, or none at the end of the stream.
 
-        Returns the call once it is complete, or the response to an invalid one; None until then.
+        Return the call once it is complete, or the response to an invalid one; None until then.
         """
         self.size += len(data)
         if self.size > MAX_HEAD + MAX_BODY:
@@ -191,7 +191,7 @@
             return Response(HTTPStatus.BAD_REQUEST, str(e)[:200])
 
     def encode(self, response: Response) -> bytes:
-        """Returns the bytes of the response; none if a response was already sent."""
+        """Return the bytes of the response; none if a response was already sent."""
         body = (response.text + "\n").encode()
         headers = [
             ("Content-Type", "text/plain"),
--- a/myrtlecourse/ops/descriptor_claims.py
+++ b/myrtlecourse/ops/descriptor_claims.py
@@ -29,7 +29,7 @@
 
 
 def descriptor_share(total: int, used: int, ending: bool, own_start: int, others: list[Claim]) -> int:
-    """Returns how many of `total` descriptors this process may hold, which holds `used` of them now.
+    """Return how many of `total` descriptors this process may hold, which holds `used` of them now.
 
     An older process keeps those that it uses, and at least half of all until it ends; the newest process gets
     the rest. The claim of an older process falls as it ends, so that all together stay within the total.
@@ -45,7 +45,7 @@
     """The claim of this process, and access to those of the router's other processes."""
 
     def __init__(self, folder: Path) -> None:
-        """Creates and locks the file of this process. Raises OSError."""
+        """Create and locks the file of this process. Raises OSError."""
         self.started_ns = time.monotonic_ns()
         self.folder = folder
         self.path = folder / f"myrtlecourse-{self.started_ns}-{os.getpid()}{FILE_SUFFIX}"
@@ -53,11 +53,11 @@
         fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
 
     def claim(self, descriptors: int) -> None:
-        """Writes the claim of this process. Raises OSError."""
+        """Write the claim of this process. Raises OSError."""
         os.pwrite(self.file, b"%8d" % descriptors, 0)  # fixed length: readers get no mixture of two numbers
 
     def others(self) -> list[Claim]:
-        """Returns the claims of other running processes, and deletes the files of those that ended.
+        """Return the claims of other running processes, and deletes the files of those that ended.
 
         Raises OSError.
         """
@@ -85,6 +85,6 @@
             os.close(file)
 
     def release(self) -> None:
-        """Deletes the file as the process ends. Raises OSError."""
+        """Delete the file as the process ends. Raises OSError."""
         self.path.unlink(missing_ok=True)
         os.close(self.file)
--- a/myrtlecourse/ops/orders.py
+++ b/myrtlecourse/ops/orders.py
@@ -31,7 +31,7 @@
     out_of_service: bool = False
 
     def with_ban(self, server: str, now: float) -> Orders:
-        """Returns these orders with a ban of a cache server; unchanged if it is banned already.
+        """Return these orders with a ban of a cache server; unchanged if it is banned already.
 
         Raises:
             OrdersError: too many servers are banned already.
@@ -43,7 +43,7 @@
         return replace(self, revision=self.revision + 1, bans={**self.bans, server: now})
 
     def without_ban(self, server: str, now: float) -> Orders:
-        """Returns these orders without the ban of a cache server, however often it was ordered; unchanged if
+        """Return these orders without the ban of a cache server, however often it was ordered; unchanged if
         it is not banned."""
         if server not in self.bans:
             return self
@@ -52,7 +52,7 @@
         return replace(self, revision=self.revision + 1, bans=bans, returned={**returned, server: now})
 
     def with_out_of_service(self, out: bool) -> Orders:
-        """Returns these orders with the router out of service, or in service."""
+        """Return these orders with the router out of service, or in service."""
         return (
             self
             if out is self.out_of_service
@@ -61,7 +61,7 @@
 
 
 def events_between(before: Orders, after: Orders) -> Iterator[api.ServerBanned | api.BanLifted]:
-    """Yields the events for the decision module when `after` replaces `before`."""
+    """Yield the events for the decision module when `after` replaces `before`."""
     for server in sorted(after.bans.keys() - before.bans.keys()):
         yield api.ServerBanned(server)
     for server in sorted(after.returned.keys() - after.bans.keys()):
@@ -73,7 +73,7 @@
 
 
 def to_table(orders: Orders) -> dict[str, Any]:
-    """Returns orders in their JSON form."""
+    """Return orders in their JSON form."""
     return {
         "revision": orders.revision,
         "bans": dict(orders.bans),
@@ -83,7 +83,7 @@
 
 
 def read_times(table: dict[str, Any], name: str) -> dict[str, float]:
-    """Returns a field that holds a time for each cache server. Raises OrdersError."""
+    """Return a field that holds a time for each cache server. Raises OrdersError."""
     value = table.get(name)
     if not isinstance(value, dict) or not all(
         isinstance(at, (int, float)) and not isinstance(at, bool) for at in value.values()
@@ -93,7 +93,7 @@
 
 
 def from_table(table: Any) -> Orders:
-    """Returns orders read from their JSON form.
+    """Return orders read from their JSON form.
 
     Raises:
         OrdersError: a field is missing or malformed.
@@ -113,7 +113,7 @@
         self.cache_by_id: dict[str, bool] = {}  # id -> whether it is a cache server; latest listed last
 
     def record(self, listed: Iterable[tuple[str, bool]]) -> None:
-        """Records listed ids with whether each is a cache server.
+        """Record listed ids with whether each is a cache server.
 
         The number is bounded, as a fleet whose servers are replaced lists new ids all the time.
         """
@@ -124,7 +124,7 @@
             del self.cache_by_id[next(iter(self.cache_by_id))]
 
     def refusal_reason(self, name: str) -> str:
-        """Returns why a call for this id is refused, or an empty text if it is not."""
+        """Return why a call for this id is refused, or an empty text if it is not."""
         if name not in self.cache_by_id:
             return "discovery has not listed this id"
         return "" if self.cache_by_id[name] else "this is the origin, not a cache server"
--- a/myrtlecourse/ops/server.py
+++ b/myrtlecourse/ops/server.py
@@ -35,14 +35,14 @@
         self.server: asyncio.Server | None = None
 
     async def start(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Starts to listen. Returns the address; the system chooses a port for 0. Raises OSError."""
+        """Start to listen. Return the address; the system chooses a port for 0. Raises OSError."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: Caller(self), *address, backlog=128)
         host, port = self.server.sockets[0].getsockname()[:2]
         return host, port
 
     def add_caller(self, caller: Caller) -> None:
-        """Adds a connection and closes one if there are too many, as idle callers could use up the
+        """Add a connection and closes one if there are too many, as idle callers could use up the
         descriptors."""
         self.callers[caller] = None
         if len(self.callers) > MAX_CALLERS:
@@ -51,7 +51,7 @@
             next(chain(answered_callers, without_call), caller).transport.abort()
 
     def close(self) -> None:
-        """Stops to listen and closes all connections."""
+        """Stop to listen and closes all connections."""
         if self.server is not None:
             self.server.close()
         for caller in list(self.callers):
@@ -105,7 +105,7 @@
         self._respond(response)
 
     def eof_received(self) -> bool:
-        """Keeps the connection open for the response if the caller half-closes it after its call."""
+        """Keep the connection open for the response if the caller half-closes it after its call."""
         return self.call_complete and not self.answered
 
     def _respond(self, response: Response) -> None:
--- a/myrtlecourse/ops/store.py
+++ b/myrtlecourse/ops/store.py
@@ -36,7 +36,7 @@
         self.file_state: tuple[int, int, int] | None = None
 
     def refresh(self) -> bool:
-        """Reads orders that another process may have written. Returns whether there was a newer revision."""
+        """Read orders that another process may have written. Return whether there was a newer revision."""
         if self.path is None:
             return False
         try:
@@ -69,7 +69,7 @@
         return from_table(table)
 
     async def change(self, update: Callable[[Orders], Orders]) -> None:
-        """Replaces the latest orders, which another process may just have written, by an update of them.
+        """Replace the latest orders, which another process may just have written, by an update of them.
 
         Raises:
             OrdersError: the update is refused or can't be stored; the orders stay unchanged.
--- a/myrtlecourse/reload_signal.py
+++ b/myrtlecourse/reload_signal.py
@@ -16,7 +16,7 @@
         self.pending = False
 
     def listen(self) -> None:
-        """Records the signal from now on, until an event loop installs its own handler."""
+        """Record the signal from now on, until an event loop installs its own handler."""
         signal.signal(signal.SIGHUP, self._record)
 
     def _record(self, *_: object) -> None:
--- a/myrtlecourse/service.py
+++ b/myrtlecourse/service.py
@@ -51,7 +51,7 @@
 
 
 def ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
-    """Ignores further signals while the process exits.
+    """Ignore further signals while the process exits.
 
     Guards the exit code: an event loop that closes restores the default actions, which end the process.
     """
@@ -123,7 +123,7 @@
             self.list_received.set()
 
     async def run(self) -> None:
-        """Serves until SIGTERM, then finishes the accepted requests and shuts down. Raises ConfigError."""
+        """Serve until SIGTERM, then finishes the accepted requests and shuts down. Raises ConfigError."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         if early_reload.pending:
@@ -176,7 +176,7 @@
         ignore_signals(loop)
 
     async def _shut_down(self) -> None:
-        """Finishes the accepted requests and closes the subsystems, both before SIGKILL may come."""
+        """Finish the accepted requests and closes the subsystems, both before SIGKILL may come."""
         loop = asyncio.get_running_loop()
         inherited = self.inherited is not None
         logging.info(
@@ -204,7 +204,7 @@
                 closing.cancel()
 
     async def _wait_for_list(self) -> None:
-        """Waits for a list from discovery: at an upgrade the list in the configuration may be old."""
+        """Wait for a list from discovery: at an upgrade the list in the configuration may be old."""
         try:
             async with asyncio.timeout(FIRST_LIST_TIMEOUT):
                 await self.list_received.wait()
@@ -217,7 +217,7 @@
     # Operators' orders
 
     async def handle_call(self, call: Call) -> Response:
-        """Carries out an operator's call, or returns why it is refused."""
+        """Carry out an operator's call, or returns why it is refused."""
         now = time.time()
         if call.kind is Kind.READY:
             if self.host.accepts_clients():
@@ -250,7 +250,7 @@
         return Response(HTTPStatus.OK, call.kind.value)
 
     def _apply_orders(self) -> None:
-        """Applies changes of the orders to the host and the listener."""
+        """Apply changes of the orders to the host and the listener."""
         before, self.orders = self.orders, self.store.orders
         for event in events_between(before, self.orders):
             if isinstance(event, api.ServerBanned):
@@ -268,7 +268,7 @@
                     self.listener.stop_drain()
 
     async def _poll_other_processes(self) -> None:
-        """Applies orders that were given to another process of an upgrade, and shares the limits with it."""
+        """Apply orders that were given to another process of an upgrade, and shares the limits with it."""
         while True:
             await asyncio.sleep(POLL_INTERVAL)
             if self.store.refresh():
@@ -276,7 +276,7 @@
             self._share_limits()
 
     def _read_other_claims(self) -> list[Claim]:
-        """Returns the claims of other running processes of this router.
+        """Return the claims of other running processes of this router.
 
         While the folder can't be read, those read last count: a faulty folder ends neither the start nor the
         polling of orders.
@@ -290,7 +290,7 @@
         return self.other_claims
 
     def _share_limits(self) -> None:
-        """Divides the router's limits between this process and others of the same router."""
+        """Divide the router's limits between this process and others of the same router."""
         others = self._read_other_claims()
         total = self.config.sockets - RESERVED_DESCRIPTORS - RESERVED_FOR_OTHER_PROCESS * len(others)
         if self.shutting_down and others:
@@ -314,7 +314,7 @@
     # Reloads
 
     def reload(self) -> None:
-        """Requests a reload of the configuration, which starts once a reload in progress has ended."""
+        """Request a reload of the configuration, which starts once a reload in progress has ended."""
         self.reload_requested.set()
 
     async def _reload_on_request(self) -> None:
@@ -328,7 +328,7 @@
                 logging.exception("reload")
 
     async def _reload(self) -> None:
-        """Applies a new configuration's settings and discovery address, or nothing if it is invalid."""
+        """Apply a new configuration's settings and discovery address, or nothing if it is invalid."""
         try:
             config = await read_reload(read_file(self.config_path), self.config)
         except ConfigError as e:
@@ -351,7 +351,7 @@
             self.subsystems.reload()
 
     def _apply_settings(self, settings: api.Settings) -> None:
-        """Replaces the settings. Removed classes are accepted for a little longer with their old rules, as
+        """Replace the settings. Removed classes are accepted for a little longer with their old rules, as
         commands of them may still be in sockets."""
         before = self.host.settings.classes  # includes classes removed by a recent reload
         dropped = {name: c for name, c in before.items() if name not in settings.classes}
@@ -368,7 +368,7 @@
 
 
 def inherited_socket() -> int | None:
-    """Returns the descriptor of a listening socket passed by the platform, if there is one.
+    """Return the descriptor of a listening socket passed by the platform, if there is one.
 
     Raises:
         ConfigError: RELAY_LISTEN_FD is not a number.
@@ -382,6 +382,6 @@
 
 
 def shared_folder() -> Path | None:
-    """Returns the folder that the processes of one router share, if there is one."""
+    """Return the folder that the processes of one router share, if there is one."""
     text = os.environ.get("TMPDIR", "")
     return Path(text) if text else None
--- a/myrtlecourse/spread/log_file.py
+++ b/myrtlecourse/spread/log_file.py
@@ -19,7 +19,7 @@
 import msgspec
 from msgspec import Meta
 
-from myrtlecourse.checked import sync_folder, write_all
+from myrtlecourse.durable_files import sync_folder, write_all
 from myrtlecourse.spread import replica_events as events
 from myrtlecourse.spread.messages import KEY_BYTES, MAX_NUMBER, MAX_VALUE_BYTES, Change, Entry, Purge
 from myrtlecourse.spread.replica_events import LogError, LogState, Record
--- a/myrtlecourse/subsystems.py
+++ b/myrtlecourse/subsystems.py
@@ -55,7 +55,7 @@
         self.spread_driver: SpreadDriver | None = None  # distribution of changes and purges
 
     async def start(self) -> None:
-        """Starts the subsystems that the operators' file enables. Raises ConfigError."""
+        """Start the subsystems that the operators' file enables. Raises ConfigError."""
         file = self._read()
         if file.fleet is not None:
             await self._join_fleet(file.fleet)
@@ -67,7 +67,7 @@
             await self._start_duties(file, file.duties)
 
     def handle_call(self, call: Call) -> Response:
-        """Carries out an operator's call, or returns why it is refused."""
+        """Carry out an operator's call, or returns why it is refused."""
         if call.kind is Kind.ADDRESS or call.kind is Kind.MOVE:
             return self._handle_address_call(call)
         if call.kind is Kind.FLEET or call.kind in ZONE_CALLS:
@@ -77,7 +77,7 @@
         return self._handle_duty_call(call)
 
     async def close(self) -> None:
-        """Hands over or releases all that this router holds, and stops communicating."""
+        """Hand over or releases all that this router holds, and stops communicating."""
         if self.gossip_socket is not None:
             self.gossip_socket.close()
         if self.address_driver is not None:
@@ -88,7 +88,7 @@
             await self.spread_driver.close()
 
     def _read(self) -> OperatorsFile:
-        """Returns the operators' file. Raises ConfigError, also if a library that it needs is missing."""
+        """Return the operators' file. Raises ConfigError, also if a library that it needs is missing."""
         try:
             # an optional dependency, which a router without an operators' file does not have
             from myrtlecourse.operators import read_operators  # noqa: PLC0415
@@ -114,7 +114,7 @@
         return Response(HTTPStatus.OK, "moving")
 
     async def _join_fleet(self, table: Fleet) -> None:
-        """Starts to leave and rejoin zones together with the other routers, if they may communicate."""
+        """Start to leave and rejoin zones together with the other routers, if they may communicate."""
         from myrtlecourse.zones.setup import make_gossip_socket  # noqa: PLC0415  (an optional dependency)
 
         self.gossip_socket = make_gossip_socket(
@@ -147,7 +147,7 @@
         return Response(HTTPStatus.OK, f"{call.server} is ordered {call.kind.value} for {call.seconds:g} s")
 
     def _can_serve(self, table: Address) -> bool:
-        """Returns whether this router may hold the service address: it is neither drained nor overloaded, and
+        """Return whether this router may hold the service address: it is neither drained nor overloaded, and
         its list of servers is recent."""
         list_is_recent = time.monotonic() - self.service.discovery.last_answer_at < table.list_age
         return (
@@ -157,7 +157,7 @@
         )
 
     async def _start_address(self, table: Address) -> None:
-        """Joins the election of the router that holds the service address."""
+        """Join the election of the router that holds the service address."""
         from myrtlecourse.address.setup import make_driver  # noqa: PLC0415  (an optional dependency)
 
         self.address_driver = make_driver(
@@ -175,7 +175,7 @@
             raise ConfigError(f"{self.path}: address.peers: {own}: {e}") from e
 
     def _add_address_duty(self, table: Address, driver: DutyDriver) -> None:
-        """Makes the service address the first of the duties."""
+        """Make the service address the first of the duties."""
         from myrtlecourse.address.duty import AddressWork  # noqa: PLC0415  (an optional dependency)
         from myrtlecourse.address.setup import make_link  # noqa: PLC0415
         from myrtlecourse.duties.messages import ADDRESS  # noqa: PLC0415
@@ -190,11 +190,11 @@
         self._on_address_change(False)
 
     async def _start_duties(self, file: OperatorsFile, table: Duties) -> None:
-        """Takes part in the duties of the fleet."""
+        """Take part in the duties of the fleet."""
         from myrtlecourse.duties.setup import make_driver, peers  # noqa: PLC0415  (an optional dependency)
 
         def able() -> bool:
-            """Returns whether this router may hold duties: it is neither drained nor overloaded."""
+            """Return whether this router may hold duties: it is neither drained nor overloaded."""
             return (
                 self.service.host.in_service and self.service.admission.admitted_share >= MIN_ADMITTED_SHARE
             )
@@ -224,7 +224,7 @@
         return Response(HTTPStatus.OK, "moving")
 
     async def _start_spread(self, table: Spread) -> None:
-        """Takes part in the distribution of changes and purges."""
+        """Take part in the distribution of changes and purges."""
         from myrtlecourse.spread.replica_events import LogError  # noqa: PLC0415  (an optional dependency)
         from myrtlecourse.spread.setup import listen_address, make_driver  # noqa: PLC0415
 
@@ -241,7 +241,7 @@
         return Response(HTTPStatus.OK, orjson.dumps(self.spread_driver.status()).decode())
 
     async def _handle_entry_call(self, call: Call) -> Response:
-        """Commits a purge or change and responds once it is durable; passes other calls to the service."""
+        """Commit a purge or change and responds once it is durable; passes other calls to the service."""
         if self.spread_driver is None or call.kind not in (Kind.SPREAD_PURGE, Kind.SPREAD_SEND):
             return await self.service.handle_call(call)
         from myrtlecourse.spread.log_duty import OutcomeUnknown, commit  # noqa: PLC0415
@@ -259,7 +259,7 @@
         return Response(HTTPStatus.OK, str(number))
 
     def _on_address_change(self, here: bool) -> None:
-        """Starts to serve clients when this router has acquired the service address; when it has lost it,
+        """Start to serve clients when this router has acquired the service address; when it has lost it,
         accepts nothing new and drains at once."""
         self.service.host.holds_service_address = here
         if not here:
@@ -268,7 +268,7 @@
             self.service.listener.stop_drain()
 
     def reload(self) -> None:
-        """Applies changes of the operators' file: each table completely or not at all."""
+        """Apply changes of the operators' file: each table completely or not at all."""
         try:
             file = self._read()
         except ConfigError as e:
@@ -292,7 +292,7 @@
 
     @staticmethod
     def _reload_address(driver: AddressDriver, table: Address | None) -> None:
-        """Applies changed voters, times, keys and the link. Raises ValueError."""
+        """Apply changed voters, times, keys and the link. Raises ValueError."""
         from myrtlecourse.address.setup import make_link, read_keys  # noqa: PLC0415  (an optional dependency)
 
         if table is None or not table.peers:
@@ -308,7 +308,7 @@
 
     @staticmethod
     def _reload_duties(driver: DutyDriver, file: OperatorsFile) -> None:
-        """Applies changed members, voters, times and keys; a change of the duties themselves needs a restart.
+        """Apply changed members, voters, times and keys; a change of the duties themselves needs a restart.
 
         Raises:
             ValueError: the change can't be applied.
@@ -322,7 +322,7 @@
 
     @staticmethod
     def _reload_spread(driver: SpreadDriver, table: Spread | None) -> None:
-        """Applies changed keys and addresses of members; a change of members or parameters needs a restart.
+        """Apply changed keys and addresses of members; a change of members or parameters needs a restart.
 
         Raises:
             ValueError: the change can't be applied.
@@ -338,7 +338,7 @@
         driver.peers = peer_addresses(table)
 
     def _reload_fleet(self, gossip_socket: GossipSocket, table: Fleet | None) -> None:
-        """Applies all changes but those of this router's name, zone and address. Raises ValueError."""
+        """Apply all changes but those of this router's name, zone and address. Raises ValueError."""
         from myrtlecourse.zones.setup import agent_settings  # noqa: PLC0415  (an optional dependency)
 
         configured = agent_settings(table, self.service.config) if table is not None else None
--- a/myrtlecourse/wirehost.py
+++ b/myrtlecourse/wirehost.py
@@ -158,7 +158,7 @@
 
 
 def main() -> int:
-    """Answer each line of standard input until its end. Returns the exit status."""
+    """Answer each line of standard input until its end. Return the exit status."""
     host = Host()
     for line in sys.stdin.buffer:
         try:
