--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
 # `make demo` and `make test` set up what they need in a virtual environment of their own
 VENV ?= .venv-dev
 SHELL := /bin/bash
-# tests that run side by side: those without child processes, and those with (tests/processes.py)
+# numbers of tests that run in parallel: without child processes, and with them (tests/processes.py)
 WORKERS ?= auto
 PROCESS_WORKERS ?= 3
 PYTHON := $(abspath $(VENV))/bin/python
@@ -23,7 +23,7 @@
 	mypy
 	@tests/passes.sh $(WORKERS) $(PROCESS_WORKERS)
 
-# the same tests against what a router runs: the compiled form, which must be there
+# runs the tests named below against the compiled modules, as deployed; fails if they were not compiled
 test-compiled: $(VENV)/ready
 	python3 deploy/build.py
 	python -P -c 'import sys; sys.path.insert(0, "$(COMPILED)"); from myrtlecourse import policy; assert not policy.__file__.endswith(".py"), "not compiled"'
@@ -31,7 +31,8 @@
 
 test-compiled: COMPILED = $(shell $(PYTHON) deploy/compiled.py)
 
-# two real routers under load while a box dies and others are replaced; exit 1 when a rule was broken
+# runs two real routers under load while a cache server dies and others are replaced; fails if a rule was
+# broken
 demo: $(VENV)/tools
 	@python -m myrtlecourse fleet demo/demo.toml --load demo/load.toml --html demo-report.html
 
--- a/bench/address_move.py
+++ b/bench/address_move.py
@@ -37,7 +37,7 @@
 
 HEARTBEAT, LEASE, SETTLE = 0.2, 0.8, 0.4
 SERVICE = "service"  # the one router that clients see
-IN_FLIGHT_SECONDS = 0.05  # seconds for which an answer of a killed router may still arrive
+IN_FLIGHT_SECONDS = 0.05  # seconds after a kill in which an answer of the killed router may still arrive
 BIN_SECONDS = 0.1  # seconds of a step in the picture
 PAUSE_SECONDS = 1.0  # seconds between a move and the next kill
 SCENARIO: dict[str, Any] = {
@@ -79,7 +79,7 @@
         (folder / "key").write_bytes(os.urandom(32))
 
     async def start(self) -> None:
-        """Start everything."""
+        """Start the switch and the routers."""
         await self.switch.start()
         await self.switch.relays.open({n: free_address() for n in self.names})
         for name in self.names:
@@ -117,7 +117,7 @@
 
 
 async def first_served_after(observations: list[seen.Observation], moment: float) -> float:
-    """Return when a client was first served with an answer that can't have been in flight before `moment`."""
+    """Return when a client was first served by an answer that was not already in flight at `moment`."""
     checked = 0
     while True:
         for observation in observations[checked:]:
@@ -161,13 +161,13 @@
 
 
 async def measure(kills: int, rate: float, folder: Path, picture: Path | None) -> dict[str, Any]:
-    """Kill the holder some times, and return the figures."""
+    """Kill the holder `kills` times, and return the figures."""
     observations: list[seen.Observation] = []
 
     def observe(observation: seen.Observation) -> None:
         if isinstance(observation, seen.RouterUp | seen.RouterDown):
-            # one of three routers: for clients the service goes on, and this benchmark records when it does
-            # not
+            # one router of three went up or down, but clients see only the service; this benchmark itself
+            # records when that goes up and down
             return
         if isinstance(
             observation,
--- a/bench/duty_move.py
+++ b/bench/duty_move.py
@@ -36,14 +36,14 @@
 FIRST_FAULT_AT = 5.0
 DUTY_SETTINGS = {"heartbeat": 0.1, "lease": 0.5, "settle": 0.3, "unwell": 0.3, "unheard": 1.5, "brake": 2.0}
 GOOD_FOR = 0.5
-# Routers keep their votes here, as in the tests; disks that take as long as a heartbeat are measured
-# separately.
+# Routers keep their votes in memory, as in the tests; disks whose writes take as long as a heartbeat are
+# measured separately.
 FOLDER = "/dev/shm" if Path("/dev/shm").is_dir() else None
 FAULTS = ("kill", "stall", "cut")
 
 
 def make_fault(how: str, at: float) -> dict[str, Any]:
-    """Return one fault that affects whoever holds the duty at that time."""
+    """Return a fault that affects the router which holds the duty when the fault starts."""
     match how:
         case "kill":
             return {"what": "restart", "at": at, "holder": "purge", "kill": True}
@@ -109,7 +109,7 @@
 
 
 def nonzero_breaches(verdict: dict[str, Any]) -> dict[str, int]:
-    """Return the kinds of breaches that occurred."""
+    """Return how many breaches occurred of each kind, without those that did not occur."""
     return {what: count for what, count in verdict["breaches"].items() if count}
 
 
--- a/bench/fleet_logs.py
+++ b/bench/fleet_logs.py
@@ -16,7 +16,7 @@
 
 LINE = re.compile(r"(\d+\.\d+) .*? (?:DEBUG|INFO|WARNING|ERROR|CRITICAL) (.*)")
 VARIABLE_PART = re.compile(r"\d[\d.:]*")
-# kinds that are counted separately; the rest is counted as one, so that noise takes no memory
+# kinds of lines that are counted separately; all others are counted as one kind, which bounds the memory
 MAX_KINDS = 1000
 OTHER_KINDS = "(other kinds)"
 
--- a/bench/large_fleet.py
+++ b/bench/large_fleet.py
@@ -43,7 +43,7 @@
 
 
 def scenario(routers: int, case: str) -> Scenario:
-    """Return the fleet with the faults of a case."""
+    """Return the scenario of a case: the fleet and its faults."""
     if case == "zone lost":
         # servers alternate between the zones, so this is one zone; the servers return with empty caches
         faults: list[dict[str, Any]] = [
@@ -97,7 +97,7 @@
 
 @contextmanager
 def decision_module(large: bool) -> Iterator[None]:
-    """Use the decision module as it is, or treat every fleet as a small one."""
+    """Use the decision module as it is (`large`), or without its rules for large fleets."""
     few, cheap = tuning.FEW_ROUTERS, tuning.CHEAP_FAILURES
     if not large:
         tuning.FEW_ROUTERS, tuning.CHEAP_FAILURES = 10_000, (api.Status.FULL,)  # type: ignore[assignment]
--- a/bench/led_return.py
+++ b/bench/led_return.py
@@ -23,12 +23,12 @@
 CHECK_INTERVAL = 0.1  # seconds
 MIN_DELAY = 1e-4
 SHARE_BITS = 8  # number of bits of a share in an order
-LEADER_COUNT = 5  # the first routers are eligible, because faults affect them first
+LEADER_COUNT = 5  # the first routers are the candidates, because the faults affect those first
 DUTY_SETTINGS = {"heartbeat": 0.2, "lease": 0.8, "settle": 0.3, "unwell": 0.3, "unheard": 2.0, "brake": 2.0}
 
 
 class RouterDuty:
-    """One router's part in the duty, for as long as its process lives."""
+    """One router's part in the duty that leads the return; a restarted router gets a new one."""
 
     def __init__(self, return_duty: ReturnDuty, router: SimRouter) -> None:
         self.return_duty = return_duty
@@ -38,7 +38,7 @@
         names, clock = return_duty.names, return_duty.world.core
         duty = msg.Duty(DUTY, names[:LEADER_COUNT], good_for=1.0)
         settings = msg.Settings(router.name, names, names[:3], (duty,), **DUTY_SETTINGS)
-        seed = return_duty.chance.getrandbits(32)
+        seed = return_duty.rng.getrandbits(32)
         self.duties = Duties(settings, None, clock.now, seed, int(10 * clock.now))
         self.post(msg.AbilityReported(True))
         self.check()
@@ -48,7 +48,7 @@
         return self.router.up and self.router.incarnation == self.incarnation
 
     def post(self, event: msg.Event) -> None:
-        """Pass an event to the duty's core; a stalled router gets it when it continues."""
+        """Pass an event to the duty's core; a stalled router handles it when it continues."""
         if not self.is_alive or self.router.defer_if_stalled(self.post, event):
             return
         world = self.return_duty.world
@@ -62,19 +62,19 @@
                 if self.timer is not None:
                     self.timer.cancel()
                 if action.at < math.inf:
-                    # a minimum delay, as rounding could otherwise schedule the same moment without end
+                    # a minimum delay, as rounding could otherwise make the timer fire at one moment forever
                     pause = max(MIN_DELAY, action.at - world.core.now)
                     self.timer = world.core.call_after(pause, self.post, msg.TimerFired())
 
     def check(self) -> None:
         """Follow the order in force; the holder of the duty also orders the next step."""
-        core_ = self.return_duty.world.core
+        simulation_core = self.return_duty.world.core
         if not self.is_alive:
             return
-        core_.call_after(CHECK_INTERVAL, self.check)
+        simulation_core.call_after(CHECK_INTERVAL, self.check)
         if self.router.stalled or self.router.agent is None:
             return
-        now, zones = core_.now, self.router.agent.zones
+        now, zones = simulation_core.now, self.router.agent.zones
         if (order := self.duties.order_in_force(now, DUTY)) is not None:
             for number in order.value:
                 self.return_duty.apply_share(zones, now, number >> SHARE_BITS, number & (1 << SHARE_BITS) - 1)
@@ -85,26 +85,26 @@
 
 
 class ReturnDuty:
-    """The duty in all routers of a simulation."""
+    """The duty to lead returns, in all routers of a simulation."""
 
     def __init__(self, world: FleetSimulation) -> None:
         self.world = world
-        self.chance = world.core.stream("led")
+        self.rng = world.core.stream("led")
         self.names = tuple(r.name for r in world.routers)
         self.router_duties: dict[str, RouterDuty] = {}
         self.continue_return: Callable[..., bool] = ZoneCoordinator._step_return
         for router in world.routers:
-            self._follow(router)
+            self._attach(router)
 
-    def _follow(self, router: SimRouter) -> None:
-        """Create a new part whenever the router's process starts."""
+    def _attach(self, router: SimRouter) -> None:
+        """Create a new `RouterDuty` whenever the router's process starts."""
         start = router.start
 
-        def started(saved: Any) -> None:
+        def start_and_attach(saved: Any) -> None:
             start(saved)
             self.router_duties[router.name] = RouterDuty(self, router)
 
-        router.start = started  # type: ignore[method-assign]
+        router.start = start_and_attach  # type: ignore[method-assign]
         self.router_duties[router.name] = RouterDuty(self, router)
 
     def deliver(self, sender: str, to: str, items: tuple[msg.Item, ...]) -> None:
@@ -112,7 +112,7 @@
         self.router_duties[to].post(msg.MessagesReceived(sender, items))
 
     def apply_share(self, zones: ZoneCoordinator, now: float, zone: int, share: int) -> None:
-        """Apply the share that an order names."""
+        """Set a returning zone's share to the one that the order in force names."""
         register = zones.registers.get((zones.home, zone), Register())
         state = register.state
         if state.mode is ZoneMode.BACK and state.share != share:
@@ -141,7 +141,7 @@
         return tuple(sorted(entries))[: msg.MAX_STATE_LENGTH]
 
     def current_order(self) -> msg.Value:
-        """Return the current order."""
+        """Return the latest order of the acting holder; empty if there is none."""
         holdings = [p.duties.holdings.get(DUTY) for p in self.router_duties.values()]
         return max(
             (holding.value for holding in holdings if holding is not None and holding.acting), default=()
--- a/bench/listed_servers.py
+++ b/bench/listed_servers.py
@@ -28,12 +28,12 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 ADDRESSES = 16  # addresses that all listed servers share
-SILENT_ADDRESSES = 4  # of these addresses, the ones at which nothing is answered
+SILENT_ADDRESSES = 4  # the first of these addresses, whose servers never answer
 DEADLINE = 0.6  # seconds
 REPLACEMENT_STEPS = 12  # steps in which the servers are replaced
-REPLACED_SHARE = 0.6  # of the list
+REPLACED_SHARE = 0.6  # share of the listed servers that are replaced
 HIT_ANSWER = b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"
-ANSWER_GRACE = 2.0  # seconds after its deadline for which a client still waits for the answer
+ANSWER_GRACE = 2.0  # seconds for which a client still waits for an answer after its deadline
 
 
 @dataclass
@@ -43,8 +43,8 @@
     listed: int
     asked: int = 0
     served: int = 0
-    latest_s: float = 0.0  # the latest final answer, relative to its deadline
-    # the largest excess of the deadline sent to a server over the time left to the client
+    latest_s: float = 0.0  # the largest delay of an answer after its deadline
+    # the largest excess of the deadline sent to a server over the time that its client still waits
     told_over_s: float = -DEADLINE
     cpu_s: float = 0.0
     peak_mb: float = 0.0
@@ -99,7 +99,7 @@
     async def serve_cache(
         self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serve a cache server: it answers with a hit at once, or never."""
+        """Handle a connection of a cache server that answers with a hit at once, or never."""
         self.usage.dials += 1
         commands = Reader(16, 65536, 70000)
         with contextlib.suppress(ConnectionError):
@@ -118,7 +118,7 @@
             self.usage.told_over_s = max(self.usage.told_over_s, command.deadline_ms / 1000 - left)
 
     async def serve_discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve discovery: the whole list, or a watch for the next change."""
+        """Handle a call to discovery: respond with the full list, or with the next change when it comes."""
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             target = (await reader.readuntil(b"\r\n\r\n")).split(b" ", 2)[1].decode()
             if "after=" in target:
@@ -135,7 +135,7 @@
 
 
 class Router:
-    """The router, in one process after another."""
+    """The router, which runs in a new process after each restart."""
 
     def __init__(self, folder: Path, fleet: Fleet) -> None:
         self.folder = folder
@@ -218,7 +218,7 @@
 
 
 async def measure(listed: int, rate: float, seconds: float, folder: Path) -> Usage:
-    """Measure one length of the list."""
+    """Measure a router with a list of `listed` servers."""
     fleet = Fleet(Usage(listed))
     fleet.names.extend(f"s-{i}" for i in range(listed))
     servers = []
@@ -257,7 +257,7 @@
 
 
 def limits(usual: Usage, large: Usage) -> dict[str, tuple[float, float]]:
-    """Return each value for the longer list with the maximum that it may have."""
+    """Return each value for the longer list with its limit."""
     thousands = large.listed / 1000
     return {
         "cpu_s": (large.cpu_s, 1.4 * usual.cpu_s + 0.02 + 0.12 * thousands),
--- a/bench/load_generator.py
+++ b/bench/load_generator.py
@@ -47,7 +47,7 @@
 
 
 def expected() -> dict[str, float]:
-    """Return the expected milliseconds: requests due during the stall wait for its end, others don't wait."""
+    """Return the expected latencies in ms: only requests due during the stall wait, until its end."""
     frozen_share = FREEZE_SECONDS / RUN_SECONDS
     found = {
         name: FREEZE_SECONDS * max(0.0, 1 - (1 - share) / frozen_share) * 1000
@@ -88,7 +88,7 @@
 
 
 def stall() -> dict[str, Any]:
-    """Measure and print all three."""
+    """Print and return the expected latencies, those of the generator and those of the closed loop."""
     rows = {"expected": expected()}
     for name, measure in (("reported", open_loop), ("closed loop", closed_loop)):
         freeze = {"what": "freeze", "at": FREEZE_AT, "box": "box-0", "seconds": FREEZE_SECONDS}
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -27,8 +27,8 @@
 from myrtlecourse.load.run import Job, run
 
 MULTIPLES = (0.25, 0.5, 0.75, 1.0, 1.5, 2.0, 4.0)
-RECOVERY_LOAD = 0.5  # of the capacity, after an overload
-RECOVERED_SHARE = 0.95  # share of a second's requests that must be served in time
+RECOVERY_LOAD = 0.5  # load after an overload, as a share of the capacity
+RECOVERED_SHARE = 0.95  # a router has recovered if it serves this share of a second's requests in time
 UNCOUNTED_SECONDS = 1  # seconds at the beginning of an overload that are not counted
 BUSY_LOOP = "while True: pass"
 AIM, DEADLINE = 0.5, 1.0  # seconds
@@ -44,7 +44,7 @@
 
 
 def profile(per_second: float, capacity: float, seconds: float) -> Profile:
-    """Return a load with an overload and the time after it."""
+    """Return a load of `per_second` requests, followed by RECOVERY_LOAD for as long."""
     return Profile(
         (Piece(seconds, per_second), Piece(seconds, RECOVERY_LOAD * capacity)),
         classes=(RequestClass("read", deadline=DEADLINE, aim=AIM),),
@@ -53,7 +53,7 @@
 
 
 def measure(multiple: float, capacity: float, port: int, seconds: int, workers: int) -> dict[str, Any]:
-    """Measure one multiple of the capacity."""
+    """Offer a multiple of the capacity, and return the figures."""
     load_profile = profile(multiple * capacity, capacity, seconds)
     _, record = run(Job(load_profile, (("127.0.0.1", port),), workers), lambda *_: None)
     during = OutcomeStats()
--- a/bench/rig.py
+++ b/bench/rig.py
@@ -62,7 +62,7 @@
 
 
 async def serve(make: Callable[[], asyncio.Protocol]) -> None:
-    """Listen on a free port and print it."""
+    """Listen on a free port, print the port, and serve."""
     server = await asyncio.get_running_loop().create_server(make, "127.0.0.1", 0, backlog=4096)
     print(server.sockets[0].getsockname()[1], flush=True)
     await server.serve_forever()
@@ -93,7 +93,7 @@
 
 @contextlib.contextmanager
 def run_relay(upstream: int, cores: set[int]) -> Iterator[tuple[int, subprocess.Popen[str]]]:
-    """Run the relay in front of a port; yields the relay's port and process."""
+    """Run the relay in front of a port; yield the relay's port and process."""
     with run_process([sys.executable, "-m", MODULE, "relay", str(upstream)], cores) as child:
         assert child.stdout is not None
         yield int(child.stdout.readline()), child
@@ -111,7 +111,7 @@
         return int(self.configuration["known"]["endpoints"][0]["address"].rpartition(":")[2])
 
     def begin(self) -> None:
-        """Begin the scenario's time."""
+        """Start the clock of the scenario."""
         assert self.child.stdin is not None
         self.child.stdin.write("begin\n")
         self.child.stdin.flush()
@@ -150,7 +150,7 @@
 def run_router(
     command: list[str], configuration: dict[str, Any], cores: set[int], sockets: int = 1024
 ) -> Iterator[tuple[int, subprocess.Popen[str]]]:
-    """Run a router; yields its port and process. Its log is shown if it does not start."""
+    """Run a router and yield its port and process. Raise SystemExit with its log if it does not start."""
     with tempfile.TemporaryDirectory() as folder:
         file, log = Path(folder, "config.json"), Path(folder, "log")
         # There is no discovery server, so the given list stays in force: only the data path is measured.
--- a/bench/router_rate.py
+++ b/bench/router_rate.py
@@ -54,7 +54,7 @@
 
 
 def measure_rate(port: int, connections: int, seconds: float, child: int) -> tuple[float, float]:
-    """Return a port's answers per second over some seconds, and its process's core seconds per answer."""
+    """Return the answers per second of the process at a port, and its core seconds per request."""
     before = os.sched_getaffinity(0)
     # the generator's processes inherit the cores of their parent
     rig.bind_cores(0, set.union(*GENERATOR_CORES))
@@ -120,8 +120,8 @@
     core_seconds: dict[str, list[float]] = {c: [] for c in rates}
 
     def count(name: str, port: int, child: int) -> None:
-        values, used = measure_rate(port, options.connections, options.seconds, child)
-        rates[name].append(values)
+        rate, used = measure_rate(port, options.connections, options.seconds, child)
+        rates[name].append(rate)
         core_seconds[name].append(used)
 
     with rig.run_fleet(rig.server_scenario(size), FLEET_CORES) as fleet:
--- a/bench/sim_against_sockets.py
+++ b/bench/sim_against_sockets.py
@@ -46,7 +46,7 @@
     "clients": {"retries": 2, "leave": 0.005, "connections": 300},
 }
 CRASHES = [{"what": "crash", "at": 3, "box": f"gen-a-{i}", "seconds": 4} for i in range(2)]
-SCENARIOS: dict[str, tuple[float, list[dict[str, Any]]]] = {  # factor of the load, and faults
+SCENARIOS: dict[str, tuple[float, list[dict[str, Any]]]] = {  # the factor of the load, and the faults
     "calm": (1.0, []),
     "crash": (1.0, [CRASHES[0] | {"seconds": 60}]),
     "rolling deploy": (
--- a/bench/sim_search.py
+++ b/bench/sim_search.py
@@ -56,7 +56,7 @@
 
 
 def run_search(make: type[Router], seconds: float, seed: int, folder: Path | None) -> dict[str, Any]:
-    """Search with one module, alternating between both fleets."""
+    """Search for a schedule that makes one module break a rule, alternating between both fleets."""
     searches = make_searches(make, seed)
     began = time.monotonic()
     row: dict[str, Any] = {"module": make.__name__, "found": None}
--- a/bench/spread_log.py
+++ b/bench/spread_log.py
@@ -71,19 +71,19 @@
 
 
 def measure(folder: Path, rate: float, seconds: float) -> dict[str, Any]:
-    """Propose entries at a rate for some seconds."""
+    """Propose entries at a rate for some seconds, and return the figures."""
     nodes = ControlNodes(folder)
     nodes.post(NAMES[0], events.LeadershipGained(1))
     while nodes.replicas[NAMES[0]].leader is None or not nodes.replicas[NAMES[0]].leader.is_open:
         nodes.step()
-    began, cpu_before, proposed_at = time.monotonic(), time.process_time(), list[float]()
+    began, processor_time, proposed_at = time.monotonic(), time.process_time(), list[float]()
     while time.monotonic() < began + seconds or len(nodes.acknowledged_at) < len(proposed_at):
         now = time.monotonic()
         while len(proposed_at) < min(now - began, seconds) * rate:
             proposed_at.append(now)
             nodes.post(NAMES[0], events.Propose(len(proposed_at), Purge(len(proposed_at).to_bytes(8, "big"))))
         nodes.step()
-    took, cpu_before = time.monotonic() - began, time.process_time() - cpu_before
+    took, processor_time = time.monotonic() - began, time.process_time() - processor_time
     latencies = sorted(
         nodes.acknowledged_at[ticket] - proposed for ticket, proposed in enumerate(proposed_at, 1)
     )
@@ -92,7 +92,7 @@
         "asked_per_s": rate,
         "entries": len(proposed_at),
         "per_s": round(len(proposed_at) / took, 1),
-        "processor_us_per_entry": round(cpu_before / len(proposed_at) * 1e6, 1),
+        "processor_us_per_entry": round(processor_time / len(proposed_at) * 1e6, 1),
         "wait_ms_p50_p99_max": [
             round(latencies[int(q * (len(latencies) - 1))] * 1000, 1) for q in (0.5, 0.99, 1.0)
         ],
--- a/bench/spread_plain.py
+++ b/bench/spread_plain.py
@@ -21,7 +21,9 @@
 from myrtlecourse.spread import messages as msg
 
 REGIONS, SITES, ROUTERS, PARTS, CONTROL = 43, 650, 16_000, 6_700, 20
-SEND_INTERVAL = 0.1  # seconds between two sends of the holder, as `pause` has it
+SEND_INTERVAL = (
+    0.1  # seconds between two sends of the holder, the default of `pause` in `bench/spread_scale.py`
+)
 RETRANSMIT_AFTER = 0.4  # seconds without an acknowledgement; over the longest round trip time
 MAX_GOSSIP_PURGES = 17  # purges that fit a gossip record, each as two numbers of 5 bytes
 LOAD_SECONDS = 6.0  # seconds of load
@@ -42,7 +44,7 @@
     """The first alternative: the holder sends new entries to each member, and retransmits them."""
 
     def __init__(self, sites: tuple[msg.Site, ...], seed: int, loss: float, budget: float) -> None:
-        """`budget` is the bytes per second that the holder may send."""
+        """Create the network; the holder may send `budget` bytes per second."""
         self.core = Core(seed)
         regions = sorted({s.region for s in sites})
         self.network = Network(len(regions), len(sites) + 1, self.core.stream("places"))
@@ -51,13 +53,15 @@
         self.holder = Place(0, len(sites))
         places = [(Place(regions.index(s.region), i), s) for i, s in enumerate(sites)]
         self.members = [p for p, s in places for _ in (*s.routers, *s.parts)]
-        self.max_payload = MAX_DATAGRAM - SEAL_SIZE - HEADER_SIZE - 20  # 20 bytes are reserved for a name
+        self.max_payload = (
+            MAX_DATAGRAM - SEAL_SIZE - HEADER_SIZE - 20
+        )  # 20 bytes are left for the name of a member
         count = len(self.members)
         self.acknowledged, self.sent, self.progress_at = [0] * count, [0] * count, [0.0] * count
         self.out_of_order: list[set[int]] = [set() for _ in range(count)]
         self.applied = [0] * count
-        self.proposed_at = [0.0]  # when entries were proposed, by number, from 1 on
-        # when each entry was applied, by member
+        self.proposed_at = [0.0]  # when each entry was proposed, by its number; numbers start at 1
+        # by member, when it applied each entry
         self.applied_at: list[list[float]] = [[] for _ in range(count)]
         self.budget, self.credit, self.next_member = budget, 0.0, 0
         self.bytes = self.datagrams = self.acknowledgements = 0
@@ -171,7 +175,7 @@
         return EPOCH + self.core.now
 
     def _status(self) -> tuple[int, ...]:
-        """Return the number of the first purge carried, and the keys of the purges, two numbers each."""
+        """Return a record's content: its first purge's number, and the purges' keys as two numbers each."""
         keys = min(MAX_GOSSIP_PURGES, len(self.proposed_at))
         return (len(self.proposed_at) - keys, *([2**32 - 1] * (2 * keys)))
 
--- a/bench/spread_scale.py
+++ b/bench/spread_scale.py
@@ -1,4 +1,4 @@
-"""How fast changes and purges reach all members of a large fleet, and are known to, in virtual time.
+"""How fast changes and purges reach all members of a large fleet, and the holder knows it, in virtual time.
 
 It runs the cores of `myrtlecourse/spread/` under a steady load with one fault, and two simple alternatives on
 the same network: the holder sends to each member directly, or the records of the existing gossip carry the
@@ -40,12 +40,12 @@
 
 PURGE_RATE, CHANGE_RATE = 100.0, 0.72  # per second
 DRAIN_SECONDS = 4.0  # seconds without load at the end
-# gets the tiers, and returns the members that it affects
+# applies a fault to a run whose members have these tiers, and returns the members that it affects
 Fault = Callable[["SpreadRun", NDArray[Any]], list[Member]]
 
 
 def scaled_sites(scale: float) -> tuple[msg.Site, ...]:
-    """Return a share of the fleet, with regions of full size as far as possible."""
+    """Return the sites of a share of the fleet, whose regions have their full size as far as possible."""
     sites = max(4, round(SITES * scale))
     return lay_out_sites(max(2, round(REGIONS * scale)), sites, round(ROUTERS * scale), round(PARTS * scale))
 
@@ -84,9 +84,9 @@
         return np.array(found)
 
     def latencies(self, since: float, until: float, selected: NDArray[Any], prefix: str = "") -> Figures:
-        """Return when entries proposed in a period reached the members, and when they were known to be done.
+        """Return how long entries proposed in a period took to reach the members, and to be known to be done.
 
-        `last` is the time at which an entry reached the last of these members.
+        `last` is the time until an entry reached the last of these members.
         """
         judge = self.world.judge
         figures: Figures = {}
@@ -109,7 +109,7 @@
         return figures
 
     def tier_latencies(self, since: float, until: float, tiers: NDArray[Any]) -> Figures:
-        """Return when entries reached the last member of each tier."""
+        """Return how long entries took to reach the last member of each tier."""
         figures: Figures = {}
         for tier in range(4):
             if (selected := tiers == tier).any():
@@ -144,7 +144,7 @@
         for name, share in (("half", 0.5), ("all", 1.0)):
             while world.time < began + within:
                 last = len(world.judge.log) - 1
-                # under load the latest entries are always still on their way
+                # under load the latest entries are always still in transit
                 recovered = [
                     world.judge.applied_until[m.index] >= last - 5 * PURGE_RATE and m.has_lease()
                     for m in members
@@ -189,7 +189,7 @@
 
 
 def measure_fault(run: SpreadRun, calm: float, after: float, fault: Fault, within: float) -> Figures:
-    """Measure a load with a fault in the middle of it, at the members that the fault does not affect."""
+    """Measure a load with a fault in its middle, and the latencies at the members that are not affected."""
     world = run.world
     world.schedule_load(PURGE_RATE, CHANGE_RATE, calm + after)
     world.run(calm)
@@ -206,7 +206,7 @@
     return figures | run.traffic(fault_at, fault_at + after, tiers) | final_checks(run)
 
 
-def dead_parents(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
+def kill_relays(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
     """Kill 1% of the relays."""
     relays = [m for m in run.world.member_list if tiers[m.index] in (1, 2)]
     affected = run.world.core.stream("troubles").sample(relays, max(1, len(relays) // 100))
@@ -215,7 +215,7 @@
     return affected
 
 
-def tenth_restarted(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
+def restart_tenth(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
     """Kill a tenth of all members at once; they restart about a second later."""
     rng = run.world.core.stream("troubles")
     affected = rng.sample([m for m in run.world.member_list if tiers[m.index]], len(tiers) // 10)
@@ -226,7 +226,7 @@
     return affected
 
 
-def rack_gone(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
+def kill_rack(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
     """Kill forty members of one region."""
     affected = [m for m in run.world.member_list if m.place.region == len(run.world.sites_by_region) - 1][:40]
     for member in affected:
@@ -234,7 +234,7 @@
     return affected
 
 
-def handed_on(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
+def move_duty(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
     """Move the duty: the holder releases it, and another control node takes it 0.3 s later."""
     world = run.world
     world.release_holder()
@@ -242,7 +242,7 @@
     return []
 
 
-def holder_killed(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
+def kill_holder(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
     """Kill the holder, and restart it later; another takes the duty after the time of an election, 1 s."""
     world = run.world
     holder = world.members[world.holder]
@@ -252,10 +252,10 @@
     return [holder]
 
 
-def region_away(seconds: float) -> Fault:
+def make_region_cut(seconds: float) -> Fault:
     """Return a fault that cuts off the last region for some seconds."""
 
-    def trouble(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
+    def cut_region(run: SpreadRun, tiers: NDArray[Any]) -> list[Member]:
         world, region = run.world, len(run.world.sites_by_region) - 1
         for blocked in (world.network.outbound_cut, world.network.inbound_cut):
             blocked.add(region)
@@ -263,15 +263,15 @@
         world.run(seconds)
         return [m for m in world.member_list if m.place.region == region]
 
-    return trouble
+    return cut_region
 
 
 FAULTS: dict[str, Fault] = {
-    "dead_parents": dead_parents,
-    "tenth_restarted": tenth_restarted,
-    "rack_gone": rack_gone,
-    "handed_on": handed_on,
-    "holder_killed": holder_killed,
+    "dead_parents": kill_relays,
+    "tenth_restarted": restart_tenth,
+    "rack_gone": kill_rack,
+    "handed_on": move_duty,
+    "holder_killed": kill_holder,
 }
 
 
@@ -285,7 +285,7 @@
         case "steady":
             return steady(SpreadRun(scale, seed, loss, seconds, pause), seconds)
         case "region_away":
-            after, fault = options.seconds_back, region_away(options.away)
+            after, fault = options.seconds_back, make_region_cut(options.away)
             run = SpreadRun(
                 scale, seed, loss, seconds + options.away + after, pause, large_last=options.large
             )
@@ -301,7 +301,7 @@
 
 
 def merge_files(paths: list[Path]) -> dict[str, Any]:
-    """Merge the files of many runs: measures that differ in their seed only become one."""
+    """Merge the files of many runs: measures that differ only in their seed become one."""
     found: dict[str, list[dict[str, Any]]] = {}
     for path in paths:
         for each in json.loads(path.read_text())["measures"]:
@@ -359,7 +359,7 @@
 
 
 def draw(merged: dict[str, Any], path: Path) -> None:
-    """Draw when the entries of each run reached the last member."""
+    """Draw how long the entries of each run took to reach the last member and to be known to be done."""
     from matplotlib import pyplot as plt  # noqa: PLC0415  (an extra)
 
     figure, panels = plt.subplots(1, 2, figsize=(11, 4.5), sharey=True)
--- a/bench/spread_sockets.py
+++ b/bench/spread_sockets.py
@@ -33,7 +33,7 @@
 
 
 class MemberProcess:
-    """One process of members."""
+    """A process that runs some of the members."""
 
     def __init__(self, role: str, job: Job, folder: Path) -> None:
         self.role = role
@@ -44,7 +44,7 @@
         self.process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
 
     def read_line(self) -> str:
-        """Return the next line of its output."""
+        """Return the next line of the process's output."""
         assert self.process.stdout is not None
         return self.process.stdout.readline()
 
@@ -91,7 +91,7 @@
 
 
 def completion_delays(path: Path) -> list[float]:
-    """Return the seconds from each entry's commit until it is done everywhere, by the writer's file."""
+    """Return the seconds from each entry's commit until it is done everywhere, as the writer's file says."""
     committed_at: dict[int, float] = {}
     delays: list[float] = []
     completed = 0
@@ -110,7 +110,7 @@
 
 
 def measure(rate: float, seconds: float) -> dict[str, float]:
-    """Run once and return the figures."""
+    """Run the members once, and return the figures."""
     members = process_members()
     names = [name for group in members.values() for name in group]
     addresses = {name: "{}:{}".format(*free_address()) for name in names}
--- a/bench/zone_exit.py
+++ b/bench/zone_exit.py
@@ -34,9 +34,9 @@
 LOST_ZONE = "south"
 # start and duration of the fault, and duration of the run
 FAULT_AT, FAULT_SECONDS, RUN_SECONDS = 8.0, 8.0, 22.0
-REACTION_SECONDS = 2.0  # seconds after which a fleet should have left
+REACTION_SECONDS = 2.0  # seconds within which a fleet should have excluded the zone
 AIM = 0.6  # seconds within which a read should be answered
-BOXES = 12
+SERVERS = 12
 
 
 def faults(case: str) -> list[dict[str, Any]]:
@@ -47,7 +47,7 @@
             return [{"what": "crash", "zone": LOST_ZONE, **lasting}]
         case "silent":
             return [{"what": "silence", "zone": LOST_ZONE, **lasting}]
-        case "cut":  # between the origin's zone and the others
+        case "cut":  # the network is cut between the origin's zone and the others
             others = [z for z in ZONES if z != ZONES[0]]
             return [
                 *({"what": "unreached", "zone": z, "box": "origin", **lasting} for z in others),
@@ -68,13 +68,13 @@
 
 
 def scenario(routers: int, case: str, peers: bool) -> Scenario:
-    """Return the fleet with the faults of a case."""
+    """Return the scenario of a case: the fleet and its faults."""
     fields: dict[str, Any] = {
         "seconds": RUN_SECONDS,
         "routers": routers,
         "zones": ZONES,
         "delay": 0.002,
-        "kinds": [{"name": "std", "boxes": BOXES, "cores": 4, "queue": 200, "cold": 0.4, "warm_up": 4}],
+        "kinds": [{"name": "std", "boxes": SERVERS, "cores": 4, "queue": 200, "cold": 0.4, "warm_up": 4}],
         "origin": {"slots": 24, "time": 0.03, "queue": 40},
         "discovery": {"notice": 6.0, "silent_notice": 30.0},
         "classes": [
@@ -112,7 +112,7 @@
         self.latencies: dict[int, list[float]] = defaultdict(list)
         self.dials: list[tuple[float, str]] = []
         self.zones: dict[str, str] = {}
-        self.fault_at = math.inf  # on the clock of the observations
+        self.fault_at = math.inf  # start of the fault, on the clock of the observations
 
     def record(self, observation: seen.Observation) -> None:
         """Record one observation; they must come in the order of their times."""
@@ -142,7 +142,7 @@
                 self.dials.append((observation.at - self.began, observation.router))
 
     def in_time_share(self, first: float, last: float) -> float:
-        """Return the share of requests answered in time, of those sent in some seconds."""
+        """Return the share of the requests sent from second `first` to `last` that were answered in time."""
         each = [self.seconds[s] for s in range(int(first), int(last))]
         return sum(c["in_time"] for c in each) / max(1, sum(c["asked"] for c in each))
 
@@ -163,7 +163,7 @@
 
 
 def most_reversals(orders: list[tuple[float, str, frozenset[str], bool]]) -> int:
-    """Return the maximum number of changes of direction of any router."""
+    """Return how many changes of its excluded zones the router with the most changes made."""
     changes: Counter[str] = Counter()
     previous: dict[str, tuple[frozenset[str], bool]] = {}
     for _, router, zones, origin in orders:
@@ -173,9 +173,9 @@
     return max(changes.values(), default=0)
 
 
-def exit_times(left: dict[str, float], routers: int) -> dict[str, Any]:
-    """Return the seconds until some shares of the routers had left; None if they never did."""
-    times = sorted(left.values())
+def exit_times(excluded_after: dict[str, float], routers: int) -> dict[str, Any]:
+    """Return the seconds until some shares of the routers had excluded the zone; None if they never did."""
+    times = sorted(excluded_after.values())
 
     def until(share: float) -> float | None:
         needed = int(np.ceil(share * routers))
@@ -211,11 +211,11 @@
     ]
     peer_network = world.routers[0].peer_network
     if peer_network is not None:
-        left: dict[str, float] = {}
+        excluded_after: dict[str, float] = {}
         for at, router, zones, origin in peer_network.orders:
             if (zones or origin) and at - began >= FAULT_AT:
-                left.setdefault(router, at - began - FAULT_AT)
-        figures |= exit_times(left, routers)
+                excluded_after.setdefault(router, at - began - FAULT_AT)
+        figures |= exit_times(excluded_after, routers)
         figures["turns"] = most_reversals(peer_network.orders)
         figures["bytes_a_second"] = peer_network.bytes / routers / RUN_SECONDS
     return figures
@@ -235,7 +235,7 @@
 
 
 def exits_by_log(folder: Path, stats: ClientStats) -> dict[str, float]:
-    """Return the seconds from the fault until each router logged that it left something."""
+    """Return the seconds from the fault until each router logged that it had excluded a zone."""
     exits: dict[str, float] = {}
     for log in sorted(folder.glob("router-*.log")):
         for at, zones in zone_exits(log):
@@ -260,7 +260,7 @@
 
 
 def draw(rows: list[dict[str, Any]], path: Path) -> None:
-    """Draw how many routers still try the lost zone, for the largest fleet in virtual time."""
+    """Draw how many routers still connect to the lost zone, for the largest fleet in virtual time."""
     from matplotlib.figure import Figure  # noqa: PLC0415  (slow to import)
 
     largest = max(row["routers"] for row in rows)
--- a/bench/zone_return.py
+++ b/bench/zone_return.py
@@ -41,16 +41,16 @@
 FAULT_AT, FAULT_SECONDS, RUN_SECONDS = 24.0, 8.0, 56.0
 RETURN_AT = FAULT_AT + FAULT_SECONDS
 AIM = 0.6
-ORIGIN_SLOTS, FETCH_SECONDS = 5, 0.05  # of the origin
+ORIGIN_SLOTS, FETCH_SECONDS = 5, 0.05  # fetches that the origin serves in parallel, and their duration
 ORIGIN_RATE = ORIGIN_SLOTS / FETCH_SECONDS  # fetches per second
 CASES = ("cold", "warm", "again", "stalled", "killed", "split")
 STRATEGIES = ("alone", "at once", "pace", "rate", "duty")
-WORK_WINDOW = 0.5  # seconds
+WORK_WINDOW = 0.5  # seconds over which the work that reaches the zone is summed
 
 
 def faults(case: str, routers: int) -> list[dict[str, Any]]:
     """Return the faults of a case."""
-    gone = {
+    outage = {
         "what": "silence" if case == "warm" else "crash",
         "zone": LOST_ZONE,
         "at": FAULT_AT,
@@ -59,20 +59,20 @@
     middle = RETURN_AT + 3.0
     match case:
         case "again":
-            return [gone, {"what": "crash", "zone": LOST_ZONE, "at": middle, "seconds": 3.0}]
+            return [outage, {"what": "crash", "zone": LOST_ZONE, "at": middle, "seconds": 3.0}]
         case "stalled":
-            return [gone, *({"what": "stall", "router": n, "at": middle, "seconds": 5.0} for n in (0, 1))]
+            return [outage, *({"what": "stall", "router": n, "at": middle, "seconds": 5.0} for n in (0, 1))]
         case "killed":
             some = range(0, routers, 3)
-            return [gone, *({"what": "restart", "router": n, "at": middle, "kill": True} for n in some)]
+            return [outage, *({"what": "restart", "router": n, "at": middle, "kill": True} for n in some)]
         case "split":
             half = list(range(0, routers, 2))
-            return [gone, {"what": "split", "routers": half, "at": middle - 2.0, "seconds": 8.0}]
-    return [gone]
+            return [outage, {"what": "split", "routers": half, "at": middle - 2.0, "seconds": 8.0}]
+    return [outage]
 
 
 def scenario(routers: int, case: str, strategy: str) -> Scenario:
-    """Return the fleet with the faults of a case."""
+    """Return the scenario of a case: the fleet and its faults."""
     fields: dict[str, Any] = {
         "seconds": RUN_SECONDS,
         "routers": routers,
@@ -116,51 +116,51 @@
         self.began = world.core.now
         self.asked_at: dict[str, float] = {}
         self.seconds: dict[int, Counter[str]] = defaultdict(Counter)
-        # time and work of the requests that reached the zone within the last WORK_WINDOW
+        # arrival and work of the requests that reached the zone within the last WORK_WINDOW
         self.recent_work: deque[tuple[float, float]] = deque()
         self.recent_work_sum = 0.0
-        self.peak_work = 0.0  # maximum, relative to the zone's capacity
+        self.peak_work = 0.0  # maximum of this sum, relative to the zone's capacity
         self.fetches: deque[float] = deque()
         self.peak_fetches = 0
         self.turned_away = 0
-        self.sends: dict[int, Counter[str]] = defaultdict(Counter)  # by second and zone
+        self.sends: dict[int, Counter[str]] = defaultdict(Counter)  # number of attempts by second and zone
         self.zone_servers = [
             n.model for n in world.nodes.values() if world.layout.zones.get(n.name) == LOST_ZONE
         ]
         for node in world.nodes.values():
             if node.model in self.zone_servers:
-                self._watch_box(node.model)
+                self._watch_server(node.model)
             elif node.name == ORIGIN:
                 self._watch_origin(node.model)
 
     def elapsed(self) -> float:
-        """Return the seconds since the beginning."""
+        """Return the seconds since the start of the run."""
         return self.world.core.now - self.began
 
-    def _watch_box(self, box: Any) -> None:
-        arrive: Callable[[float, Request], Any] = box.arrive
+    def _watch_server(self, server: Any) -> None:
+        arrive: Callable[[float, Request], Any] = server.arrive
 
-        def watched(now: float, request: Request) -> Any:
-            work = box.draws.work_of(request)
+        def count_work(now: float, request: Request) -> Any:
+            work = server.draws.work_of(request)
             self.recent_work.append((now, work))
             self.recent_work_sum += work
             while self.recent_work[0][0] < now - WORK_WINDOW:
                 self.recent_work_sum -= self.recent_work.popleft()[1]
             if self.elapsed() > RETURN_AT:
-                able = sum(
+                zone_capacity = sum(
                     b.kind.cores * b.kind.speed * b.core_queue.core_speed.capacity_share(now) * WORK_WINDOW
                     for b in self.zone_servers
                     if isinstance(b, CacheServerModel)
                 )
-                self.peak_work = max(self.peak_work, self.recent_work_sum / able)
+                self.peak_work = max(self.peak_work, self.recent_work_sum / zone_capacity)
             return arrive(now, request)
 
-        box.arrive = watched
+        server.arrive = count_work
 
-    def _watch_origin(self, store: Any) -> None:
-        arrive: Callable[[float, Request], Any] = store.arrive
+    def _watch_origin(self, origin: Any) -> None:
+        arrive: Callable[[float, Request], Any] = origin.arrive
 
-        def watched(now: float, request: Request) -> Any:
+        def count_fetch(now: float, request: Request) -> Any:
             self.fetches.append(now)
             while self.fetches[0] < now - 1.0:
                 self.fetches.popleft()
@@ -171,7 +171,7 @@
                 self.turned_away += accepted is None
             return accepted
 
-        store.arrive = watched
+        origin.arrive = count_fetch
 
     def record(self, observation: seen.Observation) -> None:
         """Record one observation; they must come in the order of their times."""
@@ -189,12 +189,12 @@
                 self.sends[int(observation.at - self.began)][self.world.layout.zones[observation.box]] += 1
 
     def in_time_share(self, first: float, last: float) -> float:
-        """Return the share of requests answered in time, of those sent in some seconds."""
+        """Return the share of the requests sent from second `first` to `last` that were answered in time."""
         each = [self.seconds[s] for s in range(int(first), int(last))]
         return sum(c["in_time"] for c in each) / max(1, sum(c["asked"] for c in each))
 
     def zone_share(self, second: int) -> float:
-        """Return the share of all sends that went to the zone in one second."""
+        """Return the share of all attempts in one second that went to the zone."""
         sent = self.sends[second]
         return sent[LOST_ZONE] / max(1, sent.total())
 
@@ -231,7 +231,7 @@
             result = world.run()
     finally:
         pace.next_share = original_step
-    # if the zone fails again, only the last return is reported
+    # if the zone fails again, only the return after that is reported
     last_return = RETURN_AT + (6.0 if case == "again" else 0.0)
     usual_share = float(np.mean([stats.zone_share(s) for s in range(int(FAULT_AT) - 4, int(FAULT_AT))]))
     recovered_at = next(
@@ -274,7 +274,7 @@
 
 
 def draw(rows: list[dict[str, Any]], path: Path) -> None:
-    """Draw the zone's share of all sends and the share of answers in time, for the largest fleet."""
+    """Draw the zone's share of all attempts and the share of answers in time, for the largest fleet."""
     from matplotlib.figure import Figure  # noqa: PLC0415  (slow to import)
 
     largest = max(row["routers"] for row in rows)
--- a/deploy/build.py
+++ b/deploy/build.py
@@ -96,7 +96,7 @@
 
 
 def install(requirements: str) -> None:
-    """Install the packages that a file lists, unless they were installed from the same file."""
+    """Install the packages that a file lists, unless they were already installed from the same contents."""
     file = compiled.ROOT / requirements
     stamp = VENV / f".{requirements}.sha256"
     digest = hashlib.sha256(file.read_bytes()).hexdigest()
@@ -107,13 +107,16 @@
 
 
 def compile_package(target: Path) -> None:
-    """Compile into a folder beside the target and renames it, so that an interrupted build is never used."""
+    """Compile into a folder beside the target and rename it, so that an interrupted build is never used."""
     target.parent.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory(dir=target.parent) as scratch:
         copy, output = Path(scratch, "source"), Path(scratch, "made")
         unwanted = shutil.ignore_patterns("__pycache__", *compiled.TOOLS)
         shutil.copytree(compiled.PACKAGE, copy / compiled.PACKAGE.name, ignore=unwanted)
-        for file in ("pyproject.toml", "README.md"):  # the type checker's settings, and a file named there
+        for file in (
+            "pyproject.toml",
+            "README.md",
+        ):  # the type checker's settings are in the first, which names the second
             shutil.copy(compiled.ROOT / file, copy)
         uncompiled = {compiled.PACKAGE / name for name in UNCOMPILED}
         modules = [str(f.relative_to(compiled.ROOT)) for f in compiled.sources() if f not in uncompiled]
--- a/deploy/compiled.py
+++ b/deploy/compiled.py
@@ -1,6 +1,6 @@
 """Names the folder of the compiled modules by a hash of all inputs of the compilation.
 
-So a stale result is never used: with another source, compiler or interpreter the folder has another name.
+With another source, compiler or interpreter the folder has another name, so a stale result is never used.
 """
 
 from __future__ import annotations
--- a/myrtlecourse/__main__.py
+++ b/myrtlecourse/__main__.py
@@ -20,15 +20,16 @@
 
 
 async def serve(config: Config, path: str, inherited: int | None) -> None:
-    """Serve until SIGTERM."""
-    # without an operators' address there are no orders to store
+    """Serve clients until SIGTERM. Raises ConfigError."""
+    # orders arrive only at the operators' address, so without one there are none to store
     folder = shared_folder() if config.ops is not None else None
     await Service(config, path, inherited, folder).run()
 
 
 def main() -> int:
-    """Run one router and returns its exit code."""
-    # objects of a request are freed by reference counting; the search for cycles used a tenth of a core
+    """Run one router and return its exit code."""
+    # the objects of a request are freed by reference counting, so the search for cycles may run less often:
+    # it used a tenth of a core
     gc.set_threshold(10_000, 10, 10)
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     path = os.environ.get("RELAY_CONFIG", "")
--- a/myrtlecourse/address/codec.py
+++ b/myrtlecourse/address/codec.py
@@ -29,7 +29,7 @@
         return [TYPE_NAMES[type(message)], *astuple(message)]
 
     def read(self, parts: list[Any]) -> messages.Message:
-        """Return the message after checks of its type and fields. Raises Dropped."""
+        """Return the message, after a check of its type and fields. Raises Dropped."""
         message_type = MESSAGE_TYPES.get(parts[0]) if isinstance(parts[0], str) else None
         if message_type is None or len(parts) != 1 + len(fields(message_type)):
             raise Dropped("malformed")
--- a/myrtlecourse/address/commands.py
+++ b/myrtlecourse/address/commands.py
@@ -19,7 +19,7 @@
 
 
 def call_router(at: str, method: str, path: str) -> tuple[int, str]:
-    """Make an operators' call. Return status code and text, or exits with code 2 if there is no answer."""
+    """Make an operators' call and return status code and text; exit with code 2 if there is no answer."""
     host, _, port = at.rpartition(":")
     if not host or not port.isdigit():
         raise click.BadParameter(f"{at} is not host:port", param_hint="--at")
@@ -36,8 +36,10 @@
 
 
 def query_each(addresses: tuple[str, ...], path: str) -> dict[str, Any]:
-    """Return the status of each router by its address. Exits with code 1 if one refuses, 2 if one does not
-    answer."""
+    """Return the status of each router by its address.
+
+    Exit with code 1 if a router refuses, and with 2 if one does not answer.
+    """
     statuses: dict[str, Any] = {}
     for at in addresses:
         code, text = call_router(at, "GET", path)
--- a/myrtlecourse/address/driver.py
+++ b/myrtlecourse/address/driver.py
@@ -43,7 +43,9 @@
         wait_until_drained: Callable[[], Awaitable[None]],
         further_keys: tuple[bytes, ...] = (),
     ) -> None:
-        """`able` returns whether this router can serve clients. `on_change` is called with True when it
+        """Create the driver; `start` opens its socket.
+
+        `able` returns whether this router can serve clients. `on_change` is called with True when this router
         acquires the address, and with False when it loses it.
 
         When it loses the address, nothing may be accepted any more once `on_change` has returned;
@@ -56,7 +58,7 @@
         )
         self.settings = settings
         self.votes_file = votes_file
-        self.unwritten: messages.Saved | None = None  # the term and vote that are not on the disk yet
+        self.unwritten: messages.Saved | None = None  # term and vote that are not on the disk yet
         self.able = able
         self.on_change = on_change
         self.wait_until_drained = wait_until_drained
@@ -65,7 +67,7 @@
         self.election = Election(settings, saved, time.monotonic(), rng.getrandbits(32))
         self.polling: asyncio.Task[None] | None = None
         self.polled_at = time.monotonic()
-        self.moves: list[str] = []  # the last changes, for operators
+        self.moves: list[str] = []  # when this router last acquired and lost the address, for operators
 
     async def start(self, bind: Endpoint) -> Endpoint:
         """Open the socket and returns its address. Raises OSError."""
@@ -79,7 +81,7 @@
         return self.election.holds(time.monotonic())
 
     async def _poll(self) -> None:
-        """Report to the election whether this router can serve; it can't while its event loop is stalled."""
+        """Report to the election whether this router can serve; after a stall of its event loop it can't."""
         while True:
             now = time.monotonic()
             stalled = now - self.polled_at > self.settings.unwell + POLL_INTERVAL
@@ -114,8 +116,10 @@
                 self.call_at(at, lambda: self.post(messages.TimerFired()))
 
     def _write_unwritten(self) -> bool:
-        """Write the term and vote if necessary. Return whether they are on the disk, as nothing may be sent
-        before."""
+        """Write the term and vote if necessary, and return whether they are on the disk.
+
+        Until they are, no message may be sent.
+        """
         if self.unwritten is not None and self.votes_file is not None:
             try:
                 write_votes(self.votes_file, self.unwritten)
@@ -128,8 +132,8 @@
     async def _withdraw(self) -> None:
         """Let accepted requests end while their clients can still be reached, then withdraws the address.
 
-        The network directs open connections along with the address, so the next holder's announcement would
-        cut them.
+        The network directs the packets of open connections to the router that announces the address, so the
+        next holder's announcement would cut them.
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(DRAIN_TIMEOUT):
@@ -155,7 +159,7 @@
         self.wire.set_members(settings.voters)
 
     def move(self, to: str) -> str:
-        """Start to hand the address over. Return why that is refused, or an empty text."""
+        """Start to hand the address over; return why that is refused, or an empty text."""
         if self.election.role is not Role.HOLDER:
             return f"{self.settings.name} does not hold the address"
         if to and to not in self.settings.voters:
@@ -184,13 +188,13 @@
         }
 
     async def close(self) -> None:
-        """Hand the address over if this router holds it, releases the lease, and closes the socket."""
+        """Hand the address over and release the lease if this router holds it, and close the socket."""
         if self.polling is not None:
             self.polling.cancel()
         if self.election.role is Role.HOLDER:
             self.post(messages.Move())
         if self.withdrawal is not None:
-            await self.withdrawal  # sends the release and withdraws the address
+            await self.withdrawal  # withdraws the address and sends the release of the lease
             await asyncio.sleep(0)
         self.link_updater.close()
         self.close_socket()
--- a/myrtlecourse/address/duty.py
+++ b/myrtlecourse/address/duty.py
@@ -1,4 +1,4 @@
-"""The service address as one of the duties in `[duties]`, with the voters and datagrams of the others."""
+"""The service address as one of the duties in `[duties]`, whose voters and datagrams it shares."""
 
 from __future__ import annotations
 
@@ -26,7 +26,9 @@
         on_change: Callable[[bool], None],
         wait_until_drained: Callable[[], Awaitable[None]],
     ) -> None:
-        """`on_change` is called with True when this router acquires the address, with False when it loses it.
+        """Create the work for the duty's driver.
+
+        `on_change` is called with True when this router acquires the address, with False when it loses it.
 
         When it loses the address, nothing may be accepted any more once `on_change` has returned;
         `wait_until_drained` then waits until the accepted requests have ended.
--- a/myrtlecourse/address/link.py
+++ b/myrtlecourse/address/link.py
@@ -14,11 +14,11 @@
 
 
 class LinkError(RuntimeError):
-    """The address was not announced or withdrawn; the message says why."""
+    """Raised if the address could not be announced or withdrawn; the message says why."""
 
 
 class Link(Protocol):
-    """Directs the traffic for the address to this machine."""
+    """Tells the network whether to direct the traffic for the address to this machine."""
 
     async def announce(self, term: int) -> None:
         """Announce that this machine has the address. Idempotent. Raises LinkError."""
@@ -50,7 +50,7 @@
         try:
             code = await asyncio.wait_for(process.wait(), self.timeout)
         except TimeoutError:
-            # a command that hangs would delay the next one forever
+            # a command that hangs would block all later ones
             process.kill()
             await process.wait()
             raise LinkError(f"{self.command[0]} {arguments[0]}: not done in {self.timeout:g} s") from None
@@ -88,19 +88,19 @@
 
 
 class LinkUpdater:
-    """Applies the latest requested state to a link, one request after the other, with retries after errors.
+    """Brings a link to the state that was requested last, with one change at a time and retries after errors.
 
-    A request that was replaced by a later one before it was started is skipped.
+    A request is skipped if a later one replaces it before it was started.
     """
 
     RETRY_PAUSE = 0.2  # seconds
 
     def __init__(self, link: Link) -> None:
         self.link = link
-        self.requested: int | None = None  # the term to announce; None: withdraw
-        self.applied: int | None = None  # the state that the link has confirmed, likewise
+        self.requested: int | None = None  # the term to announce; None: withdraw the address
+        self.applied: int | None = None  # the term that the link has announced; None: none
         self.changed = asyncio.Event()
-        self.failures = 0  # consecutive
+        self.failures = 0  # consecutive errors of the link
         self.task: asyncio.Task[None] | None = None
 
     def request(self, term: int | None) -> None:
@@ -132,6 +132,6 @@
                 await self.changed.wait()
 
     def close(self) -> None:
-        """Stop; later requests are ignored, and pending ones are dropped."""
+        """Stop; pending requests are dropped, and later ones are ignored."""
         if self.task is not None:
             self.task.cancel()
--- a/myrtlecourse/address/setup.py
+++ b/myrtlecourse/address/setup.py
@@ -33,13 +33,13 @@
 
 
 def read_keys(table: Address) -> tuple[bytes, tuple[bytes, ...]]:
-    """Return the key to seal datagrams with, and those that are accepted as well. Raises ConfigError."""
+    """Return the key that seals datagrams, and the further keys that are accepted. Raises ConfigError."""
     further = (read_key(Path(file), "address.also_key_files") for file in table.also_key_files)
     return read_key(Path(table.key_file or "")), tuple(further)
 
 
 def make_link(table: Address, name: str) -> Link:
-    """Return the link that announces the address as that of the router `name`."""
+    """Return the link that announces the address on behalf of the router `name`."""
     if table.switch is not None:
         return SwitchLink(parse_address(table.switch), name, table.link_timeout)
     return CommandLink(table.command, table.link_timeout)
@@ -51,7 +51,7 @@
     on_change: Callable[[bool], None],
     wait_until_drained: Callable[[], Awaitable[None]],
 ) -> AddressDriver:
-    """Return the driver of this instance; see `AddressDriver` for the callbacks.
+    """Return the driver of this router's election; see `AddressDriver` for the callbacks.
 
     Raises:
         ConfigError: a file named in the table can't be used.
@@ -62,7 +62,7 @@
         try:
             saved = read_votes(votes_file)
         except VotesError as e:
-            # guards against a second vote in a term: only an operator may decide to start without the file
+            # without the file this router could vote twice in a term, so only an operator may remove it
             raise ConfigError(
                 f"address.votes_file: {e}; remove it to start without it, a lease's time after the last start"
             ) from e
--- a/myrtlecourse/address/votes.py
+++ b/myrtlecourse/address/votes.py
@@ -1,4 +1,4 @@
-"""Stores what an election must not forget at a restart: the term, and the vote in it."""
+"""Stores what a router must not forget at a restart: the election's term, and its vote in this term."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 def read_votes(path: Path) -> Saved:
-    """Return the term and vote written last; the initial ones if there is no file.
+    """Return the term and vote that were written last; the initial ones if there is no file.
 
     Raises:
-        VotesError: the file is incomplete, or of another program or version. An instance that ignored this
-            could vote twice in a term.
+        VotesError: the file is incomplete, or of another program or version. A router that ignored this could
+            vote twice in a term.
     """
     try:
         text = path.read_bytes()
@@ -48,6 +48,6 @@
 
 
 def write_votes(path: Path, saved: Saved) -> None:
-    """Write the term and vote, durably before it returns, as the vote is sent next. Raises OSError."""
+    """Write the term and vote durably, before the vote may be sent. Raises OSError."""
     table = {"version": VERSION, "term": saved.term, "voted": saved.voted}
     replace_file(path, orjson.dumps(table | {"sha256": _digest(saved.term, saved.voted)}))
--- a/myrtlecourse/config.py
+++ b/myrtlecourse/config.py
@@ -17,7 +17,10 @@
 from myrtlecourse.settings import number, read_settings, rows, section
 
 DEFAULT_MEMORY = 80  # MB, if the configuration gives no limit
-POSITIVE_FIELDS = ("giveUp", "aim")  # times of a class; with 0 none of its requests could be served
+POSITIVE_FIELDS = (
+    "giveUp",
+    "aim",
+)  # seconds in a row of `classes`; with 0 no request of the class could be served
 
 
 class ConfigError(ValueError):
@@ -35,11 +38,11 @@
     sockets: int
     memory: int  # bytes that the process may use
     longest_answer: int  # bytes of the largest value that is passed on
-    known_index: int  # index of the list of servers below
-    known: list[Member]  # the list of servers; empty if it was not read
+    known_index: int  # the index that discovery gave the list in `known`
+    known: list[Member]  # the list of servers; empty after `read_config` without `with_list`
     settings: api.Settings
     peer_listen: tuple[str, int] | None  # where datagrams of other routers arrive
-    peers: tuple[tuple[str, int], ...]  # of all routers, ordered by their numbers
+    peers: tuple[tuple[str, int], ...]  # addresses of all routers, ordered by their numbers
     router_number: int  # this router's index among `peers`
     table: dict[str, Any]  # the configuration as decoded from JSON
 
@@ -54,7 +57,7 @@
 
 
 def read_config(text: bytes, with_list: bool = True) -> Config:
-    """Return a checked configuration; without `with_list` the entries of its list are left out, unchecked.
+    """Return the checked configuration; without `with_list`, the listed servers are neither checked nor read.
 
     Raises:
         ConfigError: the configuration can't be used; the message names the field.
@@ -106,9 +109,9 @@
 
 
 def read_peers(table: dict[str, Any]) -> tuple[tuple[str, int] | None, tuple[tuple[str, int], ...]]:
-    """Return the address for datagrams of other routers and the addresses of all routers.
+    """Return the address for datagrams of other routers (or None), and the addresses of all routers.
 
-    Return None and no addresses if the configuration has none. Raises ConfigError.
+    Raises ConfigError.
     """
     if table.get("peer_listen") is None:
         return None, ()
@@ -121,10 +124,10 @@
 
 
 async def read_reload(text: bytes, running: Config) -> Config:
-    """Return a checked configuration to replace the one in force; yields to the event loop in between.
+    """Return a checked configuration to replace the one in force, yielding to the event loop in between.
 
-    Stricter than at the start, where an absent key gets its default: with a truncated or half edited file,
-    defaults would silently replace what operators had set.
+    The check is stricter than at the start, where an absent key gets its default: with a truncated or half
+    edited file, defaults would silently replace what operators had set.
 
     Raises:
         ConfigError: the configuration can't be used, and nothing of it may be applied.
@@ -156,7 +159,8 @@
 def lost_fields(before: dict[str, Any], after: dict[str, Any], prefix: str) -> Iterator[str]:
     """Yield the names of fields that a new configuration lacks, leaves empty or has with another type.
 
-    The rows of a list may change, but each new row must have the fields that all old rows had.
+    The rows of a list may change, but each new row must have the fields that all old rows had. The rows of
+    `endpoints`, the list of servers, are not compared.
     """
     for name, old in before.items():
         new: Any = after.get(name)
--- a/myrtlecourse/durable_files.py
+++ b/myrtlecourse/durable_files.py
@@ -8,10 +8,10 @@
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Write all data; a single call may write only a part, as on a nearly full disk. Raises OSError."""
-    rest = memoryview(data)
-    while rest:
-        rest = rest[os.write(descriptor, rest) :]
+    """Write all data; a single `os.write` may write only a part, as on a nearly full disk. Raises OSError."""
+    remaining = memoryview(data)
+    while remaining:
+        remaining = remaining[os.write(descriptor, remaining) :]
 
 
 def replace_file(path: Path, data: bytes) -> None:
@@ -22,7 +22,7 @@
         new.rename(path)
     except OSError:
         with suppress(OSError):
-            new.unlink()  # it may be incomplete
+            new.unlink()  # the file may be incomplete
         raise
     sync_folder(path.parent)
 
--- a/myrtlecourse/operators.py
+++ b/myrtlecourse/operators.py
@@ -21,7 +21,7 @@
 
 Seconds = Annotated[float, Meta(gt=0.0, le=3600.0)]
 Endpoint = Annotated[str, Meta(pattern=r"^[^:\s]+:[0-9]{1,5}$")]
-# with a smaller weight, a tier would get too few requests for its state to be known
+# the preference for a tier of zones; with a smaller one, too few requests would show the state of the tier
 Weight = Annotated[float, Meta(ge=0.02, le=1.0)]
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[!-~]+$")]
 # fields of the table `spread` that are passed on to its settings under the same names
@@ -40,22 +40,24 @@
 
     # with `peers` the address has an election of its own; otherwise it is the first duty of `[duties]`
     name: Name | None = None
-    peers: Annotated[tuple[Peer, ...], Meta(max_length=15)] = ()  # with this router; most preferred first
+    peers: Annotated[
+        tuple[Peer, ...], Meta(max_length=15)
+    ] = ()  # includes this router; the most preferred first
     key_file: str | None = None
-    # the candidates if the address is a duty, the most preferred first; empty: all
+    # the candidates if the address is a duty, the most preferred first; empty: all routers
     preferred: Annotated[tuple[Name, ...], Meta(max_length=255)] = ()
     # further keys that are accepted but never used to seal, for the change to a new key voter by voter
     also_key_files: Annotated[tuple[str, ...], Meta(max_length=2)] = ()
-    # without it votes are lost at a restart, and an instance grants none until a lease's time after its start
+    # None: votes are lost at a restart, and for one lease after its start a router grants none
     votes_file: str | None = None
-    # as in `election.messages.Settings`
+    # the settings of the election, explained in `election.messages.Settings`
     heartbeat: Seconds = 0.5
     lease: Seconds = 2.0
     drift: Annotated[float, Meta(ge=0.0, le=0.1)] = 0.02
     settle: Annotated[float, Meta(ge=0.0, le=3600.0)] = 2.0
     unwell: Annotated[float, Meta(ge=0.0, le=3600.0)] = 1.0
     even_voters: bool = False
-    list_age: Seconds = 60.0  # largest age of the list of servers at a holder, in seconds
+    list_age: Seconds = 60.0  # seconds; with an older list of servers a router can't hold the address
     # a router whose admission control admits a smaller share of the commands can't hold the address
     least_share: Annotated[float, Meta(ge=0.0, le=1.0)] = 0.1
     # the address is announced and withdrawn by a switch with a line-based protocol or by a command
@@ -97,7 +99,7 @@
 
 
 class Fleet(Struct, forbid_unknown_fields=True, frozen=True):
-    """This router's part in leaving and rejoining zones as a fleet.
+    """This router's part in excluding and rejoining zones as a fleet.
 
     If the platform's configuration lists the routers, only `key_file` is needed; otherwise `name`, `zone` and
     `peers` must be given, with the same peers at each router.
@@ -107,12 +109,12 @@
     name: Name | None = None
     zone: Name | None = None
     peers: Annotated[tuple[Peer, ...], Meta(max_length=1000)] = ()  # includes this router
-    listen: Endpoint | None = None  # None: its own address among the peers
-    # the load of the remaining zones after a zone was left, at most this multiple of the load before
+    listen: Endpoint | None = None  # None: this router's address among the peers
+    # when a zone is excluded, the load of each remaining zone may rise to at most this multiple
     spill: Annotated[float, Meta(ge=1.0, le=100.0)] = 3.0
-    # whether the origin may be left like a zone; only where refused clients turn to routers of other zones
+    # whether the origin may be excluded like a zone: only where refused clients turn to routers elsewhere
     leave_origin: bool = False
-    paced: bool = True  # whether the fleet sends a zone that has recovered its requests back in steps
+    paced: bool = True  # whether the fleet returns to a recovered zone in steps
     # fetches per second that the origin can serve for all routers together; 0: unknown
     origin_rate: Annotated[float, Meta(ge=0.0, le=1e6)] = 0.0
     # zones by region, and the preference for servers of the own region and of other regions, relative to that
@@ -122,9 +124,9 @@
     elsewhere: Weight = 1.0
     # further keys that are accepted but never used to seal, for the change to a new key router by router
     also_key_files: Annotated[tuple[str, ...], Meta(max_length=2)] = ()
-    # seconds between messages while all zones are well
+    # seconds between gossip messages while nothing changes
     interval: Annotated[float, Meta(ge=0.1, le=60.0)] = 1.0
-    bytes_a_second: Annotated[float, Meta(ge=256.0, le=1e9)] = 16_384.0
+    bytes_a_second: Annotated[float, Meta(ge=256.0, le=1e9)] = 16_384.0  # send budget of the gossip
 
     def __post_init__(self) -> None:
         zones = [zone for region in self.regions.values() for zone in region]
@@ -167,10 +169,10 @@
     peers: Annotated[tuple[Peer, ...], Meta(min_length=1, max_length=255)]  # includes this router
     voters: Annotated[tuple[Name, ...], Meta(min_length=1, max_length=7)]
     duty: Annotated[tuple[Duty, ...], Meta(max_length=15)] = ()
-    listen: Endpoint | None = None  # None: its own address among the peers
+    listen: Endpoint | None = None  # None: this router's address among the peers
     also_key_files: Annotated[tuple[str, ...], Meta(max_length=2)] = ()
     memory_file: str | None = None  # None: promises are lost at a restart
-    # as in `duties.messages.Settings`
+    # the settings of the elections, explained in `duties.messages.Settings`
     heartbeat: Seconds = 0.5
     lease: Seconds = 2.0
     drift: Annotated[float, Meta(ge=0.0, le=0.1)] = 0.02
@@ -218,14 +220,14 @@
     control: Annotated[tuple[Peer, ...], Meta(min_length=1, max_length=spread.MAX_CONTROL_NODES)]
     # sites of the own region; of all regions at a control node
     site: Annotated[tuple[SpreadSite, ...], Meta(max_length=5000)] = ()
-    listen: Endpoint | None = None  # None: its own address above
+    listen: Endpoint | None = None  # None: this process's address among the members above
     also_key_files: Annotated[tuple[str, ...], Meta(max_length=2)] = ()
     duty: Name | None = None  # its holder writes the log; required at control nodes, like `folder`
     folder: str | None = None  # the folder of the log
     applied_file: str | None = None  # receives a line for each applied entry, for other programs
-    # size of that file at which a new one is started
+    # size of `applied_file` in bytes at which a new file is started
     applied_bytes: Annotated[int, Meta(ge=4096, le=2**40)] = 64 * 2**20
-    # see `spread.Settings`, which has their defaults and bounds
+    # settings of the spread; `spread.Settings` explains them and has their defaults and bounds
     budget: float | None = None
     control_budget: float | None = None
     rate: float | None = None
@@ -289,7 +291,7 @@
             self.duty_settings()
 
     def _check_spread(self, table: Spread, duty: str) -> None:
-        """Check the duty to write the log.
+        """Check the duty whose holder writes the spread's log.
 
         Other members know the writer by its name in the spread, so both names must be equal. Only control
         nodes may vote, as others don't know this duty. Raises ValueError.
@@ -324,7 +326,7 @@
 
 
 def read_operators(path: Path) -> OperatorsFile:
-    """Return a checked operators' file.
+    """Return the checked operators' file.
 
     Raises:
         ConfigError: the file can't be used; the message names the file and the field.
--- a/myrtlecourse/ops/calls.py
+++ b/myrtlecourse/ops/calls.py
@@ -13,6 +13,7 @@
 MAX_HEAD = 8 * 1024  # bytes
 MAX_BODY = 4 * 1024  # bytes; no call needs a body
 MAX_NAME = 256  # bytes of a name, such as a cache server's id
+# prefixes of the paths of calls that have arguments
 SERVERS = "/control/cache-servers/"
 ZONES = "/control/zones/"
 DUTIES = "/control/duties/"
@@ -66,8 +67,8 @@
     """A valid call."""
 
     kind: Kind
-    server: str = ""  # a banned server, the router to which an address or duty is to move, or a zone
-    seconds: float = DEFAULT_ORDER_TIME  # for which an order on a zone is in force
+    server: str = ""  # a cache server's id, a zone, or the router to which the address or a duty is to move
+    seconds: float = DEFAULT_ORDER_TIME  # how long an order on a zone is in force
     duty: str = ""  # the duty to move
     key: bytes = b""  # the key of a purge, or the subject of a change
     value: bytes = b""  # the value of a change
@@ -79,7 +80,7 @@
 
     status: HTTPStatus
     text: str
-    allow: str = ""  # the allowed method, after a wrong one
+    allow: str = ""  # the method that is allowed, if the call had another
 
 
 def parse_call(method: bytes, target: bytes) -> Call | Response:
@@ -120,7 +121,7 @@
 
 
 def parse_duty_move(method: bytes, rest: str) -> Call | Response:
-    """Parse the end of the path of a call that moves a duty: `NAME/move` or `NAME/move/TO`."""
+    """Parse the rest of the path of a call that moves a duty: `NAME/move` or `NAME/move/TO`."""
     escaped, _, verb = rest.partition("/")
     verb, _, to = verb.partition("/")
     try:
@@ -135,8 +136,10 @@
 
 
 def parse_spread_entry(method: bytes, rest: str) -> Call | Response:
-    """Parse the end of the path of a call for a purge or change: `purge/KEY` or `send/SUBJECT/VALUE`, with
-    key, subject and value in hexadecimal digits."""
+    """Parse the rest of the path of a call for a purge or change: `purge/KEY` or `send/SUBJECT/VALUE`.
+
+    Key, subject and value are hexadecimal digits.
+    """
     verb, _, arguments = rest.partition("/")
     key, _, value = arguments.partition("/")
     kind = {k.value: k for k in SPREAD_CALLS[1:]}.get(verb)
@@ -164,7 +167,7 @@
         self.body_size = 0
 
     def receive(self, data: bytes) -> Call | Response | None:
-        """Receive bytes, or none at the end of the stream.
+        """Receive bytes; an empty `data` is the end of the stream.
 
         Return the call once it is complete, or the response to an invalid one; None until then.
         """
--- a/myrtlecourse/ops/descriptor_claims.py
+++ b/myrtlecourse/ops/descriptor_claims.py
@@ -1,8 +1,8 @@
 """Divides a router's descriptors among its processes, of which there are two during an upgrade.
 
 Each process has a file with the number of descriptors that it claims, and holds a lock on it while it runs.
-The kernel releases the lock even if the process is killed, which ends its claim. The newest process gets what
-the older ones leave.
+The kernel releases the lock even if the process is killed, which ends its claim. The newest process gets the
+descriptors that the older ones don't claim.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 class Claim:
     """The claim of another running process."""
 
-    started_ns: int  # monotonic clock in nanoseconds, so that no step of the wall clock changes the order
+    started_ns: int  # on the monotonic clock, so that a step of the wall clock can't change the order
     descriptors: int
 
 
 def descriptor_share(total: int, used: int, ending: bool, own_start: int, others: list[Claim]) -> int:
-    """Return how many of `total` descriptors this process may hold, which holds `used` of them now.
+    """Return how many of `total` descriptors this process may hold; it holds `used` of them now.
 
     An older process keeps those that it uses, and at least half of all until it ends; the newest process gets
-    the rest. The claim of an older process falls as it ends, so that all together stay within the total.
+    the rest. The claim of an older process falls as it ends, so the claims together stay within the total.
     """
     if not others:
         return total
@@ -57,7 +57,7 @@
         os.pwrite(self.file, b"%8d" % descriptors, 0)  # fixed length: readers get no mixture of two numbers
 
     def others(self) -> list[Claim]:
-        """Return the claims of other running processes, and deletes the files of those that ended.
+        """Return the claims of other running processes, and delete the files of those that have ended.
 
         Raises OSError.
         """
@@ -85,6 +85,6 @@
             os.close(file)
 
     def release(self) -> None:
-        """Delete the file as the process ends. Raises OSError."""
+        """Delete the file of this process, which ends its claim. Raises OSError."""
         self.path.unlink(missing_ok=True)
         os.close(self.file)
--- a/myrtlecourse/ops/orders.py
+++ b/myrtlecourse/ops/orders.py
@@ -14,7 +14,7 @@
 
 MAX_BANS = 1024
 RETURN_MEMORY = 600.0  # seconds for which the end of a ban is remembered: longer than any server's warm-up
-MAX_LISTED = 4096  # ids remembered; those listed longest ago are forgotten first
+MAX_LISTED = 4096  # ids that are remembered; beyond that, those listed longest ago are forgotten
 
 
 class OrdersError(ValueError):
@@ -43,8 +43,10 @@
         return replace(self, revision=self.revision + 1, bans={**self.bans, server: now})
 
     def without_ban(self, server: str, now: float) -> Orders:
-        """Return these orders without the ban of a cache server, however often it was ordered; unchanged if
-        it is not banned."""
+        """Return these orders without the ban of a cache server, however often it was ordered.
+
+        The orders are unchanged if the server is not banned.
+        """
         if server not in self.bans:
             return self
         bans = {name: at for name, at in self.bans.items() if name != server}
@@ -52,7 +54,7 @@
         return replace(self, revision=self.revision + 1, bans=bans, returned={**returned, server: now})
 
     def with_out_of_service(self, out: bool) -> Orders:
-        """Return these orders with the router out of service, or in service."""
+        """Return these orders with the router out of service (`out`) or in service."""
         return (
             self
             if out is self.out_of_service
@@ -67,7 +69,7 @@
     for server in sorted(after.returned.keys() - after.bans.keys()):
         if after.returned[server] != before.returned.get(server):
             yield api.BanLifted(server, after.returned[server])
-    # the ends of these bans are no longer remembered; without an event this process would keep them forever
+    # the end of these bans is no longer remembered; without an event this process would keep them forever
     for server in sorted(before.bans.keys() - after.bans.keys() - after.returned.keys()):
         yield api.BanLifted(server, 0.0)
 
@@ -110,7 +112,9 @@
     """The ids that discovery has listed, to refuse calls for servers that the fleet does not have."""
 
     def __init__(self) -> None:
-        self.cache_by_id: dict[str, bool] = {}  # id -> whether it is a cache server; latest listed last
+        self.cache_by_id: dict[
+            str, bool
+        ] = {}  # id -> whether it is a cache server; the one listed last comes last
 
     def record(self, listed: Iterable[tuple[str, bool]]) -> None:
         """Record listed ids with whether each is a cache server.
@@ -124,7 +128,7 @@
             del self.cache_by_id[next(iter(self.cache_by_id))]
 
     def refusal_reason(self, name: str) -> str:
-        """Return why a call for this id is refused, or an empty text if it is not."""
+        """Return why a call for an id is refused, or an empty text if it is accepted."""
         if name not in self.cache_by_id:
             return "discovery has not listed this id"
         return "" if self.cache_by_id[name] else "this is the origin, not a cache server"
--- a/myrtlecourse/ops/server.py
+++ b/myrtlecourse/ops/server.py
@@ -1,7 +1,7 @@
 """The operators' address: a small HTTP server on the event loop that also serves clients.
 
-An operator must get a response within a second: the server has descriptors of its own, so that neither many
-clients nor idle callers delay a call, and the event loop's lag is far shorter than that.
+An operator must get a response within a second. So the server has descriptors of its own, and neither many
+clients nor idle callers delay a call; the event loop's lag is far shorter than a second.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from myrtlecourse.net.transport import Transport
 from myrtlecourse.ops.calls import Call, Exchange, Response
 
-# open connections; beyond that an answered one is closed, else the oldest without a complete call
+# open connections; beyond that one that was answered is closed, else the oldest without a complete call
 MAX_CALLERS = 12
 CALL_TIMEOUT = 2.0  # seconds from the start of a connection in which the call must arrive completely
 LINGER_TIMEOUT = 1.0  # seconds for a caller to read the response and close the connection
@@ -35,15 +35,14 @@
         self.server: asyncio.Server | None = None
 
     async def start(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Start to listen. Return the address; the system chooses a port for 0. Raises OSError."""
+        """Start to listen, and return the address; for port 0 the system chooses one. Raises OSError."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: Caller(self), *address, backlog=128)
         host, port = self.server.sockets[0].getsockname()[:2]
         return host, port
 
     def add_caller(self, caller: Caller) -> None:
-        """Add a connection and closes one if there are too many, as idle callers could use up the
-        descriptors."""
+        """Add a connection, and close one if there are too many, as idle callers could use up descriptors."""
         self.callers[caller] = None
         if len(self.callers) > MAX_CALLERS:
             answered_callers = (c for c in self.callers if c.answered)
@@ -51,7 +50,7 @@
             next(chain(answered_callers, without_call), caller).transport.abort()
 
     def close(self) -> None:
-        """Stop to listen and closes all connections."""
+        """Stop listening and close all connections."""
         if self.server is not None:
             self.server.close()
         for caller in list(self.callers):
@@ -116,7 +115,8 @@
         if self.transport.is_closing():
             return
         self.transport.write(self.exchange.encode(response))
-        # guards the response: to close a connection with unread bytes resets it, and the response may be lost
+        # only the sending side is closed: to close a connection with unread bytes would reset it, and the
+        # response might be lost
         self.transport.write_eof()
         self.timer = asyncio.get_running_loop().call_later(LINGER_TIMEOUT, self.transport.abort)
 
--- a/myrtlecourse/ops/store.py
+++ b/myrtlecourse/ops/store.py
@@ -27,16 +27,16 @@
 
 
 class OrderStore:
-    """The stored orders; without a folder they are only kept in memory."""
+    """The latest orders, stored in a folder; without one they are only kept in memory."""
 
     def __init__(self, folder: Path | None) -> None:
         self.path = folder / "myrtlecourse-orders.json" if folder is not None else None
         self.orders = Orders()
-        # inode, time of modification and size of the file as last read
+        # inode, modification time and size of the file when it was last read
         self.file_state: tuple[int, int, int] | None = None
 
     def refresh(self) -> bool:
-        """Read orders that another process may have written. Return whether there was a newer revision."""
+        """Read orders that another process may have written; return whether there was a newer revision."""
         if self.path is None:
             return False
         try:
@@ -113,7 +113,7 @@
             temporary.rename(path)  # atomic: a reader gets the old file or the new one
         except OSError as e:
             with suppress(OSError):
-                temporary.unlink(missing_ok=True)  # may be incomplete
+                temporary.unlink(missing_ok=True)  # the file may be incomplete
             raise OrdersError(f"orders can't be stored: {e}") from e
 
 
--- a/myrtlecourse/reload_signal.py
+++ b/myrtlecourse/reload_signal.py
@@ -1,7 +1,7 @@
 """Records a SIGHUP that arrives before the event loop runs, so that the reload is not lost.
 
 The signal's default action would end the process during its start. Before this module installs its handler
-the signal is ignored (`run` in the deploy file), which loses nothing, as the configuration has not been read.
+the signal is ignored (`run` in the deploy file). That loses nothing, as the configuration is read later.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
         self.pending = False
 
     def listen(self) -> None:
-        """Record the signal from now on, until an event loop installs its own handler."""
+        """Start to record the signal, until an event loop installs its own handler."""
         signal.signal(signal.SIGHUP, self._record)
 
     def _record(self, *_: object) -> None:
--- a/myrtlecourse/service.py
+++ b/myrtlecourse/service.py
@@ -37,12 +37,13 @@
 from myrtlecourse.reload_signal import early_reload
 from myrtlecourse.subsystems import DISABLED_MESSAGES, Subsystems
 
-KILL_GRACE = 0.7  # SIGKILL may follow SIGTERM after the longest deadline and these seconds
-MAX_SHUTDOWN_DEADLINE = 3.0  # seconds; largest part of the longest deadline that counts for this
+# the platform may send SIGKILL once the longest deadline and these seconds have passed since SIGTERM
+KILL_GRACE = 0.7
+MAX_SHUTDOWN_DEADLINE = 3.0  # seconds; a longer deadline counts as this one for the time of the SIGKILL
 SHUTDOWN_MARGIN = 0.1  # seconds by which the shutdown ends before the SIGKILL
 RESERVED_DESCRIPTORS = 32  # for the event loop, the log, the listener, discovery and operators
 RESERVED_FOR_OTHER_PROCESS = 16  # the same for a second process during an upgrade, which needs fewer
-# seconds for which a removed class is still accepted: commands may have been on their way when it was removed
+# seconds for which a removed class is still accepted, as its commands may have been in transit at the reload
 REMOVED_CLASS_TIME = 2.0
 POLL_INTERVAL = 0.1  # seconds between polls of the orders and claims of other processes of this router
 FIRST_LIST_TIMEOUT = 1.0  # seconds to wait for a fresh list at an upgrade, before the saved one is used
@@ -67,9 +68,12 @@
     """The process of one router."""
 
     def __init__(self, config: Config, path: str, inherited: int | None, folder: Path | None) -> None:
-        """`path` is that of the configuration, and `inherited` the descriptor of a listening socket.
+        """Build the parts of the router without starting them.
 
-        Operators' orders are stored in `folder`, for other processes of this router during an upgrade.
+        `path` is that of the configuration; `inherited` is the descriptor of a listening socket, which the
+        platform passes at an upgrade.
+
+        Operators' orders are stored in `folder`, which processes of this router share during an upgrade.
         """
         self.config = config
         self.config_path = path
@@ -85,7 +89,8 @@
         self.origin = Pool(OriginConnection, available // 8, dial, idle, longest, descriptors, windows)
         self.admission = CoreAdmission(settings)
         self.host = Host(settings, config.seed, self.servers, self.origin, self._subscribe, self.admission)
-        # at an upgrade the first request is for the full list, which is answered at once
+        # without an index the first request is for the full list, which discovery sends at once; at an
+        # upgrade the list in the configuration may be old
         index = config.known_index if inherited is None else None
         timeouts = WatchTimeouts.from_settings(settings)
         self.discovery = Discovery(
@@ -99,10 +104,10 @@
             try:
                 self.claims = DescriptorClaims(folder)
             except OSError as e:
-                # guards the start: without the folder, only the sharing with another process is lost
+                # the router must start all the same; only the sharing with another process is lost
                 logging.error("nothing is shared with another process: %s", e)
         self.shutting_down = False
-        self.other_claims: list[Claim] = []  # of other running processes of this router, as last read
+        self.other_claims: list[Claim] = []  # claims of other processes of this router, as last read
         self._share_limits()
         self.orders = Orders()  # the orders that are in force at the host
         self.ops = OpsServer(self.handle_call)
@@ -110,12 +115,13 @@
         self.list_received = asyncio.Event()  # set once discovery has sent a list
         operators_file = os.environ.get("MYRTLECOURSE_FILE", "")
         self.operators_path = Path(operators_file) if operators_file else None
-        self.subsystems: Subsystems | None = None  # those that the operators' file enables
+        self.subsystems: Subsystems | None = None  # None without an operators' file
 
     def _subscribe(self) -> None:
         self.discovery.subscribe()
 
     def _on_list(self, kind: api.ListKind, members: list[Member]) -> None:
+        """Pass a list of servers, or a change of it, to the host."""
         origin = self.host.settings.origin_kind if self.host.settings.cache_aside else None
         self.listed_servers.record((m.entry.server, m.entry.kind != origin) for m in members)
         self.host.submit_list(kind, members)
@@ -135,7 +141,8 @@
         self._apply_orders()
         self._on_list(api.ListKind.SAVED, self.config.known)
         if not self.config.settings.subscribe:
-            # the decision module does not ask for a list that is pushed; a pushed one is fetched as well
+            # the decision module then sends no `Subscribe`, as it expects that lists are pushed; they are
+            # fetched here all the same
             self.discovery.subscribe()
         reloads = asyncio.create_task(self._reload_on_request())
         poll = asyncio.create_task(self._poll_other_processes()) if self.claims is not None else None
@@ -144,7 +151,8 @@
         if self.operators_path is not None:
             self.subsystems = Subsystems(self, self.operators_path)
             await self.subsystems.start()
-        # objects that exist by now stay: a garbage collection of a large list would block the event loop
+        # objects that exist by now are excluded from garbage collection, as a search of a large list of
+        # servers would block the event loop
         gc.freeze()
         try:
             self.listener.start(self.config.listen, self.inherited)
@@ -188,8 +196,8 @@
             min(MAX_SHUTDOWN_DEADLINE, self.host.settings.longest_deadline) + KILL_GRACE - SHUTDOWN_MARGIN
         )
         ends_at = loop.time() + longest
-        # guards requests that are accepted from here on: to hand over a duty may take longer than their
-        # deadlines
+        # While duties are handed over, requests are still accepted; those whose deadline is later than
+        # `ends_at` are refused.
         self.host.set_answer_deadline(longest)
         subsystems = self.subsystems
         closing = asyncio.create_task(subsystems.close()) if subsystems is not None else None
@@ -268,7 +276,7 @@
                     self.listener.stop_drain()
 
     async def _poll_other_processes(self) -> None:
-        """Apply orders that were given to another process of an upgrade, and shares the limits with it."""
+        """Poll for orders given to another process during an upgrade, and share the limits with it."""
         while True:
             await asyncio.sleep(POLL_INTERVAL)
             if self.store.refresh():
@@ -278,8 +286,8 @@
     def _read_other_claims(self) -> list[Claim]:
         """Return the claims of other running processes of this router.
 
-        While the folder can't be read, those read last count: a faulty folder ends neither the start nor the
-        polling of orders.
+        While the folder can't be read, the claims that were read last count: a faulty folder must end neither
+        the start nor the polling of orders.
         """
         if self.claims is None:
             return []
@@ -294,8 +302,8 @@
         others = self._read_other_claims()
         total = self.config.sockets - RESERVED_DESCRIPTORS - RESERVED_FOR_OTHER_PROCESS * len(others)
         if self.shutting_down and others:
-            # guards the new process, which lacks the descriptors of connections kept here for requests that
-            # won't come
+            # no new requests arrive here, so idle connections would only withhold descriptors from the new
+            # process
             for pool in (self.servers, self.origin):
                 pool.close_all_idle()
         descriptors = self.descriptors
@@ -324,7 +332,7 @@
             try:
                 await self._reload()
             except Exception:
-                # guards later reloads, which must work after a fault in this one
+                # a fault in one reload must not end this task, which carries out all later ones
                 logging.exception("reload")
 
     async def _reload(self) -> None:
@@ -332,7 +340,7 @@
         try:
             config = await read_reload(read_file(self.config_path), self.config)
         except ConfigError as e:
-            # guards the running router, which must not stop serving for an incomplete or wrong file
+            # a running router must not stop serving because of an incomplete or wrong file
             logging.error("configuration not taken, the old one stays in force: %s", e)
             return
         before, self.config = (
@@ -351,9 +359,12 @@
             self.subsystems.reload()
 
     def _apply_settings(self, settings: api.Settings) -> None:
-        """Replace the settings. Removed classes are accepted for a little longer with their old rules, as
-        commands of them may still be in sockets."""
-        before = self.host.settings.classes  # includes classes removed by a recent reload
+        """Replace the settings.
+
+        Removed classes are accepted with their old rules for REMOVED_CLASS_TIME, as their commands may still
+        be in sockets.
+        """
+        before = self.host.settings.classes  # includes the classes that a recent reload removed
         dropped = {name: c for name, c in before.items() if name not in settings.classes}
         added = [name for name in settings.classes if name not in before]
         logging.info("new settings: classes added %s, dropped %s", added or "none", [*dropped] or "none")
@@ -363,7 +374,7 @@
             asyncio.get_running_loop().call_later(REMOVED_CLASS_TIME, self._drop_removed_classes, settings)
 
     def _drop_removed_classes(self, settings: api.Settings) -> None:
-        if self.config.settings == settings:  # otherwise a later reload has started a timer of its own
+        if self.config.settings == settings:  # otherwise a later reload is in force, with a timer of its own
             self.host.change_settings(settings)
 
 
--- a/myrtlecourse/settings.py
+++ b/myrtlecourse/settings.py
@@ -10,7 +10,7 @@
 
 
 def number(table: dict[str, Any], field: str, default: float, where: str, least: float = 0.0) -> float:
-    """Return a number of the settings, or the default if it is absent. Raises SettingsError."""
+    """Return a number of at least `least`, or the default if the field is absent. Raises SettingsError."""
     value = table.get(field)
     if value is None:
         return default
--- a/myrtlecourse/subsystems.py
+++ b/myrtlecourse/subsystems.py
@@ -1,8 +1,8 @@
 """The optional subsystems of a router, which the operators' file enables.
 
 They are: a service address that moves between routers, duties that one router of the fleet holds at a time,
-leaving and rejoining zones as a fleet, and the distribution of changes and purges. The modules of a subsystem
-are imported only when the file enables it, as their libraries may not be installed.
+excluding and rejoining zones as a fleet, and the distribution of changes and purges. The modules of a
+subsystem are imported only when the file enables it, as their libraries may not be installed.
 """
 
 from __future__ import annotations
@@ -44,8 +44,11 @@
     """The optional subsystems of one router."""
 
     def __init__(self, service: Service, path: Path) -> None:
-        """`service` has the host, the listener and discovery, which the subsystems use; `path` is that of
-        the operators' file."""
+        """Create the subsystems without starting them.
+
+        The subsystems use the host, the listener and discovery of `service`; `path` is that of the operators'
+        file.
+        """
         self.service = service
         self.path = path
         self.address_driver: AddressDriver | None = None  # if the service address has an election of its own
@@ -77,7 +80,7 @@
         return self._handle_duty_call(call)
 
     async def close(self) -> None:
-        """Hand over or releases all that this router holds, and stops communicating."""
+        """Hand over or release all that this router holds, and stop communicating."""
         if self.gossip_socket is not None:
             self.gossip_socket.close()
         if self.address_driver is not None:
@@ -90,7 +93,7 @@
     def _read(self) -> OperatorsFile:
         """Return the operators' file. Raises ConfigError, also if a library that it needs is missing."""
         try:
-            # an optional dependency, which a router without an operators' file does not have
+            # needs a library that is not installed with a router without an operators' file
             from myrtlecourse.operators import read_operators  # noqa: PLC0415
         except ImportError as e:
             raise ConfigError(
@@ -114,7 +117,7 @@
         return Response(HTTPStatus.OK, "moving")
 
     async def _join_fleet(self, table: Fleet) -> None:
-        """Start to leave and rejoin zones together with the other routers, if they may communicate."""
+        """Start to exclude and rejoin zones together with the other routers, if they may communicate."""
         from myrtlecourse.zones.setup import make_gossip_socket  # noqa: PLC0415  (an optional dependency)
 
         self.gossip_socket = make_gossip_socket(
@@ -147,8 +150,10 @@
         return Response(HTTPStatus.OK, f"{call.server} is ordered {call.kind.value} for {call.seconds:g} s")
 
     def _can_serve(self, table: Address) -> bool:
-        """Return whether this router may hold the service address: it is neither drained nor overloaded, and
-        its list of servers is recent."""
+        """Return whether this router may hold the service address.
+
+        It may if it is neither drained nor overloaded and its list of servers is recent.
+        """
         list_is_recent = time.monotonic() - self.service.discovery.last_answer_at < table.list_age
         return (
             list_is_recent
@@ -194,7 +199,7 @@
         from myrtlecourse.duties.setup import make_driver, peers  # noqa: PLC0415  (an optional dependency)
 
         def able() -> bool:
-            """Return whether this router may hold duties: it is neither drained nor overloaded."""
+            """Return whether this router is neither drained nor overloaded, and so may hold duties."""
             return (
                 self.service.host.in_service and self.service.admission.admitted_share >= MIN_ADMITTED_SHARE
             )
@@ -241,7 +246,7 @@
         return Response(HTTPStatus.OK, orjson.dumps(self.spread_driver.status()).decode())
 
     async def _handle_entry_call(self, call: Call) -> Response:
-        """Commit a purge or change and responds once it is durable; passes other calls to the service."""
+        """Commit a purge or change and respond once it is durable; pass other calls to the service."""
         if self.spread_driver is None or call.kind not in (Kind.SPREAD_PURGE, Kind.SPREAD_SEND):
             return await self.service.handle_call(call)
         from myrtlecourse.spread.log_duty import OutcomeUnknown, commit  # noqa: PLC0415
@@ -259,8 +264,10 @@
         return Response(HTTPStatus.OK, str(number))
 
     def _on_address_change(self, here: bool) -> None:
-        """Start to serve clients when this router has acquired the service address; when it has lost it,
-        accepts nothing new and drains at once."""
+        """Start to serve clients if this router has acquired the service address (`here`).
+
+        If it has lost the address, accept nothing new and drain at once.
+        """
         self.service.host.holds_service_address = here
         if not here:
             self.service.listener.start_drain(0.0)
@@ -268,7 +275,7 @@
             self.service.listener.stop_drain()
 
     def reload(self) -> None:
-        """Apply changes of the operators' file: each table completely or not at all."""
+        """Apply changes of the operators' file; each of its tables is applied completely or not at all."""
         try:
             file = self._read()
         except ConfigError as e:
--- a/myrtlecourse/wirehost.py
+++ b/myrtlecourse/wirehost.py
@@ -36,87 +36,91 @@
     """Raised for a line that violates the protocol."""
 
 
-def read_entry(e: dict[str, Any]) -> api.ServerEntry:
-    """Return the entry of a server from a line of the list."""
+def read_entry(entry: dict[str, Any]) -> api.ServerEntry:
+    """Return the entry of a server from a line of a server list."""
     return api.ServerEntry(
-        server=e["server"],
-        state=STATES[e["readiness"]],
-        kind=e.get("generationHw") or "",
-        zone=e.get("site") or "",
-        cell=e.get("stripe") or 0,
-        weight=max(0.0, e.get("weight") or 0.0),
-        listed_start=e.get("since") or 0.0,
+        server=entry["server"],
+        state=STATES[entry["readiness"]],
+        kind=entry.get("generationHw") or "",
+        zone=entry.get("site") or "",
+        cell=entry.get("stripe") or 0,
+        weight=max(0.0, entry.get("weight") or 0.0),
+        listed_start=entry.get("since") or 0.0,
     )
 
 
-def read_list(e: dict[str, Any]) -> api.Event:
-    """Return the event of a list or its changes."""
-    return api.ServerList(KINDS[e["scope"]], tuple(map(read_entry, e.get("lines") or ())))
+def read_list(event: dict[str, Any]) -> api.Event:
+    """Return the event of a server list, or of changes to it."""
+    return api.ServerList(KINDS[event["scope"]], tuple(map(read_entry, event.get("lines") or ())))
 
 
-def read_request(e: dict[str, Any]) -> api.Event:
+def read_request(event: dict[str, Any]) -> api.Event:
     """Return a request event; a missing or negative time budget becomes 0."""
     return api.Request(
-        e["ticket"],
-        e["priority"],
-        max(0.0, float(e.get("timeBudget") or 0.0)),
-        e.get("partitionKey"),
-        e.get("effort"),
-        bool(e.get("update")),
+        event["ticket"],
+        event["priority"],
+        max(0.0, float(event.get("timeBudget") or 0.0)),
+        event.get("partitionKey"),
+        event.get("effort"),
+        bool(event.get("update")),
     )
 
 
-def read_outcome(e: dict[str, Any]) -> api.Event:
+def read_outcome(event: dict[str, Any]) -> api.Event:
     """Return the event of an attempt's end."""
     return api.Outcome(
-        e["ticket"], e["sendNo"], STATUSES[e["outcome"]], bool(e.get("final")), e.get("lag") or 0.0
+        event["ticket"],
+        event["sendNo"],
+        STATUSES[event["outcome"]],
+        bool(event.get("final")),
+        event.get("lag") or 0.0,
     )
 
 
 READERS: dict[str, Callable[[dict[str, Any]], api.Event]] = {
     "Membership": read_list,
     "Request": read_request,
-    "Begun": lambda e: api.Streaming(e["ticket"], e["sendNo"]),
+    "Begun": lambda event: api.Streaming(event["ticket"], event["sendNo"]),
     "Done": read_outcome,
-    "Aborted": lambda e: api.ClientGone(e["ticket"]),
-    "Wake": lambda e: api.TimerFired(e["ctx"]),
+    "Aborted": lambda event: api.ClientGone(event["ticket"]),
+    "Wake": lambda event: api.TimerFired(event["ctx"]),
 }
-UNUSED = {"Pong", "Heard"}  # answers to commands that these routers never send
+UNUSED = {"Pong", "Heard"}  # events that answer commands which these routers never send
 
 
-def write_send(a: api.Send) -> dict[str, Any]:
+def write_send(action: api.Send) -> dict[str, Any]:
     """Return the command that starts an attempt."""
-    if a.timeout is None:
-        return {"op": "Send", "ticket": a.request, "server": a.server}
-    return {"op": "Send", "ticket": a.request, "server": a.server, "timeout": a.timeout}
+    if action.timeout is None:
+        return {"op": "Send", "ticket": action.request, "server": action.server}
+    return {"op": "Send", "ticket": action.request, "server": action.server, "timeout": action.timeout}
 
 
-def write_refuse(a: api.Refuse) -> dict[str, Any]:
+def write_refuse(action: api.Refuse) -> dict[str, Any]:
     """Return the command that refuses a request, with a retry delay if there is one."""
-    advice = {"coolDown": a.retry_after} if a.retry_after else {}
-    return {"op": "Reject", "ticket": a.request, **advice}
+    advice = {"coolDown": action.retry_after} if action.retry_after else {}
+    return {"op": "Reject", "ticket": action.request, **advice}
 
 
 WRITERS: dict[type, Callable[[Any], dict[str, Any]]] = {
     api.Send: write_send,
     api.Refuse: write_refuse,
-    api.Fail: lambda a: {"op": "GiveUp", "ticket": a.request},
-    api.Cancel: lambda a: {"op": "Cancel", "ticket": a.request, "sendNo": a.attempt},
-    api.CloseIdle: lambda a: {"op": "LetGo", "server": a.server},
-    api.SetTimer: lambda a: {"op": "Timer", "fromNow": a.delay, "ctx": a.timer},
-    api.Subscribe: lambda a: {"op": "Listen", "enable": True},
-    api.Log: lambda a: {"op": "Record", "line": a.text},
+    api.Fail: lambda action: {"op": "GiveUp", "ticket": action.request},
+    api.Cancel: lambda action: {"op": "Cancel", "ticket": action.request, "sendNo": action.attempt},
+    api.CloseIdle: lambda action: {"op": "LetGo", "server": action.server},
+    api.SetTimer: lambda action: {"op": "Timer", "fromNow": action.delay, "ctx": action.timer},
+    api.Subscribe: lambda action: {"op": "Listen", "enable": True},
+    api.Log: lambda action: {"op": "Record", "line": action.text},
 }
 
 
 class Host:
-    """Keeps a router for each instance number; routers share nothing."""
+    """Runs one router for each `routerId`; routers share nothing."""
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
 
     def batch(self, line: bytes) -> bytes:
-        """Return the answer to a line of input. Raises WireError."""
+        """Return the line that answers a line of input. Raises WireError."""
         try:
             message = orjson.loads(line)
             now, news = float(message["t"]), message["news"]
@@ -132,20 +136,20 @@
     def event(self, now: float, event: Any, commands: list[dict[str, Any]]) -> None:
         """Pass an event to its router and append the resulting commands. Raises WireError."""
         try:
-            op, number_ = event["op"], event["routerId"]
+            op, router_id = event["op"], event["routerId"]
             if op == "Born":
-                self.routers[number_] = Router(read_settings(event["conf"]), event["initSeed"], now)
+                self.routers[router_id] = Router(read_settings(event["conf"]), event["initSeed"], now)
                 return
             if op == "Kill":
-                self.routers.pop(number_, None)
+                self.routers.pop(router_id, None)
                 return
             if op in UNUSED:
                 return
             read = READERS[op](event)
-            router = self.routers.get(number_)
+            router = self.routers.get(router_id)
         except api.SettingsError as e:
             print(f"myrtlecourse: {e}", file=sys.stderr)
-            commands.append({"op": "InternalError", "routerId": number_, "line": str(e)})
+            commands.append({"op": "InternalError", "routerId": router_id, "line": str(e)})
             return
         except (KeyError, TypeError, ValueError, AttributeError) as e:
             raise WireError(f"malformed event: {e!r} in {str(event)[:200]}") from e
@@ -153,12 +157,12 @@
             return
         for action in router.handle(now, read):
             command = WRITERS[type(action)](action)
-            command["routerId"] = number_
+            command["routerId"] = router_id
             commands.append(command)
 
 
 def main() -> int:
-    """Answer each line of standard input until its end. Return the exit status."""
+    """Answer each line of standard input until its end, and return the exit code."""
     host = Host()
     for line in sys.stdin.buffer:
         try:
