--- a/bench/address_move.py
+++ b/bench/address_move.py
@@ -166,8 +166,8 @@
 
     def observe(observation: seen.Observation) -> None:
         if isinstance(observation, seen.RouterUp | seen.RouterDown):
-            # one router of three went up or down, but clients see only the service; this benchmark itself
-            # records when that goes up and down
+            # one of three routers went up or down; clients see only the service, whose ups and downs this
+            # benchmark records itself
             return
         if isinstance(
             observation,
--- a/myrtlecourse/address/driver.py
+++ b/myrtlecourse/address/driver.py
@@ -70,7 +70,7 @@
         self.moves: list[str] = []  # when this router last acquired and lost the address, for operators
 
     async def start(self, bind: Endpoint) -> Endpoint:
-        """Open the socket and returns its address. Raises OSError."""
+        """Open the socket and return its address. Raises OSError."""
         at = await self.listen(bind)
         self.polled_at = time.monotonic()
         self.polling = asyncio.create_task(self._poll())
--- a/myrtlecourse/operators.py
+++ b/myrtlecourse/operators.py
@@ -40,9 +40,8 @@
 
     # with `peers` the address has an election of its own; otherwise it is the first duty of `[duties]`
     name: Name | None = None
-    peers: Annotated[
-        tuple[Peer, ...], Meta(max_length=15)
-    ] = ()  # includes this router; the most preferred first
+    # includes this router; the most preferred first
+    peers: Annotated[tuple[Peer, ...], Meta(max_length=15)] = ()
     key_file: str | None = None
     # the candidates if the address is a duty, the most preferred first; empty: all routers
     preferred: Annotated[tuple[Name, ...], Meta(max_length=255)] = ()
--- a/myrtlecourse/ops/orders.py
+++ b/myrtlecourse/ops/orders.py
@@ -112,9 +112,8 @@
     """The ids that discovery has listed, to refuse calls for servers that the fleet does not have."""
 
     def __init__(self) -> None:
-        self.cache_by_id: dict[
-            str, bool
-        ] = {}  # id -> whether it is a cache server; the one listed last comes last
+        # id -> whether it is a cache server; the one listed last comes last
+        self.cache_by_id: dict[str, bool] = {}
 
     def record(self, listed: Iterable[tuple[str, bool]]) -> None:
         """Record listed ids with whether each is a cache server.
--- a/myrtlecourse/service.py
+++ b/myrtlecourse/service.py
@@ -37,7 +37,7 @@
 from myrtlecourse.reload_signal import early_reload
 from myrtlecourse.subsystems import DISABLED_MESSAGES, Subsystems
 
-# the platform may send SIGKILL once the longest deadline and these seconds have passed since SIGTERM
+# seconds; the platform may send SIGKILL once the longest deadline and this have passed since SIGTERM
 KILL_GRACE = 0.7
 MAX_SHUTDOWN_DEADLINE = 3.0  # seconds; a longer deadline counts as this one for the time of the SIGKILL
 SHUTDOWN_MARGIN = 0.1  # seconds by which the shutdown ends before the SIGKILL
@@ -54,7 +54,8 @@
 def ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
     """Ignore further signals while the process exits.
 
-    Guards the exit code: an event loop that closes restores the default actions, which end the process.
+    Otherwise the exit code could be wrong: an event loop that closes restores the default actions, which end
+    the process.
     """
     handled = (signal.SIGHUP, *END_SIGNALS)
     before = signal.pthread_sigmask(signal.SIG_BLOCK, handled)
@@ -184,7 +185,7 @@
         ignore_signals(loop)
 
     async def _shut_down(self) -> None:
-        """Finish the accepted requests and closes the subsystems, both before SIGKILL may come."""
+        """Finish the accepted requests and close the subsystems, both before a SIGKILL may follow."""
         loop = asyncio.get_running_loop()
         inherited = self.inherited is not None
         logging.info(
@@ -202,7 +203,7 @@
         subsystems = self.subsystems
         closing = asyncio.create_task(subsystems.close()) if subsystems is not None else None
         if closing is not None and not inherited:
-            # clients still connect here until another router has the service address
+            # clients still connect to this router until another one has the service address
             await asyncio.wait([closing], timeout=longest - FRONT_REACTION_TIME)
         await self.listener.stop(FRONT_REACTION_TIME, ends_at - loop.time())
         if closing is not None:
@@ -225,7 +226,7 @@
     # Operators' orders
 
     async def handle_call(self, call: Call) -> Response:
-        """Carry out an operator's call, or returns why it is refused."""
+        """Carry out an operator's call, or return why it is refused."""
         now = time.time()
         if call.kind is Kind.READY:
             if self.host.accepts_clients():
--- a/myrtlecourse/subsystems.py
+++ b/myrtlecourse/subsystems.py
@@ -70,7 +70,7 @@
             await self._start_duties(file, file.duties)
 
     def handle_call(self, call: Call) -> Response:
-        """Carry out an operator's call, or returns why it is refused."""
+        """Carry out an operator's call, or return why it is refused."""
         if call.kind is Kind.ADDRESS or call.kind is Kind.MOVE:
             return self._handle_address_call(call)
         if call.kind is Kind.FLEET or call.kind in ZONE_CALLS:
