--- a/myrtlecourse/address/duty.py
+++ b/myrtlecourse/address/duty.py
@@ -1,4 +1,4 @@
-"""The service address as one of the duties in `[duties]`, with the voters and datagrams of the others."""
+"""The service address as one of the duties in `[duties]`, whose voters and datagrams it shares."""
 
 from __future__ import annotations
 
@@ -26,7 +26,9 @@
         on_change: Callable[[bool], None],
         wait_until_drained: Callable[[], Awaitable[None]],
     ) -> None:
-        """`on_change` is called with True when this router acquires the address, with False when it loses it.
+        """Create the work for the duty's driver.
+
+        `on_change` is called with True when this router acquires the address, with False when it loses it.
 
         When it loses the address, nothing may be accepted any more once `on_change` has returned;
         `wait_until_drained` then waits until the accepted requests have ended.
@@ -38,7 +40,7 @@
         self.withdrawal: asyncio.Task[None] | None = None
 
     def holds(self) -> bool:
-        """Returns whether this router holds the address now."""
+        """Return whether this router holds the address now."""
         return self.driver.acting_token(ADDRESS) is not None
 
     def on_acquired(self, token: int, value: messages.Value) -> None:
@@ -50,7 +52,7 @@
         self.withdrawal = asyncio.create_task(self._withdraw())
 
     async def _withdraw(self) -> None:
-        """Lets accepted requests end while their clients can still be reached, then withdraws the address."""
+        """Let accepted requests end while their clients can still be reached, then withdraws the address."""
         with suppress(TimeoutError):
             async with asyncio.timeout(DRAIN_TIMEOUT):
                 await self.wait_until_drained()
@@ -58,10 +60,10 @@
         self.driver.post(messages.WorkStopped(ADDRESS))
 
     def on_committed(self, token: int, number: int) -> None:
-        """Does nothing, as this duty has no orders."""
+        """Do nothing, as this duty has no orders."""
 
     def poll(self) -> None:
-        """Does nothing, as this duty has no periodic work."""
+        """Do nothing, as this duty has no periodic work."""
 
     async def close(self) -> None:
         if self.withdrawal is not None:
@@ -69,7 +71,7 @@
         self.link_updater.close()
 
     def status(self) -> dict[str, Any]:
-        """Returns the status for operators, in a form that can be written as JSON."""
+        """Return the status for operators, in a form that can be written as JSON."""
         election, now, driver = self.driver.duties.elections[ADDRESS], time.monotonic(), self.driver
         return {
             "name": driver.settings.name,
