--- a/bench/spread_plain.py
+++ b/bench/spread_plain.py
@@ -211,11 +211,13 @@
     """
     run = GossipPurges(members, seed, loss)
     run.core.run(run.core.now + 30.0)  # until members know most of the others
-    load_seconds, before = 1.5, {n: (g.bytes_sent, g.sent) for n, g in run.members.items()}
+    load_seconds, before = 1.5, {n: (g.bytes_sent, g.datagrams_sent) for n, g in run.members.items()}
     for i in range(max(1, int(rate * load_seconds))):
         run.core.call_after(i / rate if rate else 0.0, run.propose)
     run.core.run(run.core.now + load_seconds)
-    spent = {n: (g.bytes_sent - before[n][0], g.sent - before[n][1]) for n, g in run.members.items()}
+    spent = {
+        n: (g.bytes_sent - before[n][0], g.datagrams_sent - before[n][1]) for n, g in run.members.items()
+    }
     others = [n for n in run.members if n != run.source]
     deadline = run.core.now + 4.0
     while run.core.now < deadline and any(len(run.received_at[n]) < len(run.proposed_at) for n in others):
--- a/myrtlecourse/duties/holding.py
+++ b/myrtlecourse/duties/holding.py
@@ -1,10 +1,18 @@
 """What a duty's holder does with its lease: learns the last orders, sends its own, and finally revokes them.
 
 A new holder first surveys the members: each reports the last order that it accepted, and from then on refuses
-orders of earlier holders. With the reports of a majority, the holder continues from the highest order among
-them, so that what a majority accepted is neither forgotten nor done twice (the first phase of Paxos; Lamport,
-1998). It acts only once no member can obey the previous holder any more: all members have answered, or the
-validity of the previous holder's last order has ended on every clock.
+orders of earlier holders. The holder continues from the highest order among the reports, so that what a
+majority accepted is neither forgotten nor done twice (the first phase of Paxos; Lamport, 1998). In the terms
+of Paxos, Survey is the prepare message and Known the promise, Order is the accept message and Taken with
+`kept` the accepted message.
+
+The survey ends when all members have answered, or a majority that has not lost its memory; after a wait, any
+majority of the members is enough. The holder also acts only once no member can obey the previous holder any
+more: all members have answered, or the validity of the previous holder's last order has ended on every clock.
+
+A member puts a stamp, a time on its own clock, in each answer. An order repeats the last stamp received from
+its receiver (`echo`), and its validity counts from that stamp. So a member obeys only an order that repeats a
+recent stamp of its own.
 """
 
 from __future__ import annotations
@@ -48,7 +56,9 @@
         self.remembering: set[str] = set()  # members that have answered and have not lost their memory
         self.last_stamps: dict[str, int] = {}  # member -> the last stamp received from it
         self.accepted: dict[str, int] = {}  # member -> the highest number of an order that it accepted
-        self.last_accepted: dict[str, float] = {}  # member -> when its last acceptance arrived
+        # member -> when its last acceptance arrived; at first, for members that answered the survey, the time
+        # when the holder started to act
+        self.last_accepted: dict[str, float] = {}
         # member -> until when it may obey an order of this holding
         self.may_obey_until: dict[str, float] = {}
         self.committed = 0  # highest number of an order that a majority of the members has accepted
@@ -58,6 +68,7 @@
         """Apply settings with other members.
 
         The answers of members that were removed no longer count, as the new majorities do not contain them.
+        `may_obey_until` keeps these members: `revoke` and `nobody_obeys` still consider them.
         """
         self.settings = settings
         members = set(settings.members)
@@ -105,13 +116,13 @@
             return
         self.answered.add(member)
         self.last_stamps[member] = known.stamp
-        if not known.fresh:
+        if not known.fresh:  # `fresh`: it started without a memory and has accepted no order since
             self.remembering.add(member)
         if not self.acting and (known.taken, known.number) > self.highest_order:
             self.highest_order, self.value = (known.taken, known.number), known.value
 
     def may_start_acting(self, now: float) -> bool:
-        """Whether the holder may start to act now."""
+        """Return whether the holder may start to act now. Also sets `state_uncertain`."""
         settings, members = self.settings, len(self.settings.members)
         if self.acting or self.revoking:
             return False
@@ -126,7 +137,11 @@
         )
 
     def start_acting(self, now: float) -> None:
-        """Start to act: from now on the holder sends orders of its own."""
+        """Start to act: from now on the holder sends orders of its own.
+
+        The members that answered the survey count as having accepted an order now, so that `unanswered_for`
+        counts from now while they have not yet accepted the first one.
+        """
         self.acting = True
         self.number = 1
         self.send_at = now
@@ -142,12 +157,13 @@
     def on_taken(self, now: float, member: str, taken: messages.Taken) -> tuple[Message | None, bool]:
         """Handle a member's answer to an order.
 
-        Return an order to send again at once if the member could not accept the last one for lack of a fresh
-        stamp, else None; and whether a majority has now accepted a later order than before.
+        Return an order to send again at once, or None; and whether a majority has now accepted a later order
+        than before. An order is sent again, with the stamp of this answer, if the member did not accept the
+        last one, has accepted none recently, and has sent a new stamp.
         """
         if taken.token != self.token or not (self.acting or self.revoking):
             return None, False
-        before = self.last_stamps.get(member, 0)
+        previous_stamp = self.last_stamps.get(member, 0)
         # the latest stamp counts, not the highest, as a restarted member counts from another random number
         self.last_stamps[member] = taken.stamp
         if self.revoking:
@@ -158,7 +174,9 @@
             order_again = (
                 self.last_accepted.get(member, -math.inf) < now - self.duty.good_for / ORDERS_PER_VALIDITY / 2
             )
-            return (self._order_for(now, member) if order_again and taken.stamp != before else None), False
+            return (
+                self._order_for(now, member) if order_again and taken.stamp != previous_stamp else None
+            ), False
         self.last_accepted[member] = now
         self.accepted[member] = max(taken.number, self.accepted.get(member, 0))
         numbers = sorted(self.accepted.values(), reverse=True)
@@ -167,7 +185,7 @@
         return None, advanced
 
     def unanswered_for(self, now: float) -> float:
-        """Return the time in seconds since which no majority of the members has accepted an order."""
+        """Return for how many seconds no majority of the members has accepted an order; 0 before acting."""
         if not self.acting:
             return 0.0
         times = sorted(self.last_accepted.values(), reverse=True)
@@ -175,7 +193,7 @@
         return now - times[needed - 1] if len(times) >= needed else now - self.started_at
 
     def responsive_members(self, now: float) -> set[str]:
-        """Return the members that answered recently."""
+        """Return the members whose last acceptance is at most the validity of an order ago."""
         return {m for m, at in self.last_accepted.items() if now - at <= self.duty.good_for}
 
     # Stepping down
--- a/myrtlecourse/fleet/core_queue.py
+++ b/myrtlecourse/fleet/core_queue.py
@@ -1,9 +1,12 @@
-"""Cores that serve a queue at a speed that varies; no I/O and no clock: times are passed in, in seconds.
+"""Model of a server's processor: cores that serve one bounded queue at a speed that varies.
 
-Each core serves one item after another, first come, first served (an M/G/c queue). The speed of the cores is
-a function of time: low after a start, reduced or zero during faults. The queue therefore counts not time but
-the work that a core has done since the beginning, the integral of its speed. An item ends when that integral
-has grown by the item's work, however the speed varies meanwhile.
+The stand-in fleet and the simulator use it. It does no I/O and uses no clock: times are passed in, in
+seconds.
+
+Each core serves one item after another, first come, first served; the caller decides when items arrive. The
+speed is the same for all cores and a function of time: low after a start, reduced or zero during faults. The
+queue therefore counts not time but the work that a core has done since the beginning, the integral of its
+speed. An item ends when that integral has grown by the item's work, however the speed varies meanwhile.
 """
 
 from __future__ import annotations
@@ -30,7 +33,7 @@
         self.warm_up = warm_up
         self.factor = 1.0
         # Work done until the factor was last changed, and the warm-up integral at that time.
-        self.base = (0.0, self._warm_integral(0.0))
+        self.at_last_change = (0.0, self._warm_integral(0.0))
 
     def capacity_share(self, now: float) -> float:
         """Return the share of the full capacity that is available, without regard to faults."""
@@ -60,21 +63,21 @@
 
     def work_done(self, now: float) -> float:
         """Return the work that one core has done until now."""
-        work, warm = self.base
+        work, warm = self.at_last_change
         return work + self.factor * self.speed * (self._warm_integral(now) - warm)
 
     def time_of_work(self, work: float) -> float:
         """Return when one core will have done this work if the factor stays; infinite while it is halted."""
-        done, warm = self.base
-        if work <= done:
+        work_before, warm = self.at_last_change
+        if work <= work_before:
             return self._time_of_integral(warm)
         if not self.factor:
             return math.inf
-        return self._time_of_integral(warm + (work - done) / (self.factor * self.speed))
+        return self._time_of_integral(warm + (work - work_before) / (self.factor * self.speed))
 
     def set_factor(self, now: float, factor: float) -> None:
         """Multiply the speed of the cores by `factor` from now on."""
-        self.base = (self.work_done(now), self._warm_integral(now))
+        self.at_last_change = (self.work_done(now), self._warm_integral(now))
         self.factor = factor
 
 
@@ -85,18 +88,19 @@
     work: float  # seconds of a core of speed 1
     deadline: float  # time at which the client stops waiting
     request: object
-    finished: bool = False  # whether it has been cancelled or has ended
+    finished: bool = False  # whether it has ended, either because its work is done or by `cancel`
 
 
 class CoreQueue:
-    """A number of cores with a common queue."""
+    """A number of cores with a common queue, in which at most `max_waiting` items wait."""
 
     def __init__(self, cores: int, max_waiting: int, core_speed: CoreSpeed) -> None:
         self.cores = cores
         self.max_waiting = max_waiting
         self.core_speed = core_speed
         self.waiting: deque[WorkItem] = deque()
-        self.running: list[tuple[float, int, WorkItem]] = []  # ordered by the work done at which each ends
+        # a heap of: the work done by one core at which the item ends, its sequence number, the item
+        self.running: list[tuple[float, int, WorkItem]] = []
         self.sequence = 0
         self.cancelled_waiting = 0  # number of cancelled items that are still in `waiting`
 
@@ -115,9 +119,9 @@
         self.waiting.append(item)
         return True
 
-    def _run(self, done: float, item: WorkItem) -> None:
+    def _run(self, work_done: float, item: WorkItem) -> None:
         self.sequence += 1
-        heapq.heappush(self.running, (done + item.work, self.sequence, item))
+        heapq.heappush(self.running, (work_done + item.work, self.sequence, item))
 
     def cancel(self, now: float, item: WorkItem) -> None:
         """Stop working on an item, or remove it from the queue."""
@@ -133,14 +137,14 @@
                 return
         self.cancelled_waiting += 1
 
-    def _fill(self, done: float) -> None:
-        """Start waiting items on free cores."""
+    def _fill(self, work_done: float) -> None:
+        """Start waiting items on free cores; `work_done` is what one core has done until they start."""
         while self.waiting and len(self.running) < self.cores:
             item = self.waiting.popleft()
             if item.finished:
                 self.cancelled_waiting -= 1
             else:
-                self._run(done, item)
+                self._run(work_done, item)
 
     def next_end(self) -> float:
         """Return when the next item ends; infinite if none will."""
@@ -151,12 +155,13 @@
 
         A core starts its next item at the time when the last one ended, not at the time of this call.
         """
-        # 1e-9 s of tolerance: a timer set for exactly this time may fire early by a rounding error.
+        # The tolerance is the work of 1e-9 s of a core of speed 1: a timer set for exactly this time may fire
+        # early by a rounding error.
         if not self.running or self.running[0][0] > self.core_speed.work_done(now) + 1e-9:
             return None
-        done, _, item = heapq.heappop(self.running)
+        work_at_end, _, item = heapq.heappop(self.running)
         item.finished = True
-        self._fill(done)
+        self._fill(work_at_end)
         return item
 
     def clear(self) -> None:
--- a/myrtlecourse/net/list_updates.py
+++ b/myrtlecourse/net/list_updates.py
@@ -1,7 +1,8 @@
 """Applies lists of cache servers a few entries at a time; does no I/O and uses no clock.
 
 A list of thousands of entries that is applied in one iteration of the event loop blocks it: nothing is read
-meanwhile, and no deadline is kept. The host applies one batch per iteration, in the order of arrival.
+meanwhile, and no deadline is kept. The host (`net/host.py`), which runs in the event loop, applies one batch
+per iteration, in the order of arrival.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ListUpdate:
-    """A full list, or the changes of one, as discovery sent it."""
+    """A full list, or a delta with the changes to the list, as discovery sent it."""
 
     kind: api.ListKind
     members: list[Member]
@@ -33,7 +34,7 @@
     changed = [m for name, m in named.items() if current.get(name) != m]
     if update.kind is not api.ListKind.DELTA:
         changed += [as_gone(m) for name, m in current.items() if name not in named]
-    changed.sort(key=lambda m: m.entry.ready)
+    changed.sort(key=lambda m: m.entry.ready)  # False sorts first: servers that are not ready
     return changed
 
 
@@ -56,7 +57,7 @@
         self.current_members = current_members
         self.apply = apply
         self.queue: deque[ListUpdate] = deque()
-        self.batches: deque[list[Member]] = deque()  # the rest of the update that is being applied
+        self.batches: deque[list[Member]] = deque()  # remaining batches of the update that is being applied
 
     @property
     def pending(self) -> bool:
--- a/myrtlecourse/peers/gossip.py
+++ b/myrtlecourse/peers/gossip.py
@@ -9,6 +9,9 @@
 
 In the steady state, a router sends to one peer each interval. After a change it sends to FANOUT peers every
 TICK_INTERVAL seconds for as long as a rumour takes to reach all, about log(n) rounds, within its byte budget.
+
+`start_number` turns a Unix time into tenths of a second. A datagram holds two such numbers: the start of the
+sender's process, which tells its processes apart (an incarnation number), and the time when it was sent.
 """
 
 from __future__ import annotations
@@ -32,7 +35,7 @@
 STALL_THRESHOLD = 0.5  # seconds between two ticks, above which this process is taken to have stalled
 RECORDS_PER_DATAGRAM = 8  # in the steady state
 SUSPECT_INTERVALS = 4.0  # expected times between new records of a member, after which it is suspected
-GONE_FACTOR = 3.0  # further such periods, after which it is gone
+GONE_FACTOR = 3.0  # further periods of the same length, after which a suspected member is gone
 MAX_MEMBERS = 1000
 
 
@@ -51,7 +54,7 @@
     name: str
     record: Record | None = None
     replay_window: ReplayWindow | None = None  # of the numbers of its datagrams
-    start: int = 0  # start of the process that the numbers belong to
+    start: int = 0  # start number of the process that the replay window belongs to
     times_sent: int = 0  # how often its present record was passed on
     processes_heard: int = 0  # number of its processes, one after the other, that were heard
 
@@ -65,7 +68,7 @@
 
 
 class Gossip:
-    """One router's member of the gossip group."""
+    """One router's part in the gossip: makes its datagrams and keeps the records that its peers sent."""
 
     def __init__(
         self,
@@ -98,11 +101,12 @@
         self.budget = budget
         self.start = start_number(wall)
         self.record_number = 0
-        self.sent = 0  # datagrams, which also numbers them
+        self.datagrams_sent = 0  # also the number of the last datagram
         self.byte_credit = budget  # bytes that may be sent now
         self.last_tick = now
         self.due = now  # at once, so that peers reply with their records
-        self.new_processes: set[int] = set()  # members with a new process, which has no records yet
+        # peers that have started or restarted; they have no records yet and are sent some ahead of `due`
+        self.new_processes: set[int] = set()
         self.urgent_until = -math.inf
         self.peers_heard = False  # whether a peer was heard since the start or the last stall
         self.stalls = 0
@@ -150,7 +154,8 @@
         if member.record is None:
             return State.GONE
         # In a large fleet, news of one member arrives less often: one datagram with a few records goes out in
-        # each interval.
+        # each interval. The period is multiplied by half the binary logarithm of the number of members or,
+        # where it is greater, by the number of such datagrams that hold the records of all; by 1 at least.
         slowdown = max(1.0, math.log2(len(self.members)) / 2, len(self.members) / RECORDS_PER_DATAGRAM)
         suspect_after = SUSPECT_INTERVALS * self.interval * slowdown
         age = now - member.record.made_at
@@ -161,14 +166,14 @@
     def member_counts(self, now: float) -> Counter[int]:
         """Return the number of members that are present, by zone: this router, and all that are not gone.
 
-        Suspected members count, as decisions need several witnesses: with the others forgotten too soon, a
-        single one would suffice.
+        Decisions need several witnesses. Suspected members count, because if members were forgotten too soon,
+        a single witness would suffice for a decision.
         """
-        found = Counter({self.zone: 1})
+        counts = Counter({self.zone: 1})
         for member in self.peers:
             if member.record is not None and self.state(member, now) is not State.GONE:
-                found[member.record.zone] += 1
-        return found
+                counts[member.record.zone] += 1
+        return counts
 
     def records(self, now: float) -> list[Record]:
         """Return the records of the peers that are not gone."""
@@ -228,8 +233,8 @@
 
         Those that were sent least come first, and of these the newest.
         """
-        self.sent += 1
-        header = [VERSION, self.own_id, self.start, self.sent, start_number(wall)]
+        self.datagrams_sent += 1
+        header = [VERSION, self.own_id, self.start, self.datagrams_sent, start_number(wall)]
         own, receiver = self.members[self.own_id], ident(to)
         assert own.record is not None
         carried = [own.record.encode(now)]
@@ -260,13 +265,13 @@
             raise
 
     def _receive(self, data: bytes, now: float, wall: float) -> list[Record]:
-        _, sender, start, number, sent, carried = self.seal.open(data, 6, VERSION)
-        if any(type(n) is not int for n in (sender, start, number, sent)) or not isinstance(carried, list):
+        _, sender, start, number, sent_at, carried = self.seal.open(data, 6, VERSION)
+        if any(type(n) is not int for n in (sender, start, number, sent_at)) or not isinstance(carried, list):
             raise Dropped("malformed")
         member = self.members.get(sender)
         if member is None or sender == self.own_id:
             raise Dropped("of no member")
-        delay = max(0.0, (start_number(wall) - sent) / 10)
+        delay = max(0.0, (start_number(wall) - sent_at) / 10)  # from tenths of a second to seconds
         if delay > MAX_DELAY:
             raise Dropped("too late")
         if start < member.start:
@@ -274,8 +279,8 @@
         if start > member.start or member.replay_window is None:
             member.start, member.replay_window = start, ReplayWindow()
             member.processes_heard += 1
-            # The new process is sent the records at once: without them it would act as if no zone were
-            # excluded or being returned to.
+            # The new process is sent the records at once. Without them it would not know which zones are
+            # excluded, nor which are being returned to, and would act as if there were none.
             self.new_processes.add(sender)
         member.replay_window.accept(number)
         # A datagram may have waited in a queue while this process was stalled: its time in transit is added
--- a/myrtlecourse/scale/hollow.py
+++ b/myrtlecourse/scale/hollow.py
@@ -169,7 +169,7 @@
     def sent_totals(self) -> tuple[int, int]:
         """Return the number of datagrams sent and their bytes."""
         gossip = self.gossip_socket.agent.gossip if self.gossip_socket is not None else None
-        return (0, 0) if gossip is None else (gossip.sent, gossip.bytes_sent)
+        return (0, 0) if gossip is None else (gossip.datagrams_sent, gossip.bytes_sent)
 
     def close(self) -> None:
         """Stop the member: its timers and connections end."""
--- a/myrtlecourse/scale/measuring.py
+++ b/myrtlecourse/scale/measuring.py
@@ -184,7 +184,10 @@
         for gossip in members.values():
             waiting += [(d.to, d.data) for d in gossip.tick(now, WALL_CLOCK + now, lambda: ())]
     alive = sum(g.state(m, now) is State.ALIVE for g in members.values() for m in g.peers)
-    sent, bytes_sent = sum(g.sent for g in members.values()), sum(g.bytes_sent for g in members.values())
+    sent, bytes_sent = (
+        sum(g.datagrams_sent for g in members.values()),
+        sum(g.bytes_sent for g in members.values()),
+    )
     return (
         alive / (count * (count - 1)),
         sent / count / ROSTER_START_SECONDS,
--- a/myrtlecourse/zones/agent.py
+++ b/myrtlecourse/zones/agent.py
@@ -207,7 +207,7 @@
             "members": members,
             "zones": zone_rows,
             "stalls": gossip.stalls,
-            "sent": gossip.sent,
+            "sent": gossip.datagrams_sent,
             "bytes_sent": gossip.bytes_sent,
             "dropped": dict(gossip.dropped),
         }
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -88,7 +88,8 @@
     assert slopes.member_cost(30, 1, 4) > 0
     me, other = agents
     assert me.gossip.member_counts(1010.0).total() == 30
-    assert 8 <= me.gossip.sent <= 16 and 8 <= other.gossip.sent <= 16  # about one per second
+    # about one per second
+    assert 8 <= me.gossip.datagrams_sent <= 16 and 8 <= other.gossip.datagrams_sent <= 16
     assert me.gossip.peers_heard and not me.gossip.dropped
 
 
